--- /dev/null
+++ b/daemon/gateway/wire_test.go
@@ -0,0 +1,32 @@
+package gateway
+
+import (
+	"encoding/hex"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/ivyhollow/ivyhollow/coordination/watching"
+)
+
+// A field gets another name or type: instances of two builds stand side by side for
+// minutes, and the other would read no word of the store.
+func TestBytesOfWatchersWords(t *testing.T) {
+	cases := []struct {
+		name    string
+		message any
+		want    string
+	}{
+		{"word", watching.Word{Known: true, Age: 1, Recovered: 2}, "83a54b6e6f776ec3a3416765d30000000000000001a95265636f7665726564d30000000000000002"},
+		{"hears", watching.Word{Known: true, Age: 1, Recovered: 2}.Counts(), "c3"},
+		{"confirmed", confirmed{Revision: 3, Known: true}, "82a85265766973696f6ecf0000000000000003a54b6e6f776ec3"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			body, err := msgpack.Marshal(c.message)
+			require.NoError(t, err)
+			require.Equal(t, c.want, hex.EncodeToString(body))
+		})
+	}
+}
