--- /dev/null
+++ b/daemon/blocklist/wire_test.go
@@ -0,0 +1,44 @@
+package blocklist
+
+import (
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"github.com/uber-go/tally/v4"
+
+	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
+	"github.com/ivyhollow/ivyhollow/transport/peer"
+)
+
+// A renamed field or state changes what an operator's tools read: they list no
+// request, though some are refused.
+func TestBytesOfListedRequests(t *testing.T) {
+	rows := []struct {
+		name    string
+		crashes int
+		age     time.Duration
+		want    string
+	}{
+		{"blocked", 3, time.Second, "[{\"digest\":\"01000000000000000000000000000000\",\"state\":\"blocked\",\"crashes\":3,\"since_s\":1,\"left_s\":29}]\n"},
+		{"on trial", 3, 40 * time.Second, "[{\"digest\":\"01000000000000000000000000000000\",\"state\":\"on_trial\",\"crashes\":3,\"since_s\":40,\"left_s\":0}]\n"},
+		{"none", 0, 0, "[]\n"},
+	}
+	for _, row := range rows {
+		t.Run(row.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				m := &member{fleet: &fleet{instances: map[string]*member{}}, handlers: map[string]peer.Handler{}}
+				m.Blocklist = New(m, quarantine.DefaultConfig(), tally.NoopScope)
+				for i := range row.crashes {
+					m.Crashed(quarantine.Digest{1}, string(rune('a'+i)))
+				}
+				time.Sleep(row.age)
+				w := httptest.NewRecorder()
+				m.ServeHTTP(w, httptest.NewRequest("GET", "/quarantine", nil))
+				require.Equal(t, row.want, w.Body.String())
+			})
+		})
+	}
+}
--- /dev/null
+++ b/daemon/orders/wire_test.go
@@ -0,0 +1,57 @@
+package orders
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/ivyhollow/ivyhollow/coordination/lease"
+	emulator "github.com/ivyhollow/ivyhollow/emulator/platform"
+	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
+	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
+)
+
+// A renamed field or value changes what is stored of a pool's lease and orders: two
+// instances hold the lease at once, and operators read that no target lacks anything.
+func TestBytesOfStoredOrders(t *testing.T) {
+	rows := []struct {
+		name string
+		kind string
+		act  func(ctx context.Context, k *Keeper) error
+		want string
+	}{
+		{"lease", platformapi.KindLeases, func(ctx context.Context, k *Keeper) error {
+			_, err := k.write(ctx, lease.Write{Record: lease.Record{
+				Holder: "one", Fencing: 1, TermMS: 2, Attempt: 3, LongestOrderMS: 4,
+			}})
+			return err
+		}, `{"holder":"one","fencing":1,"term_ms":2,"attempt":3,"longest_order_ms":4}`},
+		{"orders", platformapi.KindOrders, func(ctx context.Context, k *Keeper) error {
+			k.lease.Absent(k.opts.Now())
+			k.lease.Next(k.opts.Now())
+			k.lease.Written(k.opts.Now(), 5)
+			k.desired.Revision = 6
+			k.readings["a"] = reading{revision: 6, fencing: 1}
+			k.readings["b"] = reading{revision: 6, fencing: 1, lacks: []targetapi.Order{
+				{Action: targetapi.ActionLoadModel, Value: "m"}, {Action: targetapi.ActionSetRole, Value: "r"},
+			}}
+			k.writeState(ctx, []Member{{Incarnation: "a"}, {Incarnation: "b"}, {Incarnation: "c"}})
+			return nil
+		}, `{"desired_revision":6,"fencing":1,"targets":3,"complete":1,"lacking":[{"incarnation":"b","lacks":["load_model m","set_role r"]},{"incarnation":"c"}]}`},
+	}
+	for _, row := range rows {
+		t.Run(row.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				store := emulator.New(emulator.Options{})
+				k := New(Options{Holder: "one", Pool: "engines", Store: store.Local("one"), Now: time.Now})
+				require.NoError(t, row.act(t.Context(), k))
+				object, err := store.Local("other").Get(t.Context(), row.kind, "engines")
+				require.NoError(t, err)
+				require.Equal(t, row.want, string(object.Spec))
+			})
+		})
+	}
+}
