--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -19,9 +19,9 @@
 // bound is the one that the package states, for the time since began.
 func (f *fleet) bound(began time.Time, listed int) float64 {
 	c := Config{}.withDefaults()
-	seconds := f.now.Sub(began) + c.Expiry + time.Duration(f.changes)*f.spread
+	seconds := f.now.Sub(began) + c.GrantTTL + time.Duration(f.changes)*f.spread
 	starts := float64(listed + f.changes)
-	floor := max(c.Floor*f.account.Burst/float64(listed), 1)
+	floor := max(c.LocalShare*f.account.Burst/float64(listed), 1)
 	return f.account.Burst + f.account.RequestsPerSecond*seconds.Seconds() + starts*floor
 }
 
@@ -213,15 +213,15 @@
 func TestGrantsInDisorder(t *testing.T) {
 	acct := account(1000, 1000)
 	now := epoch.Add(time.Minute)
-	first := func() (*Ledger, Ask) {
+	first := func() (*Ledger, GrantRequest) {
 		l := NewLedger(epoch, Config{Self: "a"})
 		for n := 0; ; n++ {
 			acct.Name = fmt.Sprint("account", n)
 			l.SetMembers(epoch, []string{"a", "b"}, 2)
 			l.SetMembers(epoch, []string{"a", "b"}, 2)
 			for range 30 {
-				if d := l.Allow(now, &acct); d.Ask != nil {
-					return l, *d.Ask
+				if d := l.Allow(now, &acct); d.Request != nil {
+					return l, *d.Request
 				}
 			}
 		}
@@ -235,29 +235,29 @@
 		return n
 	}
 	tests := map[string]struct {
-		run  func(l *Ledger, ask Ask) time.Time
+		run  func(l *Ledger, ask GrantRequest) time.Time
 		want int
 	}{
-		"granted": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+		"granted": {func(l *Ledger, ask GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
 			return now
 		}, 50},
-		"doubled": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+		"doubled": {func(l *Ledger, ask GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
 			return now
 		}, 50},
-		"of another ask": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq + 1, Tokens: 50})
+		"of another ask": {func(l *Ledger, ask GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: ask.Seq + 1, Tokens: 50})
 			return now
 		}, 0},
-		"of an unknown account": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: "nobody", Seq: ask.Seq, Tokens: 50})
+		"of an unknown account": {func(l *Ledger, ask GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: "nobody", Seq: ask.Seq, Tokens: 50})
 			return now
 		}, 0},
-		"left over too long": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
-			return now.Add(DefaultExpiry)
+		"left over too long": {func(l *Ledger, ask GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+			return now.Add(DefaultGrantTTL)
 		}, 25}, // the instance's own part of Burst has come back by then
 	}
 	for name, tt := range tests {
@@ -272,9 +272,9 @@
 	l, ask := first()
 	left(l, now)
 	require.Equal(t, Pending, l.Allow(now, &acct).Verdict)
-	d := l.Allow(now.Add(DefaultAskTimeout), &acct)
+	d := l.Allow(now.Add(DefaultRequestTimeout), &acct)
 	require.NotEqual(t, Pending, d.Verdict, "a lost ask ends the wait")
-	require.NotNil(t, l.Allow(now.Add(2*DefaultAskTimeout), &acct).Ask, "and is put again")
+	require.NotNil(t, l.Allow(now.Add(2*DefaultRequestTimeout), &acct).Request, "and is put again")
 
 	other := NewLedger(epoch, Config{Self: "c"})
 	other.SetMembers(epoch, []string{"a", "b", "c"}, 3)
@@ -290,7 +290,7 @@
 // Callers of thousands of accounts come to one instance, and instances come and go
 // all day: neither may grow what it keeps.
 func TestLedgerIsBounded(t *testing.T) {
-	l := NewLedger(epoch, Config{Self: "a", Accounts: 64})
+	l := NewLedger(epoch, Config{Self: "a", MaxAccounts: 64})
 	for n := range 5000 {
 		acct := account(1, 1)
 		acct.Name = fmt.Sprint(n)
@@ -307,7 +307,7 @@
 	for v := l.view.Load(); v != nil; v = v.previous {
 		views++
 	}
-	require.LessOrEqual(t, views, keptViews)
+	require.LessOrEqual(t, views, maxViews)
 }
 
 func BenchmarkAllow(b *testing.B) {
@@ -379,7 +379,7 @@
 	}
 	c := Config{}.withDefaults()
 	share := f.account.RequestsPerSecond / 2
-	alone := c.SilentFor.Seconds() + seconds/silentRest
-	most := share*alone + share*c.Floor*seconds + f.account.Burst/2
+	alone := c.MaxFallback.Seconds() + seconds/fallbackSpacing
+	most := share*alone + share*c.LocalShare*seconds + f.account.Burst/2
 	require.LessOrEqual(t, float64(f.served), most)
 }
--- a/coordination/budget/simulation_test.go
+++ b/coordination/budget/simulation_test.go
@@ -37,7 +37,7 @@
 type letter struct {
 	at       time.Time
 	from, to *node
-	ask      *Ask
+	ask      *GrantRequest
 	grant    *Grant
 }
 
@@ -90,9 +90,9 @@
 
 func (f *fleet) request(n *node) Verdict {
 	d := n.ledger.Allow(f.now, &f.account)
-	if d.Ask != nil {
+	if d.Request != nil {
 		f.asks++
-		f.post(n, f.find(d.Ask.Home), letter{ask: d.Ask})
+		f.post(n, f.find(d.Request.Home), letter{ask: d.Request})
 	}
 	if d.Verdict == Allowed {
 		f.served++
@@ -113,10 +113,10 @@
 // lost tells the one who asked that no answer comes.
 func (f *fleet) lost(l letter) {
 	if l.ask != nil {
-		l.from.ledger.Unanswered(f.now, *l.ask)
+		l.from.ledger.RequestFailed(f.now, *l.ask)
 		return
 	}
-	l.to.ledger.Unanswered(f.now, Ask{Account: l.grant.Account, Seq: l.grant.Seq})
+	l.to.ledger.RequestFailed(f.now, GrantRequest{Account: l.grant.Account, Seq: l.grant.Seq})
 }
 
 // step lets time pass, and delivers what is due.
@@ -133,7 +133,7 @@
 			g := l.to.ledger.Grant(f.now, *l.ask, &f.account)
 			f.post(l.to, l.from, letter{grant: &g})
 		} else {
-			l.to.ledger.Granted(f.now, *l.grant)
+			l.to.ledger.ApplyGrant(f.now, *l.grant)
 		}
 	}
 	for _, n := range f.nodes {
@@ -186,9 +186,9 @@
 		total += b.wanted[i]
 	}
 	for i := range b.shares {
-		b.shares[i] = DefaultFloor / size
+		b.shares[i] = DefaultLocalShare / size
 		if total > 0 {
-			b.shares[i] += (1 - DefaultFloor) * b.wanted[i] / total
+			b.shares[i] += (1 - DefaultLocalShare) * b.wanted[i] / total
 		}
 		b.wanted[i] *= 0.8
 	}
--- a/coordination/budget/spender.go
+++ b/coordination/budget/spender.go
@@ -8,25 +8,25 @@
 )
 
 // spender is what this instance may spend of one account's budget.
-type spender struct {
+type allowance struct {
 	// chunk holds granted tokens, which end at expires.
-	chunk   float64
-	expires time.Time
+	granted      float64
+	grantExpires time.Time
 	// floor holds tokens of the instance's own part.
-	floor float64
+	local float64
 	// demand is the recent rate of requests a second.
-	demand float64
-	last   time.Time
+	demand    float64
+	updatedAt time.Time
 
-	seq        uint32
-	askedAt    time.Time
-	waiting    bool
-	emptyUntil time.Time
+	seq            uint32
+	requestedAt    time.Time
+	requestPending bool
+	homeEmptyUntil time.Time
 
 	// silent tells that the home did not answer the last ask. silentFrom is
 	// when the last span began in which this instance did without a home.
-	silent     bool
-	silentFrom time.Time
+	homeFailed    bool
+	fallbackStart time.Time
 
 	view *view
 	home string
@@ -37,63 +37,63 @@
 const demandWindow = time.Second
 
 // refresh brings the spender up to now, to the membership and to the record.
-func (s *spender) refresh(now time.Time, c Config, v *view, account *catalog.Account, existed bool) {
+func (s *allowance) refresh(now time.Time, c Config, v *view, account *catalog.Account, existed bool) {
 	if s.view != v {
 		s.view = v
 		s.home = v.home(account.Name)
-		s.emptyUntil = time.Time{}
-		s.waiting = false
-		s.silent = false
+		s.homeEmptyUntil = time.Time{}
+		s.requestPending = false
+		s.homeFailed = false
 	}
-	s.adopt(account)
-	if s.alone(now, c) {
-		c.Floor = 1
+	s.applyRecord(account)
+	if s.inFallback(now, c) {
+		c.LocalShare = 1
 	}
-	rate, most := floorOf(c, v, account)
+	rate, most := localBucket(c, v, account)
 	if !existed {
-		s.floor = most
-		s.last = now
+		s.local = most
+		s.updatedAt = now
 	}
-	if elapsed := now.Sub(s.last); elapsed > 0 {
-		s.floor += rate * elapsed.Seconds()
+	if elapsed := now.Sub(s.updatedAt); elapsed > 0 {
+		s.local += rate * elapsed.Seconds()
 		s.demand *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
-		s.last = now
+		s.updatedAt = now
 	}
-	s.floor = min(s.floor, most)
+	s.local = min(s.local, most)
 	s.demand += 1 / demandWindow.Seconds()
-	if !now.Before(s.expires) {
-		s.chunk = 0
+	if !now.Before(s.grantExpires) {
+		s.granted = 0
 	}
 }
 
 // adopt takes a changed record into force at once: tokens that were granted
 // under the old rate shrink with it, and an account that was told to wait asks
 // again when its rate rose.
-func (s *spender) adopt(account *catalog.Account) {
+func (s *allowance) applyRecord(account *catalog.Account) {
 	if s.rate == account.RequestsPerSecond {
 		return
 	}
 	if s.rate > account.RequestsPerSecond {
-		s.chunk *= account.RequestsPerSecond / s.rate
+		s.granted *= account.RequestsPerSecond / s.rate
 	}
 	s.rate = account.RequestsPerSecond
-	s.emptyUntil = time.Time{}
+	s.homeEmptyUntil = time.Time{}
 }
 
 // floorOf returns the rate, in tokens a second, and the most tokens of an
 // instance's own part of a budget.
-func floorOf(c Config, v *view, account *catalog.Account) (rate, most float64) {
-	part := c.Floor / float64(v.listed)
+func localBucket(c Config, v *view, account *catalog.Account) (rate, most float64) {
+	part := c.LocalShare / float64(v.listed)
 	return account.RequestsPerSecond * part, max(burst(account)*part, 1)
 }
 
 // pay takes one token, granted ones first since they expire.
-func (s *spender) pay() bool {
+func (s *allowance) spendToken() bool {
 	switch {
-	case s.chunk >= 1:
-		s.chunk--
-	case s.floor >= 1:
-		s.floor--
+	case s.granted >= 1:
+		s.granted--
+	case s.local >= 1:
+		s.local--
 	default:
 		return false
 	}
@@ -106,23 +106,23 @@
 
 // prefetch asks for the next chunk once the present one no longer lasts for
 // half of the horizon.
-func (s *spender) prefetch(now time.Time, c Config, account string) *Ask {
+func (s *allowance) prefetch(now time.Time, c Config, account string) *GrantRequest {
 	lasts := s.demand * c.Horizon.Seconds()
-	if lasts < minPrefetch || s.chunk+s.floor >= lasts/2 || now.Before(s.emptyUntil) {
+	if lasts < minPrefetch || s.granted+s.local >= lasts/2 || now.Before(s.homeEmptyUntil) {
 		return nil
 	}
-	return s.ask(now, c, account)
+	return s.newRequest(now, c, account)
 }
 
 // ask makes an ask unless one is on its way.
-func (s *spender) ask(now time.Time, c Config, account string) *Ask {
-	if s.waiting && now.Sub(s.askedAt) < 2*c.AskTimeout {
+func (s *allowance) newRequest(now time.Time, c Config, account string) *GrantRequest {
+	if s.requestPending && now.Sub(s.requestedAt) < 2*c.RequestTimeout {
 		return nil
 	}
 	s.seq++
-	s.waiting = true
-	s.askedAt = now
-	return &Ask{
+	s.requestPending = true
+	s.requestedAt = now
+	return &GrantRequest{
 		Account: account,
 		From:    c.Self,
 		Home:    s.home,
@@ -133,21 +133,21 @@
 
 // granted takes in a grant. Only the answer to the newest ask counts: a grant
 // that comes twice must not be spent twice.
-func (s *spender) granted(now time.Time, c Config, g Grant) {
-	if !s.waiting || g.Seq != s.seq {
+func (s *allowance) applyGrant(now time.Time, c Config, g Grant) {
+	if !s.requestPending || g.Seq != s.seq {
 		return
 	}
-	s.waiting = false
-	s.silent = false
+	s.requestPending = false
+	s.homeFailed = false
 	if g.RetryAfterMS > 0 {
 		pause := time.Duration(g.RetryAfterMS) * time.Millisecond
-		s.emptyUntil = now.Add(max(pause, c.AskPause))
+		s.homeEmptyUntil = now.Add(max(pause, c.RequestBackoff))
 	}
-	if !now.Before(s.expires) {
-		s.chunk = 0
+	if !now.Before(s.grantExpires) {
+		s.granted = 0
 	}
-	s.chunk += float64(g.Tokens)
-	s.expires = now.Add(c.Expiry)
+	s.granted += float64(g.Tokens)
+	s.grantExpires = now.Add(c.GrantTTL)
 }
 
 // unanswered notes that the newest ask gets no answer.
@@ -156,32 +156,32 @@
 // unspent, until the membership notices. A home that lives and is only out of
 // reach goes on granting to others, so the time in which an instance does
 // without is bounded, however often answers come and go meanwhile.
-func (s *spender) unanswered(now time.Time, c Config, ask Ask) {
-	if !s.waiting || ask.Seq != s.seq {
+func (s *allowance) requestFailed(now time.Time, c Config, ask GrantRequest) {
+	if !s.requestPending || ask.Seq != s.seq {
 		return
 	}
-	s.waiting = false
-	s.silent = true
-	s.emptyUntil = now.Add(c.AskPause) // a dead home is not asked in a tight loop
-	if s.silentFrom.IsZero() || now.Sub(s.silentFrom) >= silentRest*c.SilentFor {
-		s.silentFrom = now
+	s.requestPending = false
+	s.homeFailed = true
+	s.homeEmptyUntil = now.Add(c.RequestBackoff) // a dead home is not asked in a tight loop
+	if s.fallbackStart.IsZero() || now.Sub(s.fallbackStart) >= fallbackSpacing*c.MaxFallback {
+		s.fallbackStart = now
 	}
 }
 
 // silentRest is the least time between the begins of two spans without a home,
 // as a multiple of SilentFor.
-const silentRest = 5
+const fallbackSpacing = 5
 
 // alone tells whether the instance may do without the home now.
-func (s *spender) alone(now time.Time, c Config) bool {
-	return s.silent && now.Sub(s.silentFrom) < c.SilentFor
+func (s *allowance) inFallback(now time.Time, c Config) bool {
+	return s.homeFailed && now.Sub(s.fallbackStart) < c.MaxFallback
 }
 
 // retryAfter is when the next token comes, from the home or the floor.
-func (s *spender) retryAfter(now time.Time, c Config, v *view, account *catalog.Account) time.Duration {
-	rate, _ := floorOf(c, v, account)
-	wait := secondsToDuration((1 - s.floor) / rate)
-	if fromHome := s.emptyUntil.Sub(now); fromHome > 0 {
+func (s *allowance) retryAfter(now time.Time, c Config, v *view, account *catalog.Account) time.Duration {
+	rate, _ := localBucket(c, v, account)
+	wait := secondsToDuration((1 - s.local) / rate)
+	if fromHome := s.homeEmptyUntil.Sub(now); fromHome > 0 {
 		wait = min(wait, fromHome)
 	}
 	return max(wait, time.Millisecond)
--- a/coordination/budget/types.go
+++ b/coordination/budget/types.go
@@ -39,11 +39,11 @@
 	Verdict    Verdict
 	RetryAfter time.Duration
 	// Ask is to be sent to the account's home; nil when there is none to send.
-	Ask *Ask
+	Request *GrantRequest
 }
 
 // Ask asks an account's home for a chunk of its budget.
-type Ask struct {
+type GrantRequest struct {
 	Account string  `msgpack:"a"`
 	From    string  `msgpack:"f"`
 	Home    string  `msgpack:"-"`
@@ -64,13 +64,13 @@
 
 // Defaults of Config.
 const (
-	DefaultFloor      = 0.05
-	DefaultHorizon    = 500 * time.Millisecond
-	DefaultExpiry     = 2 * time.Second
-	DefaultAskTimeout = 50 * time.Millisecond
-	DefaultAskPause   = 100 * time.Millisecond
-	DefaultSilentFor  = 10 * time.Second
-	DefaultAccounts   = 4096
+	DefaultLocalShare     = 0.05
+	DefaultHorizon        = 500 * time.Millisecond
+	DefaultGrantTTL       = 2 * time.Second
+	DefaultRequestTimeout = 50 * time.Millisecond
+	DefaultRequestBackoff = 100 * time.Millisecond
+	DefaultMaxFallback    = 10 * time.Second
+	DefaultMaxAccounts    = 4096
 )
 
 // Config sets a Ledger. Zero values take the defaults.
@@ -79,45 +79,45 @@
 	Self string
 	// Floor is the share of each budget, 0 to 1, that is divided among the
 	// instances beforehand and needs no home.
-	Floor float64
+	LocalShare float64
 	// Horizon is how long a chunk is to last at the present demand.
 	Horizon time.Duration
 	// Expiry is how long a granted chunk may be spent.
-	Expiry time.Duration
+	GrantTTL time.Duration
 	// AskTimeout is how long an ask may go unanswered.
-	AskTimeout time.Duration
+	RequestTimeout time.Duration
 	// AskPause is how long no ask follows one that left the home without a
 	// token: it bounds the messages for an account that is over its budget.
-	AskPause time.Duration
+	RequestBackoff time.Duration
 	// SilentFor is how long an instance does without a home that does not
 	// answer: longer than the membership takes to notice that it is dead.
-	SilentFor time.Duration
+	MaxFallback time.Duration
 	// Accounts bounds the accounts remembered here, as spender and as home; it
 	// has to exceed those that are active within Burst/Rate.
-	Accounts int
+	MaxAccounts int
 }
 
 func (c Config) withDefaults() Config {
-	if c.Floor <= 0 || c.Floor >= 1 {
-		c.Floor = DefaultFloor
+	if c.LocalShare <= 0 || c.LocalShare >= 1 {
+		c.LocalShare = DefaultLocalShare
 	}
 	if c.Horizon <= 0 {
 		c.Horizon = DefaultHorizon
 	}
-	if c.Expiry <= 0 {
-		c.Expiry = DefaultExpiry
+	if c.GrantTTL <= 0 {
+		c.GrantTTL = DefaultGrantTTL
 	}
-	if c.AskTimeout <= 0 {
-		c.AskTimeout = DefaultAskTimeout
+	if c.RequestTimeout <= 0 {
+		c.RequestTimeout = DefaultRequestTimeout
 	}
-	if c.AskPause <= 0 {
-		c.AskPause = DefaultAskPause
+	if c.RequestBackoff <= 0 {
+		c.RequestBackoff = DefaultRequestBackoff
 	}
-	if c.SilentFor <= 0 {
-		c.SilentFor = DefaultSilentFor
+	if c.MaxFallback <= 0 {
+		c.MaxFallback = DefaultMaxFallback
 	}
-	if c.Accounts <= 0 {
-		c.Accounts = DefaultAccounts
+	if c.MaxAccounts <= 0 {
+		c.MaxAccounts = DefaultMaxAccounts
 	}
 	return c
 }
--- a/coordination/budget/view.go
+++ b/coordination/budget/view.go
@@ -7,7 +7,7 @@
 )
 
 // keptViews bounds how far back homes are remembered.
-const keptViews = 8
+const maxViews = 8
 
 // view is one membership, as this instance saw it from a moment on.
 type view struct {
@@ -55,7 +55,7 @@
 // trim cuts off the views that are no longer kept.
 func (v *view) trim() {
 	at := v
-	for range keptViews - 1 {
+	for range maxViews - 1 {
 		if at.previous == nil {
 			return
 		}
--- a/coordination/claim/call.go
+++ b/coordination/claim/call.go
@@ -8,19 +8,19 @@
 	MaxWrites int
 	// AskEvery is the time before the second question to a claimant that
 	// runs; it doubles with each question, to MaxAskEvery.
-	AskEvery    time.Duration
-	MaxAskEvery time.Duration
+	RequestInterval    time.Duration
+	MaxRequestInterval time.Duration
 	// MaxAskFailures is how many questions may go without an answer before
 	// the claimant counts as gone.
-	MaxAskFailures int
+	MaxRequestFailures int
 }
 
 // DefaultLimits suit a store and peers that answer in milliseconds.
 var DefaultLimits = Limits{
-	MaxWrites:      4,
-	AskEvery:       20 * time.Millisecond,
-	MaxAskEvery:    time.Second,
-	MaxAskFailures: 2,
+	MaxWrites:          4,
+	RequestInterval:    20 * time.Millisecond,
+	MaxRequestInterval: time.Second,
+	MaxRequestFailures: 2,
 }
 
 type phase int
@@ -31,42 +31,42 @@
 	// readingBack: a write's answer was lost, the store is being read.
 	readingBack
 	// asking: the claimant is being asked.
-	asking
+	requesting
 	// waiting: the claimant runs, the next question is due later.
 	waiting
 	// lastRead: the claimant can't tell; its outcome may be in the store.
-	lastRead
+	finalRead
 	// decided: the call has ended.
 	decided
 )
 
 // Call is the claim of one call. It is a value of one goroutine.
 type Call struct {
-	mine     Record
+	own      Record
 	deadline time.Time
 	limits   Limits
 	phase    phase
 	writes   int
 	// found is the foreign claim last seen, at revision.
-	found    Record
-	revision uint64
-	heard    bool
+	found          Record
+	foundRevision  uint64
+	storeResponded bool
 	// mayBeStored is set once a write of this token may have taken effect.
-	mayBeStored bool
-	now         time.Time
-	askAgain    time.Duration
-	askFailures int
+	mayBeStored     bool
+	now             time.Time
+	requestInterval time.Duration
+	requestFailures int
 }
 
 // NewCall prepares the claim of a call that must be decided by deadline. The
 // token is used by no other call.
 func NewCall(token Token, body BodyDigest, now, deadline time.Time, limits Limits) *Call {
-	mine := Record{Token: token, Body: body, Made: now}
-	return &Call{mine: mine, deadline: deadline, limits: limits, now: now, askAgain: limits.AskEvery}
+	mine := Record{Token: token, BodyDigest: body, CreatedAt: now}
+	return &Call{own: mine, deadline: deadline, limits: limits, now: now, requestInterval: limits.RequestInterval}
 }
 
 // Record returns the claim as this call writes it.
-func (c *Call) Record() Record { return c.mine }
+func (c *Call) Record() Record { return c.own }
 
 // MayBeStored tells whether a write of this call's token may have taken
 // effect, or may do so later.
@@ -83,12 +83,12 @@
 		return c.afterWrite(e)
 	case readingBack:
 		return c.afterReadBack(e)
-	case asking:
-		return c.afterAsk(e)
+	case requesting:
+		return c.afterRequest(e)
 	case waiting:
-		return c.ask()
-	case lastRead:
-		return c.afterLastRead(e)
+		return c.requestStatus()
+	case finalRead:
+		return c.afterFinalRead(e)
 	default:
 		panic("claim: step of a decided call")
 	}
@@ -97,7 +97,7 @@
 func (c *Call) create() Action {
 	c.phase = writing
 	c.writes++
-	return Create{Record: c.mine}
+	return Create{Record: c.own}
 }
 
 func (c *Call) takeOver() Action {
@@ -106,17 +106,17 @@
 	}
 	c.phase = writing
 	c.writes++
-	return TakeOver{Revision: c.revision, Record: c.mine}
+	return TakeOver{Revision: c.foundRevision, Record: c.own}
 }
 
 // ask asks the claimant. Each claimant met is asked until the deadline at most,
 // so the call ends however often the claim changes hands.
-func (c *Call) ask() Action {
+func (c *Call) requestStatus() Action {
 	if !c.now.Before(c.deadline) {
 		return c.unknown("claimant still runs at the deadline")
 	}
-	c.phase = asking
-	return Ask{Token: c.found.Token}
+	c.phase = requesting
+	return RequestStatus{Token: c.found.Token}
 }
 
 func (c *Call) afterWrite(e Event) Action {
@@ -126,11 +126,11 @@
 		return c.run(e.Revision)
 	case Exists:
 		return c.examine(e)
-	case StoreAway:
+	case StoreUnavailable:
 		return c.refuse("store unavailable", e.RetryAfter)
 	case Absent:
 		// The claim to take over has gone with the end of its retention.
-		c.heard = true
+		c.storeResponded = true
 		return c.notRun("claim removed while it was taken over")
 	default:
 		// The write may have taken effect, or may do so later. Only the
@@ -160,7 +160,7 @@
 // same token both effects are one claim, so the late one does no harm; when
 // the call gives up instead, the claimant remembers the token as abandoned.
 func (c *Call) createAgain() Action {
-	c.heard = true
+	c.storeResponded = true
 	if c.writes >= c.limits.MaxWrites {
 		return c.notRun("too many writes for one claim")
 	}
@@ -169,76 +169,76 @@
 
 // examine acts on the claim that the store holds.
 func (c *Call) examine(e Exists) Action {
-	c.heard = true
-	if e.Record.Token == c.mine.Token {
+	c.storeResponded = true
+	if e.Record.Token == c.own.Token {
 		return c.run(e.Revision)
 	}
-	c.found, c.revision = e.Record, e.Revision
-	if e.Record.Body != c.mine.Body {
+	c.found, c.foundRevision = e.Record, e.Revision
+	if e.Record.BodyDigest != c.own.BodyDigest {
 		return c.decide(Decision{Verdict: VerdictConflict, Reason: "key used with another body"})
 	}
 	if e.Record.Released() {
 		return c.takeOver()
 	}
-	if e.Record.Kept != nil {
-		return c.replay(e.Record.Kept)
+	if e.Record.Result != nil {
+		return c.replay(e.Record.Result)
 	}
-	return c.ask()
+	return c.requestStatus()
 }
 
-func (c *Call) afterAsk(e Event) Action {
-	said, ok := e.(PeerSaid)
+func (c *Call) afterRequest(e Event) Action {
+	said, ok := e.(PeerResponded)
 	if !ok {
-		return c.afterSilence()
+		return c.afterNoResponse()
 	}
-	switch said.Answer.State {
-	case PeerAbandoned:
+	switch said.Response.State {
+	case TokenAbandoned:
 		return c.takeOver()
-	case PeerRunning:
+	case TokenRunning:
 		return c.wait()
-	case PeerFinished:
-		if said.Answer.Kept != nil {
-			return c.replay(said.Answer.Kept)
+	case TokenFinished:
+		if said.Response.Result != nil {
+			return c.replay(said.Response.Result)
 		}
-		return c.readLast()
+		return c.readFinal()
 	default:
-		return c.readLast()
+		return c.readFinal()
 	}
 }
 
 // afterSilence asks a claimant that gave no answer again, a few times.
-func (c *Call) afterSilence() Action {
-	c.askFailures++
-	if c.askFailures < c.limits.MaxAskFailures {
-		return c.ask()
+func (c *Call) afterNoResponse() Action {
+	c.requestFailures++
+	if c.requestFailures < c.limits.MaxRequestFailures {
+		return c.requestStatus()
 	}
-	return c.readLast()
+	return c.readFinal()
 }
 
 // readLast reads the claim once more. Guard: the claimant recorded the outcome
 // after this call had read the claim, and died before it could be asked.
-func (c *Call) readLast() Action {
-	c.phase = lastRead
+func (c *Call) readFinal() Action {
+	c.phase = finalRead
 	return Read{}
 }
 
 func (c *Call) wait() Action {
 	c.phase = waiting
-	until := c.now.Add(c.askAgain)
-	c.askAgain = min(2*c.askAgain, c.limits.MaxAskEvery)
+	until := c.now.Add(c.requestInterval)
+	c.requestInterval = min(2*c.requestInterval, c.limits.MaxRequestInterval)
 	if until.After(c.deadline) {
 		until = c.deadline
 	}
 	return Wait{Until: until}
 }
 
-func (c *Call) afterLastRead(e Event) Action {
+func (c *Call) afterFinalRead(e Event) Action {
 	exists, ok := e.(Exists)
 	if !ok {
 		return c.unknown("claimant and store can't tell the outcome")
 	}
 	same := exists.Record.Token == c.found.Token
-	if !same || exists.Record.Kept != nil || exists.Record.Abandoned {
+	if !same || exists.Record.Result != nil || exists.Record.Abandoned {
 		return c.examine(exists)
 	}
 	// Guard: the claimant is gone and left no outcome. It may have dispatched
@@ -250,8 +250,8 @@
 	return c.decide(Decision{Verdict: VerdictRun, Revision: revision, Reason: "claimed"})
 }
 
-func (c *Call) replay(kept *Kept) Action {
-	return c.decide(Decision{Verdict: VerdictReplay, Kept: kept, Reason: "key has run"})
+func (c *Call) replay(kept *StoredResult) Action {
+	return c.decide(Decision{Verdict: VerdictReplay, Result: kept, Reason: "key has run"})
 }
 
 func (c *Call) unknown(reason string) Action {
@@ -262,10 +262,10 @@
 
 func (c *Call) refuse(reason string, retryAfter time.Duration) Action {
 	return c.decide(Decision{
-		Verdict:     VerdictNotRun,
-		RetryAfter:  retryAfter,
-		Reason:      reason,
-		StoreSilent: !c.heard,
+		Verdict:         VerdictNotRun,
+		RetryAfter:      retryAfter,
+		Reason:          reason,
+		NoStoreResponse: !c.storeResponded,
 	})
 }
 
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -18,7 +18,7 @@
 
 // MaxBody is the greatest body, in bytes, that a claim keeps. In base64 it
 // stays, with its envelope, under the store's limit of a megabyte.
-const MaxBody = 720 << 10
+const MaxBodyBytes = 720 << 10
 
 // Key names a request that may not be repeated.
 type Key struct {
@@ -87,7 +87,7 @@
 
 // Kept is the outcome that a claim keeps, so that a retry gets the answer of
 // the first run.
-type Kept struct {
+type StoredResult struct {
 	Outcome     Outcome `json:"outcome" msgpack:"o"`
 	Status      int     `json:"status" msgpack:"s"`
 	ContentType string  `json:"content_type,omitempty" msgpack:"c"`
@@ -99,14 +99,14 @@
 }
 
 // Whole tells whether the kept body is the whole answer.
-func (k *Kept) Whole() bool { return len(k.Body) == k.BodyLength }
+func (k *StoredResult) Complete() bool { return len(k.Body) == k.BodyLength }
 
 // Fit returns the outcome in the form that is kept: with its digest, and
 // without its body when that is longer than MaxBody.
-func (k Kept) Fit() Kept {
+func (k StoredResult) ForStorage() StoredResult {
 	k.BodyLength = len(k.Body)
 	k.BodyDigest = sha256.Sum256(k.Body)
-	if len(k.Body) > MaxBody {
+	if len(k.Body) > MaxBodyBytes {
 		k.Body = nil
 	}
 	return k
@@ -114,47 +114,47 @@
 
 // Record is a claim as it stands in the store.
 type Record struct {
-	Token Token      `json:"token"`
-	Body  BodyDigest `json:"body"`
+	Token      Token      `json:"token"`
+	BodyDigest BodyDigest `json:"body"`
 	// Made is when the claimant made the claim, on its wall clock.
-	Made time.Time `json:"made"`
+	CreatedAt time.Time `json:"made"`
 	// Abandoned says that nothing was or ever will be dispatched under Token.
 	Abandoned bool `json:"abandoned,omitempty"`
 	// Kept is nil until the outcome is recorded.
-	Kept *Kept `json:"kept,omitempty"`
+	Result *StoredResult `json:"kept,omitempty"`
 }
 
 // Released tells whether the record itself proves that nothing was or ever
 // will be dispatched under its token, so that the key may be claimed anew.
 func (r *Record) Released() bool {
-	return r.Abandoned || (r.Kept != nil && r.Kept.Outcome == OutcomeNotRun)
+	return r.Abandoned || (r.Result != nil && r.Result.Outcome == OutcomeNotRun)
 }
 
 // Question asks a claimant what became of one of its tokens.
-type Question struct {
+type StatusRequest struct {
 	ID    ID    `msgpack:"i"`
 	Token Token `msgpack:"t"`
 }
 
 // PeerState is a claimant's answer about one of its tokens.
-type PeerState string
+type TokenState string
 
 // The states of a token.
 const (
 	// PeerRunning: the claim may be or become dispatched. Ask again later.
-	PeerRunning PeerState = "running"
+	TokenRunning TokenState = "running"
 	// PeerFinished: the work is over. PeerAnswer.Kept holds the outcome when
 	// the claimant still has it, else the store does.
-	PeerFinished PeerState = "finished"
+	TokenFinished TokenState = "finished"
 	// PeerAbandoned: nothing was or ever will be dispatched under the token.
-	PeerAbandoned PeerState = "abandoned"
+	TokenAbandoned TokenState = "abandoned"
 	// PeerForgotten: the claimant can't tell: another incarnation answers, or
 	// its bounded memory has let the token go.
-	PeerForgotten PeerState = "forgotten"
+	TokenForgotten TokenState = "forgotten"
 )
 
 // PeerAnswer is the answer to a Question.
-type PeerAnswer struct {
-	State PeerState `msgpack:"s"`
-	Kept  *Kept     `msgpack:"k"`
+type StatusResponse struct {
+	State  TokenState    `msgpack:"s"`
+	Result *StoredResult `msgpack:"k"`
 }
--- a/coordination/claim/events.go
+++ b/coordination/claim/events.go
@@ -18,31 +18,31 @@
 	// Absent: the store holds no claim of the key.
 	Absent struct{}
 	// StoreAway: the store did nothing and never will.
-	StoreAway struct {
+	StoreUnavailable struct {
 		// RetryAfter is the least time before another try, 0 when unknown.
 		RetryAfter time.Duration
 	}
 	// AnswerLost: the write may have been done, or may be done later.
-	AnswerLost struct{}
+	ResponseLost struct{}
 	// ReadFailed: a Read got no answer.
 	ReadFailed struct{}
 	// PeerSaid: the claimant has answered.
-	PeerSaid struct{ Answer PeerAnswer }
+	PeerResponded struct{ Response StatusResponse }
 	// PeerAway: the claimant is dead or can't be reached.
-	PeerAway struct{}
+	PeerUnreachable struct{}
 	// Waited: the time of a Wait has come.
 	Waited struct{}
 )
 
-func (Written) event()    {}
-func (Exists) event()     {}
-func (Absent) event()     {}
-func (StoreAway) event()  {}
-func (AnswerLost) event() {}
-func (ReadFailed) event() {}
-func (PeerSaid) event()   {}
-func (PeerAway) event()   {}
-func (Waited) event()     {}
+func (Written) event()          {}
+func (Exists) event()           {}
+func (Absent) event()           {}
+func (StoreUnavailable) event() {}
+func (ResponseLost) event()     {}
+func (ReadFailed) event()       {}
+func (PeerResponded) event()    {}
+func (PeerUnreachable) event()  {}
+func (Waited) event()           {}
 
 // Action is what the driver does next. Each but Decide is answered by one
 // event to Call.Step.
@@ -60,19 +60,19 @@
 		Record   Record
 	}
 	// Ask asks the token's claimant what became of it.
-	Ask struct{ Token Token }
+	RequestStatus struct{ Token Token }
 	// Wait waits until a time.
 	Wait struct{ Until time.Time }
 	// Decide ends the call.
 	Decide struct{ Decision Decision }
 )
 
-func (Create) action()   {}
-func (Read) action()     {}
-func (TakeOver) action() {}
-func (Ask) action()      {}
-func (Wait) action()     {}
-func (Decide) action()   {}
+func (Create) action()        {}
+func (Read) action()          {}
+func (TakeOver) action()      {}
+func (RequestStatus) action() {}
+func (Wait) action()          {}
+func (Decide) action()        {}
 
 // Verdict is how a call's claim ends.
 type Verdict int
@@ -102,12 +102,12 @@
 	// Revision of the claim in the store, with VerdictRun.
 	Revision uint64
 	// Kept is the outcome to replay, with VerdictReplay.
-	Kept *Kept
+	Result *StoredResult
 	// Reason says in a few words how the decision came about.
 	Reason string
 	// RetryAfter is the store's wish with VerdictNotRun, 0 when unknown.
 	RetryAfter time.Duration
 	// StoreSilent, with VerdictNotRun, says that the store gave no answer
 	// about the key: whether an earlier call with it ran isn't known.
-	StoreSilent bool
+	NoStoreResponse bool
 }
--- a/coordination/claim/model_test.go
+++ b/coordination/claim/model_test.go
@@ -38,7 +38,7 @@
 
 type modelInstance struct {
 	owner  Owner
-	holder *Holder
+	holder *Tracker
 	dead   bool
 }
 
@@ -99,12 +99,12 @@
 	switch fault {
 	case 1:
 		m.apply(w)
-		return AnswerLost{}
+		return ResponseLost{}
 	case 2, 3:
 		m.late = append(m.late, w)
-		return AnswerLost{}
+		return ResponseLost{}
 	case 4:
-		return StoreAway{}
+		return StoreUnavailable{}
 	default:
 		return m.apply(w)
 	}
@@ -122,14 +122,14 @@
 
 func (m *model) ask(token Token) Event {
 	if m.lossy && rapid.IntRange(0, 5).Draw(m.t, "ask fault") == 0 {
-		return PeerAway{}
+		return PeerUnreachable{}
 	}
 	for _, i := range m.instances {
 		if i.owner == token.Owner && !i.dead {
-			return PeerSaid{Answer: i.holder.Answer(token.Attempt)}
+			return PeerResponded{Response: i.holder.Status(token.Attempt)}
 		}
 	}
-	return PeerAway{}
+	return PeerUnreachable{}
 }
 
 // step moves one call by half an exchange: the action takes effect, or its
@@ -147,7 +147,7 @@
 		c.event = m.write(modelWrite{record: a.Record, revision: a.Revision})
 	case Read:
 		c.event = m.read()
-	case Ask:
+	case RequestStatus:
 		c.event = m.ask(a.Token)
 	case Wait:
 		c.event = Waited{}
@@ -170,11 +170,11 @@
 	case VerdictRun:
 		return
 	case VerdictReplay:
-		if _, ran := m.outcomes[Token{Attempt: uint64(d.Kept.Status)}]; !ran {
+		if _, ran := m.outcomes[Token{Attempt: uint64(d.Result.Status)}]; !ran {
 			m.t.Fatalf("replay of an outcome that nobody recorded")
 		}
 	case VerdictNotRun:
-		if c.knownRun && !d.StoreSilent && !m.swept {
+		if c.knownRun && !d.NoStoreResponse && !m.swept {
 			m.t.Fatalf("false not run: the key ran before this call began (%s)", d.Reason)
 		}
 	}
@@ -212,12 +212,12 @@
 		}
 	default:
 		c.over = true
-		kept := Kept{Outcome: OutcomeRan, Status: int(c.token.Attempt)}
+		kept := StoredResult{Outcome: OutcomeRan, Status: int(c.token.Attempt)}
 		if err := c.at.holder.Finish(c.token.Attempt, kept, m.now); err != nil {
 			m.t.Fatalf("finish: %v", err)
 		}
 		m.outcomes[Token{Attempt: c.token.Attempt}]++
-		record.Kept = &kept
+		record.Result = &kept
 		m.write(modelWrite{record: record, revision: c.decision.Revision})
 	}
 }
@@ -254,18 +254,18 @@
 		m.apply(w)
 	}
 	m.late = kept
-	if m.stored != nil && m.now.Sub(m.stored.Made) > modelRetention {
+	if m.stored != nil && m.now.Sub(m.stored.CreatedAt) > modelRetention {
 		m.stored, m.swept = nil, true
 	}
 }
 
 func newModelInstance(i int, incarnation uint64, remembered int) *modelInstance {
-	limits := HolderLimits{
-		MaxOpen: 200, MaxClosed: remembered, MaxKeptBytes: 1 << 20,
-		Remember: modelRetention, DispatchWindow: modelWindow,
+	limits := TrackerLimits{
+		MaxOpen: 200, MaxClosed: remembered, MaxResultBytes: 1 << 20,
+		Retention: modelRetention, DispatchWindow: modelWindow,
 	}
 	owner := Owner{Instance: string(rune('a' + i)), Incarnation: incarnation}
-	return &modelInstance{owner: owner, holder: NewHolder(limits)}
+	return &modelInstance{owner: owner, holder: NewTracker(limits)}
 }
 
 func newModel(t *rapid.T) *model {
--- a/coordination/config/change.go
+++ b/coordination/config/change.go
@@ -8,37 +8,37 @@
 )
 
 // change is one call of Apply or ApplyList.
-type change struct {
+type transaction struct {
 	set   *Set
 	draft *draft
 	// news are the entries that learned something to be passed on.
-	news map[Key]*entry
+	changed map[Key]*entry
 	// queue holds the entries to judge.
-	queue map[Key]*entry
+	pending map[Key]*entry
 	// review holds the entries whose verdict may have changed.
-	review map[Key]*entry
+	affected map[Key]*entry
 	// altered are the kinds of which something in force has changed since the
 	// waiting records were last looked through.
-	altered kinds
+	changedKinds kindSet
 }
 
-func (s *Set) begin() *change {
-	return &change{
-		set:    s,
-		draft:  newDraft(s.snapshot),
-		news:   map[Key]*entry{},
-		queue:  map[Key]*entry{},
-		review: map[Key]*entry{},
+func (s *Set) begin() *transaction {
+	return &transaction{
+		set:      s,
+		draft:    newDraft(s.snapshot),
+		changed:  map[Key]*entry{},
+		pending:  map[Key]*entry{},
+		affected: map[Key]*entry{},
 	}
 }
 
 // merge takes one record, unless it is an old version of one that is gone.
-func (c *change) merge(r *Record, floor uint64) {
-	if bit(r.Kind) == 0 || r.Newest.Revision == 0 {
+func (c *transaction) merge(r *Record, floor uint64) {
+	if kindBit(r.Kind) == 0 || r.Newest.Revision == 0 {
 		return
 	}
 	e, known := c.set.entries[r.Key]
-	if r.Newest.Revision <= floor && isOld(e, r.Newest) {
+	if r.Newest.Revision <= floor && isStale(e, r.Newest) {
 		return
 	}
 	if !known {
@@ -58,14 +58,14 @@
 // offers such versions, and the delete may be unknown here or older than they
 // are. But the full list at the floor, or the tombstone that was pruned at it,
 // has shown the record gone. The spec that a tombstone keeps may still be news.
-func isOld(e *entry, v Version) bool {
+func isStale(e *entry, v Version) bool {
 	if v.Deleted {
 		return e == nil && v.SpecRevision == 0
 	}
 	return e == nil || e.newest.Deleted
 }
 
-func (c *change) mergeList(kind catalog.RecordKind, records []Record, asOf uint64) {
+func (c *transaction) mergeList(kind catalog.RecordKind, records []Record, asOf uint64) {
 	s := c.set
 	present := make(map[string]bool, len(records))
 	for i := range records {
@@ -84,22 +84,22 @@
 	}
 	s.asOf[kind] = asOf
 	s.floor[kind] = asOf
-	if s.listed |= bit(kind); s.Complete() {
-		c.queueUnjudged()
+	if s.listedKinds |= kindBit(kind); s.Complete() {
+		c.queueUnevaluated()
 	}
 }
 
-func (c *change) queueUnjudged() {
+func (c *transaction) queueUnevaluated() {
 	for key, e := range c.set.entries {
-		if !e.verdict.judged && e.newest.newerThan(e.inForce) {
-			c.queue[key] = e
+		if !e.verdict.evaluated && e.newest.newerThan(e.inForce) {
+			c.pending[key] = e
 		}
 	}
 }
 
 // mergeNewest takes a version that may be the newest. A revision that is not
 // greater is ignored: that is what keeps a record from ever going back.
-func (c *change) mergeNewest(e *entry, v Version) {
+func (c *transaction) mergeNewest(e *entry, v Version) {
 	if v.Revision <= e.newest.Revision {
 		return
 	}
@@ -109,33 +109,33 @@
 	}
 	e.newest = v
 	e.candidate = nil
-	s.stopWaiting(e)
-	s.history.add(e)
-	c.news[e.key] = e
-	c.review[e.key] = e
+	s.removeWaiting(e)
+	s.index.add(e)
+	c.changed[e.key] = e
+	c.affected[e.key] = e
 	if v.Deleted {
 		s.tombstones++
-		delete(c.queue, e.key)
+		delete(c.pending, e.key)
 		c.putTombstone(e, v)
 		return
 	}
-	c.queue[e.key] = e
+	c.pending[e.key] = e
 }
 
 // mergeInForce takes a version that a peer, or the status in the store, says
 // was accepted. What this instance can't decode stays out of force: a newer
 // release may have accepted it.
-func (c *change) mergeInForce(e *entry, v Version) {
+func (c *transaction) mergeInForce(e *entry, v Version) {
 	switch {
 	case v.Deleted && v.newerThan(e.inForce):
-		c.news[e.key] = e
+		c.changed[e.key] = e
 		c.putTombstone(e, v)
 	case v.Deleted:
 	case e.inForce.Deleted && v.Revision < e.inForce.Revision:
 		c.mergeKeptSpec(e, v)
 	case v.newerThan(e.inForce):
 		if item := c.set.decodeOrNil(e.key, v); item != nil {
-			c.news[e.key] = e
+			c.changed[e.key] = e
 			c.putInForce(e, v, item)
 		}
 	}
@@ -144,8 +144,8 @@
 // putTombstone puts a delete in force with the newest spec known for it.
 // Whether a pool or tier then disappears hangs on its users and is computed from
 // them; see shownItem.
-func (c *change) putTombstone(e *entry, v Version) {
-	if !keepsSpec(e.key.Kind) {
+func (c *transaction) putTombstone(e *entry, v Version) {
+	if !retainedWhileUsed(e.key.Kind) {
 		c.putInForce(e, Version{Revision: v.Revision, Deleted: true}, nil)
 		return
 	}
@@ -157,8 +157,8 @@
 }
 
 // mergeKeptSpec replaces the spec that a tombstone keeps by a newer one.
-func (c *change) mergeKeptSpec(e *entry, v Version) {
-	if !keepsSpec(e.key.Kind) || v.SpecRevision <= e.inForce.SpecRevision {
+func (c *transaction) mergeKeptSpec(e *entry, v Version) {
+	if !retainedWhileUsed(e.key.Kind) || v.SpecRevision <= e.inForce.SpecRevision {
 		return
 	}
 	item := c.set.decodeOrNil(e.key, v)
@@ -167,76 +167,76 @@
 	}
 	kept := e.inForce
 	kept.Spec, kept.SpecRevision = v.Spec, v.SpecRevision
-	c.news[e.key] = e
+	c.changed[e.key] = e
 	c.putInForce(e, kept, item)
 }
 
-func (c *change) putInForce(e *entry, v Version, item catalog.Item) {
+func (c *transaction) putInForce(e *entry, v Version, item catalog.Item) {
 	e.inForce, e.item = v, item
-	c.set.inForce = max(c.set.inForce, v.Revision)
+	c.set.maxInForce = max(c.set.maxInForce, v.Revision)
 	if v.Deleted && e.newest.Revision == v.Revision {
 		e.newest = v
 	}
 	if e.newest.Revision <= v.Revision {
 		e.candidate, e.reason = nil, ""
-		c.set.stopWaiting(e)
-		delete(c.queue, e.key)
+		c.set.removeWaiting(e)
+		delete(c.pending, e.key)
 	}
-	c.review[e.key] = e
-	c.show(e)
+	c.affected[e.key] = e
+	c.updateSnapshot(e)
 }
 
 // finish judges what is new until nothing changes any more.
-func (c *change) finish() ([]Record, *catalog.Snapshot, []Verdict) {
+func (c *transaction) commit() ([]Record, *catalog.Snapshot, []Verdict) {
 	s := c.set
-	for s.Complete() && c.next() {
-		for _, e := range byRevision(c.queue) {
-			delete(c.queue, e.key)
-			c.judge(e)
+	for s.Complete() && c.requeueWaiting() {
+		for _, e := range byRevision(c.pending) {
+			delete(c.pending, e.key)
+			c.evaluate(e)
 		}
 	}
-	clear(c.queue)
-	s.snapshot = c.draft.publish(s.inForce)
-	verdicts := c.verdicts()
-	changed := c.records()
+	clear(c.pending)
+	s.snapshot = c.draft.publish(s.maxInForce)
+	verdicts := c.changedVerdicts()
+	changed := c.changedRecords()
 	s.prune()
 	return changed, s.snapshot, verdicts
 }
 
 // next refills the queue with the records that wait for what has changed. It
 // ends, because each round but the last puts a newer version in force.
-func (c *change) next() bool {
+func (c *transaction) requeueWaiting() bool {
 	for _, kind := range Kinds {
-		if c.altered&bit(kind) == 0 {
+		if c.changedKinds&kindBit(kind) == 0 {
 			continue
 		}
-		for key, e := range c.set.waiting[bit(kind)] {
-			c.queue[key] = e
+		for key, e := range c.set.waiting[kindBit(kind)] {
+			c.pending[key] = e
 		}
 	}
-	c.altered = 0
-	return len(c.queue) > 0
+	c.changedKinds = 0
+	return len(c.pending) > 0
 }
 
-func (c *change) records() []Record {
-	records := make([]Record, 0, len(c.news))
-	for _, e := range byRevision(c.news) {
+func (c *transaction) changedRecords() []Record {
+	records := make([]Record, 0, len(c.changed))
+	for _, e := range byRevision(c.changed) {
 		records = append(records, e.record())
 	}
 	return records
 }
 
-func (c *change) verdicts() []Verdict {
+func (c *transaction) changedVerdicts() []Verdict {
 	var verdicts []Verdict
-	for _, e := range byRevision(c.review) {
-		c.set.resum(e)
+	for _, e := range byRevision(c.affected) {
+		c.set.updateSums(e)
 		now := c.set.verdictOf(e)
-		if !now.judged || now.same(e.verdict) {
+		if !now.evaluated || now.equal(e.verdict) {
 			e.verdict = now
 			continue
 		}
 		e.verdict = now
-		verdicts = append(verdicts, e.handOut())
+		verdicts = append(verdicts, e.exportVerdict())
 	}
 	return verdicts
 }
--- a/coordination/config/config.go
+++ b/coordination/config/config.go
@@ -64,12 +64,12 @@
 }
 
 // Live makes the record of an object that the store holds.
-func Live(key Key, revision uint64, spec []byte) Record {
+func LiveRecord(key Key, revision uint64, spec []byte) Record {
 	return Record{Key: key, Newest: Version{Revision: revision, Spec: spec, SpecRevision: revision}}
 }
 
 // Tombstone makes the record of an object that was deleted at a revision.
-func Tombstone(key Key, revision uint64) Record {
+func TombstoneRecord(key Key, revision uint64) Record {
 	return Record{Key: key, Newest: Version{Revision: revision, Deleted: true}}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // Limit bounds a page of records.
-type Limit struct {
+type PageLimit struct {
 	Records int
 	// Bytes bounds the specs, in bytes; a single record may exceed it.
 	Bytes int
@@ -122,7 +122,7 @@
 type BucketSet uint64
 
 // Buckets is how many buckets there are.
-const Buckets = 64
+const BucketCount = 64
 
 // AllBuckets chooses every record.
 const AllBuckets = ^BucketSet(0)
@@ -134,27 +134,27 @@
 }
 
 // kinds is a set of kinds, one bit each.
-type kinds uint8
+type kindSet uint8
 
 const (
-	pools kinds = 1 << iota
-	tiers
-	pipelines
-	accounts
-	allKinds = pools | tiers | pipelines | accounts
+	kindPools kindSet = 1 << iota
+	kindTiers
+	kindPipelines
+	kindAccounts
+	allKinds = kindPools | kindTiers | kindPipelines | kindAccounts
 )
 
 // bit returns the bit of a kind, or 0 for a word that is none.
-func bit(kind catalog.RecordKind) kinds {
+func kindBit(kind catalog.RecordKind) kindSet {
 	switch kind {
 	case catalog.RecordPools:
-		return pools
+		return kindPools
 	case catalog.RecordTiers:
-		return tiers
+		return kindTiers
 	case catalog.RecordPipelines:
-		return pipelines
+		return kindPipelines
 	case catalog.RecordAccounts:
-		return accounts
+		return kindAccounts
 	}
 	return 0
 }
--- a/coordination/config/converge_test.go
+++ b/coordination/config/converge_test.go
@@ -52,7 +52,7 @@
 // newest is the revision of the newest version of each record held.
 func newest(set *config.Set) map[config.Key]uint64 {
 	revisions := map[config.Key]uint64{}
-	page, _, _ := set.Records(config.Cursor{}, config.Limit{Records: 1 << 20, Bytes: 1 << 30}, config.AllBuckets)
+	page, _, _ := set.Records(config.Cursor{}, config.PageLimit{Records: 1 << 20, Bytes: 1 << 30}, config.AllBuckets)
 	for _, r := range page {
 		revisions[r.Key] = r.Newest.Revision
 	}
@@ -75,14 +75,14 @@
 		set.ApplyList(kind, s.asOf(kind, asOf), asOf)
 	case 3: // a page of a peer
 		peer := rapid.SampledFrom(peers).Draw(t, "peer")
-		page, _, _ := peer.Records(config.Cursor{}, config.Limit{Records: 5, Bytes: 1 << 20}, config.AllBuckets)
+		page, _, _ := peer.Records(config.Cursor{}, config.PageLimit{Records: 5, Bytes: 1 << 20}, config.AllBuckets)
 		set.Apply(page)
 	}
 }
 
 func exchange(from, to *config.Set) {
 	for _, kind := range config.Kinds {
-		page, _, _ := from.Records(config.Cursor{}, config.Limit{Records: 1 << 20, Bytes: 1 << 30}, config.AllBuckets)
+		page, _, _ := from.Records(config.Cursor{}, config.PageLimit{Records: 1 << 20, Bytes: 1 << 30}, config.AllBuckets)
 		to.Apply(page)
 		page = slices.DeleteFunc(page, func(r config.Record) bool { return r.Kind != kind })
 		to.ApplyList(kind, page, from.AsOf(kind))
--- a/coordination/config/history.go
+++ b/coordination/config/history.go
@@ -13,35 +13,35 @@
 const MaxTombstones = 4096
 
 // history lists the entries in the order of their newest revisions.
-type history struct {
-	places []place
-	sorted bool
-	max    uint64
+type revisionIndex struct {
+	positions   []position
+	sorted      bool
+	maxRevision uint64
 }
 
 // place is where an entry stood when it changed. It is stale once the entry
 // has changed again or is gone.
-type place struct {
+type position struct {
 	cursor Cursor
 	entry  *entry
 }
 
-func (p place) stale() bool { return p.entry.newest.Revision != p.cursor.Revision }
+func (p position) stale() bool { return p.entry.newest.Revision != p.cursor.Revision }
 
-func (h *history) add(e *entry) {
-	h.sorted = h.sorted && e.newest.Revision > h.max
-	h.max = max(h.max, e.newest.Revision)
-	h.places = append(h.places, place{e.cursor(), e})
+func (h *revisionIndex) add(e *entry) {
+	h.sorted = h.sorted && e.newest.Revision > h.maxRevision
+	h.maxRevision = max(h.maxRevision, e.newest.Revision)
+	h.positions = append(h.positions, position{e.cursor(), e})
 }
 
 // arrange drops stale places and sorts the rest, when there is need to.
-func (h *history) arrange(entries int) {
-	if h.sorted && len(h.places) <= 2*entries {
+func (h *revisionIndex) compact(entries int) {
+	if h.sorted && len(h.positions) <= 2*entries {
 		return
 	}
-	h.places = slices.DeleteFunc(h.places, place.stale)
+	h.positions = slices.DeleteFunc(h.positions, position.stale)
 	if !h.sorted {
-		slices.SortFunc(h.places, func(a, b place) int { return compareCursors(a.cursor, b.cursor) })
+		slices.SortFunc(h.positions, func(a, b position) int { return compareCursors(a.cursor, b.cursor) })
 	}
 	h.sorted = true
 }
@@ -49,10 +49,10 @@
 // Records returns a page of records behind a cursor, the cursor of its last
 // one, and whether there are more. It serves a new instance's bootstrap and,
 // with the buckets that differ, the repair of what a peer has missed.
-func (s *Set) Records(after Cursor, limit Limit, buckets BucketSet) (page []Record, last Cursor, more bool) {
-	s.history.arrange(len(s.entries))
-	places := s.history.places
-	start, found := slices.BinarySearchFunc(places, after, func(p place, c Cursor) int {
+func (s *Set) Records(after Cursor, limit PageLimit, buckets BucketSet) (page []Record, last Cursor, more bool) {
+	s.index.compact(len(s.entries))
+	places := s.index.positions
+	start, found := slices.BinarySearchFunc(places, after, func(p position, c Cursor) int {
 		return compareCursors(p.cursor, c)
 	})
 	if found {
@@ -78,20 +78,20 @@
 // floor rises with them, so that an old version from a peer that was parted
 // for long still can't bring a record back.
 func (s *Set) prune() {
-	if len(s.history.places) > 2*len(s.entries)+MaxTombstones {
-		s.history.arrange(len(s.entries))
+	if len(s.index.positions) > 2*len(s.entries)+MaxTombstones {
+		s.index.compact(len(s.entries))
 	}
 	if s.tombstones <= MaxTombstones {
 		return
 	}
-	s.history.sorted = false
-	s.history.arrange(len(s.entries))
-	for _, p := range s.history.places {
+	s.index.sorted = false
+	s.index.compact(len(s.entries))
+	for _, p := range s.index.positions {
 		if s.tombstones <= MaxTombstones/2 {
 			break
 		}
 		e := p.entry
-		if !e.newest.Deleted || e.shown != nil {
+		if !e.newest.Deleted || e.inSnapshot != nil {
 			continue
 		}
 		s.floor[e.key.Kind] = max(s.floor[e.key.Kind], e.newest.Revision)
@@ -99,19 +99,19 @@
 		e.newest.Revision = 0
 		s.tombstones--
 	}
-	s.history.sorted = false
-	s.history.arrange(len(s.entries))
+	s.index.sorted = false
+	s.index.compact(len(s.entries))
 }
 
 // sums are the running sums of the digest, by bucket.
-type sums struct {
+type digestSums struct {
 	count   int
-	buckets [Buckets]uint64
+	buckets [BucketCount]uint64
 }
 
 // Digest sums up what the set holds.
 func (s *Set) Digest() Digest {
-	d := Digest{Count: s.sums.count, MaxRevision: s.history.max}
+	d := Digest{Count: s.sums.count, MaxRevision: s.index.maxRevision}
 	for i, sum := range s.sums.buckets {
 		d.Hash += bits.RotateLeft64(sum, i)
 	}
@@ -120,11 +120,11 @@
 
 // BucketSums returns the sum of each bucket. Two sets that differ in Digest
 // find the buckets to exchange by them.
-func (s *Set) BucketSums() [Buckets]uint64 { return s.sums.buckets }
+func (s *Set) BucketSums() [BucketCount]uint64 { return s.sums.buckets }
 
 // resum brings the sums in line with an entry. Tombstones count for nothing
 // unless they linger: peers need not remember the same ones.
-func (s *Set) resum(e *entry) {
+func (s *Set) updateSums(e *entry) {
 	sum := e.checksum()
 	switch {
 	case e.sum == 0 && sum != 0:
@@ -137,7 +137,7 @@
 }
 
 func (e *entry) checksum() uint64 {
-	if e.newest.Deleted && e.shown == nil {
+	if e.newest.Deleted && e.inSnapshot == nil {
 		return 0
 	}
 	text := make([]byte, 0, 96)
@@ -152,4 +152,4 @@
 
 func (b BucketSet) has(key Key) bool { return b&(1<<bucketOf(key)) != 0 }
 
-func bucketOf(key Key) int { return int(xxhash.Sum64String(key.Name) % Buckets) }
+func bucketOf(key Key) int { return int(xxhash.Sum64String(key.Name) % BucketCount) }
--- a/coordination/config/judge.go
+++ b/coordination/config/judge.go
@@ -11,13 +11,13 @@
 
 // judge checks the newest version of a record against what is in force, and
 // puts it in force when it fits.
-func (c *change) judge(e *entry) {
+func (c *transaction) evaluate(e *entry) {
 	s := c.set
 	if e.newest.Revision <= e.inForce.Revision {
 		return
 	}
-	c.review[e.key] = e
-	s.stopWaiting(e)
+	c.affected[e.key] = e
+	s.removeWaiting(e)
 	if e.candidate == nil {
 		item, err := s.decode(e.key.Kind, e.key.Name, e.newest.Revision, e.newest.Spec)
 		if err != nil {
@@ -29,7 +29,7 @@
 	findings := c.check(e.candidate)
 	if len(findings.reasons) > 0 {
 		e.reason = strings.Join(findings.reasons, "; ")
-		s.wait(e, findings.waits)
+		s.addWaiting(e, findings.waitsFor)
 		return
 	}
 	c.putInForce(e, e.newest, e.candidate)
@@ -38,16 +38,16 @@
 // findings are what speaks against a candidate, and the kinds whose change may
 // alter that.
 type findings struct {
-	reasons []string
-	waits   kinds
+	reasons  []string
+	waitsFor kindSet
 }
 
-func (f *findings) add(waits kinds, format string, args ...any) {
+func (f *findings) add(waits kindSet, format string, args ...any) {
 	f.reasons = append(f.reasons, fmt.Sprintf(format, args...))
-	f.waits |= waits
+	f.waitsFor |= waits
 }
 
-func (c *change) check(item catalog.Item) findings {
+func (c *transaction) check(item catalog.Item) findings {
 	var f findings
 	switch it := item.(type) {
 	case *catalog.Tier:
@@ -60,32 +60,32 @@
 	return f
 }
 
-func (c *change) checkTier(f *findings, t *catalog.Tier) {
+func (c *transaction) checkTier(f *findings, t *catalog.Tier) {
 	for _, p := range sortedPipelines(c.draft.next.Pipelines) {
-		c.checkDeadline(f, pipelines, p, t)
+		c.checkDeadline(f, kindPipelines, p, t)
 	}
 }
 
-func (c *change) checkPipeline(f *findings, p *catalog.Pipeline) {
+func (c *transaction) checkPipeline(f *findings, p *catalog.Pipeline) {
 	for i := range p.Stages {
 		stage := &p.Stages[i]
-		if reason := c.missing(Key{catalog.RecordPools, stage.Pool}); reason != "" {
-			f.add(pools, "stage %s: pool %s %s", stage.Name, stage.Pool, reason)
+		if reason := c.referenceProblem(Key{catalog.RecordPools, stage.Pool}); reason != "" {
+			f.add(kindPools, "stage %s: pool %s %s", stage.Name, stage.Pool, reason)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Deadlines)) {
-		if reason := c.missing(Key{catalog.RecordTiers, name}); reason != "" {
-			f.add(tiers, "deadlines_ms: tier %s %s", name, reason)
+		if reason := c.referenceProblem(Key{catalog.RecordTiers, name}); reason != "" {
+			f.add(kindTiers, "deadlines_ms: tier %s %s", name, reason)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.draft.next.Tiers)) {
-		c.checkDeadline(f, tiers, p, c.draft.next.Tiers[name])
+		c.checkDeadline(f, kindTiers, p, c.draft.next.Tiers[name])
 	}
 }
 
 // checkDeadline refuses a deadline in which a pipeline can't answer even when
 // every stage takes just its expected time.
-func (c *change) checkDeadline(f *findings, waits kinds, p *catalog.Pipeline, t *catalog.Tier) {
+func (c *transaction) checkDeadline(f *findings, waits kindSet, p *catalog.Pipeline, t *catalog.Tier) {
 	deadline, needed := c.draft.next.DeadlineFor(p, t), p.CriticalPath()
 	if deadline < needed {
 		f.add(waits, "the deadline of tier %s, %d ms, is less than the %d ms that the stages of pipeline %s, schema version %d, are expected to take",
@@ -93,24 +93,24 @@
 	}
 }
 
-func (c *change) checkAccount(f *findings, a *catalog.Account) {
-	if reason := c.missing(Key{catalog.RecordTiers, a.Tier}); reason != "" {
-		f.add(tiers, "tier: tier %s %s", a.Tier, reason)
+func (c *transaction) checkAccount(f *findings, a *catalog.Account) {
+	if reason := c.referenceProblem(Key{catalog.RecordTiers, a.Tier}); reason != "" {
+		f.add(kindTiers, "tier: tier %s %s", a.Tier, reason)
 	}
 	for i, hash := range a.KeyHashes {
 		owner, ok := c.draft.accounts.ByKey(hash)
 		if ok && owner.Name != a.Name {
-			f.add(accounts, "keys[%d]: the key belongs to account %s already", i, owner.Name)
+			f.add(kindAccounts, "keys[%d]: the key belongs to account %s already", i, owner.Name)
 		}
 	}
 }
 
 // missing tells why a record can't be referred to, or nothing. A deleted one
 // that lingers for its present users takes no new ones.
-func (c *change) missing(key Key) string {
+func (c *transaction) referenceProblem(key Key) string {
 	e, ok := c.set.entries[key]
 	switch {
-	case !ok || e.shown == nil:
+	case !ok || e.inSnapshot == nil:
 		return "does not exist or is not accepted"
 	case e.inForce.Deleted:
 		return "is deleted"
@@ -120,33 +120,33 @@
 
 // verdictOf computes the present judgement of an entry.
 func (s *Set) verdictOf(e *entry) verdict {
-	v := verdict{judged: true, accepted: true, spec: e.newest.Spec}
+	v := verdict{evaluated: true, accepted: true, spec: e.newest.Spec}
 	switch {
-	case e.newest.Deleted && e.shown != nil:
+	case e.newest.Deleted && e.inSnapshot != nil:
 		v.accepted, v.reason = false, s.users[e.key].reason()
 	case e.newest.Revision > e.inForce.Revision:
-		v.judged = s.Complete()
+		v.evaluated = s.Complete()
 		v.accepted, v.reason = false, e.reason
 	}
 	return v
 }
 
-func (s *Set) wait(e *entry, waits kinds) {
-	e.waits = waits
+func (s *Set) addWaiting(e *entry, waits kindSet) {
+	e.waitsFor = waits
 	for _, kind := range Kinds {
-		if waits&bit(kind) != 0 {
-			s.waiting[bit(kind)][e.key] = e
+		if waits&kindBit(kind) != 0 {
+			s.waiting[kindBit(kind)][e.key] = e
 		}
 	}
 }
 
-func (s *Set) stopWaiting(e *entry) {
+func (s *Set) removeWaiting(e *entry) {
 	for _, kind := range Kinds {
-		if e.waits&bit(kind) != 0 {
-			delete(s.waiting[bit(kind)], e.key)
+		if e.waitsFor&kindBit(kind) != 0 {
+			delete(s.waiting[kindBit(kind)], e.key)
 		}
 	}
-	e.waits = 0
+	e.waitsFor = 0
 }
 
 func (s *Set) decodeOrNil(key Key, v Version) catalog.Item {
--- a/coordination/config/set.go
+++ b/coordination/config/set.go
@@ -12,20 +12,20 @@
 	decode  Decoder
 	entries map[Key]*entry
 	// waiting holds the refused entries by the kind whose change may turn that.
-	waiting map[kinds]map[Key]*entry
+	waiting map[kindSet]map[Key]*entry
 	users   map[Key]*userCount
-	history history
-	sums    sums
+	index   revisionIndex
+	sums    digestSums
 	// listed are the kinds that were listed once, asOf the revisions of the
 	// newest lists.
-	listed kinds
-	asOf   map[catalog.RecordKind]uint64
+	listedKinds kindSet
+	asOf        map[catalog.RecordKind]uint64
 	// floor is the revision at or below which an unknown record is an old one.
 	floor      map[catalog.RecordKind]uint64
 	tombstones int
 	// inForce is the greatest revision that was ever in force.
-	inForce  uint64
-	snapshot *catalog.Snapshot
+	maxInForce uint64
+	snapshot   *catalog.Snapshot
 }
 
 // entry is what the set knows of one record.
@@ -36,27 +36,27 @@
 	// item is inForce decoded.
 	item catalog.Item
 	// shown is the item that the snapshot holds: nil, or item.
-	shown catalog.Item
+	inSnapshot catalog.Item
 	// candidate is newest decoded, while it is not in force.
 	candidate catalog.Item
 	// reason says why the last judgement refused newest.
 	reason string
 	// waits are the kinds whose change may turn that refusal.
-	waits   kinds
-	verdict verdict
-	sum     uint64
+	waitsFor kindSet
+	verdict  verdict
+	sum      uint64
 }
 
 // verdict is the last judgement of an entry, as it was handed out.
 type verdict struct {
-	judged   bool
-	accepted bool
-	reason   string
-	spec     []byte
+	evaluated bool
+	accepted  bool
+	reason    string
+	spec      []byte
 }
 
-func (v verdict) same(w verdict) bool {
-	return v.judged == w.judged && v.accepted == w.accepted && v.reason == w.reason && bytes.Equal(v.spec, w.spec)
+func (v verdict) equal(w verdict) bool {
+	return v.evaluated == w.evaluated && v.accepted == w.accepted && v.reason == w.reason && bytes.Equal(v.spec, w.spec)
 }
 
 // New makes an empty set.
@@ -64,7 +64,7 @@
 	s := &Set{
 		decode:  decode,
 		entries: map[Key]*entry{},
-		waiting: map[kinds]map[Key]*entry{},
+		waiting: map[kindSet]map[Key]*entry{},
 		users:   map[Key]*userCount{},
 		asOf:    map[catalog.RecordKind]uint64{},
 		floor:   map[catalog.RecordKind]uint64{},
@@ -76,7 +76,7 @@
 		},
 	}
 	for _, kind := range Kinds {
-		s.waiting[bit(kind)] = map[Key]*entry{}
+		s.waiting[kindBit(kind)] = map[Key]*entry{}
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 
 // Complete tells whether every kind was listed once. Until then nothing is
 // judged, because a record would be judged without those it depends on.
-func (s *Set) Complete() bool { return s.listed == allKinds }
+func (s *Set) Complete() bool { return s.listedKinds == allKinds }
 
 // AsOf is the store's revision of the newest full list of a kind. A peer that
 // hands on all its records hands this on with them.
@@ -100,7 +100,7 @@
 	for i := range batch {
 		c.merge(&batch[i], s.floor[batch[i].Kind])
 	}
-	return c.finish()
+	return c.commit()
 }
 
 // ApplyList takes a full list of one kind as of a revision. Records that are
@@ -108,10 +108,10 @@
 // nothing: the store, or the peer, answers from the past.
 func (s *Set) ApplyList(kind catalog.RecordKind, records []Record, asOf uint64) (changed []Record, snapshot *catalog.Snapshot, verdicts []Verdict) {
 	c := s.begin()
-	if bit(kind) != 0 && asOf >= s.floor[kind] {
+	if kindBit(kind) != 0 && asOf >= s.floor[kind] {
 		c.mergeList(kind, records, asOf)
 	}
-	return c.finish()
+	return c.commit()
 }
 
 // Get returns what is known of one record.
@@ -127,10 +127,10 @@
 // unknown or not judged yet.
 func (s *Set) Verdict(key Key) (Verdict, bool) {
 	e, ok := s.entries[key]
-	if !ok || !e.verdict.judged {
+	if !ok || !e.verdict.evaluated {
 		return Verdict{}, false
 	}
-	return e.handOut(), true
+	return e.exportVerdict(), true
 }
 
 // Len is the number of records held, tombstones included.
@@ -146,10 +146,10 @@
 	return r
 }
 
-func (e *entry) handOut() Verdict {
+func (e *entry) exportVerdict() Verdict {
 	v := Verdict{Key: e.key, Revision: e.newest.Revision, Deleted: e.newest.Deleted,
 		Accepted: e.verdict.accepted, Reason: e.verdict.reason}
-	if !v.Accepted && e.shown != nil {
+	if !v.Accepted && e.inSnapshot != nil {
 		v.InForce = Version{Revision: e.inForce.SpecRevision, SpecRevision: e.inForce.SpecRevision, Spec: e.inForce.Spec}
 	}
 	return v
--- a/coordination/config/set_test.go
+++ b/coordination/config/set_test.go
@@ -53,9 +53,9 @@
 // rec makes a record; the spec "-" stands for a delete.
 func rec(path string, revision uint64, spec string) config.Record {
 	if spec == "-" {
-		return config.Tombstone(key(path), revision)
+		return config.TombstoneRecord(key(path), revision)
 	}
-	return config.Live(key(path), revision, []byte(spec))
+	return config.LiveRecord(key(path), revision, []byte(spec))
 }
 
 // complete makes a set that has listed every kind and holds the records.
@@ -221,14 +221,14 @@
 	cursor, more := config.Cursor{}, true
 	for more {
 		var page []config.Record
-		page, cursor, more = set.Records(cursor, config.Limit{Records: 2, Bytes: 1 << 20}, config.AllBuckets)
+		page, cursor, more = set.Records(cursor, config.PageLimit{Records: 2, Bytes: 1 << 20}, config.AllBuckets)
 		require.NotEmpty(t, page)
 		for _, r := range page {
 			seen = append(seen, string(r.Kind)+"/"+r.Name)
 		}
 	}
 	assert.Equal(t, []string{"pools/p", "tiers/gold", "tiers/batch", "pipelines/chat", "accounts/demo"}, seen)
-	page, _, more := set.Records(config.Cursor{Revision: 5}, config.Limit{Records: 9, Bytes: 1}, config.AllBuckets)
+	page, _, more := set.Records(config.Cursor{Revision: 5}, config.PageLimit{Records: 9, Bytes: 1}, config.AllBuckets)
 	assert.Len(t, page, 1)
 	assert.False(t, more)
 }
--- a/coordination/config/users.go
+++ b/coordination/config/users.go
@@ -25,56 +25,56 @@
 }
 
 // keepsSpec tells the kinds whose deleted records linger for their users.
-func keepsSpec(kind catalog.RecordKind) bool {
-	return bit(kind)&(pools|tiers) != 0
+func retainedWhileUsed(kind catalog.RecordKind) bool {
+	return kindBit(kind)&(kindPools|kindTiers) != 0
 }
 
 // shownItem computes what the snapshot must hold for an entry.
-func (s *Set) shownItem(e *entry) catalog.Item {
+func (s *Set) effectiveItem(e *entry) catalog.Item {
 	if !e.inForce.Deleted {
 		return e.item
 	}
-	if users, ok := s.users[e.key]; ok && users.total() > 0 && keepsSpec(e.key.Kind) {
+	if users, ok := s.users[e.key]; ok && users.total() > 0 && retainedWhileUsed(e.key.Kind) {
 		return e.item
 	}
 	return nil
 }
 
 // show brings the snapshot, and the counts of users, in line with an entry.
-func (c *change) show(e *entry) {
-	now := c.set.shownItem(e)
-	before := e.shown
+func (c *transaction) updateSnapshot(e *entry) {
+	now := c.set.effectiveItem(e)
+	before := e.inSnapshot
 	if now == before {
 		return
 	}
-	e.shown = now
-	c.altered |= bit(e.key.Kind)
+	e.inSnapshot = now
+	c.changedKinds |= kindBit(e.key.Kind)
 	if before != nil {
 		c.draft.remove(before)
 	}
 	if now != nil {
 		c.draft.put(now)
 	}
-	c.count(now, 1)
-	c.count(before, -1)
+	c.countReferences(now, 1)
+	c.countReferences(before, -1)
 }
 
 // count adds an item to the users of what it refers to, or takes it off.
-func (c *change) count(item catalog.Item, by int) {
+func (c *transaction) countReferences(item catalog.Item, by int) {
 	switch it := item.(type) {
 	case *catalog.Account:
-		c.countUser(Key{catalog.RecordTiers, it.Tier}, 0, by)
+		c.countReference(Key{catalog.RecordTiers, it.Tier}, 0, by)
 	case *catalog.Pipeline:
 		for i := range it.Stages {
-			c.countUser(Key{catalog.RecordPools, it.Stages[i].Pool}, by, 0)
+			c.countReference(Key{catalog.RecordPools, it.Stages[i].Pool}, by, 0)
 		}
 		for tier := range it.Deadlines {
-			c.countUser(Key{catalog.RecordTiers, tier}, by, 0)
+			c.countReference(Key{catalog.RecordTiers, tier}, by, 0)
 		}
 	}
 }
 
-func (c *change) countUser(key Key, pipelines, accounts int) {
+func (c *transaction) countReference(key Key, pipelines, accounts int) {
 	users := c.set.users[key]
 	if users == nil {
 		users = &userCount{}
@@ -86,7 +86,7 @@
 		delete(c.set.users, key)
 	}
 	if e, ok := c.set.entries[key]; ok && e.inForce.Deleted {
-		c.review[key] = e
-		c.show(e)
+		c.affected[key] = e
+		c.updateSnapshot(e)
 	}
 }
