--- a/client/check.go
+++ b/client/check.go
@@ -42,7 +42,7 @@
 func (inv *inventory) check(documents []record.Document) record.Faults {
 	batch := make([]config.Record, len(documents))
 	for i, doc := range documents {
-		batch[i] = config.Live(keyOf(doc), inv.revision+1+uint64(i), doc.Object.Spec)
+		batch[i] = config.LiveRecord(keyOf(doc), inv.revision+1+uint64(i), doc.Object.Spec)
 	}
 	inv.set.Apply(batch)
 	var faults record.Faults
@@ -69,7 +69,7 @@
 
 // checkDelete returns why a record may not be deleted, or nothing.
 func (inv *inventory) checkDelete(key config.Key) string {
-	inv.set.Apply([]config.Record{config.Tombstone(key, inv.revision+1)})
+	inv.set.Apply([]config.Record{config.TombstoneRecord(key, inv.revision+1)})
 	verdict, ok := inv.set.Verdict(key)
 	if !ok || verdict.Accepted {
 		return ""
--- a/coordination/config/bench_test.go
+++ b/coordination/config/bench_test.go
@@ -11,51 +11,51 @@
 
 var sizes = []int{1_000, 10_000, 32_000}
 
-func account(i int, revision uint64) config.Record {
-	return rec(fmt.Sprintf("accounts/a%d", i), revision, fmt.Sprintf("gold k%d", i))
+func accountRecord(i int, revision uint64) config.Record {
+	return record(fmt.Sprintf("accounts/a%d", i), revision, fmt.Sprintf("gold k%d", i))
 }
 
-func withAccounts(n int) *config.Set {
-	set := complete(base()...)
+func newSetWithAccounts(n int) *config.Set {
+	set := newCompleteSet(baseRecords()...)
 	records := make([]config.Record, n)
 	for i := range records {
-		records[i] = account(i, uint64(100+i))
+		records[i] = accountRecord(i, uint64(100+i))
 	}
 	set.Apply(records)
 	return set
 }
 
-// BenchmarkApplyOne is the cost of one changed account, snapshot included.
+// BenchmarkApplyOne measures one changed account, snapshot included.
 func BenchmarkApplyOne(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set := withAccounts(n)
+			set := newSetWithAccounts(n)
 			revision := uint64(1_000_000)
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				set.Apply([]config.Record{account(int(revision)%n, revision)})
+				set.Apply([]config.Record{accountRecord(int(revision)%n, revision)})
 			}
 		})
 	}
 }
 
-// BenchmarkApplyTier is the cost of a changed tier that every account uses.
+// BenchmarkApplyTier measures a change of a tier that every account uses.
 func BenchmarkApplyTier(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set := withAccounts(n)
+			set := newSetWithAccounts(n)
 			revision := uint64(1_000_000)
 			for b.Loop() {
 				revision++
-				set.Apply([]config.Record{rec("tiers/gold", revision, "1000")})
+				set.Apply([]config.Record{record("tiers/gold", revision, "1000")})
 			}
 		})
 	}
 }
 
-// BenchmarkBootstrap is the cost of learning everything; it reports the memory
-// that a record takes once it is held.
+// BenchmarkBootstrap measures the first load of all records, and reports the memory
+// used by each record held.
 func BenchmarkBootstrap(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -64,7 +64,7 @@
 			runtime.ReadMemStats(&before)
 			var set *config.Set
 			for b.Loop() {
-				set = withAccounts(n)
+				set = newSetWithAccounts(n)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
@@ -74,14 +74,14 @@
 	}
 }
 
-// BenchmarkList is the cost of a full list that changes nothing.
+// BenchmarkList measures a full list that changes nothing.
 func BenchmarkList(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set := withAccounts(n)
+			set := newSetWithAccounts(n)
 			records := make([]config.Record, n)
 			for i := range records {
-				records[i] = account(i, uint64(100+i))
+				records[i] = accountRecord(i, uint64(100+i))
 			}
 			asOf := uint64(1_000_000)
 			for b.Loop() {
@@ -92,11 +92,11 @@
 	}
 }
 
-// BenchmarkCopyAccounts weighs the shared table against copying one map of all
+// BenchmarkCopyAccounts compares the shared table with copying the maps of all
 // accounts for each change.
 func BenchmarkCopyAccounts(b *testing.B) {
 	for _, n := range sizes {
-		table := withAccounts(n).Snapshot().Accounts
+		table := newSetWithAccounts(n).Snapshot().Accounts
 		plain := map[string]*catalog.Account{}
 		byKey := map[[32]byte]*catalog.Account{}
 		for a := range table.All() {
--- a/coordination/config/draft.go
+++ b/coordination/config/draft.go
@@ -7,30 +7,30 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// draft is the next snapshot while a change is under way. It shares with the
-// last one all that stays the same, and copies a map on its first change.
+// draft is the next snapshot during a transaction. It shares unchanged maps with
+// the last snapshot, and copies a map on its first change.
 type draft struct {
 	base     *catalog.Snapshot
 	next     catalog.Snapshot
 	accounts *catalog.AccountEditor
-	copied   kinds
+	copied   kindSet
 }
 
 func newDraft(base *catalog.Snapshot) *draft {
 	return &draft{base: base, next: *base, accounts: base.Accounts.Edit()}
 }
 
-func (d *draft) own(kind kinds) {
+func (d *draft) copyOnWrite(kind kindSet) {
 	if d.copied&kind != 0 {
 		return
 	}
 	d.copied |= kind
 	switch kind {
-	case pools:
+	case kindPools:
 		d.next.Pools = maps.Clone(d.next.Pools)
-	case tiers:
+	case kindTiers:
 		d.next.Tiers = maps.Clone(d.next.Tiers)
-	case pipelines:
+	case kindPipelines:
 		d.next.Pipelines = maps.Clone(d.next.Pipelines)
 		d.next.Versions = maps.Clone(d.next.Versions)
 	}
@@ -39,17 +39,17 @@
 func (d *draft) put(item catalog.Item) {
 	switch it := item.(type) {
 	case *catalog.Pool:
-		d.own(pools)
+		d.copyOnWrite(kindPools)
 		d.next.Pools[it.Name] = it
 	case *catalog.Tier:
-		d.own(tiers)
+		d.copyOnWrite(kindTiers)
 		d.next.Tiers[it.Name] = it
 	case *catalog.Pipeline:
-		d.own(pipelines)
+		d.copyOnWrite(kindPipelines)
 		d.next.Pipelines[it.Key] = it
 		d.addVersion(it.Key)
 	case *catalog.Account:
-		d.own(accounts)
+		d.copyOnWrite(kindAccounts)
 		d.accounts.Put(it)
 	}
 }
@@ -57,23 +57,23 @@
 func (d *draft) remove(item catalog.Item) {
 	switch it := item.(type) {
 	case *catalog.Pool:
-		d.own(pools)
+		d.copyOnWrite(kindPools)
 		delete(d.next.Pools, it.Name)
 	case *catalog.Tier:
-		d.own(tiers)
+		d.copyOnWrite(kindTiers)
 		delete(d.next.Tiers, it.Name)
 	case *catalog.Pipeline:
-		d.own(pipelines)
+		d.copyOnWrite(kindPipelines)
 		delete(d.next.Pipelines, it.Key)
 		d.dropVersion(it.Key)
 	case *catalog.Account:
-		d.own(accounts)
+		d.copyOnWrite(kindAccounts)
 		d.accounts.Delete(it.Name)
 	}
 }
 
-// addVersion lists a schema version. The list is a new one: the old one may be
-// in a published snapshot.
+// addVersion adds a schema version to a new copy of the list, because a published
+// snapshot may hold the old one.
 func (d *draft) addVersion(key catalog.PipelineKey) {
 	versions := slices.Clone(d.next.Versions[key.Name])
 	at, found := slices.BinarySearch(versions, key.SchemaVersion)
@@ -94,15 +94,15 @@
 	d.next.Versions[key.Name] = versions
 }
 
-// publish returns the finished snapshot, or the last one when nothing in force
-// has changed.
+// publish returns the finished snapshot, or the last one if nothing in force has
+// changed.
 func (d *draft) publish(revision uint64) *catalog.Snapshot {
 	if d.copied == 0 {
 		return d.base
 	}
 	next := d.next
 	next.Revision = max(revision, d.base.Revision)
-	if d.copied&accounts != 0 {
+	if d.copied&kindAccounts != 0 {
 		next.Accounts = d.accounts.Table()
 	}
 	return &next
--- a/coordination/config/set.go
+++ b/coordination/config/set.go
@@ -6,65 +6,67 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Set holds the configuration of one instance. It is for one goroutine at a
-// time; the snapshots that it publishes are free for all.
+// Set holds the configuration records of one instance. It is not safe for
+// concurrent use; the snapshots that it publishes are.
 type Set struct {
 	decode  Decoder
 	entries map[Key]*entry
-	// waiting holds the refused entries by the kind whose change may turn that.
-	waiting map[kinds]map[Key]*entry
+	// waiting holds the refused entries by the kind whose change may lead to
+	// another verdict.
+	waiting map[kindSet]map[Key]*entry
 	users   map[Key]*userCount
-	history history
-	sums    sums
-	// listed are the kinds that were listed once, asOf the revisions of the
-	// newest lists.
-	listed kinds
-	asOf   map[catalog.RecordKind]uint64
-	// floor is the revision at or below which an unknown record is an old one.
+	index   revisionIndex
+	sums    digestSums
+	// listedKinds are the kinds of which a full list has been applied; asOf holds
+	// the revisions of the newest lists.
+	listedKinds kindSet
+	asOf        map[catalog.RecordKind]uint64
+	// floor is the revision at or below which an unknown record is stale.
 	floor      map[catalog.RecordKind]uint64
 	tombstones int
-	// inForce is the greatest revision that was ever in force.
-	inForce  uint64
-	snapshot *catalog.Snapshot
+	// maxInForce is the greatest revision that was ever in force.
+	maxInForce uint64
+	snapshot   *catalog.Snapshot
 }
 
-// entry is what the set knows of one record.
+// entry is the state of one record in the set.
 type entry struct {
 	key     Key
 	newest  Version
 	inForce Version
-	// item is inForce decoded.
+	// item is the decoded form of inForce.
 	item catalog.Item
-	// shown is the item that the snapshot holds: nil, or item.
-	shown catalog.Item
-	// candidate is newest decoded, while it is not in force.
+	// inSnapshot is the item that the snapshot holds: nil, or item.
+	inSnapshot catalog.Item
+	// candidate is the decoded form of newest while newest is not in force.
 	candidate catalog.Item
-	// reason says why the last judgement refused newest.
+	// reason states why the last evaluation refused newest.
 	reason string
-	// waits are the kinds whose change may turn that refusal.
-	waits   kinds
-	verdict verdict
-	sum     uint64
+	// waitsFor are the kinds whose change may reverse that refusal.
+	waitsFor kindSet
+	verdict  verdict
+	sum      uint64
 }
 
-// verdict is the last judgement of an entry, as it was handed out.
+// verdict is the result of the last evaluation of an entry, as it was returned to
+// the caller.
 type verdict struct {
-	judged   bool
-	accepted bool
-	reason   string
-	spec     []byte
+	evaluated bool
+	accepted  bool
+	reason    string
+	spec      []byte
 }
 
-func (v verdict) same(w verdict) bool {
-	return v.judged == w.judged && v.accepted == w.accepted && v.reason == w.reason && bytes.Equal(v.spec, w.spec)
+func (v verdict) equal(w verdict) bool {
+	return v.evaluated == w.evaluated && v.accepted == w.accepted && v.reason == w.reason && bytes.Equal(v.spec, w.spec)
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New(decode Decoder) *Set {
 	s := &Set{
 		decode:  decode,
 		entries: map[Key]*entry{},
-		waiting: map[kinds]map[Key]*entry{},
+		waiting: map[kindSet]map[Key]*entry{},
 		users:   map[Key]*userCount{},
 		asOf:    map[catalog.RecordKind]uint64{},
 		floor:   map[catalog.RecordKind]uint64{},
@@ -76,45 +78,45 @@
 		},
 	}
 	for _, kind := range Kinds {
-		s.waiting[bit(kind)] = map[Key]*entry{}
+		s.waiting[kindBit(kind)] = map[Key]*entry{}
 	}
 	return s
 }
 
-// Snapshot is the configuration in force.
+// Snapshot returns the configuration in force.
 func (s *Set) Snapshot() *catalog.Snapshot { return s.snapshot }
 
-// Complete tells whether every kind was listed once. Until then nothing is
-// judged, because a record would be judged without those it depends on.
-func (s *Set) Complete() bool { return s.listed == allKinds }
+// Complete reports whether a full list of every kind has been applied. Until then
+// no record is evaluated, because those it depends on may be missing.
+func (s *Set) Complete() bool { return s.listedKinds == allKinds }
 
-// AsOf is the store's revision of the newest full list of a kind. A peer that
-// hands on all its records hands this on with them.
+// AsOf returns the store's revision of the newest full list of a kind. An instance
+// that sends all its records to a peer sends this revision with them.
 func (s *Set) AsOf(kind catalog.RecordKind) uint64 { return s.asOf[kind] }
 
-// Apply takes records from a watch or from a peer. It returns those that were
-// news, to be passed on; the snapshot, which is the same pointer when nothing
-// in force has changed; and the verdicts that have changed.
+// Apply merges records from a watch or from a peer. It returns the records that
+// changed, to be passed on; the snapshot, which is the same pointer if nothing in
+// force has changed; and the verdicts that changed.
 func (s *Set) Apply(batch []Record) (changed []Record, snapshot *catalog.Snapshot, verdicts []Verdict) {
-	c := s.begin()
+	tx := s.begin()
 	for i := range batch {
-		c.merge(&batch[i], s.floor[batch[i].Kind])
+		tx.merge(&batch[i], s.floor[batch[i].Kind])
 	}
-	return c.finish()
+	return tx.commit()
 }
 
-// ApplyList takes a full list of one kind as of a revision. Records that are
-// absent and older are deleted. A list older than one that came before changes
-// nothing: the store, or the peer, answers from the past.
+// ApplyList merges a full list of one kind as of a revision. Records that are
+// missing from the list and not newer than it are deleted. A list older than the
+// one applied before is a stale read of the store or of a peer and changes nothing.
 func (s *Set) ApplyList(kind catalog.RecordKind, records []Record, asOf uint64) (changed []Record, snapshot *catalog.Snapshot, verdicts []Verdict) {
-	c := s.begin()
-	if bit(kind) != 0 && asOf >= s.floor[kind] {
-		c.mergeList(kind, records, asOf)
+	tx := s.begin()
+	if kindBit(kind) != 0 && asOf >= s.floor[kind] {
+		tx.mergeList(kind, records, asOf)
 	}
-	return c.finish()
+	return tx.commit()
 }
 
-// Get returns what is known of one record.
+// Get returns the state of one record, and false if the record is unknown.
 func (s *Set) Get(key Key) (Record, bool) {
 	e, ok := s.entries[key]
 	if !ok {
@@ -123,17 +125,17 @@
 	return e.record(), true
 }
 
-// Verdict returns the present judgement of a record, and false for one that is
-// unknown or not judged yet.
+// Verdict returns the current verdict on a record, and false for one that is
+// unknown or has not been evaluated yet.
 func (s *Set) Verdict(key Key) (Verdict, bool) {
 	e, ok := s.entries[key]
-	if !ok || !e.verdict.judged {
+	if !ok || !e.verdict.evaluated {
 		return Verdict{}, false
 	}
-	return e.handOut(), true
+	return e.exportVerdict(), true
 }
 
-// Len is the number of records held, tombstones included.
+// Len returns the number of records held, tombstones included.
 func (s *Set) Len() int { return len(s.entries) }
 
 func (e *entry) record() Record {
@@ -146,10 +148,10 @@
 	return r
 }
 
-func (e *entry) handOut() Verdict {
+func (e *entry) exportVerdict() Verdict {
 	v := Verdict{Key: e.key, Revision: e.newest.Revision, Deleted: e.newest.Deleted,
 		Accepted: e.verdict.accepted, Reason: e.verdict.reason}
-	if !v.Accepted && e.shown != nil {
+	if !v.Accepted && e.inSnapshot != nil {
 		v.InForce = Version{Revision: e.inForce.SpecRevision, SpecRevision: e.inForce.SpecRevision, Spec: e.inForce.Spec}
 	}
 	return v
--- a/daemon/confsync/snapshot.go
+++ b/daemon/confsync/snapshot.go
@@ -43,7 +43,7 @@
 	case kindLeaving:
 		return s.otherPage(s.leaving.after(request.Name, pageRecords), kindLeaving, ""), nil
 	}
-	limit := config.Limit{Records: pageRecords, Bytes: pageBytes}
+	limit := config.PageLimit{Records: pageRecords, Bytes: pageBytes}
 	records, last, more := s.set.Records(request.Cursor(), limit, config.AllBuckets)
 	page := configwire.Page{Last: configwire.RequestAfter(last), More: true, AsOf: s.asOf()}
 	if !more {
--- a/daemon/confsync/verdicts_test.go
+++ b/daemon/confsync/verdicts_test.go
@@ -167,7 +167,7 @@
 		f.write("tiers", "gold", tierSpec(300))
 		f.pass(inForceBound)
 		revision := f.write("pipelines", "chat.v1", pipelineSpec(800))
-		first := config.Live(config.Key{Kind: "pipelines", Name: "chat.v1"}, revision, []byte(pipelineSpec(800)))
+		first := config.LiveRecord(config.Key{Kind: "pipelines", Name: "chat.v1"}, revision, []byte(pipelineSpec(800)))
 		body, err := configwire.EncodeRecord(first)
 		require.NoError(t, err)
 		apart.take(spread.Record{Kind: "pipelines", Name: "chat.v1", Revision: revision, Body: body})
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -33,7 +33,7 @@
 		require.Empty(t, faults, file)
 		for _, doc := range documents {
 			key := config.Key{Kind: doc.Kind, Name: doc.Object.Metadata.Name}
-			batch = append(batch, config.Live(key, uint64(len(batch)+1), doc.Object.Spec))
+			batch = append(batch, config.LiveRecord(key, uint64(len(batch)+1), doc.Object.Spec))
 		}
 	}
 	_, snapshot, verdicts := set.Apply(batch)
--- a/protocol/configwire/configwire_test.go
+++ b/protocol/configwire/configwire_test.go
@@ -12,11 +12,11 @@
 
 func TestRecordsSurviveTheWire(t *testing.T) {
 	key := config.Key{Kind: "tiers", Name: "gold"}
-	tombstone := config.Tombstone(key, 9)
+	tombstone := config.TombstoneRecord(key, 9)
 	tombstone.Newest.Spec, tombstone.Newest.SpecRevision = []byte(`{"rank":1}`), 7
-	refused := config.Live(key, 8, []byte(`{"rank":0}`))
+	refused := config.LiveRecord(key, 8, []byte(`{"rank":0}`))
 	refused.InForce = config.Version{Revision: 5, SpecRevision: 5, Spec: []byte(`{}`)}
-	accepted := config.Live(key, 6, []byte(`{}`))
+	accepted := config.LiveRecord(key, 6, []byte(`{}`))
 	accepted.Accepted = true
 	for _, want := range []config.Record{tombstone, refused, accepted} {
 		body, err := configwire.EncodeRecord(want)
--- a/protocol/record/status.go
+++ b/protocol/record/status.go
@@ -80,7 +80,7 @@
 // instance without peers what was accepted before it started.
 func FromObject(kind catalog.RecordKind, object *platformapi.Object) config.Record {
 	key := config.Key{Kind: kind, Name: object.Metadata.Name}
-	r := config.Live(key, object.Metadata.Revision, object.Spec)
+	r := config.LiveRecord(key, object.Metadata.Revision, object.Spec)
 	status, state, err := ReadStatus(object)
 	if err != nil {
 		return r
@@ -98,7 +98,7 @@
 		return FromObject(kind, &event.Object)
 	}
 	key := config.Key{Kind: kind, Name: event.Object.Metadata.Name}
-	return config.Tombstone(key, event.Object.Metadata.Revision)
+	return config.TombstoneRecord(key, event.Object.Metadata.Revision)
 }
 
 // SpecDigest names a spec. White space plays no part, since the store need not
--- a/testkit/capacity/accounts.go
+++ b/testkit/capacity/accounts.go
@@ -18,7 +18,7 @@
 	key := config.Key{Kind: catalog.RecordAccounts, Name: accountName(i)}
 	spec := fmt.Sprintf(`{"schema_version":1,"tier":"gold","keys":[{"sha256":"%x"}],"requests_per_s":%d,"burst":10}`,
 		sha256.Sum256([]byte(key.Name)), 4+revision%2)
-	return config.Live(key, revision, []byte(spec))
+	return config.LiveRecord(key, revision, []byte(spec))
 }
 
 // accountSet returns a configuration with n accounts in force.
@@ -27,7 +27,7 @@
 	for _, kind := range config.Kinds {
 		set.ApplyList(kind, nil, 0)
 	}
-	tier := config.Live(config.Key{Kind: catalog.RecordTiers, Name: "gold"}, 1,
+	tier := config.LiveRecord(config.Key{Kind: catalog.RecordTiers, Name: "gold"}, 1,
 		[]byte(`{"schema_version":1,"rank":0,"deadline_ms":6000,"engine_priority":0}`))
 	batch := []config.Record{tier}
 	for i := range n {
