--- a/coordination/claim/call.go
+++ b/coordination/claim/call.go
@@ -2,80 +2,83 @@
 
 import "time"
 
-// Limits bound what one call spends on its claim.
+// Limits bound the writes and requests of one call.
 type Limits struct {
 	// MaxWrites bounds the Create and TakeOver actions of one call.
 	MaxWrites int
-	// AskEvery is the time before the second question to a claimant that
-	// runs; it doubles with each question, to MaxAskEvery.
-	AskEvery    time.Duration
-	MaxAskEvery time.Duration
-	// MaxAskFailures is how many questions may go without an answer before
-	// the claimant counts as gone.
-	MaxAskFailures int
+	// RequestInterval is the time before the second status request to a claimant
+	// whose token is running; it doubles with each request, up to
+	// MaxRequestInterval.
+	RequestInterval    time.Duration
+	MaxRequestInterval time.Duration
+	// MaxRequestFailures is the number of unanswered status requests after which
+	// the claimant counts as failed.
+	MaxRequestFailures int
 }
 
-// DefaultLimits suit a store and peers that answer in milliseconds.
+// DefaultLimits suit a store and peers that respond within milliseconds.
 var DefaultLimits = Limits{
-	MaxWrites:      4,
-	AskEvery:       20 * time.Millisecond,
-	MaxAskEvery:    time.Second,
-	MaxAskFailures: 2,
+	MaxWrites:          4,
+	RequestInterval:    20 * time.Millisecond,
+	MaxRequestInterval: time.Second,
+	MaxRequestFailures: 2,
 }
 
 type phase int
 
 const (
-	// writing: a Create or TakeOver is under way.
+	// writing: a Create or TakeOver is in progress.
 	writing phase = iota
-	// readingBack: a write's answer was lost, the store is being read.
+	// readingBack: the response to a write was lost; the claim is being read.
 	readingBack
-	// asking: the claimant is being asked.
-	asking
-	// waiting: the claimant runs, the next question is due later.
+	// requesting: a status request to the claimant is in progress.
+	requesting
+	// waiting: the token is running; the next status request is due later.
 	waiting
-	// lastRead: the claimant can't tell; its outcome may be in the store.
-	lastRead
+	// finalRead: the claimant gave no result; it may be in the store.
+	finalRead
 	// decided: the call has ended.
 	decided
 )
 
-// Call is the claim of one call. It is a value of one goroutine.
+// Call is the state machine of one call's attempt to claim its key. It isn't safe
+// for concurrent use.
 type Call struct {
-	mine     Record
+	own      Record
 	deadline time.Time
 	limits   Limits
 	phase    phase
 	writes   int
-	// found is the foreign claim last seen, at revision.
-	found    Record
-	revision uint64
-	heard    bool
+	// found is the last claim of another token that was read, foundRevision its
+	// revision.
+	found          Record
+	foundRevision  uint64
+	storeResponded bool
 	// mayBeStored is set once a write of this token may have taken effect.
-	mayBeStored bool
-	now         time.Time
-	askAgain    time.Duration
-	askFailures int
+	mayBeStored     bool
+	now             time.Time
+	requestInterval time.Duration
+	requestFailures int
 }
 
-// NewCall prepares the claim of a call that must be decided by deadline. The
-// token is used by no other call.
+// NewCall returns a Call that must be decided by deadline. No other call may use
+// the token.
 func NewCall(token Token, body BodyDigest, now, deadline time.Time, limits Limits) *Call {
-	mine := Record{Token: token, Body: body, Made: now}
-	return &Call{mine: mine, deadline: deadline, limits: limits, now: now, askAgain: limits.AskEvery}
+	own := Record{Token: token, BodyDigest: body, CreatedAt: now}
+	return &Call{own: own, deadline: deadline, limits: limits, now: now, requestInterval: limits.RequestInterval}
 }
 
-// Record returns the claim as this call writes it.
-func (c *Call) Record() Record { return c.mine }
+// Record returns the claim that this call writes.
+func (c *Call) Record() Record { return c.own }
 
-// MayBeStored tells whether a write of this call's token may have taken
-// effect, or may do so later.
+// MayBeStored reports whether a write of this call's token may have taken effect,
+// or may do so later.
 func (c *Call) MayBeStored() bool { return c.mayBeStored }
 
 // Start returns the first action.
 func (c *Call) Start() Action { return c.create() }
 
-// Step takes the answer to the last action and returns the next one.
+// Step processes the event that the last action led to and returns the next action.
 func (c *Call) Step(now time.Time, e Event) Action {
 	c.now = now
 	switch c.phase {
@@ -83,12 +86,12 @@
 		return c.afterWrite(e)
 	case readingBack:
 		return c.afterReadBack(e)
-	case asking:
-		return c.afterAsk(e)
+	case requesting:
+		return c.afterRequest(e)
 	case waiting:
-		return c.ask()
-	case lastRead:
-		return c.afterLastRead(e)
+		return c.requestStatus()
+	case finalRead:
+		return c.afterFinalRead(e)
 	default:
 		panic("claim: step of a decided call")
 	}
@@ -97,7 +100,7 @@
 func (c *Call) create() Action {
 	c.phase = writing
 	c.writes++
-	return Create{Record: c.mine}
+	return Create{Record: c.own}
 }
 
 func (c *Call) takeOver() Action {
@@ -106,17 +109,17 @@
 	}
 	c.phase = writing
 	c.writes++
-	return TakeOver{Revision: c.revision, Record: c.mine}
+	return TakeOver{Revision: c.foundRevision, Record: c.own}
 }
 
-// ask asks the claimant. Each claimant met is asked until the deadline at most,
-// so the call ends however often the claim changes hands.
-func (c *Call) ask() Action {
+// requestStatus sends a status request to the claimant. No request is sent after
+// the deadline, so the call ends however often the claim is taken over.
+func (c *Call) requestStatus() Action {
 	if !c.now.Before(c.deadline) {
 		return c.unknown("claimant still runs at the deadline")
 	}
-	c.phase = asking
-	return Ask{Token: c.found.Token}
+	c.phase = requesting
+	return RequestStatus{Token: c.found.Token}
 }
 
 func (c *Call) afterWrite(e Event) Action {
@@ -126,15 +129,15 @@
 		return c.run(e.Revision)
 	case Exists:
 		return c.examine(e)
-	case StoreAway:
+	case StoreUnavailable:
 		return c.refuse("store unavailable", e.RetryAfter)
 	case Absent:
-		// The claim to take over has gone with the end of its retention.
-		c.heard = true
+		// The claim was removed at the end of its retention.
+		c.storeResponded = true
 		return c.notRun("claim removed while it was taken over")
 	default:
-		// The write may have taken effect, or may do so later. Only the
-		// token in the store can tell, so read it back.
+		// The write may have taken effect, or may do so later. Only the token in
+		// the store shows which, so read it back.
 		c.mayBeStored = true
 		c.phase = readingBack
 		return Read{}
@@ -148,101 +151,101 @@
 	case Absent:
 		return c.createAgain()
 	default:
-		// Guard: answer lost and read-back failed. The claim may stand in the
-		// store under this token or under another one. Dispatching would risk
-		// a second run; the call ends and its token is never dispatched.
+		// The response was lost and the read-back failed. The store may hold the
+		// claim under this token or under another one. Dispatching could cause a
+		// second run, so the call ends and its token is never dispatched.
 		return c.notRun("answer of the store lost and read-back failed")
 	}
 }
 
-// createAgain repeats the create under the same token. Guard: a create whose
-// answer was lost may take effect after a read-back found nothing. Under the
-// same token both effects are one claim, so the late one does no harm; when
-// the call gives up instead, the claimant remembers the token as abandoned.
+// createAgain repeats the create under the same token. A create whose response was
+// lost may take effect after a read-back found no claim. Under the same token both
+// writes are one claim, so the delayed one is harmless; if the call ends instead,
+// the claimant keeps the token as abandoned.
 func (c *Call) createAgain() Action {
-	c.heard = true
+	c.storeResponded = true
 	if c.writes >= c.limits.MaxWrites {
 		return c.notRun("too many writes for one claim")
 	}
 	return c.create()
 }
 
-// examine acts on the claim that the store holds.
+// examine returns the action that follows from the claim in the store.
 func (c *Call) examine(e Exists) Action {
-	c.heard = true
-	if e.Record.Token == c.mine.Token {
+	c.storeResponded = true
+	if e.Record.Token == c.own.Token {
 		return c.run(e.Revision)
 	}
-	c.found, c.revision = e.Record, e.Revision
-	if e.Record.Body != c.mine.Body {
+	c.found, c.foundRevision = e.Record, e.Revision
+	if e.Record.BodyDigest != c.own.BodyDigest {
 		return c.decide(Decision{Verdict: VerdictConflict, Reason: "key used with another body"})
 	}
 	if e.Record.Released() {
 		return c.takeOver()
 	}
-	if e.Record.Kept != nil {
-		return c.replay(e.Record.Kept)
+	if e.Record.Result != nil {
+		return c.replay(e.Record.Result)
 	}
-	return c.ask()
+	return c.requestStatus()
 }
 
-func (c *Call) afterAsk(e Event) Action {
-	said, ok := e.(PeerSaid)
+func (c *Call) afterRequest(e Event) Action {
+	responded, ok := e.(PeerResponded)
 	if !ok {
-		return c.afterSilence()
+		return c.afterNoResponse()
 	}
-	switch said.Answer.State {
-	case PeerAbandoned:
+	switch responded.Response.State {
+	case TokenAbandoned:
 		return c.takeOver()
-	case PeerRunning:
+	case TokenRunning:
 		return c.wait()
-	case PeerFinished:
-		if said.Answer.Kept != nil {
-			return c.replay(said.Answer.Kept)
+	case TokenFinished:
+		if responded.Response.Result != nil {
+			return c.replay(responded.Response.Result)
 		}
-		return c.readLast()
+		return c.readFinal()
 	default:
-		return c.readLast()
+		return c.readFinal()
 	}
 }
 
-// afterSilence asks a claimant that gave no answer again, a few times.
-func (c *Call) afterSilence() Action {
-	c.askFailures++
-	if c.askFailures < c.limits.MaxAskFailures {
-		return c.ask()
+// afterNoResponse repeats a status request that got no response, a few times.
+func (c *Call) afterNoResponse() Action {
+	c.requestFailures++
+	if c.requestFailures < c.limits.MaxRequestFailures {
+		return c.requestStatus()
 	}
-	return c.readLast()
+	return c.readFinal()
 }
 
-// readLast reads the claim once more. Guard: the claimant recorded the outcome
-// after this call had read the claim, and died before it could be asked.
-func (c *Call) readLast() Action {
-	c.phase = lastRead
+// readFinal reads the claim once more. The claimant may have recorded the outcome
+// after this call read the claim, and failed before it got the status request.
+func (c *Call) readFinal() Action {
+	c.phase = finalRead
 	return Read{}
 }
 
 func (c *Call) wait() Action {
 	c.phase = waiting
-	until := c.now.Add(c.askAgain)
-	c.askAgain = min(2*c.askAgain, c.limits.MaxAskEvery)
+	until := c.now.Add(c.requestInterval)
+	c.requestInterval = min(2*c.requestInterval, c.limits.MaxRequestInterval)
 	if until.After(c.deadline) {
 		until = c.deadline
 	}
 	return Wait{Until: until}
 }
 
-func (c *Call) afterLastRead(e Event) Action {
+func (c *Call) afterFinalRead(e Event) Action {
 	exists, ok := e.(Exists)
 	if !ok {
 		return c.unknown("claimant and store can't tell the outcome")
 	}
 	same := exists.Record.Token == c.found.Token
-	if !same || exists.Record.Kept != nil || exists.Record.Abandoned {
+	if !same || exists.Record.Result != nil || exists.Record.Abandoned {
 		return c.examine(exists)
 	}
-	// Guard: the claimant is gone and left no outcome. It may have dispatched
-	// just before it died, so the key never runs again.
+	// The claimant has failed without recording an outcome. It may have dispatched
+	// the work just before it failed, so the key never runs again.
 	return c.unknown("claimant gone without an outcome")
 }
 
@@ -250,8 +253,8 @@
 	return c.decide(Decision{Verdict: VerdictRun, Revision: revision, Reason: "claimed"})
 }
 
-func (c *Call) replay(kept *Kept) Action {
-	return c.decide(Decision{Verdict: VerdictReplay, Kept: kept, Reason: "key has run"})
+func (c *Call) replay(result *StoredResult) Action {
+	return c.decide(Decision{Verdict: VerdictReplay, Result: result, Reason: "key has run"})
 }
 
 func (c *Call) unknown(reason string) Action {
@@ -262,10 +265,10 @@
 
 func (c *Call) refuse(reason string, retryAfter time.Duration) Action {
 	return c.decide(Decision{
-		Verdict:     VerdictNotRun,
-		RetryAfter:  retryAfter,
-		Reason:      reason,
-		StoreSilent: !c.heard,
+		Verdict:         VerdictNotRun,
+		RetryAfter:      retryAfter,
+		Reason:          reason,
+		NoStoreResponse: !c.storeResponded,
 	})
 }
 
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,11 +1,12 @@
 // Package claim decides, as a pure state machine, whether a call with an
 // idempotency key may dispatch work that may not be repeated.
 //
-// A claim is one record a key in the platform's store, made by
+// A claim is one record per key in the platform's store, created with
 // create-if-absent before anything is dispatched. It is permanent until its
-// retention ends; it is not a lease. Nobody takes over a claim that may have
-// been dispatched, so a paused or dead claimant is harmless. A claim that its
-// claimant has given up before dispatch is taken over by a conditional update.
+// retention ends; it is not a lease. A claim under which work may have been
+// dispatched is never taken over, so a paused or failed claimant is harmless. A
+// claim that its claimant has abandoned before dispatch is taken over by a
+// conditional update.
 package claim
 
 import (
@@ -16,11 +17,11 @@
 	"time"
 )
 
-// MaxBody is the greatest body, in bytes, that a claim keeps. In base64 it
-// stays, with its envelope, under the store's limit of a megabyte.
-const MaxBody = 720 << 10
+// MaxBodyBytes is the size of the largest response body that a claim stores. In
+// base64 it stays, with its envelope, below the store's limit of a megabyte.
+const MaxBodyBytes = 720 << 10
 
-// Key names a request that may not be repeated.
+// Key identifies a request that may not be repeated.
 type Key struct {
 	Account        string
 	IdempotencyKey string
@@ -29,8 +30,8 @@
 // ID is the digest of a Key. Only the digest is stored or sent to peers.
 type ID [sha256.Size]byte
 
-// ID returns the digest of the key. The account's length goes in front, so
-// that no two keys share an input.
+// ID returns the digest of the key. The account's length is written first, so
+// that no two keys have the same input.
 func (k Key) ID() ID {
 	buf := binary.BigEndian.AppendUint64(nil, uint64(len(k.Account)))
 	buf = append(buf, k.Account...)
@@ -41,7 +42,7 @@
 // String returns the digest in hexadecimal.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// BodyDigest is the SHA-256 digest of a call's body.
+// BodyDigest is the SHA-256 digest of a body.
 type BodyDigest [sha256.Size]byte
 
 // MarshalText returns the digest in hexadecimal.
@@ -49,7 +50,7 @@
 	return hex.AppendEncode(nil, d[:]), nil
 }
 
-// UnmarshalText reads the form of MarshalText.
+// UnmarshalText decodes the format of MarshalText.
 func (d *BodyDigest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
 		return fmt.Errorf("claim: digest of %d hexadecimal digits", len(text))
@@ -64,97 +65,98 @@
 	Incarnation uint64 `json:"incarnation" msgpack:"n"`
 }
 
-// Token names one attempt to claim. Attempt is unique within the Owner.
+// Token identifies one attempt to claim. Attempt is unique within the Owner.
 type Token struct {
 	Owner   Owner  `json:"owner" msgpack:"o"`
 	Attempt uint64 `json:"attempt" msgpack:"a"`
 }
 
-// String returns the token in a form for logs.
+// String returns the token in the format used in logs.
 func (t Token) String() string {
 	return fmt.Sprintf("%s/%d/%d", t.Owner.Instance, t.Owner.Incarnation, t.Attempt)
 }
 
-// Outcome says what became of the work behind a claim.
+// Outcome states whether the work behind a claim ran.
 type Outcome string
 
-// The outcomes. They equal the outcomes of the callers' interface.
+// The outcomes. They equal the outcomes of the API for callers.
 const (
 	OutcomeNotRun  Outcome = "not_run"
 	OutcomeRan     Outcome = "ran"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Kept is the outcome that a claim keeps, so that a retry gets the answer of
-// the first run.
-type Kept struct {
+// StoredResult is the result that a claim stores, so that a retry gets the response
+// of the first run.
+type StoredResult struct {
 	Outcome     Outcome `json:"outcome" msgpack:"o"`
 	Status      int     `json:"status" msgpack:"s"`
 	ContentType string  `json:"content_type,omitempty" msgpack:"c"`
-	// Body is empty when the answer was longer than MaxBody; BodyLength and
-	// BodyDigest still describe it.
+	// Body is empty if the response body was longer than MaxBodyBytes; BodyLength
+	// and BodyDigest still describe it.
 	Body       []byte     `json:"body,omitempty" msgpack:"b"`
 	BodyLength int        `json:"body_length" msgpack:"l"`
 	BodyDigest BodyDigest `json:"body_digest" msgpack:"d"`
 }
 
-// Whole tells whether the kept body is the whole answer.
-func (k *Kept) Whole() bool { return len(k.Body) == k.BodyLength }
+// Complete reports whether the stored body is the complete response body.
+func (k *StoredResult) Complete() bool { return len(k.Body) == k.BodyLength }
 
-// Fit returns the outcome in the form that is kept: with its digest, and
-// without its body when that is longer than MaxBody.
-func (k Kept) Fit() Kept {
+// ForStorage returns the result in the form in which it is stored: with length and
+// digest of the body, and without the body if that is longer than MaxBodyBytes.
+func (k StoredResult) ForStorage() StoredResult {
 	k.BodyLength = len(k.Body)
 	k.BodyDigest = sha256.Sum256(k.Body)
-	if len(k.Body) > MaxBody {
+	if len(k.Body) > MaxBodyBytes {
 		k.Body = nil
 	}
 	return k
 }
 
-// Record is a claim as it stands in the store.
+// Record is a claim as it is stored.
 type Record struct {
-	Token Token      `json:"token"`
-	Body  BodyDigest `json:"body"`
-	// Made is when the claimant made the claim, on its wall clock.
-	Made time.Time `json:"made"`
-	// Abandoned says that nothing was or ever will be dispatched under Token.
+	Token      Token      `json:"token"`
+	BodyDigest BodyDigest `json:"body"`
+	// CreatedAt is when the claimant created the claim, on its wall clock.
+	CreatedAt time.Time `json:"made"`
+	// Abandoned means that nothing was or ever will be dispatched under Token.
 	Abandoned bool `json:"abandoned,omitempty"`
-	// Kept is nil until the outcome is recorded.
-	Kept *Kept `json:"kept,omitempty"`
+	// Result is nil until the outcome is recorded.
+	Result *StoredResult `json:"kept,omitempty"`
 }
 
-// Released tells whether the record itself proves that nothing was or ever
-// will be dispatched under its token, so that the key may be claimed anew.
+// Released reports whether the record itself proves that nothing was or ever will
+// be dispatched under its token, so that the key may be claimed again.
 func (r *Record) Released() bool {
-	return r.Abandoned || (r.Kept != nil && r.Kept.Outcome == OutcomeNotRun)
+	return r.Abandoned || (r.Result != nil && r.Result.Outcome == OutcomeNotRun)
 }
 
-// Question asks a claimant what became of one of its tokens.
-type Question struct {
+// StatusRequest requests the status of a token from its claimant.
+type StatusRequest struct {
 	ID    ID    `msgpack:"i"`
 	Token Token `msgpack:"t"`
 }
 
-// PeerState is a claimant's answer about one of its tokens.
-type PeerState string
+// TokenState is the state of a token, as its claimant reports it.
+type TokenState string
 
 // The states of a token.
 const (
-	// PeerRunning: the claim may be or become dispatched. Ask again later.
-	PeerRunning PeerState = "running"
-	// PeerFinished: the work is over. PeerAnswer.Kept holds the outcome when
-	// the claimant still has it, else the store does.
-	PeerFinished PeerState = "finished"
-	// PeerAbandoned: nothing was or ever will be dispatched under the token.
-	PeerAbandoned PeerState = "abandoned"
-	// PeerForgotten: the claimant can't tell: another incarnation answers, or
-	// its bounded memory has let the token go.
-	PeerForgotten PeerState = "forgotten"
+	// TokenRunning: work may have been, or may yet be, dispatched under the token.
+	// The requester tries again later.
+	TokenRunning TokenState = "running"
+	// TokenFinished: the work is finished. StatusResponse.Result holds the result
+	// if the claimant still has it; otherwise the store does.
+	TokenFinished TokenState = "finished"
+	// TokenAbandoned: nothing was or ever will be dispatched under the token.
+	TokenAbandoned TokenState = "abandoned"
+	// TokenForgotten: the state is unknown, because another incarnation responds,
+	// or because the claimant no longer keeps the token.
+	TokenForgotten TokenState = "forgotten"
 )
 
-// PeerAnswer is the answer to a Question.
-type PeerAnswer struct {
-	State PeerState `msgpack:"s"`
-	Kept  *Kept     `msgpack:"k"`
+// StatusResponse is the response to a StatusRequest.
+type StatusResponse struct {
+	State  TokenState    `msgpack:"s"`
+	Result *StoredResult `msgpack:"k"`
 }
--- a/coordination/claim/model_test.go
+++ b/coordination/claim/model_test.go
@@ -10,72 +10,73 @@
 const (
 	modelRetention = time.Hour
 	modelWindow    = time.Minute
-	// modelDelay is the longest time after which a lost write takes effect.
-	modelDelay = 5 * time.Minute
+	// modelMaxDelay is the longest time after which a write whose response was lost
+	// takes effect.
+	modelMaxDelay = 5 * time.Minute
 )
 
-// modelWrite is a write on its way to the store. A revision of 0 creates.
+// modelWrite is a write to the store. Revision 0 means create.
 type modelWrite struct {
 	record   Record
 	revision uint64
 	sent     time.Time
 }
 
-// modelCall is one call on one instance, with its outstanding action or the
-// event that is on its way back.
+// modelCall is one call on one instance, with its outstanding action, or the event
+// that has not been delivered yet.
 type modelCall struct {
 	*Call
-	at         *modelInstance
+	instance   *modelInstance
 	token      Token
 	action     Action
 	event      Event
-	began      time.Time
-	knownRun   bool
+	startedAt  time.Time
+	ranBefore  bool
 	decision   *Decision
 	dispatched bool
-	over       bool
+	ended      bool
 }
 
 type modelInstance struct {
-	owner  Owner
-	holder *Holder
-	dead   bool
+	owner   Owner
+	tracker *Tracker
+	failed  bool
 }
 
-// model is a store with one key, some instances, and calls of that key.
+// model is a store with one key, several instances, and calls with that key.
 type model struct {
-	t          *rapid.T
-	now        time.Time
-	stored     *Record
-	revision   uint64
-	late       []modelWrite
-	instances  []*modelInstance
-	calls      []*modelCall
-	dispatches []time.Time
-	outcomes   map[Token]int
-	attempts   uint64
-	swept      bool
-	lossy      bool
-	died       bool
-	// remembered is how many closed tokens an instance remembers.
-	remembered int
+	t              *rapid.T
+	now            time.Time
+	stored         *Record
+	revision       uint64
+	delayed        []modelWrite
+	instances      []*modelInstance
+	calls          []*modelCall
+	dispatches     []time.Time
+	outcomes       map[Token]int
+	attempts       uint64
+	removed        bool
+	lossy          bool
+	instanceFailed bool
+	// maxClosed is the number of closed tokens that an instance keeps.
+	maxClosed int
 }
 
 func (m *model) start(i int, body byte) *modelCall {
-	at := m.instances[i]
+	instance := m.instances[i]
 	m.attempts++
-	token := Token{Owner: at.owner, Attempt: m.attempts}
-	if at.holder.Open(ID{}, BodyDigest{body}, m.attempts, m.now) != nil {
+	token := Token{Owner: instance.owner, Attempt: m.attempts}
+	if instance.tracker.Open(ID{}, BodyDigest{body}, m.attempts, m.now) != nil {
 		return nil
 	}
-	c := &modelCall{at: at, token: token, began: m.now, knownRun: len(m.dispatches) > 0}
+	c := &modelCall{instance: instance, token: token, startedAt: m.now, ranBefore: len(m.dispatches) > 0}
 	c.Call = NewCall(token, BodyDigest{body}, m.now, m.now.Add(10*time.Second), DefaultLimits)
 	c.action = c.Start()
 	m.calls = append(m.calls, c)
 	return c
 }
 
-// apply gives a write its effect in the store.
+// apply applies a write to the store.
 func (m *model) apply(w modelWrite) Event {
 	if m.stored == nil && w.revision != 0 {
 		return Absent{}
@@ -89,7 +90,7 @@
 	return Written{Revision: m.revision}
 }
 
-// write sends a write with a drawn fault.
+// write sends a write with a random fault.
 func (m *model) write(w modelWrite) Event {
 	w.sent = m.now
 	fault := 0
@@ -99,12 +100,12 @@
 	switch fault {
 	case 1:
 		m.apply(w)
-		return AnswerLost{}
+		return ResponseLost{}
 	case 2, 3:
-		m.late = append(m.late, w)
-		return AnswerLost{}
+		m.delayed = append(m.delayed, w)
+		return ResponseLost{}
 	case 4:
-		return StoreAway{}
+		return StoreUnavailable{}
 	default:
 		return m.apply(w)
 	}
@@ -120,20 +121,20 @@
 	return Exists{Record: *m.stored, Revision: m.revision}
 }
 
-func (m *model) ask(token Token) Event {
-	if m.lossy && rapid.IntRange(0, 5).Draw(m.t, "ask fault") == 0 {
-		return PeerAway{}
+func (m *model) requestStatus(token Token) Event {
+	if m.lossy && rapid.IntRange(0, 5).Draw(m.t, "status request fault") == 0 {
+		return PeerUnreachable{}
 	}
 	for _, i := range m.instances {
-		if i.owner == token.Owner && !i.dead {
-			return PeerSaid{Answer: i.holder.Answer(token.Attempt)}
+		if i.owner == token.Owner && !i.failed {
+			return PeerResponded{Response: i.tracker.Status(token.Attempt)}
 		}
 	}
-	return PeerAway{}
+	return PeerUnreachable{}
 }
 
-// step moves one call by half an exchange: the action takes effect, or its
-// event arrives.
+// step advances one call by half an exchange: its action takes effect, or its event
+// is delivered.
 func (m *model) step(c *modelCall) {
 	if c.event != nil {
 		event := c.event
@@ -147,17 +148,17 @@
 		c.event = m.write(modelWrite{record: a.Record, revision: a.Revision})
 	case Read:
 		c.event = m.read()
-	case Ask:
-		c.event = m.ask(a.Token)
+	case RequestStatus:
+		c.event = m.requestStatus(a.Token)
 	case Wait:
 		c.event = Waited{}
-		m.now = later(m.now, a.Until)
+		m.now = latest(m.now, a.Until)
 	case Decide:
 		m.decide(c, a.Decision)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -170,29 +171,29 @@
 	case VerdictRun:
 		return
 	case VerdictReplay:
-		if _, ran := m.outcomes[Token{Attempt: uint64(d.Kept.Status)}]; !ran {
-			m.t.Fatalf("replay of an outcome that nobody recorded")
+		if _, ran := m.outcomes[Token{Attempt: uint64(d.Result.Status)}]; !ran {
+			m.t.Fatalf("replay of an outcome that was never recorded")
 		}
 	case VerdictNotRun:
-		if c.knownRun && !d.StoreSilent && !m.swept {
-			m.t.Fatalf("false not run: the key ran before this call began (%s)", d.Reason)
+		if c.ranBefore && !d.NoStoreResponse && !m.removed {
+			m.t.Fatalf("incorrect not run: the key ran before this call started (%s)", d.Reason)
 		}
 	}
 	m.close(c)
 }
 
-// close gives a call up and checks that its token can't be dispatched.
+// close abandons a call and checks that its token can't be dispatched.
 func (m *model) close(c *modelCall) {
-	c.over = true
-	if err := c.at.holder.Abandon(c.token.Attempt, c.MayBeStored(), m.now); err != nil {
+	c.ended = true
+	if err := c.instance.tracker.Abandon(c.token.Attempt, c.MayBeStored(), m.now); err != nil {
 		m.t.Fatalf("abandon: %v", err)
 	}
-	if c.at.holder.Dispatch(c.token.Attempt, m.now) == nil {
+	if c.instance.tracker.Dispatch(c.token.Attempt, m.now) == nil {
 		m.t.Fatalf("an abandoned token was dispatched")
 	}
 }
 
-// proceed moves a call that holds the claim: dispatch, finish or abandon.
+// proceed advances a call that has claimed the key: dispatch, finish or abandon.
 func (m *model) proceed(c *modelCall, choice int) {
 	record := c.Record()
 	switch {
@@ -201,107 +202,107 @@
 		record.Abandoned = true
 		m.write(modelWrite{record: record, revision: c.decision.Revision})
 	case !c.dispatched:
-		if c.at.holder.Dispatch(c.token.Attempt, m.now) != nil {
+		if c.instance.tracker.Dispatch(c.token.Attempt, m.now) != nil {
 			m.close(c)
 			return
 		}
 		c.dispatched = true
 		m.dispatch()
-		if c.at.holder.Abandon(c.token.Attempt, true, m.now) == nil {
+		if c.instance.tracker.Abandon(c.token.Attempt, true, m.now) == nil {
 			m.t.Fatalf("a dispatched token was abandoned")
 		}
 	default:
-		c.over = true
-		kept := Kept{Outcome: OutcomeRan, Status: int(c.token.Attempt)}
-		if err := c.at.holder.Finish(c.token.Attempt, kept, m.now); err != nil {
+		c.ended = true
+		result := StoredResult{Outcome: OutcomeRan, Status: int(c.token.Attempt)}
+		if err := c.instance.tracker.Finish(c.token.Attempt, result, m.now); err != nil {
 			m.t.Fatalf("finish: %v", err)
 		}
 		m.outcomes[Token{Attempt: c.token.Attempt}]++
-		record.Kept = &kept
+		record.Result = &result
 		m.write(modelWrite{record: record, revision: c.decision.Revision})
 	}
 }
 
 func (m *model) dispatch() {
 	for _, before := range m.dispatches {
-		if m.now.Sub(before) < modelRetention-modelWindow-modelDelay {
+		if m.now.Sub(before) < modelRetention-modelWindow-modelMaxDelay {
 			m.t.Fatalf("two dispatches of one key, %v apart", m.now.Sub(before))
 		}
 	}
 	m.dispatches = append(m.dispatches, m.now)
 }
 
-// kill replaces an instance by a new incarnation; its calls are gone.
-func (m *model) kill(i int) {
-	m.died = true
-	m.instances[i].dead = true
+// fail replaces an instance with a new incarnation and ends its calls.
+func (m *model) fail(i int) {
+	m.instanceFailed = true
+	m.instances[i].failed = true
 	for _, c := range m.calls {
-		c.over = c.over || c.at == m.instances[i]
+		c.ended = c.ended || c.instance == m.instances[i]
 	}
-	m.instances[i] = newModelInstance(i, m.instances[i].owner.Incarnation+1, m.remembered)
+	m.instances[i] = newModelInstance(i, m.instances[i].owner.Incarnation+1, m.maxClosed)
 }
 
-// advance lets time pass: late writes take effect by modelDelay, and the
-// sweep removes a claim past its retention.
+// advance advances time: delayed writes take effect by modelMaxDelay, and a claim
+// past its retention is removed.
 func (m *model) advance(d time.Duration) {
 	m.now = m.now.Add(d)
-	kept := m.late[:0]
-	for _, w := range m.late {
-		if m.now.Sub(w.sent) < modelDelay {
-			kept = append(kept, w)
+	remaining := m.delayed[:0]
+	for _, w := range m.delayed {
+		if m.now.Sub(w.sent) < modelMaxDelay {
+			remaining = append(remaining, w)
 			continue
 		}
 		m.apply(w)
 	}
-	m.late = kept
-	if m.stored != nil && m.now.Sub(m.stored.Made) > modelRetention {
-		m.stored, m.swept = nil, true
+	m.delayed = remaining
+	if m.stored != nil && m.now.Sub(m.stored.CreatedAt) > modelRetention {
+		m.stored, m.removed = nil, true
 	}
 }
 
-func newModelInstance(i int, incarnation uint64, remembered int) *modelInstance {
-	limits := HolderLimits{
-		MaxOpen: 200, MaxClosed: remembered, MaxKeptBytes: 1 << 20,
-		Remember: modelRetention, DispatchWindow: modelWindow,
+func newModelInstance(i int, incarnation uint64, maxClosed int) *modelInstance {
+	limits := TrackerLimits{
+		MaxOpen: 200, MaxClosed: maxClosed, MaxResultBytes: 1 << 20,
+		Retention: modelRetention, DispatchWindow: modelWindow,
 	}
 	owner := Owner{Instance: string(rune('a' + i)), Incarnation: incarnation}
-	return &modelInstance{owner: owner, holder: NewHolder(limits)}
+	return &modelInstance{owner: owner, tracker: NewTracker(limits)}
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, now: time.Unix(1000, 0), outcomes: map[Token]int{}, lossy: true}
-	m.remembered = rapid.SampledFrom([]int{1, 200}).Draw(t, "remembered")
+	m.maxClosed = rapid.SampledFrom([]int{1, 200}).Draw(t, "max closed")
 	for i := range 3 {
-		m.instances = append(m.instances, newModelInstance(i, 1, m.remembered))
+		m.instances = append(m.instances, newModelInstance(i, 1, m.maxClosed))
 	}
 	return m
 }
 
-// random makes one random move.
-func (m *model) random() {
+// randomMove makes one random move.
+func (m *model) randomMove() {
 	instance := rapid.IntRange(0, len(m.instances)-1).Draw(m.t, "instance")
 	move := rapid.IntRange(0, 19).Draw(m.t, "move")
 	switch {
 	case move < 3:
 		m.start(instance, 1)
-	case move == 3 && len(m.late) > 0:
-		w := m.late[0]
-		m.late = m.late[1:]
+	case move == 3 && len(m.delayed) > 0:
+		w := m.delayed[0]
+		m.delayed = m.delayed[1:]
 		m.apply(w)
-	case move == 4 && rapid.IntRange(0, 3).Draw(m.t, "kill") == 0:
-		m.kill(instance)
+	case move == 4 && rapid.IntRange(0, 3).Draw(m.t, "fail") == 0:
+		m.fail(instance)
 	case move == 5:
 		m.advance(time.Duration(rapid.SampledFrom([]int{1, 50, 400, 4000}).Draw(m.t, "seconds")) * time.Second)
 	default:
-		m.move()
+		m.advanceCall()
 	}
 }
 
-// move advances one live call.
-func (m *model) move() {
+// advanceCall advances one call that has not ended.
+func (m *model) advanceCall() {
 	var live []*modelCall
 	for _, c := range m.calls {
-		if !c.over {
+		if !c.ended {
 			live = append(live, c)
 		}
 	}
@@ -316,11 +317,11 @@
 	m.step(c)
 }
 
-// settle ends all calls without further faults.
+// settle runs all calls to their end without further faults.
 func (m *model) settle() {
 	m.lossy = false
 	for _, c := range m.calls {
-		for steps := 0; !c.over; steps++ {
+		for steps := 0; !c.ended; steps++ {
 			if steps > 1000 {
 				m.t.Fatalf("a call never ends")
 			}
@@ -331,29 +332,29 @@
 			m.step(c)
 		}
 	}
-	m.advance(modelDelay)
+	m.advance(modelMaxDelay)
 }
 
-// Story: a ward clerk's work order is retried on other instances while the
-// store loses answers, applies writes late, instances pause, die and come back.
-// Two crews must never be sent for one key, and "not run" must be true. Once
-// the faults end, a key that nobody ran must not stay blocked.
+// A call is retried on other instances while the store loses responses and applies
+// writes late, and instances pause, fail and restart. One key must never be
+// dispatched twice, and "not run" must be correct. Once the faults end, a key that
+// was never run must not stay blocked.
 func TestNoInterleavingRunsAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(10, 120).Draw(t, "moves") {
-			m.random()
+			m.randomMove()
 		}
 		m.settle()
 		c := m.start(0, 1)
 		for c.decision == nil {
 			m.step(c)
 		}
-		lostNothing := !m.died && m.remembered > len(m.calls)
+		lostNothing := !m.instanceFailed && m.maxClosed > len(m.calls)
 		if lostNothing && c.decision.Verdict != VerdictRun && c.decision.Verdict != VerdictReplay {
-			t.Fatalf("a key that nobody lost is blocked: %v %s", c.decision.Verdict, c.decision.Reason)
+			t.Fatalf("a key is blocked although no instance failed or forgot it: %v %s", c.decision.Verdict, c.decision.Reason)
 		}
-		if other := m.start(1, 2); other != nil && !m.swept {
+		if other := m.start(1, 2); other != nil && !m.removed {
 			for other.decision == nil {
 				m.step(other)
 			}
--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -61,8 +61,8 @@
 
 // AskClaim implements claims.Asker. Only the very incarnation that made the
 // claim can answer for it: a later one has none of its memory.
-func (a asker) AskClaim(ctx context.Context, claimant claim.Owner, q claim.Question) (claim.PeerAnswer, error) {
-	var answer claim.PeerAnswer
+func (a asker) AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
+	var answer claim.StatusResponse
 	member, ok := a.cluster.View().Find(claimant.Instance)
 	if !ok || !member.Live() || member.Incarnation != claimant.Incarnation {
 		return answer, errors.Wrapf(errNotMember, "ask claim at %s", claimant.Instance)
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -57,7 +57,7 @@
 }
 
 func (a *App) handleClaim(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var q claim.Question
+	var q claim.StatusRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer claim: decode")
 	}
--- a/daemon/app/wire_test.go
+++ b/daemon/app/wire_test.go
@@ -18,18 +18,18 @@
 		message any
 		want    string
 	}{
-		{"question", &claim.Question{
+		{"question", &claim.StatusRequest{
 			ID:    claim.ID{0: 1, 31: 2},
 			Token: claim.Token{Owner: claim.Owner{Instance: "instance", Incarnation: 3}, Attempt: 4},
 		}, "82a169c4200100000000000000000000000000000000000000000000000000000000000002a17482a16f82a169a8696e7374" +
 			"616e6365a16ecf0000000000000003a161cf0000000000000004"},
-		{"answer", &claim.PeerAnswer{State: claim.PeerFinished, Kept: &claim.Kept{
+		{"answer", &claim.StatusResponse{State: claim.TokenFinished, Result: &claim.StoredResult{
 			Outcome: claim.OutcomeRan, Status: 200, ContentType: "text/plain",
 			Body: []byte("body"), BodyLength: 5, BodyDigest: claim.BodyDigest{0: 6, 31: 7},
 		}}, "82a173a866696e6973686564a16b86a16fa372616ea173ccc8a163aa746578742f706c61696ea162c404626f6479a16c05a1" +
 			"64c4403036303030303030303030303030303030303030303030303030303030303030303030303030303030303030303030" +
 			"3030303030303030303030303030303037"},
-		{"answer without an outcome", &claim.PeerAnswer{State: claim.PeerRunning}, "82a173a772756e6e696e67a16bc0"},
+		{"answer without an outcome", &claim.StatusResponse{State: claim.TokenRunning}, "82a173a772756e6e696e67a16bc0"},
 		{"question for an answer", &statusQuestion{ID: "id", Account: "account", Wait: 8}, "83a169a26964a161a76163636f756e74a177d30000000000000008"},
 		{"question for a status", &statusQuestion{ID: "id", Account: "account"}, "82a169a26964a161a76163636f756e74"},
 	}
--- a/daemon/claims/drive.go
+++ b/daemon/claims/drive.go
@@ -40,7 +40,7 @@
 	if d.Verdict == NotRun {
 		return s.notRun(d)
 	}
-	return Begun{Verdict: d.Verdict, Kept: d.Kept, Reason: d.Reason}
+	return Begun{Verdict: d.Verdict, Kept: d.Result, Reason: d.Reason}
 }
 
 // perform does one action and returns its answer.
@@ -58,8 +58,8 @@
 		ctx, cancel := context.WithTimeout(ctx, s.opts.StoreTimeout)
 		defer cancel()
 		return s.opts.Storage.Replace(ctx, id, a.Revision, a.Record)
-	case claim.Ask:
-		return s.ask(ctx, claim.Question{ID: id, Token: a.Token})
+	case claim.RequestStatus:
+		return s.ask(ctx, claim.StatusRequest{ID: id, Token: a.Token})
 	case claim.Wait:
 		return s.wait(ctx, a.Until)
 	default:
@@ -67,17 +67,17 @@
 	}
 }
 
-func (s *Service) ask(ctx context.Context, q claim.Question) claim.Event {
+func (s *Service) ask(ctx context.Context, q claim.StatusRequest) claim.Event {
 	if q.Token.Owner == s.opts.Owner {
-		return claim.PeerSaid{Answer: s.HandleAsk(ctx, q)}
+		return claim.PeerResponded{Response: s.HandleAsk(ctx, q)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.AskTimeout)
 	defer cancel()
 	answer, err := s.opts.Asker.AskClaim(ctx, q.Token.Owner, q)
 	if err != nil {
-		return claim.PeerAway{}
+		return claim.PeerUnreachable{}
 	}
-	return claim.PeerSaid{Answer: answer}
+	return claim.PeerResponded{Response: answer}
 }
 
 func (s *Service) wait(ctx context.Context, until time.Time) claim.Event {
--- a/daemon/claims/journal.go
+++ b/daemon/claims/journal.go
@@ -94,10 +94,10 @@
 
 // Replace implements Storage.
 func (j *Journals) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
-	if r.Kept != nil && len(r.Kept.Body) > maxJournalBody {
-		kept := *r.Kept
+	if r.Result != nil && len(r.Result.Body) > maxJournalBody {
+		kept := *r.Result
 		kept.Body = nil
-		r.Kept = &kept
+		r.Result = &kept
 	}
 	return j.shard(id).submit(ctx, &journalOp{id: id, sequence: revision, record: r})
 }
@@ -108,7 +108,7 @@
 	j.mu.Lock()
 	if len(j.pending) >= maxJournalOps {
 		j.mu.Unlock()
-		return claim.StoreAway{}
+		return claim.StoreUnavailable{}
 	}
 	j.pending = append(j.pending, op)
 	start := !j.running
@@ -122,7 +122,7 @@
 		return e
 	case <-ctx.Done():
 		// Guard: the op is in a batch that may still be written.
-		return claim.AnswerLost{}
+		return claim.ResponseLost{}
 	}
 }
 
@@ -177,7 +177,7 @@
 			j.view = nil
 		}
 	}
-	answerAll(batch, claim.StoreAway{})
+	answerAll(batch, claim.StoreUnavailable{})
 }
 
 // writeBatch writes the view that the batch led to and answers the batch. It
@@ -203,12 +203,12 @@
 // batch must be read back by its call.
 func (j *journal) failed(batch []*journalOp, err error) {
 	event := writeFailed(err)
-	if _, nothingDone := event.(claim.StoreAway); nothingDone {
+	if _, nothingDone := event.(claim.StoreUnavailable); nothingDone {
 		answerAll(batch, event)
 		return
 	}
 	j.view = nil
-	answerAll(batch, claim.AnswerLost{})
+	answerAll(batch, claim.ResponseLost{})
 }
 
 // applyAll puts the batch's ops into the view, in order.
--- a/daemon/claims/journal_read.go
+++ b/daemon/claims/journal_read.go
@@ -140,7 +140,7 @@
 		old = len(view.spec.Sealed)
 	}
 	held := len(view.spec.Entries)
-	maps.DeleteFunc(view.spec.Entries, func(_ string, e *journalEntry) bool { return e.Record.Made.Before(before) })
+	maps.DeleteFunc(view.spec.Entries, func(_ string, e *journalEntry) bool { return e.Record.CreatedAt.Before(before) })
 	dropped := held - len(view.spec.Entries)
 	if old == 0 && dropped == 0 {
 		return 0, nil
--- a/daemon/claims/journal_spec.go
+++ b/daemon/claims/journal_spec.go
@@ -81,8 +81,8 @@
 func (v journalView) newest() time.Time {
 	var newest time.Time
 	for _, e := range v.spec.Entries {
-		if e.Record.Made.After(newest) {
-			newest = e.Record.Made
+		if e.Record.CreatedAt.After(newest) {
+			newest = e.Record.CreatedAt
 		}
 	}
 	return newest
--- a/daemon/claims/journal_test.go
+++ b/daemon/claims/journal_test.go
@@ -37,7 +37,7 @@
 				group.Go(func() {
 					time.Sleep(time.Duration(i) * 4 * time.Millisecond) // virtual
 					token := claim.Token{Attempt: uint64(n + 1)}
-					e := w.Create(t.Context(), testID(i), claim.Record{Token: token, Made: time.Now()})
+					e := w.Create(t.Context(), testID(i), claim.Record{Token: token, CreatedAt: time.Now()})
 					if _, ok := e.(claim.Written); ok {
 						mu.Lock()
 						written[i]++
@@ -85,7 +85,7 @@
 	_, err = store.Create(t.Context(), platformapi.KindClaims, object)
 	require.NoError(t, err)
 	journals := NewJournals(store, 1, time.Second, 0)
-	require.Equal(t, claim.StoreAway{}, journals.Create(t.Context(), testID(1), claim.Record{}))
+	require.Equal(t, claim.StoreUnavailable{}, journals.Create(t.Context(), testID(1), claim.Record{}))
 	require.Equal(t, claim.ReadFailed{}, journals.Get(t.Context(), testID(1)))
 }
 
@@ -120,11 +120,11 @@
 		group.Go(func() {
 			time.Sleep(at)
 			began := time.Now()
-			record := claim.Record{Token: claim.Token{Attempt: uint64(i)}, Made: began}
+			record := claim.Record{Token: claim.Token{Attempt: uint64(i)}, CreatedAt: began}
 			e, ok := writer.Create(context.Background(), testID(i), record).(claim.Written)
 			took := time.Since(began)
 			if ok {
-				record.Kept = &testKept
+				record.Result = &testKept
 				writer.Replace(context.Background(), testID(i), e.Revision, record)
 			}
 			mu.Lock()
--- a/daemon/claims/memory.go
+++ b/daemon/claims/memory.go
@@ -17,7 +17,7 @@
 
 type memoryShard struct {
 	mu     sync.Mutex
-	holder *claim.Holder
+	holder *claim.Tracker
 	done   map[uint64]chan struct{}
 }
 
@@ -38,16 +38,16 @@
 }()
 
 func newMemory(opts Options) *memory {
-	limits := claim.HolderLimits{
+	limits := claim.TrackerLimits{
 		MaxOpen:        share(opts.MaxOpen),
 		MaxClosed:      share(opts.MaxClosed),
-		MaxKeptBytes:   share(opts.MaxKeptBytes),
-		Remember:       opts.Retention,
+		MaxResultBytes: share(opts.MaxKeptBytes),
+		Retention:      opts.Retention,
 		DispatchWindow: opts.DispatchWindow,
 	}
 	m := &memory{}
 	for i := range m.shards {
-		m.shards[i].holder = claim.NewHolder(limits)
+		m.shards[i].holder = claim.NewTracker(limits)
 		m.shards[i].done = make(map[uint64]chan struct{})
 	}
 	return m
@@ -63,7 +63,7 @@
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if j, ok := sh.holder.Join(id, body); ok {
+	if j, ok := sh.holder.Latest(id, body); ok {
 		e := entry{joined: true, attempt: j.Attempt, same: j.SameBody, done: closedChannel}
 		if done, open := sh.done[j.Attempt]; open {
 			e.done = done
@@ -84,7 +84,7 @@
 	return sh.holder.Dispatch(attempt, now)
 }
 
-func (m *memory) finish(id claim.ID, attempt uint64, kept claim.Kept, now time.Time) error {
+func (m *memory) finish(id claim.ID, attempt uint64, kept claim.StoredResult, now time.Time) error {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -106,11 +106,11 @@
 	return err
 }
 
-func (m *memory) answer(id claim.ID, attempt uint64) claim.PeerAnswer {
+func (m *memory) answer(id claim.ID, attempt uint64) claim.StatusResponse {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.holder.Answer(attempt)
+	return sh.holder.Status(attempt)
 }
 
 func (sh *memoryShard) wake(attempt uint64) {
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -34,7 +34,7 @@
 func (o *Objects) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, 0, r)
 	if err != nil {
-		return claim.StoreAway{}
+		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Create(ctx, platformapi.KindClaims, object)
 	return o.written(ctx, id, written, err)
@@ -44,7 +44,7 @@
 func (o *Objects) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, revision, r)
 	if err != nil {
-		return claim.StoreAway{}
+		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Update(ctx, platformapi.KindClaims, object)
 	return o.written(ctx, id, written, err)
@@ -91,7 +91,7 @@
 	removed := 0
 	for i := range items {
 		e, ok := exists(&items[i]).(claim.Exists)
-		if !ok || !e.Record.Made.Before(before) {
+		if !ok || !e.Record.CreatedAt.Before(before) {
 			continue
 		}
 		if err := pace(); err != nil {
@@ -127,7 +127,7 @@
 	if e := o.Get(ctx, id); e != (claim.ReadFailed{}) {
 		return e
 	}
-	return claim.AnswerLost{}
+	return claim.ResponseLost{}
 }
 
 // writeFailed turns the error of a write, other than a conflict, into an event.
@@ -138,13 +138,13 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return claim.Absent{}
 	case errors.As(err, &unavailable):
-		return claim.StoreAway{RetryAfter: unavailable.RetryAfter}
+		return claim.StoreUnavailable{RetryAfter: unavailable.RetryAfter}
 	case errors.As(err, &call):
-		return claim.StoreAway{}
+		return claim.StoreUnavailable{}
 	default:
 		// Guard: an error of unknown kind is taken for a lost answer, the
 		// case that forbids dispatch until the token has been read back.
-		return claim.AnswerLost{}
+		return claim.ResponseLost{}
 	}
 }
 
--- a/daemon/claims/queue.go
+++ b/daemon/claims/queue.go
@@ -20,10 +20,10 @@
 }
 
 func (w *write) bytes() int {
-	if w.record.Kept == nil {
+	if w.record.Result == nil {
 		return 0
 	}
-	return len(w.record.Kept.Body)
+	return len(w.record.Result.Body)
 }
 
 // queue holds the writes that wait for the store, bounded by number and bytes.
--- a/daemon/claims/record.go
+++ b/daemon/claims/record.go
@@ -36,7 +36,7 @@
 		switch e := s.perform(ctx, w.id, claim.TakeOver{Revision: w.revision, Record: w.record}).(type) {
 		case claim.Written, claim.Absent:
 			return true
-		case claim.StoreAway:
+		case claim.StoreUnavailable:
 			return false
 		case claim.Exists:
 			w.revision = 0
@@ -73,7 +73,7 @@
 // A foreign token means that the claim was released and taken over.
 func (s *Service) stillOpen(w *write, e claim.Exists) bool {
 	own := e.Record.Token == w.record.Token
-	return own && e.Record.Kept == nil && !e.Record.Abandoned
+	return own && e.Record.Result == nil && !e.Record.Abandoned
 }
 
 func (s *Service) enqueue(w write) {
--- a/daemon/claims/service.go
+++ b/daemon/claims/service.go
@@ -18,7 +18,7 @@
 type Key = claim.Key
 
 // Kept is the outcome that a claim keeps for retries.
-type Kept = claim.Kept
+type Kept = claim.StoredResult
 
 // Verdict is how Begin ends.
 type Verdict = claim.Verdict
@@ -35,7 +35,7 @@
 // Asker asks the incarnation that made a claim what became of it. An error
 // means that it is dead or can't be reached in time.
 type Asker interface {
-	AskClaim(ctx context.Context, claimant claim.Owner, q claim.Question) (claim.PeerAnswer, error)
+	AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error)
 }
 
 // Begun is the answer of Begin.
@@ -151,7 +151,7 @@
 		attempt := s.attempts.Add(1)
 		entry, err := s.memory.joinOrOpen(id, body, attempt, s.opts.Now())
 		if err != nil {
-			return s.notRun(claim.Decision{Reason: "too many open claims", StoreSilent: true})
+			return s.notRun(claim.Decision{Reason: "too many open claims", NoStoreResponse: true})
 		}
 		if !entry.joined {
 			return s.drive(ctx, id, body, attempt)
@@ -174,18 +174,18 @@
 		return Begun{Verdict: Unknown, Reason: "the first call still runs at the deadline"}, true
 	}
 	answer := s.memory.answer(id, e.attempt)
-	if answer.Kept == nil {
+	if answer.Result == nil {
 		return Begun{}, false
 	}
-	return Begun{Verdict: Replay, Kept: answer.Kept, Reason: "joined a call on this instance"}, true
+	return Begun{Verdict: Replay, Kept: answer.Result, Reason: "joined a call on this instance"}, true
 }
 
 // HandleAsk answers a peer's question about a token of this incarnation.
-func (s *Service) HandleAsk(_ context.Context, q claim.Question) claim.PeerAnswer {
+func (s *Service) HandleAsk(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
 	// Guard: a new incarnation on the same address knows nothing about the
 	// tokens of the one before; "abandoned" from it could let a key run twice.
 	if q.Token.Owner != s.opts.Owner {
-		return claim.PeerAnswer{State: claim.PeerForgotten}
+		return claim.StatusResponse{State: claim.TokenForgotten}
 	}
 	return s.memory.answer(q.ID, q.Token.Attempt)
 }
@@ -203,5 +203,5 @@
 	if after <= 0 {
 		after = s.opts.RetryAfter
 	}
-	return Begun{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierUnknown: d.StoreSilent}
+	return Begun{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierUnknown: d.NoStoreResponse}
 }
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -45,10 +45,10 @@
 }
 
 // AskClaim implements Asker; an instance that isn't there can't be reached.
-func (w *world) AskClaim(ctx context.Context, claimant claim.Owner, q claim.Question) (claim.PeerAnswer, error) {
+func (w *world) AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	s, ok := w.services[claimant]
 	if !ok {
-		return claim.PeerAnswer{}, errors.New("dead")
+		return claim.StatusResponse{}, errors.New("dead")
 	}
 	return s.HandleAsk(ctx, q), nil
 }
@@ -234,7 +234,7 @@
 	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
 		first := w.begin(a, time.Second)
 		require.NoError(t, first.Ticket.Abandon(t.Context()))
-		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrNotHeld)
+		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrClosed)
 		second := w.begin(b, time.Second)
 		require.Equal(t, Run, second.Verdict)
 		require.NoError(t, second.Ticket.Abandon(t.Context()))
@@ -255,7 +255,7 @@
 	inWorld(t, func(t *testing.T, w *world, a, _ *Service) {
 		first := w.begin(a, time.Second)
 		time.Sleep(2 * time.Hour)
-		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrWindow)
+		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrWindowExpired)
 	})
 }
 
@@ -278,12 +278,12 @@
 func TestLongAnswerKeepsItsDigest(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
 		whole, long := testKept, testKept
-		whole.Body, long.Body = make([]byte, claim.MaxBody), make([]byte, claim.MaxBody+1)
+		whole.Body, long.Body = make([]byte, claim.MaxBodyBytes), make([]byte, claim.MaxBodyBytes+1)
 		require.NoError(t, w.run(a).Finish(t.Context(), long))
 		replayed := w.begin(b, time.Second).Kept
-		require.False(t, replayed.Whole())
-		require.Equal(t, claim.MaxBody+1, replayed.BodyLength)
-		require.Equal(t, long.Fit().BodyDigest, replayed.BodyDigest)
+		require.False(t, replayed.Complete())
+		require.Equal(t, claim.MaxBodyBytes+1, replayed.BodyLength)
+		require.Equal(t, long.ForStorage().BodyDigest, replayed.BodyDigest)
 		ticket, err := a.Begin(t.Context(), Key{IdempotencyKey: "other"}, testBody)
 		require.NoError(t, err)
 		require.NoError(t, ticket.Ticket.Finish(t.Context(), whole), "the longest body fits the store")
@@ -304,14 +304,14 @@
 
 func TestOpenClaimsAreBounded(t *testing.T) {
 	inWorld(t, func(t *testing.T, w *world, a, _ *Service) {
-		limits := claim.HolderLimits{MaxOpen: 0}
+		limits := claim.TrackerLimits{MaxOpen: 0}
 		for i := range a.memory.shards {
-			a.memory.shards[i].holder = claim.NewHolder(limits)
+			a.memory.shards[i].holder = claim.NewTracker(limits)
 		}
 		require.Equal(t, NotRun, w.begin(a, time.Second).Verdict)
 	})
 	q := newQueue(2, 10)
-	long := write{record: claim.Record{Kept: &Kept{Body: make([]byte, 9)}}}
+	long := write{record: claim.Record{Result: &Kept{Body: make([]byte, 9)}}}
 	require.True(t, q.push(long))
 	require.False(t, q.push(long), "bytes are bounded")
 	require.True(t, q.push(write{}))
--- a/daemon/claims/sweep_test.go
+++ b/daemon/claims/sweep_test.go
@@ -37,7 +37,7 @@
 		store := &smallPages{Local: world.Local("x")}
 		objects := NewObjects(store)
 		made := func(id string, at time.Time) {
-			r := claim.Record{Made: at}
+			r := claim.Record{CreatedAt: at}
 			require.IsType(t, claim.Written{}, objects.Create(t.Context(), Key{IdempotencyKey: id}.ID(), r))
 			time.Sleep(10 * time.Millisecond) // the store's rate
 		}
--- a/daemon/claims/ticket.go
+++ b/daemon/claims/ticket.go
@@ -40,12 +40,12 @@
 // dispatched stage is known not to have started.
 func (t *Ticket) Finish(ctx context.Context, kept Kept) error {
 	s := t.service
-	kept = kept.Fit()
+	kept = kept.ForStorage()
 	if err := s.memory.finish(t.id, t.attempt, kept, s.opts.Now()); err != nil {
 		return errors.Wrapf(err, "claims: finish %s", t.record.Token)
 	}
 	final := t.record
-	final.Kept = &kept
+	final.Result = &kept
 	return s.settle(ctx, write{id: t.id, record: final, revision: t.revision})
 }
 
--- a/daemon/claims/wire_test.go
+++ b/daemon/claims/wire_test.go
@@ -16,9 +16,9 @@
 	at := time.Date(2001, 2, 3, 4, 5, 6, 7, time.UTC)
 	kept := func(outcome claim.Outcome) claim.Record {
 		return claim.Record{
-			Token: claim.Token{Owner: claim.Owner{Instance: "one", Incarnation: 1}, Attempt: 2},
-			Body:  claim.BodyDigest{3}, Made: at, Abandoned: true,
-			Kept: &claim.Kept{
+			Token:      claim.Token{Owner: claim.Owner{Instance: "one", Incarnation: 1}, Attempt: 2},
+			BodyDigest: claim.BodyDigest{3}, CreatedAt: at, Abandoned: true,
+			Result: &claim.StoredResult{
 				Outcome: outcome, Status: 4, ContentType: "type", Body: []byte("body"), BodyLength: 5, BodyDigest: claim.BodyDigest{6},
 			},
 		}
@@ -35,7 +35,7 @@
 		{"not run", record(kept(claim.OutcomeNotRun)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"not_run","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
 		{"unknown", record(kept(claim.OutcomeUnknown)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"unknown","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
 		{"empty record", record(claim.Record{}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z"}`},
-		{"empty kept", record(claim.Record{Kept: &claim.Kept{}}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z","kept":{"outcome":"","status":0,"body_length":0,"body_digest":"0000000000000000000000000000000000000000000000000000000000000000"}}`},
+		{"empty kept", record(claim.Record{Result: &claim.StoredResult{}}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z","kept":{"outcome":"","status":0,"body_length":0,"body_digest":"0000000000000000000000000000000000000000000000000000000000000000"}}`},
 		{"journal", func() (platformapi.Object, error) {
 			return journalView{revision: 9, spec: journalSpec{
 				Sequence: 10, Sealed: []sealedSegment{{Name: "s", Newest: at}},
--- a/daemon/serve/answer.go
+++ b/daemon/serve/answer.go
@@ -99,7 +99,7 @@
 
 // replay writes the answer of the run that the claim kept.
 func (a *answerer) replay(kept *claims.Kept) *callerapi.Problem {
-	if !kept.Whole() {
+	if !kept.Complete() {
 		p := refusal(http.StatusConflict, typeOutcomeUnknown, "the request ran; its answer was too large to keep")
 		p.Outcome = callerapi.OutcomeRan
 		return a.problem(p)
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -63,8 +63,8 @@
 }
 
 // AskClaim finds every other claimant dead.
-func (f *fakes) AskClaim(context.Context, claim.Owner, claim.Question) (claim.PeerAnswer, error) {
-	return claim.PeerAnswer{}, context.DeadlineExceeded
+func (f *fakes) AskClaim(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
+	return claim.StatusResponse{}, context.DeadlineExceeded
 }
 
 // storage is the platform's store, while it is not down.
@@ -75,7 +75,7 @@
 
 func (s storage) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	if s.fakes.down {
-		return claim.StoreAway{RetryAfter: 3 * time.Second}
+		return claim.StoreUnavailable{RetryAfter: 3 * time.Second}
 	}
 	return s.Storage.Create(ctx, id, r)
 }
--- a/daemon/serve/submit_test.go
+++ b/daemon/serve/submit_test.go
@@ -151,7 +151,7 @@
 }
 
 func large(_ context.Context, job execute.Job) (execute.Result, error) {
-	return execute.Result{Output: strings.Repeat("x", claim.MaxBody)}, dispatch(job)
+	return execute.Result{Output: strings.Repeat("x", claim.MaxBodyBytes)}, dispatch(job)
 }
 
 // panicFirst makes the call whose goroutine panics, as net/http takes it.
