--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -16,19 +16,19 @@
 	return catalog.Account{Name: "clerks", RequestsPerSecond: rate, Burst: burst}
 }
 
-// bound is the one that the package states, for the time since began.
-func (f *fleet) bound(began time.Time, listed int) float64 {
+// bound returns the bound of the package documentation, for the time since start.
+func (f *fleet) bound(start time.Time, listed int) float64 {
 	c := Config{}.withDefaults()
-	seconds := f.now.Sub(began) + c.Expiry + time.Duration(f.changes)*f.spread
+	seconds := f.now.Sub(start) + c.GrantTTL + time.Duration(f.changes)*f.maxDelay
 	starts := float64(listed + f.changes)
-	floor := max(c.Floor*f.account.Burst/float64(listed), 1)
-	return f.account.Burst + f.account.RequestsPerSecond*seconds.Seconds() + starts*floor
+	local := max(c.LocalShare*f.account.Burst/float64(listed), 1)
+	return f.account.Burst + f.account.RequestsPerSecond*seconds.Seconds() + starts*local
 }
 
-// The network parts, instances die, restart and join, and come together again,
-// while the account asks for far more than it has. If each part of the network
-// grants the budget, or each new home starts with a full one, the account is
-// served a multiple, at the cost of the others.
+// The network is partitioned and heals, and instances fail, restart and join, while
+// an account sends far more requests than its budget allows. If each partition
+// granted the budget, or each new home started with a full bucket, the account would
+// be served a multiple of its budget at the expense of the others.
 func TestOverspendIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "instances")
@@ -37,38 +37,38 @@
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), size, account(rate, burst))
 		most := size
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
-			living := f.living()
-			n := living[f.rng.IntN(len(living))]
+			alive := f.alive()
+			n := alive[f.rng.IntN(len(alive))]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				for _, other := range living {
-					other.side = f.rng.IntN(2)
+				for _, other := range alive {
+					other.partition = f.rng.IntN(2)
 				}
-				f.changed()
+				f.changeMembership()
 			case 1:
-				for _, other := range living {
-					other.side = 0
+				for _, other := range alive {
+					other.partition = 0
 				}
-				f.changed()
+				f.changeMembership()
 			case 2:
-				if len(living) > 1 {
+				if len(alive) > 1 {
 					n.alive = false
-					f.changed()
+					f.changeMembership()
 				}
 			case 3:
 				n.ledger = NewLedger(f.now, Config{Self: n.name}) // a new incarnation
-				f.changed()
-				f.tell(n)
+				f.changeMembership()
+				f.updateMembership(n)
 			case 4:
-				f.tell(f.add())
-				f.changed()
+				f.updateMembership(f.add())
+				f.changeMembership()
 			}
-			most = max(most, len(f.living()))
+			most = max(most, len(f.alive()))
 			for range rapid.IntRange(10, 300).Draw(t, "steps") {
 				f.step(time.Duration(f.rng.Int64N(int64(20 * time.Millisecond))))
 				for range 3 {
-					living = f.living()
-					f.request(living[f.rng.IntN(len(living))])
+					alive = f.alive()
+					f.request(alive[f.rng.IntN(len(alive))])
 				}
 			}
 			require.LessOrEqual(t, float64(f.served), f.bound(epoch, most))
@@ -76,32 +76,32 @@
 	})
 }
 
-// The network parts and heals again and again, for longer than news takes. Each
-// side elects a home; a home that comes back must not count the time in which
-// the other one granted.
+// The network is partitioned and heals repeatedly, each time for longer than a change
+// of membership takes to propagate. Each partition has a home of its own; a returning
+// home must not refill its bucket for the time in which the other one granted.
 func TestRepeatedPartitions(t *testing.T) {
 	f := newFleet(3, 8, account(10, 300))
-	f.step(time.Minute) // the burst is whole
-	began := f.now
-	for round := range 6 {
+	f.step(time.Minute) // the buckets are full
+	start := f.now
+	for cycle := range 6 {
 		for n, other := range f.nodes {
-			other.side = n % 2 * ((round + 1) % 2)
+			other.partition = n % 2 * ((cycle + 1) % 2)
 		}
-		f.changed()
+		f.changeMembership()
 		for range 3000 {
 			f.step(10 * time.Millisecond)
 			f.request(f.nodes[f.rng.IntN(8)])
 			f.request(f.nodes[f.rng.IntN(8)])
 		}
-		t.Logf("round %d: served %d, budget %.0f, bound %.0f", round, f.served,
-			f.account.Burst+f.account.RequestsPerSecond*f.now.Sub(began).Seconds(), f.bound(began, 8))
-		require.LessOrEqual(t, float64(f.served), f.bound(began, 8))
+		t.Logf("cycle %d: served %d, budget %.0f, bound %.0f", cycle, f.served,
+			f.account.Burst+f.account.RequestsPerSecond*f.now.Sub(start).Seconds(), f.bound(start, 8))
+		require.LessOrEqual(t, float64(f.served), f.bound(start, 8))
 	}
 }
 
-// The three ways to share a budget without a store call a request, on the same
-// arrivals: what is served of what the budget allows.
-func TestWaysToShare(t *testing.T) {
+// Compares three strategies to share a budget without a store call per request, on
+// the same arrivals: the served share of what the budget allows.
+func TestSharingStrategies(t *testing.T) {
 	const size, length, step = 8, 20 * time.Second, time.Millisecond
 	tests := map[string]struct {
 		offered float64 // as a share of the rate
@@ -139,18 +139,18 @@
 					}
 				}
 				whole := min(float64(offered), rate*length.Seconds())
-				t.Logf("static %.3f, follows demand %.3f, chunks from home %.3f, %.1f asks a second",
+				t.Logf("static %.3f, follows demand %.3f, chunks from home %.3f, %.1f grant requests a second",
 					float64(static.served)/whole, float64(follow.served)/whole,
-					float64(f.served)/whole, float64(f.asks)/length.Seconds())
+					float64(f.served)/whole, float64(f.grantRequests)/length.Seconds())
 				require.Greater(t, float64(f.served)/whole, tt.least)
 			})
 		}
 	}
 }
 
-// Others of the instance's accounts ask for many times their budgets, and an
-// instance dies; an account that was idle all along then sends its burst at
-// once, through one instance. It must not be refused.
+// Another account sends many times its budget, and an instance fails. An account
+// that was idle until then sends its burst at once, through one instance. It must
+// not be refused.
 func TestIdleAccountKeepsItsShare(t *testing.T) {
 	f := newFleet(1, 8, account(10, 100))
 	f.account.Name = "flood"
@@ -159,7 +159,7 @@
 		f.request(f.nodes[f.rng.IntN(7)])
 	}
 	f.nodes[7].alive = false
-	f.changed()
+	f.changeMembership()
 	for range 12_000 {
 		f.step(time.Millisecond)
 		f.request(f.nodes[f.rng.IntN(7)])
@@ -171,7 +171,7 @@
 			allowed++
 			continue
 		}
-		f.step(3 * f.hop)
+		f.step(3 * f.latency)
 		if f.request(f.nodes[0]) == Allowed {
 			allowed++
 		}
@@ -180,9 +180,9 @@
 	require.GreaterOrEqual(t, allowed, 80)
 }
 
-// An operator lowers, raises or lifts a budget: the next request goes by it,
-// though tokens of the old one are still at hand.
-func TestRecordTakesHoldAtOnce(t *testing.T) {
+// An operator lowers, raises or removes a budget. The change must apply to the next
+// request, although tokens granted under the old budget are left.
+func TestRecordChangeAppliesAtOnce(t *testing.T) {
 	f := newFleet(1, 2, account(1000, 1000))
 	for range 100 {
 		f.step(5 * time.Millisecond)
@@ -208,20 +208,20 @@
 	require.Equal(t, 100, count(), "no budget")
 }
 
-// Messages are lost, doubled, late and misdirected. A grant that counts twice is
-// budget out of nothing; one that is waited for without end blocks the account.
-func TestGrantsInDisorder(t *testing.T) {
+// Messages are lost, duplicated, delayed and misdirected. A grant that counts twice
+// exceeds the budget; waiting without end for a lost one blocks the account.
+func TestLostDuplicatedAndMisdirectedGrants(t *testing.T) {
 	acct := account(1000, 1000)
 	now := epoch.Add(time.Minute)
-	first := func() (*Ledger, Ask) {
+	first := func() (*Ledger, GrantRequest) {
 		l := NewLedger(epoch, Config{Self: "a"})
 		for n := 0; ; n++ {
 			acct.Name = fmt.Sprint("account", n)
 			l.SetMembers(epoch, []string{"a", "b"}, 2)
 			l.SetMembers(epoch, []string{"a", "b"}, 2)
 			for range 30 {
-				if d := l.Allow(now, &acct); d.Ask != nil {
-					return l, *d.Ask
+				if d := l.Allow(now, &acct); d.Request != nil {
+					return l, *d.Request
 				}
 			}
 		}
@@ -235,62 +235,62 @@
 		return n
 	}
 	tests := map[string]struct {
-		run  func(l *Ledger, ask Ask) time.Time
+		run  func(l *Ledger, request GrantRequest) time.Time
 		want int
 	}{
-		"granted": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+		"granted": {func(l *Ledger, request GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: request.Seq, Tokens: 50})
 			return now
 		}, 50},
-		"doubled": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
+		"duplicated": {func(l *Ledger, request GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: request.Seq, Tokens: 50})
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: request.Seq, Tokens: 50})
 			return now
 		}, 50},
-		"of another ask": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq + 1, Tokens: 50})
+		"of another request": {func(l *Ledger, request GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: request.Seq + 1, Tokens: 50})
 			return now
 		}, 0},
-		"of an unknown account": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: "nobody", Seq: ask.Seq, Tokens: 50})
+		"of an unknown account": {func(l *Ledger, request GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: "nobody", Seq: request.Seq, Tokens: 50})
 			return now
 		}, 0},
-		"left over too long": {func(l *Ledger, ask Ask) time.Time {
-			l.Granted(now, Grant{Account: acct.Name, Seq: ask.Seq, Tokens: 50})
-			return now.Add(DefaultExpiry)
-		}, 25}, // the instance's own part of Burst has come back by then
+		"expired": {func(l *Ledger, request GrantRequest) time.Time {
+			l.ApplyGrant(now, Grant{Account: acct.Name, Seq: request.Seq, Tokens: 50})
+			return now.Add(DefaultGrantTTL)
+		}, 25}, // the instance's local share of Burst has been refilled by then
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			l, ask := first()
-			left(l, now) // spends the instance's own part
-			at := tt.run(l, ask)
+			l, request := first()
+			left(l, now) // spends the instance's local share
+			at := tt.run(l, request)
 			require.InDelta(t, tt.want, left(l, at), 1)
 		})
 	}
 
-	l, ask := first()
+	l, request := first()
 	left(l, now)
 	require.Equal(t, Pending, l.Allow(now, &acct).Verdict)
-	d := l.Allow(now.Add(DefaultAskTimeout), &acct)
-	require.NotEqual(t, Pending, d.Verdict, "a lost ask ends the wait")
-	require.NotNil(t, l.Allow(now.Add(2*DefaultAskTimeout), &acct).Ask, "and is put again")
+	d := l.Allow(now.Add(DefaultRequestTimeout), &acct)
+	require.NotEqual(t, Pending, d.Verdict, "a lost request ends the wait")
+	require.NotNil(t, l.Allow(now.Add(2*DefaultRequestTimeout), &acct).Request, "and is repeated")
 
 	other := NewLedger(epoch, Config{Self: "c"})
 	other.SetMembers(epoch, []string{"a", "b", "c"}, 3)
-	ask.Account = "account0"
-	for n := 0; other.view.Load().home(ask.Account) == "c"; n++ {
-		ask.Account = fmt.Sprint("account", n)
+	request.Account = "account0"
+	for n := 0; other.view.Load().home(request.Account) == "c"; n++ {
+		request.Account = fmt.Sprint("account", n)
 	}
-	g := other.Grant(now, ask, &acct)
+	g := other.Grant(now, request, &acct)
 	require.Zero(t, g.Tokens, "not the home")
 	require.Positive(t, g.RetryAfterMS)
 }
 
-// Callers of thousands of accounts come to one instance, and instances come and go
-// all day: neither may grow what it keeps.
+// Callers of thousands of accounts send requests to one instance, and instances join
+// and leave all day. Neither may grow the memory of the ledger without bound.
 func TestLedgerIsBounded(t *testing.T) {
-	l := NewLedger(epoch, Config{Self: "a", Accounts: 64})
+	l := NewLedger(epoch, Config{Self: "a", MaxAccounts: 64})
 	for n := range 5000 {
 		acct := account(1, 1)
 		acct.Name = fmt.Sprint(n)
@@ -307,7 +307,7 @@
 	for v := l.view.Load(); v != nil; v = v.previous {
 		views++
 	}
-	require.LessOrEqual(t, views, keptViews)
+	require.LessOrEqual(t, views, maxViews)
 }
 
 func BenchmarkAllow(b *testing.B) {
@@ -336,12 +336,12 @@
 	}
 }
 
-// The instance that is home to an account dies. Until the others notice, which
-// takes them some seconds, the account's callers got 429 at the living ones with
-// most of the budget unspent, since only the home could grant it.
-func TestADeadHomeRefusesNothingWithinTheBudget(t *testing.T) {
+// An account's home fails. Until the others detect it, which takes some seconds,
+// the account's callers would get 429 from the alive instances with most of the
+// budget unspent, if only the home could grant it.
+func TestFailedHomeRefusesNothingWithinTheBudget(t *testing.T) {
 	f := newFleet(1, 2, account(100, 100))
-	home := f.find(f.nodes[0].ledger.view.Load().home(f.account.Name))
+	home := f.node(f.nodes[0].ledger.view.Load().home(f.account.Name))
 	home.alive = false
 	other := f.nodes[0]
 	if other == home {
@@ -361,13 +361,13 @@
 	require.LessOrEqual(t, refused, 1)
 }
 
-// One way between an instance and a home is cut for good, and the membership
-// does not notice, since others reach both. The home goes on granting, so the
-// instance must not spend a whole share beside it for ever.
-func TestAHomeOutOfReachBoundsTheShare(t *testing.T) {
+// The path between an instance and a home fails permanently, and the membership does
+// not detect it, since others reach both. The home goes on granting, so the instance
+// must not spend a full equal share in addition forever.
+func TestFallbackIsBoundedWhileHomeIsUnreachable(t *testing.T) {
 	f := newFleet(1, 2, account(100, 100))
-	home := f.find(f.nodes[0].ledger.view.Load().home(f.account.Name))
-	home.side = 1
+	home := f.node(f.nodes[0].ledger.view.Load().home(f.account.Name))
+	home.partition = 1
 	other := f.nodes[0]
 	if other == home {
 		other = f.nodes[1]
@@ -379,7 +379,7 @@
 	}
 	c := Config{}.withDefaults()
 	share := f.account.RequestsPerSecond / 2
-	alone := c.SilentFor.Seconds() + seconds/silentRest
-	most := share*alone + share*c.Floor*seconds + f.account.Burst/2
+	fallback := c.MaxFallback.Seconds() + seconds/fallbackSpacing
+	most := share*fallback + share*c.LocalShare*seconds + f.account.Burst/2
 	require.LessOrEqual(t, float64(f.served), most)
 }
--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -9,31 +9,31 @@
 	"github.com/ivyhollow/ivyhollow/state/shard"
 )
 
-const shards = 16
+const shardCount = 16
 
-// Ledger is one instance's part in the account budgets: what it may spend, and
-// what it grants as a home. It may be called from many goroutines.
+// Ledger holds one instance's state of the account budgets: what it may spend, and
+// what it grants as a home. It is safe for concurrent use.
 type Ledger struct {
-	config Config
-	view   atomic.Pointer[view]
-	spend  *shard.Map[string, spender]
-	homes  *shard.Map[string, homeBucket]
+	config     Config
+	view       atomic.Pointer[view]
+	allowances *shard.Map[string, allowance]
+	buckets    *shard.Map[string, homeBucket]
 }
 
-// NewLedger makes a ledger that starts at now and knows of no other instance.
+// NewLedger returns a ledger that starts at now and knows no other instance.
 func NewLedger(now time.Time, c Config) *Ledger {
 	c = c.withDefaults()
 	l := &Ledger{
-		config: c,
-		spend:  shard.NewMap[string, spender](shards, c.Accounts),
-		homes:  shard.NewMap[string, homeBucket](shards, c.Accounts),
+		config:     c,
+		allowances: shard.NewMap[string, allowance](shardCount, c.MaxAccounts),
+		buckets:    shard.NewMap[string, homeBucket](shardCount, c.MaxAccounts),
 	}
 	l.view.Store(&view{since: now, members: []string{c.Self}, listed: 1})
 	return l
 }
 
-// SetMembers tells which instances are heard, this one included, and how many
-// the platform lists. Calls are serialised by the caller.
+// SetMembers sets the reachable instances, this one included, and the number of
+// instances that the platform lists. The caller serialises calls.
 func (l *Ledger) SetMembers(now time.Time, members []string, listed int) {
 	next := &view{
 		since:    now,
@@ -43,111 +43,111 @@
 	}
 	next.trim()
 	l.view.Store(next)
-	// A home that lost an account forgets its bucket. Kept, the bucket would be
-	// full again when the account comes back, while the home in between had a
-	// bucket of its own: each flap would give the account a burst.
-	l.homes.DeleteFunc(func(account string, _ *homeBucket) bool {
+	// An instance that is no longer an account's home drops the bucket. Otherwise the
+	// bucket would be full again when the account returns, while the home in between
+	// had a bucket of its own: each flap would give the account another burst.
+	l.buckets.DeleteFunc(func(account string, _ *homeBucket) bool {
 		return next.home(account) != l.config.Self
 	})
 }
 
-// Allow decides on one request of an account, by the record that is in force
-// now.
+// Allow decides on one request of an account. account is the record currently in
+// force.
 func (l *Ledger) Allow(now time.Time, account *catalog.Account) Decision {
 	if Unlimited(account) {
 		return Decision{Verdict: Allowed}
 	}
 	v := l.view.Load()
 	var d Decision
-	l.spend.Update(account.Name, func(s *spender, existed bool) {
-		s.refresh(now, l.config, v, account, existed)
-		d = l.decide(now, v, account, s)
+	l.allowances.Update(account.Name, func(a *allowance, existed bool) {
+		a.refresh(now, l.config, v, account, existed)
+		d = l.decide(now, v, account, a)
 	})
 	return d
 }
 
-func (l *Ledger) decide(now time.Time, v *view, account *catalog.Account, s *spender) Decision {
-	if s.home == l.config.Self {
-		return l.decideAtHome(now, v, account, s)
+func (l *Ledger) decide(now time.Time, v *view, account *catalog.Account, a *allowance) Decision {
+	if a.home == l.config.Self {
+		return l.decideAtHome(now, v, account, a)
 	}
-	if s.pay() {
-		return Decision{Verdict: Allowed, Ask: s.prefetch(now, l.config, account.Name)}
+	if a.spendToken() {
+		return Decision{Verdict: Allowed, Request: a.prefetch(now, l.config, account.Name)}
 	}
-	if now.Before(s.emptyUntil) {
-		return Decision{Verdict: Refused, RetryAfter: s.retryAfter(now, l.config, v, account)}
+	if now.Before(a.homeEmptyUntil) {
+		return Decision{Verdict: Refused, RetryAfter: a.retryAfter(now, l.config, v, account)}
 	}
-	if ask := s.ask(now, l.config, account.Name); ask != nil {
-		return Decision{Verdict: Pending, RetryAfter: l.config.AskTimeout, Ask: ask}
+	if request := a.newRequest(now, l.config, account.Name); request != nil {
+		return Decision{Verdict: Pending, RetryAfter: l.config.RequestTimeout, Request: request}
 	}
-	if left := l.config.AskTimeout - now.Sub(s.askedAt); left > 0 && s.waiting {
+	if left := l.config.RequestTimeout - now.Sub(a.requestedAt); left > 0 && a.requestPending {
 		return Decision{Verdict: Pending, RetryAfter: left}
 	}
-	return Decision{Verdict: Refused, RetryAfter: s.retryAfter(now, l.config, v, account)}
+	return Decision{Verdict: Refused, RetryAfter: a.retryAfter(now, l.config, v, account)}
 }
 
-// decideAtHome serves a request at the account's home: from its floor first,
-// then from the bucket.
-func (l *Ledger) decideAtHome(now time.Time, v *view, account *catalog.Account, s *spender) Decision {
-	if s.pay() {
+// decideAtHome decides on a request at the account's home, which spends its local
+// share first, then the bucket.
+func (l *Ledger) decideAtHome(now time.Time, v *view, account *catalog.Account, a *allowance) Decision {
+	if a.spendToken() {
 		return Decision{Verdict: Allowed}
 	}
-	granted, wait := l.take(now, v, account, 1)
+	granted, wait := l.withdraw(now, v, account, 1)
 	if granted >= 1 {
 		return Decision{Verdict: Allowed}
 	}
 	return Decision{Verdict: Refused, RetryAfter: wait}
 }
 
-// Grant answers another instance's ask. account is the record as this instance
-// has it. An instance that does not see itself as the home grants nothing: the
-// ask comes from another view, and two homes would grant the budget twice.
-func (l *Ledger) Grant(now time.Time, ask Ask, account *catalog.Account) Grant {
+// Grant responds to another instance's grant request. account is the record on this
+// instance. An instance that is not the home in its own view grants nothing: the
+// requester has another view, and two homes would grant the budget twice.
+func (l *Ledger) Grant(now time.Time, request GrantRequest, account *catalog.Account) Grant {
 	v := l.view.Load()
-	out := Grant{Account: ask.Account, Seq: ask.Seq}
-	if v.home(ask.Account) != l.config.Self {
-		out.RetryAfterMS = uint32(l.config.AskTimeout.Milliseconds())
+	out := Grant{Account: request.Account, Seq: request.Seq}
+	if v.home(request.Account) != l.config.Self {
+		out.RetryAfterMS = uint32(l.config.RequestTimeout.Milliseconds())
 		return out
 	}
 	if Unlimited(account) {
-		out.Tokens = ask.Tokens // the asker has not heard of the change yet
+		out.Tokens = request.Tokens // the requester does not have the changed record yet
 		return out
 	}
-	tokens, wait := l.take(now, v, account, float64(ask.Tokens))
+	tokens, wait := l.withdraw(now, v, account, float64(request.Tokens))
 	out.Tokens = float32(tokens)
-	if tokens < float64(ask.Tokens) {
+	if tokens < float64(request.Tokens) {
 		out.RetryAfterMS = uint32(wait.Milliseconds())
 	}
 	return out
 }
 
-// Granted takes in the answer to an ask of this instance.
-func (l *Ledger) Granted(now time.Time, g Grant) {
-	l.spend.View(g.Account, func(s *spender) { s.granted(now, l.config, g) })
+// ApplyGrant adds the response to a grant request of this instance.
+func (l *Ledger) ApplyGrant(now time.Time, g Grant) {
+	l.allowances.View(g.Account, func(a *allowance) { a.applyGrant(now, l.config, g) })
 }
 
-// Unanswered tells that no answer to an ask of this instance comes: its home is
-// dead or out of reach. Until an answer comes again or the membership changes,
-// but for no longer than SilentFor, this instance spends an equal share of the
-// whole budget without it.
-func (l *Ledger) Unanswered(now time.Time, ask Ask) {
-	l.spend.View(ask.Account, func(s *spender) { s.unanswered(now, l.config, ask) })
+// RequestFailed records that a grant request of this instance got no response: the
+// home has failed or is unreachable. Until a response arrives or the membership changes,
+// but for no longer than MaxFallback, this instance spends an equal share of the
+// whole budget without the home.
+func (l *Ledger) RequestFailed(now time.Time, request GrantRequest) {
+	l.allowances.View(request.Account, func(a *allowance) { a.requestFailed(now, l.config, request) })
 }
 
-// Accounts returns how many accounts are remembered as spender and as home.
+// Accounts returns the numbers of accounts held as spender and as home.
 func (l *Ledger) Accounts() (spending, homes int) {
-	return l.spend.Len(), l.homes.Len()
+	return l.allowances.Len(), l.buckets.Len()
 }
 
-// take pays tokens out of an account's bucket at its home: whole ones, and at
-// most half of what there is beyond one, so that one instance's chunk never
-// empties the budget for the others. When none is left it tells how long until
+// withdraw withdraws whole tokens from an account's bucket at its home: one, or at
+// most half of the bucket, so that one instance's chunk does not exhaust the
+// budget for the others. If less than one is left, it also returns the time until
 // there is one again.
-func (l *Ledger) take(now time.Time, v *view, account *catalog.Account, tokens float64) (float64, time.Duration) {
+func (l *Ledger) withdraw(now time.Time, v *view, account *catalog.Account, tokens float64) (float64, time.Duration) {
 	var granted float64
 	var wait time.Duration
-	l.homes.Update(account.Name, func(b *homeBucket, existed bool) {
+	l.buckets.Update(account.Name, func(b *homeBucket, existed bool) {
 		if !existed {
-			b.last = v.homeSince(account.Name, l.config.Self)
+			b.refilledAt = v.homeSince(account.Name, l.config.Self)
 		}
 		rate := b.refill(now, l.config, v, account)
 		granted = math.Floor(min(tokens, max(1, b.tokens/2), b.tokens))
@@ -159,20 +159,20 @@
 	return granted, wait
 }
 
-// homeBucket is an account's token bucket at its home. It starts empty at the
-// moment when the home became the home: the one before may have granted
+// homeBucket is an account's token bucket at its home. It starts empty at the time
+// when the instance became the home, because the previous home may have granted
 // everything up to then.
 type homeBucket struct {
-	tokens float64
-	last   time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 func (b *homeBucket) refill(now time.Time, c Config, v *view, account *catalog.Account) (rate float64) {
-	part := (1 - c.Floor) * v.share()
+	part := (1 - c.LocalShare) * v.share()
 	rate = account.RequestsPerSecond * part
-	if elapsed := now.Sub(b.last); elapsed > 0 {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.tokens += rate * elapsed.Seconds()
-		b.last = now
+		b.refilledAt = now
 	}
 	b.tokens = min(b.tokens, max(burst(account)*part, 1))
 	return rate
--- a/coordination/budget/simulation_test.go
+++ b/coordination/budget/simulation_test.go
@@ -12,44 +12,44 @@
 var epoch = time.Unix(1_000_000, 0)
 
 // fleet runs the ledgers of several instances in virtual time. Messages take
-// hop, and news of who is there takes up to spread to reach an instance.
+// latency, and a change of membership takes up to maxDelay to reach an instance.
 type fleet struct {
-	now     time.Time
-	rng     *rand.Rand
-	nodes   []*node
-	account catalog.Account
-	hop     time.Duration
-	spread  time.Duration
-	mail    []letter
-	served  int
-	asks    int
-	changes int
+	now           time.Time
+	rng           *rand.Rand
+	nodes         []*node
+	account       catalog.Account
+	latency       time.Duration
+	maxDelay      time.Duration
+	inFlight      []message
+	served        int
+	grantRequests int
+	changes       int
 }
 
 type node struct {
-	name   string
-	ledger *Ledger
-	alive  bool
-	side   int
-	news   time.Time
+	name      string
+	ledger    *Ledger
+	alive     bool
+	partition int
+	updateDue time.Time
 }
 
-type letter struct {
+type message struct {
 	at       time.Time
 	from, to *node
-	ask      *Ask
+	request  *GrantRequest
 	grant    *Grant
 }
 
 func newFleet(seed uint64, size int, account catalog.Account) *fleet {
 	f := &fleet{
 		now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), account: account,
-		hop: time.Millisecond, spread: time.Second,
+		latency: time.Millisecond, maxDelay: time.Second,
 	}
 	for range size {
 		f.add()
 	}
-	f.tell(f.nodes...)
+	f.updateMembership(f.nodes...)
 	return f
 }
 
@@ -60,39 +60,39 @@
 	return n
 }
 
-func (f *fleet) living() []*node {
+func (f *fleet) alive() []*node {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *node) bool { return !n.alive })
 }
 
-// tell brings nodes up to date: they hear the living on their side, and the
-// platform's list counts all the living.
-func (f *fleet) tell(nodes ...*node) {
-	living := f.living()
+// updateMembership applies the current membership to nodes: each reaches the alive
+// nodes of its partition, and the platform lists all that are alive.
+func (f *fleet) updateMembership(nodes ...*node) {
+	alive := f.alive()
 	for _, n := range nodes {
-		var heard []string
-		for _, other := range living {
-			if other.side == n.side {
-				heard = append(heard, other.name)
+		var reachable []string
+		for _, other := range alive {
+			if other.partition == n.partition {
+				reachable = append(reachable, other.name)
 			}
 		}
-		n.news = time.Time{}
-		n.ledger.SetMembers(f.now, heard, len(living))
+		n.updateDue = time.Time{}
+		n.ledger.SetMembers(f.now, reachable, len(alive))
 	}
 }
 
-// changed lets every living node hear the news after a while of its own.
-func (f *fleet) changed() {
+// changeMembership schedules the update of each alive node after a random delay.
+func (f *fleet) changeMembership() {
 	f.changes++
-	for _, n := range f.living() {
-		n.news = f.now.Add(time.Duration(f.rng.Int64N(int64(f.spread))))
+	for _, n := range f.alive() {
+		n.updateDue = f.now.Add(time.Duration(f.rng.Int64N(int64(f.maxDelay))))
 	}
 }
 
 func (f *fleet) request(n *node) Verdict {
 	d := n.ledger.Allow(f.now, &f.account)
-	if d.Ask != nil {
-		f.asks++
-		f.post(n, f.find(d.Ask.Home), letter{ask: d.Ask})
+	if d.Request != nil {
+		f.grantRequests++
+		f.send(n, f.node(d.Request.Home), message{request: d.Request})
 	}
 	if d.Verdict == Allowed {
 		f.served++
@@ -100,66 +100,66 @@
 	return d.Verdict
 }
 
-func (f *fleet) find(name string) *node {
+func (f *fleet) node(name string) *node {
 	i := slices.IndexFunc(f.nodes, func(n *node) bool { return n.name == name })
 	return f.nodes[i]
 }
 
-func (f *fleet) post(from, to *node, l letter) {
-	l.at, l.from, l.to = f.now.Add(f.hop), from, to
-	f.mail = append(f.mail, l)
+func (f *fleet) send(from, to *node, m message) {
+	m.at, m.from, m.to = f.now.Add(f.latency), from, to
+	f.inFlight = append(f.inFlight, m)
 }
 
-// lost tells the one who asked that no answer comes.
-func (f *fleet) lost(l letter) {
-	if l.ask != nil {
-		l.from.ledger.Unanswered(f.now, *l.ask)
+// dropMessage reports the failed request to the ledger that sent it.
+func (f *fleet) dropMessage(m message) {
+	if m.request != nil {
+		m.from.ledger.RequestFailed(f.now, *m.request)
 		return
 	}
-	l.to.ledger.Unanswered(f.now, Ask{Account: l.grant.Account, Seq: l.grant.Seq})
+	m.to.ledger.RequestFailed(f.now, GrantRequest{Account: m.grant.Account, Seq: m.grant.Seq})
 }
 
-// step lets time pass, and delivers what is due.
+// step advances time and delivers the messages and updates that are due.
 func (f *fleet) step(d time.Duration) {
 	f.now = f.now.Add(d)
-	for len(f.mail) > 0 && !f.mail[0].at.After(f.now) {
-		l := f.mail[0]
-		f.mail = f.mail[1:]
-		if !l.from.alive || !l.to.alive || l.from.side != l.to.side {
-			f.lost(l)
+	for len(f.inFlight) > 0 && !f.inFlight[0].at.After(f.now) {
+		m := f.inFlight[0]
+		f.inFlight = f.inFlight[1:]
+		if !m.from.alive || !m.to.alive || m.from.partition != m.to.partition {
+			f.dropMessage(m)
 			continue
 		}
-		if l.ask != nil {
-			g := l.to.ledger.Grant(f.now, *l.ask, &f.account)
-			f.post(l.to, l.from, letter{grant: &g})
+		if m.request != nil {
+			g := m.to.ledger.Grant(f.now, *m.request, &f.account)
+			f.send(m.to, m.from, message{grant: &g})
 		} else {
-			l.to.ledger.Granted(f.now, *l.grant)
+			m.to.ledger.ApplyGrant(f.now, *m.grant)
 		}
 	}
 	for _, n := range f.nodes {
-		if n.alive && !n.news.IsZero() && !n.news.After(f.now) {
-			f.tell(n)
+		if n.alive && !n.updateDue.IsZero() && !n.updateDue.After(f.now) {
+			f.updateMembership(n)
 		}
 	}
 }
 
-// baseline is a way to share a budget that the ledger is weighed against: a
-// token bucket an instance, whose rate is the instance's share.
+// baseline is a simpler strategy that the ledger is compared with: one token bucket
+// per instance, whose rate is the instance's share.
 type baseline struct {
-	account catalog.Account
-	rng     *rand.Rand
-	now     time.Time
-	tokens  []float64
-	shares  []float64
-	wanted  []float64
-	follow  bool
-	served  int
+	account      catalog.Account
+	rng          *rand.Rand
+	now          time.Time
+	tokens       []float64
+	shares       []float64
+	demand       []float64
+	followDemand bool
+	served       int
 }
 
-func newBaseline(seed uint64, size int, account catalog.Account, follow bool) *baseline {
+func newBaseline(seed uint64, size int, account catalog.Account, followDemand bool) *baseline {
 	b := &baseline{
-		account: account, follow: follow, now: epoch, rng: rand.New(rand.NewPCG(seed, 1)),
-		tokens: make([]float64, size), shares: make([]float64, size), wanted: make([]float64, size),
+		account: account, followDemand: followDemand, now: epoch, rng: rand.New(rand.NewPCG(seed, 1)),
+		tokens: make([]float64, size), shares: make([]float64, size), demand: make([]float64, size),
 	}
 	for i := range b.shares {
 		b.shares[i] = 1 / float64(size)
@@ -168,8 +168,8 @@
 	return b
 }
 
-// digestEvery is how often the shares follow the demand.
-const digestEvery = 200 * time.Millisecond
+// rebalanceInterval is the time between two adjustments of the shares to the demand.
+const rebalanceInterval = 200 * time.Millisecond
 
 func (b *baseline) step(d time.Duration) {
 	before := b.now
@@ -178,24 +178,24 @@
 		b.tokens[i] += b.account.RequestsPerSecond * b.shares[i] * d.Seconds()
 		b.tokens[i] = min(b.tokens[i], max(b.account.Burst*b.shares[i], 1))
 	}
-	if !b.follow || b.now.Truncate(digestEvery).Equal(before.Truncate(digestEvery)) {
+	if !b.followDemand || b.now.Truncate(rebalanceInterval).Equal(before.Truncate(rebalanceInterval)) {
 		return
 	}
 	total, size := 0.0, float64(len(b.shares))
-	for i := range b.wanted {
-		total += b.wanted[i]
+	for i := range b.demand {
+		total += b.demand[i]
 	}
 	for i := range b.shares {
-		b.shares[i] = DefaultFloor / size
+		b.shares[i] = DefaultLocalShare / size
 		if total > 0 {
-			b.shares[i] += (1 - DefaultFloor) * b.wanted[i] / total
+			b.shares[i] += (1 - DefaultLocalShare) * b.demand[i] / total
 		}
-		b.wanted[i] *= 0.8
+		b.demand[i] *= 0.8
 	}
 }
 
 func (b *baseline) request(i int) bool {
-	b.wanted[i]++
+	b.demand[i]++
 	if b.tokens[i] < 1 {
 		return false
 	}
--- a/coordination/budget/types.go
+++ b/coordination/budget/types.go
@@ -1,17 +1,18 @@
-// Package budget keeps client accounts within their request budgets over all
-// instances, with no call to the store. Each account has a home instance,
-// chosen by rendezvous hashing, that grants the others small chunks of its
-// budget; a part of the budget is each instance's own, so that an instance that
-// hears of no home still serves its fair share.
+// Package budget enforces the request budgets of client accounts across all
+// instances, without calls to the store. Each account has a home instance, chosen
+// by rendezvous hashing, that grants the others small chunks of its budget. A local
+// share of the budget belongs to each instance, so that an instance that reaches no
+// home still serves its fair share.
 //
 // Bound: in any time T with m changes of membership that take up to D to reach
 // every instance, one account is served at most
 //
-//	Burst + Rate*(T + Expiry + m*D) + (N + m)*max(Floor*Burst/N, 1)
+//	Burst + Rate*(T + GrantTTL + m*D) + (N + m)*max(LocalShare*Burst/N, 1)
 //
-// requests by N listed instances, however they part, die and join. While a home
-// does not answer, and no change of membership follows, the others spend their
-// equal shares without it: at most Rate*(SilentFor + T/5) beside what it grants.
+// requests by N listed instances, however they are partitioned, fail and join. If a
+// home does not respond, and no change of membership follows, the others fall back
+// to their equal shares without it: at most Rate*(MaxFallback + T/5) in addition to
+// what the home grants.
 package budget
 
 import (
@@ -20,30 +21,30 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the result of a request against its account's budget.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Allowed means that the request was paid for.
+	// Allowed means that a token was spent for the request.
 	Allowed Verdict = iota + 1
-	// Pending means that the home has been asked: call Allow again when its
-	// grant was taken in, or after Decision.RetryAfter.
+	// Pending means that a grant request is in progress: call Allow again after
+	// the grant was applied, or after Decision.RetryAfter.
 	Pending
-	// Refused means that the budget is used up until Decision.RetryAfter.
+	// Refused means that the budget is exhausted for Decision.RetryAfter.
 	Refused
 )
 
-// Decision answers one request of an account.
+// Decision is the decision on one request of an account.
 type Decision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
-	// Ask is to be sent to the account's home; nil when there is none to send.
-	Ask *Ask
+	// Request is to be sent to the account's home; nil if there is none to send.
+	Request *GrantRequest
 }
 
-// Ask asks an account's home for a chunk of its budget.
-type Ask struct {
+// GrantRequest requests a chunk of an account's budget from its home.
+type GrantRequest struct {
 	Account string  `msgpack:"a"`
 	From    string  `msgpack:"f"`
 	Home    string  `msgpack:"-"`
@@ -51,80 +52,81 @@
 	Tokens  float32 `msgpack:"t"`
 }
 
-// Grant answers an Ask. A grant that is lost is spent: the home has taken the
-// tokens out of the account's budget already.
+// Grant is the response to a GrantRequest. The tokens of a lost grant count as
+// spent: the home has already withdrawn them from the account's budget.
 type Grant struct {
 	Account string  `msgpack:"a"`
 	Seq     uint32  `msgpack:"s"`
 	Tokens  float32 `msgpack:"t"`
-	// RetryAfterMS is when the home will have a token again, when it has none
-	// left and could not grant all.
+	// RetryAfterMS is the time until the home has a token again, if it has none left
+	// and could not grant all that was requested.
 	RetryAfterMS uint32 `msgpack:"r"`
 }
 
 // Defaults of Config.
 const (
-	DefaultFloor      = 0.05
-	DefaultHorizon    = 500 * time.Millisecond
-	DefaultExpiry     = 2 * time.Second
-	DefaultAskTimeout = 50 * time.Millisecond
-	DefaultAskPause   = 100 * time.Millisecond
-	DefaultSilentFor  = 10 * time.Second
-	DefaultAccounts   = 4096
+	DefaultLocalShare     = 0.05
+	DefaultHorizon        = 500 * time.Millisecond
+	DefaultGrantTTL       = 2 * time.Second
+	DefaultRequestTimeout = 50 * time.Millisecond
+	DefaultRequestBackoff = 100 * time.Millisecond
+	DefaultMaxFallback    = 10 * time.Second
+	DefaultMaxAccounts    = 4096
 )
 
-// Config sets a Ledger. Zero values take the defaults.
+// Config configures a Ledger. Zero values are replaced by the defaults.
 type Config struct {
 	// Self is the name of this instance.
 	Self string
-	// Floor is the share of each budget, 0 to 1, that is divided among the
-	// instances beforehand and needs no home.
-	Floor float64
-	// Horizon is how long a chunk is to last at the present demand.
+	// LocalShare is the share of each budget, 0 to 1, that is divided equally among
+	// the instances and spent without the home.
+	LocalShare float64
+	// Horizon is how long a chunk should last at the current demand.
 	Horizon time.Duration
-	// Expiry is how long a granted chunk may be spent.
-	Expiry time.Duration
-	// AskTimeout is how long an ask may go unanswered.
-	AskTimeout time.Duration
-	// AskPause is how long no ask follows one that left the home without a
-	// token: it bounds the messages for an account that is over its budget.
-	AskPause time.Duration
-	// SilentFor is how long an instance does without a home that does not
-	// answer: longer than the membership takes to notice that it is dead.
-	SilentFor time.Duration
-	// Accounts bounds the accounts remembered here, as spender and as home; it
-	// has to exceed those that are active within Burst/Rate.
-	Accounts int
+	// GrantTTL is how long a granted chunk may be spent.
+	GrantTTL time.Duration
+	// RequestTimeout is how long a grant request may go unanswered.
+	RequestTimeout time.Duration
+	// RequestBackoff is the least time between a grant request that left the home
+	// without a token, or got no response, and the next one. It bounds the messages
+	// for an account that is over its budget.
+	RequestBackoff time.Duration
+	// MaxFallback is how long an instance spends without a home that does not
+	// respond. It is longer than the membership takes to detect that the home failed.
+	MaxFallback time.Duration
+	// MaxAccounts bounds the accounts that the ledger holds as spender, and those that
+	// it holds as home. It has to exceed the accounts active within Burst/Rate.
+	MaxAccounts int
 }
 
 func (c Config) withDefaults() Config {
-	if c.Floor <= 0 || c.Floor >= 1 {
-		c.Floor = DefaultFloor
+	if c.LocalShare <= 0 || c.LocalShare >= 1 {
+		c.LocalShare = DefaultLocalShare
 	}
 	if c.Horizon <= 0 {
 		c.Horizon = DefaultHorizon
 	}
-	if c.Expiry <= 0 {
-		c.Expiry = DefaultExpiry
+	if c.GrantTTL <= 0 {
+		c.GrantTTL = DefaultGrantTTL
 	}
-	if c.AskTimeout <= 0 {
-		c.AskTimeout = DefaultAskTimeout
+	if c.RequestTimeout <= 0 {
+		c.RequestTimeout = DefaultRequestTimeout
 	}
-	if c.AskPause <= 0 {
-		c.AskPause = DefaultAskPause
+	if c.RequestBackoff <= 0 {
+		c.RequestBackoff = DefaultRequestBackoff
 	}
-	if c.SilentFor <= 0 {
-		c.SilentFor = DefaultSilentFor
+	if c.MaxFallback <= 0 {
+		c.MaxFallback = DefaultMaxFallback
 	}
-	if c.Accounts <= 0 {
-		c.Accounts = DefaultAccounts
+	if c.MaxAccounts <= 0 {
+		c.MaxAccounts = DefaultMaxAccounts
 	}
 	return c
 }
 
-// Unlimited tells whether an account has no budget.
+// Unlimited reports whether an account has no budget.
 func Unlimited(a *catalog.Account) bool { return a.RequestsPerSecond <= 0 }
 
-// burst is the account's burst, never less than the one token that a request
-// takes.
+// burst returns the account's burst, but at least the one token that a request
+// costs.
 func burst(a *catalog.Account) float64 { return max(a.Burst, 1) }
--- a/coordination/budget/view.go
+++ b/coordination/budget/view.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keptViews bounds how far back homes are remembered.
-const keptViews = 8
+// maxViews bounds the views that are kept to determine how long an instance has
+// been a home.
+const maxViews = 8
 
-// view is one membership, as this instance saw it from a moment on.
+// view is the membership as this instance sees it from a point in time on.
 type view struct {
 	since   time.Time
 	members []string
-	// listed is the number of instances that exist as far as is known, those
-	// that cannot be heard included.
+	// listed is the number of known instances, unreachable ones included.
 	listed   int
 	previous *view
 }
 
-// share is the part of every budget that the members of this view may spend:
-// the rest belongs to instances that are listed but not heard, which may be
-// alive on the other side of a cut and spend it.
+// share returns the share of every budget that the members of this view may spend.
+// The remaining part belongs to instances that are listed but unreachable, which
+// may be alive on the other side of a partition and spend it.
 func (v *view) share() float64 {
 	return float64(len(v.members)) / float64(v.listed)
 }
@@ -29,7 +29,7 @@
 // home returns the member that grants an account's budget, by rendezvous
 // hashing (Thaler, Ravishankar: "Using Name-Based Mappings to Increase Hit
 // Rates", 1998): a change of membership moves only the accounts of the member
-// that came or went.
+// that joined or left.
 func (v *view) home(account string) string {
 	base := xxhash.Sum64String(account)
 	best, bestScore := "", uint64(0)
@@ -42,8 +42,8 @@
 	return best
 }
 
-// homeSince is the moment from which self has been the account's home without a
-// break, as far back as views are kept.
+// homeSince returns the time since which self has been the account's home without
+// interruption, as far back as views are kept.
 func (v *view) homeSince(account, self string) time.Time {
 	since := v.since
 	for at := v.previous; at != nil && at.home(account) == self; at = at.previous {
@@ -52,10 +52,10 @@
 	return since
 }
 
-// trim cuts off the views that are no longer kept.
+// trim drops the views beyond maxViews.
 func (v *view) trim() {
 	at := v
-	for range keptViews - 1 {
+	for range maxViews - 1 {
 		if at.previous == nil {
 			return
 		}
@@ -64,7 +64,7 @@
 	at.previous = nil
 }
 
-// mix spreads the bits of a hash (the finaliser of MurmurHash3).
+// mix mixes the bits of a hash (the finaliser of MurmurHash3).
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/daemon/accounts/budgets.go
+++ b/daemon/accounts/budgets.go
@@ -92,10 +92,10 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	decision := b.ledger.Allow(b.now(), account)
-	if decision.Ask != nil && q.asking[account.Name] == nil {
+	if decision.Request != nil && q.asking[account.Name] == nil {
 		answered := make(chan struct{})
 		q.asking[account.Name] = answered
-		go b.ask(q, *decision.Ask, answered)
+		go b.ask(q, *decision.Request, answered)
 	}
 	return decision, q.asking[account.Name]
 }
@@ -112,7 +112,7 @@
 }
 
 // ask puts the question to the home and ends it.
-func (b *Budgets) ask(q *questions, ask budget.Ask, answered chan struct{}) {
+func (b *Budgets) ask(q *questions, ask budget.GrantRequest, answered chan struct{}) {
 	grant, err := b.call(ask)
 	b.settle(q, ask, grant, err)
 	close(answered)
@@ -124,20 +124,20 @@
 // Both happen under one lock. Between them, a request that the grant serves could
 // raise the next question while the old one still counts as under way; it would be
 // dropped, and the ledger would wait for its answer to the time-out.
-func (b *Budgets) settle(q *questions, ask budget.Ask, grant budget.Grant, err error) {
+func (b *Budgets) settle(q *questions, ask budget.GrantRequest, grant budget.Grant, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.asking, ask.Account)
 	if err != nil {
 		telemetry.ErrorS(err, "Home of a budget didn't answer", telemetry.Event{Peer: ask.Home})
-		b.ledger.Unanswered(b.now(), ask)
+		b.ledger.RequestFailed(b.now(), ask)
 		return
 	}
-	b.ledger.Granted(b.now(), grant)
+	b.ledger.ApplyGrant(b.now(), grant)
 }
 
-func (b *Budgets) call(ask budget.Ask) (budget.Grant, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), budget.DefaultAskTimeout)
+func (b *Budgets) call(ask budget.GrantRequest) (budget.Grant, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), budget.DefaultRequestTimeout)
 	defer cancel()
 	body, err := msgpack.Marshal(&ask)
 	if err != nil {
@@ -155,7 +155,7 @@
 // HandleGrant answers another instance's question; it is the handler of
 // MethodGrant.
 func (b *Budgets) HandleGrant(body []byte) ([]byte, error) {
-	var ask budget.Ask
+	var ask budget.GrantRequest
 	if err := msgpack.Unmarshal(body, &ask); err != nil {
 		return nil, errors.Wrap(err, "grant budget: decode")
 	}
--- a/daemon/accounts/budgets_test.go
+++ b/daemon/accounts/budgets_test.go
@@ -38,7 +38,7 @@
 		account := &catalog.Account{Name: "account-" + strconv.Itoa(i), RequestsPerSecond: 20, Burst: 20}
 		b := newBudgets("own", nil, account)
 		b.ledger.Allow(time.Now(), account) // takes the own part
-		if b.ledger.Allow(time.Now(), account).Ask != nil {
+		if b.ledger.Allow(time.Now(), account).Request != nil {
 			return account
 		}
 	}
@@ -102,8 +102,8 @@
 					})
 				}
 				wg.Wait()
-				require.LessOrEqual(t, time.Since(start), maxRounds*budget.DefaultAskTimeout)
-				time.Sleep(budget.DefaultAskTimeout) // virtual: a question ahead of need ends
+				require.LessOrEqual(t, time.Since(start), maxRounds*budget.DefaultRequestTimeout)
+				time.Sleep(budget.DefaultRequestTimeout) // virtual: a question ahead of need ends
 				synctest.Wait()
 				for i := range own.questions {
 					require.Empty(t, own.questions[i].asking)
@@ -122,7 +122,7 @@
 	home := newBudgets("home", nil, account)
 	_, err := home.HandleGrant([]byte{0xc1})
 	require.ErrorContains(t, err, "grant budget: decode")
-	body, err := msgpack.Marshal(&budget.Ask{Account: "stranger", Seq: 7, Tokens: 5})
+	body, err := msgpack.Marshal(&budget.GrantRequest{Account: "stranger", Seq: 7, Tokens: 5})
 	require.NoError(t, err)
 	for _, config := range []func() *catalog.Snapshot{home.config, func() *catalog.Snapshot { return nil }} {
 		home.config = config
--- a/daemon/accounts/wire_test.go
+++ b/daemon/accounts/wire_test.go
@@ -18,7 +18,7 @@
 		message any
 		want    string
 	}{
-		{"ask", &budget.Ask{Account: "account", From: "from", Home: "not sent", Seq: 1, Tokens: 2.5}, "84a161a76163636f756e74a166a466726f6da173ce00000001a174ca40200000"},
+		{"ask", &budget.GrantRequest{Account: "account", From: "from", Home: "not sent", Seq: 1, Tokens: 2.5}, "84a161a76163636f756e74a166a466726f6da173ce00000001a174ca40200000"},
 		{"grant", &budget.Grant{Account: "account", Seq: 3, Tokens: 4.5, RetryAfterMS: 5}, "84a161a76163636f756e74a173ce00000003a174ca40900000a172ce00000005"},
 	}
 	for _, c := range cases {
--- a/testkit/capacity/budgets.go
+++ b/testkit/capacity/budgets.go
@@ -43,7 +43,7 @@
 		members[i] = instanceName(i)
 	}
 	for _, name := range members {
-		l := budget.NewLedger(f.now, budget.Config{Self: name, Accounts: remembered})
+		l := budget.NewLedger(f.now, budget.Config{Self: name, MaxAccounts: remembered})
 		l.SetMembers(f.now, members, len(members))
 		f.ledgers = append(f.ledgers, l)
 		f.byName[name] = l
@@ -71,8 +71,8 @@
 	ledger := f.ledgers[f.rng.IntN(len(f.ledgers))]
 	for range 2 {
 		decision := ledger.Allow(f.now, account)
-		if decision.Ask != nil {
-			f.ask(ledger, *decision.Ask, account)
+		if decision.Request != nil {
+			f.ask(ledger, *decision.Request, account)
 		}
 		switch decision.Verdict {
 		case budget.Allowed:
@@ -86,9 +86,9 @@
 	f.refused++
 }
 
-func (f *budgetFleet) ask(from *budget.Ledger, ask budget.Ask, account *catalog.Account) {
+func (f *budgetFleet) ask(from *budget.Ledger, ask budget.GrantRequest, account *catalog.Account) {
 	grant := f.byName[ask.Home].Grant(f.now, ask, account)
-	from.Granted(f.now, grant)
+	from.ApplyGrant(f.now, grant)
 	f.asks++
 	f.bytes += wire(&ask, func(body []byte) peer.Message {
 		return &peer.Ask{ID: 1 << 20, Method: accounts.MethodGrant, TimeoutMillis: 50, Body: body}
@@ -110,7 +110,7 @@
 
 func measureBudgets(o Options) ([]Series, error) {
 	var all []Series
-	for _, remembered := range []int{budget.DefaultAccounts, 2 * targetAccounts} {
+	for _, remembered := range []int{budget.DefaultMaxAccounts, 2 * targetAccounts} {
 		all = append(all, measureBudget(o, remembered)...)
 	}
 	return all, nil
@@ -118,7 +118,7 @@
 
 func measureBudget(o Options, remembered int) []Series {
 	name := "4,096 accounts remembered: "
-	if remembered > budget.DefaultAccounts {
+	if remembered > budget.DefaultMaxAccounts {
 		name = "all accounts remembered: "
 	}
 	series := func(quantity, unit string, limit float64) Series {
