--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -126,9 +126,9 @@
 }
 
 // RequestFailed records that a grant request of this instance got no response: the
-// home has failed or is unreachable. Until a response arrives or the membership changes,
-// but for no longer than MaxFallback, this instance spends an equal share of the
-// whole budget without the home.
+// home has failed or is unreachable. Until a response arrives or the membership
+// changes, but for no longer than MaxFallback, this instance spends an equal share
+// of the whole budget without the home.
 func (l *Ledger) RequestFailed(now time.Time, request GrantRequest) {
 	l.allowances.View(request.Account, func(a *allowance) { a.requestFailed(now, l.config, request) })
 }
