--- a/coordination/claim/call.go
+++ b/coordination/claim/call.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Limits bound what one call spends on its claim.
+// Limits bound the writes and requests of one call.
 type Limits struct {
 	// MaxWrites bounds the Create and TakeOver actions of one call.
 	MaxWrites int
-	// AskEvery is the time before the second question to a claimant that
-	// runs; it doubles with each question, to MaxAskEvery.
+	// RequestInterval is the time before the second status request to a claimant
+	// whose token is running; it doubles with each request, up to
+	// MaxRequestInterval.
 	RequestInterval    time.Duration
 	MaxRequestInterval time.Duration
-	// MaxAskFailures is how many questions may go without an answer before
-	// the claimant counts as gone.
+	// MaxRequestFailures is the number of unanswered status requests after which
+	// the claimant counts as failed.
 	MaxRequestFailures int
 }
 
-// DefaultLimits suit a store and peers that answer in milliseconds.
+// DefaultLimits suit a store and peers that respond within milliseconds.
 var DefaultLimits = Limits{
 	MaxWrites:          4,
 	RequestInterval:    20 * time.Millisecond,
@@ -26,28 +27,30 @@
 type phase int
 
 const (
-	// writing: a Create or TakeOver is under way.
+	// writing: a Create or TakeOver is in progress.
 	writing phase = iota
-	// readingBack: a write's answer was lost, the store is being read.
+	// readingBack: the response to a write was lost; the claim is being read.
 	readingBack
-	// asking: the claimant is being asked.
+	// requesting: a status request to the claimant is in progress.
 	requesting
-	// waiting: the claimant runs, the next question is due later.
+	// waiting: the token is running; the next status request is due later.
 	waiting
-	// lastRead: the claimant can't tell; its outcome may be in the store.
+	// finalRead: the claimant gave no result; it may be in the store.
 	finalRead
 	// decided: the call has ended.
 	decided
 )
 
-// Call is the claim of one call. It is a value of one goroutine.
+// Call is the state machine of one call's attempt to claim its key. It isn't safe
+// for concurrent use.
 type Call struct {
 	own      Record
 	deadline time.Time
 	limits   Limits
 	phase    phase
 	writes   int
-	// found is the foreign claim last seen, at revision.
+	// found is the last claim of another token that was read, foundRevision its
+	// revision.
 	found          Record
 	foundRevision  uint64
 	storeResponded bool
@@ -58,24 +61,24 @@
 	requestFailures int
 }
 
-// NewCall prepares the claim of a call that must be decided by deadline. The
-// token is used by no other call.
+// NewCall returns a Call that must be decided by deadline. No other call may use
+// the token.
 func NewCall(token Token, body BodyDigest, now, deadline time.Time, limits Limits) *Call {
-	mine := Record{Token: token, BodyDigest: body, CreatedAt: now}
-	return &Call{own: mine, deadline: deadline, limits: limits, now: now, requestInterval: limits.RequestInterval}
+	own := Record{Token: token, BodyDigest: body, CreatedAt: now}
+	return &Call{own: own, deadline: deadline, limits: limits, now: now, requestInterval: limits.RequestInterval}
 }
 
-// Record returns the claim as this call writes it.
+// Record returns the claim that this call writes.
 func (c *Call) Record() Record { return c.own }
 
-// MayBeStored tells whether a write of this call's token may have taken
-// effect, or may do so later.
+// MayBeStored reports whether a write of this call's token may have taken effect,
+// or may do so later.
 func (c *Call) MayBeStored() bool { return c.mayBeStored }
 
 // Start returns the first action.
 func (c *Call) Start() Action { return c.create() }
 
-// Step takes the answer to the last action and returns the next one.
+// Step processes the event that the last action led to and returns the next action.
 func (c *Call) Step(now time.Time, e Event) Action {
 	c.now = now
 	switch c.phase {
@@ -109,8 +112,8 @@
 	return TakeOver{Revision: c.foundRevision, Record: c.own}
 }
 
-// ask asks the claimant. Each claimant met is asked until the deadline at most,
-// so the call ends however often the claim changes hands.
+// requestStatus sends a status request to the claimant. No request is sent after
+// the deadline, so the call ends however often the claim is taken over.
 func (c *Call) requestStatus() Action {
 	if !c.now.Before(c.deadline) {
 		return c.unknown("claimant still runs at the deadline")
@@ -129,12 +132,12 @@
 	case StoreUnavailable:
 		return c.refuse("store unavailable", e.RetryAfter)
 	case Absent:
-		// The claim to take over has gone with the end of its retention.
+		// The claim was removed at the end of its retention.
 		c.storeResponded = true
 		return c.notRun("claim removed while it was taken over")
 	default:
-		// The write may have taken effect, or may do so later. Only the
-		// token in the store can tell, so read it back.
+		// The write may have taken effect, or may do so later. Only the token in
+		// the store shows which, so read it back.
 		c.mayBeStored = true
 		c.phase = readingBack
 		return Read{}
@@ -148,17 +151,17 @@
 	case Absent:
 		return c.createAgain()
 	default:
-		// Guard: answer lost and read-back failed. The claim may stand in the
-		// store under this token or under another one. Dispatching would risk
-		// a second run; the call ends and its token is never dispatched.
+		// The response was lost and the read-back failed. The store may hold the
+		// claim under this token or under another one. Dispatching could cause a
+		// second run, so the call ends and its token is never dispatched.
 		return c.notRun("answer of the store lost and read-back failed")
 	}
 }
 
-// createAgain repeats the create under the same token. Guard: a create whose
-// answer was lost may take effect after a read-back found nothing. Under the
-// same token both effects are one claim, so the late one does no harm; when
-// the call gives up instead, the claimant remembers the token as abandoned.
+// createAgain repeats the create under the same token. A create whose response was
+// lost may take effect after a read-back found no claim. Under the same token both
+// writes are one claim, so the delayed one is harmless; if the call ends instead,
+// the claimant keeps the token as abandoned.
 func (c *Call) createAgain() Action {
 	c.storeResponded = true
 	if c.writes >= c.limits.MaxWrites {
@@ -167,7 +170,7 @@
 	return c.create()
 }
 
-// examine acts on the claim that the store holds.
+// examine returns the action that follows from the claim in the store.
 func (c *Call) examine(e Exists) Action {
 	c.storeResponded = true
 	if e.Record.Token == c.own.Token {
@@ -187,18 +190,18 @@
 }
 
 func (c *Call) afterRequest(e Event) Action {
-	said, ok := e.(PeerResponded)
+	responded, ok := e.(PeerResponded)
 	if !ok {
 		return c.afterNoResponse()
 	}
-	switch said.Response.State {
+	switch responded.Response.State {
 	case TokenAbandoned:
 		return c.takeOver()
 	case TokenRunning:
 		return c.wait()
 	case TokenFinished:
-		if said.Response.Result != nil {
-			return c.replay(said.Response.Result)
+		if responded.Response.Result != nil {
+			return c.replay(responded.Response.Result)
 		}
 		return c.readFinal()
 	default:
@@ -206,7 +209,7 @@
 	}
 }
 
-// afterSilence asks a claimant that gave no answer again, a few times.
+// afterNoResponse repeats a status request that got no response, a few times.
 func (c *Call) afterNoResponse() Action {
 	c.requestFailures++
 	if c.requestFailures < c.limits.MaxRequestFailures {
@@ -215,8 +218,8 @@
 	return c.readFinal()
 }
 
-// readLast reads the claim once more. Guard: the claimant recorded the outcome
-// after this call had read the claim, and died before it could be asked.
+// readFinal reads the claim once more. The claimant may have recorded the outcome
+// after this call read the claim, and failed before it got the status request.
 func (c *Call) readFinal() Action {
 	c.phase = finalRead
 	return Read{}
@@ -241,8 +244,8 @@
 	if !same || exists.Record.Result != nil || exists.Record.Abandoned {
 		return c.examine(exists)
 	}
-	// Guard: the claimant is gone and left no outcome. It may have dispatched
-	// just before it died, so the key never runs again.
+	// The claimant has failed without recording an outcome. It may have dispatched
+	// the work just before it failed, so the key never runs again.
 	return c.unknown("claimant gone without an outcome")
 }
 
@@ -250,8 +253,8 @@
 	return c.decide(Decision{Verdict: VerdictRun, Revision: revision, Reason: "claimed"})
 }
 
-func (c *Call) replay(kept *StoredResult) Action {
-	return c.decide(Decision{Verdict: VerdictReplay, Result: kept, Reason: "key has run"})
+func (c *Call) replay(result *StoredResult) Action {
+	return c.decide(Decision{Verdict: VerdictReplay, Result: result, Reason: "key has run"})
 }
 
 func (c *Call) unknown(reason string) Action {
--- a/coordination/config/draft.go
+++ b/coordination/config/draft.go
@@ -7,8 +7,8 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// draft is the next snapshot while a change is under way. It shares with the
-// last one all that stays the same, and copies a map on its first change.
+// draft is the next snapshot during a transaction. It shares unchanged maps with
+// the last snapshot, and copies a map on its first change.
 type draft struct {
 	base     *catalog.Snapshot
 	next     catalog.Snapshot
@@ -72,8 +72,8 @@
 	}
 }
 
-// addVersion lists a schema version. The list is a new one: the old one may be
-// in a published snapshot.
+// addVersion adds a schema version to a new copy of the list, because a published
+// snapshot may hold the old one.
 func (d *draft) addVersion(key catalog.PipelineKey) {
 	versions := slices.Clone(d.next.Versions[key.Name])
 	at, found := slices.BinarySearch(versions, key.SchemaVersion)
@@ -94,8 +94,8 @@
 	d.next.Versions[key.Name] = versions
 }
 
-// publish returns the finished snapshot, or the last one when nothing in force
-// has changed.
+// publish returns the finished snapshot, or the last one if nothing in force has
+// changed.
 func (d *draft) publish(revision uint64) *catalog.Snapshot {
 	if d.copied == 0 {
 		return d.base
--- a/coordination/config/judge.go
+++ b/coordination/config/evaluate.go
@@ -9,14 +9,14 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// judge checks the newest version of a record against what is in force, and
-// puts it in force when it fits.
-func (c *transaction) evaluate(e *entry) {
-	s := c.set
+// evaluate checks the newest version of a record against the configuration in
+// force, and puts it in force if there is no conflict.
+func (tx *transaction) evaluate(e *entry) {
+	s := tx.set
 	if e.newest.Revision <= e.inForce.Revision {
 		return
 	}
-	c.affected[e.key] = e
+	tx.affected[e.key] = e
 	s.removeWaiting(e)
 	if e.candidate == nil {
 		item, err := s.decode(e.key.Kind, e.key.Name, e.newest.Revision, e.newest.Spec)
@@ -26,17 +26,17 @@
 		}
 		e.candidate = item
 	}
-	findings := c.check(e.candidate)
+	findings := tx.check(e.candidate)
 	if len(findings.reasons) > 0 {
 		e.reason = strings.Join(findings.reasons, "; ")
 		s.addWaiting(e, findings.waitsFor)
 		return
 	}
-	c.putInForce(e, e.newest, e.candidate)
+	tx.putInForce(e, e.newest, e.candidate)
 }
 
-// findings are what speaks against a candidate, and the kinds whose change may
-// alter that.
+// findings are the reasons to refuse a candidate, and the kinds whose change may
+// remove them.
 type findings struct {
 	reasons  []string
 	waitsFor kindSet
@@ -47,68 +47,68 @@
 	f.waitsFor |= waits
 }
 
-func (c *transaction) check(item catalog.Item) findings {
+func (tx *transaction) check(item catalog.Item) findings {
 	var f findings
 	switch it := item.(type) {
 	case *catalog.Tier:
-		c.checkTier(&f, it)
+		tx.checkTier(&f, it)
 	case *catalog.Pipeline:
-		c.checkPipeline(&f, it)
+		tx.checkPipeline(&f, it)
 	case *catalog.Account:
-		c.checkAccount(&f, it)
+		tx.checkAccount(&f, it)
 	}
 	return f
 }
 
-func (c *transaction) checkTier(f *findings, t *catalog.Tier) {
-	for _, p := range sortedPipelines(c.draft.next.Pipelines) {
-		c.checkDeadline(f, kindPipelines, p, t)
+func (tx *transaction) checkTier(f *findings, t *catalog.Tier) {
+	for _, p := range sortedPipelines(tx.draft.next.Pipelines) {
+		tx.checkDeadline(f, kindPipelines, p, t)
 	}
 }
 
-func (c *transaction) checkPipeline(f *findings, p *catalog.Pipeline) {
+func (tx *transaction) checkPipeline(f *findings, p *catalog.Pipeline) {
 	for i := range p.Stages {
 		stage := &p.Stages[i]
-		if reason := c.referenceProblem(Key{catalog.RecordPools, stage.Pool}); reason != "" {
+		if reason := tx.referenceProblem(Key{catalog.RecordPools, stage.Pool}); reason != "" {
 			f.add(kindPools, "stage %s: pool %s %s", stage.Name, stage.Pool, reason)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Deadlines)) {
-		if reason := c.referenceProblem(Key{catalog.RecordTiers, name}); reason != "" {
+		if reason := tx.referenceProblem(Key{catalog.RecordTiers, name}); reason != "" {
 			f.add(kindTiers, "deadlines_ms: tier %s %s", name, reason)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.draft.next.Tiers)) {
-		c.checkDeadline(f, kindTiers, p, c.draft.next.Tiers[name])
+	for _, name := range slices.Sorted(maps.Keys(tx.draft.next.Tiers)) {
+		tx.checkDeadline(f, kindTiers, p, tx.draft.next.Tiers[name])
 	}
 }
 
-// checkDeadline refuses a deadline in which a pipeline can't answer even when
-// every stage takes just its expected time.
-func (c *transaction) checkDeadline(f *findings, waits kindSet, p *catalog.Pipeline, t *catalog.Tier) {
-	deadline, needed := c.draft.next.DeadlineFor(p, t), p.CriticalPath()
+// checkDeadline refuses a deadline that a pipeline misses even if every stage takes
+// only its expected time.
+func (tx *transaction) checkDeadline(f *findings, waits kindSet, p *catalog.Pipeline, t *catalog.Tier) {
+	deadline, needed := tx.draft.next.DeadlineFor(p, t), p.CriticalPath()
 	if deadline < needed {
 		f.add(waits, "the deadline of tier %s, %d ms, is less than the %d ms that the stages of pipeline %s, schema version %d, are expected to take",
 			t.Name, deadline.Milliseconds(), needed.Milliseconds(), p.Key.Name, p.Key.SchemaVersion)
 	}
 }
 
-func (c *transaction) checkAccount(f *findings, a *catalog.Account) {
-	if reason := c.referenceProblem(Key{catalog.RecordTiers, a.Tier}); reason != "" {
+func (tx *transaction) checkAccount(f *findings, a *catalog.Account) {
+	if reason := tx.referenceProblem(Key{catalog.RecordTiers, a.Tier}); reason != "" {
 		f.add(kindTiers, "tier: tier %s %s", a.Tier, reason)
 	}
 	for i, hash := range a.KeyHashes {
-		owner, ok := c.draft.accounts.ByKey(hash)
+		owner, ok := tx.draft.accounts.ByKey(hash)
 		if ok && owner.Name != a.Name {
 			f.add(kindAccounts, "keys[%d]: the key belongs to account %s already", i, owner.Name)
 		}
 	}
 }
 
-// missing tells why a record can't be referred to, or nothing. A deleted one
-// that lingers for its present users takes no new ones.
-func (c *transaction) referenceProblem(key Key) string {
-	e, ok := c.set.entries[key]
+// referenceProblem returns why a record can't be referred to, or "" if it can. A
+// deleted record that is retained for its current references accepts no new ones.
+func (tx *transaction) referenceProblem(key Key) string {
+	e, ok := tx.set.entries[key]
 	switch {
 	case !ok || e.inSnapshot == nil:
 		return "does not exist or is not accepted"
@@ -118,7 +118,7 @@
 	return ""
 }
 
-// verdictOf computes the present judgement of an entry.
+// verdictOf computes the current verdict on an entry.
 func (s *Set) verdictOf(e *entry) verdict {
 	v := verdict{evaluated: true, accepted: true, spec: e.newest.Spec}
 	switch {
--- a/coordination/config/history.go
+++ b/coordination/config/index.go
@@ -8,19 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxTombstones bounds how many deletes are remembered. Behind it the floor of
-// the kind takes their place.
+// MaxTombstones bounds the number of tombstones kept. The floor of the kind
+// replaces those that are pruned.
 const MaxTombstones = 4096
 
-// history lists the entries in the order of their newest revisions.
+// revisionIndex lists the entries in the order of their newest revisions.
 type revisionIndex struct {
 	positions   []position
 	sorted      bool
 	maxRevision uint64
 }
 
-// place is where an entry stood when it changed. It is stale once the entry
-// has changed again or is gone.
+// position is the cursor that an entry got when it changed. It is stale once the
+// entry has changed again or was removed.
 type position struct {
 	cursor Cursor
 	entry  *entry
@@ -28,31 +28,33 @@
 
 func (p position) stale() bool { return p.entry.newest.Revision != p.cursor.Revision }
 
-func (h *revisionIndex) add(e *entry) {
-	h.sorted = h.sorted && e.newest.Revision > h.maxRevision
-	h.maxRevision = max(h.maxRevision, e.newest.Revision)
-	h.positions = append(h.positions, position{e.cursor(), e})
+func (x *revisionIndex) add(e *entry) {
+	x.sorted = x.sorted && e.newest.Revision > x.maxRevision
+	x.maxRevision = max(x.maxRevision, e.newest.Revision)
+	x.positions = append(x.positions, position{e.cursor(), e})
 }
 
-// arrange drops stale places and sorts the rest, when there is need to.
-func (h *revisionIndex) compact(entries int) {
-	if h.sorted && len(h.positions) <= 2*entries {
+// compact drops stale positions and sorts the remaining ones, if the index is
+// unsorted or has more than twice as many positions as entries.
+func (x *revisionIndex) compact(entries int) {
+	if x.sorted && len(x.positions) <= 2*entries {
 		return
 	}
-	h.positions = slices.DeleteFunc(h.positions, position.stale)
-	if !h.sorted {
-		slices.SortFunc(h.positions, func(a, b position) int { return compareCursors(a.cursor, b.cursor) })
+	x.positions = slices.DeleteFunc(x.positions, position.stale)
+	if !x.sorted {
+		slices.SortFunc(x.positions, func(a, b position) int { return compareCursors(a.cursor, b.cursor) })
 	}
-	h.sorted = true
+	x.sorted = true
 }
 
-// Records returns a page of records behind a cursor, the cursor of its last
-// one, and whether there are more. It serves a new instance's bootstrap and,
-// with the buckets that differ, the repair of what a peer has missed.
+// Records returns a page of the records after a cursor, the cursor of the last one
+// on the page, and whether there are more. It is used to bootstrap a new instance
+// and, with the set of buckets that differ, to send a peer the records that it has
+// missed.
 func (s *Set) Records(after Cursor, limit PageLimit, buckets BucketSet) (page []Record, last Cursor, more bool) {
 	s.index.compact(len(s.entries))
-	places := s.index.positions
-	start, found := slices.BinarySearchFunc(places, after, func(p position, c Cursor) int {
+	positions := s.index.positions
+	start, found := slices.BinarySearchFunc(positions, after, func(p position, c Cursor) int {
 		return compareCursors(p.cursor, c)
 	})
 	if found {
@@ -60,7 +62,7 @@
 	}
 	last = after
 	size := 0
-	for _, p := range places[start:] {
+	for _, p := range positions[start:] {
 		if p.stale() || !buckets.has(p.entry.key) {
 			continue
 		}
@@ -74,9 +76,9 @@
 	return page, last, false
 }
 
-// prune forgets the oldest half of the tombstones when there are too many. The
-// floor rises with them, so that an old version from a peer that was parted
-// for long still can't bring a record back.
+// prune removes the oldest half of the tombstones when there are too many. It
+// raises the floor to their revisions, so that a stale version from a peer that was
+// partitioned for a long time still can't restore a deleted record.
 func (s *Set) prune() {
 	if len(s.index.positions) > 2*len(s.entries)+MaxTombstones {
 		s.index.compact(len(s.entries))
@@ -103,13 +105,13 @@
 	s.index.compact(len(s.entries))
 }
 
-// sums are the running sums of the digest, by bucket.
+// digestSums are the running sums of the digest, by bucket.
 type digestSums struct {
 	count   int
 	buckets [BucketCount]uint64
 }
 
-// Digest sums up what the set holds.
+// Digest returns the digest of the records in the set.
 func (s *Set) Digest() Digest {
 	d := Digest{Count: s.sums.count, MaxRevision: s.index.maxRevision}
 	for i, sum := range s.sums.buckets {
@@ -118,12 +120,12 @@
 	return d
 }
 
-// BucketSums returns the sum of each bucket. Two sets that differ in Digest
-// find the buckets to exchange by them.
+// BucketSums returns the sum of each bucket. Two instances whose digests differ
+// compare them to find the buckets to exchange.
 func (s *Set) BucketSums() [BucketCount]uint64 { return s.sums.buckets }
 
-// resum brings the sums in line with an entry. Tombstones count for nothing
-// unless they linger: peers need not remember the same ones.
+// updateSums updates the sums after a change of an entry. Tombstones don't count
+// unless their item is still in the snapshot: peers need not hold the same ones.
 func (s *Set) updateSums(e *entry) {
 	sum := e.checksum()
 	switch {
