--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -16,15 +16,15 @@
 // The reasons of a refusal.
 const (
 	// ReasonQueue means that the work ahead in the queues takes too long.
-	ReasonQueue Reason = "queue_too_long"
+	ReasonQueueTooLong Reason = "queue_too_long"
 	// ReasonDeadline means that the stages alone take longer than is left.
-	ReasonDeadline Reason = "deadline_too_short"
+	ReasonDeadlineTooShort Reason = "deadline_too_short"
 )
 
 // Defaults of Config.
 const (
 	DefaultMinConfidence = deadline.MinConfidence
-	DefaultProbeEvery    = time.Second
+	DefaultProbeInterval = time.Second
 )
 
 // Config sets a Controller. Zero values take the defaults.
@@ -34,7 +34,7 @@
 	MinConfidence float64
 	// ProbeEvery is how often a request is admitted although the learned
 	// stage times say that it cannot make it.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 }
 
 // Decision answers one request.
@@ -57,7 +57,7 @@
 	lastProbe time.Time
 	// credit is the number of probes that may go at once, and ramp what the
 	// next probe that makes it sets it to.
-	credit, ramp int
+	probeCredit, probeRamp int
 }
 
 // New makes a controller.
@@ -65,8 +65,8 @@
 	if c.MinConfidence <= 0 {
 		c.MinConfidence = DefaultMinConfidence
 	}
-	if c.ProbeEvery <= 0 {
-		c.ProbeEvery = DefaultProbeEvery
+	if c.ProbeInterval <= 0 {
+		c.ProbeInterval = DefaultProbeInterval
 	}
 	return &Controller{config: c}
 }
@@ -79,7 +79,7 @@
 
 // Decide answers a request that is to end by due and whose stages, with the
 // waits of their queues (tiers.Gate.Wait), are given.
-func (c *Controller) Decide(now, due time.Time, stages []deadline.Remaining, rng *rand.Rand) Decision {
+func (c *Controller) Decide(now, due time.Time, stages []deadline.RemainingStage, rng *rand.Rand) Decision {
 	left := due.Sub(now)
 	d := Decision{
 		Confidence:  deadline.Confidence(left, stages),
@@ -93,8 +93,8 @@
 	if unqueued < c.config.MinConfidence {
 		return c.refuseDeadline(now, d, rng)
 	}
-	d.Reason = ReasonQueue
-	d.RetryAfter = jitter(rng, queueExcess(left, stages))
+	d.Reason = ReasonQueueTooLong
+	d.RetryAfter = jitter(rng, queueDrainTime(left, stages))
 	return d
 }
 
@@ -103,23 +103,23 @@
 // would never end: everything is refused, so nothing is measured, so the
 // learned times stay where they are and everything is refused.
 func (c *Controller) refuseDeadline(now time.Time, d Decision, rng *rand.Rand) Decision {
-	if c.mayProbe(now) {
+	if c.claimProbe(now) {
 		d.Admit = true
 		d.Probe = true
 		d.LatestStart = now
 		return d
 	}
-	d.Reason = ReasonDeadline
-	d.RetryAfter = jitter(rng, c.config.ProbeEvery)
+	d.Reason = ReasonDeadlineTooShort
+	d.RetryAfter = jitter(rng, c.config.ProbeInterval)
 	return d
 }
 
-func (c *Controller) mayProbe(now time.Time) bool {
-	if c.credit > 0 {
-		c.credit--
+func (c *Controller) claimProbe(now time.Time) bool {
+	if c.probeCredit > 0 {
+		c.probeCredit--
 		return true
 	}
-	if !c.lastProbe.IsZero() && now.Sub(c.lastProbe) < c.config.ProbeEvery {
+	if !c.lastProbe.IsZero() && now.Sub(c.lastProbe) < c.config.ProbeInterval {
 		return false
 	}
 	c.lastProbe = now
@@ -127,29 +127,29 @@
 }
 
 // maxRamp bounds the probes that one success lets go.
-const maxRamp = 1024
+const maxProbeRamp = 1024
 
 // Probed tells how a request that was admitted as a probe ended. Each one that
 // made it lets twice as many go, so that the refusals end within some stage
 // times; one that did not make it stops them until the next probe is due.
 // Learned times alone would need as many probes as there were slow requests.
-func (c *Controller) Probed(made bool) {
+func (c *Controller) ProbeEnded(made bool) {
 	if !made {
-		c.credit, c.ramp = 0, 0
+		c.probeCredit, c.probeRamp = 0, 0
 		return
 	}
-	c.ramp = min(2*max(c.ramp, 1), maxRamp)
-	c.credit = c.ramp
+	c.probeRamp = min(2*max(c.probeRamp, 1), maxProbeRamp)
+	c.probeCredit = c.probeRamp
 }
 
 // queueExcess is how long the queues need to drain to where a request that
 // comes then would make it in typical times.
-func queueExcess(left time.Duration, stages []deadline.Remaining) time.Duration {
-	return deadline.Typical(stages) - left
+func queueDrainTime(left time.Duration, stages []deadline.RemainingStage) time.Duration {
+	return deadline.MeanTime(stages) - left
 }
 
-func withoutWaits(stages []deadline.Remaining) []deadline.Remaining {
-	out := make([]deadline.Remaining, len(stages))
+func withoutWaits(stages []deadline.RemainingStage) []deadline.RemainingStage {
+	out := make([]deadline.RemainingStage, len(stages))
 	copy(out, stages)
 	for i := range out {
 		out[i].Wait = 0
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -12,10 +12,10 @@
 	"github.com/ivyhollow/ivyhollow/coordination/deadline"
 )
 
-func stages(wait time.Duration, p50s ...time.Duration) []deadline.Remaining {
-	var out []deadline.Remaining
+func stages(wait time.Duration, p50s ...time.Duration) []deadline.RemainingStage {
+	var out []deadline.RemainingStage
 	for i, p50 := range p50s {
-		r := deadline.Remaining{Stage: i, P50: p50, P95: 2 * p50}
+		r := deadline.RemainingStage{Stage: i, P50: p50, P95: 2 * p50}
 		if i == 0 {
 			r.Wait = wait
 		} else {
@@ -40,9 +40,9 @@
 		"room to spare":         {left: 1000 * ms, admit: true},
 		"some hope":             {left: 150 * ms, admit: true},
 		"queue within reach":    {left: 1000 * ms, wait: 700 * ms, admit: true},
-		"queue too long":        {left: 1000 * ms, wait: 5 * time.Second, reason: admission.ReasonQueue, least: 2100 * ms, most: 6600 * ms},
-		"queue endless":         {left: 1000 * ms, wait: time.Hour, reason: admission.ReasonQueue, least: 15 * time.Second, most: 45 * time.Second},
-		"stages alone too slow": {left: 50 * ms, reason: admission.ReasonDeadline, least: 500 * ms, most: 1500 * ms},
+		"queue too long":        {left: 1000 * ms, wait: 5 * time.Second, reason: admission.ReasonQueueTooLong, least: 2100 * ms, most: 6600 * ms},
+		"queue endless":         {left: 1000 * ms, wait: time.Hour, reason: admission.ReasonQueueTooLong, least: 15 * time.Second, most: 45 * time.Second},
+		"stages alone too slow": {left: 50 * ms, reason: admission.ReasonDeadlineTooShort, least: 500 * ms, most: 1500 * ms},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 	now, probes := epoch, 0
 	for range 10_000 {
 		p50, p95 := times.Estimate(key, usual)
-		d := c.Decide(now, now.Add(500*time.Millisecond), []deadline.Remaining{{P50: p50, P95: p95}}, rng)
+		d := c.Decide(now, now.Add(500*time.Millisecond), []deadline.RemainingStage{{P50: p50, P95: p95}}, rng)
 		if d.Admit && !d.Probe {
 			break
 		}
@@ -83,13 +83,13 @@
 		if d.Probe {
 			probes++
 			times.Observe(now, key, usual, usual)
-			c.Probed(true)
+			c.ProbeEnded(true)
 		}
 	}
 	t.Logf("admitted again %v after the overload, after %d probes", now.Sub(epoch), probes)
 	require.Less(t, now.Sub(epoch), 3*time.Second)
 
-	c.Probed(false)
+	c.ProbeEnded(false)
 	require.False(t, c.Decide(now, now, stages(0, time.Hour), rng).Admit, "a late probe ends the ramp")
 }
 
@@ -98,7 +98,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.Int64Range(1, 5000)
 		draw := func(name string) time.Duration { return time.Duration(ms.Draw(t, name)) * time.Millisecond }
-		c := admission.New(admission.Config{ProbeEvery: time.Hour})
+		c := admission.New(admission.Config{ProbeInterval: time.Hour})
 		rng := rand.New(rand.NewPCG(1, 2))
 		c.Decide(epoch, epoch, stages(0, time.Hour), rng)
 		due := epoch.Add(draw("left"))
--- a/coordination/admission/overload_test.go
+++ b/coordination/admission/overload_test.go
@@ -11,43 +11,43 @@
 
 // today is the size of today's organisations: 8 instances before a dozen
 // targets of 4 slots, digests every 200 ms.
-func today(ordered bool) options {
+func smallDeployment(ordered bool) options {
 	return options{
 		instances: 8, slots: 48,
-		digestEvery: 200 * time.Millisecond, digestDelay: 50 * time.Millisecond,
+		digestInterval: 200 * time.Millisecond, digestDelay: 50 * time.Millisecond,
 		gate:           tiers.Config{Ordered: ordered},
 		ignorePriority: !ordered,
 	}
 }
 
 // load is a class that takes the given multiple of today's capacity.
-func load(multiple float64, rank int, service, to time.Duration) class {
+func classOfLoad(multiple float64, rank int, service, to time.Duration) class {
 	return class{
-		rank: rank, rate: multiple * 48 / service.Seconds(), to: to,
-		service: service, spread: 0.5, deadline: 4 * service,
+		rank: rank, rate: multiple * 48 / service.Seconds(), until: to,
+		serviceTime: service, sigma: 0.5, deadline: 4 * service,
 	}
 }
 
-type score struct{ offered, answered int }
+type attainmentCount struct{ offered, answered int }
 
-func (s score) attainment() float64 {
+func (s attainmentCount) attainment() float64 {
 	return 100 * float64(s.answered) / float64(max(s.offered, 1))
 }
 
 // tally counts answers by rank over some seeds; it returns the last simulation.
-func tally(o options, seeds uint64, length time.Duration, classes ...class) (map[int]*score, *simulation) {
-	scores := map[int]*score{0: {}, 1: {}, 2: {}}
+func countByRank(o options, seeds uint64, length time.Duration, classes ...class) (map[int]*attainmentCount, *simulation) {
+	scores := map[int]*attainmentCount{0: {}, 1: {}, 2: {}}
 	var s *simulation
 	for seed := range seeds {
 		s = newSimulation(seed+1, o)
-		s.observed = func(w *work, answered bool) {
+		s.onEnd = func(w *request, answered bool) {
 			scores[w.class.rank].offered++
 			if answered {
 				scores[w.class.rank].answered++
 			}
 		}
 		for _, c := range classes {
-			s.offer(c)
+			s.addClass(c)
 		}
 		s.run(length + time.Minute)
 	}
@@ -61,23 +61,23 @@
 // run shows it.
 func TestFloodLeavesHighestTier(t *testing.T) {
 	const length, service = 5 * time.Second, 50 * time.Millisecond
-	flood := load(10, 2, service, length)
+	flood := classOfLoad(10, 2, service, length)
 	for _, ordered := range []bool{true, false} {
 		for _, share := range []float64{0.5, 0.8, 0.9} {
-			top := load(share, 0, service, length)
-			alone, _ := tally(today(ordered), 1, length, top)
-			both, s := tally(today(ordered), 1, length, top, flood)
+			top := classOfLoad(share, 0, service, length)
+			alone, _ := countByRank(smallDeployment(ordered), 1, length, top)
+			both, s := countByRank(smallDeployment(ordered), 1, length, top, flood)
 			answered := float64(both[0].answered + both[2].answered)
 			used := answered * service.Seconds() / 48 / length.Seconds()
 			t.Logf("ordered %v, highest tier at %.1f: alone %.2f%%, flooded %.2f%%, capacity used %.2f, most at targets %d",
-				ordered, share, alone[0].attainment(), both[0].attainment(), used, s.peak)
+				ordered, share, alone[0].attainment(), both[0].attainment(), used, s.peakLoad)
 			require.LessOrEqual(t, alone[0].attainment()-both[0].attainment(), 1.0)
 			require.Greater(t, used, 0.9, "spare capacity flows down")
 		}
 	}
-	o := today(false)
-	o.ungated, o.unchecked = true, true
-	both, _ := tally(o, 1, length, load(0.5, 0, service, length), flood)
+	o := smallDeployment(false)
+	o.noGate, o.noAdmission = true, true
+	both, _ := countByRank(o, 1, length, classOfLoad(0.5, 0, service, length), flood)
 	t.Logf("no gate, targets in order of arrival: highest tier %.2f%%", both[0].attainment())
 	require.Less(t, both[0].attainment(), 50.0)
 }
@@ -87,17 +87,17 @@
 // come free too late, and the highest tier misses its deadline.
 func TestPreemptionFreesSlots(t *testing.T) {
 	const length = 40 * time.Second
-	top := load(0.5, 0, 500*time.Millisecond, length)
+	top := classOfLoad(0.5, 0, 500*time.Millisecond, length)
 	top.from, top.deadline = 10*time.Second, 1500*time.Millisecond
-	low := load(1, 2, 8*time.Second, length)
+	low := classOfLoad(1, 2, 8*time.Second, length)
 	low.deadline, low.resumable = 40*time.Second, true
 	for _, ordered := range []bool{true, false} {
-		o := today(ordered)
-		kept, _ := tally(o, 3, length, top, low)
+		o := smallDeployment(ordered)
+		kept, _ := countByRank(o, 3, length, top, low)
 		o.gate.Preempt = true
-		freed, s := tally(o, 3, length, top, low)
+		freed, s := countByRank(o, 3, length, top, low)
 		t.Logf("ordered %v: highest tier %.2f%% without and %.2f%% with preemption (%d), lowest %.2f%% and %.2f%%",
-			ordered, kept[0].attainment(), freed[0].attainment(), s.preempts,
+			ordered, kept[0].attainment(), freed[0].attainment(), s.preemptions,
 			kept[2].attainment(), freed[2].attainment())
 		require.Greater(t, freed[0].attainment(), kept[0].attainment()+2)
 		require.Greater(t, freed[2].attainment(), 99.0)
@@ -109,12 +109,12 @@
 // callers are refused while the other instances' slots idle.
 func TestPartsFollowDemand(t *testing.T) {
 	const length, service = 6 * time.Second, 50 * time.Millisecond
-	top := load(0.8, 0, service, length)
+	top := classOfLoad(0.8, 0, service, length)
 	top.skew = 0.5
-	o := today(true)
-	follow, _ := tally(o, 1, length, top)
-	o.deaf = true
-	even, _ := tally(o, 1, length, top)
+	o := smallDeployment(true)
+	follow, _ := countByRank(o, 1, length, top)
+	o.ignoreDigests = true
+	even, _ := countByRank(o, 1, length, top)
 	t.Logf("skewed arrivals: %.2f%% with digests, %.2f%% with even parts", follow[0].attainment(), even[0].attainment())
 	require.Greater(t, follow[0].attainment(), 95.0)
 	require.Less(t, even[0].attainment(), 85.0)
@@ -134,12 +134,12 @@
 		"callers heed Retry-After": {want: 99},
 		"callers retry at once":    {hasty: true, want: 99},
 	}
-	run := func(hasty, ungated bool) (from [30]score) {
-		o := today(true)
-		o.ungated, o.unchecked = ungated, ungated
+	run := func(hasty, ungated bool) (from [30]attainmentCount) {
+		o := smallDeployment(true)
+		o.noGate, o.noAdmission = ungated, ungated
 		s := newSimulation(1, o)
-		s.observed = func(w *work, answered bool) {
-			second := min(int(w.began.Sub(epoch)/time.Second), 29)
+		s.onEnd = func(w *request, answered bool) {
+			second := min(int(w.arrived.Sub(epoch)/time.Second), 29)
 			from[second].offered++
 			if answered {
 				from[second].answered++
@@ -149,9 +149,9 @@
 			multiple float64
 			from, to time.Duration
 		}{{0.7, 0, 5 * time.Second}, {2, 5 * time.Second, 10 * time.Second}, {0.7, 10 * time.Second, 20 * time.Second}} {
-			c := load(phase.multiple, 0, service, phase.to)
-			c.from, c.deadline, c.retries, c.hasty = phase.from, 6*service, 4, hasty
-			s.offer(c)
+			c := classOfLoad(phase.multiple, 0, service, phase.to)
+			c.from, c.deadline, c.retries, c.ignoresRetryAfter = phase.from, 6*service, 4, hasty
+			s.addClass(c)
 		}
 		s.run(20 * time.Second)
 		return from
@@ -178,11 +178,11 @@
 func TestOverloadKeepsGoodput(t *testing.T) {
 	const length, service = 4 * time.Second, 50 * time.Millisecond
 	for _, multiple := range []float64{0.5, 0.8, 1, 1.3, 2, 5} {
-		c := load(multiple, 0, service, length)
-		guarded, _ := tally(today(true), 1, length, c)
-		o := today(true)
-		o.ungated, o.unchecked = true, true
-		open, _ := tally(o, 1, length, c)
+		c := classOfLoad(multiple, 0, service, length)
+		guarded, _ := countByRank(smallDeployment(true), 1, length, c)
+		o := smallDeployment(true)
+		o.noGate, o.noAdmission = true, true
+		open, _ := countByRank(o, 1, length, c)
 		goodput := float64(guarded[0].answered) * service.Seconds() / 48 / length.Seconds()
 		t.Logf("load %.1f: attainment %.2f%%, ungated %.2f%%, goodput %.3f of capacity",
 			multiple, guarded[0].attainment(), open[0].attainment(), goodput)
--- a/coordination/deadline/deadline_test.go
+++ b/coordination/deadline/deadline_test.go
@@ -18,10 +18,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.Int64Range(1, 2000)
 		draw := func(name string) time.Duration { return time.Duration(ms.Draw(t, name)) * time.Millisecond }
-		var stages []Remaining
+		var stages []RemainingStage
 		for i := range rapid.IntRange(1, 6).Draw(t, "stages") {
 			p50 := draw("p50")
-			r := Remaining{Stage: i + 1, P50: p50, P95: p50 + draw("tail"), Wait: draw("wait")}
+			r := RemainingStage{Stage: i + 1, P50: p50, P95: p50 + draw("tail"), Wait: draw("wait")}
 			for j := range i + 1 {
 				if rapid.Bool().Draw(t, "after") {
 					r.After = append(r.After, j) // 0 has finished already
@@ -46,24 +46,24 @@
 
 func TestPlanFollowsProgress(t *testing.T) {
 	const ms = time.Millisecond
-	chain := func(from int, p95s ...time.Duration) (out []Remaining) {
+	chain := func(from int, p95s ...time.Duration) (out []RemainingStage) {
 		for i, p95 := range p95s {
-			out = append(out, Remaining{Stage: from + i, After: []int{from + i - 1}, P50: p95 / 2, P95: p95})
+			out = append(out, RemainingStage{Stage: from + i, After: []int{from + i - 1}, P50: p95 / 2, P95: p95})
 		}
 		return out
 	}
 	due := epoch.Add(1000 * ms)
 	tests := map[string]struct {
 		now    time.Time
-		stages []Remaining
+		stages []RemainingStage
 		want   []time.Duration
 	}{
 		"in proportion":          {epoch, chain(0, 100*ms, 300*ms, 100*ms), []time.Duration{200 * ms, 600 * ms, 200 * ms}},
 		"a slow stage takes off": {epoch.Add(600 * ms), chain(1, 300*ms, 100*ms), []time.Duration{300 * ms, 100 * ms}},
 		"a fast stage leaves":    {epoch.Add(100 * ms), chain(1, 300*ms, 100*ms), []time.Duration{675 * ms, 225 * ms}},
 		"nothing is left":        {due.Add(ms), chain(2, 100*ms), []time.Duration{0}},
-		"what has run counts":    {epoch, []Remaining{{Stage: 0, P50: 100 * ms, P95: 300 * ms, Elapsed: 200 * ms}, {Stage: 1, After: []int{0}, P50: 100 * ms, P95: 300 * ms}}, []time.Duration{250 * ms, 750 * ms}},
-		"slack beside the path":  {epoch, []Remaining{{Stage: 0, P50: 1, P95: 100 * ms}, {Stage: 1, P50: 1, P95: 400 * ms}, {Stage: 2, After: []int{0, 1}, P50: 1, P95: 100 * ms}}, []time.Duration{500 * ms, 800 * ms, 200 * ms}},
+		"what has run counts":    {epoch, []RemainingStage{{Stage: 0, P50: 100 * ms, P95: 300 * ms, Elapsed: 200 * ms}, {Stage: 1, After: []int{0}, P50: 100 * ms, P95: 300 * ms}}, []time.Duration{250 * ms, 750 * ms}},
+		"slack beside the path":  {epoch, []RemainingStage{{Stage: 0, P50: 1, P95: 100 * ms}, {Stage: 1, P50: 1, P95: 400 * ms}, {Stage: 2, After: []int{0, 1}, P50: 1, P95: 100 * ms}}, []time.Duration{500 * ms, 800 * ms, 200 * ms}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 // Work that is started although it has no hope takes a slot from work that has.
 func TestLatestStart(t *testing.T) {
 	const ms = time.Millisecond
-	stages := []Remaining{{Stage: 0, P50: 100 * ms, P95: 200 * ms}}
+	stages := []RemainingStage{{Stage: 0, P50: 100 * ms, P95: 200 * ms}}
 	due := epoch.Add(1000 * ms)
 	require.WithinDuration(t, due.Add(-200*ms), LatestStart(epoch, due, stages), ms)
 	tight := due.Add(-120 * ms)
@@ -94,13 +94,13 @@
 func TestConfidenceIsCalibrated(t *testing.T) {
 	const trials = 20_000
 	rng := rand.New(rand.NewPCG(1, 2))
-	stages := []Remaining{
+	stages := []RemainingStage{
 		{Stage: 0, P50: 10 * time.Millisecond, P95: 20 * time.Millisecond},
 		{Stage: 1, After: []int{0}, P50: 40 * time.Millisecond, P95: 200 * time.Millisecond},
 		{Stage: 2, After: []int{0}, P50: 20 * time.Millisecond, P95: 25 * time.Millisecond},
 		{Stage: 3, After: []int{1, 2}, P50: 300 * time.Millisecond, P95: 500 * time.Millisecond, Wait: 50 * time.Millisecond},
 	}
-	draw := func(r Remaining) float64 {
+	draw := func(r RemainingStage) float64 {
 		sigma := math.Log(float64(r.P95)/float64(r.P50)) / z95
 		return float64(r.P50)*math.Exp(sigma*rng.NormFloat64()) + float64(r.Wait)
 	}
@@ -190,10 +190,10 @@
 	}
 }
 
-func fourStages() []Remaining {
-	var out []Remaining
+func fourStages() []RemainingStage {
+	var out []RemainingStage
 	for i := range 4 {
-		out = append(out, Remaining{Stage: i, P50: time.Second, P95: 2 * time.Second})
+		out = append(out, RemainingStage{Stage: i, P50: time.Second, P95: 2 * time.Second})
 		if i > 0 {
 			out[i].After = []int{i - 1}
 		}
--- a/coordination/deadline/times.go
+++ b/coordination/deadline/times.go
@@ -22,7 +22,7 @@
 const priorWeight = 10.0
 
 // fallbackExpected stands in for a stage without an estimate.
-const fallbackExpected = 100 * time.Millisecond
+const defaultExpected = 100 * time.Millisecond
 
 // StageKey names one learned distribution.
 type StageKey struct {
@@ -75,7 +75,7 @@
 func (t *Times) Observe(now time.Time, key StageKey, expected, d time.Duration) {
 	t.table.Update(key, func(h *histogram, existed bool) {
 		if !existed {
-			h.seed(now, orFallback(expected))
+			h.seed(now, orDefaultExpected(expected))
 		}
 		h.observe(now, t.halfLife, d)
 	})
@@ -103,7 +103,7 @@
 }
 
 func priorQuantile(expected time.Duration, q float64) time.Duration {
-	expected = orFallback(expected)
+	expected = orDefaultExpected(expected)
 	switch {
 	case q <= 0.8:
 		return expected
@@ -114,9 +114,9 @@
 	}
 }
 
-func orFallback(expected time.Duration) time.Duration {
+func orDefaultExpected(expected time.Duration) time.Duration {
 	if expected <= 0 {
-		return fallbackExpected
+		return defaultExpected
 	}
 	return expected
 }
--- a/coordination/routing/affinity.go
+++ b/coordination/routing/affinity.go
@@ -3,8 +3,8 @@
 // creditPrefix takes the cached part of the prompt off each candidate's score.
 // The credit is a share of the score, so a popular prefix spreads once its
 // holders queue, and holders are used all the more when all engines queue.
-func (p *pick) creditPrefix() {
-	p.hash()
+func (p *pick) discountCachedPrefix() {
+	p.hashPrefix()
 	total := 0
 	for _, part := range p.query.Prefix {
 		total += part.Tokens
@@ -14,17 +14,17 @@
 	}
 	weight := p.table.config.CacheWeight / float64(total)
 	for _, c := range p.candidates {
-		c.cached = c.target.cached(p.now, p.query.Prefix, p.hashes, p.table.config.PrefixTTL)
-		c.score *= 1 - weight*float64(c.cached)
+		c.cachedTokens = c.target.cachedTokens(p.now, p.query.Prefix, p.prefixHashes, p.table.config.PrefixTTL)
+		c.score *= 1 - weight*float64(c.cachedTokens)
 	}
 }
 
 // byPrefix returns the best candidate, the cached prefix counted. All of them
 // are compared: a sample of two would mostly miss the few holders.
 func (p *pick) byPrefix() (*candidate, Reason) {
-	p.creditPrefix()
-	c := p.best(len(p.candidates), func(*candidate) bool { return true })
-	if c.cached > 0 {
+	p.discountCachedPrefix()
+	c := p.bestOfSample(len(p.candidates), func(*candidate) bool { return true })
+	if c.cachedTokens > 0 {
 		return c, ReasonAffinity
 	}
 	return c, ReasonLoad
--- a/coordination/routing/affinity_test.go
+++ b/coordination/routing/affinity_test.go
@@ -26,7 +26,7 @@
 		{"emptied, refilled", CacheUpdate{Epoch: 2, Added: []string{"system"}}, 2 * time.Second, 800},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			table := newTable(Config{}, someTargets(8))
+			table := newTable(Config{}, testTargets(8))
 			rng := newRNG()
 			holder := table.mustPick(t, start, rng, Query{Prefix: prompt}).Target.Incarnation
 			table.CacheEvent(start, holder, CacheUpdate{Epoch: 1})
@@ -52,9 +52,9 @@
 		held, others int
 		stays        bool
 	}{{2, 0, true}, {5, 0, true}, {7, 0, false}, {7, 4, true}, {13, 4, false}} {
-		table := newTable(Config{}, someTargets(8))
+		table := newTable(Config{}, testTargets(8))
 		table.CacheEvent(start, "t3", CacheUpdate{Epoch: 1, Added: []string{"system", "document"}})
-		for _, target := range someTargets(8) {
+		for _, target := range testTargets(8) {
 			load := tc.others
 			if target.Incarnation == "t3" {
 				load = tc.held
@@ -69,7 +69,7 @@
 // Engines that hold most of the prompt are preferred, and a target that does
 // not have the adapter is never taken for its cache.
 func TestAffinityWithinConstraints(t *testing.T) {
-	targets := someTargets(4)
+	targets := testTargets(4)
 	targets[0].Adapters = []string{"other"}
 	table := newTable(Config{}, targets)
 	table.CacheEvent(start, "t0", CacheUpdate{Epoch: 1, Added: []string{"system", "document"}})
@@ -88,7 +88,7 @@
 	}
 	held := 0
 	for part := range uint64(1000) {
-		if p.has(start.UnixNano(), part<<32|part, time.Minute) {
+		if p.contains(start.UnixNano(), part<<32|part, time.Minute) {
 			held++
 		}
 	}
--- a/coordination/routing/baseline/baseline.go
+++ b/coordination/routing/baseline/baseline.go
@@ -14,11 +14,11 @@
 
 // Strategy chooses among the eligible targets; there is at least one.
 type Strategy interface {
-	choose(pool string, rng *rand.Rand, eligible []*entry) *entry
+	choose(pool string, rng *rand.Rand, eligible []*targetState) *targetState
 }
 
 // entry is what a baseline knows of one target.
-type entry struct {
+type targetState struct {
 	target      routing.Target
 	outstanding int
 	rating      rating
@@ -28,16 +28,16 @@
 type Router struct {
 	strategy Strategy
 	mu       sync.Mutex
-	entries  map[string]*entry
-	pools    map[string][]*entry
+	states   map[string]*targetState
+	pools    map[string][]*targetState
 }
 
 // New returns a router without targets.
 func New(strategy Strategy) *Router {
 	return &Router{
 		strategy: strategy,
-		entries:  map[string]*entry{},
-		pools:    map[string][]*entry{},
+		states:   map[string]*targetState{},
+		pools:    map[string][]*targetState{},
 	}
 }
 
@@ -45,12 +45,12 @@
 func (r *Router) SetTargets(_ time.Time, pool routing.Pool, targets []routing.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]*entry, 0, len(targets))
+	list := make([]*targetState, 0, len(targets))
 	for _, t := range targets {
-		e := r.entries[t.Incarnation]
+		e := r.states[t.Incarnation]
 		if e == nil {
-			e = &entry{rating: newRating()}
-			r.entries[t.Incarnation] = e
+			e = &targetState{rating: newRating()}
+			r.states[t.Incarnation] = e
 		}
 		e.target = t
 		list = append(list, e)
@@ -64,7 +64,7 @@
 	defer r.mu.Unlock()
 	pool := r.pools[q.Pool]
 	none := routing.NoTargetError{Pool: q.Pool, Known: len(pool)}
-	eligible := make([]*entry, 0, len(pool))
+	eligible := make([]*targetState, 0, len(pool))
 	for _, e := range pool {
 		switch {
 		case slices.Contains(q.Exclude, e.target.Incarnation):
@@ -86,7 +86,7 @@
 func (r *Router) Started(incarnation string) func(routing.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.entries[incarnation]
+	e := r.states[incarnation]
 	if e == nil {
 		return func(routing.Result) {}
 	}
--- a/coordination/routing/baseline/baseline_test.go
+++ b/coordination/routing/baseline/baseline_test.go
@@ -45,7 +45,7 @@
 		{&RoundRobin{}, [3]int{250, 250, 250}, [3]int{250, 250, 250}},
 		{LeastOutstanding{}, [3]int{280, 280, 0}, [3]int{390, 390, 0}},
 		{TwoChoices{}, [3]int{280, 280, 0}, [3]int{390, 390, 0}},
-		{Rounds{}, [3]int{0, 0, 400}, [3]int{0, 0, 600}},
+		{RatingRounds{}, [3]int{0, 0, 400}, [3]int{0, 0, 600}},
 	} {
 		n := counts(t, tc.strategy)
 		for i, name := range []string{"t0", "t1", "t2"} {
@@ -55,7 +55,7 @@
 		require.Zero(t, counts(t, tc.strategy, "t3")["t3"])
 	}
 	// The last round takes those that the first one leaves out.
-	require.Equal(t, 1000, counts(t, Rounds{}, "t0", "t2", "t3")["t1"])
+	require.Equal(t, 1000, counts(t, RatingRounds{}, "t0", "t2", "t3")["t1"])
 }
 
 func TestNoTargetIsAnError(t *testing.T) {
--- a/coordination/routing/baseline/rounds.go
+++ b/coordination/routing/baseline/rounds.go
@@ -6,23 +6,23 @@
 // "Load balancing: Strategies" of the dRPC documentation: the first round
 // samples among the best performers that are available, the second among all
 // targets, the softly unavailable included.
-type Rounds struct{}
+type RatingRounds struct{}
 
 const (
 	// bestShare of the best rating puts a target in the first round.
-	bestShare = 0.5
+	firstRoundShare = 0.5
 	// softUnavailable failures in a row leave a target to the second round.
-	softUnavailable = 2
+	softUnavailableFailures = 2
 )
 
-func (Rounds) choose(_ string, rng *rand.Rand, eligible []*entry) *entry {
+func (RatingRounds) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
 	best := 0.0
 	for _, e := range eligible {
 		best = max(best, e.rating.value())
 	}
-	round := make([]*entry, 0, len(eligible))
+	round := make([]*targetState, 0, len(eligible))
 	for _, e := range eligible {
-		if e.rating.unavailable < softUnavailable && e.rating.value() >= bestShare*best {
+		if e.rating.consecutiveFailures < softUnavailableFailures && e.rating.value() >= firstRoundShare*best {
 			round = append(round, e)
 		}
 	}
@@ -32,7 +32,7 @@
 	return sampleByRating(rng, round)
 }
 
-func sampleByRating(rng *rand.Rand, round []*entry) *entry {
+func sampleByRating(rng *rand.Rand, round []*targetState) *targetState {
 	sum := 0.0
 	for _, e := range round {
 		sum += e.rating.value()
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -4,18 +4,18 @@
 
 // Defaults of Config.
 const (
-	DefaultSubset           = 64
+	DefaultSubsetSize       = 64
 	DefaultChoices          = 2
-	DefaultOrigins          = 32
-	DefaultDigestEntries    = 128
+	DefaultMaxOrigins       = 32
+	DefaultMaxDigestEntries = 128
 	DefaultDigestTTL        = 2 * time.Second
-	DefaultReportTrust      = 500 * time.Millisecond
-	DefaultSlowStart        = 10 * time.Second
-	DefaultEjection         = 1 * time.Second
-	DefaultEjectionMax      = 30 * time.Second
+	DefaultReportTTL        = 500 * time.Millisecond
+	DefaultSlowStartWindow  = 10 * time.Second
+	DefaultBaseEjectionTime = 1 * time.Second
+	DefaultMaxEjectionTime  = 30 * time.Second
 	DefaultLeavingRetention = 10 * time.Minute
 	DefaultPrefixTTL        = 2 * time.Minute
-	DefaultPrefixSlots      = 2048
+	DefaultPrefixTableSize  = 2048
 	DefaultCacheWeight      = 0.5
 )
 
@@ -25,22 +25,22 @@
 	Instance        string
 	LocalDataCentre string
 	// Subset is the number of targets kept for each pool.
-	Subset int
+	SubsetSize int
 	// Choices is the number of targets that are sampled for a pick.
 	Choices int
 	// Origins bounds the number of peers whose digests are kept.
-	Origins int
+	MaxOrigins int
 	// DigestEntries bounds the entries of an own digest.
-	DigestEntries int
+	MaxDigestEntries int
 	// DigestTTL is how long a peer's digest counts.
 	DigestTTL time.Duration
 	// ReportTrust is the age at which a target's report counts no longer.
-	ReportTrust time.Duration
+	ReportTTL time.Duration
 	// SlowStart is how long a new target takes to get its full share.
-	SlowStart time.Duration
+	SlowStartWindow time.Duration
 	// Ejection is how long a first ejection lasts; each further one in a row
 	// doubles it up to EjectionMax.
-	Ejection, EjectionMax time.Duration
+	BaseEjectionTime, MaxEjectionTime time.Duration
 	// LeavingRetention is how long a leaving incarnation is remembered after
 	// it vanished from the list.
 	LeavingRetention time.Duration
@@ -50,13 +50,13 @@
 	// PrefixTTL is how long an own routing decision counts as a cached prefix.
 	PrefixTTL time.Duration
 	// PrefixSlots bounds the prefix parts remembered for each target.
-	PrefixSlots int
+	PrefixTableSize int
 	// Off switches mechanisms off, for experiments.
-	Off Mechanism
+	Disabled Mechanism
 }
 
-func (c Config) off(m Mechanism) bool {
-	return c.Off&m != 0
+func (c Config) disabled(m Mechanism) bool {
+	return c.Disabled&m != 0
 }
 
 func orDefault[T int | time.Duration](value *T, fallback T) {
@@ -66,18 +66,18 @@
 }
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.Subset, DefaultSubset)
+	orDefault(&c.SubsetSize, DefaultSubsetSize)
 	orDefault(&c.Choices, DefaultChoices)
-	orDefault(&c.Origins, DefaultOrigins)
-	orDefault(&c.DigestEntries, DefaultDigestEntries)
+	orDefault(&c.MaxOrigins, DefaultMaxOrigins)
+	orDefault(&c.MaxDigestEntries, DefaultMaxDigestEntries)
 	orDefault(&c.DigestTTL, DefaultDigestTTL)
-	orDefault(&c.ReportTrust, DefaultReportTrust)
-	orDefault(&c.SlowStart, DefaultSlowStart)
-	orDefault(&c.Ejection, DefaultEjection)
-	orDefault(&c.EjectionMax, DefaultEjectionMax)
+	orDefault(&c.ReportTTL, DefaultReportTTL)
+	orDefault(&c.SlowStartWindow, DefaultSlowStartWindow)
+	orDefault(&c.BaseEjectionTime, DefaultBaseEjectionTime)
+	orDefault(&c.MaxEjectionTime, DefaultMaxEjectionTime)
 	orDefault(&c.LeavingRetention, DefaultLeavingRetention)
 	orDefault(&c.PrefixTTL, DefaultPrefixTTL)
-	orDefault(&c.PrefixSlots, DefaultPrefixSlots)
+	orDefault(&c.PrefixTableSize, DefaultPrefixTableSize)
 	if c.CacheWeight <= 0 {
 		c.CacheWeight = DefaultCacheWeight
 	}
--- a/coordination/routing/health_test.go
+++ b/coordination/routing/health_test.go
@@ -20,7 +20,7 @@
 		off         Mechanism
 		least, most int
 	}{{0, 3, 20}, {MechanismEjection, 150, 1000}} {
-		counts := newTable(Config{Off: tc.off}, someTargets(8)).shares(t, start, 1000, Query{Rank: 1}, result)
+		counts := newTable(Config{Disabled: tc.off}, testTargets(8)).shares(t, start, 1000, Query{Rank: 1}, result)
 		require.GreaterOrEqual(t, counts["t0"], tc.least)
 		require.LessOrEqual(t, counts["t0"], tc.most)
 	}
@@ -31,14 +31,14 @@
 func TestFlakyTargetGetsLess(t *testing.T) {
 	n := 0
 	result := func(name string) Result {
-		r := usual(name)
+		r := healthyResult(name)
 		if name == "t0" {
 			n++
 			r.Outcome = []Outcome{OutcomeFailed, OutcomeOK, OutcomeOK}[n%3]
 		}
 		return r
 	}
-	table := newTable(Config{}, someTargets(8))
+	table := newTable(Config{}, testTargets(8))
 	require.Less(t, table.shares(t, start, 2000, Query{}, result)["t0"], 170)
 	require.Zero(t, table.Stats(start).Ejections)
 }
@@ -47,15 +47,15 @@
 // never fails a health check, yet requests sent there miss their deadline.
 func TestGreyTargetGetsLess(t *testing.T) {
 	result := func(name string) Result {
-		r := usual(name)
+		r := healthyResult(name)
 		if name == "t0" {
 			r.Latency *= 3
 		}
 		return r
 	}
-	counts := newTable(Config{}, someTargets(8)).shares(t, start, 2000, Query{}, result)
+	counts := newTable(Config{}, testTargets(8)).shares(t, start, 2000, Query{}, result)
 	require.Less(t, counts["t0"], 80)
-	counts = newTable(Config{Off: MechanismLatency}, someTargets(8)).shares(t, start, 2000, Query{}, result)
+	counts = newTable(Config{Disabled: MechanismLatency}, testTargets(8)).shares(t, start, 2000, Query{}, result)
 	require.Greater(t, counts["t0"], 120)
 }
 
@@ -74,22 +74,22 @@
 		return r
 	}
 	shares := func(off Mechanism) int {
-		table := newTable(Config{Off: off}, someTargets(8))
+		table := newTable(Config{Disabled: off}, testTargets(8))
 		table.shares(t, start, 200, Query{}, busy)
 		return table.shares(t, at(10*time.Second), 1000, Query{}, hanging)["t0"]
 	}
 	require.Less(t, shares(0), shares(MechanismLatency))
-	var open openAttempts
-	open.ended(open.began(start.UnixNano()), time.Second)
+	var open attemptAges
+	open.finish(open.start(start.UnixNano()), time.Second)
 	for _, tc := range []struct {
 		age      time.Duration
 		crowding float64
 		want     float64
 	}{{time.Second, 1, 1}, {3 * time.Second, 1, 3}, {3 * time.Second, 2, 1}, {9 * time.Second, 3, 3}} {
-		began := open.began(start.UnixNano())
+		began := open.start(start.UnixNano())
 		now := at(tc.age).UnixNano()
-		require.InDelta(t, tc.want, open.slow(now, tc.crowding), 0.01, "%+v", tc)
-		open.ended(began, 0)
+		require.InDelta(t, tc.want, open.slowdown(now, tc.crowding), 0.01, "%+v", tc)
+		open.finish(began, 0)
 	}
 }
 
@@ -103,8 +103,8 @@
 		pool := testPool
 		pool.EjectionFloor = tc.floor
 		table := newTable(Config{}, nil)
-		table.SetTargets(start, pool, someTargets(6))
-		for _, target := range someTargets(6) {
+		table.SetTargets(start, pool, testTargets(6))
+		for _, target := range testTargets(6) {
 			table.fail(start, target.Incarnation, 10)
 		}
 		routable := 0
@@ -134,8 +134,8 @@
 // there at once it would be buried again: one probe goes first, of a lower tier
 // where there is one, and its share then grows.
 func TestReturnWithoutStampede(t *testing.T) {
-	table := newTable(Config{}, someTargets(4))
-	table.fail(start, "t0", ejectFailures)
+	table := newTable(Config{}, testTargets(4))
+	table.fail(start, "t0", ejectAfterFailures)
 	rng := newRNG()
 	probes := func(now time.Time, rank int) (n int) {
 		for range 40 {
@@ -153,9 +153,9 @@
 	require.Zero(t, probes(at(3100*time.Millisecond), 1))
 	require.Equal(t, 1, probes(at(4300*time.Millisecond), 0), "nobody else came: the highest tier probes")
 	back := at(4400 * time.Millisecond)
-	table.Started(back, "t0", 1).Done(back, usual("t0"))
-	first := table.shares(t, back, 100, Query{}, usual)["t0"]
-	later := table.shares(t, back.Add(DefaultSlowStart), 100, Query{}, usual)["t0"]
+	table.Started(back, "t0", 1).Done(back, healthyResult("t0"))
+	first := table.shares(t, back, 100, Query{}, healthyResult)["t0"]
+	later := table.shares(t, back.Add(DefaultSlowStartWindow), 100, Query{}, healthyResult)["t0"]
 	require.Less(t, first, 15)
 	require.Greater(t, later, 18)
 }
@@ -163,31 +163,31 @@
 // A target that was never in the list before starts cold; targets of the first
 // list have been running for long.
 func TestSlowStartOfNewTarget(t *testing.T) {
-	table := newTable(Config{}, someTargets(4)[1:])
-	table.SetTargets(at(time.Minute), testPool, someTargets(4))
-	require.Less(t, table.shares(t, at(time.Minute), 100, Query{}, usual)["t0"], 15)
-	require.Greater(t, table.shares(t, at(2*time.Minute), 100, Query{}, usual)["t0"], 18)
+	table := newTable(Config{}, testTargets(4)[1:])
+	table.SetTargets(at(time.Minute), testPool, testTargets(4))
+	require.Less(t, table.shares(t, at(time.Minute), 100, Query{}, healthyResult)["t0"], 15)
+	require.Greater(t, table.shares(t, at(2*time.Minute), 100, Query{}, healthyResult)["t0"], 18)
 }
 
 // Each of eight instances sees only an eighth of a target's failures, so each
 // would send it several requests before acting. Peers' suspicions lower that,
 // but a peer whose own path is cut suspects everything and must not be enough.
 func TestSuspicionNeedsAnOwnFailure(t *testing.T) {
-	table := newTable(Config{}, someTargets(4))
+	table := newTable(Config{}, testTargets(4))
 	for _, origin := range []string{"a", "b", "c"} {
 		table.PeerDigest(start, origin, []DigestEntry{{HashTarget("t0"), Suspected}})
 	}
 	h := &table.target("t0").health
-	require.Equal(t, notEjected, h.ejection(start.UnixNano()))
+	require.Equal(t, notEjected, h.ejectionState(start.UnixNano()))
 	table.fail(start, "t0", 1)
-	require.Equal(t, stillEjected, h.ejection(start.UnixNano()))
+	require.Equal(t, ejectionActive, h.ejectionState(start.UnixNano()))
 	require.Contains(t, table.Digest(start), DigestEntry{HashTarget("t0"), Suspected})
 	table.fail(start, "t1", 1)
-	require.Equal(t, notEjected, table.target("t1").health.ejection(start.UnixNano()))
+	require.Equal(t, notEjected, table.target("t1").health.ejectionState(start.UnixNano()))
 }
 
 func TestAttemptsThatProveNothing(t *testing.T) {
-	table := newTable(Config{}, someTargets(2))
+	table := newTable(Config{}, testTargets(2))
 	for range 10 {
 		for _, outcome := range []Outcome{OutcomeCancelled, OutcomeNotRun} {
 			table.Started(start, "t0", 1).Done(start, Result{Outcome: outcome, Expected: time.Second})
--- a/coordination/routing/helpers_test.go
+++ b/coordination/routing/helpers_test.go
@@ -18,7 +18,7 @@
 
 func newRNG() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func someTargets(n int) []Target {
+func testTargets(n int) []Target {
 	targets := make([]Target, n)
 	for i := range targets {
 		name := fmt.Sprintf("t%d", i)
@@ -49,7 +49,7 @@
 	rng := newRNG()
 	type end struct {
 		at     time.Time
-		handle *Handle
+		handle *Attempt
 		result Result
 	}
 	var open []end
@@ -76,7 +76,7 @@
 	return counts
 }
 
-func usual(string) Result {
+func healthyResult(string) Result {
 	return Result{Latency: 100 * time.Millisecond, Expected: 100 * time.Millisecond}
 }
 
--- a/coordination/routing/home.go
+++ b/coordination/routing/home.go
@@ -11,10 +11,10 @@
 const (
 	// homeBound is how many times the least score a target's may be for it to be
 	// used as a home.
-	homeBound = 1.5
+	homeScoreBound = 1.5
 	// leastHomeShare is the share of homes that a data centre has at least, times
 	// its even share: its targets are there to be used.
-	leastHomeShare = 0.2
+	minHomeShare = 0.2
 )
 
 // byHome chooses by rendezvous hashing among the targets that aren't crowded.
@@ -32,10 +32,10 @@
 	var best *candidate
 	bestDraw := math.Inf(1)
 	for _, c := range p.candidates {
-		if c.score > homeBound*least.score {
+		if c.score > homeScoreBound*least.score {
 			continue
 		}
-		if draw := p.homeDraw(c) / weights[c.target.DataCentre]; best == nil || draw < bestDraw {
+		if draw := p.homeRank(c) / weights[c.target.DataCentre]; best == nil || draw < bestDraw {
 			best, bestDraw = c, draw
 		}
 	}
@@ -48,8 +48,8 @@
 // the target's name: one that starts again has lost what it cached, and gets its own
 // homes back. Drawn anew they would move to others, and as many of others to it, so
 // that twice as many prompts were read again.
-func (p *pick) homeDraw(c *candidate) float64 {
-	score := rendezvous.Score(cmp.Or(c.target.Name, c.target.Incarnation), p.query.Home)
+func (p *pick) homeRank(c *candidate) float64 {
+	score := rendezvous.Score(cmp.Or(c.target.Name, c.target.Incarnation), p.query.HomeKey)
 	return -math.Log((float64(score) + 1) / (math.MaxUint64 + 2))
 }
 
@@ -64,7 +64,7 @@
 		weights[dataCentre] = 1
 		if len(p.query.HomeShares) > 0 {
 			even := 1 / float64(len(count))
-			weights[dataCentre] = max(p.query.HomeShares[dataCentre], leastHomeShare*even) / n
+			weights[dataCentre] = max(p.query.HomeShares[dataCentre], minHomeShare*even) / n
 		}
 	}
 	return weights
--- a/coordination/routing/home_test.go
+++ b/coordination/routing/home_test.go
@@ -22,7 +22,7 @@
 }
 
 func pickHome(t *testing.T, table *Table, home string, shares map[string]float64) Target {
-	choice, err := table.Pick(time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2)), Query{Pool: "p", Home: home, HomeShares: shares})
+	choice, err := table.Pick(time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2)), Query{Pool: "p", HomeKey: home, HomeShares: shares})
 	require.NoError(t, err)
 	return choice.Target
 }
@@ -106,7 +106,7 @@
 	}))
 	later := now.Add(time.Hour) // the slow start of the new incarnation is over
 	for home, name := range before {
-		choice, err := table.Pick(later, newRNG(), Query{Pool: "p", Home: home})
+		choice, err := table.Pick(later, newRNG(), Query{Pool: "p", HomeKey: home})
 		require.NoError(t, err)
 		require.Equal(t, name, choice.Target.Name)
 	}
@@ -115,7 +115,7 @@
 // A target is ejected for its failures, or word is that it leaves, and it starts again
 // under its name. What was held against the process before isn't against this one.
 func TestRestartedTargetIsJudgedAnew(t *testing.T) {
-	targets := someTargets(4)
+	targets := testTargets(4)
 	targets[0].Incarnation, targets[0].Name = "t0@100", "t0"
 	table := newTable(Config{}, targets)
 	table.fail(start, "t0@100", 50)
@@ -125,9 +125,9 @@
 	targets[0].Incarnation = "t0@200"
 	table.SetTargets(start, testPool, targets)
 	now := start.Add(time.Hour) // past its slow start
-	counts := table.shares(t, now, 400, Query{}, usual)
+	counts := table.shares(t, now, 400, Query{}, healthyResult)
 	require.InDelta(t, 100, counts["t0@200"], 40)
 	require.Zero(t, counts["t0@100"])
 	handle.Done(now, Result{Outcome: OutcomeFailed})
-	require.Zero(t, table.target("t0@200").own(), "the request was at the process before")
+	require.Zero(t, table.target("t0@200").ownLoad(), "the request was at the process before")
 }
--- a/coordination/routing/load_test.go
+++ b/coordination/routing/load_test.go
@@ -30,17 +30,17 @@
 		{name: "reports off", reported: 9, off: MechanismReports, want: 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			table := newTable(Config{Off: tc.off, ReportTrust: 3 * time.Second}, someTargets(1))
+			table := newTable(Config{Disabled: tc.off, ReportTTL: 3 * time.Second}, testTargets(1))
 			target := table.target("t0")
-			target.add(start.UnixNano(), int64(tc.ownThen*costUnit))
+			target.addInFlight(start.UnixNano(), int64(tc.ownThen*costUnit))
 			then := at(500 * time.Millisecond)
 			now := then.Add(tc.age)
-			target.add(then.Add(tc.age/2+1).UnixNano(), int64((tc.ownNow-tc.ownThen)*costUnit))
+			target.addInFlight(then.Add(tc.age/2+1).UnixNano(), int64((tc.ownNow-tc.ownThen)*costUnit))
 			table.Report(now, "t0", Load{Active: tc.reported, Age: tc.age})
 			if tc.digest > 0 {
 				table.PeerDigest(now, "i1", []DigestEntry{{HashTarget("t0"), uint16(tc.digest)}})
 			}
-			require.InDelta(t, tc.want, target.estimate(now.Add(tc.later).UnixNano(), &table.config), 0.01)
+			require.InDelta(t, tc.want, target.estimatedLoad(now.Add(tc.later).UnixNano(), &table.config), 0.01)
 		})
 	}
 }
@@ -48,18 +48,18 @@
 // The newest digest of each origin counts, for a while; origins and entries
 // are bounded, whatever peers send.
 func TestPeerDigests(t *testing.T) {
-	table := newTable(Config{Origins: 2, DigestEntries: 1}, someTargets(2))
+	table := newTable(Config{MaxOrigins: 2, MaxDigestEntries: 1}, testTargets(2))
 	send := func(now time.Time, origin string, n uint16) {
 		table.PeerDigest(now, origin, []DigestEntry{{HashTarget("t0"), n}, {HashTarget("t1"), n}, {1, n}})
 	}
 	load := func(now time.Time) float64 {
-		return table.target("t0").estimate(now.UnixNano(), &table.config)
+		return table.target("t0").estimatedLoad(now.UnixNano(), &table.config)
 	}
 	send(at(1*time.Second), "a", 3)
 	send(at(1100*time.Millisecond), "a", 5)
 	send(at(1200*time.Millisecond), "b", 2)
 	require.Equal(t, 7.0, load(at(1200*time.Millisecond)))
-	require.Zero(t, table.target("t1").peers.Load(), "entries are bounded")
+	require.Zero(t, table.target("t1").peerInFlight.Load(), "entries are bounded")
 	send(at(1300*time.Millisecond), "c", 1)
 	require.Equal(t, 3.0, load(at(1300*time.Millisecond)), "the oldest origin gives way")
 	require.Zero(t, load(at(4*time.Second)), "old digests count no longer")
@@ -75,7 +75,7 @@
 // changes it by one: otherwise every change would cost all warm connections.
 func TestSubset(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		targets := someTargets(400)
+		targets := testTargets(400)
 		for i := range targets {
 			targets[i].DataCentre = fmt.Sprintf("dc-%d", i%5)
 			targets[i].Models = []string{"common"}
@@ -83,7 +83,7 @@
 				targets[i].Models = []string{"rare"}
 			}
 		}
-		c := Config{Instance: rapid.String().Draw(rt, "instance"), LocalDataCentre: "dc-1", Subset: 32}
+		c := Config{Instance: rapid.String().Draw(rt, "instance"), LocalDataCentre: "dc-1", SubsetSize: 32}
 		kept := c.subset(targets)
 		require.Len(rt, kept, 32)
 		local, rare, names := 0, 0, map[string]bool{}
@@ -96,9 +96,9 @@
 				rare++
 			}
 		}
-		require.GreaterOrEqual(rt, rare, leastPerModel)
+		require.GreaterOrEqual(rt, rare, minPerModel)
 		// Three quarters, less what the two models took elsewhere.
-		require.GreaterOrEqual(rt, local, 24-2*leastPerModel)
+		require.GreaterOrEqual(rt, local, 24-2*minPerModel)
 		gone := rapid.IntRange(0, 399).Draw(rt, "gone")
 		changed := 0
 		for _, target := range c.subset(append(targets[:gone:gone], targets[gone+1:]...)) {
@@ -106,17 +106,17 @@
 				changed++
 			}
 		}
-		require.LessOrEqual(rt, changed, 1+leastPerModel)
+		require.LessOrEqual(rt, changed, 1+minPerModel)
 	})
 }
 
 // The state of targets that left the lists must not pile up.
 func TestStateIsForgotten(t *testing.T) {
-	table := newTable(Config{}, someTargets(3))
+	table := newTable(Config{}, testTargets(3))
 	h := table.Started(start, "t2", 1)
-	table.SetTargets(start, testPool, someTargets(1))
+	table.SetTargets(start, testPool, testTargets(1))
 	require.Len(t, table.states, 2, "one has a request in flight")
 	h.Done(start, Result{})
-	table.SetTargets(start, testPool, someTargets(1))
+	table.SetTargets(start, testPool, testTargets(1))
 	require.Len(t, table.states, 1)
 }
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -12,11 +12,11 @@
 
 // candidate is an eligible target with what a pick computed of it.
 type candidate struct {
-	target   *targetView
-	load     float64 // estimated requests at the target
-	score    float64 // lower is better
-	cached   int
-	ejection ejection
+	target       *targetView
+	load         float64 // estimated requests at the target
+	score        float64 // lower is better
+	cachedTokens int
+	ejection     ejectionState
 }
 
 // Pick chooses a target. It returns *NoTargetError when the pool has none that
@@ -27,18 +27,18 @@
 		return Choice{}, &NoTargetError{Pool: q.Pool}
 	}
 	pick := pick{table: t, pool: p, query: &q, rng: rng, now: now.UnixNano()}
-	if err := pick.collect(); err != nil {
-		t.counts.refused.Add(1)
+	if err := pick.collectEligible(); err != nil {
+		t.counts.noTarget.Add(1)
 		return Choice{}, err
 	}
 	chosen, reason := pick.choose()
-	chosen.target.picked.Add(1)
+	chosen.target.picks.Add(1)
 	t.counts.reasons[reason].Add(1)
-	pick.remember(chosen)
+	pick.recordPrefix(chosen)
 	return Choice{
 		Target:       chosen.target.Target,
 		Reason:       reason,
-		CachedTokens: chosen.cached,
+		CachedTokens: chosen.cachedTokens,
 		Load:         chosen.load,
 	}, nil
 }
@@ -52,14 +52,14 @@
 	now   int64
 	// candidates are pointers, so that drawing may reorder them while an earlier
 	// choice is still held.
-	candidates []*candidate
-	hashes     []uint64
+	candidates   []*candidate
+	prefixHashes []uint64
 	// tried are the data centres of the excluded targets.
-	tried []string
+	triedDataCentres []string
 }
 
 // collect finds the eligible targets.
-func (p *pick) collect() error {
+func (p *pick) collectEligible() error {
 	eligible := make([]candidate, 0, len(p.pool.targets))
 	none := NoTargetError{Pool: p.query.Pool, Known: len(p.pool.targets)}
 	for _, target := range p.pool.targets {
@@ -68,7 +68,7 @@
 			none.Leaving++
 		case slices.Contains(p.query.Exclude, target.Incarnation):
 			none.Excluded++
-			p.tried = append(p.tried, target.DataCentre)
+			p.triedDataCentres = append(p.triedDataCentres, target.DataCentre)
 		case !target.Fits(p.query):
 			none.Unfit++
 		default:
@@ -88,17 +88,17 @@
 // choose applies the rules in their order: probe, floor, affinity, load.
 func (p *pick) choose() (*candidate, Reason) {
 	if len(p.candidates) == 1 {
-		p.assess()
+		p.scoreCandidates()
 		return p.candidates[0], ReasonOnly
 	}
 	floored := false
-	if !p.table.config.off(MechanismEjection) {
+	if !p.table.config.disabled(MechanismEjection) {
 		if probe := p.probe(); probe != nil {
 			return probe, ReasonProbe
 		}
 		floored = p.dropEjected()
 	}
-	p.assess()
+	p.scoreCandidates()
 	c, reason := p.byRule()
 	if floored && c.ejection != notEjected {
 		reason = ReasonFloor
@@ -110,10 +110,10 @@
 	if c := p.preferred(); c != nil {
 		return c, ReasonPreferred
 	}
-	if p.query.Home != "" {
+	if p.query.HomeKey != "" {
 		return p.byHome()
 	}
-	if len(p.query.Prefix) > 0 && !p.table.config.off(MechanismAffinity) {
+	if len(p.query.Prefix) > 0 && !p.table.config.disabled(MechanismAffinity) {
 		return p.byPrefix()
 	}
 	return p.byLoad()
@@ -121,11 +121,11 @@
 
 // preferred is the candidate that the query prefers; nil if it isn't among them.
 func (p *pick) preferred() *candidate {
-	if p.query.Prefer == "" {
+	if p.query.Preferred == "" {
 		return nil
 	}
 	for _, c := range p.candidates {
-		if c.target.Incarnation == p.query.Prefer {
+		if c.target.Incarnation == p.query.Preferred {
 			return c
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // probePatience is how long a due probe waits for a request of a lower tier.
-const probePatience = int64(time.Second)
+const probeLowerTierWait = int64(time.Second)
 
 // probe returns an ejected target whose time is over and which this pick may
 // try. One probe at a time guards against the stampede on a target that is
@@ -141,11 +141,11 @@
 func (p *pick) probe() *candidate {
 	for _, c := range p.candidates {
 		h := &c.target.health
-		c.ejection = h.ejection(p.now)
+		c.ejection = h.ejectionState(p.now)
 		if c.ejection != probeDue {
 			continue
 		}
-		if p.query.Rank == 0 && p.now-h.ejected.Load() < probePatience {
+		if p.query.Rank == 0 && p.now-h.ejectedUntil.Load() < probeLowerTierWait {
 			continue
 		}
 		if h.claimProbe(p.now) {
@@ -167,7 +167,7 @@
 			healthy++
 		}
 	}
-	keep := max(healthy, p.pool.floor(len(p.candidates)))
+	keep := max(healthy, p.pool.minRoutable(len(p.candidates)))
 	p.candidates = p.candidates[:keep]
 	return keep > healthy
 }
@@ -176,17 +176,17 @@
 	if c.ejection == notEjected {
 		return 0
 	}
-	return c.target.health.ejected.Load()
+	return c.target.health.ejectedUntil.Load()
 }
 
 // floor is the least number of n targets that stay routable.
-func (p *poolView) floor(n int) int {
+func (p *poolView) minRoutable(n int) int {
 	return min(n, max(1, int(math.Ceil(p.pool.EjectionFloor*float64(n)))))
 }
 
 // headroomWeight is what a busy but not yet full target counts: it breaks ties
 // towards the emptier one, since batching slows an engine a little.
-const headroomWeight = 0.3
+const utilizationWeight = 0.3
 
 // triedPenalty is added to the score of targets in a data centre where the
 // stage was already sent: when a data centre is lost, an attempt there fails,
@@ -195,20 +195,20 @@
 
 // assess estimates each candidate's load and score: how long a request takes
 // there, relative to its usual time on an idle target.
-func (p *pick) assess() {
+func (p *pick) scoreCandidates() {
 	config := &p.table.config
 	cost := p.query.Cost
 	if cost <= 0 {
 		cost = 1
 	}
 	for _, c := range p.candidates {
-		c.load = c.target.estimate(p.now, config)
+		c.load = c.target.estimatedLoad(p.now, config)
 		use := (c.load + cost) / c.target.slots(c.target.Slots)
-		c.score = 1 + headroomWeight*math.Min(use, 1) + math.Max(0, use-1)
-		if !config.off(MechanismLatency) {
-			c.score *= max(c.target.health.slow(p.now), c.target.open.slow(p.now, use))
+		c.score = 1 + utilizationWeight*math.Min(use, 1) + math.Max(0, use-1)
+		if !config.disabled(MechanismLatency) {
+			c.score *= max(c.target.health.slowdown(p.now), c.target.attemptAges.slowdown(p.now, use))
 		}
-		if slices.Contains(p.tried, c.target.DataCentre) && !config.off(MechanismSpread) {
+		if slices.Contains(p.triedDataCentres, c.target.DataCentre) && !config.disabled(MechanismRetryElsewhere) {
 			c.score += triedPenalty
 		}
 	}
@@ -223,19 +223,19 @@
 // Config.Choices between them: with a full sample of each, instances whose
 // digests are equally old chase the same few targets.
 func (p *pick) byLoad() (*candidate, Reason) {
-	if p.table.config.off(MechanismLocalFirst) {
-		return p.sample(func(*candidate) bool { return true }), ReasonLoad
+	if p.table.config.disabled(MechanismLocalFirst) {
+		return p.bestOfChoices(func(*candidate) bool { return true }), ReasonLoad
 	}
 	isLocal := func(c *candidate) bool { return c.target.local }
 	isRemote := func(c *candidate) bool { return !c.target.local }
 	half := (p.table.config.Choices + 1) / 2
-	local := p.best(half, isLocal)
-	remote := p.best(half, isRemote)
+	local := p.bestOfSample(half, isLocal)
+	remote := p.bestOfSample(half, isRemote)
 	switch {
 	case remote == nil:
-		return p.sample(isLocal), ReasonLoad
+		return p.bestOfChoices(isLocal), ReasonLoad
 	case local == nil:
-		return p.sample(isRemote), ReasonOverflow
+		return p.bestOfChoices(isRemote), ReasonOverflow
 	case remote.score+remotePenalty < local.score:
 		return remote, ReasonOverflow
 	default:
@@ -244,13 +244,13 @@
 }
 
 // sample draws Config.Choices distinct candidates and returns the best.
-func (p *pick) sample(from func(*candidate) bool) *candidate {
-	return p.best(p.table.config.Choices, from)
+func (p *pick) bestOfChoices(from func(*candidate) bool) *candidate {
+	return p.bestOfSample(p.table.config.Choices, from)
 }
 
 // best draws up to limit distinct candidates and returns the best. Each is
 // passed over with the probability that its share asks for, unless all are.
-func (p *pick) best(limit int, from func(*candidate) bool) *candidate {
+func (p *pick) bestOfSample(limit int, from func(*candidate) bool) *candidate {
 	var best, fallback *candidate
 	seen := 0
 	n := len(p.candidates)
@@ -262,7 +262,7 @@
 		if !from(c) {
 			continue
 		}
-		if p.thinned(c) {
+		if p.passedOver(c) {
 			fallback = better(fallback, c)
 			continue
 		}
@@ -275,8 +275,8 @@
 	return best
 }
 
-func (p *pick) thinned(c *candidate) bool {
-	share := c.target.share(p.now, &p.table.config)
+func (p *pick) passedOver(c *candidate) bool {
+	share := c.target.trafficShare(p.now, &p.table.config)
 	return share < 1 && p.rng.Float64() >= share
 }
 
@@ -288,22 +288,22 @@
 }
 
 // remember notes that the chosen target will cache the prompt's parts.
-func (p *pick) remember(c *candidate) {
-	if p.table.config.off(MechanismAffinity) {
+func (p *pick) recordPrefix(c *candidate) {
+	if p.table.config.disabled(MechanismAffinity) {
 		return
 	}
-	p.hash()
-	for _, h := range p.hashes {
+	p.hashPrefix()
+	for _, h := range p.prefixHashes {
 		c.target.prefixes.add(p.now, h)
 	}
 }
 
-func (p *pick) hash() {
-	if p.hashes != nil || len(p.query.Prefix) == 0 {
+func (p *pick) hashPrefix() {
+	if p.prefixHashes != nil || len(p.query.Prefix) == 0 {
 		return
 	}
-	p.hashes = make([]uint64, len(p.query.Prefix))
+	p.prefixHashes = make([]uint64, len(p.query.Prefix))
 	for i, part := range p.query.Prefix {
-		p.hashes[i] = xxhash.Sum64String(part.ID)
+		p.prefixHashes[i] = xxhash.Sum64String(part.ID)
 	}
 }
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -18,7 +18,7 @@
 // would refuse everybody.
 func TestPickIsAlwaysEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		targets := someTargets(rapid.IntRange(1, 8).Draw(rt, "targets"))
+		targets := testTargets(rapid.IntRange(1, 8).Draw(rt, "targets"))
 		for i := range targets {
 			targets[i].Models = [][]string{nil, {"a"}, {"b"}, {"a", "b"}}[rapid.IntRange(0, 3).Draw(rt, "models")]
 			targets[i].DataCentre = rapid.SampledFrom([]string{"dc-0", "dc-1"}).Draw(rt, "dc")
@@ -29,7 +29,7 @@
 		now := start
 		rng := newRNG()
 		name := func() string { return fmt.Sprintf("t%d", rapid.IntRange(0, 8).Draw(rt, "name")) }
-		var open []*Handle
+		var open []*Attempt
 		rt.Repeat(map[string]func(*rapid.T){
 			"wait": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(rt, "ms")) * time.Millisecond)
@@ -91,7 +91,7 @@
 // some time more, loses it and, read from a replica behind, names it again. A
 // request sent to it then would be cut.
 func TestLeavingIsSticky(t *testing.T) {
-	targets := someTargets(2)
+	targets := testTargets(2)
 	table := newTable(Config{LeavingRetention: time.Minute}, targets)
 	table.Leaving(at(1*time.Second), "t0")
 	lists := [][]Target{targets, targets[1:], targets}
@@ -111,7 +111,7 @@
 }
 
 func TestLeavingIsBounded(t *testing.T) {
-	table := newTable(Config{}, someTargets(1))
+	table := newTable(Config{}, testTargets(1))
 	for i := range maxLeaving + 10 {
 		table.leaving[fmt.Sprint(i)] = at(time.Duration(i))
 	}
@@ -123,7 +123,7 @@
 // Local targets are taken while they are about as free as the others; when they
 // fill, those of the next data centre take over before anything queues.
 func TestLocalFirstWithOverflow(t *testing.T) {
-	targets := someTargets(4)
+	targets := testTargets(4)
 	targets[2].DataCentre, targets[3].DataCentre = "dc-1", "dc-1"
 	for _, tc := range []struct {
 		local, remote int
@@ -146,12 +146,12 @@
 // A data centre is lost and the list can't tell yet. The first attempt went
 // there and failed; if the second one does too, the request has no third.
 func TestRetryAvoidsTriedDataCentre(t *testing.T) {
-	targets := someTargets(6)
+	targets := testTargets(6)
 	for i := range 3 {
 		targets[i].DataCentre = "dc-1"
 	}
 	pick := func(off Mechanism) (beside int) {
-		table := newTable(Config{Off: off | MechanismLocalFirst}, targets)
+		table := newTable(Config{Disabled: off | MechanismLocalFirst}, targets)
 		rng := newRNG()
 		for range 200 {
 			if table.mustPick(t, start, rng, Query{Exclude: []string{"t0"}}).Target.DataCentre == "dc-1" {
@@ -161,12 +161,12 @@
 		return beside
 	}
 	require.Less(t, pick(0), 30)
-	require.Greater(t, pick(MechanismSpread), 50)
+	require.Greater(t, pick(MechanismRetryElsewhere), 50)
 }
 
 // Picks and results run beside updates; the race detector is the judge.
 func TestConcurrentUse(t *testing.T) {
-	targets := someTargets(6)
+	targets := testTargets(6)
 	table := newTable(Config{}, targets)
 	var all sync.WaitGroup
 	for w := range 4 {
@@ -202,7 +202,7 @@
 
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 64, 4000} {
-		table := newTable(Config{}, someTargets(n))
+		table := newTable(Config{}, testTargets(n))
 		rng := newRNG()
 		q := Query{Pool: testPool.Name, Prefix: []PrefixPart{{"a", 800}, {"b", 900}}}
 		b.Run(fmt.Sprintf("prompt/targets=%d", n), func(b *testing.B) {
@@ -227,7 +227,7 @@
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				table := newTable(Config{}, someTargets(n))
+				table := newTable(Config{}, testTargets(n))
 				for _, target := range table.view.Load().byTarget {
 					target.prefixes.add(start.UnixNano(), 1)
 				}
--- a/coordination/routing/prefix.go
+++ b/coordination/routing/prefix.go
@@ -17,13 +17,13 @@
 	// prompts cost nothing.
 	table atomic.Pointer[[]atomic.Uint64]
 	// valid is the second before which entries count no longer.
-	valid atomic.Int64
-	epoch atomic.Uint64
+	validFrom atomic.Int64
+	epoch     atomic.Uint64
 }
 
 // gapTrust is the age up to which entries still count after a gap in the
 // events: the lost events may have told that older parts were evicted.
-const gapTrust = 20 * time.Second
+const gapMaxAge = 20 * time.Second
 
 // slot returns the slot of a part, nil while the table is empty.
 func (p *prefixIndex) slot(part uint64) *atomic.Uint64 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (p *prefixIndex) has(now int64, part uint64, ttl time.Duration) bool {
+func (p *prefixIndex) contains(now int64, part uint64, ttl time.Duration) bool {
 	slot := p.slot(part)
 	if slot == nil {
 		return false
@@ -64,16 +64,16 @@
 		return false
 	}
 	second := int64(value & 0xffffffff)
-	return second >= p.valid.Load() && now/int64(time.Second)-second <= int64(ttl/time.Second)
+	return second >= p.validFrom.Load() && now/int64(time.Second)-second <= int64(ttl/time.Second)
 }
 
 func (p *prefixIndex) apply(now int64, u CacheUpdate) {
 	second := now / int64(time.Second)
 	if old := p.epoch.Swap(u.Epoch); old != 0 && old != u.Epoch {
-		p.valid.Store(second)
+		p.validFrom.Store(second)
 	}
 	if u.Gap {
-		p.valid.Store(max(p.valid.Load(), second-int64(gapTrust/time.Second)))
+		p.validFrom.Store(max(p.validFrom.Load(), second-int64(gapMaxAge/time.Second)))
 	}
 	for _, part := range u.Added {
 		p.add(now, xxhash.Sum64String(part))
@@ -85,10 +85,10 @@
 
 // cached returns the number of leading tokens that the target is believed to
 // hold. Parts are cached in order, so the first missing part ends the run.
-func (s *targetState) cached(now int64, parts []PrefixPart, hashes []uint64, ttl time.Duration) int {
+func (s *targetState) cachedTokens(now int64, parts []PrefixPart, hashes []uint64, ttl time.Duration) int {
 	tokens := 0
 	for i, part := range parts {
-		if !s.prefixes.has(now, hashes[i], ttl) {
+		if !s.prefixes.contains(now, hashes[i], ttl) {
 			break
 		}
 		tokens += part.Tokens
--- a/coordination/routing/stats.go
+++ b/coordination/routing/stats.go
@@ -6,10 +6,10 @@
 )
 
 type counters struct {
-	reasons [len(reasonNames)]atomic.Uint64
-	refused atomic.Uint64
-	ejected atomic.Uint64
-	floored atomic.Uint64
+	reasons            [len(reasonNames)]atomic.Uint64
+	noTarget           atomic.Uint64
+	ejections          atomic.Uint64
+	ejectionsPrevented atomic.Uint64
 }
 
 // Stats is a snapshot of a table for metrics and operators.
@@ -19,8 +19,8 @@
 	// Refused counts the picks that found no target.
 	Refused uint64
 	// Ejections counts ejections; Floored those that the floor forbade.
-	Ejections, Floored uint64
-	Targets            []TargetStats
+	Ejections, EjectionsPrevented uint64
+	Targets                       []TargetStats
 }
 
 // TargetStats is the state of one kept target.
@@ -29,19 +29,19 @@
 	// InFlight is the own cost in flight, Load the estimate over all instances.
 	InFlight, Load float64
 	// Slowness is the latency over the expected one, Failing the failing share.
-	Slowness, Failing float64
-	Leaving, Ejected  bool
-	Picked            uint64
+	Slowness, FailureRate float64
+	Leaving, Ejected      bool
+	Picked                uint64
 }
 
 // Stats returns the counters and the state of every kept target.
 func (t *Table) Stats(now time.Time) Stats {
 	ns := now.UnixNano()
 	stats := Stats{
-		Picks:     map[Reason]uint64{},
-		Refused:   t.counts.refused.Load(),
-		Ejections: t.counts.ejected.Load(),
-		Floored:   t.counts.floored.Load(),
+		Picks:              map[Reason]uint64{},
+		Refused:            t.counts.noTarget.Load(),
+		Ejections:          t.counts.ejections.Load(),
+		EjectionsPrevented: t.counts.ejectionsPrevented.Load(),
 	}
 	for i := range t.counts.reasons {
 		stats.Picks[Reason(i)] = t.counts.reasons[i].Load()
@@ -58,13 +58,13 @@
 	return TargetStats{
 		Incarnation: t.Incarnation,
 		Pool:        t.Pool,
-		InFlight:    t.own(),
-		Load:        t.estimate(now, c),
-		Slowness:    t.health.slow(now),
-		Failing:     t.health.failing.read(now),
+		InFlight:    t.ownLoad(),
+		Load:        t.estimatedLoad(now, c),
+		Slowness:    t.health.slowdown(now),
+		FailureRate: t.health.failureRate.read(now),
 		Leaving:     t.leaving,
-		Ejected:     t.health.ejection(now) != notEjected,
-		Picked:      t.picked.Load(),
+		Ejected:     t.health.ejectionState(now) != notEjected,
+		Picked:      t.picks.Load(),
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	sum := 0.0
 	for _, target := range p.targets {
-		if !target.leaving && target.health.ejection(now.UnixNano()) == notEjected {
+		if !target.leaving && target.health.ejectionState(now.UnixNano()) == notEjected {
 			sum += target.slots(target.Target.Slots)
 		}
 	}
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -13,7 +13,7 @@
 
 // leastPerModel is how many targets of each model a subset keeps, so that a
 // rare model is not routed to a single target.
-const leastPerModel = 4
+const minPerModel = 4
 
 type ranked struct {
 	target Target
@@ -24,13 +24,13 @@
 // every instance another subset and changes it by one target when one comes or
 // goes.
 func (c *Config) subset(targets []Target) []Target {
-	if len(targets) <= c.Subset {
+	if len(targets) <= c.SubsetSize {
 		return slices.Clone(targets)
 	}
-	all := c.rank(targets)
-	local := int(localShare * float64(c.Subset))
-	kept := make([]Target, 0, c.Subset)
-	taken := make(map[string]bool, c.Subset)
+	all := c.rankTargets(targets)
+	local := int(localShare * float64(c.SubsetSize))
+	kept := make([]Target, 0, c.SubsetSize)
+	taken := make(map[string]bool, c.SubsetSize)
 	models := map[string]int{}
 	take := func(limit int, fits func(Target) bool) {
 		for _, r := range all {
@@ -46,12 +46,12 @@
 		}
 	}
 	rare := func(t Target) bool {
-		return slices.ContainsFunc(t.Models, func(m string) bool { return models[m] < leastPerModel })
+		return slices.ContainsFunc(t.Models, func(m string) bool { return models[m] < minPerModel })
 	}
-	take(c.Subset, rare)
+	take(c.SubsetSize, rare)
 	take(max(local, len(kept)), func(t Target) bool { return t.DataCentre == c.LocalDataCentre })
-	take(c.Subset, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
-	take(c.Subset, func(Target) bool { return true })
+	take(c.SubsetSize, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
+	take(c.SubsetSize, func(Target) bool { return true })
 	return kept
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-func (c *Config) rank(targets []Target) []ranked {
+func (c *Config) rankTargets(targets []Target) []ranked {
 	all := make([]ranked, len(targets))
 	for i, t := range targets {
 		all[i] = ranked{target: t, rank: rendezvous.Score(c.Instance, t.Incarnation)}
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -17,17 +17,17 @@
 
 	mu      sync.Mutex // serialises updates; never held by Pick
 	states  map[string]*targetState
-	pools   map[string]*poolInput
+	pools   map[string]*listedPool
 	leaving map[string]time.Time // when it was last in a list or told of
-	digests digests
+	digests peerDigests
 }
 
 // poolInput is what the last list said of a pool.
-type poolInput struct {
-	pool   Pool
-	listed map[string]bool
-	subset []Target
-	health sync.Mutex // serialises ejections of the pool
+type listedPool struct {
+	pool       Pool
+	listed     map[string]bool
+	subset     []Target
+	ejectionMu sync.Mutex // serialises ejections of the pool
 }
 
 // view is what Pick reads; it is never changed once published.
@@ -38,9 +38,9 @@
 }
 
 type poolView struct {
-	pool    Pool
-	targets []*targetView
-	health  *sync.Mutex
+	pool       Pool
+	targets    []*targetView
+	ejectionMu *sync.Mutex
 }
 
 // targetView is one routable or leaving target of a view.
@@ -57,7 +57,7 @@
 	t := &Table{
 		config:  config.withDefaults(),
 		states:  map[string]*targetState{},
-		pools:   map[string]*poolInput{},
+		pools:   map[string]*listedPool{},
 		leaving: map[string]time.Time{},
 	}
 	t.digests.byOrigin = map[string]*originDigest{}
@@ -73,7 +73,7 @@
 	defer t.mu.Unlock()
 	input, known := t.pools[pool.Name]
 	if !known {
-		input = &poolInput{}
+		input = &listedPool{}
 		t.pools[pool.Name] = input
 	}
 	hadTargets := len(input.subset) > 0
@@ -90,10 +90,10 @@
 	}
 	for _, target := range input.subset {
 		if t.states[target.Incarnation] == nil {
-			t.states[target.Incarnation] = newTargetState(target, added, t.config.PrefixSlots)
+			t.states[target.Incarnation] = newTargetState(target, added, t.config.PrefixTableSize)
 		}
 	}
-	t.forget(now)
+	t.dropUnlisted(now)
 	t.publish()
 }
 
@@ -120,7 +120,7 @@
 	if target == nil {
 		return
 	}
-	target.applyReport(now, load, !t.config.off(MechanismAgeCorrection))
+	target.applyReport(now, load, !t.config.disabled(MechanismAgeCorrection))
 }
 
 // CacheEvent takes in a page of an engine's cache events.
@@ -134,7 +134,7 @@
 
 // forget drops the state of targets that no list names any more, and leaving
 // marks whose incarnation vanished from the lists long ago.
-func (t *Table) forget(now time.Time) {
+func (t *Table) dropUnlisted(now time.Time) {
 	kept := make(map[string]bool, len(t.states))
 	for _, input := range t.pools {
 		for _, target := range input.subset {
@@ -184,7 +184,7 @@
 		byHash:   make(map[uint32]*targetView, len(t.states)),
 	}
 	for name, input := range t.pools {
-		p := &poolView{pool: input.pool, health: &input.health}
+		p := &poolView{pool: input.pool, ejectionMu: &input.ejectionMu}
 		for _, target := range input.subset {
 			tv := t.newTargetView(target, p)
 			p.targets = append(p.targets, tv)
--- a/coordination/routing/types.go
+++ b/coordination/routing/types.go
@@ -57,10 +57,10 @@
 	// Home names what the request reads again and again, such as a subject whose
 	// prompt an engine caches. All instances choose the same target for a home
 	// without a word, as long as it isn't crowded.
-	Home string
+	HomeKey string
 	// Prefer is the incarnation that was chosen for the request by who knows more; it
 	// is used unless it is ejected, excluded or not there.
-	Prefer string
+	Preferred string
 	// HomeShares are the shares of homes that data centres should have, where
 	// something else than the targets' number decides: such as where the inputs of
 	// the requests are made. Nil is by the number of targets.
@@ -145,7 +145,7 @@
 	// OutcomeNotRun is a refusal; the target vouches that nothing was run.
 	OutcomeNotRun
 	// OutcomeLate is a whole answer past its deadline, or none by then.
-	OutcomeLate
+	OutcomeDeadlineMissed
 	// OutcomeCancelled is an attempt that the instance gave up, for instance
 	// the loser of a hedge. It says nothing about the target's health.
 	OutcomeCancelled
@@ -203,5 +203,5 @@
 	MechanismSlowStart
 	MechanismAffinity
 	MechanismSuspicion
-	MechanismSpread
+	MechanismRetryElsewhere
 )
