--- a/coordination/routing/affinity.go
+++ b/coordination/routing/affinity.go
@@ -1,10 +1,11 @@
 package routing
 
-// creditPrefix takes the cached part of the prompt off each candidate's score.
-// The credit is a share of the score, so a popular prefix spreads once its
-// holders queue, and holders are used all the more when all engines queue.
-func (p *pick) creditPrefix() {
-	p.hash()
+// discountCachedPrefix lowers each candidate's score by the cached part of the prompt.
+// The discount is a share of the score: a popular prefix moves to further targets once
+// those that cache it have queues, and the cache counts for more when all engines have
+// queues.
+func (p *pick) discountCachedPrefix() {
+	p.hashPrefix()
 	total := 0
 	for _, part := range p.query.Prefix {
 		total += part.Tokens
@@ -14,17 +15,18 @@
 	}
 	weight := p.table.config.CacheWeight / float64(total)
 	for _, c := range p.candidates {
-		c.cached = c.target.cached(p.now, p.query.Prefix, p.hashes, p.table.config.PrefixTTL)
-		c.score *= 1 - weight*float64(c.cached)
+		c.cachedTokens = c.target.cachedTokens(p.now, p.query.Prefix, p.prefixHashes, p.table.config.PrefixTTL)
+		c.score *= 1 - weight*float64(c.cachedTokens)
 	}
 }
 
-// byPrefix returns the best candidate, the cached prefix counted. All of them
-// are compared: a sample of two would mostly miss the few holders.
+// byPrefix returns the candidate with the best score after the discount for its cached
+// prefix. It compares all candidates, since a sample of two would mostly miss the few
+// that have the prefix cached.
 func (p *pick) byPrefix() (*candidate, Reason) {
-	p.creditPrefix()
-	c := p.best(len(p.candidates), func(*candidate) bool { return true })
-	if c.cached > 0 {
+	p.discountCachedPrefix()
+	c := p.bestOfSample(len(p.candidates), func(*candidate) bool { return true })
+	if c.cachedTokens > 0 {
 		return c, ReasonAffinity
 	}
 	return c, ReasonLoad
--- a/coordination/routing/attempt.go
+++ b/coordination/routing/attempt.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// Handle stands for one attempt in flight.
-type Handle struct {
+// Attempt is one attempt in flight at a target.
+type Attempt struct {
 	table  *Table
 	target *targetView
 	cost   int64
-	// crowding is how many times the target's slots were taken at the start.
-	crowding float64
-	start    int64
-	done     atomic.Bool
+	// utilization is the target's estimated load relative to its slots when the attempt
+	// started, at least 1.
+	utilization float64
+	startMillis int64
+	ended       atomic.Bool
 }
 
-// Started records that an attempt was sent. Cost is its expected work relative
-// to the pool's mean; 0 means 1. Each handle must be ended by Done.
-func (t *Table) Started(now time.Time, incarnation string, cost float64) *Handle {
+// Started records that an attempt was sent. Cost is its expected work relative to the
+// pool's mean; 0 means 1. The caller must call Done on the returned attempt.
+func (t *Table) Started(now time.Time, incarnation string, cost float64) *Attempt {
 	target := t.view.Load().byTarget[incarnation]
 	if target == nil {
-		return &Handle{}
+		return &Attempt{}
 	}
 	if cost <= 0 {
 		cost = 1
 	}
 	ns := now.UnixNano()
-	use := (target.estimate(ns, &t.config) + cost) / target.slots(target.Slots)
-	h := &Handle{table: t, target: target, cost: int64(cost * costUnit), crowding: max(1, use)}
-	target.add(ns, h.cost)
-	h.start = target.open.began(ns)
-	return h
+	utilization := (target.estimatedLoad(ns, &t.config) + cost) / target.slots(target.Slots)
+	a := &Attempt{table: t, target: target, cost: int64(cost * costUnit), utilization: max(1, utilization)}
+	target.addInFlight(ns, a.cost)
+	a.startMillis = target.attemptAges.start(ns)
+	return a
 }
 
 // Done records how the attempt ended. A second call does nothing.
-func (h *Handle) Done(now time.Time, result Result) {
-	if h.target == nil || h.done.Swap(true) {
+func (a *Attempt) Done(now time.Time, result Result) {
+	if a.target == nil || a.ended.Swap(true) {
 		return
 	}
 	ns := now.UnixNano()
-	h.target.add(ns, -h.cost)
-	h.target.open.ended(h.start, result.Expected)
-	// A target that was known to be crowded is expected to take longer: only
-	// what goes beyond that tells of a slow target.
-	result.Expected = time.Duration(float64(result.Expected) * h.crowding)
-	if h.target.health.observe(ns, result) && !h.table.config.off(MechanismEjection) {
-		h.table.eject(ns, h.target)
+	a.target.addInFlight(ns, -a.cost)
+	a.target.attemptAges.finish(a.startMillis, result.Expected)
+	// A target with more load than slots is expected to take longer. Only latency beyond
+	// that indicates a slow target.
+	result.Expected = time.Duration(float64(result.Expected) * a.utilization)
+	if a.target.health.observe(ns, result) && !a.table.config.disabled(MechanismEjection) {
+		a.table.eject(ns, a.target)
 	}
 }
 
-// eject takes a target out of routing unless the pool's floor forbids it.
+// eject removes a target from routing unless the pool's ejection floor prevents it.
 func (t *Table) eject(now int64, target *targetView) {
 	pool := target.pool
-	pool.health.Lock()
-	defer pool.health.Unlock()
+	pool.ejectionMu.Lock()
+	defer pool.ejectionMu.Unlock()
 	routable, all := 0, 0
 	for _, other := range pool.targets {
 		if other.leaving {
 			continue
 		}
 		all++
-		if other != target && other.health.ejection(now) == notEjected {
+		if other != target && other.health.ejectionState(now) == notEjected {
 			routable++
 		}
 	}
-	if routable < pool.floor(all) {
-		t.counts.floored.Add(1)
+	if routable < pool.minRoutable(all) {
+		t.counts.ejectionsPrevented.Add(1)
 		return
 	}
 	target.health.eject(now, &t.config)
-	t.counts.ejected.Add(1)
+	t.counts.ejections.Add(1)
 }
--- a/coordination/routing/baseline/baseline.go
+++ b/coordination/routing/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds the usual routing strategies that package routing is
-// measured against. They see the same lists and results, but no digests, load
-// reports or cache events, and they eject nothing.
+// Package baseline implements common routing strategies that package routing is
+// compared with. They use the same lists and results, but no digests, load reports or
+// cache events, and they eject no targets.
 package baseline
 
 import (
@@ -12,48 +12,48 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Strategy chooses among the eligible targets; there is at least one.
+// Strategy chooses one of the eligible targets, of which there is at least one.
 type Strategy interface {
-	choose(pool string, rng *rand.Rand, eligible []*entry) *entry
+	choose(pool string, rng *rand.Rand, eligible []*targetState) *targetState
 }
 
-// entry is what a baseline knows of one target.
-type entry struct {
+// targetState is a target with the state that the strategies use.
+type targetState struct {
 	target      routing.Target
 	outstanding int
 	rating      rating
 }
 
-// Router applies one strategy. It is safe for concurrent use.
+// Router chooses targets by one strategy. It is safe for concurrent use.
 type Router struct {
 	strategy Strategy
 	mu       sync.Mutex
-	entries  map[string]*entry
-	pools    map[string][]*entry
+	states   map[string]*targetState
+	pools    map[string][]*targetState
 }
 
 // New returns a router without targets.
 func New(strategy Strategy) *Router {
 	return &Router{
 		strategy: strategy,
-		entries:  map[string]*entry{},
-		pools:    map[string][]*entry{},
+		states:   map[string]*targetState{},
+		pools:    map[string][]*targetState{},
 	}
 }
 
-// SetTargets takes the platform's list of a pool's targets.
+// SetTargets replaces the list of a pool's targets with the platform's latest.
 func (r *Router) SetTargets(_ time.Time, pool routing.Pool, targets []routing.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]*entry, 0, len(targets))
+	list := make([]*targetState, 0, len(targets))
 	for _, t := range targets {
-		e := r.entries[t.Incarnation]
-		if e == nil {
-			e = &entry{rating: newRating()}
-			r.entries[t.Incarnation] = e
+		state := r.states[t.Incarnation]
+		if state == nil {
+			state = &targetState{rating: newRating()}
+			r.states[t.Incarnation] = state
 		}
-		e.target = t
-		list = append(list, e)
+		state.target = t
+		list = append(list, state)
 	}
 	r.pools[pool.Name] = list
 }
@@ -64,15 +64,15 @@
 	defer r.mu.Unlock()
 	pool := r.pools[q.Pool]
 	none := routing.NoTargetError{Pool: q.Pool, Known: len(pool)}
-	eligible := make([]*entry, 0, len(pool))
-	for _, e := range pool {
+	eligible := make([]*targetState, 0, len(pool))
+	for _, state := range pool {
 		switch {
-		case slices.Contains(q.Exclude, e.target.Incarnation):
+		case slices.Contains(q.Exclude, state.target.Incarnation):
 			none.Excluded++
-		case !e.target.Fits(&q):
+		case !state.target.Fits(&q):
 			none.Unfit++
 		default:
-			eligible = append(eligible, e)
+			eligible = append(eligible, state)
 		}
 	}
 	if len(eligible) == 0 {
@@ -81,20 +81,19 @@
 	return routing.Choice{Target: r.strategy.choose(q.Pool, rng, eligible).target}, nil
 }
 
-// Started records that an attempt was sent; the function it returns records how
-// it ended.
+// Started records that an attempt was sent. The returned function records its result.
 func (r *Router) Started(incarnation string) func(routing.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.entries[incarnation]
-	if e == nil {
+	state := r.states[incarnation]
+	if state == nil {
 		return func(routing.Result) {}
 	}
-	e.outstanding++
+	state.outstanding++
 	return func(result routing.Result) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		e.outstanding--
-		e.rating.observe(result)
+		state.outstanding--
+		state.rating.observe(result)
 	}
 }
--- a/coordination/routing/baseline/baseline_test.go
+++ b/coordination/routing/baseline/baseline_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counts picks 1000 times, with t0 slow and t1 failing in what went before.
+// counts returns the number of picks per target in 1000 picks, after results in which t0
+// was slow and t1 failed, with three attempts in flight at t2.
 func counts(t *testing.T, s Strategy, exclude ...string) map[string]int {
 	r := New(s)
 	var targets []routing.Target
@@ -38,14 +39,14 @@
 func TestStrategies(t *testing.T) {
 	for _, tc := range []struct {
 		strategy Strategy
-		// least and most of 1000 picks for t0 (slow), t1 (fails), t2 (3 open)
+		// least and most of 1000 picks for t0 (slow), t1 (fails), t2 (3 in flight)
 		least, most [3]int
 	}{
 		{Random{}, [3]int{200, 200, 200}, [3]int{300, 300, 300}},
 		{&RoundRobin{}, [3]int{250, 250, 250}, [3]int{250, 250, 250}},
 		{LeastOutstanding{}, [3]int{280, 280, 0}, [3]int{390, 390, 0}},
 		{TwoChoices{}, [3]int{280, 280, 0}, [3]int{390, 390, 0}},
-		{Rounds{}, [3]int{0, 0, 400}, [3]int{0, 0, 600}},
+		{RatingRounds{}, [3]int{0, 0, 400}, [3]int{0, 0, 600}},
 	} {
 		n := counts(t, tc.strategy)
 		for i, name := range []string{"t0", "t1", "t2"} {
@@ -54,8 +55,8 @@
 		}
 		require.Zero(t, counts(t, tc.strategy, "t3")["t3"])
 	}
-	// The last round takes those that the first one leaves out.
-	require.Equal(t, 1000, counts(t, Rounds{}, "t0", "t2", "t3")["t1"])
+	// The second round samples among the targets that the first excludes.
+	require.Equal(t, 1000, counts(t, RatingRounds{}, "t0", "t2", "t3")["t1"])
 }
 
 func TestNoTargetIsAnError(t *testing.T) {
--- a/coordination/routing/baseline/rounds.go
+++ b/coordination/routing/baseline/rounds.go
@@ -2,27 +2,28 @@
 
 import "math/rand/v2"
 
-// Rounds is weighted random sampling by rating with balancing rounds, after
-// "Load balancing: Strategies" of the dRPC documentation: the first round
-// samples among the best performers that are available, the second among all
-// targets, the softly unavailable included.
-type Rounds struct{}
+// RatingRounds samples targets at random, weighted by their ratings, in balancing rounds
+// (after "Load balancing: Strategies" in the dRPC documentation). The first round samples
+// among the available targets with the best ratings; if there are none, the second
+// samples among all targets, including those that are softly unavailable.
+type RatingRounds struct{}
 
 const (
-	// bestShare of the best rating puts a target in the first round.
-	bestShare = 0.5
-	// softUnavailable failures in a row leave a target to the second round.
-	softUnavailable = 2
+	// firstRoundShare is the minimum rating in the first round, relative to the best.
+	firstRoundShare = 0.5
+	// softUnavailableFailures is the number of consecutive failures that exclude a
+	// target from the first round.
+	softUnavailableFailures = 2
 )
 
-func (Rounds) choose(_ string, rng *rand.Rand, eligible []*entry) *entry {
+func (RatingRounds) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
 	best := 0.0
 	for _, e := range eligible {
 		best = max(best, e.rating.value())
 	}
-	round := make([]*entry, 0, len(eligible))
+	round := make([]*targetState, 0, len(eligible))
 	for _, e := range eligible {
-		if e.rating.unavailable < softUnavailable && e.rating.value() >= bestShare*best {
+		if e.rating.consecutiveFailures < softUnavailableFailures && e.rating.value() >= firstRoundShare*best {
 			round = append(round, e)
 		}
 	}
@@ -32,7 +33,7 @@
 	return sampleByRating(rng, round)
 }
 
-func sampleByRating(rng *rand.Rand, round []*entry) *entry {
+func sampleByRating(rng *rand.Rand, round []*targetState) *targetState {
 	sum := 0.0
 	for _, e := range round {
 		sum += e.rating.value()
--- a/coordination/routing/baseline/simple.go
+++ b/coordination/routing/baseline/simple.go
@@ -6,19 +6,19 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Random draws a target uniformly.
+// Random chooses a target uniformly at random.
 type Random struct{}
 
-func (Random) choose(_ string, rng *rand.Rand, eligible []*entry) *entry {
+func (Random) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
 	return eligible[rng.IntN(len(eligible))]
 }
 
-// RoundRobin takes the targets in turn.
+// RoundRobin chooses the targets in turn.
 type RoundRobin struct {
 	next map[string]int
 }
 
-func (s *RoundRobin) choose(pool string, _ *rand.Rand, eligible []*entry) *entry {
+func (s *RoundRobin) choose(pool string, _ *rand.Rand, eligible []*targetState) *targetState {
 	if s.next == nil {
 		s.next = map[string]int{}
 	}
@@ -26,12 +26,12 @@
 	return eligible[s.next[pool]%len(eligible)]
 }
 
-// LeastOutstanding takes the target with the fewest own requests in flight,
-// ties broken at random.
+// LeastOutstanding chooses the target with the fewest requests in flight from this
+// router; ties are broken at random.
 type LeastOutstanding struct{}
 
-func (LeastOutstanding) choose(_ string, rng *rand.Rand, eligible []*entry) *entry {
-	var best *entry
+func (LeastOutstanding) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
+	var best *targetState
 	ties := 0
 	for _, e := range eligible {
 		switch {
@@ -47,11 +47,11 @@
 	return best
 }
 
-// TwoChoices takes the less loaded, by own requests, of two random targets
-// (Mitzenmacher, IEEE TPDS 2001).
+// TwoChoices chooses, of two random targets, the one with fewer requests in flight from
+// this router (Mitzenmacher, IEEE TPDS 2001).
 type TwoChoices struct{}
 
-func (TwoChoices) choose(_ string, rng *rand.Rand, eligible []*entry) *entry {
+func (TwoChoices) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
 	i := rng.IntN(len(eligible))
 	if len(eligible) == 1 {
 		return eligible[i]
@@ -66,18 +66,18 @@
 	return eligible[i]
 }
 
-// rating is a moving measure of a target's service: its share of successes
-// over its latency relative to the expected one.
+// rating is a moving average of a target's success rate, divided by that of its latency
+// relative to the expected latency.
 type rating struct {
-	success, slowness float64
-	unavailable       int // recent failures in a row
+	successRate, slowness float64
+	consecutiveFailures   int
 }
 
-// ratingShare is the share of a new sample in a rating.
-const ratingShare = 0.1
+// ratingWeight is the weight of a new sample in a rating.
+const ratingWeight = 0.1
 
 func newRating() rating {
-	return rating{success: 1, slowness: 1}
+	return rating{successRate: 1, slowness: 1}
 }
 
 func (r *rating) observe(result routing.Result) {
@@ -85,22 +85,22 @@
 	switch result.Outcome {
 	case routing.OutcomeOK:
 		ok = 1
-		r.unavailable = 0
+		r.consecutiveFailures = 0
 	case routing.OutcomeCancelled, routing.OutcomeNotRun:
 		return
 	default:
-		r.unavailable++
+		r.consecutiveFailures++
 	}
-	r.success += ratingShare * (ok - r.success)
+	r.successRate += ratingWeight * (ok - r.successRate)
 	if ok == 1 && result.Expected > 0 {
 		slow := float64(result.Latency) / float64(result.Expected)
-		r.slowness += ratingShare * (slow - r.slowness)
+		r.slowness += ratingWeight * (slow - r.slowness)
 	}
 }
 
-// leastRating keeps every target in reach of the sampling.
-const leastRating = 0.01
+// minRating keeps the sampling probability of every target above 0.
+const minRating = 0.01
 
 func (r *rating) value() float64 {
-	return max(leastRating, r.success/max(r.slowness, leastRating))
+	return max(minRating, r.successRate/max(r.slowness, minRating))
 }
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -4,59 +4,62 @@
 
 // Defaults of Config.
 const (
-	DefaultSubset           = 64
+	DefaultSubsetSize       = 64
 	DefaultChoices          = 2
-	DefaultOrigins          = 32
-	DefaultDigestEntries    = 128
+	DefaultMaxOrigins       = 32
+	DefaultMaxDigestEntries = 128
 	DefaultDigestTTL        = 2 * time.Second
-	DefaultReportTrust      = 500 * time.Millisecond
-	DefaultSlowStart        = 10 * time.Second
-	DefaultEjection         = 1 * time.Second
-	DefaultEjectionMax      = 30 * time.Second
+	DefaultReportTTL        = 500 * time.Millisecond
+	DefaultSlowStartWindow  = 10 * time.Second
+	DefaultBaseEjectionTime = 1 * time.Second
+	DefaultMaxEjectionTime  = 30 * time.Second
 	DefaultLeavingRetention = 10 * time.Minute
 	DefaultPrefixTTL        = 2 * time.Minute
-	DefaultPrefixSlots      = 2048
+	DefaultPrefixTableSize  = 2048
 	DefaultCacheWeight      = 0.5
 )
 
-// Config holds the settings of a Table. A zero field takes its default.
+// Config holds the settings of a Table. Fields that are zero or less take their defaults.
 type Config struct {
-	// Instance names this instance; it seeds the choice of its subsets.
+	// Instance is the name of this instance; it seeds the choice of its subsets.
 	Instance        string
 	LocalDataCentre string
-	// Subset is the number of targets kept for each pool.
-	Subset int
-	// Choices is the number of targets that are sampled for a pick.
+	// SubsetSize bounds the targets kept for each pool.
+	SubsetSize int
+	// Choices is the number of targets sampled for a pick.
 	Choices int
-	// Origins bounds the number of peers whose digests are kept.
-	Origins int
-	// DigestEntries bounds the entries of an own digest.
-	DigestEntries int
-	// DigestTTL is how long a peer's digest counts.
+	// MaxOrigins bounds the peers whose digests are kept.
+	MaxOrigins int
+	// MaxDigestEntries bounds the entries of a digest, sent or received.
+	MaxDigestEntries int
+	// DigestTTL is how long a peer's digest is used.
 	DigestTTL time.Duration
-	// ReportTrust is the age at which a target's report counts no longer.
-	ReportTrust time.Duration
-	// SlowStart is how long a new target takes to get its full share.
-	SlowStart time.Duration
-	// Ejection is how long a first ejection lasts; each further one in a row
-	// doubles it up to EjectionMax.
-	Ejection, EjectionMax time.Duration
-	// LeavingRetention is how long a leaving incarnation is remembered after
-	// it vanished from the list.
+	// ReportTTL is the age at which a target's report is no longer used; its weight
+	// falls linearly until then.
+	ReportTTL time.Duration
+	// SlowStartWindow is the time in which a new target ramps up to its full share of
+	// the traffic.
+	SlowStartWindow time.Duration
+	// BaseEjectionTime is the length of the first ejection. Each consecutive ejection
+	// doubles it, up to MaxEjectionTime.
+	BaseEjectionTime, MaxEjectionTime time.Duration
+	// LeavingRetention is how long a leaving incarnation is remembered after it was
+	// last listed.
 	LeavingRetention time.Duration
-	// CacheWeight, 0 to 1, is how much of a target's score a fully cached
-	// prompt takes off.
+	// CacheWeight, 0 to 1, is the share of a target's score by which a fully cached
+	// prompt reduces it.
 	CacheWeight float64
-	// PrefixTTL is how long an own routing decision counts as a cached prefix.
+	// PrefixTTL is how long the parts of a prompt are assumed to stay in a target's
+	// cache after a request with them was sent there or a cache event named them.
 	PrefixTTL time.Duration
-	// PrefixSlots bounds the prefix parts remembered for each target.
-	PrefixSlots int
-	// Off switches mechanisms off, for experiments.
-	Off Mechanism
+	// PrefixTableSize bounds the prefix parts remembered for each target.
+	PrefixTableSize int
+	// Disabled turns mechanisms off, for experiments.
+	Disabled Mechanism
 }
 
-func (c Config) off(m Mechanism) bool {
-	return c.Off&m != 0
+func (c Config) disabled(m Mechanism) bool {
+	return c.Disabled&m != 0
 }
 
 func orDefault[T int | time.Duration](value *T, fallback T) {
@@ -66,18 +69,18 @@
 }
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.Subset, DefaultSubset)
+	orDefault(&c.SubsetSize, DefaultSubsetSize)
 	orDefault(&c.Choices, DefaultChoices)
-	orDefault(&c.Origins, DefaultOrigins)
-	orDefault(&c.DigestEntries, DefaultDigestEntries)
+	orDefault(&c.MaxOrigins, DefaultMaxOrigins)
+	orDefault(&c.MaxDigestEntries, DefaultMaxDigestEntries)
 	orDefault(&c.DigestTTL, DefaultDigestTTL)
-	orDefault(&c.ReportTrust, DefaultReportTrust)
-	orDefault(&c.SlowStart, DefaultSlowStart)
-	orDefault(&c.Ejection, DefaultEjection)
-	orDefault(&c.EjectionMax, DefaultEjectionMax)
+	orDefault(&c.ReportTTL, DefaultReportTTL)
+	orDefault(&c.SlowStartWindow, DefaultSlowStartWindow)
+	orDefault(&c.BaseEjectionTime, DefaultBaseEjectionTime)
+	orDefault(&c.MaxEjectionTime, DefaultMaxEjectionTime)
 	orDefault(&c.LeavingRetention, DefaultLeavingRetention)
 	orDefault(&c.PrefixTTL, DefaultPrefixTTL)
-	orDefault(&c.PrefixSlots, DefaultPrefixSlots)
+	orDefault(&c.PrefixTableSize, DefaultPrefixTableSize)
 	if c.CacheWeight <= 0 {
 		c.CacheWeight = DefaultCacheWeight
 	}
--- a/coordination/routing/digest.go
+++ b/coordination/routing/digest.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// digests keeps the latest digest of each origin, bounded in number.
-type digests struct {
+// peerDigests holds the latest digest of each origin, up to Config.MaxOrigins.
+type peerDigests struct {
 	byOrigin map[string]*originDigest
 }
 
 type originDigest struct {
-	at      time.Time
-	entries []DigestEntry
+	receivedAt time.Time
+	entries    []DigestEntry
 }
 
-// PeerDigest takes in what a peer has in flight. The latest digest of an origin
-// replaces its older one; entries of unknown targets are dropped.
+// PeerDigest records the requests that a peer has in flight. A digest replaces the
+// earlier one of the same origin; entries of unknown targets are dropped.
 func (t *Table) PeerDigest(now time.Time, origin string, entries []DigestEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.view.Load()
-	kept := make([]DigestEntry, 0, min(len(entries), t.config.DigestEntries))
+	kept := make([]DigestEntry, 0, min(len(entries), t.config.MaxDigestEntries))
 	for _, e := range entries {
-		if v.byHash[e.TargetHash] != nil && len(kept) < t.config.DigestEntries {
+		if v.byHash[e.TargetHash] != nil && len(kept) < t.config.MaxDigestEntries {
 			kept = append(kept, e)
 		}
 	}
-	if t.digests.byOrigin[origin] == nil && len(t.digests.byOrigin) >= t.config.Origins {
+	if t.digests.byOrigin[origin] == nil && len(t.digests.byOrigin) >= t.config.MaxOrigins {
 		t.digests.dropOldest()
 	}
-	t.digests.byOrigin[origin] = &originDigest{at: now, entries: kept}
-	t.sumPeers(now, v)
+	t.digests.byOrigin[origin] = &originDigest{receivedAt: now, entries: kept}
+	t.updatePeerLoad(now, v)
 }
 
-// Digest returns what this instance has in flight, the ejected and the most
-// loaded targets first and at most Config.DigestEntries. It also ends the validity of peers'
-// digests that grew old, so call it at a steady rate.
+// Digest returns the requests that this instance has in flight, with ejected targets
+// first, then the most loaded ones, and at most Config.MaxDigestEntries. It also drops
+// expired digests of peers, so it has to be called at regular intervals.
 func (t *Table) Digest(now time.Time) []DigestEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.view.Load()
-	t.sumPeers(now, v)
+	t.updatePeerLoad(now, v)
 	entries := make([]DigestEntry, 0, len(v.byHash))
 	for hash, target := range v.byHash {
-		if target.health.ejection(now.UnixNano()) != notEjected {
+		if target.health.ejectionState(now.UnixNano()) != notEjected {
 			entries = append(entries, DigestEntry{hash, Suspected})
 			continue
 		}
-		load := math.Round(target.own())
+		load := math.Round(target.ownLoad())
 		if load >= 1 {
 			entries = append(entries, DigestEntry{hash, uint16(min(load, Suspected-1))})
 		}
@@ -58,16 +58,17 @@
 	slices.SortFunc(entries, func(a, b DigestEntry) int {
 		return cmp.Or(cmp.Compare(b.InFlight, a.InFlight), cmp.Compare(a.TargetHash, b.TargetHash))
 	})
-	return entries[:min(len(entries), t.config.DigestEntries)]
+	return entries[:min(len(entries), t.config.MaxDigestEntries)]
 }
 
-// sumPeers drops old digests and sets each target's sum over the others.
-func (t *Table) sumPeers(now time.Time, v *view) {
+// updatePeerLoad drops expired digests and sets, for each target, the requests in
+// flight from all peers and the number of peers that ejected it.
+func (t *Table) updatePeerLoad(now time.Time, v *view) {
 	sums := make(map[uint32]int64, len(v.byHash))
 	suspicions := make(map[uint32]int64)
-	off := t.config.off(MechanismSuspicion)
+	off := t.config.disabled(MechanismSuspicion)
 	for origin, digest := range t.digests.byOrigin {
-		if now.Sub(digest.at) > t.config.DigestTTL {
+		if now.Sub(digest.receivedAt) > t.config.DigestTTL {
 			delete(t.digests.byOrigin, origin)
 			continue
 		}
@@ -86,16 +87,16 @@
 		at = 0
 	}
 	for hash, target := range v.byHash {
-		target.peers.Store(sums[hash])
-		target.peersAt.Store(at)
-		target.health.suspicions.Store(suspicions[hash])
+		target.peerInFlight.Store(sums[hash])
+		target.peerInFlightAt.Store(at)
+		target.health.peerSuspicions.Store(suspicions[hash])
 	}
 }
 
-func (d *digests) dropOldest() {
+func (d *peerDigests) dropOldest() {
 	oldest := ""
 	for origin, digest := range d.byOrigin {
-		if oldest == "" || digest.at.Before(d.byOrigin[oldest].at) {
+		if oldest == "" || digest.receivedAt.Before(d.byOrigin[oldest].receivedAt) {
 			oldest = origin
 		}
 	}
--- a/coordination/routing/doc.go
+++ b/coordination/routing/doc.go
@@ -1,15 +1,18 @@
 // Package routing chooses the target of a stage from what one instance knows:
-// its own requests in flight, its peers' digests and the targets' late reports.
+// its own requests in flight, its peers' digests and the targets' load reports,
+// which arrive with a delay.
 //
-// The package is pure: time and randomness are arguments. Updates (SetTargets,
-// Leaving, PeerDigest) are serialised and publish an immutable view through an
-// atomic pointer; Pick, Started and Done read that view and touch only the
-// atomics of single targets, so the request path takes no shared lock.
+// The package reads no clock and has no random source of its own: both are
+// arguments. Updates of lists, leaving targets and digests (SetTargets, Leaving,
+// PeerDigest, Digest) are serialised; SetTargets and Leaving publish an immutable
+// view through an atomic pointer. Pick, Started and Done read that view and change
+// only the atomics of single targets, so the request path takes no shared lock.
 //
-// The choice itself is the power of two choices (Mitzenmacher, "The Power of
-// Two Choices in Randomized Load Balancing", IEEE TPDS 2001) on the estimated
-// load of all instances; a prompt goes to the target where it would end first,
-// cached parts counted. Subsets come from rendezvous hashing (Thaler and
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN
-// 1998). docs/design/routing.md gives the ways weighed and their figures.
+// Pick uses the power of two choices (Mitzenmacher, "The Power of Two Choices in
+// Randomized Load Balancing", IEEE TPDS 2001) on the estimated load from all
+// instances. A prompt goes to the target where it is expected to finish first,
+// with cached parts taken into account. Subsets come from rendezvous hashing
+// (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+// IEEE/ACM ToN 1998). docs/design/routing.md lists the alternatives considered
+// and their measurements.
 package routing
--- a/coordination/routing/health_test.go
+++ b/coordination/routing/health_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One target fails every request in a millisecond. It always looks idle, so the
-// less loaded of two choices is mostly this one, and most requests fail.
-func TestFailFastDoesNotAttract(t *testing.T) {
+// One target fails every request within a millisecond. It always looks idle, so without
+// ejection most picks choose it and most requests fail.
+func TestFastFailingTargetGetsLess(t *testing.T) {
 	result := func(name string) Result {
 		if name == "t0" {
 			return Result{Outcome: OutcomeFailed, Latency: time.Millisecond}
@@ -20,49 +20,49 @@
 		off         Mechanism
 		least, most int
 	}{{0, 3, 20}, {MechanismEjection, 150, 1000}} {
-		counts := newTable(Config{Off: tc.off}, someTargets(8)).shares(t, start, 1000, Query{Rank: 1}, result)
+		counts := newTable(Config{Disabled: tc.off}, testTargets(8)).shares(t, start, 1000, Query{Rank: 1}, result)
 		require.GreaterOrEqual(t, counts["t0"], tc.least)
 		require.LessOrEqual(t, counts["t0"], tc.most)
 	}
 }
 
-// One target fails every third request: never three in a row, never the half of
-// them, so it stays in. It must get less than its share all the same.
+// One target fails every third request, which is too few for an ejection. It must still
+// get less than its share.
 func TestFlakyTargetGetsLess(t *testing.T) {
 	n := 0
 	result := func(name string) Result {
-		r := usual(name)
+		r := healthyResult(name)
 		if name == "t0" {
 			n++
 			r.Outcome = []Outcome{OutcomeFailed, OutcomeOK, OutcomeOK}[n%3]
 		}
 		return r
 	}
-	table := newTable(Config{}, someTargets(8))
+	table := newTable(Config{}, testTargets(8))
 	require.Less(t, table.shares(t, start, 2000, Query{}, result)["t0"], 170)
 	require.Zero(t, table.Stats(start).Ejections)
 }
 
-// One target answers every request whole, but takes three times as long: it
-// never fails a health check, yet requests sent there miss their deadline.
-func TestGreyTargetGetsLess(t *testing.T) {
+// One target completes every request but takes three times as long. It never fails a
+// health check, yet requests sent there miss their deadlines.
+func TestSlowTargetGetsLess(t *testing.T) {
 	result := func(name string) Result {
-		r := usual(name)
+		r := healthyResult(name)
 		if name == "t0" {
 			r.Latency *= 3
 		}
 		return r
 	}
-	counts := newTable(Config{}, someTargets(8)).shares(t, start, 2000, Query{}, result)
+	counts := newTable(Config{}, testTargets(8)).shares(t, start, 2000, Query{}, result)
 	require.Less(t, counts["t0"], 80)
-	counts = newTable(Config{Off: MechanismLatency}, someTargets(8)).shares(t, start, 2000, Query{}, result)
+	counts = newTable(Config{Disabled: MechanismLatency}, testTargets(8)).shares(t, start, 2000, Query{}, result)
 	require.Greater(t, counts["t0"], 120)
 }
 
-// A target hangs: it takes requests and answers none. There is no result to
-// learn from, and by the first late answer everything sent there is late. The
-// age of what is in flight tells earlier.
-func TestHangingTargetIsNoticedByOpenAttempts(t *testing.T) {
+// A target accepts requests and completes none. There is no result to learn from, and
+// by the first missed deadline all requests sent there will miss theirs. The age of the
+// attempts in flight shows it earlier.
+func TestHangingTargetIsDetectedByAttemptAges(t *testing.T) {
 	busy := func(string) Result {
 		return Result{Latency: 350 * time.Millisecond, Expected: 350 * time.Millisecond}
 	}
@@ -74,28 +74,28 @@
 		return r
 	}
 	shares := func(off Mechanism) int {
-		table := newTable(Config{Off: off}, someTargets(8))
+		table := newTable(Config{Disabled: off}, testTargets(8))
 		table.shares(t, start, 200, Query{}, busy)
 		return table.shares(t, at(10*time.Second), 1000, Query{}, hanging)["t0"]
 	}
 	require.Less(t, shares(0), shares(MechanismLatency))
-	var open openAttempts
-	open.ended(open.began(start.UnixNano()), time.Second)
+	var ages attemptAges
+	ages.finish(ages.start(start.UnixNano()), time.Second)
 	for _, tc := range []struct {
-		age      time.Duration
-		crowding float64
-		want     float64
+		age         time.Duration
+		utilization float64
+		want        float64
 	}{{time.Second, 1, 1}, {3 * time.Second, 1, 3}, {3 * time.Second, 2, 1}, {9 * time.Second, 3, 3}} {
-		began := open.began(start.UnixNano())
+		startMillis := ages.start(start.UnixNano())
 		now := at(tc.age).UnixNano()
-		require.InDelta(t, tc.want, open.slow(now, tc.crowding), 0.01, "%+v", tc)
-		open.ended(began, 0)
+		require.InDelta(t, tc.want, ages.slowdown(now, tc.utilization), 0.01, "%+v", tc)
+		ages.finish(startMillis, 0)
 	}
 }
 
-// All targets of a pool fail for a while. Ejecting them all would refuse every
-// request and nobody would see them recover.
-func TestFloorStays(t *testing.T) {
+// All targets of a pool fail for a while. If all were ejected, every request would be
+// refused and no instance would see them recover.
+func TestEjectionFloor(t *testing.T) {
 	for _, tc := range []struct {
 		floor    float64
 		routable int
@@ -103,8 +103,8 @@
 		pool := testPool
 		pool.EjectionFloor = tc.floor
 		table := newTable(Config{}, nil)
-		table.SetTargets(start, pool, someTargets(6))
-		for _, target := range someTargets(6) {
+		table.SetTargets(start, pool, testTargets(6))
+		for _, target := range testTargets(6) {
 			table.fail(start, target.Incarnation, 10)
 		}
 		routable := 0
@@ -114,7 +114,7 @@
 			}
 		}
 		require.Equal(t, tc.routable, routable, "floor %v", tc.floor)
-		// The routable ones leave: ejected targets take their place.
+		// The routable targets leave, and ejected ones become routable instead.
 		for _, s := range table.Stats(start).Targets {
 			if !s.Ejected {
 				table.Leaving(start, s.Incarnation)
@@ -130,12 +130,12 @@
 	}
 }
 
-// An ejected target is back after an outage. If all waiting requests went
-// there at once it would be buried again: one probe goes first, of a lower tier
-// where there is one, and its share then grows.
-func TestReturnWithoutStampede(t *testing.T) {
-	table := newTable(Config{}, someTargets(4))
-	table.fail(start, "t0", ejectFailures)
+// An ejected target has recovered. If all waiting requests went there at once, it would
+// be overloaded again. One probe is sent first, of a lower tier if there is one; after
+// its success the target's share of the traffic ramps up.
+func TestRecoveryIsProbedAndRampedUp(t *testing.T) {
+	table := newTable(Config{}, testTargets(4))
+	table.fail(start, "t0", ejectAfterFailures)
 	rng := newRNG()
 	probes := func(now time.Time, rank int) (n int) {
 		for range 40 {
@@ -146,48 +146,49 @@
 		return n
 	}
 	require.Zero(t, probes(at(500*time.Millisecond), 1), "still ejected")
-	require.Zero(t, probes(at(1100*time.Millisecond), 0), "the highest tier is not risked")
+	require.Zero(t, probes(at(1100*time.Millisecond), 0), "the highest tier sends no probe yet")
 	require.Equal(t, 1, probes(at(1100*time.Millisecond), 1), "one probe")
-	// The probe fails: twice as long now.
+	// The probe fails, which doubles the ejection time.
 	table.fail(at(1200*time.Millisecond), "t0", 1)
 	require.Zero(t, probes(at(3100*time.Millisecond), 1))
-	require.Equal(t, 1, probes(at(4300*time.Millisecond), 0), "nobody else came: the highest tier probes")
-	back := at(4400 * time.Millisecond)
-	table.Started(back, "t0", 1).Done(back, usual("t0"))
-	first := table.shares(t, back, 100, Query{}, usual)["t0"]
-	later := table.shares(t, back.Add(DefaultSlowStart), 100, Query{}, usual)["t0"]
+	require.Equal(t, 1, probes(at(4300*time.Millisecond), 0), "the highest tier probes if no other request arrives")
+	recovered := at(4400 * time.Millisecond)
+	table.Started(recovered, "t0", 1).Done(recovered, healthyResult("t0"))
+	first := table.shares(t, recovered, 100, Query{}, healthyResult)["t0"]
+	later := table.shares(t, recovered.Add(DefaultSlowStartWindow), 100, Query{}, healthyResult)["t0"]
 	require.Less(t, first, 15)
 	require.Greater(t, later, 18)
 }
 
-// A target that was never in the list before starts cold; targets of the first
-// list have been running for long.
+// A target that is added to the list starts with a cold cache, so its share ramps up.
+// Targets of the first list may have been running for long.
 func TestSlowStartOfNewTarget(t *testing.T) {
-	table := newTable(Config{}, someTargets(4)[1:])
-	table.SetTargets(at(time.Minute), testPool, someTargets(4))
-	require.Less(t, table.shares(t, at(time.Minute), 100, Query{}, usual)["t0"], 15)
-	require.Greater(t, table.shares(t, at(2*time.Minute), 100, Query{}, usual)["t0"], 18)
+	table := newTable(Config{}, testTargets(4)[1:])
+	table.SetTargets(at(time.Minute), testPool, testTargets(4))
+	require.Less(t, table.shares(t, at(time.Minute), 100, Query{}, healthyResult)["t0"], 15)
+	require.Greater(t, table.shares(t, at(2*time.Minute), 100, Query{}, healthyResult)["t0"], 18)
 }
 
-// Each of eight instances sees only an eighth of a target's failures, so each
-// would send it several requests before acting. Peers' suspicions lower that,
-// but a peer whose own path is cut suspects everything and must not be enough.
-func TestSuspicionNeedsAnOwnFailure(t *testing.T) {
-	table := newTable(Config{}, someTargets(4))
+// Each of eight instances sees only an eighth of a target's failures and would send it
+// several requests before it ejects it. Ejections by peers reduce that number, but they
+// aren't enough on their own: a peer that has lost its network connection suspects every
+// target.
+func TestSuspicionRequiresOwnFailure(t *testing.T) {
+	table := newTable(Config{}, testTargets(4))
 	for _, origin := range []string{"a", "b", "c"} {
 		table.PeerDigest(start, origin, []DigestEntry{{HashTarget("t0"), Suspected}})
 	}
 	h := &table.target("t0").health
-	require.Equal(t, notEjected, h.ejection(start.UnixNano()))
+	require.Equal(t, notEjected, h.ejectionState(start.UnixNano()))
 	table.fail(start, "t0", 1)
-	require.Equal(t, stillEjected, h.ejection(start.UnixNano()))
+	require.Equal(t, ejectionActive, h.ejectionState(start.UnixNano()))
 	require.Contains(t, table.Digest(start), DigestEntry{HashTarget("t0"), Suspected})
 	table.fail(start, "t1", 1)
-	require.Equal(t, notEjected, table.target("t1").health.ejection(start.UnixNano()))
+	require.Equal(t, notEjected, table.target("t1").health.ejectionState(start.UnixNano()))
 }
 
-func TestAttemptsThatProveNothing(t *testing.T) {
-	table := newTable(Config{}, someTargets(2))
+func TestCancelledAndRefusedAttemptsAreNeutral(t *testing.T) {
+	table := newTable(Config{}, testTargets(2))
 	for range 10 {
 		for _, outcome := range []Outcome{OutcomeCancelled, OutcomeNotRun} {
 			table.Started(start, "t0", 1).Done(start, Result{Outcome: outcome, Expected: time.Second})
--- a/coordination/routing/helpers_test.go
+++ b/coordination/routing/helpers_test.go
@@ -18,7 +18,7 @@
 
 func newRNG() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func someTargets(n int) []Target {
+func testTargets(n int) []Target {
 	targets := make([]Target, n)
 	for i := range targets {
 		name := fmt.Sprintf("t%d", i)
@@ -42,41 +42,41 @@
 	return choice
 }
 
-// shares sends n requests, one each 10 ms, that end as result says, and counts
-// them by target.
+// shares sends n requests at intervals of 10 ms, ends each with the result that the
+// function returns for its target, and counts the requests by target.
 func (t *Table) shares(tb testing.TB, from time.Time, n int, q Query, result func(string) Result) map[string]int {
 	tb.Helper()
 	rng := newRNG()
 	type end struct {
-		at     time.Time
-		handle *Handle
-		result Result
+		at      time.Time
+		attempt *Attempt
+		result  Result
 	}
-	var open []end
+	var inFlight []end
 	counts := map[string]int{}
 	for i := range n {
 		now := from.Add(time.Duration(i) * 10 * time.Millisecond)
-		kept := open[:0]
-		for _, e := range open {
+		kept := inFlight[:0]
+		for _, e := range inFlight {
 			if e.at.After(now) {
 				kept = append(kept, e)
 				continue
 			}
-			e.handle.Done(e.at, e.result)
+			e.attempt.Done(e.at, e.result)
 		}
-		open = kept
+		inFlight = kept
 		name := t.mustPick(tb, now, rng, q).Target.Incarnation
 		counts[name]++
 		r := result(name)
-		open = append(open, end{now.Add(r.Latency), t.Started(now, name, 1), r})
+		inFlight = append(inFlight, end{now.Add(r.Latency), t.Started(now, name, 1), r})
 	}
-	for _, e := range open {
-		e.handle.Done(e.at, e.result)
+	for _, e := range inFlight {
+		e.attempt.Done(e.at, e.result)
 	}
 	return counts
 }
 
-func usual(string) Result {
+func healthyResult(string) Result {
 	return Result{Latency: 100 * time.Millisecond, Expected: 100 * time.Millisecond}
 }
 
--- a/coordination/routing/home_test.go
+++ b/coordination/routing/home_test.go
@@ -22,13 +22,13 @@
 }
 
 func pickHome(t *testing.T, table *Table, home string, shares map[string]float64) Target {
-	choice, err := table.Pick(time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2)), Query{Pool: "p", Home: home, HomeShares: shares})
+	choice, err := table.Pick(time.Unix(1000, 0), rand.New(rand.NewPCG(1, 2)), Query{Pool: "p", HomeKey: home, HomeShares: shares})
 	require.NoError(t, err)
 	return choice.Target
 }
 
-// Seven instances read the same subjects. Each must send a subject to the engine that
-// the others send it to, or its prompt is read at each of them.
+// Several instances serve requests for the same subjects. All must send a subject to the
+// same engine, or its prompt is read at several engines.
 func TestInstancesAgreeOnHomes(t *testing.T) {
 	a, b := homeTable("a", 12), homeTable("b", 12)
 	used := map[string]int{}
@@ -43,19 +43,19 @@
 	}
 }
 
-// An engine goes: only its own subjects find a new home.
-func TestOnlyLostHomesMove(t *testing.T) {
+// When an engine is removed, only its own subjects get a new home.
+func TestOnlyHomesOfRemovedTargetMove(t *testing.T) {
 	before, after := homeTable("a", 12), homeTable("a", 11)
 	for i := range 300 {
 		home := fmt.Sprint("subject", i)
-		if was := pickHome(t, before, home, nil); was.Incarnation != "t11" {
-			require.Equal(t, was, pickHome(t, after, home, nil))
+		if old := pickHome(t, before, home, nil); old.Incarnation != "t11" {
+			require.Equal(t, old, pickHome(t, after, home, nil))
 		}
 	}
 }
 
-// An engine is crowded: its subjects are read elsewhere until it isn't.
-func TestCrowdedHomeIsPassedOver(t *testing.T) {
+// While an engine is overloaded, its subjects are served elsewhere.
+func TestOverloadedHomeIsPassedOver(t *testing.T) {
 	table := homeTable("a", 12)
 	home := pickHome(t, table, "subject", nil)
 	for range 3 * home.Slots {
@@ -64,8 +64,8 @@
 	require.NotEqual(t, home, pickHome(t, table, "subject", nil))
 }
 
-// Half of the large inputs are made in one of three data centres: half of the homes
-// are there, so that inputs needn't cross.
+// Half of the large inputs are produced in one of three data centres. Half of the homes
+// are placed there, so that these inputs stay within their data centre.
 func TestHomesFollowShares(t *testing.T) {
 	table := homeTable("a", 12)
 	count := map[string]int{}
@@ -78,10 +78,10 @@
 	require.InDelta(t, 250, count["dc2"], 70)
 }
 
-// An engine starts again under its name and has cached nothing. Its own subjects are
-// read again there, and no other's: with new homes for the new start, those of the old
-// one would be read at other engines and as many of theirs at this one.
-func TestHomesOutliveARestart(t *testing.T) {
+// An engine restarts under its name with an empty cache. Its own subjects are read again
+// there, but no others. If homes followed the incarnation, its subjects would move to
+// other engines and as many of theirs to it, and all of them would be read again.
+func TestRestartedTargetKeepsItsHomes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	named := func(incarnation func(i int) string) []Target {
 		targets := make([]Target, 12)
@@ -106,28 +106,28 @@
 	}))
 	later := now.Add(time.Hour) // the slow start of the new incarnation is over
 	for home, name := range before {
-		choice, err := table.Pick(later, newRNG(), Query{Pool: "p", Home: home})
+		choice, err := table.Pick(later, newRNG(), Query{Pool: "p", HomeKey: home})
 		require.NoError(t, err)
 		require.Equal(t, name, choice.Target.Name)
 	}
 }
 
-// A target is ejected for its failures, or word is that it leaves, and it starts again
-// under its name. What was held against the process before isn't against this one.
-func TestRestartedTargetIsJudgedAnew(t *testing.T) {
-	targets := someTargets(4)
+// A target was ejected and reported as leaving before it restarts under its name. The
+// new incarnation must be routable, since that state belongs to the earlier process.
+func TestRestartedTargetStartsHealthy(t *testing.T) {
+	targets := testTargets(4)
 	targets[0].Incarnation, targets[0].Name = "t0@100", "t0"
 	table := newTable(Config{}, targets)
 	table.fail(start, "t0@100", 50)
 	table.Leaving(start, "t0@100")
-	handle := table.Started(start, "t0@100", 1)
+	attempt := table.Started(start, "t0@100", 1)
 
 	targets[0].Incarnation = "t0@200"
 	table.SetTargets(start, testPool, targets)
 	now := start.Add(time.Hour) // past its slow start
-	counts := table.shares(t, now, 400, Query{}, usual)
+	counts := table.shares(t, now, 400, Query{}, healthyResult)
 	require.InDelta(t, 100, counts["t0@200"], 40)
 	require.Zero(t, counts["t0@100"])
-	handle.Done(now, Result{Outcome: OutcomeFailed})
-	require.Zero(t, table.target("t0@200").own(), "the request was at the process before")
+	attempt.Done(now, Result{Outcome: OutcomeFailed})
+	require.Zero(t, table.target("t0@200").ownLoad(), "the request was sent to the earlier incarnation")
 }
--- a/coordination/routing/load_test.go
+++ b/coordination/routing/load_test.go
@@ -9,60 +9,60 @@
 	"pgregory.net/rapid"
 )
 
-// A report says how much was at the target some time ago, own requests
-// included. Since then own requests have ended or begun: taken as it is, the
-// report would count them twice or keep them alive.
+// A report states the load of a target some time ago, including this instance's own
+// requests. Without a correction for those that have started or ended since, they would
+// be counted twice or too long.
 func TestReportIsCorrectedForItsAge(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		ownThen, ownNow int
 		reported        int
 		age, later      time.Duration
-		off             Mechanism
+		disabled        Mechanism
 		want            float64
 		digest          int
 	}{
-		{name: "own ones ended", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, want: 1 + 2*(1-1.0/3)},
-		{name: "own ones began", ownThen: 0, ownNow: 6, reported: 2, age: time.Second, want: 6 + 2*(1-1.0/3)},
-		{name: "without the correction", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, off: MechanismAgeCorrection, want: 7},
-		{name: "too old to count", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, later: 3 * time.Second, want: 1},
-		{name: "a digest knows more", ownNow: 1, reported: 2, digest: 4, want: 5},
-		{name: "reports off", reported: 9, off: MechanismReports, want: 0},
+		{name: "own requests ended", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, want: 1 + 2*(1-1.0/3)},
+		{name: "own requests started", ownThen: 0, ownNow: 6, reported: 2, age: time.Second, want: 6 + 2*(1-1.0/3)},
+		{name: "correction disabled", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, disabled: MechanismAgeCorrection, want: 7},
+		{name: "report expired", ownThen: 5, ownNow: 1, reported: 7, age: time.Second, later: 3 * time.Second, want: 1},
+		{name: "digest exceeds the report", ownNow: 1, reported: 2, digest: 4, want: 5},
+		{name: "reports disabled", reported: 9, disabled: MechanismReports, want: 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			table := newTable(Config{Off: tc.off, ReportTrust: 3 * time.Second}, someTargets(1))
+			table := newTable(Config{Disabled: tc.disabled, ReportTTL: 3 * time.Second}, testTargets(1))
 			target := table.target("t0")
-			target.add(start.UnixNano(), int64(tc.ownThen*costUnit))
+			target.addInFlight(start.UnixNano(), int64(tc.ownThen*costUnit))
 			then := at(500 * time.Millisecond)
 			now := then.Add(tc.age)
-			target.add(then.Add(tc.age/2+1).UnixNano(), int64((tc.ownNow-tc.ownThen)*costUnit))
+			target.addInFlight(then.Add(tc.age/2+1).UnixNano(), int64((tc.ownNow-tc.ownThen)*costUnit))
 			table.Report(now, "t0", Load{Active: tc.reported, Age: tc.age})
 			if tc.digest > 0 {
 				table.PeerDigest(now, "i1", []DigestEntry{{HashTarget("t0"), uint16(tc.digest)}})
 			}
-			require.InDelta(t, tc.want, target.estimate(now.Add(tc.later).UnixNano(), &table.config), 0.01)
+			require.InDelta(t, tc.want, target.estimatedLoad(now.Add(tc.later).UnixNano(), &table.config), 0.01)
 		})
 	}
 }
 
-// The newest digest of each origin counts, for a while; origins and entries
+// Only the latest digest of each origin is used, until it expires. Origins and entries
 // are bounded, whatever peers send.
 func TestPeerDigests(t *testing.T) {
-	table := newTable(Config{Origins: 2, DigestEntries: 1}, someTargets(2))
+	table := newTable(Config{MaxOrigins: 2, MaxDigestEntries: 1}, testTargets(2))
 	send := func(now time.Time, origin string, n uint16) {
 		table.PeerDigest(now, origin, []DigestEntry{{HashTarget("t0"), n}, {HashTarget("t1"), n}, {1, n}})
 	}
 	load := func(now time.Time) float64 {
-		return table.target("t0").estimate(now.UnixNano(), &table.config)
+		return table.target("t0").estimatedLoad(now.UnixNano(), &table.config)
 	}
 	send(at(1*time.Second), "a", 3)
 	send(at(1100*time.Millisecond), "a", 5)
 	send(at(1200*time.Millisecond), "b", 2)
 	require.Equal(t, 7.0, load(at(1200*time.Millisecond)))
-	require.Zero(t, table.target("t1").peers.Load(), "entries are bounded")
+	require.Zero(t, table.target("t1").peerInFlight.Load(), "entries are bounded")
 	send(at(1300*time.Millisecond), "c", 1)
-	require.Equal(t, 3.0, load(at(1300*time.Millisecond)), "the oldest origin gives way")
-	require.Zero(t, load(at(4*time.Second)), "old digests count no longer")
+	require.Equal(t, 3.0, load(at(1300*time.Millisecond)), "the oldest origin is dropped")
+	require.Zero(t, load(at(4*time.Second)), "expired digests are ignored")
 	table.Digest(at(4 * time.Second))
 	require.Empty(t, table.digests.byOrigin)
 	table.Started(start, "t1", 2)
@@ -70,12 +70,12 @@
 	require.Equal(t, []DigestEntry{{HashTarget("t1"), 2}}, table.Digest(at(4*time.Second)))
 }
 
-// A node before thousands of targets keeps a subset. It is bounded, prefers the
-// local data centre, has each model several times, and a target that goes
-// changes it by one: otherwise every change would cost all warm connections.
+// An instance in front of thousands of targets keeps a subset. It is bounded, prefers the
+// local data centre and has several targets of each model. The removal of a target
+// changes only a few others: a new subset would need new connections to all targets.
 func TestSubset(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		targets := someTargets(400)
+		targets := testTargets(400)
 		for i := range targets {
 			targets[i].DataCentre = fmt.Sprintf("dc-%d", i%5)
 			targets[i].Models = []string{"common"}
@@ -83,7 +83,7 @@
 				targets[i].Models = []string{"rare"}
 			}
 		}
-		c := Config{Instance: rapid.String().Draw(rt, "instance"), LocalDataCentre: "dc-1", Subset: 32}
+		c := Config{Instance: rapid.String().Draw(rt, "instance"), LocalDataCentre: "dc-1", SubsetSize: 32}
 		kept := c.subset(targets)
 		require.Len(rt, kept, 32)
 		local, rare, names := 0, 0, map[string]bool{}
@@ -96,27 +96,27 @@
 				rare++
 			}
 		}
-		require.GreaterOrEqual(rt, rare, leastPerModel)
-		// Three quarters, less what the two models took elsewhere.
-		require.GreaterOrEqual(rt, local, 24-2*leastPerModel)
-		gone := rapid.IntRange(0, 399).Draw(rt, "gone")
+		require.GreaterOrEqual(rt, rare, minPerModel)
+		// Three quarters, less the remote targets that were selected for the two models.
+		require.GreaterOrEqual(rt, local, 24-2*minPerModel)
+		removed := rapid.IntRange(0, 399).Draw(rt, "removed")
 		changed := 0
-		for _, target := range c.subset(append(targets[:gone:gone], targets[gone+1:]...)) {
+		for _, target := range c.subset(append(targets[:removed:removed], targets[removed+1:]...)) {
 			if !names[target.Incarnation] {
 				changed++
 			}
 		}
-		require.LessOrEqual(rt, changed, 1+leastPerModel)
+		require.LessOrEqual(rt, changed, 1+minPerModel)
 	})
 }
 
-// The state of targets that left the lists must not pile up.
-func TestStateIsForgotten(t *testing.T) {
-	table := newTable(Config{}, someTargets(3))
-	h := table.Started(start, "t2", 1)
-	table.SetTargets(start, testPool, someTargets(1))
+// Without this, the state of targets that are no longer listed would accumulate.
+func TestStateOfUnlistedTargetsIsDropped(t *testing.T) {
+	table := newTable(Config{}, testTargets(3))
+	attempt := table.Started(start, "t2", 1)
+	table.SetTargets(start, testPool, testTargets(1))
 	require.Len(t, table.states, 2, "one has a request in flight")
-	h.Done(start, Result{})
-	table.SetTargets(start, testPool, someTargets(1))
+	attempt.Done(start, Result{})
+	table.SetTargets(start, testPool, testTargets(1))
 	require.Len(t, table.states, 1)
 }
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -10,56 +10,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidate is an eligible target with what a pick computed of it.
+// candidate is an eligible target with the values computed for one pick.
 type candidate struct {
-	target   *targetView
-	load     float64 // estimated requests at the target
-	score    float64 // lower is better
-	cached   int
-	ejection ejection
+	target       *targetView
+	load         float64 // estimated requests at the target
+	score        float64 // lower is better
+	cachedTokens int
+	ejection     ejectionState
 }
 
-// Pick chooses a target. It returns *NoTargetError when the pool has none that
-// is eligible: an unknown pool, all leaving, excluded or unfit.
+// Pick chooses a target. It returns *NoTargetError if the pool is unknown or all of its
+// targets are leaving, excluded or unfit.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, q Query) (Choice, error) {
 	p := t.view.Load().pools[q.Pool]
 	if p == nil {
 		return Choice{}, &NoTargetError{Pool: q.Pool}
 	}
 	pick := pick{table: t, pool: p, query: &q, rng: rng, now: now.UnixNano()}
-	if err := pick.collect(); err != nil {
-		t.counts.refused.Add(1)
+	if err := pick.collectEligible(); err != nil {
+		t.counts.noTarget.Add(1)
 		return Choice{}, err
 	}
 	chosen, reason := pick.choose()
-	chosen.target.picked.Add(1)
+	chosen.target.picks.Add(1)
 	t.counts.reasons[reason].Add(1)
-	pick.remember(chosen)
+	pick.recordPrefix(chosen)
 	return Choice{
 		Target:       chosen.target.Target,
 		Reason:       reason,
-		CachedTokens: chosen.cached,
+		CachedTokens: chosen.cachedTokens,
 		Load:         chosen.load,
 	}, nil
 }
 
-// pick is the work of one Pick.
+// pick is the state of one call of Pick.
 type pick struct {
 	table *Table
 	pool  *poolView
 	query *Query
 	rng   *rand.Rand
 	now   int64
-	// candidates are pointers, so that drawing may reorder them while an earlier
-	// choice is still held.
-	candidates []*candidate
-	hashes     []uint64
-	// tried are the data centres of the excluded targets.
-	tried []string
+	// candidates holds pointers, so that sampling can reorder them while an earlier
+	// choice is still in use.
+	candidates   []*candidate
+	prefixHashes []uint64
+	// triedDataCentres are the data centres of the excluded targets.
+	triedDataCentres []string
 }
 
-// collect finds the eligible targets.
-func (p *pick) collect() error {
+// collectEligible sets the candidates to the eligible targets.
+func (p *pick) collectEligible() error {
 	eligible := make([]candidate, 0, len(p.pool.targets))
 	none := NoTargetError{Pool: p.query.Pool, Known: len(p.pool.targets)}
 	for _, target := range p.pool.targets {
@@ -68,7 +68,7 @@
 			none.Leaving++
 		case slices.Contains(p.query.Exclude, target.Incarnation):
 			none.Excluded++
-			p.tried = append(p.tried, target.DataCentre)
+			p.triedDataCentres = append(p.triedDataCentres, target.DataCentre)
 		case !target.Fits(p.query):
 			none.Unfit++
 		default:
@@ -85,20 +85,21 @@
 	return nil
 }
 
-// choose applies the rules in their order: probe, floor, affinity, load.
+// choose applies the rules in order: the only candidate, a due probe, the removal of
+// ejected targets down to the ejection floor, then those of byRule.
 func (p *pick) choose() (*candidate, Reason) {
 	if len(p.candidates) == 1 {
-		p.assess()
+		p.scoreCandidates()
 		return p.candidates[0], ReasonOnly
 	}
 	floored := false
-	if !p.table.config.off(MechanismEjection) {
+	if !p.table.config.disabled(MechanismEjection) {
 		if probe := p.probe(); probe != nil {
 			return probe, ReasonProbe
 		}
 		floored = p.dropEjected()
 	}
-	p.assess()
+	p.scoreCandidates()
 	c, reason := p.byRule()
 	if floored && c.ejection != notEjected {
 		reason = ReasonFloor
@@ -106,46 +107,51 @@
 	return c, reason
 }
 
+// byRule applies the rules that follow the handling of ejections in order: the preferred
+// target, the home, affinity, load.
 func (p *pick) byRule() (*candidate, Reason) {
 	if c := p.preferred(); c != nil {
 		return c, ReasonPreferred
 	}
-	if p.query.Home != "" {
+	if p.query.HomeKey != "" {
 		return p.byHome()
 	}
-	if len(p.query.Prefix) > 0 && !p.table.config.off(MechanismAffinity) {
+	if len(p.query.Prefix) > 0 && !p.table.config.disabled(MechanismAffinity) {
 		return p.byPrefix()
 	}
 	return p.byLoad()
 }
 
-// preferred is the candidate that the query prefers; nil if it isn't among them.
+// preferred returns the candidate that the query names in Preferred, or nil if it isn't
+// among the candidates.
 func (p *pick) preferred() *candidate {
-	if p.query.Prefer == "" {
+	if p.query.Preferred == "" {
 		return nil
 	}
 	for _, c := range p.candidates {
-		if c.target.Incarnation == p.query.Prefer {
+		if c.target.Incarnation == p.query.Preferred {
 			return c
 		}
 	}
 	return nil
 }
 
-// probePatience is how long a due probe waits for a request of a lower tier.
-const probePatience = int64(time.Second)
+// probeLowerTierWait is how long a due probe waits for a request of a lower tier before
+// one of the highest tier may be used.
+const probeLowerTierWait = int64(time.Second)
 
-// probe returns an ejected target whose time is over and which this pick may
-// try. One probe at a time guards against the stampede on a target that is
-// back; requests of the highest tier are risked only when no other came.
+// probe returns an ejected target whose ejection time is over and which this pick may
+// probe, or nil. There is one probe at a time, since all waiting requests at once would
+// overload a target that has just recovered. Requests of the highest tier are used as
+// probes only if no other request arrived within probeLowerTierWait.
 func (p *pick) probe() *candidate {
 	for _, c := range p.candidates {
 		h := &c.target.health
-		c.ejection = h.ejection(p.now)
+		c.ejection = h.ejectionState(p.now)
 		if c.ejection != probeDue {
 			continue
 		}
-		if p.query.Rank == 0 && p.now-h.ejected.Load() < probePatience {
+		if p.query.Rank == 0 && p.now-h.ejectedUntil.Load() < probeLowerTierWait {
 			continue
 		}
 		if h.claimProbe(p.now) {
@@ -155,8 +161,8 @@
 	return nil
 }
 
-// dropEjected leaves ejected targets out, but for as many of those whose time
-// ends first as the floor asks for. It tells whether it kept some.
+// dropEjected removes the ejected targets, except for as many as the ejection floor
+// requires, of those whose ejection ends first. It reports whether it kept any.
 func (p *pick) dropEjected() bool {
 	slices.SortStableFunc(p.candidates, func(a, b *candidate) int {
 		return cmp.Compare(a.ejectedUntil(), b.ejectedUntil())
@@ -167,7 +173,7 @@
 			healthy++
 		}
 	}
-	keep := max(healthy, p.pool.floor(len(p.candidates)))
+	keep := max(healthy, p.pool.minRoutable(len(p.candidates)))
 	p.candidates = p.candidates[:keep]
 	return keep > healthy
 }
@@ -176,66 +182,66 @@
 	if c.ejection == notEjected {
 		return 0
 	}
-	return c.target.health.ejected.Load()
+	return c.target.health.ejectedUntil.Load()
 }
 
-// floor is the least number of n targets that stay routable.
-func (p *poolView) floor(n int) int {
+// minRoutable returns how many of n targets have to stay routable.
+func (p *poolView) minRoutable(n int) int {
 	return min(n, max(1, int(math.Ceil(p.pool.EjectionFloor*float64(n)))))
 }
 
-// headroomWeight is what a busy but not yet full target counts: it breaks ties
-// towards the emptier one, since batching slows an engine a little.
-const headroomWeight = 0.3
+// utilizationWeight is the weight of a target's utilization up to 1. It favours the
+// less utilized of the targets that aren't full, since batching slows an engine a little.
+const utilizationWeight = 0.3
 
-// triedPenalty is added to the score of targets in a data centre where the
-// stage was already sent: when a data centre is lost, an attempt there fails,
-// and a second one beside it would fail alike and use up the retries.
+// triedPenalty is added to the score of targets in a data centre where the stage was
+// already sent. If that data centre has failed, a second attempt there would fail like
+// the first and use up the retries.
 const triedPenalty = 1.0
 
-// assess estimates each candidate's load and score: how long a request takes
-// there, relative to its usual time on an idle target.
-func (p *pick) assess() {
+// scoreCandidates sets each candidate's load and score. The score is the estimated time
+// of a request there, relative to the time on an idle target.
+func (p *pick) scoreCandidates() {
 	config := &p.table.config
 	cost := p.query.Cost
 	if cost <= 0 {
 		cost = 1
 	}
 	for _, c := range p.candidates {
-		c.load = c.target.estimate(p.now, config)
-		use := (c.load + cost) / c.target.slots(c.target.Slots)
-		c.score = 1 + headroomWeight*math.Min(use, 1) + math.Max(0, use-1)
-		if !config.off(MechanismLatency) {
-			c.score *= max(c.target.health.slow(p.now), c.target.open.slow(p.now, use))
+		c.load = c.target.estimatedLoad(p.now, config)
+		utilization := (c.load + cost) / c.target.slots(c.target.Slots)
+		c.score = 1 + utilizationWeight*math.Min(utilization, 1) + math.Max(0, utilization-1)
+		if !config.disabled(MechanismLatency) {
+			c.score *= max(c.target.health.slowdown(p.now), c.target.attemptAges.slowdown(p.now, utilization))
 		}
-		if slices.Contains(p.tried, c.target.DataCentre) && !config.off(MechanismSpread) {
+		if slices.Contains(p.triedDataCentres, c.target.DataCentre) && !config.disabled(MechanismRetryElsewhere) {
 			c.score += triedPenalty
 		}
 	}
 }
 
-// remotePenalty is how much better a target of another data centre has to be:
-// a third of its slots more free than the local one's.
+// remotePenalty is the margin by which the score of a target in another data centre has
+// to be better: it is a third of the slots more free than at the local one.
 const remotePenalty = 0.1
 
-// byLoad compares a sample of the local targets with one of the others, and
-// takes the farther one where it is better by a margin. The samples share
-// Config.Choices between them: with a full sample of each, instances whose
-// digests are equally old chase the same few targets.
+// byLoad compares the best of a sample of the local targets with the best of a sample of
+// the others, and chooses the remote one if it is better by remotePenalty. Each sample
+// is half of Config.Choices: with full samples, instances whose digests are equally old
+// would all choose the same few targets.
 func (p *pick) byLoad() (*candidate, Reason) {
-	if p.table.config.off(MechanismLocalFirst) {
-		return p.sample(func(*candidate) bool { return true }), ReasonLoad
+	if p.table.config.disabled(MechanismLocalFirst) {
+		return p.bestOfChoices(func(*candidate) bool { return true }), ReasonLoad
 	}
 	isLocal := func(c *candidate) bool { return c.target.local }
 	isRemote := func(c *candidate) bool { return !c.target.local }
 	half := (p.table.config.Choices + 1) / 2
-	local := p.best(half, isLocal)
-	remote := p.best(half, isRemote)
+	local := p.bestOfSample(half, isLocal)
+	remote := p.bestOfSample(half, isRemote)
 	switch {
 	case remote == nil:
-		return p.sample(isLocal), ReasonLoad
+		return p.bestOfChoices(isLocal), ReasonLoad
 	case local == nil:
-		return p.sample(isRemote), ReasonOverflow
+		return p.bestOfChoices(isRemote), ReasonOverflow
 	case remote.score+remotePenalty < local.score:
 		return remote, ReasonOverflow
 	default:
@@ -243,30 +249,32 @@
 	}
 }
 
-// sample draws Config.Choices distinct candidates and returns the best.
-func (p *pick) sample(from func(*candidate) bool) *candidate {
-	return p.best(p.table.config.Choices, from)
+// bestOfChoices samples up to Config.Choices distinct candidates that match and returns
+// the best.
+func (p *pick) bestOfChoices(matches func(*candidate) bool) *candidate {
+	return p.bestOfSample(p.table.config.Choices, matches)
 }
 
-// best draws up to limit distinct candidates and returns the best. Each is
-// passed over with the probability that its share asks for, unless all are.
-func (p *pick) best(limit int, from func(*candidate) bool) *candidate {
+// bestOfSample samples up to limit distinct candidates that match and returns the best,
+// or nil if none matches. A candidate is passed over with a probability of 1 less its
+// traffic share; if all are passed over, the best of those is returned.
+func (p *pick) bestOfSample(limit int, matches func(*candidate) bool) *candidate {
 	var best, fallback *candidate
-	seen := 0
+	sampled := 0
 	n := len(p.candidates)
-	// A partial Fisher-Yates shuffle draws without replacement.
-	for i := 0; i < n && seen < limit; i++ {
+	// A partial Fisher-Yates shuffle samples without replacement.
+	for i := 0; i < n && sampled < limit; i++ {
 		j := i + p.rng.IntN(n-i)
 		p.candidates[i], p.candidates[j] = p.candidates[j], p.candidates[i]
 		c := p.candidates[i]
-		if !from(c) {
+		if !matches(c) {
 			continue
 		}
-		if p.thinned(c) {
+		if p.passedOver(c) {
 			fallback = better(fallback, c)
 			continue
 		}
-		seen++
+		sampled++
 		best = better(best, c)
 	}
 	if best == nil {
@@ -275,11 +283,13 @@
 	return best
 }
 
-func (p *pick) thinned(c *candidate) bool {
-	share := c.target.share(p.now, &p.table.config)
+// passedOver decides at random, by the candidate's traffic share, whether to pass over it.
+func (p *pick) passedOver(c *candidate) bool {
+	share := c.target.trafficShare(p.now, &p.table.config)
 	return share < 1 && p.rng.Float64() >= share
 }
 
+// better returns the candidate with the lower score; a may be nil.
 func better(a, b *candidate) *candidate {
 	if a == nil || b.score < a.score {
 		return b
@@ -287,23 +297,23 @@
 	return a
 }
 
-// remember notes that the chosen target will cache the prompt's parts.
-func (p *pick) remember(c *candidate) {
-	if p.table.config.off(MechanismAffinity) {
+// recordPrefix records that the chosen target will have the prompt's parts in its cache.
+func (p *pick) recordPrefix(c *candidate) {
+	if p.table.config.disabled(MechanismAffinity) {
 		return
 	}
-	p.hash()
-	for _, h := range p.hashes {
+	p.hashPrefix()
+	for _, h := range p.prefixHashes {
 		c.target.prefixes.add(p.now, h)
 	}
 }
 
-func (p *pick) hash() {
-	if p.hashes != nil || len(p.query.Prefix) == 0 {
+func (p *pick) hashPrefix() {
+	if p.prefixHashes != nil || len(p.query.Prefix) == 0 {
 		return
 	}
-	p.hashes = make([]uint64, len(p.query.Prefix))
+	p.prefixHashes = make([]uint64, len(p.query.Prefix))
 	for i, part := range p.query.Prefix {
-		p.hashes[i] = xxhash.Sum64String(part.ID)
+		p.prefixHashes[i] = xxhash.Sum64String(part.ID)
 	}
 }
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -11,14 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever lists, reports, digests, failures and signals of leaving come in
-// whichever order, a pick never returns a target that is leaving, excluded,
-// unfit or unknown, and it fails exactly when no other target is left. A
-// request sent to a leaving target would be cut; a pool emptied by ejections
-// would refuse everybody.
+// After any sequence of lists, reports, digests, failures and leaving signals, a pick never
+// returns a target that is leaving, excluded, unfit or unknown, and it fails only if no
+// other target is left. A request sent to a leaving target would be cut off; if
+// ejections emptied a pool, all requests would be refused.
 func TestPickIsAlwaysEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		targets := someTargets(rapid.IntRange(1, 8).Draw(rt, "targets"))
+		targets := testTargets(rapid.IntRange(1, 8).Draw(rt, "targets"))
 		for i := range targets {
 			targets[i].Models = [][]string{nil, {"a"}, {"b"}, {"a", "b"}}[rapid.IntRange(0, 3).Draw(rt, "models")]
 			targets[i].DataCentre = rapid.SampledFrom([]string{"dc-0", "dc-1"}).Draw(rt, "dc")
@@ -29,7 +28,7 @@
 		now := start
 		rng := newRNG()
 		name := func() string { return fmt.Sprintf("t%d", rapid.IntRange(0, 8).Draw(rt, "name")) }
-		var open []*Handle
+		var inFlight []*Attempt
 		rt.Repeat(map[string]func(*rapid.T){
 			"wait": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(rt, "ms")) * time.Millisecond)
@@ -45,10 +44,10 @@
 			},
 			"fail": func(rt *rapid.T) { table.fail(now, name(), rapid.IntRange(1, 4).Draw(rt, "times")) },
 			"done": func(rt *rapid.T) {
-				if len(open) > 0 {
+				if len(inFlight) > 0 {
 					outcome := Outcome(rapid.IntRange(0, 4).Draw(rt, "outcome"))
-					open[0].Done(now, Result{outcome, time.Second, time.Millisecond})
-					open = open[1:]
+					inFlight[0].Done(now, Result{outcome, time.Second, time.Millisecond})
+					inFlight = inFlight[1:]
 				}
 			},
 			"report": func(rt *rapid.T) {
@@ -81,17 +80,17 @@
 				}
 				require.NoError(rt, err)
 				require.True(rt, eligible[choice.Target.Incarnation], choice.Target.Incarnation)
-				open = append(open, table.Started(now, choice.Target.Incarnation, 1))
+				inFlight = append(inFlight, table.Started(now, choice.Target.Incarnation, 1))
 			},
 		})
 	})
 }
 
-// A target tells that it is leaving; the platform's list lags and names it for
-// some time more, loses it and, read from a replica behind, names it again. A
-// request sent to it then would be cut.
+// A target reports that it is leaving. The platform's list still names it for some time,
+// drops it and, when read from a lagging replica, names it again. A request sent to the
+// target would be cut off.
 func TestLeavingIsSticky(t *testing.T) {
-	targets := someTargets(2)
+	targets := testTargets(2)
 	table := newTable(Config{LeavingRetention: time.Minute}, targets)
 	table.Leaving(at(1*time.Second), "t0")
 	lists := [][]Target{targets, targets[1:], targets}
@@ -102,7 +101,7 @@
 			require.Equal(t, "t1", table.mustPick(t, now, newRNG(), Query{}).Target.Incarnation)
 		}
 	}
-	// It is forgotten only a good while after it vanished for the last time.
+	// The mark is dropped LeavingRetention after the target was last listed.
 	table.SetTargets(at(10*time.Second), testPool, targets[1:])
 	table.SetTargets(at(60*time.Second), testPool, targets[1:])
 	require.Contains(t, table.leaving, "t0")
@@ -111,7 +110,7 @@
 }
 
 func TestLeavingIsBounded(t *testing.T) {
-	table := newTable(Config{}, someTargets(1))
+	table := newTable(Config{}, testTargets(1))
 	for i := range maxLeaving + 10 {
 		table.leaving[fmt.Sprint(i)] = at(time.Duration(i))
 	}
@@ -120,10 +119,10 @@
 	require.Contains(t, table.leaving, "x")
 }
 
-// Local targets are taken while they are about as free as the others; when they
-// fill, those of the next data centre take over before anything queues.
+// Local targets are preferred while they are about as free as the others. When they fill
+// up, requests go to another data centre before they have to queue.
 func TestLocalFirstWithOverflow(t *testing.T) {
-	targets := someTargets(4)
+	targets := testTargets(4)
 	targets[2].DataCentre, targets[3].DataCentre = "dc-1", "dc-1"
 	for _, tc := range []struct {
 		local, remote int
@@ -143,30 +142,30 @@
 	}
 }
 
-// A data centre is lost and the list can't tell yet. The first attempt went
-// there and failed; if the second one does too, the request has no third.
+// A data centre has failed and the list doesn't show it yet. The first attempt went there
+// and failed; if the second does too, the request has no third attempt.
 func TestRetryAvoidsTriedDataCentre(t *testing.T) {
-	targets := someTargets(6)
+	targets := testTargets(6)
 	for i := range 3 {
 		targets[i].DataCentre = "dc-1"
 	}
-	pick := func(off Mechanism) (beside int) {
-		table := newTable(Config{Off: off | MechanismLocalFirst}, targets)
+	pick := func(disabled Mechanism) (sameDataCentre int) {
+		table := newTable(Config{Disabled: disabled | MechanismLocalFirst}, targets)
 		rng := newRNG()
 		for range 200 {
 			if table.mustPick(t, start, rng, Query{Exclude: []string{"t0"}}).Target.DataCentre == "dc-1" {
-				beside++
+				sameDataCentre++
 			}
 		}
-		return beside
+		return sameDataCentre
 	}
 	require.Less(t, pick(0), 30)
-	require.Greater(t, pick(MechanismSpread), 50)
+	require.Greater(t, pick(MechanismRetryElsewhere), 50)
 }
 
-// Picks and results run beside updates; the race detector is the judge.
+// Picks and results run concurrently with updates, for the race detector.
 func TestConcurrentUse(t *testing.T) {
-	targets := someTargets(6)
+	targets := testTargets(6)
 	table := newTable(Config{}, targets)
 	var all sync.WaitGroup
 	for w := range 4 {
@@ -178,9 +177,9 @@
 				if err != nil {
 					continue
 				}
-				h := table.Started(now, choice.Target.Incarnation, 1)
-				h.Done(now, Result{Outcome: Outcome(i % 5), Latency: time.Second, Expected: time.Second})
-				h.Done(now, Result{})
+				attempt := table.Started(now, choice.Target.Incarnation, 1)
+				attempt.Done(now, Result{Outcome: Outcome(i % 5), Latency: time.Second, Expected: time.Second})
+				attempt.Done(now, Result{})
 			}
 		})
 		all.Go(func() {
@@ -202,7 +201,7 @@
 
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 64, 4000} {
-		table := newTable(Config{}, someTargets(n))
+		table := newTable(Config{}, testTargets(n))
 		rng := newRNG()
 		q := Query{Pool: testPool.Name, Prefix: []PrefixPart{{"a", 800}, {"b", 900}}}
 		b.Run(fmt.Sprintf("prompt/targets=%d", n), func(b *testing.B) {
@@ -220,14 +219,14 @@
 	}
 }
 
-// BenchmarkState gives the bytes that a table keeps for a list of targets, all
-// of them with a prefix table.
+// BenchmarkState measures the memory of a table for a list of targets that all have a
+// prefix table.
 func BenchmarkState(b *testing.B) {
 	for _, n := range []int{12, 400, 4000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				table := newTable(Config{}, someTargets(n))
+				table := newTable(Config{}, testTargets(n))
 				for _, target := range table.view.Load().byTarget {
 					target.prefixes.add(start.UnixNano(), 1)
 				}
--- a/coordination/routing/prefix.go
+++ b/coordination/routing/prefix.go
@@ -7,25 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixIndex is the approximate set of prompt parts that one engine caches:
-// a direct-mapped table of fixed size. A newer part overwrites an older one of
-// the same slot, much as the engine's own bounded cache does. Each slot holds a
-// fingerprint (upper 32 bits) and the second it was last seen (lower 32 bits).
+// prefixIndex is an approximate set of the prompt parts that one engine caches,
+// kept in a direct-mapped table of fixed size. A newer part overwrites an older one
+// in the same slot, much as the engine's own bounded cache evicts. Each slot holds a
+// fingerprint (upper 32 bits) and the second of the last use (lower 32 bits).
 type prefixIndex struct {
 	size int
-	// table is made by the first part, so that targets of pools without
-	// prompts cost nothing.
+	// table is allocated for the first part, so that targets of pools without
+	// prompts need no memory for it.
 	table atomic.Pointer[[]atomic.Uint64]
-	// valid is the second before which entries count no longer.
-	valid atomic.Int64
-	epoch atomic.Uint64
+	// validFrom is the second before which entries are ignored.
+	validFrom atomic.Int64
+	epoch     atomic.Uint64
 }
 
-// gapTrust is the age up to which entries still count after a gap in the
-// events: the lost events may have told that older parts were evicted.
-const gapTrust = 20 * time.Second
+// gapMaxAge is the age up to which entries are still used after a gap in the cache
+// events: the lost events may have reported the eviction of older parts.
+const gapMaxAge = 20 * time.Second
 
-// slot returns the slot of a part, nil while the table is empty.
+// slot returns the slot of a part, or nil before the table is allocated.
 func (p *prefixIndex) slot(part uint64) *atomic.Uint64 {
 	table := p.table.Load()
 	if table == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (p *prefixIndex) has(now int64, part uint64, ttl time.Duration) bool {
+func (p *prefixIndex) contains(now int64, part uint64, ttl time.Duration) bool {
 	slot := p.slot(part)
 	if slot == nil {
 		return false
@@ -64,16 +64,16 @@
 		return false
 	}
 	second := int64(value & 0xffffffff)
-	return second >= p.valid.Load() && now/int64(time.Second)-second <= int64(ttl/time.Second)
+	return second >= p.validFrom.Load() && now/int64(time.Second)-second <= int64(ttl/time.Second)
 }
 
 func (p *prefixIndex) apply(now int64, u CacheUpdate) {
 	second := now / int64(time.Second)
 	if old := p.epoch.Swap(u.Epoch); old != 0 && old != u.Epoch {
-		p.valid.Store(second)
+		p.validFrom.Store(second)
 	}
 	if u.Gap {
-		p.valid.Store(max(p.valid.Load(), second-int64(gapTrust/time.Second)))
+		p.validFrom.Store(max(p.validFrom.Load(), second-int64(gapMaxAge/time.Second)))
 	}
 	for _, part := range u.Added {
 		p.add(now, xxhash.Sum64String(part))
@@ -83,12 +83,12 @@
 	}
 }
 
-// cached returns the number of leading tokens that the target is believed to
-// hold. Parts are cached in order, so the first missing part ends the run.
-func (s *targetState) cached(now int64, parts []PrefixPart, hashes []uint64, ttl time.Duration) int {
+// cachedTokens returns the estimated number of leading tokens in the target's cache.
+// Parts are cached in order, so it stops at the first missing part.
+func (s *targetState) cachedTokens(now int64, parts []PrefixPart, hashes []uint64, ttl time.Duration) int {
 	tokens := 0
 	for i, part := range parts {
-		if !s.prefixes.has(now, hashes[i], ttl) {
+		if !s.prefixes.contains(now, hashes[i], ttl) {
 			break
 		}
 		tokens += part.Tokens
--- a/coordination/routing/serves.go
+++ b/coordination/routing/serves.go
@@ -1,8 +1,8 @@
 package routing
 
-// Serves tells whether the pool has a target that may take the query at all: one
-// that is not leaving and has what the query asks for loaded. A request whose
-// later stage nothing serves is refused by it before it costs a stage.
+// Serves reports whether the pool has a target that can serve the query: one that is
+// not leaving and has the query's model and adapter loaded. It lets the caller refuse
+// a request whose later stage no target can serve before an earlier stage has run.
 func (t *Table) Serves(q *Query) bool {
 	pool := t.view.Load().pools[q.Pool]
 	if pool == nil {
--- a/coordination/routing/serves_test.go
+++ b/coordination/routing/serves_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A guest's plan needs a model that no engine has loaded yet. Found out only at
-// the last stage, the request has cost all stages before and may not be called
-// not run.
+// A pipeline needs a model that no engine has loaded yet. If that is only found at the
+// last stage, all earlier stages have run for nothing and the request can't be reported
+// as not run.
 func TestServesOnlyWhatATargetHasLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New(Config{Instance: "one"})
@@ -22,5 +22,5 @@
 	require.False(t, table.Serves(&Query{Pool: "engines", Model: "huge"}))
 	require.False(t, table.Serves(&Query{Pool: "none"}))
 	table.Leaving(now, "b")
-	require.False(t, table.Serves(&Query{Pool: "engines", Model: "large"}), "the last one leaves")
+	require.False(t, table.Serves(&Query{Pool: "engines", Model: "large"}), "the last target with the model is leaving")
 }
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -7,13 +7,13 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// localShare is the part of a subset that is taken from the local data centre
-// when it has enough targets; the rest is for overflow and for its loss.
+// localShare is the share of a subset that comes from the local data centre if it has
+// enough targets; the others serve overflow and a failure of the local data centre.
 const localShare = 0.75
 
-// leastPerModel is how many targets of each model a subset keeps, so that a
-// rare model is not routed to a single target.
-const leastPerModel = 4
+// minPerModel is the number of targets of each model that a subset keeps if there are
+// as many, so that a rare model is not routed to a single target.
+const minPerModel = 4
 
 type ranked struct {
 	target Target
@@ -21,37 +21,37 @@
 }
 
 // subset returns the targets that this instance keeps. Rendezvous hashing gives
-// every instance another subset and changes it by one target when one comes or
-// goes.
+// every instance a different subset; a target that is added or removed changes a
+// subset by about one target.
 func (c *Config) subset(targets []Target) []Target {
-	if len(targets) <= c.Subset {
+	if len(targets) <= c.SubsetSize {
 		return slices.Clone(targets)
 	}
-	all := c.rank(targets)
-	local := int(localShare * float64(c.Subset))
-	kept := make([]Target, 0, c.Subset)
-	taken := make(map[string]bool, c.Subset)
+	all := c.rankTargets(targets)
+	local := int(localShare * float64(c.SubsetSize))
+	kept := make([]Target, 0, c.SubsetSize)
+	selected := make(map[string]bool, c.SubsetSize)
 	models := map[string]int{}
-	take := func(limit int, fits func(Target) bool) {
+	selectUpTo := func(limit int, matches func(Target) bool) {
 		for _, r := range all {
 			if len(kept) >= limit {
 				return
 			}
-			if taken[r.target.Incarnation] || !fits(r.target) {
+			if selected[r.target.Incarnation] || !matches(r.target) {
 				continue
 			}
-			taken[r.target.Incarnation] = true
+			selected[r.target.Incarnation] = true
 			kept = append(kept, r.target)
 			countModels(models, r.target)
 		}
 	}
 	rare := func(t Target) bool {
-		return slices.ContainsFunc(t.Models, func(m string) bool { return models[m] < leastPerModel })
+		return slices.ContainsFunc(t.Models, func(m string) bool { return models[m] < minPerModel })
 	}
-	take(c.Subset, rare)
-	take(max(local, len(kept)), func(t Target) bool { return t.DataCentre == c.LocalDataCentre })
-	take(c.Subset, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
-	take(c.Subset, func(Target) bool { return true })
+	selectUpTo(c.SubsetSize, rare)
+	selectUpTo(max(local, len(kept)), func(t Target) bool { return t.DataCentre == c.LocalDataCentre })
+	selectUpTo(c.SubsetSize, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
+	selectUpTo(c.SubsetSize, func(Target) bool { return true })
 	return kept
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-func (c *Config) rank(targets []Target) []ranked {
+func (c *Config) rankTargets(targets []Target) []ranked {
 	all := make([]ranked, len(targets))
 	for i, t := range targets {
 		all[i] = ranked{target: t, rank: rendezvous.Score(c.Instance, t.Incarnation)}
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -9,7 +9,7 @@
 // maxLeaving bounds the leaving incarnations that are remembered.
 const maxLeaving = 16384
 
-// Table routes the requests of one instance.
+// Table chooses the targets for the requests of one instance.
 type Table struct {
 	config Config
 	view   atomic.Pointer[view]
@@ -17,20 +17,20 @@
 
 	mu      sync.Mutex // serialises updates; never held by Pick
 	states  map[string]*targetState
-	pools   map[string]*poolInput
-	leaving map[string]time.Time // when it was last in a list or told of
-	digests digests
+	pools   map[string]*listedPool
+	leaving map[string]time.Time // when it was last listed or reported as leaving
+	digests peerDigests
 }
 
-// poolInput is what the last list said of a pool.
-type poolInput struct {
-	pool   Pool
-	listed map[string]bool
-	subset []Target
-	health sync.Mutex // serialises ejections of the pool
+// listedPool is the state of a pool according to its latest list.
+type listedPool struct {
+	pool       Pool
+	listed     map[string]bool
+	subset     []Target
+	ejectionMu sync.Mutex // serialises the pool's ejections
 }
 
-// view is what Pick reads; it is never changed once published.
+// view is the immutable state that Pick reads.
 type view struct {
 	pools    map[string]*poolView
 	byTarget map[string]*targetView
@@ -38,12 +38,12 @@
 }
 
 type poolView struct {
-	pool    Pool
-	targets []*targetView
-	health  *sync.Mutex
+	pool       Pool
+	targets    []*targetView
+	ejectionMu *sync.Mutex
 }
 
-// targetView is one routable or leaving target of a view.
+// targetView is one target of a view, with its mutable state.
 type targetView struct {
 	Target
 	*targetState
@@ -57,7 +57,7 @@
 	t := &Table{
 		config:  config.withDefaults(),
 		states:  map[string]*targetState{},
-		pools:   map[string]*poolInput{},
+		pools:   map[string]*listedPool{},
 		leaving: map[string]time.Time{},
 	}
 	t.digests.byOrigin = map[string]*originDigest{}
@@ -65,15 +65,15 @@
 	return t
 }
 
-// SetTargets takes the platform's list of a pool's targets. Only a subset is
-// kept when the list is longer than Config.Subset. An incarnation that is known
-// to be leaving stays so, whatever the list says.
+// SetTargets replaces the list of a pool's targets with the platform's latest. If the
+// list is longer than Config.SubsetSize, only a subset is kept. An incarnation that was
+// reported as leaving stays so, whatever the list says.
 func (t *Table) SetTargets(now time.Time, pool Pool, targets []Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	input, known := t.pools[pool.Name]
 	if !known {
-		input = &poolInput{}
+		input = &listedPool{}
 		t.pools[pool.Name] = input
 	}
 	hadTargets := len(input.subset) > 0
@@ -83,24 +83,24 @@
 		input.listed[target.Incarnation] = true
 	}
 	input.subset = t.config.subset(targets)
-	// Where all targets are new at once, none can be spared.
+	// If all targets are new, none has a slow start: no other could take its traffic.
 	added := int64(0)
 	if hadTargets {
 		added = now.UnixNano()
 	}
 	for _, target := range input.subset {
 		if t.states[target.Incarnation] == nil {
-			t.states[target.Incarnation] = newTargetState(target, added, t.config.PrefixSlots)
+			t.states[target.Incarnation] = newTargetState(target, added, t.config.PrefixTableSize)
 		}
 	}
-	t.forget(now)
+	t.dropUnlisted(now)
 	t.publish()
 }
 
-// Leaving records that an incarnation is shutting down, from whichever signal
-// came first: the list, the target's own reply or a peer. It gets no new
-// request from then on, and nothing takes the record back: a list that lags
-// must not bring the target back.
+// Leaving records that an incarnation is shutting down, as reported by the list, the
+// target's own response or a peer, whichever is first. It gets no new requests from
+// then on. The record can't be undone, so an outdated list doesn't make the target
+// routable again.
 func (t *Table) Leaving(now time.Time, incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,16 +114,16 @@
 	t.publish()
 }
 
-// Report takes in a target's own load report.
+// Report records a target's load report.
 func (t *Table) Report(now time.Time, incarnation string, load Load) {
 	target := t.view.Load().byTarget[incarnation]
 	if target == nil {
 		return
 	}
-	target.applyReport(now, load, !t.config.off(MechanismAgeCorrection))
+	target.applyReport(now, load, !t.config.disabled(MechanismAgeCorrection))
 }
 
-// CacheEvent takes in a page of an engine's cache events.
+// CacheEvent records a page of an engine's cache events.
 func (t *Table) CacheEvent(now time.Time, incarnation string, update CacheUpdate) {
 	target := t.view.Load().byTarget[incarnation]
 	if target == nil {
@@ -132,9 +132,10 @@
 	target.prefixes.apply(now.UnixNano(), update)
 }
 
-// forget drops the state of targets that no list names any more, and leaving
-// marks whose incarnation vanished from the lists long ago.
-func (t *Table) forget(now time.Time) {
+// dropUnlisted drops the state of targets that are in no subset any more and have no
+// request in flight, and the leaving marks of incarnations that have been in no list
+// for Config.LeavingRetention.
+func (t *Table) dropUnlisted(now time.Time) {
 	kept := make(map[string]bool, len(t.states))
 	for _, input := range t.pools {
 		for _, target := range input.subset {
@@ -176,7 +177,7 @@
 	delete(t.leaving, oldest)
 }
 
-// publish builds the view that Pick reads from now on.
+// publish builds a new view and makes it the one that Pick reads.
 func (t *Table) publish() {
 	v := &view{
 		pools:    make(map[string]*poolView, len(t.pools)),
@@ -184,7 +185,7 @@
 		byHash:   make(map[uint32]*targetView, len(t.states)),
 	}
 	for name, input := range t.pools {
-		p := &poolView{pool: input.pool, health: &input.health}
+		p := &poolView{pool: input.pool, ejectionMu: &input.ejectionMu}
 		for _, target := range input.subset {
 			tv := t.newTargetView(target, p)
 			p.targets = append(p.targets, tv)
--- a/coordination/routing/target.go
+++ b/coordination/routing/target.go
@@ -8,143 +8,147 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// costUnit is the fixed-point scale of costs kept in atomics.
+// costUnit is the fixed-point scale of costs that are stored in atomics.
 const costUnit = 1000
 
-// HashTarget returns the hash that digests name a target by.
+// HashTarget returns the hash that identifies a target in digests.
 func HashTarget(incarnation string) uint32 {
 	return uint32(xxhash.Sum64String(incarnation))
 }
 
-// targetState is the mutable state of one incarnation. It outlives views; every
-// field after the first block is an atomic. Times are Unix nanoseconds.
+// targetState is the mutable state of one incarnation. It is shared by successive
+// views; all fields after the first block are changed with atomic operations. Times
+// are Unix nanoseconds.
 type targetState struct {
 	hash  uint32
-	added int64 // 0 for a target of the first list: it needs no slow start
-
-	inFlight atomic.Int64 // sum of costs, in 1/costUnit
-	open     openAttempts
-	history  history
-	peers    atomic.Int64 // requests in flight at peers
-	peersAt  atomic.Int64
-	report   atomic.Pointer[reportState]
-	health   health
-	prefixes prefixIndex
-	picked   atomic.Uint64
+	added int64 // 0 for a target of the pool's first list, which needs no slow start
+
+	inFlight        atomic.Int64 // cost from this instance, in 1/costUnit
+	attemptAges     attemptAges
+	inFlightHistory inFlightHistory
+	peerInFlight    atomic.Int64 // requests in flight at peers
+	peerInFlightAt  atomic.Int64
+	report          atomic.Pointer[reportState]
+	health          health
+	prefixes        prefixIndex
+	picks           atomic.Uint64
 }
 
-// reportState is a report, reduced to what others had at the target.
+// reportState is a load report, split into this instance's part and that of others.
 type reportState struct {
-	others float64
-	total  float64
-	slots  int
-	at     int64
+	otherLoad  float64
+	totalLoad  float64
+	slots      int
+	measuredAt int64
 }
 
-func newTargetState(t Target, added int64, prefixSlots int) *targetState {
+func newTargetState(t Target, added int64, prefixTableSize int) *targetState {
 	s := &targetState{hash: HashTarget(t.Incarnation), added: added}
-	s.prefixes.size = prefixSlots
+	s.prefixes.size = prefixTableSize
 	return s
 }
 
-func (s *targetState) own() float64 {
+func (s *targetState) ownLoad() float64 {
 	return float64(s.inFlight.Load()) / costUnit
 }
 
-func (s *targetState) add(now int64, cost int64) {
-	s.history.record(now, s.inFlight.Add(cost))
+func (s *targetState) addInFlight(now int64, cost int64) {
+	s.inFlightHistory.record(now, s.inFlight.Add(cost))
 }
 
-// The history covers historyBuckets × historyStep: more than the age at which
-// a report is still of use.
+// The history covers historyBuckets × historyStep, which is longer than the age at
+// which a report is still used.
 const (
 	historyBuckets = 32
 	historyStep    = int64(100 * time.Millisecond)
 )
 
-// history remembers the own in-flight cost of the last seconds, so that a late
-// report is compared with what this instance had at the target back then.
-// Concurrent writers may lose one another's sample; the next one mends it.
-type history struct {
-	at    [historyBuckets]atomic.Int64
-	value [historyBuckets]atomic.Int64
+// inFlightHistory holds this instance's in-flight cost over the last seconds, so that
+// a delayed report is compared with the cost at the time it was taken. Concurrent
+// writers may overwrite each other's sample; the next sample corrects that.
+type inFlightHistory struct {
+	steps  [historyBuckets]atomic.Int64
+	values [historyBuckets]atomic.Int64
 }
 
-func (h *history) record(now, value int64) {
+func (h *inFlightHistory) record(now, value int64) {
 	step := now / historyStep
 	i := step % historyBuckets
-	h.value[i].Store(value)
-	h.at[i].Store(step)
+	h.values[i].Store(value)
+	h.steps[i].Store(step)
 }
 
-// before returns the newest value recorded at or before the moment; without
-// one, current.
-func (h *history) before(moment, current int64) int64 {
+// at returns the latest value recorded at or before the moment, or current if there is
+// none.
+func (h *inFlightHistory) at(moment, current int64) int64 {
 	step := moment / historyStep
 	oldest := step - historyBuckets
 	best := oldest
 	value := current
-	for i := range h.at {
-		at := h.at[i].Load()
+	for i := range h.steps {
+		at := h.steps[i].Load()
 		if at <= step && at > best {
 			best = at
-			value = h.value[i].Load()
+			value = h.values[i].Load()
 		}
 	}
 	return value
 }
 
-// applyReport keeps what others had at the target: the report's total less the
-// own requests at the moment the report was taken.
-func (s *targetState) applyReport(now time.Time, load Load, correct bool) {
+// applyReport stores a load report. The load from others is the reported total less
+// this instance's in-flight cost: with correctAge set, the cost at the time the report was
+// taken, otherwise the current one.
+func (s *targetState) applyReport(now time.Time, load Load, correctAge bool) {
 	nowNS := now.UnixNano()
 	own := s.inFlight.Load()
-	if correct {
-		own = s.history.before(nowNS-int64(load.Age), own)
+	if correctAge {
+		own = s.inFlightHistory.at(nowNS-int64(load.Age), own)
 	}
 	total := float64(load.Active + load.Queued)
 	r := &reportState{
-		others: math.Max(0, total-float64(own)/costUnit),
-		total:  total,
-		slots:  load.Slots,
-		at:     nowNS - int64(load.Age),
+		otherLoad:  math.Max(0, total-float64(own)/costUnit),
+		totalLoad:  total,
+		slots:      load.Slots,
+		measuredAt: nowNS - int64(load.Age),
 	}
-	// Reports may arrive in another order than they were taken.
-	if old := s.report.Load(); old != nil && old.at > r.at {
+	// Reports may arrive out of order.
+	if old := s.report.Load(); old != nil && old.measuredAt > r.measuredAt {
 		return
 	}
 	s.report.Store(r)
 }
 
-// estimate returns the number of requests believed to be at the target.
-func (s *targetState) estimate(now int64, c *Config) float64 {
-	own := s.own()
+// estimatedLoad returns the estimated number of requests at the target. The weight of
+// the last report falls linearly with its age; peers' digests make up the remaining part.
+func (s *targetState) estimatedLoad(now int64, c *Config) float64 {
+	own := s.ownLoad()
 	peers, fresh := s.peerLoad(now, c)
 	r := s.report.Load()
-	if r == nil || c.off(MechanismReports) {
+	if r == nil || c.disabled(MechanismReports) {
 		return own + peers
 	}
-	if c.off(MechanismAgeCorrection) {
-		return math.Max(own+peers, r.total)
+	if c.disabled(MechanismAgeCorrection) {
+		return math.Max(own+peers, r.totalLoad)
 	}
-	trust := 1 - float64(now-r.at)/float64(c.ReportTrust)
-	if trust <= 0 {
+	weight := 1 - float64(now-r.measuredAt)/float64(c.ReportTTL)
+	if weight <= 0 {
 		return own + peers
 	}
 	if !fresh {
-		return own + trust*r.others
+		return own + weight*r.otherLoad
 	}
-	return own + trust*math.Max(peers, r.others) + (1-trust)*peers
+	return own + weight*math.Max(peers, r.otherLoad) + (1-weight)*peers
 }
 
 func (s *targetState) peerLoad(now int64, c *Config) (load float64, fresh bool) {
-	if c.off(MechanismPeerDigest) || now-s.peersAt.Load() > int64(c.DigestTTL) {
+	if c.disabled(MechanismPeerDigest) || now-s.peerInFlightAt.Load() > int64(c.DigestTTL) {
 		return 0, false
 	}
-	return float64(s.peers.Load()), true
+	return float64(s.peerInFlight.Load()), true
 }
 
-// slots returns the reported number of slots, else the configured one.
+// slots returns the reported number of slots, or the configured number if none was
+// reported.
 func (s *targetState) slots(configured int) float64 {
 	if r := s.report.Load(); r != nil && r.slots > 0 {
 		return float64(r.slots)
--- a/coordination/routing/types.go
+++ b/coordination/routing/types.go
@@ -9,65 +9,66 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Pool is what routing needs to know of a pool's record.
+// Pool holds the settings of a pool that routing uses.
 type Pool struct {
 	Name string
-	// Objective is the record's; routing itself serves both alike.
+	// Objective is copied from the pool's record; routing treats both objectives alike.
 	Objective catalog.Objective
-	// EjectionFloor is the least share of eligible targets, 0 to 1, that stay
-	// routable however badly they do. At least one target always stays.
+	// EjectionFloor is the minimum share of eligible targets, 0 to 1, that stay
+	// routable even if they fail. At least one target always does.
 	EjectionFloor float64
 }
 
 // Target is one incarnation of a target process.
 type Target struct {
 	Incarnation string
-	// Name is what the process answers to, and keeps when it starts again; empty
-	// where an incarnation has no other name.
+	// Name identifies the target across restarts; empty where an incarnation has no
+	// other name.
 	Name       string
 	Pool       string
 	Address    string
 	DataCentre string
-	// Slots is the number of requests that the target runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Models and Adapters are what an engine has loaded; empty means no
-	// constraint is known and the target takes any.
+	// Models and Adapters are those that an engine has loaded; an empty list means
+	// that no constraint is known and the target accepts any.
 	Models   []string
 	Adapters []string
 }
 
-// PrefixPart is one part of a prompt; targets cache parts in order.
+// PrefixPart is one part of a prompt. Targets cache the parts of a prompt in order.
 type PrefixPart struct {
 	ID     string
 	Tokens int
 }
 
-// Query is one request for a target.
+// Query describes the request that a target is chosen for.
 type Query struct {
 	Pool    string
 	Model   string
 	Adapter string
 	Prefix  []PrefixPart
-	// Exclude lists incarnations that this stage was already sent to.
+	// Exclude lists the incarnations that this stage was already sent to.
 	Exclude []string
 	// Rank is the tier's rank; 0 is the highest.
 	Rank int
 	// Cost is the expected work relative to the pool's mean; 0 means 1.
 	Cost float64
-	// Home names what the request reads again and again, such as a subject whose
-	// prompt an engine caches. All instances choose the same target for a home
-	// without a word, as long as it isn't crowded.
-	Home string
-	// Prefer is the incarnation that was chosen for the request by who knows more; it
-	// is used unless it is ejected, excluded or not there.
-	Prefer string
-	// HomeShares are the shares of homes that data centres should have, where
-	// something else than the targets' number decides: such as where the inputs of
-	// the requests are made. Nil is by the number of targets.
+	// HomeKey identifies data that many requests read, such as a subject whose prompt
+	// an engine caches. All instances map a key to the same target, its home, without
+	// communication, as long as that target isn't overloaded.
+	HomeKey string
+	// Preferred is the incarnation that a component with more information, such as the
+	// holder of the stage queue, chose for the request. It is used unless it is ejected,
+	// excluded or unknown.
+	Preferred string
+	// HomeShares maps data centres to the share of home keys that they should have, for
+	// example by where the inputs of the requests are produced. If nil, the shares
+	// follow the number of targets.
 	HomeShares map[string]float64
 }
 
-// Fits tells whether the target can serve the query's model and adapter.
+// Fits reports whether the target can serve the query's model and adapter.
 func (t *Target) Fits(q *Query) bool {
 	if q.Model != "" && len(t.Models) > 0 && !slices.Contains(t.Models, q.Model) {
 		return false
@@ -75,27 +76,27 @@
 	return q.Adapter == "" || len(t.Adapters) == 0 || slices.Contains(t.Adapters, q.Adapter)
 }
 
-// Reason says which rule chose a target.
+// Reason is the rule that chose a target.
 type Reason uint8
 
 // The reasons of a choice.
 const (
-	// ReasonLoad is the less loaded of the sampled targets.
+	// ReasonLoad is the least loaded of the sampled targets.
 	ReasonLoad Reason = iota
-	// ReasonOverflow is a target of another data centre, since the local ones
-	// are full.
+	// ReasonOverflow is a target of another data centre, chosen because the local
+	// targets are more loaded or there are none.
 	ReasonOverflow
-	// ReasonAffinity is a target that holds the prefix in its cache.
+	// ReasonAffinity is a target that has at least a part of the prefix in its cache.
 	ReasonAffinity
-	// ReasonProbe is an ejected target that is tried again.
+	// ReasonProbe is an ejected target that this request probes.
 	ReasonProbe
-	// ReasonFloor is an ejected target, kept routable by the ejection floor.
+	// ReasonFloor is an ejected target that the ejection floor keeps routable.
 	ReasonFloor
-	// ReasonOnly is the one eligible target.
+	// ReasonOnly is the only eligible target.
 	ReasonOnly
-	// ReasonHome is the target that the query's Home maps to.
+	// ReasonHome is the target that the query's HomeKey maps to.
 	ReasonHome
-	// ReasonPreferred is the target that the query prefers.
+	// ReasonPreferred is the target that the query names in Preferred.
 	ReasonPreferred
 )
 
@@ -109,21 +110,21 @@
 	return fmt.Sprintf("reason(%d)", uint8(r))
 }
 
-// Choice is the answer of Pick.
+// Choice is the result of Pick.
 type Choice struct {
 	Target Target
 	Reason Reason
-	// CachedTokens is how many tokens of the prefix the target is believed to
-	// hold.
+	// CachedTokens is the estimated number of the prefix's tokens in the target's cache.
 	CachedTokens int
-	// Load is the estimated number of requests at the target.
+	// Load is the estimated number of requests in flight at the target.
 	Load float64
 }
 
-// NoTargetError tells that a pool has no target for a query, and why.
+// NoTargetError reports that a pool has no eligible target for a query, and why.
 type NoTargetError struct {
 	Pool string
-	// Known counts the pool's targets; the others count those left out.
+	// Known is the number of the pool's targets; the other fields count those that
+	// were left out, by cause.
 	Known, Leaving, Excluded, Unfit int
 }
 
@@ -138,61 +139,62 @@
 
 // The outcomes of an attempt.
 const (
-	// OutcomeOK is a whole answer in time.
+	// OutcomeOK is a complete response before the deadline.
 	OutcomeOK Outcome = iota
-	// OutcomeFailed is an error of the target or of the way to it.
+	// OutcomeFailed is an error of the target or of the connection to it.
 	OutcomeFailed
-	// OutcomeNotRun is a refusal; the target vouches that nothing was run.
+	// OutcomeNotRun is a refusal in which the target guarantees that nothing was run.
 	OutcomeNotRun
-	// OutcomeLate is a whole answer past its deadline, or none by then.
-	OutcomeLate
-	// OutcomeCancelled is an attempt that the instance gave up, for instance
-	// the loser of a hedge. It says nothing about the target's health.
+	// OutcomeDeadlineMissed is a complete response after the deadline, or no response by
+	// then.
+	OutcomeDeadlineMissed
+	// OutcomeCancelled is an attempt that the instance cancelled, such as the loser
+	// of a hedge. It isn't counted as a failure.
 	OutcomeCancelled
 )
 
-// Result is what an attempt taught.
+// Result is what was observed of a completed attempt.
 type Result struct {
 	Outcome Outcome
-	// Latency is from the start to the end of the attempt.
+	// Latency is the time from the start to the end of the attempt.
 	Latency time.Duration
-	// Expected is the usual time of this stage and size; 0 when unknown.
+	// Expected is the expected latency for this stage and size; 0 if unknown.
 	Expected time.Duration
 }
 
-// Load is a target's own report.
+// Load is a load report of a target.
 type Load struct {
 	Active, Queued int
-	// Slots is the reported number of slots; 0 leaves the configured one.
+	// Slots is the reported number of slots; 0 keeps the configured number.
 	Slots int
-	// Age is how old the report was when it arrived.
+	// Age is the age of the report at the time of its arrival.
 	Age time.Duration
 }
 
-// DigestEntry is one target's in-flight count at one instance. TargetHash is
-// HashTarget of the incarnation.
+// DigestEntry is the number of requests that one instance has in flight at one
+// target. TargetHash is HashTarget of the incarnation.
 type DigestEntry struct {
 	TargetHash uint32
-	// InFlight is the count, or Suspected.
+	// InFlight is the number of requests, or Suspected.
 	InFlight uint16
 }
 
-// Suspected in place of a count tells that the origin ejected the target.
+// Suspected replaces the number of requests if the sender has ejected the target.
 const Suspected = math.MaxUint16
 
 // CacheUpdate is a page of an engine's cache events.
 type CacheUpdate struct {
-	// Epoch changes when the engine's cache was emptied as a whole.
+	// Epoch changes whenever the engine's whole cache is cleared.
 	Epoch uint64
-	// Gap tells that events before these were lost.
+	// Gap is set if events before this page were lost.
 	Gap            bool
 	Added, Removed []string
 }
 
-// Mechanism names a part of the routing that can be switched off.
+// Mechanism is a set of routing mechanisms, as a bit mask.
 type Mechanism uint16
 
-// The mechanisms that Config.Off can switch off.
+// The mechanisms that Config.Disabled can turn off.
 const (
 	MechanismPeerDigest Mechanism = 1 << iota
 	MechanismReports
@@ -203,5 +205,5 @@
 	MechanismSlowStart
 	MechanismAffinity
 	MechanismSuspicion
-	MechanismSpread
+	MechanismRetryElsewhere
 )
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -166,7 +166,7 @@
 	a.router = routing.New(routing.Config{
 		Instance:        s.Instance.Name,
 		LocalDataCentre: s.Instance.DataCentre,
-		Subset:          s.Routing.Subset,
+		SubsetSize:      s.Routing.Subset,
 	})
 	a.gates = gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{Preempt: true}}, time.Now)
 	a.ledger = budget.NewLedger(time.Now(), budget.Config{Self: s.Instance.Name})
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -39,7 +39,7 @@
 	id      string
 	choice  routing.Choice
 	started time.Time
-	handle  *routing.Handle
+	handle  *routing.Attempt
 	// number is the attempt's place in the status of its request.
 	number int
 	// stream tells that tokens are delivered as they come.
@@ -224,7 +224,7 @@
 	case errors.Is(context.Cause(ctx), errLostHedge) || errors.Is(ctx.Err(), context.Canceled):
 		return routing.OutcomeCancelled
 	case ctx.Err() != nil:
-		return routing.OutcomeLate
+		return routing.OutcomeDeadlineMissed
 	default:
 		return routing.OutcomeFailed
 	}
@@ -251,7 +251,7 @@
 		return requests.ResultOK
 	case routing.OutcomeNotRun:
 		return requests.ResultNotRun
-	case routing.OutcomeLate:
+	case routing.OutcomeDeadlineMissed:
 		return requests.ResultLate
 	case routing.OutcomeCancelled:
 		return requests.ResultCancelled
--- a/daemon/execute/panic_test.go
+++ b/daemon/execute/panic_test.go
@@ -38,7 +38,7 @@
 	return f.Router.Pick(now, rng, q)
 }
 
-func (f *fault) Started(now time.Time, incarnation string, cost float64) *routing.Handle {
+func (f *fault) Started(now time.Time, incarnation string, cost float64) *routing.Attempt {
 	f.hit("Started")
 	return f.Router.Started(now, incarnation, cost)
 }
--- a/daemon/execute/ports.go
+++ b/daemon/execute/ports.go
@@ -17,7 +17,7 @@
 	Pick(now time.Time, rng *rand.Rand, q routing.Query) (routing.Choice, error)
 	// Serves tells whether any target may take the query at all.
 	Serves(q *routing.Query) bool
-	Started(now time.Time, incarnation string, cost float64) *routing.Handle
+	Started(now time.Time, incarnation string, cost float64) *routing.Attempt
 	Report(now time.Time, incarnation string, load routing.Load)
 	Leaving(now time.Time, incarnation string)
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	g.client = forward.New()
-	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, Subset: knownTargets})
+	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, SubsetSize: knownTargets})
 	g.follower = follow.New(follow.Options{
 		Store: store, Source: p.Source,
 		Spread:    g.cluster.Put,
--- a/daemon/metrics/sample.go
+++ b/daemon/metrics/sample.go
@@ -72,7 +72,7 @@
 	}
 	s.series.count(stats.Refused, "routing_refused")
 	s.series.count(stats.Ejections, "routing_ejections")
-	s.series.count(stats.Floored, "routing_floored")
+	s.series.count(stats.EjectionsPrevented, "routing_floored")
 	pools := make(map[string]targets)
 	for _, t := range stats.Targets {
 		pools[t.Pool] = pools[t.Pool].add(t)
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -86,10 +86,10 @@
 // pick chooses a target for the request itself.
 func (q *request) pick() (routing.Choice, error) {
 	query := routing.Query{
-		Pool: q.service, Model: q.call.Model, Exclude: q.excluded, Rank: q.priority, Prefer: q.engine,
+		Pool: q.service, Model: q.call.Model, Exclude: q.excluded, Rank: q.priority, Preferred: q.engine,
 	}
 	if q.route.PromptRoute {
-		query.Home = subject(q.call.Prefix)
+		query.HomeKey = subject(q.call.Prefix)
 		query.HomeShares = q.inputShares()
 	}
 	return q.relay.options.Router.Pick(time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), query)
@@ -369,7 +369,7 @@
 	case errors.Is(cause, errSilent):
 		return routing.OutcomeFailed, &failure{cause: errors.CombineErrors(errSilent, err), notRun: notRun}
 	case errors.Is(cause, errDeadline):
-		return routing.OutcomeLate, &failure{cause: errDeadline, notRun: notRun}
+		return routing.OutcomeDeadlineMissed, &failure{cause: errDeadline, notRun: notRun}
 	case cause != nil:
 		return routing.OutcomeCancelled, &failure{cause: cause, notRun: notRun}
 	}
--- a/testkit/capacity/polls.go
+++ b/testkit/capacity/polls.go
@@ -16,7 +16,7 @@
 
 // targetEngines is the engines that an instance keeps: six models in pools of
 // their own, a subset of 64 of each.
-const targetEngines = 6 * routing.DefaultSubset
+const targetEngines = 6 * routing.DefaultSubsetSize
 
 // Lengths of the measure of polls: the warm-up takes in that every engine is
 // asked once at the start.
--- a/testkit/experiment/instance.go
+++ b/testkit/experiment/instance.go
@@ -228,7 +228,7 @@
 	f.ended = true
 	i := f.instance
 	for len(f.open) > 0 {
-		f.open[0].giveUp(routing.OutcomeLate)
+		f.open[0].giveUp(routing.OutcomeDeadlineMissed)
 	}
 	f.record.fate = fate
 	if fate == fateWhole {
--- a/testkit/experiment/policy.go
+++ b/testkit/experiment/policy.go
@@ -28,7 +28,7 @@
 		baselinePolicy("round_robin", func() baseline.Strategy { return &baseline.RoundRobin{} }),
 		baselinePolicy("least_outstanding", func() baseline.Strategy { return baseline.LeastOutstanding{} }),
 		baselinePolicy("two_choices", func() baseline.Strategy { return baseline.TwoChoices{} }),
-		baselinePolicy("rating_rounds", func() baseline.Strategy { return baseline.Rounds{} }),
+		baselinePolicy("rating_rounds", func() baseline.Strategy { return baseline.RatingRounds{} }),
 	}
 }
 
@@ -56,18 +56,18 @@
 func Ablations() []Policy {
 	return []Policy{
 		Routed(OurPolicy, ourConfig()),
-		Routed("no_reports", routing.Config{Off: routing.MechanismReports}),
-		Routed("no_age", routing.Config{Off: routing.MechanismAgeCorrection}),
-		Routed("no_local", routing.Config{Off: routing.MechanismLocalFirst}),
-		Routed("no_ejection", routing.Config{Off: routing.MechanismEjection}),
-		Routed("no_latency", routing.Config{Off: routing.MechanismLatency}),
-		Routed("no_slow_start", routing.Config{Off: routing.MechanismSlowStart}),
-		Routed("no_affinity", routing.Config{Off: routing.MechanismAffinity}),
-		Routed("no_suspicion", routing.Config{Off: routing.MechanismSuspicion}),
-		Routed("no_spread", routing.Config{Off: routing.MechanismSpread}),
-		Routed("own_only", routing.Config{Off: routing.MechanismPeerDigest | routing.MechanismReports}),
-		Routed("reports_only", routing.Config{Off: routing.MechanismPeerDigest}),
-		Routed("reports_3s", routing.Config{Off: routing.MechanismPeerDigest, ReportTrust: 3 * time.Second}),
+		Routed("no_reports", routing.Config{Disabled: routing.MechanismReports}),
+		Routed("no_age", routing.Config{Disabled: routing.MechanismAgeCorrection}),
+		Routed("no_local", routing.Config{Disabled: routing.MechanismLocalFirst}),
+		Routed("no_ejection", routing.Config{Disabled: routing.MechanismEjection}),
+		Routed("no_latency", routing.Config{Disabled: routing.MechanismLatency}),
+		Routed("no_slow_start", routing.Config{Disabled: routing.MechanismSlowStart}),
+		Routed("no_affinity", routing.Config{Disabled: routing.MechanismAffinity}),
+		Routed("no_suspicion", routing.Config{Disabled: routing.MechanismSuspicion}),
+		Routed("no_spread", routing.Config{Disabled: routing.MechanismRetryElsewhere}),
+		Routed("own_only", routing.Config{Disabled: routing.MechanismPeerDigest | routing.MechanismReports}),
+		Routed("reports_only", routing.Config{Disabled: routing.MechanismPeerDigest}),
+		Routed("reports_3s", routing.Config{Disabled: routing.MechanismPeerDigest, ReportTTL: 3 * time.Second}),
 		Routed("cache_0.2", routing.Config{CacheWeight: 0.2}),
 		Routed("cache_0.4", routing.Config{CacheWeight: 0.4}),
 		Routed("cache_0.6", routing.Config{CacheWeight: 0.6}),
@@ -100,7 +100,7 @@
 		return without(func(p *Parts) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
 	}
 	routed := func(name string, off routing.Mechanism) Policy {
-		return Managed(name, whole, routing.Config{Off: off})
+		return Managed(name, whole, routing.Config{Disabled: off})
 	}
 	return []Policy{
 		Managed(ManagedPolicy, whole, ourConfig()),
@@ -120,7 +120,7 @@
 		routed("managed_no_slow_start", routing.MechanismSlowStart),
 		routed("managed_no_affinity", routing.MechanismAffinity),
 		routed("managed_no_suspicion", routing.MechanismSuspicion),
-		routed("managed_no_spread", routing.MechanismSpread),
+		routed("managed_no_spread", routing.MechanismRetryElsewhere),
 	}
 }
 
--- a/testkit/experiment/target.go
+++ b/testkit/experiment/target.go
@@ -83,7 +83,7 @@
 		return
 	}
 	// The call names how long its answer is of use; the target stops then.
-	t.clock.at(j.request.Deadline, func() { t.cancel(j, routing.OutcomeLate) })
+	t.clock.at(j.request.Deadline, func() { t.cancel(j, routing.OutcomeDeadlineMissed) })
 	if t.active < t.spec.Slots {
 		t.start(j)
 		return
