--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission refuses at once the requests that cannot be answered by
-// their deadline, before they cost a stage, and says when to come back. It reads
-// no clock; the caller serialises the calls of one Controller.
+// Package admission refuses requests that can't meet their deadline before any of their
+// stages runs, and computes when the caller should retry. It reads no clock; the caller
+// has to serialise the calls of one Controller.
 package admission
 
 import (
@@ -10,82 +10,86 @@
 	"github.com/ivyhollow/ivyhollow/coordination/deadline"
 )
 
-// Reason says why a request was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 // The reasons of a refusal.
 const (
-	// ReasonQueue means that the work ahead in the queues takes too long.
-	ReasonQueue Reason = "queue_too_long"
-	// ReasonDeadline means that the stages alone take longer than is left.
-	ReasonDeadline Reason = "deadline_too_short"
+	// ReasonQueueTooLong means that the stages would meet the deadline without waits, but
+	// the queues are too long.
+	ReasonQueueTooLong Reason = "queue_too_long"
+	// ReasonDeadlineTooShort means that the stages take longer than the remaining time
+	// even without waits.
+	ReasonDeadlineTooShort Reason = "deadline_too_short"
 )
 
 // Defaults of Config.
 const (
 	DefaultMinConfidence = deadline.MinConfidence
-	DefaultProbeEvery    = time.Second
+	DefaultProbeInterval = time.Second
 )
 
-// Config sets a Controller. Zero values take the defaults.
+// Config holds the settings of a Controller. Fields that are zero or less take their
+// defaults.
 type Config struct {
-	// MinConfidence is the probability of making it under which a request is
+	// MinConfidence is the probability of meeting the deadline below which a request is
 	// refused.
 	MinConfidence float64
-	// ProbeEvery is how often a request is admitted although the learned
-	// stage times say that it cannot make it.
-	ProbeEvery time.Duration
+	// ProbeInterval is the interval at which a request is admitted although it can't
+	// meet its deadline by the learned stage times.
+	ProbeInterval time.Duration
 }
 
-// Decision answers one request.
+// Decision is the result of Controller.Decide for one request.
 type Decision struct {
 	Admit bool
-	// Probe tells that the request was admitted to measure the stages anew.
+	// Probe reports that the request was admitted to measure its stages again. The caller
+	// reports its end by Controller.ProbeEnded.
 	Probe bool
-	// Confidence is the probability of making it, 0 to 1.
+	// Confidence is the probability of meeting the deadline, 0 to 1.
 	Confidence float64
 	Reason     Reason
 	RetryAfter time.Duration
-	// LatestStart is the last moment at which starting the first stage is of
-	// use.
+	// LatestStart is the latest time at which the first stage may start and still be
+	// expected to meet the deadline.
 	LatestStart time.Time
 }
 
-// Controller decides for one pipeline and tier.
+// Controller decides on the requests of one pipeline and tier.
 type Controller struct {
 	config    Config
 	lastProbe time.Time
-	// credit is the number of probes that may go at once, and ramp what the
-	// next probe that makes it sets it to.
-	credit, ramp int
+	// probeCredit is the number of probes that may be admitted at once; probeRamp is
+	// the value it was last set to by a successful probe.
+	probeCredit, probeRamp int
 }
 
-// New makes a controller.
+// New returns a Controller with the given settings.
 func New(c Config) *Controller {
 	if c.MinConfidence <= 0 {
 		c.MinConfidence = DefaultMinConfidence
 	}
-	if c.ProbeEvery <= 0 {
-		c.ProbeEvery = DefaultProbeEvery
+	if c.ProbeInterval <= 0 {
+		c.ProbeInterval = DefaultProbeInterval
 	}
 	return &Controller{config: c}
 }
 
-// Bounds of a time to come back.
+// Bounds of RetryAfter, before the jitter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// Decide answers a request that is to end by due and whose stages, with the
-// waits of their queues (tiers.Gate.Wait), are given.
-func (c *Controller) Decide(now, due time.Time, stages []deadline.Remaining, rng *rand.Rand) Decision {
-	left := due.Sub(now)
+// Decide decides whether to admit a request that is due at the given time. The stages
+// include the expected waits in their queues (tiers.Gate.Wait).
+func (c *Controller) Decide(now, due time.Time, stages []deadline.RemainingStage, rng *rand.Rand) Decision {
+	remaining := due.Sub(now)
 	d := Decision{
-		Confidence:  deadline.Confidence(left, stages),
+		Confidence:  deadline.Confidence(remaining, stages),
 		LatestStart: deadline.LatestStart(now, due, stages),
 	}
-	unqueued := deadline.Confidence(left, withoutWaits(stages))
+	unqueued := deadline.Confidence(remaining, withoutWaits(stages))
 	if d.Confidence >= c.config.MinConfidence {
 		d.Admit = true
 		return d
@@ -93,63 +97,65 @@
 	if unqueued < c.config.MinConfidence {
 		return c.refuseDeadline(now, d, rng)
 	}
-	d.Reason = ReasonQueue
-	d.RetryAfter = jitter(rng, queueExcess(left, stages))
+	d.Reason = ReasonQueueTooLong
+	d.RetryAfter = jitter(rng, queueDrainTime(remaining, stages))
 	return d
 }
 
-// refuseDeadline refuses a request whose stages alone are too slow, but admits
-// one now and then. Without those probes an overload that made the stages slow
-// would never end: everything is refused, so nothing is measured, so the
-// learned times stay where they are and everything is refused.
+// refuseDeadline refuses a request whose stages are too slow even without waits, but
+// admits one per ProbeInterval as a probe, and more after successful ones. Without probes,
+// an overload during which the stages became slow would never end: all requests would be
+// refused, so no stage would be measured and the learned times would never improve.
 func (c *Controller) refuseDeadline(now time.Time, d Decision, rng *rand.Rand) Decision {
-	if c.mayProbe(now) {
+	if c.claimProbe(now) {
 		d.Admit = true
 		d.Probe = true
 		d.LatestStart = now
 		return d
 	}
-	d.Reason = ReasonDeadline
-	d.RetryAfter = jitter(rng, c.config.ProbeEvery)
+	d.Reason = ReasonDeadlineTooShort
+	d.RetryAfter = jitter(rng, c.config.ProbeInterval)
 	return d
 }
 
-func (c *Controller) mayProbe(now time.Time) bool {
-	if c.credit > 0 {
-		c.credit--
+// claimProbe reports whether a probe may be admitted now, and counts it if so.
+func (c *Controller) claimProbe(now time.Time) bool {
+	if c.probeCredit > 0 {
+		c.probeCredit--
 		return true
 	}
-	if !c.lastProbe.IsZero() && now.Sub(c.lastProbe) < c.config.ProbeEvery {
+	if !c.lastProbe.IsZero() && now.Sub(c.lastProbe) < c.config.ProbeInterval {
 		return false
 	}
 	c.lastProbe = now
 	return true
 }
 
-// maxRamp bounds the probes that one success lets go.
-const maxRamp = 1024
-
-// Probed tells how a request that was admitted as a probe ended. Each one that
-// made it lets twice as many go, so that the refusals end within some stage
-// times; one that did not make it stops them until the next probe is due.
-// Learned times alone would need as many probes as there were slow requests.
-func (c *Controller) Probed(made bool) {
-	if !made {
-		c.credit, c.ramp = 0, 0
+// maxProbeRamp bounds the probes that one successful probe allows.
+const maxProbeRamp = 1024
+
+// ProbeEnded records whether a request that was admitted as a probe met its deadline.
+// Each one that did doubles the number of probes that may be admitted at once, so the
+// refusals end within a few stage times; one that didn't stops them until the next probe
+// is due. With learned times alone, as many probes would be needed as there were slow
+// requests.
+func (c *Controller) ProbeEnded(metDeadline bool) {
+	if !metDeadline {
+		c.probeCredit, c.probeRamp = 0, 0
 		return
 	}
-	c.ramp = min(2*max(c.ramp, 1), maxRamp)
-	c.credit = c.ramp
+	c.probeRamp = min(2*max(c.probeRamp, 1), maxProbeRamp)
+	c.probeCredit = c.probeRamp
 }
 
-// queueExcess is how long the queues need to drain to where a request that
-// comes then would make it in typical times.
-func queueExcess(left time.Duration, stages []deadline.Remaining) time.Duration {
-	return deadline.Typical(stages) - left
+// queueDrainTime returns how long the queues have to drain until a request that arrives
+// then would meet its deadline with mean stage times.
+func queueDrainTime(remaining time.Duration, stages []deadline.RemainingStage) time.Duration {
+	return deadline.MeanTime(stages) - remaining
 }
 
-func withoutWaits(stages []deadline.Remaining) []deadline.Remaining {
-	out := make([]deadline.Remaining, len(stages))
+func withoutWaits(stages []deadline.RemainingStage) []deadline.RemainingStage {
+	out := make([]deadline.RemainingStage, len(stages))
 	copy(out, stages)
 	for i := range out {
 		out[i].Wait = 0
@@ -157,8 +163,8 @@
 	return out
 }
 
-// jitter spreads a time to come back over half to one and a half of it, so that
-// those refused together do not come back together.
+// jitter returns a random time between 0.5 and 1.5 times d, so that callers that were
+// refused at the same time don't retry at the same time.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d/2 + time.Duration(rng.Int64N(int64(d)))
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -12,10 +12,10 @@
 	"github.com/ivyhollow/ivyhollow/coordination/deadline"
 )
 
-func stages(wait time.Duration, p50s ...time.Duration) []deadline.Remaining {
-	var out []deadline.Remaining
+func stages(wait time.Duration, p50s ...time.Duration) []deadline.RemainingStage {
+	var out []deadline.RemainingStage
 	for i, p50 := range p50s {
-		r := deadline.Remaining{Stage: i, P50: p50, P95: 2 * p50}
+		r := deadline.RemainingStage{Stage: i, P50: p50, P95: 2 * p50}
 		if i == 0 {
 			r.Wait = wait
 		} else {
@@ -26,23 +26,23 @@
 	return out
 }
 
-// A request that can't be answered in time must be refused at once, with the cause
-// and a time to come back that fits it; one with some hope must not.
+// A request that can't meet its deadline must be refused at once, with the cause and a
+// matching time to retry. One that has a chance must be admitted.
 func TestDecide(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct {
-		left, wait time.Duration
-		admit      bool
-		reason     admission.Reason
-		least      time.Duration
-		most       time.Duration
+		remaining, wait time.Duration
+		admit           bool
+		reason          admission.Reason
+		least           time.Duration
+		most            time.Duration
 	}{
-		"room to spare":         {left: 1000 * ms, admit: true},
-		"some hope":             {left: 150 * ms, admit: true},
-		"queue within reach":    {left: 1000 * ms, wait: 700 * ms, admit: true},
-		"queue too long":        {left: 1000 * ms, wait: 5 * time.Second, reason: admission.ReasonQueue, least: 2100 * ms, most: 6600 * ms},
-		"queue endless":         {left: 1000 * ms, wait: time.Hour, reason: admission.ReasonQueue, least: 15 * time.Second, most: 45 * time.Second},
-		"stages alone too slow": {left: 50 * ms, reason: admission.ReasonDeadline, least: 500 * ms, most: 1500 * ms},
+		"ample time":      {remaining: 1000 * ms, admit: true},
+		"small chance":    {remaining: 150 * ms, admit: true},
+		"short queue":     {remaining: 1000 * ms, wait: 700 * ms, admit: true},
+		"queue too long":  {remaining: 1000 * ms, wait: 5 * time.Second, reason: admission.ReasonQueueTooLong, least: 2100 * ms, most: 6600 * ms},
+		"endless queue":   {remaining: 1000 * ms, wait: time.Hour, reason: admission.ReasonQueueTooLong, least: 15 * time.Second, most: 45 * time.Second},
+		"stages too slow": {remaining: 50 * ms, reason: admission.ReasonDeadlineTooShort, least: 500 * ms, most: 1500 * ms},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			slow := stages(0, time.Hour)
 			require.True(t, c.Decide(epoch, epoch.Add(time.Second), slow, rng).Probe)
-			d := c.Decide(epoch, epoch.Add(tt.left), stages(tt.wait, 100*ms, 100*ms), rng)
+			d := c.Decide(epoch, epoch.Add(tt.remaining), stages(tt.wait, 100*ms, 100*ms), rng)
 			require.Equal(t, tt.admit, d.Admit)
 			require.Equal(t, tt.reason, d.Reason)
 			require.GreaterOrEqual(t, d.RetryAfter, tt.least)
@@ -59,9 +59,9 @@
 	}
 }
 
-// After an overload every request is refused although the targets idle: the
-// stage times that were learned in it say that none can make it, and as nothing
-// runs, nothing better is learned.
+// After an overload, all requests are refused although the targets are idle: by the stage
+// times learned during the overload none can meet its deadline, and as none runs, the
+// times aren't corrected.
 func TestProbesEndRefusals(t *testing.T) {
 	const usual, slow = 50 * time.Millisecond, 2 * time.Second
 	times := deadline.NewTimes(deadline.Config{})
@@ -74,7 +74,7 @@
 	now, probes := epoch, 0
 	for range 10_000 {
 		p50, p95 := times.Estimate(key, usual)
-		d := c.Decide(now, now.Add(500*time.Millisecond), []deadline.Remaining{{P50: p50, P95: p95}}, rng)
+		d := c.Decide(now, now.Add(500*time.Millisecond), []deadline.RemainingStage{{P50: p50, P95: p95}}, rng)
 		if d.Admit && !d.Probe {
 			break
 		}
@@ -83,25 +83,26 @@
 		if d.Probe {
 			probes++
 			times.Observe(now, key, usual, usual)
-			c.Probed(true)
+			c.ProbeEnded(true)
 		}
 	}
 	t.Logf("admitted again %v after the overload, after %d probes", now.Sub(epoch), probes)
 	require.Less(t, now.Sub(epoch), 3*time.Second)
 
-	c.Probed(false)
-	require.False(t, c.Decide(now, now, stages(0, time.Hour), rng).Admit, "a late probe ends the ramp")
+	c.ProbeEnded(false)
+	require.False(t, c.Decide(now, now, stages(0, time.Hour), rng).Admit, "a probe that misses its deadline ends the ramp")
 }
 
-// Decide never admits without hope, nor refuses what has a good chance.
+// Apart from probes, Decide admits a request exactly if its confidence is MinConfidence or
+// more.
 func TestDecideFollowsConfidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.Int64Range(1, 5000)
 		draw := func(name string) time.Duration { return time.Duration(ms.Draw(t, name)) * time.Millisecond }
-		c := admission.New(admission.Config{ProbeEvery: time.Hour})
+		c := admission.New(admission.Config{ProbeInterval: time.Hour})
 		rng := rand.New(rand.NewPCG(1, 2))
 		c.Decide(epoch, epoch, stages(0, time.Hour), rng)
-		due := epoch.Add(draw("left"))
+		due := epoch.Add(draw("remaining"))
 		d := c.Decide(epoch, due, stages(draw("wait"), draw("a"), draw("b")), rng)
 		require.Equal(t, d.Confidence >= deadline.MinConfidence, d.Admit)
 		require.Equal(t, d.Admit, d.RetryAfter == 0)
--- a/coordination/admission/overload_test.go
+++ b/coordination/admission/overload_test.go
@@ -9,137 +9,137 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// today is the size of today's organisations: 8 instances before a dozen
-// targets of 4 slots, digests every 200 ms.
-func today(ordered bool) options {
+// smallDeployment has 8 instances in front of a dozen targets with 4 slots each, and
+// digests every 200 ms.
+func smallDeployment(ordered bool) options {
 	return options{
 		instances: 8, slots: 48,
-		digestEvery: 200 * time.Millisecond, digestDelay: 50 * time.Millisecond,
+		digestInterval: 200 * time.Millisecond, digestDelay: 50 * time.Millisecond,
 		gate:           tiers.Config{Ordered: ordered},
 		ignorePriority: !ordered,
 	}
 }
 
-// load is a class that takes the given multiple of today's capacity.
-func load(multiple float64, rank int, service, to time.Duration) class {
+// classOfLoad returns a class whose load is a multiple of the small deployment's capacity.
+func classOfLoad(multiple float64, rank int, service, until time.Duration) class {
 	return class{
-		rank: rank, rate: multiple * 48 / service.Seconds(), to: to,
-		service: service, spread: 0.5, deadline: 4 * service,
+		rank: rank, rate: multiple * 48 / service.Seconds(), until: until,
+		serviceTime: service, sigma: 0.5, deadline: 4 * service,
 	}
 }
 
-type score struct{ offered, answered int }
+type attainmentCount struct{ offered, answered int }
 
-func (s score) attainment() float64 {
+func (s attainmentCount) attainment() float64 {
 	return 100 * float64(s.answered) / float64(max(s.offered, 1))
 }
 
-// tally counts answers by rank over some seeds; it returns the last simulation.
-func tally(o options, seeds uint64, length time.Duration, classes ...class) (map[int]*score, *simulation) {
-	scores := map[int]*score{0: {}, 1: {}, 2: {}}
+// countByRank counts the requests and those that met their deadline by rank, over some
+// seeds. It also returns the last simulation.
+func countByRank(o options, seeds uint64, length time.Duration, classes ...class) (map[int]*attainmentCount, *simulation) {
+	scores := map[int]*attainmentCount{0: {}, 1: {}, 2: {}}
 	var s *simulation
 	for seed := range seeds {
 		s = newSimulation(seed+1, o)
-		s.observed = func(w *work, answered bool) {
-			scores[w.class.rank].offered++
+		s.onEnd = func(req *request, answered bool) {
+			scores[req.class.rank].offered++
 			if answered {
-				scores[w.class.rank].answered++
+				scores[req.class.rank].answered++
 			}
 		}
 		for _, c := range classes {
-			s.offer(c)
+			s.addClass(c)
 		}
 		s.run(length + time.Minute)
 	}
 	return scores, s
 }
 
-// A caller of the highest tier sees late answers as soon as a caller of the
-// lowest one floods every instance at ten times the capacity of the targets.
-// Each instance alone keeps its order, but it does not know what the others
-// dispatch: together they fill the targets with the lowest tier. The ungated
-// run shows it.
-func TestFloodLeavesHighestTier(t *testing.T) {
+// Requests of the highest tier miss their deadlines as soon as a caller of the lowest
+// tier floods all instances with ten times the capacity of the targets. Each instance
+// orders its own requests, but without digests it doesn't know what the others dispatch,
+// and together they fill the targets with requests of the lowest tier. The run without
+// gates shows it.
+func TestFloodDoesNotHarmHighestTier(t *testing.T) {
 	const length, service = 5 * time.Second, 50 * time.Millisecond
-	flood := load(10, 2, service, length)
+	flood := classOfLoad(10, 2, service, length)
 	for _, ordered := range []bool{true, false} {
 		for _, share := range []float64{0.5, 0.8, 0.9} {
-			top := load(share, 0, service, length)
-			alone, _ := tally(today(ordered), 1, length, top)
-			both, s := tally(today(ordered), 1, length, top, flood)
+			top := classOfLoad(share, 0, service, length)
+			alone, _ := countByRank(smallDeployment(ordered), 1, length, top)
+			both, s := countByRank(smallDeployment(ordered), 1, length, top, flood)
 			answered := float64(both[0].answered + both[2].answered)
 			used := answered * service.Seconds() / 48 / length.Seconds()
-			t.Logf("ordered %v, highest tier at %.1f: alone %.2f%%, flooded %.2f%%, capacity used %.2f, most at targets %d",
-				ordered, share, alone[0].attainment(), both[0].attainment(), used, s.peak)
+			t.Logf("ordered %v, highest tier at %.1f: alone %.2f%%, flooded %.2f%%, capacity used %.2f, peak load of targets %d",
+				ordered, share, alone[0].attainment(), both[0].attainment(), used, s.peakLoad)
 			require.LessOrEqual(t, alone[0].attainment()-both[0].attainment(), 1.0)
-			require.Greater(t, used, 0.9, "spare capacity flows down")
+			require.Greater(t, used, 0.9, "lower tiers get the spare capacity")
 		}
 	}
-	o := today(false)
-	o.ungated, o.unchecked = true, true
-	both, _ := tally(o, 1, length, load(0.5, 0, service, length), flood)
+	o := smallDeployment(false)
+	o.noGate, o.noAdmission = true, true
+	both, _ := countByRank(o, 1, length, classOfLoad(0.5, 0, service, length), flood)
 	t.Logf("no gate, targets in order of arrival: highest tier %.2f%%", both[0].attainment())
 	require.Less(t, both[0].attainment(), 50.0)
 }
 
-// Generations of the lowest tier that run for 8 s hold every slot when short
-// work of the highest tier comes. Order in the queue is no help: the slots
-// come free too late, and the highest tier misses its deadline.
+// Generations of the lowest tier, which run for 8 s, occupy all slots when short requests
+// of the highest tier arrive. The order of the queue doesn't help, since no slot becomes
+// free before the deadline.
 func TestPreemptionFreesSlots(t *testing.T) {
 	const length = 40 * time.Second
-	top := load(0.5, 0, 500*time.Millisecond, length)
+	top := classOfLoad(0.5, 0, 500*time.Millisecond, length)
 	top.from, top.deadline = 10*time.Second, 1500*time.Millisecond
-	low := load(1, 2, 8*time.Second, length)
+	low := classOfLoad(1, 2, 8*time.Second, length)
 	low.deadline, low.resumable = 40*time.Second, true
 	for _, ordered := range []bool{true, false} {
-		o := today(ordered)
-		kept, _ := tally(o, 3, length, top, low)
+		o := smallDeployment(ordered)
+		kept, _ := countByRank(o, 3, length, top, low)
 		o.gate.Preempt = true
-		freed, s := tally(o, 3, length, top, low)
+		freed, s := countByRank(o, 3, length, top, low)
 		t.Logf("ordered %v: highest tier %.2f%% without and %.2f%% with preemption (%d), lowest %.2f%% and %.2f%%",
-			ordered, kept[0].attainment(), freed[0].attainment(), s.preempts,
+			ordered, kept[0].attainment(), freed[0].attainment(), s.preemptions,
 			kept[2].attainment(), freed[2].attainment())
 		require.Greater(t, freed[0].attainment(), kept[0].attainment()+2)
 		require.Greater(t, freed[2].attainment(), 99.0)
 	}
 }
 
-// One instance gets half of all requests beyond its even part, as when the
-// balancer holds on to old connections. With even parts of the targets its
-// callers are refused while the other instances' slots idle.
-func TestPartsFollowDemand(t *testing.T) {
+// One instance gets half of all requests on top of its even share, as when a load balancer
+// keeps old connections. With even shares of the slots, its callers would be refused while
+// slots of the other instances are idle.
+func TestSlotSharesFollowDemand(t *testing.T) {
 	const length, service = 6 * time.Second, 50 * time.Millisecond
-	top := load(0.8, 0, service, length)
+	top := classOfLoad(0.8, 0, service, length)
 	top.skew = 0.5
-	o := today(true)
-	follow, _ := tally(o, 1, length, top)
-	o.deaf = true
-	even, _ := tally(o, 1, length, top)
-	t.Logf("skewed arrivals: %.2f%% with digests, %.2f%% with even parts", follow[0].attainment(), even[0].attainment())
+	o := smallDeployment(true)
+	follow, _ := countByRank(o, 1, length, top)
+	o.ignoreDigests = true
+	even, _ := countByRank(o, 1, length, top)
+	t.Logf("skewed arrivals: %.2f%% with digests, %.2f%% with even shares", follow[0].attainment(), even[0].attainment())
 	require.Greater(t, follow[0].attainment(), 95.0)
 	require.Less(t, even[0].attainment(), 85.0)
 }
 
-// After five seconds of twice the load, the load falls to 0.7, yet callers go on
-// seeing failures for good: each answer that came too late makes its caller try
-// again, and the retries alone are an overload. Refusing at once what cannot
-// make it, and dropping what waited too long, keeps the targets on work that is
-// of use, so that the retries end.
+// After five seconds at twice the capacity the load falls to 0.7, but without admission the
+// failures never end: each missed deadline makes its caller retry, and the retries alone
+// are an overload. Refusing requests that can't meet their deadline and dropping those that
+// have waited too long leaves the targets for the others, so the retries end.
 func TestOverloadRecovers(t *testing.T) {
 	const service = 50 * time.Millisecond
 	tests := map[string]struct {
-		hasty, ungated bool
-		want           float64
+		ignoresRetryAfter, noGate bool
+		want                      float64
 	}{
-		"callers heed Retry-After": {want: 99},
-		"callers retry at once":    {hasty: true, want: 99},
+		"callers obey Retry-After": {want: 99},
+		"callers retry at once":    {ignoresRetryAfter: true, want: 99},
 	}
-	run := func(hasty, ungated bool) (from [30]score) {
-		o := today(true)
-		o.ungated, o.unchecked = ungated, ungated
+	run := func(ignoresRetryAfter, noGate bool) (from [30]attainmentCount) {
+		o := smallDeployment(true)
+		o.noGate, o.noAdmission = noGate, noGate
 		s := newSimulation(1, o)
-		s.observed = func(w *work, answered bool) {
-			second := min(int(w.began.Sub(epoch)/time.Second), 29)
+		s.onEnd = func(req *request, answered bool) {
+			second := min(int(req.arrived.Sub(epoch)/time.Second), 29)
 			from[second].offered++
 			if answered {
 				from[second].answered++
@@ -149,16 +149,16 @@
 			multiple float64
 			from, to time.Duration
 		}{{0.7, 0, 5 * time.Second}, {2, 5 * time.Second, 10 * time.Second}, {0.7, 10 * time.Second, 20 * time.Second}} {
-			c := load(phase.multiple, 0, service, phase.to)
-			c.from, c.deadline, c.retries, c.hasty = phase.from, 6*service, 4, hasty
-			s.offer(c)
+			c := classOfLoad(phase.multiple, 0, service, phase.to)
+			c.from, c.deadline, c.retries, c.ignoresRetryAfter = phase.from, 6*service, 4, ignoresRetryAfter
+			s.addClass(c)
 		}
 		s.run(20 * time.Second)
 		return from
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			seconds := run(tt.hasty, false)
+			seconds := run(tt.ignoresRetryAfter, false)
 			for i := 9; i < 17; i++ {
 				t.Logf("second %d: offered %d, answered in time %.1f%%", i, seconds[i].offered, seconds[i].attainment())
 			}
@@ -167,27 +167,27 @@
 			}
 		})
 	}
-	unguarded := run(false, true)
-	t.Logf("no gate, no admission: %.1f%% eight seconds after the load fell", unguarded[18].attainment())
-	require.Less(t, unguarded[18].attainment(), 10.0)
+	unprotected := run(false, true)
+	t.Logf("no gate, no admission: %.1f%% eight seconds after the load fell", unprotected[18].attainment())
+	require.Less(t, unprotected[18].attainment(), 10.0)
 }
 
-// Under twice the load, half of the requests cannot be answered. A queue that
-// starts each at the last moment of some hope answers fewer than the targets
-// could: most of what it starts ends just too late.
+// At twice the capacity, half of the requests can't be served. A queue that starts each
+// request at the last moment with any chance serves fewer than the targets could: most of
+// those it starts just miss their deadline.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	const length, service = 4 * time.Second, 50 * time.Millisecond
 	for _, multiple := range []float64{0.5, 0.8, 1, 1.3, 2, 5} {
-		c := load(multiple, 0, service, length)
-		guarded, _ := tally(today(true), 1, length, c)
-		o := today(true)
-		o.ungated, o.unchecked = true, true
-		open, _ := tally(o, 1, length, c)
-		goodput := float64(guarded[0].answered) * service.Seconds() / 48 / length.Seconds()
+		c := classOfLoad(multiple, 0, service, length)
+		gated, _ := countByRank(smallDeployment(true), 1, length, c)
+		o := smallDeployment(true)
+		o.noGate, o.noAdmission = true, true
+		ungated, _ := countByRank(o, 1, length, c)
+		goodput := float64(gated[0].answered) * service.Seconds() / 48 / length.Seconds()
 		t.Logf("load %.1f: attainment %.2f%%, ungated %.2f%%, goodput %.3f of capacity",
-			multiple, guarded[0].attainment(), open[0].attainment(), goodput)
+			multiple, gated[0].attainment(), ungated[0].attainment(), goodput)
 		if multiple <= 0.8 {
-			require.Less(t, open[0].attainment()-guarded[0].attainment(), 0.5, "false refusals")
+			require.Less(t, ungated[0].attainment()-gated[0].attainment(), 0.5, "false refusals")
 		}
 		if multiple > 1 {
 			require.Greater(t, goodput, 0.93)
--- a/coordination/admission/simulation_test.go
+++ b/coordination/admission/simulation_test.go
@@ -12,50 +12,50 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// The simulation runs the gates and the admission of several instances before
-// one pool of shared slots, in virtual time: open-loop arrivals, digests that
-// arrive late, work cancelled at its deadline, callers that come back.
+// simulation runs the gates and the admission of several instances in front of one pool of
+// shared slots, in virtual time, with open-loop arrivals, delayed digests, requests that
+// are cancelled at their deadline, and callers that retry.
 type simulation struct {
 	options
 	now       time.Time
 	rng       *rand.Rand
 	events    eventHeap
 	instances []*instance
-	busy      int
-	// waiting holds what the targets queue, by the priority passed to them.
-	waiting  [tiers.MaxRanks][]*work
-	peak     int
-	lastID   uint64
-	observed func(*work, bool)
-	preempts int
+	busySlots int
+	// targetQueues holds the requests queued at the targets, by the priority passed to them.
+	targetQueues [tiers.MaxRanks][]*request
+	peakLoad     int
+	lastID       uint64
+	onEnd        func(*request, bool)
+	preemptions  int
 }
 
 type options struct {
-	instances, slots   int
-	digestEvery        time.Duration
-	digestDelay        time.Duration
-	gate               tiers.Config
-	ungated, unchecked bool
-	deaf               bool
-	ignorePriority     bool
+	instances, slots    int
+	digestInterval      time.Duration
+	digestDelay         time.Duration
+	gate                tiers.Config
+	noGate, noAdmission bool
+	ignoreDigests       bool
+	ignorePriority      bool
 }
 
 // class is one stream of requests.
 type class struct {
-	rank      int
-	rate      float64
-	from, to  time.Duration
-	service   time.Duration
-	spread    float64
-	deadline  time.Duration
-	resumable bool
-	// skew is the share of the requests that the first instance gets beyond
-	// its even part.
+	rank        int
+	rate        float64
+	from, until time.Duration
+	serviceTime time.Duration
+	sigma       float64
+	deadline    time.Duration
+	resumable   bool
+	// skew is the share of the requests that the first instance gets on top of its even
+	// share.
 	skew float64
-	// retries is how often a caller comes back after a refusal or a late
-	// answer; one that heeds no Retry-After comes back at once.
+	// retries is how often a caller retries after a refusal or a missed deadline.
 	retries int
-	hasty   bool
+	// ignoresRetryAfter makes callers retry at once.
+	ignoresRetryAfter bool
 }
 
 type instance struct {
@@ -63,23 +63,23 @@
 	peers      *tiers.Peers
 	admission  map[int]*admission.Controller
 	times      *deadline.Times
-	dispatched map[uint64]*work
+	dispatched map[uint64]*request
 }
 
-type work struct {
+type request struct {
 	class        *class
 	id           uint64
-	at           *instance
-	began, due   time.Time
-	sent         time.Time
-	left         time.Duration
-	started      time.Time
+	instance     *instance
+	arrived, due time.Time
+	sentAt       time.Time
+	remaining    time.Duration
+	startedAt    time.Time
 	running      bool
-	over         bool
+	ended        bool
 	probe        bool
 	preemptions  int
 	retries      int
-	cancelFinish *event
+	finishEvent  *event
 }
 
 var epoch = time.Unix(1_000_000, 0)
@@ -92,7 +92,7 @@
 			peers:      tiers.NewPeers(time.Minute),
 			admission:  map[int]*admission.Controller{},
 			times:      deadline.NewTimes(deadline.Config{}),
-			dispatched: map[uint64]*work{},
+			dispatched: map[uint64]*request{},
 		}
 		s.instances = append(s.instances, i)
 	}
@@ -100,9 +100,9 @@
 	return s
 }
 
-func (s *simulation) at(t time.Time, do func()) *event {
+func (s *simulation) schedule(t time.Time, run func()) *event {
 	s.lastID++
-	e := &event{at: t, seq: s.lastID, do: do}
+	e := &event{at: t, sequence: s.lastID, run: run}
 	heap.Push(&s.events, e)
 	return e
 }
@@ -113,246 +113,246 @@
 		e := heap.Pop(&s.events).(*event)
 		s.now = e.at
 		if !e.cancelled {
-			e.do()
+			e.run()
 		}
 	}
 }
 
-// exchange sends every instance's digest to the others, and ticks the gates.
+// exchange sends every instance's digest to the others and updates the gates.
 func (s *simulation) exchange() {
 	for n, from := range s.instances {
 		d := from.gate.Digest(s.now)
 		name := string(rune('a' + n))
 		for _, to := range s.instances {
-			if to != from && !s.deaf {
-				s.at(s.now.Add(s.digestDelay), func() {
+			if to != from && !s.ignoreDigests {
+				s.schedule(s.now.Add(s.digestDelay), func() {
 					to.peers.Heard(s.now, name, d)
 				})
 			}
 		}
 		s.apply(from, from.gate.SetPeers(s.now, from.peers.Load(s.now, len(s.instances))))
 	}
-	s.at(s.now.Add(s.digestEvery), s.exchange)
+	s.schedule(s.now.Add(s.digestInterval), s.exchange)
 }
 
-func (s *simulation) offer(c class) {
+func (s *simulation) addClass(c class) {
 	var next func()
 	next = func() {
-		if s.now.Sub(epoch) >= c.to {
+		if s.now.Sub(epoch) >= c.until {
 			return
 		}
-		s.submit(&work{class: &c, retries: c.retries})
-		s.at(s.now.Add(s.exponential(c.rate)), next)
+		s.submit(&request{class: &c, retries: c.retries})
+		s.schedule(s.now.Add(s.interarrivalTime(c.rate)), next)
 	}
-	s.at(epoch.Add(c.from), next)
+	s.schedule(epoch.Add(c.from), next)
 }
 
-func (s *simulation) exponential(rate float64) time.Duration {
+func (s *simulation) interarrivalTime(rate float64) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
 func (s *simulation) serviceTime(c *class) time.Duration {
-	factor := math.Exp(c.spread*s.rng.NormFloat64() - c.spread*c.spread/2)
-	return time.Duration(float64(c.service) * factor)
+	factor := math.Exp(c.sigma*s.rng.NormFloat64() - c.sigma*c.sigma/2)
+	return time.Duration(float64(c.serviceTime) * factor)
 }
 
-var stageName = deadline.StageKey{Pipeline: catalog.PipelineKey{Name: "p"}, Stage: "s"}
+var simulatedStage = deadline.StageKey{Pipeline: catalog.PipelineKey{Name: "p"}, Stage: "s"}
 
-func (s *simulation) submit(w *work) {
-	c := w.class
+func (s *simulation) submit(req *request) {
+	c := req.class
 	s.lastID++
-	w.id, w.began, w.due = s.lastID, s.now, s.now.Add(c.deadline)
-	w.left = s.serviceTime(c)
-	w.at = s.instances[s.rng.IntN(len(s.instances))]
+	req.id, req.arrived, req.due = s.lastID, s.now, s.now.Add(c.deadline)
+	req.remaining = s.serviceTime(c)
+	req.instance = s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.Float64() < c.skew {
-		w.at = s.instances[0]
+		req.instance = s.instances[0]
 	}
-	s.at(w.due, func() { s.expire(w) })
-	latest := w.due
-	if !s.unchecked {
-		d := s.decide(w)
+	s.schedule(req.due, func() { s.expire(req) })
+	latest := req.due
+	if !s.noAdmission {
+		d := s.decide(req)
 		if !d.Admit {
-			s.end(w, false, d.RetryAfter)
+			s.end(req, false, d.RetryAfter)
 			return
 		}
-		latest, w.probe = d.LatestStart, d.Probe
+		latest, req.probe = d.LatestStart, d.Probe
 	}
-	s.enqueue(w, latest)
+	s.enqueue(req, latest)
 }
 
-func (s *simulation) decide(w *work) admission.Decision {
-	c := w.class
-	control := w.at.admission[c.rank]
-	if control == nil {
-		control = admission.New(admission.Config{})
-		w.at.admission[c.rank] = control
+func (s *simulation) decide(req *request) admission.Decision {
+	c := req.class
+	controller := req.instance.admission[c.rank]
+	if controller == nil {
+		controller = admission.New(admission.Config{})
+		req.instance.admission[c.rank] = controller
 	}
-	p50, p95 := w.at.times.Estimate(s.key(c), c.service)
-	stage := deadline.Remaining{P50: p50, P95: p95, Wait: w.at.gate.Wait(s.now, c.rank)}
-	return control.Decide(s.now, w.due, []deadline.Remaining{stage}, s.rng)
+	p50, p95 := req.instance.times.Estimate(s.stageKey(c), c.serviceTime)
+	stage := deadline.RemainingStage{P50: p50, P95: p95, Wait: req.instance.gate.Wait(s.now, c.rank)}
+	return controller.Decide(s.now, req.due, []deadline.RemainingStage{stage}, s.rng)
 }
 
-func (s *simulation) key(c *class) deadline.StageKey {
-	k := stageName
+func (s *simulation) stageKey(c *class) deadline.StageKey {
+	k := simulatedStage
 	k.Size = uint8(c.rank)
 	return k
 }
 
-func (s *simulation) enqueue(w *work, latest time.Time) {
-	w.at.dispatched[w.id] = w
-	if s.ungated {
-		s.send(w)
+func (s *simulation) enqueue(req *request, latest time.Time) {
+	req.instance.dispatched[req.id] = req
+	if s.noGate {
+		s.sendToTargets(req)
 		return
 	}
-	s.apply(w.at, w.at.gate.Enqueue(s.now, tiers.Item{
-		ID: w.id, Rank: w.class.rank, LatestStart: latest,
-		Resumable: w.class.resumable, Preemptions: w.preemptions,
+	s.apply(req.instance, req.instance.gate.Enqueue(s.now, tiers.Item{
+		ID: req.id, Rank: req.class.rank, LatestStart: latest,
+		Resumable: req.class.resumable, Preemptions: req.preemptions,
 	}))
 }
 
 func (s *simulation) apply(i *instance, actions []tiers.Action) {
 	for _, a := range actions {
-		w := i.dispatched[a.ID]
+		req := i.dispatched[a.ID]
 		switch a.Kind {
 		case tiers.Dispatch:
-			s.send(w)
+			s.sendToTargets(req)
 		case tiers.Refuse:
-			s.end(w, false, a.RetryAfter)
+			s.end(req, false, a.RetryAfter)
 		case tiers.Preempt:
-			s.preempt(w)
+			s.preempt(req)
 		}
 	}
 }
 
-// send hands work to the targets, which run the most urgent first.
-func (s *simulation) send(w *work) {
-	w.sent = s.now
-	rank := w.class.rank
+// sendToTargets sends a request to the targets, which run the most urgent first.
+func (s *simulation) sendToTargets(req *request) {
+	req.sentAt = s.now
+	rank := req.class.rank
 	if s.ignorePriority {
 		rank = 0
 	}
-	s.waiting[rank] = append(s.waiting[rank], w)
+	s.targetQueues[rank] = append(s.targetQueues[rank], req)
 	queued := 0
-	for r := range s.waiting {
-		queued += len(s.waiting[r])
+	for r := range s.targetQueues {
+		queued += len(s.targetQueues[r])
 	}
-	s.peak = max(s.peak, s.busy+queued)
-	s.serve()
+	s.peakLoad = max(s.peakLoad, s.busySlots+queued)
+	s.startQueued()
 }
 
-func (s *simulation) serve() {
-	for r := 0; r < len(s.waiting); {
-		if len(s.waiting[r]) == 0 {
+func (s *simulation) startQueued() {
+	for r := 0; r < len(s.targetQueues); {
+		if len(s.targetQueues[r]) == 0 {
 			r++
 			continue
 		}
-		w := s.waiting[r][0]
-		if !w.over && s.busy >= s.slots {
+		req := s.targetQueues[r][0]
+		if !req.ended && s.busySlots >= s.slots {
 			return
 		}
-		s.waiting[r] = s.waiting[r][1:]
-		if !w.over {
-			s.busy++
-			w.running, w.started = true, s.now
-			w.cancelFinish = s.at(s.now.Add(w.left), func() { s.finish(w) })
+		s.targetQueues[r] = s.targetQueues[r][1:]
+		if !req.ended {
+			s.busySlots++
+			req.running, req.startedAt = true, s.now
+			req.finishEvent = s.schedule(s.now.Add(req.remaining), func() { s.finish(req) })
 		}
 	}
 }
 
-func (s *simulation) finish(w *work) {
-	s.stop(w)
-	w.at.times.Observe(s.now, s.key(w.class), w.class.service, s.now.Sub(w.sent))
-	s.end(w, true, 0)
-	s.apply(w.at, w.at.gate.Finished(s.now, w.id))
-	s.serve()
+func (s *simulation) finish(req *request) {
+	s.freeSlot(req)
+	req.instance.times.Observe(s.now, s.stageKey(req.class), req.class.serviceTime, s.now.Sub(req.sentAt))
+	s.end(req, true, 0)
+	s.apply(req.instance, req.instance.gate.Finished(s.now, req.id))
+	s.startQueued()
 }
 
-// stop takes running work off its slot.
-func (s *simulation) stop(w *work) {
-	if w.running {
-		s.busy--
-		w.running = false
-		w.cancelFinish.cancelled = true
+// freeSlot frees the slot of a running request.
+func (s *simulation) freeSlot(req *request) {
+	if req.running {
+		s.busySlots--
+		req.running = false
+		req.finishEvent.cancelled = true
 	}
 }
 
-// expire ends work at its deadline: the instance cancels it at the target.
-func (s *simulation) expire(w *work) {
-	if w.over {
+// expire ends a request at its deadline: the instance cancels it at the target.
+func (s *simulation) expire(req *request) {
+	if req.ended {
 		return
 	}
-	s.stop(w)
-	if !w.sent.IsZero() {
-		w.at.times.Observe(s.now, s.key(w.class), w.class.service, s.now.Sub(w.sent))
+	s.freeSlot(req)
+	if !req.sentAt.IsZero() {
+		req.instance.times.Observe(s.now, s.stageKey(req.class), req.class.serviceTime, s.now.Sub(req.sentAt))
 	}
-	s.end(w, false, 0)
-	s.apply(w.at, w.at.gate.Abandon(s.now, w.id))
-	s.apply(w.at, w.at.gate.Finished(s.now, w.id))
-	s.serve()
+	s.end(req, false, 0)
+	s.apply(req.instance, req.instance.gate.Abandon(s.now, req.id))
+	s.apply(req.instance, req.instance.gate.Finished(s.now, req.id))
+	s.startQueued()
 }
 
-// rereadPrompt is what a resumed generation pays again.
-const rereadPrompt = 100 * time.Millisecond
+// resumeCost is the time to read the prompt again when a generation is resumed.
+const resumeCost = 100 * time.Millisecond
 
-func (s *simulation) preempt(w *work) {
-	s.preempts++
-	if w.running {
-		w.left -= s.now.Sub(w.started)
-		s.stop(w)
+func (s *simulation) preempt(req *request) {
+	s.preemptions++
+	if req.running {
+		req.remaining -= s.now.Sub(req.startedAt)
+		s.freeSlot(req)
 	} else {
-		s.waiting[w.class.rank] = without(s.waiting[w.class.rank], w)
+		s.targetQueues[req.class.rank] = without(s.targetQueues[req.class.rank], req)
 	}
-	w.left += rereadPrompt
-	w.preemptions++
-	old := w.id
+	req.remaining += resumeCost
+	req.preemptions++
+	old := req.id
 	s.lastID++
-	w.id = s.lastID
-	delete(w.at.dispatched, old)
-	s.at(s.now, func() {
-		s.apply(w.at, w.at.gate.Finished(s.now, old))
-		if !w.over {
-			s.enqueue(w, w.due.Add(-w.left))
+	req.id = s.lastID
+	delete(req.instance.dispatched, old)
+	s.schedule(s.now, func() {
+		s.apply(req.instance, req.instance.gate.Finished(s.now, old))
+		if !req.ended {
+			s.enqueue(req, req.due.Add(-req.remaining))
 		}
-		s.serve()
+		s.startQueued()
 	})
 }
 
-func without(list []*work, w *work) []*work {
-	var out []*work
+func without(list []*request, req *request) []*request {
+	var out []*request
 	for _, x := range list {
-		if x != w {
+		if x != req {
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-func (s *simulation) end(w *work, answered bool, retryAfter time.Duration) {
-	if w.over {
+func (s *simulation) end(req *request, answered bool, retryAfter time.Duration) {
+	if req.ended {
 		return
 	}
-	w.over = true
-	if w.probe {
-		w.at.admission[w.class.rank].Probed(answered)
+	req.ended = true
+	if req.probe {
+		req.instance.admission[req.class.rank].ProbeEnded(answered)
 	}
-	delete(w.at.dispatched, w.id)
-	if s.observed != nil {
-		s.observed(w, answered)
+	delete(req.instance.dispatched, req.id)
+	if s.onEnd != nil {
+		s.onEnd(req, answered)
 	}
-	if answered || w.retries == 0 {
+	if answered || req.retries == 0 {
 		return
 	}
-	if w.class.hasty {
+	if req.class.ignoresRetryAfter {
 		retryAfter = 0
 	}
-	again := &work{class: w.class, retries: w.retries - 1}
-	s.at(s.now.Add(retryAfter), func() { s.submit(again) })
+	retry := &request{class: req.class, retries: req.retries - 1}
+	s.schedule(s.now.Add(retryAfter), func() { s.submit(retry) })
 }
 
 type event struct {
 	at        time.Time
-	seq       uint64
-	do        func()
+	sequence  uint64
+	run       func()
 	cancelled bool
 }
 
@@ -361,7 +361,7 @@
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
 	if h[i].at.Equal(h[j].at) {
-		return h[i].seq < h[j].seq
+		return h[i].sequence < h[j].sequence
 	}
 	return h[i].at.Before(h[j].at)
 }
--- a/coordination/deadline/deadline_test.go
+++ b/coordination/deadline/deadline_test.go
@@ -12,16 +12,16 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// A request whose shares add up to more than its deadline is late although
-// every stage kept its share.
-func TestPlanKeepsDeadline(t *testing.T) {
+// If the budgets on a path exceeded the remaining time, a request would miss its deadline
+// although every stage kept its budget.
+func TestPlanStaysWithinDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.Int64Range(1, 2000)
 		draw := func(name string) time.Duration { return time.Duration(ms.Draw(t, name)) * time.Millisecond }
-		var stages []Remaining
+		var stages []RemainingStage
 		for i := range rapid.IntRange(1, 6).Draw(t, "stages") {
 			p50 := draw("p50")
-			r := Remaining{Stage: i + 1, P50: p50, P95: p50 + draw("tail"), Wait: draw("wait")}
+			r := RemainingStage{Stage: i + 1, P50: p50, P95: p50 + draw("tail"), Wait: draw("wait")}
 			for j := range i + 1 {
 				if rapid.Bool().Draw(t, "after") {
 					r.After = append(r.After, j) // 0 has finished already
@@ -29,94 +29,94 @@
 			}
 			stages = append(stages, r)
 		}
-		left := draw("left")
-		shares := Plan(epoch, epoch.Add(left), stages)
+		remaining := draw("remaining")
+		budgets := Plan(epoch, epoch.Add(remaining), stages)
 		used := time.Duration(0)
-		for i, s := range shares {
-			require.Equal(t, stages[i].Stage, s.Stage)
-			require.Positive(t, s.Budget)
-			used = max(used, s.Due.Sub(epoch))
+		for i, b := range budgets {
+			require.Equal(t, stages[i].Stage, b.Stage)
+			require.Positive(t, b.Budget)
+			used = max(used, b.Due.Sub(epoch))
 			forEachPredecessor(stages, i, func(j int) {
-				require.False(t, s.Due.Add(-s.Budget).Before(shares[j].Due), "starts when its inputs are there")
+				require.False(t, b.Due.Add(-b.Budget).Before(budgets[j].Due), "starts when its inputs are available")
 			})
 		}
-		require.InDelta(t, float64(left), float64(used), float64(len(stages)), "the critical path gets all that is left")
+		require.InDelta(t, float64(remaining), float64(used), float64(len(stages)), "the critical path gets all remaining time")
 	})
 }
 
-func TestPlanFollowsProgress(t *testing.T) {
+func TestPlanAdaptsToProgress(t *testing.T) {
 	const ms = time.Millisecond
-	chain := func(from int, p95s ...time.Duration) (out []Remaining) {
+	chain := func(from int, p95s ...time.Duration) (out []RemainingStage) {
 		for i, p95 := range p95s {
-			out = append(out, Remaining{Stage: from + i, After: []int{from + i - 1}, P50: p95 / 2, P95: p95})
+			out = append(out, RemainingStage{Stage: from + i, After: []int{from + i - 1}, P50: p95 / 2, P95: p95})
 		}
 		return out
 	}
 	due := epoch.Add(1000 * ms)
 	tests := map[string]struct {
 		now    time.Time
-		stages []Remaining
+		stages []RemainingStage
 		want   []time.Duration
 	}{
-		"in proportion":          {epoch, chain(0, 100*ms, 300*ms, 100*ms), []time.Duration{200 * ms, 600 * ms, 200 * ms}},
-		"a slow stage takes off": {epoch.Add(600 * ms), chain(1, 300*ms, 100*ms), []time.Duration{300 * ms, 100 * ms}},
-		"a fast stage leaves":    {epoch.Add(100 * ms), chain(1, 300*ms, 100*ms), []time.Duration{675 * ms, 225 * ms}},
-		"nothing is left":        {due.Add(ms), chain(2, 100*ms), []time.Duration{0}},
-		"what has run counts":    {epoch, []Remaining{{Stage: 0, P50: 100 * ms, P95: 300 * ms, Elapsed: 200 * ms}, {Stage: 1, After: []int{0}, P50: 100 * ms, P95: 300 * ms}}, []time.Duration{250 * ms, 750 * ms}},
-		"slack beside the path":  {epoch, []Remaining{{Stage: 0, P50: 1, P95: 100 * ms}, {Stage: 1, P50: 1, P95: 400 * ms}, {Stage: 2, After: []int{0, 1}, P50: 1, P95: 100 * ms}}, []time.Duration{500 * ms, 800 * ms, 200 * ms}},
+		"in proportion":               {epoch, chain(0, 100*ms, 300*ms, 100*ms), []time.Duration{200 * ms, 600 * ms, 200 * ms}},
+		"after a slow stage":          {epoch.Add(600 * ms), chain(1, 300*ms, 100*ms), []time.Duration{300 * ms, 100 * ms}},
+		"after a fast stage":          {epoch.Add(100 * ms), chain(1, 300*ms, 100*ms), []time.Duration{675 * ms, 225 * ms}},
+		"past the deadline":           {due.Add(ms), chain(2, 100*ms), []time.Duration{0}},
+		"elapsed time counts":         {epoch, []RemainingStage{{Stage: 0, P50: 100 * ms, P95: 300 * ms, Elapsed: 200 * ms}, {Stage: 1, After: []int{0}, P50: 100 * ms, P95: 300 * ms}}, []time.Duration{250 * ms, 750 * ms}},
+		"slack off the critical path": {epoch, []RemainingStage{{Stage: 0, P50: 1, P95: 100 * ms}, {Stage: 1, P50: 1, P95: 400 * ms}, {Stage: 2, After: []int{0, 1}, P50: 1, P95: 100 * ms}}, []time.Duration{500 * ms, 800 * ms, 200 * ms}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			for i, s := range Plan(tt.now, due, tt.stages) {
-				require.InDelta(t, float64(tt.want[i]), float64(s.Budget), 10, "stage %d", i)
+			for i, b := range Plan(tt.now, due, tt.stages) {
+				require.InDelta(t, float64(tt.want[i]), float64(b.Budget), 10, "stage %d", i)
 			}
 		})
 	}
 }
 
-// Work that is started although it has no hope takes a slot from work that has.
+// Work that can't meet its deadline must not take a slot from work that can.
 func TestLatestStart(t *testing.T) {
 	const ms = time.Millisecond
-	stages := []Remaining{{Stage: 0, P50: 100 * ms, P95: 200 * ms}}
+	stages := []RemainingStage{{Stage: 0, P50: 100 * ms, P95: 200 * ms}}
 	due := epoch.Add(1000 * ms)
 	require.WithinDuration(t, due.Add(-200*ms), LatestStart(epoch, due, stages), ms)
 	tight := due.Add(-120 * ms)
-	require.Equal(t, tight, LatestStart(tight, due, stages), "no queue, some hope: at once or not at all")
+	require.Equal(t, tight, LatestStart(tight, due, stages), "no queue, some chance: now or never")
 	hopeless := due.Add(-10 * ms)
 	require.True(t, LatestStart(hopeless, due, stages).Before(hopeless))
 	require.Less(t, Confidence(due.Sub(hopeless), stages), MinConfidence)
 	stages[0].Wait = 100 * ms
-	require.WithinDuration(t, due.Add(-200*ms), LatestStart(epoch, due, stages), ms, "waiting is not part of the work")
+	require.WithinDuration(t, due.Add(-200*ms), LatestStart(epoch, due, stages), ms, "the wait is not part of the run time")
 }
 
-// A confidence that is wrong by much refuses what would have made it, or starts
-// what will not.
+// With a badly calibrated confidence, requests that would meet their deadline are refused
+// or those that will miss it are started.
 func TestConfidenceIsCalibrated(t *testing.T) {
 	const trials = 20_000
 	rng := rand.New(rand.NewPCG(1, 2))
-	stages := []Remaining{
+	stages := []RemainingStage{
 		{Stage: 0, P50: 10 * time.Millisecond, P95: 20 * time.Millisecond},
 		{Stage: 1, After: []int{0}, P50: 40 * time.Millisecond, P95: 200 * time.Millisecond},
 		{Stage: 2, After: []int{0}, P50: 20 * time.Millisecond, P95: 25 * time.Millisecond},
 		{Stage: 3, After: []int{1, 2}, P50: 300 * time.Millisecond, P95: 500 * time.Millisecond, Wait: 50 * time.Millisecond},
 	}
-	draw := func(r Remaining) float64 {
+	draw := func(r RemainingStage) float64 {
 		sigma := math.Log(float64(r.P95)/float64(r.P50)) / z95
 		return float64(r.P50)*math.Exp(sigma*rng.NormFloat64()) + float64(r.Wait)
 	}
-	for _, left := range []time.Duration{300, 400, 450, 500, 600, 800} {
-		left *= time.Millisecond
-		made := 0
+	for _, remaining := range []time.Duration{300, 400, 450, 500, 600, 800} {
+		remaining *= time.Millisecond
+		met := 0
 		for range trials {
 			first := draw(stages[0])
-			whole := first + max(draw(stages[1]), draw(stages[2])) + draw(stages[3])
-			if whole <= float64(left) {
-				made++
+			total := first + max(draw(stages[1]), draw(stages[2])) + draw(stages[3])
+			if total <= float64(remaining) {
+				met++
 			}
 		}
-		measured, said := float64(made)/trials, Confidence(left, stages)
-		t.Logf("%v left: said %.3f, measured %.3f", left, said, measured)
-		require.InDelta(t, measured, said, 0.05)
+		measured, predicted := float64(met)/trials, Confidence(remaining, stages)
+		t.Logf("%v remaining: predicted %.3f, measured %.3f", remaining, predicted, measured)
+		require.InDelta(t, measured, predicted, 0.05)
 	}
 }
 
@@ -153,7 +153,7 @@
 	p50, _ = times.Estimate(key, expected)
 	near(4*real, p50, 0.2)
 
-	// Once an hour: the distribution stays one, of the last dozens.
+	// At one observation per hour there is still a distribution, of the last dozens.
 	now = feed(times, now, 200, time.Hour, real)
 	p50, p95 = times.Estimate(key, expected)
 	near(real, p50, 0.5)
@@ -162,7 +162,7 @@
 	require.NotPanics(t, func() { times.Observe(now.Add(-time.Hour), key, expected, -1) })
 }
 
-// A histogram whose weights overflow answers the largest time for ever.
+// If its weights overflowed, a histogram would return the largest time from then on.
 func TestTimesNeverOverflow(t *testing.T) {
 	times := NewTimes(Config{HalfLife: time.Second})
 	now := epoch
@@ -174,8 +174,8 @@
 	require.InEpsilon(t, float64(10*time.Millisecond), float64(p50), 0.15)
 }
 
-// Pipelines that are renamed day after day leave their learned times behind: they
-// must give way before the memory does.
+// Pipelines that are renamed every day leave their learned times behind. These must be
+// evicted, or memory use would grow without bound.
 func TestTimesAreBounded(t *testing.T) {
 	times := NewTimes(Config{Capacity: 64})
 	for i := range 10_000 {
@@ -190,10 +190,10 @@
 	}
 }
 
-func fourStages() []Remaining {
-	var out []Remaining
+func fourStages() []RemainingStage {
+	var out []RemainingStage
 	for i := range 4 {
-		out = append(out, Remaining{Stage: i, P50: time.Second, P95: 2 * time.Second})
+		out = append(out, RemainingStage{Stage: i, P50: time.Second, P95: 2 * time.Second})
 		if i > 0 {
 			out[i].After = []int{i - 1}
 		}
--- a/coordination/deadline/plan.go
+++ b/coordination/deadline/plan.go
@@ -2,116 +2,119 @@
 
 import "time"
 
-// Remaining is what is known of one stage that has not finished.
-type Remaining struct {
+// RemainingStage describes one stage that has not finished.
+type RemainingStage struct {
 	// Stage is the index of the stage in its pipeline.
 	Stage int
-	// After lists the stages whose outputs it needs; those not among the
-	// remaining ones count as finished.
+	// After lists the indexes of the stages whose outputs it needs; those that aren't
+	// among the remaining stages have finished.
 	After []int
-	// P50 and P95 are quantiles of its time without waiting.
+	// P50 and P95 are the median and the 95th percentile of its run time, without the
+	// wait.
 	P50, P95 time.Duration
-	// Wait is how long it is expected to queue before it starts.
+	// Wait is the expected time in a queue before it starts.
 	Wait time.Duration
-	// Elapsed is how long it has been running already.
+	// Elapsed is the time that it has been running.
 	Elapsed time.Duration
 }
 
-// Share is one stage's part of what is left of a deadline.
-type Share struct {
+// StageBudget is one stage's part of the time remaining until a deadline.
+type StageBudget struct {
 	Stage int
-	// Budget is the time the stage may take, waiting included.
+	// Budget is the time that the stage may take, including its wait.
 	Budget time.Duration
-	// Due is when the stage should have finished.
+	// Due is when the stage has to have finished.
 	Due time.Time
-	// LatestStart is the last moment at which starting the stage is of use.
+	// LatestStart is the latest time at which the stage may start and still be expected
+	// to meet the deadline.
 	LatestStart time.Time
 }
 
-// Plan splits what is left until deadline over the remaining stages, which are
-// in an order where each stands behind those it needs. A stage gets what is
-// left in proportion to its weight on the longest path through it, so no path's
-// shares exceed what is left, and a stage beside the critical path gets the
-// slack of its own path. It is called again after each stage.
-func Plan(now, deadline time.Time, stages []Remaining) []Share {
-	chains := tails(stages)
-	before := heads(stages)
+// Plan divides the time until deadline among the remaining stages, which are sorted
+// topologically: each comes after those it needs. A stage gets a budget in proportion to
+// its weight on the longest path through it. The budgets on a path therefore never
+// exceed the remaining time, and a stage outside the critical path gets the slack of its
+// own path. Plan is called again after each stage.
+func Plan(now, deadline time.Time, stages []RemainingStage) []StageBudget {
+	chains := longestChainsFrom(stages)
+	before := longestPathsBefore(stages)
 	from := make([]time.Duration, len(stages))
-	left := max(deadline.Sub(now), 0)
-	shares := make([]Share, len(stages))
+	remaining := max(deadline.Sub(now), 0)
+	budgets := make([]StageBudget, len(stages))
 	for i := len(stages) - 1; i >= 0; i-- {
-		from[i] += weight(&stages[i])
+		from[i] += stageWeight(&stages[i])
 		forEachPredecessor(stages, i, func(j int) { from[j] = max(from[j], from[i]) })
 	}
 	for i := range stages {
 		start := now
-		forEachPredecessor(stages, i, func(j int) { start = later(start, shares[j].Due) })
-		part := float64(weight(&stages[i])) / float64(before[i]+from[i])
-		budget := time.Duration(part * float64(left))
-		shares[i] = Share{
+		forEachPredecessor(stages, i, func(j int) { start = later(start, budgets[j].Due) })
+		fraction := float64(stageWeight(&stages[i])) / float64(before[i]+from[i])
+		budget := time.Duration(fraction * float64(remaining))
+		budgets[i] = StageBudget{
 			Stage:       stages[i].Stage,
 			Budget:      budget,
 			Due:         start.Add(budget),
 			LatestStart: latestStart(now, deadline, chains[i], start.Equal(now)),
 		}
 	}
-	return shares
+	return budgets
 }
 
-// LatestStart returns the last moment at which starting the first of the
-// remaining stages is of use.
-func LatestStart(now, deadline time.Time, stages []Remaining) time.Time {
-	return latestStart(now, deadline, longest(tails(stages)), true)
+// LatestStart returns the latest time at which the first of the remaining stages may start
+// and still be expected to meet the deadline.
+func LatestStart(now, deadline time.Time, stages []RemainingStage) time.Time {
+	return latestStart(now, deadline, longest(longestChainsFrom(stages)), true)
 }
 
-// latestStart is the moment from which a chain still ends in time 95 times in
-// 100. Later starts are left to work that has more time: a queue that runs each
-// item at the last moment of some hope spends an overload on answers that are
-// just too late. Work that may start now is not held to that, since when it is
-// not in a queue nothing else wants the slot; hopeless work never starts.
-func latestStart(now, deadline time.Time, chain span, ready bool) time.Time {
+// latestStart returns the latest time from which a chain meets the deadline with a
+// probability of 95%. Under overload, a queue that started each item at the last moment
+// with any chance would mostly run work that just misses its deadline. The limit doesn't
+// apply to work that is ready now and has a confidence of MinConfidence or more: if it
+// isn't queued, no other work needs the slot. Work with less confidence never starts.
+func latestStart(now, deadline time.Time, chain chainTime, ready bool) time.Time {
 	chain.wait = 0
 	safe := deadline.Add(-chain.p95())
-	if ready && chain.within(deadline.Sub(now)) >= MinConfidence {
+	if ready && chain.probabilityWithin(deadline.Sub(now)) >= MinConfidence {
 		return later(safe, now)
 	}
 	return safe
 }
 
-// MinConfidence is the least confidence that still counts as "can make it":
-// work is refused only when it is almost sure to be late, since a refusal of
-// what would have made it costs as much as a late answer.
+// MinConfidence is the confidence below which work is refused. It is low, so that work is
+// refused only if it is almost certain to miss its deadline: refusing a request that would
+// have met it costs as much as missing it.
 const MinConfidence = 0.05
 
-// Confidence is the probability, 0 to 1, that the remaining stages end within
-// left. Waits count as constants.
-func Confidence(left time.Duration, stages []Remaining) float64 {
+// Confidence returns the probability, 0 to 1, that the remaining stages end within
+// remaining. Waits are treated as constants.
+func Confidence(remaining time.Duration, stages []RemainingStage) float64 {
 	if len(stages) == 0 {
 		return 1
 	}
-	return longest(tails(stages)).within(left)
+	return longest(longestChainsFrom(stages)).probabilityWithin(remaining)
 }
 
-// Typical is the mean time of the remaining stages, waits included.
-func Typical(stages []Remaining) time.Duration {
-	return time.Duration(longest(tails(stages)).whole())
+// MeanTime returns the mean time of the remaining stages, including waits.
+func MeanTime(stages []RemainingStage) time.Duration {
+	return time.Duration(longest(longestChainsFrom(stages)).total())
 }
 
-// heads returns, for each stage, the longest path up to it, without it.
-func heads(stages []Remaining) []time.Duration {
+// longestPathsBefore returns, for each stage, the weight of the longest path to it, without
+// the stage itself.
+func longestPathsBefore(stages []RemainingStage) []time.Duration {
 	out := make([]time.Duration, len(stages))
 	for i := range stages {
 		forEachPredecessor(stages, i, func(j int) {
-			out[i] = max(out[i], out[j]+weight(&stages[j]))
+			out[i] = max(out[i], out[j]+stageWeight(&stages[j]))
 		})
 	}
 	return out
 }
 
-// weight is a stage's claim on what is left: the 95th percentile of what it
-// still takes, and its wait.
-func weight(r *Remaining) time.Duration {
-	least := time.Duration(minRemainingShare * float64(r.P50))
+// stageWeight returns a stage's weight in the division of the remaining time: the 95th
+// percentile of its remaining time, and its wait.
+func stageWeight(r *RemainingStage) time.Duration {
+	least := time.Duration(minRemainingFraction * float64(r.P50))
 	return r.Wait + max(max(r.P95, r.P50)-r.Elapsed, least, 1)
 }
 
--- a/coordination/deadline/times.go
+++ b/coordination/deadline/times.go
@@ -1,6 +1,6 @@
-// Package deadline learns how long stages take, splits what is left of a
-// request's deadline over its remaining stages, and tells whether a request can
-// still make it. It reads no clock.
+// Package deadline learns how long stages take, divides the remaining time of a
+// request among its remaining stages, and estimates the probability that a request
+// meets its deadline. It reads no clock.
 package deadline
 
 import (
@@ -18,21 +18,21 @@
 	defaultShards   = 16
 )
 
-// priorWeight is how many observations the operator's estimate is worth.
+// priorWeight is the weight of the operator's estimate, in observations.
 const priorWeight = 10.0
 
-// fallbackExpected stands in for a stage without an estimate.
-const fallbackExpected = 100 * time.Millisecond
+// defaultExpected is the expected time of a stage without an operator's estimate.
+const defaultExpected = 100 * time.Millisecond
 
-// StageKey names one learned distribution.
+// StageKey identifies one learned distribution.
 type StageKey struct {
 	Pipeline catalog.PipelineKey
 	Stage    string
-	// Size is a bucket made by SizeBucket.
+	// Size is a result of SizeBucket.
 	Size uint8
 }
 
-// SizeBucket puts a size in tokens into a bucket; each spans a factor of four.
+// SizeBucket returns the bucket of a size in tokens. Each bucket spans a factor of four.
 func SizeBucket(tokens int) uint8 {
 	if tokens <= 0 {
 		return 0
@@ -40,23 +40,23 @@
 	return uint8((bits.Len(uint(tokens)) + 1) / 2)
 }
 
-// Config sets how stage times are learned. Zero values take the defaults.
+// Config holds the settings of Times. Fields that are zero or less take their defaults.
 type Config struct {
-	// HalfLife is the time after which an observation weighs half, at a rate
-	// of more than minRemembered observations a half-life.
+	// HalfLife is the time after which the weight of an observation has halved, if
+	// there are more than minEffectiveSamples observations per half-life.
 	HalfLife time.Duration
-	// Capacity bounds the number of learned distributions; the one that was
-	// observed longest ago gives way.
+	// Capacity bounds the number of learned distributions; the least recently observed
+	// one is evicted.
 	Capacity int
 }
 
-// Times holds the learned stage times of one instance.
+// Times holds the distributions of stage times that one instance has learned.
 type Times struct {
 	halfLife time.Duration
 	table    *shard.Map[StageKey, histogram]
 }
 
-// NewTimes makes an empty table.
+// NewTimes returns Times without distributions.
 func NewTimes(c Config) *Times {
 	if c.HalfLife <= 0 {
 		c.HalfLife = DefaultHalfLife
@@ -70,19 +70,19 @@
 	}
 }
 
-// Observe records that a stage took d. A new distribution starts from the
-// operator's estimate expected, which fades as observations come in.
+// Observe records that a stage took d. A new distribution starts from the operator's
+// estimate, expected, whose weight falls as observations are added.
 func (t *Times) Observe(now time.Time, key StageKey, expected, d time.Duration) {
 	t.table.Update(key, func(h *histogram, existed bool) {
 		if !existed {
-			h.seed(now, orFallback(expected))
+			h.seed(now, orDefaultExpected(expected))
 		}
 		h.observe(now, t.halfLife, d)
 	})
 }
 
-// Quantile returns the q-quantile, 0 to 1, of the time of a stage. Before the
-// first observation it is that of the operator's estimate.
+// Quantile returns the q-quantile of a stage's time, with q from 0 to 1. Without
+// observations it derives it from the operator's estimate.
 func (t *Times) Quantile(key StageKey, expected time.Duration, q float64) time.Duration {
 	var out time.Duration
 	if t.table.View(key, func(h *histogram) { out = h.quantile(q) }) {
@@ -91,7 +91,8 @@
 	return priorQuantile(expected, q)
 }
 
-// Estimate returns the median and the 95th percentile of a stage's time.
+// Estimate returns the median and the 95th percentile of a stage's time. Without
+// observations it derives them from the operator's estimate.
 func (t *Times) Estimate(key StageKey, expected time.Duration) (p50, p95 time.Duration) {
 	known := t.table.View(key, func(h *histogram) {
 		p50, p95 = h.quantile(0.5), h.quantile(0.95)
@@ -102,8 +103,9 @@
 	return priorQuantile(expected, 0.5), priorQuantile(expected, 0.95)
 }
 
+// priorQuantile returns a quantile of the distribution that histogram.seed builds.
 func priorQuantile(expected time.Duration, q float64) time.Duration {
-	expected = orFallback(expected)
+	expected = orDefaultExpected(expected)
 	switch {
 	case q <= 0.8:
 		return expected
@@ -114,9 +116,9 @@
 	}
 }
 
-func orFallback(expected time.Duration) time.Duration {
+func orDefaultExpected(expected time.Duration) time.Duration {
 	if expected <= 0 {
-		return fallbackExpected
+		return defaultExpected
 	}
 	return expected
 }
--- a/daemon/execute/admissions.go
+++ b/daemon/execute/admissions.go
@@ -36,7 +36,7 @@
 	return &admissions{controllers: make(map[admissionKey]*controller)}
 }
 
-func (a *admissions) decide(now time.Time, job *Job, stages []deadline.Remaining) admission.Decision {
+func (a *admissions) decide(now time.Time, job *Job, stages []deadline.RemainingStage) admission.Decision {
 	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own.Probed(made)
+	c.own.ProbeEnded(made)
 }
 
 func (a *admissions) controller(key admissionKey) *controller {
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -37,11 +37,11 @@
 	return min(own, r.job.MaxTokens)
 }
 
-func (r *run) estimate(i int) deadline.Remaining {
+func (r *run) estimate(i int) deadline.RemainingStage {
 	stage := &r.job.Pipeline.Stages[i]
 	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.Expected)
 	wait := r.opts.Gate.Wait(stage.Pool, r.rank)
-	return deadline.Remaining{Stage: i, After: stage.After, P50: p50, P95: p95, Wait: wait}
+	return deadline.RemainingStage{Stage: i, After: stage.After, P50: p50, P95: p95, Wait: wait}
 }
 
 // place returns a tier's place among the tiers in force. Gates order by it:
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -88,7 +88,7 @@
 	probe bool
 
 	mu        sync.Mutex
-	remaining []deadline.Remaining
+	remaining []deadline.RemainingStage
 	finished  []bool
 	claimed   bool
 }
@@ -156,7 +156,7 @@
 	}
 	f := &Failure{Reason: ReasonDeadline, Step: r.job.Pipeline.Stages[0].Name}
 	f.RetryAfter = decision.RetryAfter
-	if decision.Reason == admission.ReasonQueue {
+	if decision.Reason == admission.ReasonQueueTooLong {
 		f.Reason = ReasonOverload
 	}
 	return f
@@ -219,9 +219,9 @@
 }
 
 // share recomputes stage i's part of what is left of the deadline.
-func (r *run) share(now time.Time, i int) deadline.Share {
+func (r *run) share(now time.Time, i int) deadline.StageBudget {
 	r.mu.Lock()
-	var left []deadline.Remaining
+	var left []deadline.RemainingStage
 	for j := range r.remaining {
 		if !r.finished[j] {
 			left = append(left, r.remaining[j])
@@ -233,7 +233,7 @@
 			return share
 		}
 	}
-	return deadline.Share{Stage: i, Due: r.job.Deadline, LatestStart: r.job.Deadline}
+	return deadline.StageBudget{Stage: i, Due: r.job.Deadline, LatestStart: r.job.Deadline}
 }
 
 // claimDispatch asks once for leave to send stages that may not be repeated.
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -99,15 +99,15 @@
 }
 
 // remaining describes the stages from the given one on.
-func (m *managed) remaining(now time.Time, r *Request, from int) []deadline.Remaining {
-	var list []deadline.Remaining
+func (m *managed) remaining(now time.Time, r *Request, from int) []deadline.RemainingStage {
+	var list []deadline.RemainingStage
 	for i := from; i < len(r.Work); i++ {
 		if r.Work[i] == 0 {
 			continue
 		}
 		stage := &m.shape.Stages[i]
 		p50, p95 := m.times.Estimate(m.key(i), stage.mean())
-		rem := deadline.Remaining{Stage: i, P50: p50, P95: p95}
+		rem := deadline.RemainingStage{Stage: i, P50: p50, P95: p95}
 		if len(list) > 0 {
 			rem.After = []int{list[len(list)-1].Stage}
 		}
