--- a/coordination/rendezvous/rendezvous.go
+++ b/coordination/rendezvous/rendezvous.go
@@ -1,13 +1,13 @@
-// Package rendezvous scores candidates for a key, so that instances which know
-// the same candidates choose the same ones without a word, and few choices
-// change when a candidate comes or goes (Thaler and Ravishankar, "Using
-// Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN 1998).
+// Package rendezvous implements rendezvous hashing (Thaler and Ravishankar, "Using
+// Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN 1998). Instances that know the
+// same candidates choose the same ones for a key without communication, and few choices
+// change when a candidate is added or removed.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Score is the score of a candidate for a key; the highest are chosen. It is
-// the same in every process and allocates nothing.
+// Score returns the score of a candidate for a key. Callers choose the candidates with the
+// highest scores. The score is the same in every process; Score allocates nothing.
 func Score(candidate, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/coordination/rendezvous/rendezvous_test.go
+++ b/coordination/rendezvous/rendezvous_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Instances of two versions run side by side during a rollout. If they scored
-// differently they would disagree on every duty, and the duties would be held
-// twice or by nobody; if names ran together, some would never be chosen.
+// Instances of two versions run side by side during a rollout. If their scores differed,
+// they would choose different owners, and duties would be held twice or by no instance. If
+// the candidate and the key weren't separated, distinct pairs would get the same score.
 func TestScoreNeverChanges(t *testing.T) {
 	require.Equal(t, uint64(8667156902975964436), Score("one", "orders/engines"))
 	require.NotEqual(t, Score("ab", "c"), Score("a", "bc"))
