--- a/coordination/admission/simulation_test.go
+++ b/coordination/admission/simulation_test.go
@@ -12,9 +12,9 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// The simulation runs the gates and the admission of several instances before
-// one pool of shared slots, in virtual time: open-loop arrivals, digests that
-// arrive late, work cancelled at its deadline, callers that come back.
+// simulation runs the gates and the admission of several instances in front of one pool of
+// shared slots, in virtual time, with open-loop arrivals, delayed digests, requests that
+// are cancelled at their deadline, and callers that retry.
 type simulation struct {
 	options
 	now       time.Time
@@ -22,7 +22,7 @@
 	events    eventHeap
 	instances []*instance
 	busySlots int
-	// waiting holds what the targets queue, by the priority passed to them.
+	// targetQueues holds the requests queued at the targets, by the priority passed to them.
 	targetQueues [tiers.MaxRanks][]*request
 	peakLoad     int
 	lastID       uint64
@@ -49,12 +49,12 @@
 	sigma       float64
 	deadline    time.Duration
 	resumable   bool
-	// skew is the share of the requests that the first instance gets beyond
-	// its even part.
+	// skew is the share of the requests that the first instance gets on top of its even
+	// share.
 	skew float64
-	// retries is how often a caller comes back after a refusal or a late
-	// answer; one that heeds no Retry-After comes back at once.
-	retries           int
+	// retries is how often a caller retries after a refusal or a missed deadline.
+	retries int
+	// ignoresRetryAfter makes callers retry at once.
 	ignoresRetryAfter bool
 }
 
@@ -100,9 +100,9 @@
 	return s
 }
 
-func (s *simulation) schedule(t time.Time, do func()) *event {
+func (s *simulation) schedule(t time.Time, run func()) *event {
 	s.lastID++
-	e := &event{at: t, sequence: s.lastID, run: do}
+	e := &event{at: t, sequence: s.lastID, run: run}
 	heap.Push(&s.events, e)
 	return e
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// exchange sends every instance's digest to the others, and ticks the gates.
+// exchange sends every instance's digest to the others and updates the gates.
 func (s *simulation) exchange() {
 	for n, from := range s.instances {
 		d := from.gate.Digest(s.now)
@@ -158,38 +158,38 @@
 
 var simulatedStage = deadline.StageKey{Pipeline: catalog.PipelineKey{Name: "p"}, Stage: "s"}
 
-func (s *simulation) submit(w *request) {
-	c := w.class
+func (s *simulation) submit(req *request) {
+	c := req.class
 	s.lastID++
-	w.id, w.arrived, w.due = s.lastID, s.now, s.now.Add(c.deadline)
-	w.remaining = s.serviceTime(c)
-	w.instance = s.instances[s.rng.IntN(len(s.instances))]
+	req.id, req.arrived, req.due = s.lastID, s.now, s.now.Add(c.deadline)
+	req.remaining = s.serviceTime(c)
+	req.instance = s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.Float64() < c.skew {
-		w.instance = s.instances[0]
+		req.instance = s.instances[0]
 	}
-	s.schedule(w.due, func() { s.expire(w) })
-	latest := w.due
+	s.schedule(req.due, func() { s.expire(req) })
+	latest := req.due
 	if !s.noAdmission {
-		d := s.decide(w)
+		d := s.decide(req)
 		if !d.Admit {
-			s.end(w, false, d.RetryAfter)
+			s.end(req, false, d.RetryAfter)
 			return
 		}
-		latest, w.probe = d.LatestStart, d.Probe
+		latest, req.probe = d.LatestStart, d.Probe
 	}
-	s.enqueue(w, latest)
+	s.enqueue(req, latest)
 }
 
-func (s *simulation) decide(w *request) admission.Decision {
-	c := w.class
-	control := w.instance.admission[c.rank]
-	if control == nil {
-		control = admission.New(admission.Config{})
-		w.instance.admission[c.rank] = control
+func (s *simulation) decide(req *request) admission.Decision {
+	c := req.class
+	controller := req.instance.admission[c.rank]
+	if controller == nil {
+		controller = admission.New(admission.Config{})
+		req.instance.admission[c.rank] = controller
 	}
-	p50, p95 := w.instance.times.Estimate(s.stageKey(c), c.serviceTime)
-	stage := deadline.RemainingStage{P50: p50, P95: p95, Wait: w.instance.gate.Wait(s.now, c.rank)}
-	return control.Decide(s.now, w.due, []deadline.RemainingStage{stage}, s.rng)
+	p50, p95 := req.instance.times.Estimate(s.stageKey(c), c.serviceTime)
+	stage := deadline.RemainingStage{P50: p50, P95: p95, Wait: req.instance.gate.Wait(s.now, c.rank)}
+	return controller.Decide(s.now, req.due, []deadline.RemainingStage{stage}, s.rng)
 }
 
 func (s *simulation) stageKey(c *class) deadline.StageKey {
@@ -198,40 +198,40 @@
 	return k
 }
 
-func (s *simulation) enqueue(w *request, latest time.Time) {
-	w.instance.dispatched[w.id] = w
+func (s *simulation) enqueue(req *request, latest time.Time) {
+	req.instance.dispatched[req.id] = req
 	if s.noGate {
-		s.sendToTargets(w)
+		s.sendToTargets(req)
 		return
 	}
-	s.apply(w.instance, w.instance.gate.Enqueue(s.now, tiers.Item{
-		ID: w.id, Rank: w.class.rank, LatestStart: latest,
-		Resumable: w.class.resumable, Preemptions: w.preemptions,
+	s.apply(req.instance, req.instance.gate.Enqueue(s.now, tiers.Item{
+		ID: req.id, Rank: req.class.rank, LatestStart: latest,
+		Resumable: req.class.resumable, Preemptions: req.preemptions,
 	}))
 }
 
 func (s *simulation) apply(i *instance, actions []tiers.Action) {
 	for _, a := range actions {
-		w := i.dispatched[a.ID]
+		req := i.dispatched[a.ID]
 		switch a.Kind {
 		case tiers.Dispatch:
-			s.sendToTargets(w)
+			s.sendToTargets(req)
 		case tiers.Refuse:
-			s.end(w, false, a.RetryAfter)
+			s.end(req, false, a.RetryAfter)
 		case tiers.Preempt:
-			s.preempt(w)
+			s.preempt(req)
 		}
 	}
 }
 
-// send hands work to the targets, which run the most urgent first.
-func (s *simulation) sendToTargets(w *request) {
-	w.sentAt = s.now
-	rank := w.class.rank
+// sendToTargets sends a request to the targets, which run the most urgent first.
+func (s *simulation) sendToTargets(req *request) {
+	req.sentAt = s.now
+	rank := req.class.rank
 	if s.ignorePriority {
 		rank = 0
 	}
-	s.targetQueues[rank] = append(s.targetQueues[rank], w)
+	s.targetQueues[rank] = append(s.targetQueues[rank], req)
 	queued := 0
 	for r := range s.targetQueues {
 		queued += len(s.targetQueues[r])
@@ -246,107 +246,107 @@
 			r++
 			continue
 		}
-		w := s.targetQueues[r][0]
-		if !w.ended && s.busySlots >= s.slots {
+		req := s.targetQueues[r][0]
+		if !req.ended && s.busySlots >= s.slots {
 			return
 		}
 		s.targetQueues[r] = s.targetQueues[r][1:]
-		if !w.ended {
+		if !req.ended {
 			s.busySlots++
-			w.running, w.startedAt = true, s.now
-			w.finishEvent = s.schedule(s.now.Add(w.remaining), func() { s.finish(w) })
+			req.running, req.startedAt = true, s.now
+			req.finishEvent = s.schedule(s.now.Add(req.remaining), func() { s.finish(req) })
 		}
 	}
 }
 
-func (s *simulation) finish(w *request) {
-	s.freeSlot(w)
-	w.instance.times.Observe(s.now, s.stageKey(w.class), w.class.serviceTime, s.now.Sub(w.sentAt))
-	s.end(w, true, 0)
-	s.apply(w.instance, w.instance.gate.Finished(s.now, w.id))
+func (s *simulation) finish(req *request) {
+	s.freeSlot(req)
+	req.instance.times.Observe(s.now, s.stageKey(req.class), req.class.serviceTime, s.now.Sub(req.sentAt))
+	s.end(req, true, 0)
+	s.apply(req.instance, req.instance.gate.Finished(s.now, req.id))
 	s.startQueued()
 }
 
-// stop takes running work off its slot.
-func (s *simulation) freeSlot(w *request) {
-	if w.running {
+// freeSlot frees the slot of a running request.
+func (s *simulation) freeSlot(req *request) {
+	if req.running {
 		s.busySlots--
-		w.running = false
-		w.finishEvent.cancelled = true
+		req.running = false
+		req.finishEvent.cancelled = true
 	}
 }
 
-// expire ends work at its deadline: the instance cancels it at the target.
-func (s *simulation) expire(w *request) {
-	if w.ended {
+// expire ends a request at its deadline: the instance cancels it at the target.
+func (s *simulation) expire(req *request) {
+	if req.ended {
 		return
 	}
-	s.freeSlot(w)
-	if !w.sentAt.IsZero() {
-		w.instance.times.Observe(s.now, s.stageKey(w.class), w.class.serviceTime, s.now.Sub(w.sentAt))
+	s.freeSlot(req)
+	if !req.sentAt.IsZero() {
+		req.instance.times.Observe(s.now, s.stageKey(req.class), req.class.serviceTime, s.now.Sub(req.sentAt))
 	}
-	s.end(w, false, 0)
-	s.apply(w.instance, w.instance.gate.Abandon(s.now, w.id))
-	s.apply(w.instance, w.instance.gate.Finished(s.now, w.id))
+	s.end(req, false, 0)
+	s.apply(req.instance, req.instance.gate.Abandon(s.now, req.id))
+	s.apply(req.instance, req.instance.gate.Finished(s.now, req.id))
 	s.startQueued()
 }
 
-// rereadPrompt is what a resumed generation pays again.
+// resumeCost is the time to read the prompt again when a generation is resumed.
 const resumeCost = 100 * time.Millisecond
 
-func (s *simulation) preempt(w *request) {
+func (s *simulation) preempt(req *request) {
 	s.preemptions++
-	if w.running {
-		w.remaining -= s.now.Sub(w.startedAt)
-		s.freeSlot(w)
+	if req.running {
+		req.remaining -= s.now.Sub(req.startedAt)
+		s.freeSlot(req)
 	} else {
-		s.targetQueues[w.class.rank] = without(s.targetQueues[w.class.rank], w)
+		s.targetQueues[req.class.rank] = without(s.targetQueues[req.class.rank], req)
 	}
-	w.remaining += resumeCost
-	w.preemptions++
-	old := w.id
+	req.remaining += resumeCost
+	req.preemptions++
+	old := req.id
 	s.lastID++
-	w.id = s.lastID
-	delete(w.instance.dispatched, old)
+	req.id = s.lastID
+	delete(req.instance.dispatched, old)
 	s.schedule(s.now, func() {
-		s.apply(w.instance, w.instance.gate.Finished(s.now, old))
-		if !w.ended {
-			s.enqueue(w, w.due.Add(-w.remaining))
+		s.apply(req.instance, req.instance.gate.Finished(s.now, old))
+		if !req.ended {
+			s.enqueue(req, req.due.Add(-req.remaining))
 		}
 		s.startQueued()
 	})
 }
 
-func without(list []*request, w *request) []*request {
+func without(list []*request, req *request) []*request {
 	var out []*request
 	for _, x := range list {
-		if x != w {
+		if x != req {
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-func (s *simulation) end(w *request, answered bool, retryAfter time.Duration) {
-	if w.ended {
+func (s *simulation) end(req *request, answered bool, retryAfter time.Duration) {
+	if req.ended {
 		return
 	}
-	w.ended = true
-	if w.probe {
-		w.instance.admission[w.class.rank].ProbeEnded(answered)
+	req.ended = true
+	if req.probe {
+		req.instance.admission[req.class.rank].ProbeEnded(answered)
 	}
-	delete(w.instance.dispatched, w.id)
+	delete(req.instance.dispatched, req.id)
 	if s.onEnd != nil {
-		s.onEnd(w, answered)
+		s.onEnd(req, answered)
 	}
-	if answered || w.retries == 0 {
+	if answered || req.retries == 0 {
 		return
 	}
-	if w.class.ignoresRetryAfter {
+	if req.class.ignoresRetryAfter {
 		retryAfter = 0
 	}
-	again := &request{class: w.class, retries: w.retries - 1}
-	s.schedule(s.now.Add(retryAfter), func() { s.submit(again) })
+	retry := &request{class: req.class, retries: req.retries - 1}
+	s.schedule(s.now.Add(retryAfter), func() { s.submit(retry) })
 }
 
 type event struct {
--- a/coordination/deadline/histogram.go
+++ b/coordination/deadline/histogram.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// Shape of the histogram: buckets grow by a factor of 2^(1/bucketsPerOctave)
-// from minTracked on, which bounds the error of a quantile to half a bucket,
-// about 9%.
+// Buckets grow by a factor of 2^(1/bucketsPerOctave), starting at minBucketTime. This
+// bounds the error of a quantile to half a bucket, about 9%.
 const (
 	bucketsPerOctave = 4
 	bucketCount      = 84
 	minBucketTime    = 500 * time.Microsecond
 )
 
-// maxWeight is where the forward-decayed weights are scaled back, well within
-// the range of a float32.
+// maxSampleWeight is the sample weight above which all weights are scaled back, well
+// within the range of a float32.
 const maxSampleWeight = 1e12
 
-// minRemembered is the number of observations that fading leaves: a stage which
-// runs once a minute keeps a distribution and not one value.
+// minEffectiveSamples is the number of observations, by weight, that decay leaves, so that
+// a stage which runs once a minute keeps a distribution and not a single value.
 const minEffectiveSamples = 16
 
-// histogram counts stage times with exponentially decaying weights. Decay works
-// forward (Cormode, Shkapenyuk, Srivastava, Xu: "Forward Decay: A Practical
-// Time Decay Model for Streaming Systems", ICDE 2009): newer observations weigh
-// more, and older ones are never touched until all are scaled back.
+// histogram counts stage times with exponentially decaying weights. It uses forward
+// decay (Cormode, Shkapenyuk, Srivastava, Xu: "Forward Decay: A Practical Time Decay
+// Model for Streaming Systems", ICDE 2009): newer observations get a higher weight, and
+// the weights of older ones don't change until all are scaled back.
 type histogram struct {
 	weights [bucketCount]float32
 	total   float32
-	// scale is the weight of the next observation.
+	// sampleWeight is the weight of the latest observation.
 	sampleWeight float64
 	lastObserved time.Time
 }
@@ -42,7 +41,7 @@
 	return min(i, bucketCount-1)
 }
 
-// bucketValue is the geometric middle of a bucket.
+// bucketValue returns the geometric mean of a bucket's bounds.
 func bucketValue(i int) time.Duration {
 	if i == 0 {
 		return minBucketTime
@@ -51,8 +50,8 @@
 	return time.Duration(float64(minBucketTime) * math.Exp2(exponent))
 }
 
-// seed starts the histogram from the operator's estimate: most of the weight
-// at the estimate, some above it, as stage times have a long upper tail.
+// seed initialises the histogram from the operator's estimate, with most of the weight at
+// the estimate and some above it, since stage times have a long upper tail.
 func (h *histogram) seed(now time.Time, expected time.Duration) {
 	h.sampleWeight = 1
 	h.lastObserved = now
@@ -78,7 +77,8 @@
 	}
 }
 
-// fadeable is by how many half-lives the observations may fade at once.
+// maxDecay returns the maximum decay, in half-lives, that one observation may cause. It
+// keeps the total weight at about minEffectiveSamples observations or more.
 func (h *histogram) maxDecay() float64 {
 	samples := float64(h.total) / h.sampleWeight
 	return max(math.Log2(samples/minEffectiveSamples), 1.0/minEffectiveSamples)
--- a/coordination/routing/affinity.go
+++ b/coordination/routing/affinity.go
@@ -1,8 +1,9 @@
 package routing
 
-// creditPrefix takes the cached part of the prompt off each candidate's score.
-// The credit is a share of the score, so a popular prefix spreads once its
-// holders queue, and holders are used all the more when all engines queue.
+// discountCachedPrefix lowers each candidate's score by the cached part of the prompt.
+// The discount is a share of the score: a popular prefix moves to further targets once
+// those that cache it have queues, and the cache counts for more when all engines have
+// queues.
 func (p *pick) discountCachedPrefix() {
 	p.hashPrefix()
 	total := 0
@@ -19,8 +20,9 @@
 	}
 }
 
-// byPrefix returns the best candidate, the cached prefix counted. All of them
-// are compared: a sample of two would mostly miss the few holders.
+// byPrefix returns the candidate with the best score after the discount for its cached
+// prefix. It compares all candidates, since a sample of two would mostly miss the few
+// that have the prefix cached.
 func (p *pick) byPrefix() (*candidate, Reason) {
 	p.discountCachedPrefix()
 	c := p.bestOfSample(len(p.candidates), func(*candidate) bool { return true })
--- a/coordination/routing/baseline/rounds.go
+++ b/coordination/routing/baseline/rounds.go
@@ -2,16 +2,17 @@
 
 import "math/rand/v2"
 
-// Rounds is weighted random sampling by rating with balancing rounds, after
-// "Load balancing: Strategies" of the dRPC documentation: the first round
-// samples among the best performers that are available, the second among all
-// targets, the softly unavailable included.
+// RatingRounds samples targets at random, weighted by their ratings, in balancing rounds
+// (after "Load balancing: Strategies" in the dRPC documentation). The first round samples
+// among the available targets with the best ratings; if there are none, the second
+// samples among all targets, including those that are softly unavailable.
 type RatingRounds struct{}
 
 const (
-	// bestShare of the best rating puts a target in the first round.
+	// firstRoundShare is the minimum rating in the first round, relative to the best.
 	firstRoundShare = 0.5
-	// softUnavailable failures in a row leave a target to the second round.
+	// softUnavailableFailures is the number of consecutive failures that exclude a
+	// target from the first round.
 	softUnavailableFailures = 2
 )
 
--- a/coordination/routing/baseline/simple.go
+++ b/coordination/routing/baseline/simple.go
@@ -6,14 +6,14 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Random draws a target uniformly.
+// Random chooses a target uniformly at random.
 type Random struct{}
 
 func (Random) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
 	return eligible[rng.IntN(len(eligible))]
 }
 
-// RoundRobin takes the targets in turn.
+// RoundRobin chooses the targets in turn.
 type RoundRobin struct {
 	next map[string]int
 }
@@ -26,8 +26,8 @@
 	return eligible[s.next[pool]%len(eligible)]
 }
 
-// LeastOutstanding takes the target with the fewest own requests in flight,
-// ties broken at random.
+// LeastOutstanding chooses the target with the fewest requests in flight from this
+// router; ties are broken at random.
 type LeastOutstanding struct{}
 
 func (LeastOutstanding) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
@@ -47,8 +47,8 @@
 	return best
 }
 
-// TwoChoices takes the less loaded, by own requests, of two random targets
-// (Mitzenmacher, IEEE TPDS 2001).
+// TwoChoices chooses, of two random targets, the one with fewer requests in flight from
+// this router (Mitzenmacher, IEEE TPDS 2001).
 type TwoChoices struct{}
 
 func (TwoChoices) choose(_ string, rng *rand.Rand, eligible []*targetState) *targetState {
@@ -66,14 +66,14 @@
 	return eligible[i]
 }
 
-// rating is a moving measure of a target's service: its share of successes
-// over its latency relative to the expected one.
+// rating is a moving average of a target's success rate, divided by that of its latency
+// relative to the expected latency.
 type rating struct {
 	successRate, slowness float64
-	consecutiveFailures   int // recent failures in a row
+	consecutiveFailures   int
 }
 
-// ratingShare is the share of a new sample in a rating.
+// ratingWeight is the weight of a new sample in a rating.
 const ratingWeight = 0.1
 
 func newRating() rating {
@@ -98,7 +98,7 @@
 	}
 }
 
-// leastRating keeps every target in reach of the sampling.
+// minRating keeps the sampling probability of every target above 0.
 const minRating = 0.01
 
 func (r *rating) value() float64 {
--- a/coordination/routing/config.go
+++ b/coordination/routing/config.go
@@ -19,39 +19,42 @@
 	DefaultCacheWeight      = 0.5
 )
 
-// Config holds the settings of a Table. A zero field takes its default.
+// Config holds the settings of a Table. Fields that are zero or less take their defaults.
 type Config struct {
-	// Instance names this instance; it seeds the choice of its subsets.
+	// Instance is the name of this instance; it seeds the choice of its subsets.
 	Instance        string
 	LocalDataCentre string
-	// Subset is the number of targets kept for each pool.
+	// SubsetSize bounds the targets kept for each pool.
 	SubsetSize int
-	// Choices is the number of targets that are sampled for a pick.
+	// Choices is the number of targets sampled for a pick.
 	Choices int
-	// Origins bounds the number of peers whose digests are kept.
+	// MaxOrigins bounds the peers whose digests are kept.
 	MaxOrigins int
-	// DigestEntries bounds the entries of an own digest.
+	// MaxDigestEntries bounds the entries of a digest, sent or received.
 	MaxDigestEntries int
-	// DigestTTL is how long a peer's digest counts.
+	// DigestTTL is how long a peer's digest is used.
 	DigestTTL time.Duration
-	// ReportTrust is the age at which a target's report counts no longer.
+	// ReportTTL is the age at which a target's report is no longer used; its weight
+	// falls linearly until then.
 	ReportTTL time.Duration
-	// SlowStart is how long a new target takes to get its full share.
+	// SlowStartWindow is the time in which a new target ramps up to its full share of
+	// the traffic.
 	SlowStartWindow time.Duration
-	// Ejection is how long a first ejection lasts; each further one in a row
-	// doubles it up to EjectionMax.
+	// BaseEjectionTime is the length of the first ejection. Each consecutive ejection
+	// doubles it, up to MaxEjectionTime.
 	BaseEjectionTime, MaxEjectionTime time.Duration
-	// LeavingRetention is how long a leaving incarnation is remembered after
-	// it vanished from the list.
+	// LeavingRetention is how long a leaving incarnation is remembered after it was
+	// last listed.
 	LeavingRetention time.Duration
-	// CacheWeight, 0 to 1, is how much of a target's score a fully cached
-	// prompt takes off.
+	// CacheWeight, 0 to 1, is the share of a target's score by which a fully cached
+	// prompt reduces it.
 	CacheWeight float64
-	// PrefixTTL is how long an own routing decision counts as a cached prefix.
+	// PrefixTTL is how long the parts of a prompt are assumed to stay in a target's
+	// cache after a request with them was sent there or a cache event named them.
 	PrefixTTL time.Duration
-	// PrefixSlots bounds the prefix parts remembered for each target.
+	// PrefixTableSize bounds the prefix parts remembered for each target.
 	PrefixTableSize int
-	// Off switches mechanisms off, for experiments.
+	// Disabled turns mechanisms off, for experiments.
 	Disabled Mechanism
 }
 
--- a/coordination/routing/digest.go
+++ b/coordination/routing/digest.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// digests keeps the latest digest of each origin, bounded in number.
+// peerDigests holds the latest digest of each origin, up to Config.MaxOrigins.
 type peerDigests struct {
 	byOrigin map[string]*originDigest
 }
@@ -17,8 +17,8 @@
 	entries    []DigestEntry
 }
 
-// PeerDigest takes in what a peer has in flight. The latest digest of an origin
-// replaces its older one; entries of unknown targets are dropped.
+// PeerDigest records the requests that a peer has in flight. A digest replaces the
+// earlier one of the same origin; entries of unknown targets are dropped.
 func (t *Table) PeerDigest(now time.Time, origin string, entries []DigestEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,9 +36,9 @@
 	t.updatePeerLoad(now, v)
 }
 
-// Digest returns what this instance has in flight, the ejected and the most
-// loaded targets first and at most Config.DigestEntries. It also ends the validity of peers'
-// digests that grew old, so call it at a steady rate.
+// Digest returns the requests that this instance has in flight, with ejected targets
+// first, then the most loaded ones, and at most Config.MaxDigestEntries. It also drops
+// expired digests of peers, so it has to be called at regular intervals.
 func (t *Table) Digest(now time.Time) []DigestEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,8 @@
 	return entries[:min(len(entries), t.config.MaxDigestEntries)]
 }
 
-// sumPeers drops old digests and sets each target's sum over the others.
+// updatePeerLoad drops expired digests and sets, for each target, the requests in
+// flight from all peers and the number of peers that ejected it.
 func (t *Table) updatePeerLoad(now time.Time, v *view) {
 	sums := make(map[uint32]int64, len(v.byHash))
 	suspicions := make(map[uint32]int64)
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidate is an eligible target with what a pick computed of it.
+// candidate is an eligible target with the values computed for one pick.
 type candidate struct {
 	target       *targetView
 	load         float64 // estimated requests at the target
@@ -19,8 +19,8 @@
 	ejection     ejectionState
 }
 
-// Pick chooses a target. It returns *NoTargetError when the pool has none that
-// is eligible: an unknown pool, all leaving, excluded or unfit.
+// Pick chooses a target. It returns *NoTargetError if the pool is unknown or all of its
+// targets are leaving, excluded or unfit.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, q Query) (Choice, error) {
 	p := t.view.Load().pools[q.Pool]
 	if p == nil {
@@ -43,22 +43,22 @@
 	}, nil
 }
 
-// pick is the work of one Pick.
+// pick is the state of one call of Pick.
 type pick struct {
 	table *Table
 	pool  *poolView
 	query *Query
 	rng   *rand.Rand
 	now   int64
-	// candidates are pointers, so that drawing may reorder them while an earlier
-	// choice is still held.
+	// candidates holds pointers, so that sampling can reorder them while an earlier
+	// choice is still in use.
 	candidates   []*candidate
 	prefixHashes []uint64
-	// tried are the data centres of the excluded targets.
+	// triedDataCentres are the data centres of the excluded targets.
 	triedDataCentres []string
 }
 
-// collect finds the eligible targets.
+// collectEligible sets the candidates to the eligible targets.
 func (p *pick) collectEligible() error {
 	eligible := make([]candidate, 0, len(p.pool.targets))
 	none := NoTargetError{Pool: p.query.Pool, Known: len(p.pool.targets)}
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// choose applies the rules in their order: probe, floor, affinity, load.
+// choose applies the rules in order: the only candidate, a due probe, the removal of
+// ejected targets down to the ejection floor, then those of byRule.
 func (p *pick) choose() (*candidate, Reason) {
 	if len(p.candidates) == 1 {
 		p.scoreCandidates()
@@ -106,6 +107,8 @@
 	return c, reason
 }
 
+// byRule applies the rules that follow the handling of ejections in order: the preferred
+// target, the home, affinity, load.
 func (p *pick) byRule() (*candidate, Reason) {
 	if c := p.preferred(); c != nil {
 		return c, ReasonPreferred
@@ -119,7 +122,8 @@
 	return p.byLoad()
 }
 
-// preferred is the candidate that the query prefers; nil if it isn't among them.
+// preferred returns the candidate that the query names in Preferred, or nil if it isn't
+// among the candidates.
 func (p *pick) preferred() *candidate {
 	if p.query.Preferred == "" {
 		return nil
@@ -132,12 +136,14 @@
 	return nil
 }
 
-// probePatience is how long a due probe waits for a request of a lower tier.
+// probeLowerTierWait is how long a due probe waits for a request of a lower tier before
+// one of the highest tier may be used.
 const probeLowerTierWait = int64(time.Second)
 
-// probe returns an ejected target whose time is over and which this pick may
-// try. One probe at a time guards against the stampede on a target that is
-// back; requests of the highest tier are risked only when no other came.
+// probe returns an ejected target whose ejection time is over and which this pick may
+// probe, or nil. There is one probe at a time, since all waiting requests at once would
+// overload a target that has just recovered. Requests of the highest tier are used as
+// probes only if no other request arrived within probeLowerTierWait.
 func (p *pick) probe() *candidate {
 	for _, c := range p.candidates {
 		h := &c.target.health
@@ -155,8 +161,8 @@
 	return nil
 }
 
-// dropEjected leaves ejected targets out, but for as many of those whose time
-// ends first as the floor asks for. It tells whether it kept some.
+// dropEjected removes the ejected targets, except for as many as the ejection floor
+// requires, of those whose ejection ends first. It reports whether it kept any.
 func (p *pick) dropEjected() bool {
 	slices.SortStableFunc(p.candidates, func(a, b *candidate) int {
 		return cmp.Compare(a.ejectedUntil(), b.ejectedUntil())
@@ -179,22 +185,22 @@
 	return c.target.health.ejectedUntil.Load()
 }
 
-// floor is the least number of n targets that stay routable.
+// minRoutable returns how many of n targets have to stay routable.
 func (p *poolView) minRoutable(n int) int {
 	return min(n, max(1, int(math.Ceil(p.pool.EjectionFloor*float64(n)))))
 }
 
-// headroomWeight is what a busy but not yet full target counts: it breaks ties
-// towards the emptier one, since batching slows an engine a little.
+// utilizationWeight is the weight of a target's utilization up to 1. It favours the
+// less utilized of the targets that aren't full, since batching slows an engine a little.
 const utilizationWeight = 0.3
 
-// triedPenalty is added to the score of targets in a data centre where the
-// stage was already sent: when a data centre is lost, an attempt there fails,
-// and a second one beside it would fail alike and use up the retries.
+// triedPenalty is added to the score of targets in a data centre where the stage was
+// already sent. If that data centre has failed, a second attempt there would fail like
+// the first and use up the retries.
 const triedPenalty = 1.0
 
-// assess estimates each candidate's load and score: how long a request takes
-// there, relative to its usual time on an idle target.
+// scoreCandidates sets each candidate's load and score. The score is the estimated time
+// of a request there, relative to the time on an idle target.
 func (p *pick) scoreCandidates() {
 	config := &p.table.config
 	cost := p.query.Cost
@@ -203,10 +209,10 @@
 	}
 	for _, c := range p.candidates {
 		c.load = c.target.estimatedLoad(p.now, config)
-		use := (c.load + cost) / c.target.slots(c.target.Slots)
-		c.score = 1 + utilizationWeight*math.Min(use, 1) + math.Max(0, use-1)
+		utilization := (c.load + cost) / c.target.slots(c.target.Slots)
+		c.score = 1 + utilizationWeight*math.Min(utilization, 1) + math.Max(0, utilization-1)
 		if !config.disabled(MechanismLatency) {
-			c.score *= max(c.target.health.slowdown(p.now), c.target.attemptAges.slowdown(p.now, use))
+			c.score *= max(c.target.health.slowdown(p.now), c.target.attemptAges.slowdown(p.now, utilization))
 		}
 		if slices.Contains(p.triedDataCentres, c.target.DataCentre) && !config.disabled(MechanismRetryElsewhere) {
 			c.score += triedPenalty
@@ -214,14 +220,14 @@
 	}
 }
 
-// remotePenalty is how much better a target of another data centre has to be:
-// a third of its slots more free than the local one's.
+// remotePenalty is the margin by which the score of a target in another data centre has
+// to be better: it is a third of the slots more free than at the local one.
 const remotePenalty = 0.1
 
-// byLoad compares a sample of the local targets with one of the others, and
-// takes the farther one where it is better by a margin. The samples share
-// Config.Choices between them: with a full sample of each, instances whose
-// digests are equally old chase the same few targets.
+// byLoad compares the best of a sample of the local targets with the best of a sample of
+// the others, and chooses the remote one if it is better by remotePenalty. Each sample
+// is half of Config.Choices: with full samples, instances whose digests are equally old
+// would all choose the same few targets.
 func (p *pick) byLoad() (*candidate, Reason) {
 	if p.table.config.disabled(MechanismLocalFirst) {
 		return p.bestOfChoices(func(*candidate) bool { return true }), ReasonLoad
@@ -243,30 +249,32 @@
 	}
 }
 
-// sample draws Config.Choices distinct candidates and returns the best.
-func (p *pick) bestOfChoices(from func(*candidate) bool) *candidate {
-	return p.bestOfSample(p.table.config.Choices, from)
+// bestOfChoices samples up to Config.Choices distinct candidates that match and returns
+// the best.
+func (p *pick) bestOfChoices(matches func(*candidate) bool) *candidate {
+	return p.bestOfSample(p.table.config.Choices, matches)
 }
 
-// best draws up to limit distinct candidates and returns the best. Each is
-// passed over with the probability that its share asks for, unless all are.
-func (p *pick) bestOfSample(limit int, from func(*candidate) bool) *candidate {
+// bestOfSample samples up to limit distinct candidates that match and returns the best,
+// or nil if none matches. A candidate is passed over with a probability of 1 less its
+// traffic share; if all are passed over, the best of those is returned.
+func (p *pick) bestOfSample(limit int, matches func(*candidate) bool) *candidate {
 	var best, fallback *candidate
-	seen := 0
+	sampled := 0
 	n := len(p.candidates)
-	// A partial Fisher-Yates shuffle draws without replacement.
-	for i := 0; i < n && seen < limit; i++ {
+	// A partial Fisher-Yates shuffle samples without replacement.
+	for i := 0; i < n && sampled < limit; i++ {
 		j := i + p.rng.IntN(n-i)
 		p.candidates[i], p.candidates[j] = p.candidates[j], p.candidates[i]
 		c := p.candidates[i]
-		if !from(c) {
+		if !matches(c) {
 			continue
 		}
 		if p.passedOver(c) {
 			fallback = better(fallback, c)
 			continue
 		}
-		seen++
+		sampled++
 		best = better(best, c)
 	}
 	if best == nil {
@@ -275,11 +283,13 @@
 	return best
 }
 
+// passedOver decides at random, by the candidate's traffic share, whether to pass over it.
 func (p *pick) passedOver(c *candidate) bool {
 	share := c.target.trafficShare(p.now, &p.table.config)
 	return share < 1 && p.rng.Float64() >= share
 }
 
+// better returns the candidate with the lower score; a may be nil.
 func better(a, b *candidate) *candidate {
 	if a == nil || b.score < a.score {
 		return b
@@ -287,7 +297,7 @@
 	return a
 }
 
-// remember notes that the chosen target will cache the prompt's parts.
+// recordPrefix records that the chosen target will have the prompt's parts in its cache.
 func (p *pick) recordPrefix(c *candidate) {
 	if p.table.config.disabled(MechanismAffinity) {
 		return
--- a/coordination/routing/preferred_test.go
+++ b/coordination/routing/preferred_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The holder of the stage queue names an engine that this instance has ejected, that
-// failed this very request, or that it doesn't know. The request goes to another.
+// The holder of the stage queue may name an engine that this instance has ejected, that
+// already failed the request, or that is unknown here. The request then goes to another
+// engine.
 func TestPreferredTargetIsUsedUnlessItCantServe(t *testing.T) {
 	table := newTable(Config{}, testTargets(4))
 	pick := func(q Query) Choice {
--- a/coordination/routing/stats.go
+++ b/coordination/routing/stats.go
@@ -12,29 +12,32 @@
 	ejectionsPrevented atomic.Uint64
 }
 
-// Stats is a snapshot of a table for metrics and operators.
+// Stats is a snapshot of a table, for metrics and operators.
 type Stats struct {
-	// Picks counts the choices by reason.
+	// Picks counts the chosen targets by reason.
 	Picks map[Reason]uint64
-	// Refused counts the picks that found no target.
+	// Refused counts the picks that found no eligible target.
 	Refused uint64
-	// Ejections counts ejections; Floored those that the floor forbade.
+	// Ejections counts ejections; EjectionsPrevented those that the ejection floor
+	// prevented.
 	Ejections, EjectionsPrevented uint64
 	Targets                       []TargetStats
 }
 
-// TargetStats is the state of one kept target.
+// TargetStats is the state of one target of the instance's subset.
 type TargetStats struct {
 	Incarnation, Pool string
-	// InFlight is the own cost in flight, Load the estimate over all instances.
+	// InFlight is the cost in flight from this instance; Load is the estimated load
+	// from all instances.
 	InFlight, Load float64
-	// Slowness is the latency over the expected one, Failing the failing share.
+	// Slowness is the ratio of latency to expected latency; FailureRate is the share
+	// of failed attempts, 0 to 1. Both are moving averages.
 	Slowness, FailureRate float64
 	Leaving, Ejected      bool
 	Picked                uint64
 }
 
-// Stats returns the counters and the state of every kept target.
+// Stats returns the counters and the state of every target of the subsets.
 func (t *Table) Stats(now time.Time) Stats {
 	ns := now.UnixNano()
 	stats := Stats{
@@ -68,8 +71,9 @@
 	}
 }
 
-// Slots returns how many requests the kept targets of a pool run at once, those
-// that are leaving or ejected left out: what a gate before the pool may fill.
+// Slots returns the total number of slots of a pool's targets in the subset, without
+// those that are leaving or ejected. It is the capacity that a gate in front of the
+// pool may fill.
 func (t *Table) Slots(now time.Time, pool string) int {
 	p := t.view.Load().pools[pool]
 	if p == nil {
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -7,12 +7,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// localShare is the part of a subset that is taken from the local data centre
-// when it has enough targets; the rest is for overflow and for its loss.
+// localShare is the share of a subset that comes from the local data centre if it has
+// enough targets; the others serve overflow and a failure of the local data centre.
 const localShare = 0.75
 
-// leastPerModel is how many targets of each model a subset keeps, so that a
-// rare model is not routed to a single target.
+// minPerModel is the number of targets of each model that a subset keeps if there are
+// as many, so that a rare model is not routed to a single target.
 const minPerModel = 4
 
 type ranked struct {
@@ -21,8 +21,8 @@
 }
 
 // subset returns the targets that this instance keeps. Rendezvous hashing gives
-// every instance another subset and changes it by one target when one comes or
-// goes.
+// every instance a different subset; a target that is added or removed changes a
+// subset by about one target.
 func (c *Config) subset(targets []Target) []Target {
 	if len(targets) <= c.SubsetSize {
 		return slices.Clone(targets)
@@ -30,17 +30,17 @@
 	all := c.rankTargets(targets)
 	local := int(localShare * float64(c.SubsetSize))
 	kept := make([]Target, 0, c.SubsetSize)
-	taken := make(map[string]bool, c.SubsetSize)
+	selected := make(map[string]bool, c.SubsetSize)
 	models := map[string]int{}
-	take := func(limit int, fits func(Target) bool) {
+	selectUpTo := func(limit int, matches func(Target) bool) {
 		for _, r := range all {
 			if len(kept) >= limit {
 				return
 			}
-			if taken[r.target.Incarnation] || !fits(r.target) {
+			if selected[r.target.Incarnation] || !matches(r.target) {
 				continue
 			}
-			taken[r.target.Incarnation] = true
+			selected[r.target.Incarnation] = true
 			kept = append(kept, r.target)
 			countModels(models, r.target)
 		}
@@ -48,10 +48,10 @@
 	rare := func(t Target) bool {
 		return slices.ContainsFunc(t.Models, func(m string) bool { return models[m] < minPerModel })
 	}
-	take(c.SubsetSize, rare)
-	take(max(local, len(kept)), func(t Target) bool { return t.DataCentre == c.LocalDataCentre })
-	take(c.SubsetSize, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
-	take(c.SubsetSize, func(Target) bool { return true })
+	selectUpTo(c.SubsetSize, rare)
+	selectUpTo(max(local, len(kept)), func(t Target) bool { return t.DataCentre == c.LocalDataCentre })
+	selectUpTo(c.SubsetSize, func(t Target) bool { return t.DataCentre != c.LocalDataCentre })
+	selectUpTo(c.SubsetSize, func(Target) bool { return true })
 	return kept
 }
 
