--- a/coordination/gather/admit.go
+++ b/coordination/gather/admit.go
@@ -15,34 +15,34 @@
 // times the usual rate against targets of which a quarter is lost, where work
 // that ends past its deadline takes the place of work that would not. It returns
 // nil for a request that is taken in.
-func (p *Planner) admit(now time.Time, w *work) *Refused {
-	timely := position{rank: w.ownRank(), objective: w.Objective}
+func (p *Planner) admit(now time.Time, w *heldRequest) *Refused {
+	timely := queuePosition{rank: w.baseRank(), objective: w.Objective}
 	predicted, ok := p.predict(now, w, timely)
 	if !ok {
 		return &Refused{Request: w.ID, Reason: ReasonNoTarget, RetryAfter: time.Second}
 	}
-	w.predicted = predicted - w.Rest
+	w.predicted = predicted - w.Remaining
 	if end := now.Add(predicted); !end.After(w.Objective) && !end.After(w.Deadline) {
 		return nil
 	}
 	// Late already or soon, it goes behind what can be on time, also behind what
 	// is still to come.
-	late := position{rank: timely.rank + lateRank, objective: w.Objective, yields: true}
+	late := queuePosition{rank: timely.rank + missedObjectivePenalty, objective: w.Objective, yields: true}
 	predicted, _ = p.predict(now, w, late)
-	w.predicted = predicted - w.Rest
+	w.predicted = predicted - w.Remaining
 	end := now.Add(predicted)
 	if !end.After(w.Deadline) {
 		return nil
 	}
 	return &Refused{
-		Request: w.ID, Reason: ReasonQueue,
+		Request: w.ID, Reason: ReasonQueueTooLong,
 		RetryAfter: min(max(end.Sub(w.Deadline), minRetryAfter), maxRetryAfter),
-		Needed:     predicted, Left: w.Deadline.Sub(now),
+		Needed:     predicted, TimeToDeadline: w.Deadline.Sub(now),
 	}
 }
 
 // position is where a request stands in the queues.
-type position struct {
+type queuePosition struct {
 	rank      float64
 	objective time.Time
 	// yields tells that work still to come goes first.
@@ -51,9 +51,9 @@
 
 // predict is how long the rest of a request takes at a position in the queues as
 // they are; false if a service has no target.
-func (p *Planner) predict(now time.Time, w *work, at position) (time.Duration, bool) {
-	w.uncount()
-	defer p.recount(now, w)
+func (p *Planner) predict(now time.Time, w *heldRequest, at queuePosition) (time.Duration, bool) {
+	w.leaveBacklog()
+	defer p.updateBacklog(now, w)
 	var ends [maxStages]time.Duration
 	var longest time.Duration
 	for i, s := range w.stages {
@@ -62,7 +62,7 @@
 			start = max(start, ends[after])
 		}
 		if !s.done() {
-			spent, ok := s.timeBehind(now, at)
+			spent, ok := s.waitAndRunTime(now, at)
 			if !ok {
 				return 0, false
 			}
@@ -71,15 +71,15 @@
 		ends[i] = start
 		longest = max(longest, start)
 	}
-	return longest + w.Rest, true
+	return longest + w.Remaining, true
 }
 
 // leastShare is what is left at least, in predictions, to work that yields.
-const leastShare = 0.4
+const minYieldingShare = 0.4
 
 // timeBehind is the wait for the work ahead and the call itself; false if the
 // service has no target.
-func (s *stageWork) timeBehind(now time.Time, at position) (time.Duration, bool) {
+func (s *heldStage) waitAndRunTime(now time.Time, at queuePosition) (time.Duration, bool) {
 	if s.Pieces == 0 {
 		return 0, true
 	}
@@ -89,24 +89,24 @@
 		return 0, false
 	}
 	ahead := sv.backlog.ahead(at)
-	calls := float64(ahead.pieces) / float64(max(sv.shape.MaxPieces, 1))
-	wait := (calls*float64(sv.callTime()) + float64(ahead.added)) / capacity
+	calls := float64(ahead.pieces) / float64(max(sv.config.MaxPieces, 1))
+	wait := (calls*float64(sv.callTime()) + float64(ahead.pieceTime)) / capacity
 	if at.yields {
-		wait /= max(1-sv.taken(now, at.rank, capacity), leastShare)
+		wait /= max(1-sv.loadAbove(now, at.rank, capacity), minYieldingShare)
 	}
 	own := sv.expected(time.Duration(s.Pieces) * s.pieceTime())
-	return time.Duration(wait) + sv.residual(now) + own, true
+	return time.Duration(wait) + sv.timeUntilFree(now) + own, true
 }
 
 // residual is the time until a target is free.
-func (s *service) residual(now time.Time) time.Duration {
+func (s *service) timeUntilFree(now time.Time) time.Duration {
 	first := time.Duration(-1)
 	for _, t := range s.targets {
-		if t.leaving {
+		if t.unlisted {
 			continue
 		}
 		free := max(t.downUntil.Sub(now), 0)
-		if t.calls >= max(s.shape.Slots, 1) {
+		if t.calls >= max(s.config.Slots, 1) {
 			free = max(free, t.busyUntil.Sub(now), 0)
 		}
 		if first < 0 || free < first {
@@ -117,7 +117,7 @@
 }
 
 // least is the time that a request takes even if nothing is ahead of it.
-func (p *Planner) least(w *work) time.Duration {
+func (p *Planner) minRemaining(w *heldRequest) time.Duration {
 	var ends [maxStages]time.Duration
 	var longest time.Duration
 	for i, s := range w.stages {
@@ -126,12 +126,12 @@
 			start = max(start, ends[after])
 		}
 		if !s.done() && s.inCall == 0 {
-			start += s.service.expected(time.Duration(len(s.todo)) * s.pieceTime())
+			start += s.service.expected(time.Duration(len(s.pending)) * s.pieceTime())
 		}
 		ends[i] = start
 		longest = max(longest, start)
 	}
-	return longest + w.Rest
+	return longest + w.Remaining
 }
 
 // maxStages bounds the stages of a request; none with more is taken in.
--- a/coordination/gather/backlog.go
+++ b/coordination/gather/backlog.go
@@ -4,23 +4,23 @@
 
 // slotWidth is how far apart the objectives may be of requests that are counted
 // together.
-const slotWidth = 50 * time.Millisecond
+const bucketWidth = 50 * time.Millisecond
 
 // waiting is work that waits at a service.
-type waiting struct {
+type queuedWork struct {
 	pieces int
 	// added is the time that the pieces add to calls.
-	added time.Duration
+	pieceTime time.Duration
 }
 
-func (w *waiting) add(other waiting) {
+func (w *queuedWork) add(other queuedWork) {
 	w.pieces += other.pieces
-	w.added += other.added
+	w.pieceTime += other.pieceTime
 }
 
-func (w *waiting) remove(other waiting) {
+func (w *queuedWork) remove(other queuedWork) {
 	w.pieces -= other.pieces
-	w.added -= other.added
+	w.pieceTime -= other.pieceTime
 }
 
 // backlog sums the work that waits at a service, by rank and objective, so that the
@@ -30,46 +30,46 @@
 }
 
 type rankBacklog struct {
-	total waiting
+	total queuedWork
 	// slots are the sums by slot of objectives.
-	slots map[int64]waiting
+	buckets map[int64]queuedWork
 }
 
 func newBacklog() backlog { return backlog{ranks: map[float64]*rankBacklog{}} }
 
-func slotOf(objective time.Time) int64 { return objective.UnixNano() / int64(slotWidth) }
+func bucketOf(objective time.Time) int64 { return objective.UnixNano() / int64(bucketWidth) }
 
-func (b *backlog) add(rank float64, slot int64, w waiting) {
+func (b *backlog) add(rank float64, slot int64, w queuedWork) {
 	r := b.ranks[rank]
 	if r == nil {
-		r = &rankBacklog{slots: map[int64]waiting{}}
+		r = &rankBacklog{buckets: map[int64]queuedWork{}}
 		b.ranks[rank] = r
 	}
 	r.total.add(w)
-	sum := r.slots[slot]
+	sum := r.buckets[slot]
 	sum.add(w)
-	r.slots[slot] = sum
+	r.buckets[slot] = sum
 }
 
-func (b *backlog) remove(rank float64, slot int64, w waiting) {
+func (b *backlog) remove(rank float64, slot int64, w queuedWork) {
 	r := b.ranks[rank]
 	r.total.remove(w)
-	sum := r.slots[slot]
+	sum := r.buckets[slot]
 	sum.remove(w)
 	if sum.pieces > 0 {
-		r.slots[slot] = sum
+		r.buckets[slot] = sum
 		return
 	}
-	delete(r.slots, slot)
-	if len(r.slots) == 0 {
+	delete(r.buckets, slot)
+	if len(r.buckets) == 0 {
 		delete(b.ranks, rank)
 	}
 }
 
 // ahead is the work that goes before a position.
-func (b *backlog) ahead(at position) waiting {
-	var sum waiting
-	last := slotOf(at.objective)
+func (b *backlog) ahead(at queuePosition) queuedWork {
+	var sum queuedWork
+	last := bucketOf(at.objective)
 	for rank, r := range b.ranks {
 		switch {
 		case rank < at.rank:
@@ -81,9 +81,9 @@
 	return sum
 }
 
-func (r *rankBacklog) upTo(last int64) waiting {
-	var sum waiting
-	for slot, w := range r.slots {
+func (r *rankBacklog) upTo(last int64) queuedWork {
+	var sum queuedWork
+	for slot, w := range r.buckets {
 		if slot <= last {
 			sum.add(w)
 		}
@@ -93,58 +93,58 @@
 
 // counted is where and how a stage is counted in its service's backlog, with the time
 // that its pieces took as it was counted.
-type counted struct {
-	rank float64
-	slot int64
-	waiting
+type backlogEntry struct {
+	rank   float64
+	bucket int64
+	queuedWork
 }
 
 // recount brings the backlogs up to date with what a request has waiting, if it is
 // held.
-func (p *Planner) recount(now time.Time, w *work) {
-	if p.works[w.ID] != w {
+func (p *Planner) updateBacklog(now time.Time, w *heldRequest) {
+	if p.requests[w.ID] != w {
 		return
 	}
-	rank, slot := w.rank(now), slotOf(w.Objective)
+	rank, slot := w.rank(now), bucketOf(w.Objective)
 	for _, s := range w.stages {
-		s.count(rank, slot)
+		s.updateBacklog(rank, slot)
 	}
 }
 
 // recountStages does so for the requests of pieces, which follow one another by stage.
-func (p *Planner) recountStages(now time.Time, pieces []pieceRef) {
-	var last *stageWork
+func (p *Planner) updateBacklogs(now time.Time, pieces []pieceRef) {
+	var last *heldStage
 	for _, ref := range pieces {
 		if ref.stage != last {
 			last = ref.stage
-			p.recount(now, last.work)
+			p.updateBacklog(now, last.request)
 		}
 	}
 }
 
 // count brings its service's backlog up to date with the stage's pieces.
-func (s *stageWork) count(rank float64, slot int64) {
-	if s.counted.pieces == len(s.todo) && s.counted.rank == rank && s.counted.slot == slot {
+func (s *heldStage) updateBacklog(rank float64, slot int64) {
+	if s.backlogEntry.pieces == len(s.pending) && s.backlogEntry.rank == rank && s.backlogEntry.bucket == slot {
 		return
 	}
-	s.uncount()
-	if n := len(s.todo); n > 0 {
-		s.counted = counted{rank, slot, waiting{n, time.Duration(n) * s.pieceTime()}}
-		s.service.backlog.add(rank, slot, s.counted.waiting)
+	s.leaveBacklog()
+	if n := len(s.pending); n > 0 {
+		s.backlogEntry = backlogEntry{rank, slot, queuedWork{n, time.Duration(n) * s.pieceTime()}}
+		s.service.backlog.add(rank, slot, s.backlogEntry.queuedWork)
 	}
 }
 
 // uncount takes a stage out of its service's backlog.
-func (s *stageWork) uncount() {
-	if s.counted.pieces > 0 {
-		s.service.backlog.remove(s.counted.rank, s.counted.slot, s.counted.waiting)
+func (s *heldStage) leaveBacklog() {
+	if s.backlogEntry.pieces > 0 {
+		s.service.backlog.remove(s.backlogEntry.rank, s.backlogEntry.bucket, s.backlogEntry.queuedWork)
 	}
-	s.counted = counted{}
+	s.backlogEntry = backlogEntry{}
 }
 
 // uncount takes a request out of the backlogs.
-func (w *work) uncount() {
+func (w *heldRequest) leaveBacklog() {
 	for _, s := range w.stages {
-		s.uncount()
+		s.leaveBacklog()
 	}
 }
--- a/coordination/gather/bench_test.go
+++ b/coordination/gather/bench_test.go
@@ -14,7 +14,7 @@
 			p := New(Config{MaxRequests: 2 * waiting})
 			now := time.Unix(1000, 0)
 			for _, name := range []string{"a", "b", "c"} {
-				p.SetService(name, narrow)
+				p.SetService(name, smallBatch)
 				var list []Target
 				for i := range 16 {
 					id := fmt.Sprint(name, i)
--- a/coordination/gather/bound_test.go
+++ b/coordination/gather/bound_test.go
@@ -12,14 +12,14 @@
 // by the end of its grace are refused at once, so that their callers can be served
 // elsewhere; told at the end of the grace, they have no time left. What can be done
 // goes on.
-func TestBoundRefusesAtOnceWhatWontBeDone(t *testing.T) {
+func TestShortenedDeadlineRefusesUnattainableRequests(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	for i := range 4 {
 		r.submit(chain(fmt.Sprint(i), 8))
 	}
 	r.run(100 * time.Millisecond)
-	r.do(r.planner.Bound(r.now, r.now.Add(900*time.Millisecond), "0", "1", "2", "3", "unknown"))
+	r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(900*time.Millisecond), "0", "1", "2", "3", "unknown"))
 	require.NotContains(t, r.refused, "0", "it has begun")
 	require.NotContains(t, r.refused, "1", "it has its turn in time")
 	for _, id := range []string{"2", "3"} {
@@ -32,28 +32,28 @@
 
 // One that has begun is refused by the least that it takes, and its results are given
 // back.
-func TestBoundOfWhatHasBegun(t *testing.T) {
+func TestShortenedDeadlineOfStartedRequest(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
-	r.service("b", narrow, "x")
+	r.service("a", smallBatch, "x")
+	r.service("b", smallBatch, "x")
 	r.submit(chain("one", 4, 4))
 	r.run(100 * time.Millisecond)
-	r.do(r.planner.Bound(r.now, r.now.Add(100*time.Millisecond), "one"))
+	r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(100*time.Millisecond), "one"))
 	require.Equal(t, ReasonStopping, r.refused["one"].Reason)
 	r.run(time.Second)
-	require.Len(t, r.freed, r.made)
-	require.Zero(t, r.planner.Held())
+	require.Len(t, r.freed, r.produced)
+	require.Zero(t, r.planner.RequestCount())
 }
 
 // A deadline is never put off, and what is done stays done.
-func TestBoundNeverPutsOff(t *testing.T) {
+func TestShortenDeadlinesNeverExtends(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("one", 1))
-	r.do(r.planner.Bound(r.now, r.now.Add(time.Minute), "one"))
-	require.Equal(t, r.now.Add(6*time.Second), r.planner.works["one"].Deadline)
+	r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(time.Minute), "one"))
+	require.Equal(t, r.now.Add(6*time.Second), r.planner.requests["one"].Deadline)
 	r.run(time.Second)
-	r.do(r.planner.Bound(r.now, r.now, "one"))
+	r.do(r.planner.ShortenDeadlines(r.now, r.now, "one"))
 	require.Empty(t, r.refused)
 	require.Empty(t, r.freed)
 }
--- a/coordination/gather/choices_test.go
+++ b/coordination/gather/choices_test.go
@@ -10,7 +10,7 @@
 
 // fan is a request whose second stage reads all large results of the first, which are
 // made in data centre x alone.
-func fan(id string, objective time.Time) Request {
+func fanOut(id string, objective time.Time) Request {
 	q := chain(id, 2, 4)
 	q.Stages[0].ResultBytes = 1 << 20
 	q.Objective, q.Deadline = objective, objective.Add(5*time.Second)
@@ -18,17 +18,17 @@
 }
 
 // spacious is narrow with room for large results.
-var spacious = Shape{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, KeepFor: 4 * time.Second, ResultBytes: 64 << 20}
+var largeCapacity = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultTTL: 4 * time.Second, ResultCapacity: 64 << 20}
 
 // The target beside a request's inputs is busy for some tens of milliseconds more, and
 // one in another data centre is free. Sent there, each of four pieces would carry 2 MB
 // between data centres. A request that has time waits; one without goes there.
-func TestPiecesWaitForATargetBesideTheirInputs(t *testing.T) {
+func TestPiecesWaitForTargetNearTheirInputs(t *testing.T) {
 	second := func(spare time.Duration) Target {
 		r := newRig(t)
-		r.service("a", spacious, "x")
-		r.service("b", spacious, "x", "y")
-		r.submit(fan("1", r.now.Add(640*time.Millisecond+spare)))
+		r.service("a", largeCapacity, "x")
+		r.service("b", largeCapacity, "x", "y")
+		r.submit(fanOut("1", r.now.Add(640*time.Millisecond+spare)))
 		// The other takes the target in x just before the first stage ends.
 		r.run(150 * time.Millisecond)
 		other := Request{ID: "other", Route: "o", Key: "k", DataCentre: "x", Stages: []Stage{{Service: "b", Pieces: 2, ResultBytes: 1 << 20}}}
@@ -44,14 +44,14 @@
 
 // A request needs one large result and a chain of small ones. Made first, the large one
 // lies at its maker while the chain runs, and a dozen of them leave no room there.
-func TestLargeResultsAreMadeLast(t *testing.T) {
+func TestLargeResultsAreProducedLast(t *testing.T) {
 	r := newRig(t)
-	r.service("a", spacious, "x")
-	r.service("b", spacious, "x")
-	r.service("c", spacious, "x")
+	r.service("a", largeCapacity, "x")
+	r.service("b", largeCapacity, "x")
+	r.service("c", largeCapacity, "x")
 	q := chain("1", 0, 2, 2)
 	q.Stages = []Stage{
-		{Service: "a", Pieces: 1, ResultBytes: heldResultBytes},
+		{Service: "a", Pieces: 1, ResultBytes: largeResultBytes},
 		{Service: "b", Pieces: 2, ResultBytes: 1000},
 		{Service: "c", Pieces: 2, ResultBytes: 1000, After: []int{1}},
 	}
@@ -66,9 +66,9 @@
 
 // Two requests are refused in the same moment; one fits soon, the other much later. Told
 // one time to come back, the second would be refused once more.
-func TestRefusedRequestsAreToldTheirOwnTimes(t *testing.T) {
+func TestRetryAfterIsPerRequest(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	for i := range 6 {
 		q := chain(fmt.Sprint(i), 8)
 		q.Objective, q.Deadline = r.now.Add(20*time.Second), r.now.Add(20*time.Second)
@@ -85,17 +85,17 @@
 	later, sooner := refusal("later", 500*time.Millisecond), refusal("sooner", 2*time.Second)
 	require.Greater(t, later.RetryAfter, sooner.RetryAfter+time.Second)
 	for _, got := range []Refused{later, sooner} {
-		require.GreaterOrEqual(t, got.RetryAfter, min(got.Needed-got.Left, maxRetryAfter))
+		require.GreaterOrEqual(t, got.RetryAfter, min(got.Needed-got.TimeToDeadline, maxRetryAfter))
 	}
 }
 
 // A target's room is full of large results that wait for their readers. A piece of 8 KB
 // is still made there: without a part of the room of its own its request would wait half
 // a second and more for the next large result to be read.
-func TestSmallResultsFindRoomBesideLargeOnes(t *testing.T) {
+func TestSmallResultsFitBesideLargeOnes(t *testing.T) {
 	r := newRig(t)
-	shape := spacious
-	shape.ResultBytes = 18_000_000
+	shape := largeCapacity
+	shape.ResultCapacity = 18_000_000
 	r.service("a", shape, "x")
 	for i := range 12 {
 		r.submit(Request{ID: fmt.Sprint(i), Route: "large", Key: "k", Stages: []Stage{{Service: "a", Pieces: 1, ResultBytes: 1_500_000}}})
--- a/coordination/gather/crashes.go
+++ b/coordination/gather/crashes.go
@@ -12,27 +12,27 @@
 )
 
 // suspect tells whether the request may be what ends targets.
-func (w *work) suspect() bool { return w.crashes >= suspectCrashes }
+func (w *heldRequest) suspect() bool { return w.crashes >= suspectCrashes }
 
 // mayJoin tells whether pieces of a request may go into a call with those chosen so far.
-func mayJoin(chosen []pieceRef, w *work) bool {
-	if len(chosen) == 0 || chosen[0].stage.work == w {
+func canShareCall(chosen []pieceRef, w *heldRequest) bool {
+	if len(chosen) == 0 || chosen[0].stage.request == w {
 		return true
 	}
-	return !w.suspect() && !chosen[0].stage.work.suspect()
+	return !w.suspect() && !chosen[0].stage.request.suspect()
 }
 
 // noteCrash counts a call under which the target ended, and gives its request up if that
 // was the last of too many and a call of its own.
-func (p *Planner) noteCrash(c *call) {
-	under := map[*work]bool{}
+func (p *Planner) countCrash(c *call) {
+	under := map[*heldRequest]bool{}
 	for _, ref := range c.pieces {
-		under[ref.stage.work] = true
+		under[ref.stage.request] = true
 	}
 	for w := range under {
 		w.crashes++
-		if len(under) == 1 && w.crashes >= MaxCrashes && p.works[w.ID] == w {
-			p.giveUp(w, Refused{Reason: ReasonCrashes, RetryAfter: time.Second})
+		if len(under) == 1 && w.crashes >= MaxCrashes && p.requests[w.ID] == w {
+			p.refuse(w, Refused{Reason: ReasonCrashesStageTargets, RetryAfter: time.Second})
 		}
 	}
 }
--- a/coordination/gather/crashes_test.go
+++ b/coordination/gather/crashes_test.go
@@ -11,15 +11,15 @@
 
 // carries tells whether a call has pieces of a request.
 func carries(c StartCall, request string) bool {
-	return slices.ContainsFunc(c.Pieces, func(p PieceOrder) bool { return p.Request == request })
+	return slices.ContainsFunc(c.Pieces, func(p Piece) bool { return p.Request == request })
 }
 
 // answerAll makes the results of all pieces of a call.
-func (r *rig) answerAll(c StartCall) (CallOutcome, []PieceResult) {
+func (r *rig) produceAll(c StartCall) (CallOutcome, []PieceResult) {
 	results := make([]PieceResult, len(c.Pieces))
 	for i := range results {
-		r.made++
-		results[i].Handle = fmt.Sprint("result ", r.made)
+		r.produced++
+		results[i].Handle = fmt.Sprint("result ", r.produced)
 	}
 	return CallAnswered, results
 }
@@ -31,26 +31,26 @@
 
 // TestRequestThatCrashesStageTargetsIsGivenUp guards against a request under whose pieces one
 // target ends after the other, and against those in its calls being given up with it.
-func TestRequestThatCrashesStageTargetsIsGivenUp(t *testing.T) {
+func TestRequestThatCrashesStageTargetsIsRefused(t *testing.T) {
 	r := newRig(t)
-	r.service("s", narrow, "x", "x")
+	r.service("s", smallBatch, "x", "x")
 	crashed, shared := 0, 0
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if !carries(c, "bad") {
-			return r.answerAll(c)
+			return r.produceAll(c)
 		}
 		crashed++
 		if carries(c, "a") {
 			shared++
 		}
-		return CallCrashed, nil
+		return CallTargetCrashed, nil
 	}
 	for _, id := range []string{"first", "second", "bad", "a", "b", "c"} {
 		r.submit(simple(id)) // the first two take both targets, the others wait and share a call
 	}
 	r.run(5 * time.Second)
 	require.Positive(t, shared)
-	require.Equal(t, ReasonCrashes, r.refused["bad"].Reason)
+	require.Equal(t, ReasonCrashesStageTargets, r.refused["bad"].Reason)
 	require.Len(t, r.refused, 1)
 	require.Len(t, r.completed, 5)
 	require.LessOrEqual(t, crashed, MaxCrashes)
@@ -58,19 +58,19 @@
 
 // TestTargetsThatCrashAtOnceCostNoRequest guards against a request being given up since one
 // event ended targets of all services that worked for it.
-func TestTargetsThatCrashAtOnceCostNoRequest(t *testing.T) {
+func TestSimultaneousCrashesRefuseNoRequest(t *testing.T) {
 	r := newRig(t)
 	var stages []Stage
 	for _, name := range []string{"s", "t", "u"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 		stages = append(stages, Stage{Service: name, Pieces: 2, ResultBytes: 1000})
 	}
 	event := r.now.Add(350 * time.Millisecond)
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if r.now.Before(event) || r.now.After(event.Add(300*time.Millisecond)) || len(c.Pieces) == 2 {
-			return r.answerAll(c)
+			return r.produceAll(c)
 		}
-		return CallCrashed, nil
+		return CallTargetCrashed, nil
 	}
 	for i := range 6 {
 		r.submit(Request{ID: fmt.Sprint(i), Stages: stages})
--- a/coordination/gather/detour.go
+++ b/coordination/gather/detour.go
@@ -11,7 +11,7 @@
 
 // CrossingTime is how long a request may rather wait than have bytes carried between
 // data centres.
-func CrossingTime(bytes int64) time.Duration { return time.Duration(bytes) * crossingPerByte }
+func CrossingCost(bytes int64) time.Duration { return time.Duration(bytes) * crossingPerByte }
 
 // Detours tells what it costs a request, which isn't taken in yet, to have its results
 // read in a data centre: the wait for the targets there beyond that for the targets that
@@ -21,18 +21,18 @@
 // The load it answers: one target of four in a data centre that has a third of the
 // engines. Requests that are all read there wait for that one target, or their results
 // cross.
-func (p *Planner) Detours(now time.Time, r *Request) func(dataCentre string) time.Duration {
+func (p *Planner) ReadCosts(now time.Time, r *Request) func(dataCentre string) time.Duration {
 	total := map[string]time.Duration{}
 	var elsewhere time.Duration
 	for i, st := range r.Stages {
 		s := p.services[st.Service]
 		bytes := int64(st.Pieces) * st.ResultBytes
-		if s == nil || bytes <= crossBytes || r.isRead(i) {
+		if s == nil || bytes <= crossingTolerance || r.hasReaders(i) {
 			continue
 		}
-		crossing := CrossingTime(bytes)
+		crossing := CrossingCost(bytes)
 		elsewhere += crossing
-		waits := s.waits(now)
+		waits := s.waitByDataCentre(now)
 		first := crossing
 		for _, wait := range waits {
 			first = min(first, wait)
@@ -45,7 +45,7 @@
 }
 
 // isRead tells whether another stage with pieces reads the results of a stage.
-func (r *Request) isRead(index int) bool {
+func (r *Request) hasReaders(index int) bool {
 	for _, other := range r.Stages {
 		if other.Pieces > 0 && slices.Contains(other.After, index) {
 			return true
@@ -55,15 +55,15 @@
 }
 
 // waits is, by data centre, how long pieces wait there that come now.
-func (s *service) waits(now time.Time) map[string]time.Duration {
+func (s *service) waitByDataCentre(now time.Time) map[string]time.Duration {
 	targets := map[string]float64{}
 	free := map[string]time.Duration{}
 	for _, t := range s.targets {
-		if !t.up(now) || t.slow >= slowFactor {
+		if !t.available(now) || t.slowness >= slowThreshold {
 			continue
 		}
 		left := max(t.downUntil.Sub(now), 0)
-		if t.calls >= max(s.shape.Slots, 1) {
+		if t.calls >= max(s.config.Slots, 1) {
 			left = max(left, t.busyUntil.Sub(now))
 		}
 		if targets[t.DataCentre] == 0 || left < free[t.DataCentre] {
@@ -73,11 +73,11 @@
 	}
 	queued := map[string]int{}
 	for _, st := range s.queue {
-		queued[st.work.DataCentre] += len(st.todo)
+		queued[st.request.DataCentre] += len(st.pending)
 	}
-	full := float64(s.expected(time.Duration(s.shape.MaxPieces) * s.shape.PieceTime))
+	full := float64(s.expected(time.Duration(s.config.MaxPieces) * s.config.PieceTime))
 	for dataCentre, n := range targets {
-		calls := float64(queued[dataCentre]) / float64(max(s.shape.MaxPieces, 1))
+		calls := float64(queued[dataCentre]) / float64(max(s.config.MaxPieces, 1))
 		free[dataCentre] += time.Duration(calls * full / n)
 	}
 	return free
--- a/coordination/gather/detour_test.go
+++ b/coordination/gather/detour_test.go
@@ -11,10 +11,10 @@
 // One target of four is in a data centre that has a third of the engines. Requests with
 // large results that are all read there wait for that target: it must show before their
 // engine is chosen. Small results may be read anywhere.
-func TestDetourShowsWhereTargetsAreBusy(t *testing.T) {
+func TestReadCostsReflectBusyTargets(t *testing.T) {
 	r := newRig(t)
-	shape := narrow
-	shape.ResultBytes = 64 << 20
+	shape := smallBatch
+	shape.ResultCapacity = 64 << 20
 	r.service("a", shape, "x", "x", "x", "y")
 	large := func(id, dataCentre string) Request {
 		q := chain(id, 4)
@@ -23,19 +23,19 @@
 		return q
 	}
 	ask := large("ask", "")
-	idle := r.planner.Detours(r.now, &ask)
+	idle := r.planner.ReadCosts(r.now, &ask)
 	require.Zero(t, idle("x"))
 	require.Zero(t, idle("y"))
-	require.Equal(t, CrossingTime(4<<20), idle("z"), "no target there: all results cross")
+	require.Equal(t, CrossingCost(4<<20), idle("z"), "no target there: all results cross")
 
 	for i := range 6 {
 		r.submit(large(fmt.Sprint(i), "y"))
 	}
-	busy := r.planner.Detours(r.now, &ask)
+	busy := r.planner.ReadCosts(r.now, &ask)
 	require.Zero(t, busy("x"))
 	require.Greater(t, busy("y"), 100*time.Millisecond)
-	require.LessOrEqual(t, busy("y"), CrossingTime(4<<20))
+	require.LessOrEqual(t, busy("y"), CrossingCost(4<<20))
 
 	small := chain("small", 4)
-	require.Zero(t, r.planner.Detours(r.now, &small)("y"))
+	require.Zero(t, r.planner.ReadCosts(r.now, &small)("y"))
 }
--- a/coordination/gather/planner.go
+++ b/coordination/gather/planner.go
@@ -9,7 +9,7 @@
 type Config struct {
 	// Patience is how long pieces wait for a target beside their inputs before
 	// they go to one of another data centre.
-	Patience time.Duration
+	LocalityWait time.Duration
 	// MaxRequests bounds the requests that are held.
 	MaxRequests int
 }
@@ -18,7 +18,7 @@
 const (
 	// DefaultPatience is about the time until the next target of a data centre
 	// comes free.
-	DefaultPatience = 500 * time.Millisecond
+	DefaultLocalityWait = 500 * time.Millisecond
 	// DefaultMaxRequests is several seconds of the load of a fleet of a thousand
 	// instances.
 	DefaultMaxRequests = 1 << 14
@@ -29,83 +29,83 @@
 
 // keepMargin is taken off the time that results are kept: a result must still be
 // there when its reader's call has its turn.
-const keepMargin = 300 * time.Millisecond
+const resultExpiryMargin = 300 * time.Millisecond
 
 // Planner holds the requests of a group of targets.
 type Planner struct {
 	config   Config
 	services map[string]*service
-	works    map[string]*work
+	requests map[string]*heldRequest
 	calls    map[uint64]*call
 	nextCall uint64
 	// freeing are the results whose makers are being told, by handle.
-	freeing map[string]freeing
-	shares  shares
+	freeing     map[string]pendingFree
+	attainments attainments
 	// shortAt is when a result last found no room at any target.
-	shortAt time.Time
-	out     []Action
+	capacityShortAt time.Time
+	actions         []Action
 	// importing tells that calls wait until all imported requests do.
 	importing bool
 }
 
 // freeing is a result whose room is about to be given back.
-type freeing struct {
+type pendingFree struct {
 	target *target
 	bytes  int64
 }
 
 // call is a call in progress.
 type call struct {
-	id       uint64
-	target   *target
-	pieces   []pieceRef
-	bytes    int64
-	started  time.Time
-	expected time.Duration
+	id               uint64
+	target           *target
+	pieces           []pieceRef
+	bytes            int64
+	startedAt        time.Time
+	expectedDuration time.Duration
 	// overdue is when the pieces are made elsewhere as well; handedOn tells that
 	// they are.
-	overdue  time.Time
-	handedOn bool
+	overdueAt time.Time
+	hedged    bool
 	// expires is when it counts as lost.
-	expires time.Time
+	timeoutAt time.Time
 	// readBy is when it has read its inputs, released tells that they were given
 	// back since.
-	readBy   time.Time
-	released bool
+	inputsReadAt time.Time
+	inputsFreed  bool
 }
 
 type pieceRef struct {
-	stage *stageWork
+	stage *heldStage
 	index int
 }
 
 // New returns a planner without services.
 func New(c Config) *Planner {
-	if c.Patience <= 0 {
-		c.Patience = DefaultPatience
+	if c.LocalityWait <= 0 {
+		c.LocalityWait = DefaultLocalityWait
 	}
 	if c.MaxRequests <= 0 {
 		c.MaxRequests = DefaultMaxRequests
 	}
 	return &Planner{
-		config:   c,
-		services: map[string]*service{},
-		works:    map[string]*work{},
-		calls:    map[uint64]*call{},
-		freeing:  map[string]freeing{},
-		shares:   newShares(),
+		config:      c,
+		services:    map[string]*service{},
+		requests:    map[string]*heldRequest{},
+		calls:       map[uint64]*call{},
+		freeing:     map[string]pendingFree{},
+		attainments: newAttainments(),
 	}
 }
 
 // SetService takes the shape of a service's targets.
-func (p *Planner) SetService(name string, shape Shape) {
-	p.service(name).shape = shape
+func (p *Planner) SetService(name string, shape ServiceConfig) {
+	p.service(name).config = shape
 }
 
 func (p *Planner) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
-		s = &service{name: name, targets: map[string]*target{}, times: newCallTimes(), backlog: newBacklog(), rates: map[float64]*rate{}}
+		s = &service{name: name, targets: map[string]*target{}, times: newCallTimes(), backlog: newBacklog(), arrivalRates: map[float64]*rate{}}
 		p.services[name] = s
 	}
 	return s
@@ -120,57 +120,57 @@
 	for _, t := range list {
 		kept[t.Incarnation] = true
 		if known := s.targets[t.Incarnation]; known != nil {
-			if known.leaving {
+			if known.unlisted {
 				// It may be here only since a queue that was taken over told of it.
 				added = append(added, t)
 			}
-			known.leaving = false
+			known.unlisted = false
 			continue
 		}
-		s.targets[t.Incarnation] = &target{Target: t, service: s, slow: 1}
+		s.targets[t.Incarnation] = &target{Target: t, service: s, slowness: 1}
 		added = append(added, t)
 	}
 	for id, t := range s.targets {
 		if !kept[id] {
-			t.leaving = true
+			t.unlisted = true
 			if t.calls == 0 {
 				delete(s.targets, id)
 			}
 		}
 	}
-	p.restarted(now, added)
+	p.handleRestarts(now, added)
 	p.dispatch(now, s)
 	return p.flush()
 }
 
 // Held returns the number of requests that wait or have results here.
-func (p *Planner) Held() int { return len(p.works) }
+func (p *Planner) RequestCount() int { return len(p.requests) }
 
 // Calls returns the number of calls in progress.
-func (p *Planner) Calls() int { return len(p.calls) }
+func (p *Planner) CallCount() int { return len(p.calls) }
 
 // Submit takes a request in, or refuses it at once.
 func (p *Planner) Submit(now time.Time, r Request) []Action {
-	if old := p.works[r.ID]; old != nil {
+	if old := p.requests[r.ID]; old != nil {
 		p.drop(old)
 	}
-	if len(p.works) >= p.config.MaxRequests || len(r.Stages) > maxStages {
-		p.out = append(p.out, Refused{Request: r.ID, Reason: ReasonBound, RetryAfter: minRetryAfter})
+	if len(p.requests) >= p.config.MaxRequests || len(r.Stages) > maxStages {
+		p.actions = append(p.actions, Refused{Request: r.ID, Reason: ReasonTooManyRequests, RetryAfter: minRetryAfter})
 		return p.flush()
 	}
-	w := p.newWork(r)
-	w.admitted = now
-	w.lateAt = w.Objective.Add(-p.least(w))
-	w.lifted = p.shares.behind(now, &w.Request)
-	p.shares.asked(now, &w.Request)
+	w := p.newHeldRequest(r)
+	w.admittedAt = now
+	w.latestStart = w.Objective.Add(-p.minRemaining(w))
+	w.boosted = p.attainments.underserved(now, &w.Request)
+	p.attainments.countSubmitted(now, &w.Request)
 	if refusal := p.admit(now, w); refusal != nil {
-		p.out = append(p.out, *refusal)
+		p.actions = append(p.actions, *refusal)
 		return p.flush()
 	}
-	p.works[r.ID] = w
+	p.requests[r.ID] = w
 	for _, st := range w.stages {
 		if st.Pieces > 0 {
-			st.service.came(now, w.ownRank(), st.Pieces)
+			st.service.countArrival(now, w.baseRank(), st.Pieces)
 		}
 	}
 	p.advance(now, w)
@@ -179,23 +179,23 @@
 
 // HasOther tells whether the planner holds another request under the id of this one. One
 // that is asked for again, on its way with the queue or for a second attempt, is the same.
-func (p *Planner) HasOther(r Request) bool {
-	w := p.works[r.ID]
+func (p *Planner) IDInUse(r Request) bool {
+	w := p.requests[r.ID]
 	return w != nil && !(w.Route == r.Route && w.Key == r.Key && slices.Equal(w.Request.pieces(), r.pieces()))
 }
 
 // Drop forgets a request: its caller left, or its results have been read. What
 // it still holds is freed.
 func (p *Planner) Drop(_ time.Time, id string) []Action {
-	if w := p.works[id]; w != nil {
+	if w := p.requests[id]; w != nil {
 		p.drop(w)
 	}
 	return p.flush()
 }
 
-func (p *Planner) drop(w *work) {
-	delete(p.works, w.ID)
-	w.uncount()
+func (p *Planner) drop(w *heldRequest) {
+	delete(p.requests, w.ID)
+	w.leaveBacklog()
 	for _, s := range w.stages {
 		p.dequeue(s)
 		for _, r := range s.results {
@@ -207,21 +207,21 @@
 // Tick does what is due: results that were kept too long, requests that can't
 // be done in time, and targets that are tried again.
 func (p *Planner) Tick(now time.Time) []Action {
-	for _, w := range p.works {
+	for _, w := range p.requests {
 		p.expireResults(now, w)
 		if !w.completed {
-			p.recount(now, w)
-			p.giveUpLate(now, w)
+			p.updateBacklog(now, w)
+			p.enforceDeadline(now, w)
 		} else if now.After(w.Deadline) {
 			// The instance that asked is gone, or its word was lost.
 			p.drop(w)
 		}
 	}
-	p.handOn(now)
-	p.releaseRead(now)
+	p.hedgeOverdueCalls(now)
+	p.freeReadInputs(now)
 	for _, s := range p.services {
 		for _, t := range s.targets {
-			t.expireLost(now)
+			t.expireReservations(now)
 		}
 		p.dispatch(now, s)
 	}
@@ -230,8 +230,8 @@
 
 // expireResults drops results that their makers no longer keep, and has those
 // made again that are still needed.
-func (p *Planner) expireResults(now time.Time, w *work) {
-	if p.dropResults(w, func(r *result) bool { return !now.Before(r.expires) }) {
+func (p *Planner) expireResults(now time.Time, w *heldRequest) {
+	if p.dropResults(w, func(r *result) bool { return !now.Before(r.expiresAt) }) {
 		p.advance(now, w)
 	}
 }
@@ -239,12 +239,12 @@
 // unmake has a piece made again whose result is gone. Stages that read it wait
 // until it is there: a piece with only some of its inputs would be answered with
 // another request's work, or with none.
-func (p *Planner) unmake(s *stageWork, index int) {
+func (p *Planner) rerunPiece(s *heldStage, index int) {
 	s.results[index] = nil
-	s.made--
-	s.todo = append(s.todo, index)
+	s.produced--
+	s.pending = append(s.pending, index)
 	s.readySince = time.Time{}
-	for _, reader := range s.work.stages {
+	for _, reader := range s.request.stages {
 		if slices.Contains(reader.After, s.index) {
 			p.dequeue(reader)
 			reader.readySince = time.Time{}
@@ -255,12 +255,12 @@
 // needed tells whether the results are still to be read: by the request's own
 // target, or by pieces that wait. Pieces in a call have read them; should that call
 // fail, its target's next answer tells that they are gone.
-func (p *Planner) needed(s *stageWork) bool {
+func (p *Planner) needed(s *heldStage) bool {
 	if s.final() {
 		return true
 	}
-	for _, other := range s.work.stages {
-		if slices.Contains(other.After, s.index) && (len(other.todo) > 0 || other.needsLater()) {
+	for _, other := range s.request.stages {
+		if slices.Contains(other.After, s.index) && (len(other.pending) > 0 || other.waitsForInputs()) {
 			return true
 		}
 	}
@@ -269,65 +269,65 @@
 
 // needsLater tells whether the stage waits for other inputs than those that are
 // there.
-func (s *stageWork) needsLater() bool { return !s.done() && !s.inputsReady() }
+func (s *heldStage) waitsForInputs() bool { return !s.done() && !s.inputsReady() }
 
 // giveUpLate refuses a request as soon as what is left takes longer than there
 // is time. One that is late and has nothing to lose yet is refused as soon as the
 // work before it leaves no time: its caller hears so while it can still do
 // something else.
-func (p *Planner) giveUpLate(now time.Time, w *work) {
-	if least := p.least(w); now.Add(least).After(w.Deadline) {
-		p.giveUp(w, Refused{
-			Reason: ReasonDeadline, RetryAfter: minRetryAfter,
-			Needed: least, Left: w.Deadline.Sub(now),
+func (p *Planner) enforceDeadline(now time.Time, w *heldRequest) {
+	if least := p.minRemaining(w); now.Add(least).After(w.Deadline) {
+		p.refuse(w, Refused{
+			Reason: ReasonDeadlineTooNear, RetryAfter: minRetryAfter,
+			Needed: least, TimeToDeadline: w.Deadline.Sub(now),
 		})
 		return
 	}
-	if w.begun || !now.After(w.lateAt) {
+	if w.started || !now.After(w.latestStart) {
 		return
 	}
 	if refusal := p.admit(now, w); refusal != nil {
-		p.giveUp(w, *refusal)
+		p.refuse(w, *refusal)
 	}
 }
 
 // giveUp drops a request that was taken in, and refuses it.
-func (p *Planner) giveUp(w *work, refusal Refused) {
+func (p *Planner) refuse(w *heldRequest, refusal Refused) {
 	p.drop(w)
-	if w.bounded {
-		refusal = refusal.stopping()
+	if w.deadlineShortened {
+		refusal = refusal.asStopping()
 	}
 	refusal.Request = w.ID
-	p.out = append(p.out, refusal)
+	p.actions = append(p.actions, refusal)
 }
 
 // advance queues the stages of a request that are due, and completes it when all
 // are done.
-func (p *Planner) advance(now time.Time, w *work) {
+func (p *Planner) advance(now time.Time, w *heldRequest) {
 	if w.completed {
 		return
 	}
-	w.lateAt = w.Objective.Add(-p.least(w))
-	defer p.recount(now, w)
+	w.latestStart = w.Objective.Add(-p.minRemaining(w))
+	defer p.updateBacklog(now, w)
 	if w.allDone() {
 		w.completed = true
-		if !now.Add(w.Rest).After(w.Objective) {
-			p.shares.done(now, &w.Request)
+		if !now.Add(w.Remaining).After(w.Objective) {
+			p.attainments.countTimely(now, &w.Request)
 		}
 		for _, s := range w.stages {
 			// A piece that is made again may not be needed any more.
-			s.todo = nil
+			s.pending = nil
 			p.dequeue(s)
 		}
-		p.out = append(p.out, Completed{
-			Request: w.ID, Handles: w.handles(), Times: w.times(), Route: w.Route, Bytes: w.finalBytes(),
-			Taken: now.Sub(w.admitted), Predicted: w.predicted, Left: w.Objective.Sub(w.admitted),
+		p.actions = append(p.actions, Completed{
+			Request: w.ID, Handles: w.handles(), Times: w.stageTimes(), Route: w.Route, Bytes: w.finalBytes(),
+			Elapsed: now.Sub(w.admittedAt), Predicted: w.predicted, TimeToObjective: w.Objective.Sub(w.admittedAt),
 		})
 		return
 	}
-	p.restoreInputs(w)
+	p.rerunMissingInputs(w)
 	for _, s := range w.stages {
-		if len(s.todo) == 0 || !s.due() {
+		if len(s.pending) == 0 || !s.runnable() {
 			continue
 		}
 		if s.readySince.IsZero() {
@@ -342,30 +342,30 @@
 // whose inputs were given back, or have expired: a piece that is to be made once
 // more was to be made for the last time when they were. Sent without them it would
 // cost a call, whose answer says that they are gone.
-func (p *Planner) restoreInputs(w *work) {
+func (p *Planner) rerunMissingInputs(w *heldRequest) {
 	for i := len(w.stages) - 1; i >= 0; i-- {
 		s := w.stages[i]
-		if len(s.todo) == 0 || !s.inputsReady() {
+		if len(s.pending) == 0 || !s.inputsReady() {
 			continue
 		}
 		for _, before := range s.After {
 			for n, r := range w.stages[before].results {
 				if r.freed {
-					p.unmake(w.stages[before], n)
+					p.rerunPiece(w.stages[before], n)
 				}
 			}
 		}
 	}
 }
 
-func (p *Planner) enqueue(s *stageWork) {
+func (p *Planner) enqueue(s *heldStage) {
 	sv := s.service
 	if !slices.Contains(sv.queue, s) {
 		sv.queue = append(sv.queue, s)
 	}
 }
 
-func (p *Planner) dequeue(s *stageWork) {
+func (p *Planner) dequeue(s *heldStage) {
 	sv := s.service
 	if i := slices.Index(sv.queue, s); i >= 0 {
 		sv.queue = slices.Delete(sv.queue, i, i+1)
@@ -385,15 +385,15 @@
 // taken until the target has been told.
 func (p *Planner) freeHandle(held *target, handle string, bytes int64) {
 	t := held.Target
-	p.freeing[handle] = freeing{held, bytes}
-	for i, a := range p.out {
+	p.freeing[handle] = pendingFree{held, bytes}
+	for i, a := range p.actions {
 		if f, ok := a.(FreeResults); ok && f.Target == t {
 			f.Handles = append(f.Handles, handle)
-			p.out[i] = f
+			p.actions[i] = f
 			return
 		}
 	}
-	p.out = append(p.out, FreeResults{Target: t, Handles: []string{handle}})
+	p.actions = append(p.actions, FreeResults{Target: t, Handles: []string{handle}})
 }
 
 // FreeDone tells that a target gave the room of results back, or that it couldn't
@@ -403,7 +403,7 @@
 	for _, handle := range handles {
 		if f, ok := p.freeing[handle]; ok {
 			delete(p.freeing, handle)
-			f.target.heldBytes -= f.bytes
+			f.target.usedBytes -= f.bytes
 			touched[f.target.service] = true
 		}
 	}
@@ -414,7 +414,7 @@
 }
 
 func (p *Planner) flush() []Action {
-	out := p.out
-	p.out = nil
+	out := p.actions
+	p.actions = nil
 	return out
 }
--- a/coordination/gather/planner_test.go
+++ b/coordination/gather/planner_test.go
@@ -19,22 +19,22 @@
 	refused   map[string]Refused
 	freed     []string
 	// took overrides how long a call takes.
-	took func(StartCall) time.Duration
+	callDuration func(StartCall) time.Duration
 	// end overrides how a call ends.
-	end func(StartCall) (CallOutcome, []PieceResult)
+	callEnd func(StartCall) (CallOutcome, []PieceResult)
 	// calls are all calls, in order.
-	calls []StartCall
-	made  int
+	calls    []StartCall
+	produced int
 	// starts counts the starts of targets under their names.
 	starts map[string]int
 	// services are those added so far, for a planner that takes over.
-	services map[string]listed
+	services map[string]listedService
 	// ended counts how often each request ended.
-	ended map[string]int
+	endCount map[string]int
 }
 
-type listed struct {
-	shape   Shape
+type listedService struct {
+	config  ServiceConfig
 	targets []Target
 }
 
@@ -47,21 +47,21 @@
 	return &rig{
 		t: t, planner: New(Config{}), now: time.Unix(1000, 0),
 		completed: map[string][]string{}, refused: map[string]Refused{}, starts: map[string]int{},
-		services: map[string]listed{}, ended: map[string]int{},
+		services: map[string]listedService{}, endCount: map[string]int{},
 	}
 }
 
-var narrow = Shape{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, KeepFor: 4 * time.Second}
+var smallBatch = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultTTL: 4 * time.Second}
 
 // service adds a service with targets in the given data centres.
-func (r *rig) service(name string, shape Shape, dataCentres ...string) {
+func (r *rig) service(name string, shape ServiceConfig, dataCentres ...string) {
 	r.planner.SetService(name, shape)
 	var list []Target
 	for i, dc := range dataCentres {
 		id := fmt.Sprintf("%s-%d", name, i)
 		list = append(list, Target{Incarnation: r.incarnation(id), Name: id, Address: id, DataCentre: dc})
 	}
-	r.services[name] = listed{shape, list}
+	r.services[name] = listedService{shape, list}
 	r.do(r.planner.SetTargets(r.now, name, list))
 }
 
@@ -84,17 +84,17 @@
 				}
 			}
 			took := 200*time.Millisecond + time.Duration(len(a.Pieces))*20*time.Millisecond
-			if r.took != nil {
-				took = r.took(a)
+			if r.callDuration != nil {
+				took = r.callDuration(a)
 			}
 			r.running = append(r.running, runningCall{a, r.now.Add(min(took, a.Timeout))})
 		case Completed:
 			r.requireHeld(a.Handles)
 			r.completed[a.Request] = a.Handles
-			r.ended[a.Request]++
+			r.endCount[a.Request]++
 		case Refused:
 			r.refused[a.Request] = a
-			r.ended[a.Request]++
+			r.endCount[a.Request]++
 		case FreeResults:
 			r.freed = append(r.freed, a.Handles...)
 			r.do(r.planner.FreeDone(r.now, a.Handles))
@@ -121,16 +121,16 @@
 }
 
 func (r *rig) finish(c StartCall) {
-	if r.end != nil {
-		if outcome, results := r.end(c); outcome != CallAnswered || results != nil {
+	if r.callEnd != nil {
+		if outcome, results := r.callEnd(c); outcome != CallAnswered || results != nil {
 			r.do(r.planner.CallDone(r.now, c.ID, outcome, results))
 			return
 		}
 	}
 	results := make([]PieceResult, len(c.Pieces))
 	for i := range c.Pieces {
-		r.made++
-		results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.made)
+		r.produced++
+		results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.produced)
 	}
 	r.do(r.planner.CallDone(r.now, c.ID, CallAnswered, results))
 }
@@ -153,7 +153,7 @@
 func TestStagesRunInOrder(t *testing.T) {
 	r := newRig(t)
 	for _, name := range []string{"a", "b", "c"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 	}
 	r.submit(chain("one", 1, 3, 2))
 	r.run(2 * time.Second)
@@ -169,14 +169,14 @@
 	require.Len(t, r.freed, 4, "results that were read are given back")
 	r.do(r.planner.Drop(r.now, "one"))
 	require.Len(t, r.freed, 6)
-	require.Zero(t, r.planner.Held())
+	require.Zero(t, r.planner.RequestCount())
 }
 
 // Many requests come at once. Sent one by one they would take a call each; pieces
 // that wait together leave in full calls.
 func TestCallsAreFilled(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	for i := range 34 {
 		r.submit(chain(fmt.Sprint(i), 1))
 	}
@@ -191,11 +191,11 @@
 // the instance that holds the queue would crash.
 func TestResultsExpireWhileTheirReaderWaits(t *testing.T) {
 	r := newRig(t)
-	short := narrow
-	short.KeepFor = 600 * time.Millisecond
+	short := smallBatch
+	short.ResultTTL = 600 * time.Millisecond
 	r.service("a", short, "x")
-	r.service("b", narrow, "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("b", smallBatch, "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 1 {
 			return 700 * time.Millisecond
 		}
@@ -220,11 +220,11 @@
 // instance that holds the queue would crash.
 func TestResultsExpireDuringAnOverdueCall(t *testing.T) {
 	r := newRig(t)
-	short := narrow
-	short.KeepFor = 700 * time.Millisecond
+	short := smallBatch
+	short.ResultTTL = 700 * time.Millisecond
 	r.service("a", short, "x")
-	r.service("b", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("b", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 1 && c.Target.Incarnation == "b-0" {
 			return 3 * time.Second
 		}
@@ -242,17 +242,17 @@
 
 // The answer to one call says that an input is gone, for every piece that read it.
 // The input is made again once, and the pieces after it.
-func TestInputGone(t *testing.T) {
+func TestMissingInputIsProducedAgain(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
-	r.service("b", narrow, "x")
+	r.service("a", smallBatch, "x")
+	r.service("b", smallBatch, "x")
 	gone := true
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if c.Pieces[0].Stage == 0 || !gone {
 			return CallAnswered, nil
 		}
 		gone = false
-		return CallAnswered, []PieceResult{{Failure: PieceInputGone}, {Failure: PieceInputGone}}
+		return CallAnswered, []PieceResult{{Failure: PieceInputMissing}, {Failure: PieceInputMissing}}
 	}
 	r.submit(chain("one", 1, 2))
 	r.run(3 * time.Second)
@@ -262,17 +262,17 @@
 
 // A target refuses, another is gone, a third loses its answer: the pieces go to
 // the target that is left, and the request doesn't fail.
-func TestFailedCallsGoElsewhere(t *testing.T) {
+func TestFailedCallsAreRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x", "x", "x")
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.service("a", smallBatch, "x", "x", "x", "x")
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		switch c.Target.Incarnation {
 		case "a-0":
-			return CallFull, nil
+			return CallTargetFull, nil
 		case "a-1":
 			return CallWrongTarget, nil
 		case "a-2":
-			return CallLost, nil
+			return CallUnanswered, nil
 		}
 		return CallAnswered, nil
 	}
@@ -284,9 +284,9 @@
 
 // A request that can't be done in time is refused at once and says when it could,
 // before it costs a stage.
-func TestRefusedAtOnce(t *testing.T) {
+func TestUnattainableRequestIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	for i := range 80 {
 		q := chain(fmt.Sprint(i), 4)
 		q.Objective, q.Deadline = r.now.Add(time.Second), r.now.Add(3*time.Second)
@@ -294,7 +294,7 @@
 	}
 	require.NotEmpty(t, r.refused)
 	for _, refused := range r.refused {
-		require.Equal(t, ReasonQueue, refused.Reason)
+		require.Equal(t, ReasonQueueTooLong, refused.Reason)
 		require.GreaterOrEqual(t, refused.RetryAfter, minRetryAfter)
 	}
 	refused := len(r.refused)
@@ -307,18 +307,18 @@
 // not the caller's wait: refused at once, not after a stage.
 func TestDeadlineBeforeTheObjective(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	q := chain("one", 1)
 	q.Objective, q.Deadline = r.now.Add(2*time.Second), r.now.Add(100*time.Millisecond)
 	r.submit(q)
-	require.Equal(t, ReasonQueue, r.refused["one"].Reason)
+	require.Equal(t, ReasonQueueTooLong, r.refused["one"].Reason)
 	require.Empty(t, r.calls)
 }
 
 // A service has no target: a request that needs it is told so at once.
 func TestNoTarget(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow)
+	r.service("a", smallBatch)
 	r.submit(chain("one", 1))
 	require.Equal(t, ReasonNoTarget, r.refused["one"].Reason)
 }
@@ -326,7 +326,7 @@
 // The more urgent go first when all wait.
 func TestUrgentFirst(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("first", 8))
 	for _, name := range []string{"low", "high"} {
 		q := chain(name, 8)
@@ -340,10 +340,10 @@
 
 // A target has room for two results of the size. A third piece sent there would be
 // refused and cost a call.
-func TestRoomIsKept(t *testing.T) {
+func TestResultCapacityIsRespected(t *testing.T) {
 	r := newRig(t)
-	tight := narrow
-	tight.ResultBytes = 2500
+	tight := smallBatch
+	tight.ResultCapacity = 2500
 	r.service("a", tight, "x")
 	for i := range 3 {
 		r.submit(chain(fmt.Sprint(i), 1))
@@ -360,7 +360,7 @@
 // A caller leaves while its pieces run: what they bring is given back.
 func TestDroppedDuringACall(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("one", 2))
 	r.do(r.planner.Drop(r.now, "one"))
 	r.run(time.Second)
@@ -372,9 +372,9 @@
 // the slow one gets only a call now and then, which tells when it is well again.
 func TestSlowTargetIsPassedOver(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	slow := true
-	r.took = func(c StartCall) time.Duration {
+	r.callDuration = func(c StartCall) time.Duration {
 		if slow && c.Target.Incarnation == "a-0" {
 			return 1300 * time.Millisecond
 		}
--- a/coordination/gather/restart.go
+++ b/coordination/gather/restart.go
@@ -9,7 +9,7 @@
 // Each stage that reads one of them costs a call whose pieces come back unmade, and a
 // call in progress behind a silent link holds its pieces until its time-out: requests
 // would end late that have the time for another try.
-func (p *Planner) restarted(now time.Time, added []Target) {
+func (p *Planner) handleRestarts(now time.Time, added []Target) {
 	latest := map[string]string{}
 	for _, t := range added {
 		if t.Name != "" {
@@ -23,8 +23,8 @@
 		incarnation, known := latest[t.Name]
 		return known && incarnation != t.Incarnation
 	}
-	var short []*work
-	for _, w := range p.works {
+	var short []*heldRequest
+	for _, w := range p.requests {
 		if p.dropResults(w, func(r *result) bool { return earlier(r.target) }) {
 			short = append(short, w)
 		}
@@ -35,8 +35,8 @@
 	}
 	for _, c := range p.calls {
 		if earlier(c.target) {
-			c.target.ended = true
-			p.handOnCall(now, c)
+			c.target.replaced = true
+			p.hedgeCall(now, c)
 		}
 	}
 }
@@ -44,17 +44,17 @@
 // dropResults drops results that are gone at their makers, and has those made again
 // that are still needed. It tells whether there are any; the request is to be advanced
 // then.
-func (p *Planner) dropResults(w *work, gone func(*result) bool) bool {
+func (p *Planner) dropResults(w *heldRequest, gone func(*result) bool) bool {
 	unmade := false
 	for _, s := range w.stages {
 		for i, r := range s.results {
 			if r == nil || r.freed || !gone(r) {
 				continue
 			}
-			r.target.heldBytes -= r.bytes
+			r.target.usedBytes -= r.bytes
 			r.freed = true
 			if !w.completed && p.needed(s) {
-				p.unmake(s, i)
+				p.rerunPiece(s, i)
 				unmade = true
 			}
 		}
--- a/coordination/gather/restart_test.go
+++ b/coordination/gather/restart_test.go
@@ -28,7 +28,7 @@
 }
 
 // named lists targets of a service by name and incarnation.
-func named(service string, incarnations ...string) []Target {
+func targetsNamed(service string, incarnations ...string) []Target {
 	var list []Target
 	for i, incarnation := range incarnations {
 		name := service + "-" + string(rune('0'+i))
@@ -39,13 +39,13 @@
 
 // madeByFirst has a request of two stages whose first results are made by a-0@100, and
 // whose second stage waits since its target went.
-func madeByFirst(t *testing.T) *rig {
+func producedByFirst(t *testing.T) *rig {
 	r := newRig(t)
 	r.starts["a-0"], r.starts["b-0"] = 100, 100
-	r.planner.SetService("a", narrow)
-	r.planner.SetService("b", narrow)
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.planner.SetService("a", smallBatch)
+	r.planner.SetService("b", smallBatch)
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	q := chain("one", 2, 3)
 	q.Objective, q.Deadline = r.now.Add(20*time.Second), r.now.Add(30*time.Second)
 	r.submit(q)
@@ -60,11 +60,11 @@
 // while the stage that reads them waits for its turn. The results are gone: they are
 // made again before the stage is sent, at the target that has its room free again, and
 // no call reads or frees one of the process before.
-func TestResultsOfTheProcessBeforeAreMadeAgain(t *testing.T) {
-	r := madeByFirst(t)
+func TestResultsOfReplacedTargetAreProducedAgain(t *testing.T) {
+	r := producedByFirst(t)
 	r.starts["a-0"] = 200
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Len(t, r.calls, 3)
@@ -72,18 +72,18 @@
 	require.Equal(t, []string{"a-0@200/3", "a-0@200/4"}, r.calls[2].Pieces[0].Inputs)
 	require.NotContains(t, r.freed, "a-0@100/1")
 	for _, held := range r.planner.services["a"].targets {
-		require.Zero(t, held.heldBytes, "what the process before held takes no room")
+		require.Zero(t, held.usedBytes, "what the process before held takes no room")
 	}
 }
 
 // The same, where the entry was removed first, so that the old incarnation is known no
 // more when the new one comes.
-func TestResultsAreMadeAgainAfterARemoval(t *testing.T) {
-	r := madeByFirst(t)
+func TestResultsAreProducedAgainAfterRemoval(t *testing.T) {
+	r := producedByFirst(t)
 	r.starts["a-0"] = 200
 	r.do(r.planner.SetTargets(r.now, "a", nil))
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Equal(t, []string{"a-0@200/3", "a-0@200/4"}, r.calls[2].Pieces[0].Inputs)
@@ -91,11 +91,11 @@
 
 // An outage of the store lets entries lapse, and the same incarnation is back: what it
 // holds is still there.
-func TestResultsOutliveALapse(t *testing.T) {
-	r := madeByFirst(t)
+func TestResultsOutliveLapsedEntry(t *testing.T) {
+	r := producedByFirst(t)
 	r.do(r.planner.SetTargets(r.now, "a", nil))
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Len(t, r.calls, 2)
@@ -105,12 +105,12 @@
 // its name. The call is silent until its time-out, seconds later. Its pieces are made
 // elsewhere as soon as the restart is known, and an answer of the old process that is
 // read after that names nothing that anybody holds.
-func TestCallsOfTheProcessBeforeAreLost(t *testing.T) {
+func TestCallsToReplacedTargetAreHedged(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		r := newRig(t)
-		r.planner.SetService("a", narrow)
-		r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-		r.took = func(c StartCall) time.Duration {
+		r.planner.SetService("a", smallBatch)
+		r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+		r.callDuration = func(c StartCall) time.Duration {
 			switch {
 			case c.Target.Incarnation != "a-0@100":
 				return 250 * time.Millisecond
@@ -119,16 +119,16 @@
 			}
 			return time.Hour
 		}
-		r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+		r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 			if c.Target.Incarnation == "a-0@100" && !answers {
-				return CallLost, nil
+				return CallUnanswered, nil
 			}
 			return CallAnswered, nil
 		}
 		r.submit(chain("one", 2))
 		r.run(100 * time.Millisecond)
 		r.starts["a-0"] = 200
-		r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
+		r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
 		require.Len(t, r.calls, 2, "sent again at once")
 		r.run(400 * time.Millisecond)
 		require.Empty(t, r.refused)
@@ -145,9 +145,9 @@
 // the second stages wait for them. What one of the requests needs made again gives the
 // targets their first calls: the other request's second stage must not be sent with it,
 // on results that are gone too.
-func TestRestartsAreKnownOfAllRequestsAtOnce(t *testing.T) {
+func TestRestartsApplyToAllRequestsAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	for _, id := range []string{"one", "two"} {
 		q := chain(id, 2, 2)
 		q.Stages[1].Service = "a"
@@ -158,7 +158,7 @@
 	r.do(r.planner.SetTargets(r.now, "a", nil))
 	r.run(600 * time.Millisecond)
 	r.starts["a-0"], r.starts["a-1"] = 1, 1
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	r.run(3 * time.Second)
 	require.Empty(t, r.refused)
 	require.Len(t, r.completed, 2)
--- a/coordination/gather/room.go
+++ b/coordination/gather/room.go
@@ -11,44 +11,44 @@
 const (
 	// occupiedFor is how long room counts as taken that a target didn't have: a
 	// part of the time for which results are usually kept.
-	occupiedFor = time.Second
+	unknownReservationTime = time.Second
 	// shortFor is how long a target counts as short of room after a result found
 	// none: about the time for which a result is held.
-	shortFor = time.Second
+	shortageWindow = time.Second
 	// readShare is the share of a call's fixed time after which it has read its
 	// inputs, which it does before its work.
-	readShare = 0.6
+	inputReadShare = 0.6
 )
 
 // smallRoomShare is the share of a target's room that large results leave to
 // small ones. Without it a dozen results of 1.5 MB keep out pieces of 8 KB, whose
 // requests then wait for a place half a second and more.
-const smallRoomShare = 0.08
+const smallResultShare = 0.08
 
 // fits is how many results of a size there is room for.
-func (s *service) fits(room, size int64) int {
-	if s.shape.ResultBytes <= 0 || size <= 0 {
-		return s.shape.MaxPieces
+func (s *service) maxResults(room, size int64) int {
+	if s.config.ResultCapacity <= 0 || size <= 0 {
+		return s.config.MaxPieces
 	}
-	if size >= heldResultBytes {
-		room -= int64(smallRoomShare * float64(s.shape.ResultBytes))
+	if size >= largeResultBytes {
+		room -= int64(smallResultShare * float64(s.config.ResultCapacity))
 	}
 	return int(max(room, 0) / size)
 }
 
 // lostRoom is room that is taken by results nobody can free.
-type lostRoom struct {
-	bytes   int64
-	expires time.Time
+type reservation struct {
+	bytes int64
+	until time.Time
 }
 
 // expireLost counts room again whose results are gone by now.
-func (t *target) expireLost(now time.Time) {
-	t.lost = slices.DeleteFunc(t.lost, func(l lostRoom) bool {
-		if !now.After(l.expires) {
+func (t *target) expireReservations(now time.Time) {
+	t.reserved = slices.DeleteFunc(t.reserved, func(l reservation) bool {
+		if !now.After(l.until) {
 			return false
 		}
-		t.heldBytes -= l.bytes
+		t.usedBytes -= l.bytes
 		return true
 	})
 }
@@ -56,41 +56,41 @@
 // occupied notes that there was no room for a result: others take it that this
 // queue doesn't know of, as those of a holder that was killed. Without the note the
 // same pieces would be sent there again and again until those results expire.
-func (t *target) occupied(now time.Time, bytes int64) {
-	t.heldBytes += bytes
-	t.lost = append(t.lost, lostRoom{bytes, now.Add(occupiedFor)})
+func (t *target) reserveForUnknown(now time.Time, bytes int64) {
+	t.usedBytes += bytes
+	t.reserved = append(t.reserved, reservation{bytes, now.Add(unknownReservationTime)})
 }
 
 // noteShort notes that a result found no room.
-func (p *Planner) noteShort(now time.Time, t *target) {
-	t.shortAt, p.shortAt = now, now
+func (p *Planner) noteCapacityShortage(now time.Time, t *target) {
+	t.capacityShortAt, p.capacityShortAt = now, now
 }
 
 // short tells whether results found no room lately.
-func (t *target) short(now time.Time) bool {
-	return !t.shortAt.IsZero() && now.Sub(t.shortAt) < shortFor
+func (t *target) shortOfCapacity(now time.Time) bool {
+	return !t.capacityShortAt.IsZero() && now.Sub(t.capacityShortAt) < shortageWindow
 }
 
 // releaseRead gives back the results that calls in progress have read by now, at
 // targets that are short of room. Where there is room they stay until their readers
 // have answered: should a call fail, they need not be made again.
-func (p *Planner) releaseRead(now time.Time) {
-	if p.shortAt.IsZero() || now.Sub(p.shortAt) >= shortFor {
+func (p *Planner) freeReadInputs(now time.Time) {
+	if p.capacityShortAt.IsZero() || now.Sub(p.capacityShortAt) >= shortageWindow {
 		return
 	}
 	for _, c := range p.calls {
-		if c.released || now.Before(c.readBy) || !c.target.punctual() {
+		if c.inputsFreed || now.Before(c.inputsReadAt) || !c.target.punctual() {
 			continue
 		}
-		c.released = true
-		var last *stageWork
+		c.inputsFreed = true
+		var last *heldStage
 		for _, ref := range c.pieces {
 			if ref.stage == last {
 				continue
 			}
 			last = ref.stage
-			if !p.releaseInputs(now, last) {
-				c.released = false
+			if !p.freeInputsOf(now, last) {
+				c.inputsFreed = false
 			}
 		}
 	}
@@ -106,26 +106,26 @@
 // for that of the other before it reads its inputs: given back by then, they would
 // be gone.
 func (t *target) punctual() bool {
-	return t.answered && t.strikes == 0 && t.slow < punctualFactor
+	return t.answered && t.unsuccessfulCalls == 0 && t.slowness < punctualFactor
 }
 
 // releaseInputs gives back those inputs of a stage that all their readers have read
 // and whose makers are short of room. It tells whether none is left.
-func (p *Planner) releaseInputs(now time.Time, st *stageWork) bool {
-	if p.works[st.work.ID] != st.work || st.work.completed {
+func (p *Planner) freeInputsOf(now time.Time, st *heldStage) bool {
+	if p.requests[st.request.ID] != st.request || st.request.completed {
 		return true
 	}
 	all := true
 	for _, i := range st.After {
-		read := st.work.stages[i]
-		if !p.readByAll(now, read) {
+		read := st.request.stages[i]
+		if !p.allReadersRead(now, read) {
 			all = false
 			continue
 		}
 		for _, r := range read.results {
 			switch {
 			case r == nil || r.freed:
-			case r.target.short(now):
+			case r.target.shortOfCapacity(now):
 				p.free(r)
 			default:
 				all = false
@@ -136,12 +136,12 @@
 }
 
 // readByAll tells whether all stages that read the results of one have read them.
-func (p *Planner) readByAll(now time.Time, read *stageWork) bool {
+func (p *Planner) allReadersRead(now time.Time, read *heldStage) bool {
 	if p.needed(read) {
 		return false
 	}
-	for _, other := range read.work.stages {
-		if slices.Contains(other.After, read.index) && !other.done() && now.Before(other.readBy) {
+	for _, other := range read.request.stages {
+		if slices.Contains(other.After, read.index) && !other.done() && now.Before(other.inputsReadAt) {
 			return false
 		}
 	}
--- a/coordination/gather/room_test.go
+++ b/coordination/gather/room_test.go
@@ -10,14 +10,14 @@
 
 // tight has room for the results of two requests of chain(id, 1, 2) that stand in
 // stage a: one lies there to be read, one is being made.
-func tight(r *rig) {
-	small := narrow
-	small.ResultBytes = 2000
+func tightCapacity(r *rig) {
+	small := smallBatch
+	small.ResultCapacity = 2000
 	r.service("a", small, "x")
-	long := narrow
+	long := smallBatch
 	long.CallTime = 560 * time.Millisecond
 	r.service("b", long, "x", "x", "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 0 {
 			return 220 * time.Millisecond
 		}
@@ -27,7 +27,7 @@
 
 // askEach submits requests that have time, a little faster than the room allows
 // when results are kept to the end, and returns their ids.
-func askEach(r *rig, name string, n int) []string {
+func submitEach(r *rig, name string, n int) []string {
 	var ids []string
 	for i := range n {
 		q := chain(fmt.Sprint(name, i), 1, 2)
@@ -42,9 +42,9 @@
 // Clerks ask more often than the room of the first stage's target holds results.
 // Kept until their readers have answered, results leave the target idle, the queue
 // grows and requests are refused, although no target has too much to do.
-func TestRoomIsGivenBackOnceRead(t *testing.T) {
+func TestCapacityIsFreedOnceResultsAreRead(t *testing.T) {
 	r := newRig(t)
-	tight(r)
+	tightCapacity(r)
 	const requests = 24
 	for i := range requests {
 		r.submit(chain(fmt.Sprint(i), 1, 2))
@@ -61,19 +61,19 @@
 // A target is lost in the middle of a call whose inputs were given back since it
 // had read them. They are made again before its pieces go to another target; sent
 // without them, the pieces would be answered as gone for ever.
-func TestReadInputsAreMadeAgainForALostCall(t *testing.T) {
+func TestReadInputsAreProducedAgainForUnansweredCall(t *testing.T) {
 	r := newRig(t)
-	tight(r)
-	made := askEach(r, "before", 8)
+	tightCapacity(r)
+	made := submitEach(r, "before", 8)
 	lost := 0
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if c.Pieces[0].Stage == 1 && lost < 3 {
 			lost++
-			return CallLost, nil
+			return CallUnanswered, nil
 		}
 		return CallAnswered, nil
 	}
-	made = append(made, askEach(r, "after", 8)...)
+	made = append(made, submitEach(r, "after", 8)...)
 	r.run(20 * time.Second)
 	require.Equal(t, 3, lost)
 	for _, id := range made {
@@ -89,18 +89,18 @@
 // A target falls silent in the middle of a call whose inputs were given back. Its
 // pieces are not left to the time-out of the call: their inputs are made again, and
 // another target makes them.
-func TestReadInputsAreMadeAgainForAnOverdueCall(t *testing.T) {
+func TestReadInputsAreProducedAgainForOverdueCall(t *testing.T) {
 	r := newRig(t)
-	tight(r)
-	made := askEach(r, "before", 8)
-	usual := r.took
-	r.took = func(c StartCall) time.Duration {
+	tightCapacity(r)
+	made := submitEach(r, "before", 8)
+	usual := r.callDuration
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Target.Incarnation == "b-0" {
 			return time.Hour
 		}
 		return usual(c)
 	}
-	made = append(made, askEach(r, "after", 6)...)
+	made = append(made, submitEach(r, "after", 6)...)
 	r.run(3 * time.Second)
 	for _, id := range made {
 		require.Len(t, r.completed[id], 2, id)
@@ -109,13 +109,13 @@
 
 // Where there is room, inputs stay until their reader has answered: should it be
 // lost, its pieces go elsewhere at once.
-func TestReadInputsStayWhereThereIsRoom(t *testing.T) {
+func TestReadInputsStayWhileThereIsCapacity(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
-	r.service("b", narrow, "x", "x")
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.service("a", smallBatch, "x")
+	r.service("b", smallBatch, "x", "x")
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if c.Pieces[0].Stage == 1 && len(r.calls) == 2 {
-			return CallLost, nil
+			return CallUnanswered, nil
 		}
 		return CallAnswered, nil
 	}
@@ -130,15 +130,15 @@
 // read them, they would be gone, and the requests would start from their first stage.
 func TestInputsStayWhileCallsWaitAtTargets(t *testing.T) {
 	r := newRig(t)
-	tight(r)
-	r.took = func(c StartCall) time.Duration {
+	tightCapacity(r)
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 0 {
 			return 220 * time.Millisecond
 		}
 		return 1100 * time.Millisecond
 	}
 	for i := range 12 {
-		askEach(r, fmt.Sprint(i), 1)
+		submitEach(r, fmt.Sprint(i), 1)
 		for _, c := range r.running {
 			for _, input := range c.Pieces[0].Inputs {
 				require.NotContains(t, r.freed, input)
--- a/coordination/gather/share.go
+++ b/coordination/gather/share.go
@@ -5,40 +5,40 @@
 const (
 	// leastKindShare is the part of the general share of requests that are done in
 	// time below which no kind falls.
-	leastKindShare = 0.25
+	minKindAttainment = 0.25
 	// shareHalf is how fast the shares follow the load: slower than
 	// bursts of a few seconds, so that these don't lift what is due to yield.
-	shareHalf = 5 * time.Second
+	attainmentHalfLife = 5 * time.Second
 	// leastAsked is the least number of recent requests that tells a share: of fewer, a
 	// moment without targets would lift a kind that is not starved.
-	leastAsked = 20
+	minSubmitted = 20
 	// behindMargin is by how much a kind's share may be smaller than that of a less
 	// urgent one: the noise of shares of some hundred requests.
-	behindMargin = 0.02
+	attainmentMargin = 0.02
 	// maxUrgency bounds the urgencies that are told apart; the platform has ten.
-	maxUrgency = 15
+	maxKindPriority = 15
 	// maxKinds bounds the kinds of requests that are remembered; beyond it all are
 	// forgotten and learned again. A configuration names some hundred routes.
 	maxKinds = 4096
 )
 
 // record counts the requests that came lately and those that were done in time.
-type record struct {
-	asked, timely rate
+type attainment struct {
+	submitted, timely rate
 }
 
-func newRecord() *record {
-	return &record{asked: rate{half: shareHalf}, timely: rate{half: shareHalf}}
+func newAttainment() *attainment {
+	return &attainment{submitted: rate{halfLife: attainmentHalfLife}, timely: rate{halfLife: attainmentHalfLife}}
 }
 
 // share is the part of the requests that was done in time.
-func (r *record) share(now time.Time) float64 {
-	r.asked.decay(now)
+func (r *attainment) ratio(now time.Time) float64 {
+	r.submitted.decay(now)
 	r.timely.decay(now)
-	if r.asked.count < leastAsked {
+	if r.submitted.count < minSubmitted {
 		return 1
 	}
-	return r.timely.count / r.asked.count
+	return r.timely.count / r.submitted.count
 }
 
 // shares tells which kinds of requests get less than they should: less than a less
@@ -48,47 +48,47 @@
 // burst. Ranked alike, the kind with the longest way through the stages loses, however
 // urgent it is. Ranked strictly by urgency, the others starve. So a kind goes first just
 // while it is behind.
-type shares struct {
-	all *record
+type attainments struct {
+	overall *attainment
 	// kinds are by the name of the kind, levels by its urgency.
-	kinds  map[string]*record
-	levels map[int]*record
+	byRoute    map[string]*attainment
+	byPriority map[int]*attainment
 }
 
-func newShares() shares {
-	return shares{all: newRecord(), kinds: map[string]*record{}, levels: map[int]*record{}}
+func newAttainments() attainments {
+	return attainments{overall: newAttainment(), byRoute: map[string]*attainment{}, byPriority: map[int]*attainment{}}
 }
 
-func (s *shares) kind(route string) *record {
-	k := s.kinds[route]
+func (s *attainments) ofRoute(route string) *attainment {
+	k := s.byRoute[route]
 	if k == nil {
-		if len(s.kinds) >= maxKinds {
-			clear(s.kinds)
+		if len(s.byRoute) >= maxKinds {
+			clear(s.byRoute)
 		}
-		k = newRecord()
-		s.kinds[route] = k
+		k = newAttainment()
+		s.byRoute[route] = k
 	}
 	return k
 }
 
-func (s *shares) level(urgency int) *record {
-	urgency = min(max(urgency, 0), maxUrgency)
-	l := s.levels[urgency]
+func (s *attainments) ofPriority(urgency int) *attainment {
+	urgency = min(max(urgency, 0), maxKindPriority)
+	l := s.byPriority[urgency]
 	if l == nil {
-		l = newRecord()
-		s.levels[urgency] = l
+		l = newAttainment()
+		s.byPriority[urgency] = l
 	}
 	return l
 }
 
 // behind tells whether a request's kind gets less than it should.
-func (s *shares) behind(now time.Time, r *Request) bool {
-	if s.kind(r.Route).share(now) < leastKindShare*s.all.share(now) {
+func (s *attainments) underserved(now time.Time, r *Request) bool {
+	if s.ofRoute(r.Route).ratio(now) < minKindAttainment*s.overall.ratio(now) {
 		return true
 	}
-	own := s.level(r.KindPriority).share(now)
-	for urgency, other := range s.levels {
-		if urgency > r.KindPriority && own < other.share(now)-behindMargin {
+	own := s.ofPriority(r.KindPriority).ratio(now)
+	for urgency, other := range s.byPriority {
+		if urgency > r.KindPriority && own < other.ratio(now)-attainmentMargin {
 			return true
 		}
 	}
@@ -96,15 +96,15 @@
 }
 
 // asked counts a request that came.
-func (s *shares) asked(now time.Time, r *Request) {
-	s.kind(r.Route).asked.add(now, 1)
-	s.level(r.KindPriority).asked.add(now, 1)
-	s.all.asked.add(now, 1)
+func (s *attainments) countSubmitted(now time.Time, r *Request) {
+	s.ofRoute(r.Route).submitted.add(now, 1)
+	s.ofPriority(r.KindPriority).submitted.add(now, 1)
+	s.overall.submitted.add(now, 1)
 }
 
 // done counts a request whose stages are done in time.
-func (s *shares) done(now time.Time, r *Request) {
-	s.kind(r.Route).timely.add(now, 1)
-	s.level(r.KindPriority).timely.add(now, 1)
-	s.all.timely.add(now, 1)
+func (s *attainments) countTimely(now time.Time, r *Request) {
+	s.ofRoute(r.Route).timely.add(now, 1)
+	s.ofPriority(r.KindPriority).timely.add(now, 1)
+	s.overall.timely.add(now, 1)
 }
--- a/coordination/gather/share_test.go
+++ b/coordination/gather/share_test.go
@@ -9,7 +9,7 @@
 )
 
 // offered is one kind of request in a played load.
-type offered struct {
+type offeredLoad struct {
 	kind     string
 	priority int
 	every    time.Duration // between two requests
@@ -18,10 +18,10 @@
 
 // answeredInTime plays kinds of requests of client accounts that all pay for
 // priority 1, on services of two targets of which full calls do 44 pieces a second. It returns which part of each kind is answered by its objective.
-func answeredInTime(t *testing.T, load ...offered) map[string]float64 {
+func timelyShares(t *testing.T, load ...offeredLoad) map[string]float64 {
 	r := newRig(t)
 	for _, name := range []string{"a", "b", "c"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 	}
 	asked, inTime := map[string]float64{}, map[string]float64{}
 	due := map[string]time.Time{}
@@ -58,10 +58,10 @@
 // urgent kind, need two stages and crew queries one, and together they ask for more
 // than there is. Ranked alike, the kind with the longer way loses: officers would be
 // refused while crews are served.
-func TestUrgentKindIsNotBehind(t *testing.T) {
-	got := answeredInTime(t,
-		offered{kind: "results", priority: 0, every: 80 * time.Millisecond, stages: 3},
-		offered{kind: "queries", priority: 2, every: 80 * time.Millisecond, stages: 1})
+func TestUrgentKindIsNotUnderserved(t *testing.T) {
+	got := timelyShares(t,
+		offeredLoad{kind: "results", priority: 0, every: 80 * time.Millisecond, stages: 3},
+		offeredLoad{kind: "queries", priority: 2, every: 80 * time.Millisecond, stages: 1})
 	require.Greater(t, got["results"], got["queries"]-0.15)
 	require.Greater(t, got["results"], 0.7)
 	require.Greater(t, got["queries"], 0.7, "a kind that is behind goes first, not always")
@@ -70,18 +70,18 @@
 // The most urgent kind alone asks for twice what the targets do, for half a minute.
 // The crews in their trenches are not left without any answer.
 func TestNoKindIsStarved(t *testing.T) {
-	got := answeredInTime(t,
-		offered{kind: "results", priority: 0, every: 20 * time.Millisecond, stages: 1},
-		offered{kind: "queries", priority: 2, every: 200 * time.Millisecond, stages: 1})
+	got := timelyShares(t,
+		offeredLoad{kind: "results", priority: 0, every: 20 * time.Millisecond, stages: 1},
+		offeredLoad{kind: "queries", priority: 2, every: 200 * time.Millisecond, stages: 1})
 	require.Greater(t, got["results"], 0.3)
 	require.Greater(t, got["queries"], 0.06)
 }
 
 // The least urgent kind has the longest way, and the urgent one fills its stages. It
 // isn't entitled to go first, but it isn't left without answers either.
-func TestLongWayIsNotStarved(t *testing.T) {
-	got := answeredInTime(t,
-		offered{kind: "queries", priority: 0, every: 60 * time.Millisecond, stages: 1},
-		offered{kind: "results", priority: 2, every: 80 * time.Millisecond, stages: 3})
+func TestLongPipelineIsNotStarved(t *testing.T) {
+	got := timelyShares(t,
+		offeredLoad{kind: "queries", priority: 0, every: 60 * time.Millisecond, stages: 1},
+		offeredLoad{kind: "results", priority: 2, every: 80 * time.Millisecond, stages: 3})
 	require.Greater(t, got["results"], 0.15)
 }
--- a/coordination/gather/times.go
+++ b/coordination/gather/times.go
@@ -12,18 +12,18 @@
 const (
 	// learnRate is the part of a call's error that is learned at once. Some ten
 	// calls, two seconds of one target, take most of it in.
-	learnRate = 0.2
+	learningRate = 0.2
 	// Bounds of what is learned, as multiples of the configured times: one call
 	// that met a pause must not stop the service's admission.
-	leastFixed, mostFixed = 0.5, 2.0
-	leastPiece, mostPiece = 0.1, 4.0
+	minCallFactor, maxCallFactor   = 0.5, 2.0
+	minPieceFactor, maxPieceFactor = 0.1, 4.0
 )
 
 // callTimes is how long calls to a service take, as multiples of what is
 // configured.
 type callTimes struct {
-	fixed  float64
-	pieces map[pieceKind]*float64
+	callFactor   float64
+	pieceFactors map[pieceKind]*float64
 }
 
 // pieceKind is a stage of a kind of request: its pieces take alike time.
@@ -33,20 +33,20 @@
 }
 
 func newCallTimes() callTimes {
-	return callTimes{fixed: 1, pieces: map[pieceKind]*float64{}}
+	return callTimes{callFactor: 1, pieceFactors: map[pieceKind]*float64{}}
 }
 
 // piece is the multiple for pieces of a kind. It is shared: what is learned of later
 // calls shows in it.
-func (t *callTimes) piece(k pieceKind) *float64 {
-	factor := t.pieces[k]
+func (t *callTimes) pieceFactor(k pieceKind) *float64 {
+	factor := t.pieceFactors[k]
 	if factor == nil {
-		if len(t.pieces) >= maxKinds {
-			clear(t.pieces)
+		if len(t.pieceFactors) >= maxKinds {
+			clear(t.pieceFactors)
 		}
 		usual := 1.0
 		factor = &usual
-		t.pieces[k] = factor
+		t.pieceFactors[k] = factor
 	}
 	return factor
 }
@@ -54,12 +54,12 @@
 // learnTimes takes in how long the call took.
 func (c *call) learnTimes(taken time.Duration) {
 	s := c.target.service
-	fixed := s.shape.CallTime.Seconds()
+	fixed := s.config.CallTime.Seconds()
 	added := map[*float64]float64{}
 	for _, ref := range c.pieces {
-		added[ref.stage.factor] += s.shape.PieceTime.Seconds()
+		added[ref.stage.timeFactor] += s.config.PieceTime.Seconds()
 	}
-	expected, norm := s.times.fixed*fixed, fixed*fixed
+	expected, norm := s.times.callFactor*fixed, fixed*fixed
 	for factor, seconds := range added {
 		expected += *factor * seconds
 		norm += seconds * seconds
@@ -67,21 +67,21 @@
 	if norm == 0 {
 		return
 	}
-	step := learnRate * (taken.Seconds() - expected) / norm
-	s.times.fixed = min(max(s.times.fixed+step*fixed, leastFixed), mostFixed)
+	step := learningRate * (taken.Seconds() - expected) / norm
+	s.times.callFactor = min(max(s.times.callFactor+step*fixed, minCallFactor), maxCallFactor)
 	for factor, seconds := range added {
-		*factor = min(max(*factor+step*seconds, leastPiece), mostPiece)
+		*factor = min(max(*factor+step*seconds, minPieceFactor), maxPieceFactor)
 	}
 }
 
 // callTime is what a call takes whatever it holds.
 func (s *service) callTime() time.Duration {
-	return time.Duration(s.times.fixed * float64(s.shape.CallTime))
+	return time.Duration(s.times.callFactor * float64(s.config.CallTime))
 }
 
 // pieceTime is what one piece of a stage adds to a call.
-func (s *stageWork) pieceTime() time.Duration {
-	return time.Duration(*s.factor * float64(s.service.shape.PieceTime))
+func (s *heldStage) pieceTime() time.Duration {
+	return time.Duration(*s.timeFactor * float64(s.service.config.PieceTime))
 }
 
 // expected is how long a call of pieces takes at a target of usual speed.
--- a/coordination/gather/times_test.go
+++ b/coordination/gather/times_test.go
@@ -14,8 +14,8 @@
 // requests would be refused that there is time for.
 func TestSmallCallsTeachNoPieceTimes(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("a", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		return 220*time.Millisecond + time.Duration(len(c.Pieces))*20*time.Millisecond
 	}
 	for i := range 60 {
@@ -25,7 +25,7 @@
 	s := r.planner.services["a"]
 	kind := pieceKind{route: "r", stage: 0}
 	require.InDelta(t, 220, s.callTime().Milliseconds(), 6)
-	require.InDelta(t, 1, *s.times.piece(kind), 0.2)
+	require.InDelta(t, 1, *s.times.pieceFactor(kind), 0.2)
 
 	for i := range 36 { // six full calls for each target end within 2.3 s
 		q := chain(fmt.Sprint("burst", i), 2)
@@ -39,8 +39,8 @@
 // another twice as much. Both are learned, from calls that hold both too.
 func TestPieceTimesAreLearnedByKind(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("a", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		took := 200 * time.Millisecond
 		for _, piece := range c.Pieces {
 			if piece.Request[0] == 's' {
@@ -59,7 +59,7 @@
 		r.run(250 * time.Millisecond)
 	}
 	s := r.planner.services["a"]
-	require.InDelta(t, 0.35, *s.times.piece(pieceKind{"r", 0}), 0.25)
-	require.InDelta(t, 2, *s.times.piece(pieceKind{"long", 0}), 0.4)
+	require.InDelta(t, 0.35, *s.times.pieceFactor(pieceKind{"r", 0}), 0.25)
+	require.InDelta(t, 2, *s.times.pieceFactor(pieceKind{"long", 0}), 0.4)
 	require.InDelta(t, 200, s.callTime().Milliseconds(), 15)
 }
--- a/coordination/gather/types.go
+++ b/coordination/gather/types.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Shape is how one target of a service works.
-type Shape struct {
+type ServiceConfig struct {
 	// Slots is the number of calls that one target works on at once.
 	Slots int
 	// MaxPieces bounds the pieces of a call.
@@ -11,9 +11,9 @@
 	// CallTime is what a call takes, PieceTime what each piece adds to it.
 	CallTime, PieceTime time.Duration
 	// ResultBytes is a target's room for results.
-	ResultBytes int64
+	ResultCapacity int64
 	// KeepFor is how long a result is kept that nobody frees.
-	KeepFor time.Duration
+	ResultTTL time.Duration
 }
 
 // Target is one incarnation of a stage target.
@@ -52,7 +52,7 @@
 	// it is of no use any more.
 	Objective, Deadline time.Time
 	// Rest is what the request still takes after its stages.
-	Rest time.Duration
+	Remaining time.Duration
 	// DataCentre is where the final results are read.
 	DataCentre string
 }
@@ -67,7 +67,7 @@
 }
 
 // PieceOrder is one piece of a call.
-type PieceOrder struct {
+type Piece struct {
 	Request string
 	Stage   int
 	Index   int
@@ -93,11 +93,11 @@
 	// PieceOK is no failure.
 	PieceOK PieceFailure = iota
 	// PieceLate ran out of time before its turn.
-	PieceLate
+	PieceDeadlineExceeded
 	// PieceInputGone reads a result that its maker no longer has.
-	PieceInputGone
+	PieceInputMissing
 	// PieceNoRoom found no room for its result.
-	PieceNoRoom
+	PieceNoCapacity
 	// PieceFailed failed at the target.
 	PieceFailed
 )
@@ -110,13 +110,13 @@
 	// CallAnswered has a result for each piece.
 	CallAnswered CallOutcome = iota
 	// CallFull was refused: the target has no place and ran nothing.
-	CallFull
+	CallTargetFull
 	// CallWrongTarget reached another process at the address; nothing was run.
 	CallWrongTarget
 	// CallLost got no answer; the pieces may have been made.
-	CallLost
+	CallUnanswered
 	// CallCrashed is CallLost, and its target has ended.
-	CallCrashed
+	CallTargetCrashed
 )
 
 // Action is what the driver is to do.
@@ -128,7 +128,7 @@
 	Target Target
 	// Service is the target's.
 	Service string
-	Pieces  []PieceOrder
+	Pieces  []Piece
 	// Timeout is when the call counts as lost.
 	Timeout time.Duration
 }
@@ -148,7 +148,7 @@
 	// Taken is the time from the request's admission to now, Predicted what its
 	// stages were predicted to take then, zero for a request that was taken over from
 	// another queue. Left is the time that there was then for an answer in time.
-	Taken, Predicted, Left time.Duration
+	Elapsed, Predicted, TimeToObjective time.Duration
 }
 
 // StageTimes are the times of one stage.
@@ -164,7 +164,7 @@
 	RetryAfter time.Duration
 	// Needed is how long the rest of it was predicted to take, Left the time until
 	// its deadline. Both are zero for a refusal that no prediction decided.
-	Needed, Left time.Duration
+	Needed, TimeToDeadline time.Duration
 }
 
 // FreeResults gives back the room of results.
@@ -184,20 +184,20 @@
 // The reasons of a refusal.
 const (
 	// ReasonQueue tells that the work ahead leaves no time.
-	ReasonQueue Reason = "queue_too_long"
+	ReasonQueueTooLong Reason = "queue_too_long"
 	// ReasonDeadline tells that what is left takes longer than there is time.
-	ReasonDeadline Reason = "deadline_too_near"
+	ReasonDeadlineTooNear Reason = "deadline_too_near"
 	// ReasonNoTarget tells that a service has no target.
 	ReasonNoTarget Reason = "no_stage_target"
 	// ReasonRetries tells that pieces failed too often.
-	ReasonRetries Reason = "stage_failed"
+	ReasonStageFailed Reason = "stage_failed"
 	// ReasonCrashes tells that targets ended under calls of its pieces, the last of them
 	// under one that had no others.
-	ReasonCrashes Reason = "crashes_stage_targets"
+	ReasonCrashesStageTargets Reason = "crashes_stage_targets"
 	// ReasonIDInUse tells that another request has the id.
 	ReasonIDInUse Reason = "id_in_use"
 	// ReasonBound tells that the planner holds all requests that it may.
-	ReasonBound Reason = "too_many_requests"
+	ReasonTooManyRequests Reason = "too_many_requests"
 	// ReasonStopping tells that it won't be done before its asker's planned stop.
 	ReasonStopping Reason = "stopping"
 )
