--- a/coordination/gather/admit.go
+++ b/coordination/gather/admit.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// Bounds of the time after which a refused request may come back.
+// Bounds of the retry delay that is returned with a refusal.
 const (
-	// minRetryAfter is about one call: earlier nothing has changed.
+	// minRetryAfter is about the duration of one call: nothing changes earlier.
 	minRetryAfter = 250 * time.Millisecond
-	// maxRetryAfter is beyond what callers wait for.
+	// maxRetryAfter is longer than callers wait.
 	maxRetryAfter = 5 * time.Second
 )
 
-// admit decides whether a request can be answered by its deadline, with the work
-// that goes before it counted. The load it answers: bursts of two and a half
-// times the usual rate against targets of which a quarter is lost, where work
-// that ends past its deadline takes the place of work that would not. It returns
-// nil for a request that is taken in.
-func (p *Planner) admit(now time.Time, w *work) *Refused {
-	timely := position{rank: w.ownRank(), objective: w.Objective}
-	predicted, ok := p.predict(now, w, timely)
+// admit decides whether a request can be answered by its deadline, counting the work that
+// is ahead of it. It returns nil for a request that is admitted.
+//
+// It is designed for bursts of two and a half times the usual rate while a quarter of the
+// targets has failed: work that misses its deadline would then displace work that meets
+// it.
+func (p *Planner) admit(now time.Time, req *heldRequest) *Refused {
+	timely := queuePosition{rank: req.baseRank(), objective: req.Objective}
+	predicted, ok := p.predict(now, req, timely)
 	if !ok {
-		return &Refused{Request: w.ID, Reason: ReasonNoTarget, RetryAfter: time.Second}
+		return &Refused{Request: req.ID, Reason: ReasonNoTarget, RetryAfter: time.Second}
 	}
-	w.predicted = predicted - w.Rest
-	if end := now.Add(predicted); !end.After(w.Objective) && !end.After(w.Deadline) {
+	req.predicted = predicted - req.Remaining
+	if end := now.Add(predicted); !end.After(req.Objective) && !end.After(req.Deadline) {
 		return nil
 	}
-	// Late already or soon, it goes behind what can be on time, also behind what
-	// is still to come.
-	late := position{rank: timely.rank + lateRank, objective: w.Objective, yields: true}
-	predicted, _ = p.predict(now, w, late)
-	w.predicted = predicted - w.Rest
+	// A request that would miss its objective is queued behind those that can meet theirs,
+	// including those still to arrive.
+	yielding := queuePosition{rank: timely.rank + missedObjectivePenalty, objective: req.Objective, yields: true}
+	predicted, _ = p.predict(now, req, yielding)
+	req.predicted = predicted - req.Remaining
 	end := now.Add(predicted)
-	if !end.After(w.Deadline) {
+	if !end.After(req.Deadline) {
 		return nil
 	}
 	return &Refused{
-		Request: w.ID, Reason: ReasonQueue,
-		RetryAfter: min(max(end.Sub(w.Deadline), minRetryAfter), maxRetryAfter),
-		Needed:     predicted, Left: w.Deadline.Sub(now),
+		Request: req.ID, Reason: ReasonQueueTooLong,
+		RetryAfter: min(max(end.Sub(req.Deadline), minRetryAfter), maxRetryAfter),
+		Needed:     predicted, TimeToDeadline: req.Deadline.Sub(now),
 	}
 }
 
-// position is where a request stands in the queues.
-type position struct {
+// queuePosition is the position of a request in the queues.
+type queuePosition struct {
 	rank      float64
 	objective time.Time
-	// yields tells that work still to come goes first.
+	// yields is true if requests still to arrive go first.
 	yields bool
 }
 
-// predict is how long the rest of a request takes at a position in the queues as
-// they are; false if a service has no target.
-func (p *Planner) predict(now time.Time, w *work, at position) (time.Duration, bool) {
-	w.uncount()
-	defer p.recount(now, w)
+// predict returns the time the rest of a request takes at a position in the current queues.
+// It returns false if a service has no target.
+func (p *Planner) predict(now time.Time, req *heldRequest, at queuePosition) (time.Duration, bool) {
+	req.leaveBacklog()
+	defer p.updateBacklog(now, req)
 	var ends [maxStages]time.Duration
 	var longest time.Duration
-	for i, s := range w.stages {
+	for i, s := range req.stages {
 		var start time.Duration
 		for _, after := range s.After {
 			start = max(start, ends[after])
 		}
 		if !s.done() {
-			spent, ok := s.timeBehind(now, at)
+			spent, ok := s.waitAndRunTime(now, at)
 			if !ok {
 				return 0, false
 			}
@@ -71,15 +72,16 @@
 		ends[i] = start
 		longest = max(longest, start)
 	}
-	return longest + w.Rest, true
+	return longest + req.Remaining, true
 }
 
-// leastShare is what is left at least, in predictions, to work that yields.
-const leastShare = 0.4
+// minYieldingShare is the minimum share of a service's capacity that predictions leave to
+// work that yields.
+const minYieldingShare = 0.4
 
-// timeBehind is the wait for the work ahead and the call itself; false if the
-// service has no target.
-func (s *stageWork) timeBehind(now time.Time, at position) (time.Duration, bool) {
+// waitAndRunTime returns the wait for the work ahead of the stage plus the time of its own
+// call. It returns false if the service has no target.
+func (s *heldStage) waitAndRunTime(now time.Time, at queuePosition) (time.Duration, bool) {
 	if s.Pieces == 0 {
 		return 0, true
 	}
@@ -89,24 +91,24 @@
 		return 0, false
 	}
 	ahead := sv.backlog.ahead(at)
-	calls := float64(ahead.pieces) / float64(max(sv.shape.MaxPieces, 1))
-	wait := (calls*float64(sv.callTime()) + float64(ahead.added)) / capacity
+	calls := float64(ahead.pieces) / float64(max(sv.config.MaxPieces, 1))
+	wait := (calls*float64(sv.callTime()) + float64(ahead.pieceTime)) / capacity
 	if at.yields {
-		wait /= max(1-sv.taken(now, at.rank, capacity), leastShare)
+		wait /= max(1-sv.loadAbove(now, at.rank, capacity), minYieldingShare)
 	}
 	own := sv.expected(time.Duration(s.Pieces) * s.pieceTime())
-	return time.Duration(wait) + sv.residual(now) + own, true
+	return time.Duration(wait) + sv.timeUntilFree(now) + own, true
 }
 
-// residual is the time until a target is free.
-func (s *service) residual(now time.Time) time.Duration {
+// timeUntilFree returns the time until the first target is free.
+func (s *service) timeUntilFree(now time.Time) time.Duration {
 	first := time.Duration(-1)
 	for _, t := range s.targets {
-		if t.leaving {
+		if t.unlisted {
 			continue
 		}
 		free := max(t.downUntil.Sub(now), 0)
-		if t.calls >= max(s.shape.Slots, 1) {
+		if t.calls >= max(s.config.Slots, 1) {
 			free = max(free, t.busyUntil.Sub(now), 0)
 		}
 		if first < 0 || free < first {
@@ -116,23 +118,23 @@
 	return max(first, 0)
 }
 
-// least is the time that a request takes even if nothing is ahead of it.
-func (p *Planner) least(w *work) time.Duration {
+// minRemaining returns the time that a request still takes if nothing is ahead of it.
+func (p *Planner) minRemaining(req *heldRequest) time.Duration {
 	var ends [maxStages]time.Duration
 	var longest time.Duration
-	for i, s := range w.stages {
+	for i, s := range req.stages {
 		var start time.Duration
 		for _, after := range s.After {
 			start = max(start, ends[after])
 		}
 		if !s.done() && s.inCall == 0 {
-			start += s.service.expected(time.Duration(len(s.todo)) * s.pieceTime())
+			start += s.service.expected(time.Duration(len(s.pending)) * s.pieceTime())
 		}
 		ends[i] = start
 		longest = max(longest, start)
 	}
-	return longest + w.Rest
+	return longest + req.Remaining
 }
 
-// maxStages bounds the stages of a request; none with more is taken in.
+// maxStages bounds the stages of a request; a request with more is refused.
 const maxStages = 64
--- a/coordination/gather/backlog.go
+++ b/coordination/gather/backlog.go
@@ -2,74 +2,73 @@
 
 import "time"
 
-// slotWidth is how far apart the objectives may be of requests that are counted
-// together.
-const slotWidth = 50 * time.Millisecond
+// bucketWidth is the range of objectives that are counted together.
+const bucketWidth = 50 * time.Millisecond
 
-// waiting is work that waits at a service.
-type waiting struct {
+// queuedWork is an amount of work that waits at a service.
+type queuedWork struct {
 	pieces int
-	// added is the time that the pieces add to calls.
-	added time.Duration
+	// pieceTime is the time that the pieces add to calls.
+	pieceTime time.Duration
 }
 
-func (w *waiting) add(other waiting) {
+func (w *queuedWork) add(other queuedWork) {
 	w.pieces += other.pieces
-	w.added += other.added
+	w.pieceTime += other.pieceTime
 }
 
-func (w *waiting) remove(other waiting) {
+func (w *queuedWork) remove(other queuedWork) {
 	w.pieces -= other.pieces
-	w.added -= other.added
+	w.pieceTime -= other.pieceTime
 }
 
-// backlog sums the work that waits at a service, by rank and objective, so that the
-// work ahead of a request is known without a look at each request that waits.
+// backlog sums the work that waits at a service by rank and objective, so that the work
+// ahead of a request is known without iterating over all waiting requests.
 type backlog struct {
 	ranks map[float64]*rankBacklog
 }
 
 type rankBacklog struct {
-	total waiting
-	// slots are the sums by slot of objectives.
-	slots map[int64]waiting
+	total queuedWork
+	// buckets has the sums by range of objectives.
+	buckets map[int64]queuedWork
 }
 
 func newBacklog() backlog { return backlog{ranks: map[float64]*rankBacklog{}} }
 
-func slotOf(objective time.Time) int64 { return objective.UnixNano() / int64(slotWidth) }
+func bucketOf(objective time.Time) int64 { return objective.UnixNano() / int64(bucketWidth) }
 
-func (b *backlog) add(rank float64, slot int64, w waiting) {
+func (b *backlog) add(rank float64, bucket int64, w queuedWork) {
 	r := b.ranks[rank]
 	if r == nil {
-		r = &rankBacklog{slots: map[int64]waiting{}}
+		r = &rankBacklog{buckets: map[int64]queuedWork{}}
 		b.ranks[rank] = r
 	}
 	r.total.add(w)
-	sum := r.slots[slot]
+	sum := r.buckets[bucket]
 	sum.add(w)
-	r.slots[slot] = sum
+	r.buckets[bucket] = sum
 }
 
-func (b *backlog) remove(rank float64, slot int64, w waiting) {
+func (b *backlog) remove(rank float64, bucket int64, w queuedWork) {
 	r := b.ranks[rank]
 	r.total.remove(w)
-	sum := r.slots[slot]
+	sum := r.buckets[bucket]
 	sum.remove(w)
 	if sum.pieces > 0 {
-		r.slots[slot] = sum
+		r.buckets[bucket] = sum
 		return
 	}
-	delete(r.slots, slot)
-	if len(r.slots) == 0 {
+	delete(r.buckets, bucket)
+	if len(r.buckets) == 0 {
 		delete(b.ranks, rank)
 	}
 }
 
-// ahead is the work that goes before a position.
-func (b *backlog) ahead(at position) waiting {
-	var sum waiting
-	last := slotOf(at.objective)
+// ahead returns the work that is ahead of a position.
+func (b *backlog) ahead(at queuePosition) queuedWork {
+	var sum queuedWork
+	last := bucketOf(at.objective)
 	for rank, r := range b.ranks {
 		switch {
 		case rank < at.rank:
@@ -81,70 +80,71 @@
 	return sum
 }
 
-func (r *rankBacklog) upTo(last int64) waiting {
-	var sum waiting
-	for slot, w := range r.slots {
-		if slot <= last {
+func (r *rankBacklog) upTo(last int64) queuedWork {
+	var sum queuedWork
+	for bucket, w := range r.buckets {
+		if bucket <= last {
 			sum.add(w)
 		}
 	}
 	return sum
 }
 
-// counted is where and how a stage is counted in its service's backlog, with the time
-// that its pieces took as it was counted.
-type counted struct {
-	rank float64
-	slot int64
-	waiting
+// backlogEntry is how a stage is counted in its service's backlog. Its piece time is the
+// one at the time of counting.
+type backlogEntry struct {
+	rank   float64
+	bucket int64
+	queuedWork
 }
 
-// recount brings the backlogs up to date with what a request has waiting, if it is
-// held.
-func (p *Planner) recount(now time.Time, w *work) {
-	if p.works[w.ID] != w {
+// updateBacklog updates the backlogs with the pending pieces of a request if the planner
+// holds it.
+func (p *Planner) updateBacklog(now time.Time, req *heldRequest) {
+	if p.requests[req.ID] != req {
 		return
 	}
-	rank, slot := w.rank(now), slotOf(w.Objective)
-	for _, s := range w.stages {
-		s.count(rank, slot)
+	rank, bucket := req.rank(now), bucketOf(req.Objective)
+	for _, s := range req.stages {
+		s.updateBacklog(rank, bucket)
 	}
 }
 
-// recountStages does so for the requests of pieces, which follow one another by stage.
-func (p *Planner) recountStages(now time.Time, pieces []pieceRef) {
-	var last *stageWork
+// updateBacklogs updates the backlogs for the requests of pieces. The pieces of a stage are
+// adjacent.
+func (p *Planner) updateBacklogs(now time.Time, pieces []pieceRef) {
+	var last *heldStage
 	for _, ref := range pieces {
 		if ref.stage != last {
 			last = ref.stage
-			p.recount(now, last.work)
+			p.updateBacklog(now, last.request)
 		}
 	}
 }
 
-// count brings its service's backlog up to date with the stage's pieces.
-func (s *stageWork) count(rank float64, slot int64) {
-	if s.counted.pieces == len(s.todo) && s.counted.rank == rank && s.counted.slot == slot {
+// updateBacklog updates the service's backlog with the stage's pending pieces.
+func (s *heldStage) updateBacklog(rank float64, bucket int64) {
+	if s.backlogEntry.pieces == len(s.pending) && s.backlogEntry.rank == rank && s.backlogEntry.bucket == bucket {
 		return
 	}
-	s.uncount()
-	if n := len(s.todo); n > 0 {
-		s.counted = counted{rank, slot, waiting{n, time.Duration(n) * s.pieceTime()}}
-		s.service.backlog.add(rank, slot, s.counted.waiting)
+	s.leaveBacklog()
+	if n := len(s.pending); n > 0 {
+		s.backlogEntry = backlogEntry{rank, bucket, queuedWork{n, time.Duration(n) * s.pieceTime()}}
+		s.service.backlog.add(rank, bucket, s.backlogEntry.queuedWork)
 	}
 }
 
-// uncount takes a stage out of its service's backlog.
-func (s *stageWork) uncount() {
-	if s.counted.pieces > 0 {
-		s.service.backlog.remove(s.counted.rank, s.counted.slot, s.counted.waiting)
+// leaveBacklog removes the stage from its service's backlog.
+func (s *heldStage) leaveBacklog() {
+	if s.backlogEntry.pieces > 0 {
+		s.service.backlog.remove(s.backlogEntry.rank, s.backlogEntry.bucket, s.backlogEntry.queuedWork)
 	}
-	s.counted = counted{}
+	s.backlogEntry = backlogEntry{}
 }
 
-// uncount takes a request out of the backlogs.
-func (w *work) uncount() {
-	for _, s := range w.stages {
-		s.uncount()
+// leaveBacklog removes the request from the backlogs.
+func (req *heldRequest) leaveBacklog() {
+	for _, s := range req.stages {
+		s.leaveBacklog()
 	}
 }
--- a/coordination/gather/bench_test.go
+++ b/coordination/gather/bench_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// BenchmarkSubmit is one request that comes among those that wait. It is dropped again,
-// so that as many wait for the next one.
+// BenchmarkSubmit measures the submission of one request while others wait. The request is
+// dropped again, so that the number of waiting requests is constant.
 func BenchmarkSubmit(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
 			p := New(Config{MaxRequests: 2 * waiting})
 			now := time.Unix(1000, 0)
 			for _, name := range []string{"a", "b", "c"} {
-				p.SetService(name, narrow)
+				p.SetService(name, smallBatch)
 				var list []Target
 				for i := range 16 {
 					id := fmt.Sprint(name, i)
@@ -29,7 +29,7 @@
 			}
 			for i := range waiting {
 				q := request(fmt.Sprint("w", i))
-				// Requests come over two seconds.
+				// The objectives of the requests are spread over two seconds.
 				q.Objective = q.Objective.Add(time.Duration(i) * 2 * time.Second / time.Duration(waiting))
 				p.Submit(now, q)
 			}
--- a/coordination/gather/crashes.go
+++ b/coordination/gather/crashes.go
@@ -3,36 +3,37 @@
 import "time"
 
 const (
-	// suspectCrashes is how many calls with pieces of a request a target must have ended
-	// under for the request to have calls of its own: only these tell which request it is.
-	// One crash is no reason yet, since calls of their own take more targets.
+	// suspectCrashes is the number of target crashes under a request's calls from which on
+	// its pieces are sent in calls of their own: only such calls show which request causes
+	// the crashes. One crash is not enough, since separate calls take up more targets.
 	suspectCrashes = 2
-	// MaxCrashes is how many targets may end under calls of a request.
+	// MaxCrashes is the number of targets that may crash under a request's calls.
 	MaxCrashes = 3
 )
 
-// suspect tells whether the request may be what ends targets.
-func (w *work) suspect() bool { return w.crashes >= suspectCrashes }
+// suspect reports whether the request may be what crashes targets.
+func (req *heldRequest) suspect() bool { return req.crashes >= suspectCrashes }
 
-// mayJoin tells whether pieces of a request may go into a call with those chosen so far.
-func mayJoin(chosen []pieceRef, w *work) bool {
-	if len(chosen) == 0 || chosen[0].stage.work == w {
+// canShareCall reports whether pieces of a request may go into a call with those chosen so
+// far.
+func canShareCall(chosen []pieceRef, req *heldRequest) bool {
+	if len(chosen) == 0 || chosen[0].stage.request == req {
 		return true
 	}
-	return !w.suspect() && !chosen[0].stage.work.suspect()
+	return !req.suspect() && !chosen[0].stage.request.suspect()
 }
 
-// noteCrash counts a call under which the target ended, and gives its request up if that
-// was the last of too many and a call of its own.
-func (p *Planner) noteCrash(c *call) {
-	under := map[*work]bool{}
+// countCrash counts a call under which the target crashed, for each request with pieces in
+// it. It refuses a request with too many such calls if this one had no other pieces.
+func (p *Planner) countCrash(c *call) {
+	under := map[*heldRequest]bool{}
 	for _, ref := range c.pieces {
-		under[ref.stage.work] = true
+		under[ref.stage.request] = true
 	}
-	for w := range under {
-		w.crashes++
-		if len(under) == 1 && w.crashes >= MaxCrashes && p.works[w.ID] == w {
-			p.giveUp(w, Refused{Reason: ReasonCrashes, RetryAfter: time.Second})
+	for req := range under {
+		req.crashes++
+		if len(under) == 1 && req.crashes >= MaxCrashes && p.requests[req.ID] == req {
+			p.refuse(req, Refused{Reason: ReasonCrashesStageTargets, RetryAfter: time.Second})
 		}
 	}
 }
--- a/coordination/gather/crashes_test.go
+++ b/coordination/gather/crashes_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// carries tells whether a call has pieces of a request.
+// carries reports whether a call has pieces of a request.
 func carries(c StartCall, request string) bool {
-	return slices.ContainsFunc(c.Pieces, func(p PieceOrder) bool { return p.Request == request })
+	return slices.ContainsFunc(c.Pieces, func(p Piece) bool { return p.Request == request })
 }
 
-// answerAll makes the results of all pieces of a call.
-func (r *rig) answerAll(c StartCall) (CallOutcome, []PieceResult) {
+// produceAll produces the results of all pieces of a call.
+func (r *rig) produceAll(c StartCall) (CallOutcome, []PieceResult) {
 	results := make([]PieceResult, len(c.Pieces))
 	for i := range results {
-		r.made++
-		results[i].Handle = fmt.Sprint("result ", r.made)
+		r.produced++
+		results[i].Handle = fmt.Sprint("result ", r.produced)
 	}
 	return CallAnswered, results
 }
@@ -29,48 +29,48 @@
 	return Request{ID: id, Stages: []Stage{{Service: "s", Pieces: 2, ResultBytes: 1000}}}
 }
 
-// TestRequestThatCrashesStageTargetsIsGivenUp guards against a request under whose pieces one
-// target ends after the other, and against those in its calls being given up with it.
-func TestRequestThatCrashesStageTargetsIsGivenUp(t *testing.T) {
+// A request crashes one target after another. It must be refused, and the requests that
+// share its calls must not be refused with it.
+func TestRequestThatCrashesStageTargetsIsRefused(t *testing.T) {
 	r := newRig(t)
-	r.service("s", narrow, "x", "x")
+	r.service("s", smallBatch, "x", "x")
 	crashed, shared := 0, 0
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if !carries(c, "bad") {
-			return r.answerAll(c)
+			return r.produceAll(c)
 		}
 		crashed++
 		if carries(c, "a") {
 			shared++
 		}
-		return CallCrashed, nil
+		return CallTargetCrashed, nil
 	}
 	for _, id := range []string{"first", "second", "bad", "a", "b", "c"} {
-		r.submit(simple(id)) // the first two take both targets, the others wait and share a call
+		r.submit(simple(id)) // the first two occupy both targets, the others wait and share a call
 	}
 	r.run(5 * time.Second)
 	require.Positive(t, shared)
-	require.Equal(t, ReasonCrashes, r.refused["bad"].Reason)
+	require.Equal(t, ReasonCrashesStageTargets, r.refused["bad"].Reason)
 	require.Len(t, r.refused, 1)
 	require.Len(t, r.completed, 5)
 	require.LessOrEqual(t, crashed, MaxCrashes)
 }
 
-// TestTargetsThatCrashAtOnceCostNoRequest guards against a request being given up since one
-// event ended targets of all services that worked for it.
-func TestTargetsThatCrashAtOnceCostNoRequest(t *testing.T) {
+// One event crashes targets of all services that work for a request. The request must not
+// be refused because of it.
+func TestSimultaneousCrashesRefuseNoRequest(t *testing.T) {
 	r := newRig(t)
 	var stages []Stage
 	for _, name := range []string{"s", "t", "u"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 		stages = append(stages, Stage{Service: name, Pieces: 2, ResultBytes: 1000})
 	}
 	event := r.now.Add(350 * time.Millisecond)
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		if r.now.Before(event) || r.now.After(event.Add(300*time.Millisecond)) || len(c.Pieces) == 2 {
-			return r.answerAll(c)
+			return r.produceAll(c)
 		}
-		return CallCrashed, nil
+		return CallTargetCrashed, nil
 	}
 	for i := range 6 {
 		r.submit(Request{ID: fmt.Sprint(i), Stages: stages})
--- a/coordination/gather/export.go
+++ b/coordination/gather/export.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// freeingFor is how long room counts as taken whose results are being given back as
-// the queue changes hands: the call to their maker is gathered for 40 ms and takes a
-// few.
-const freeingFor = 150 * time.Millisecond
+// freeReservationTime is how long capacity stays reserved for results that are being freed
+// during a handover of the queue: the call that frees them is delayed by 40 ms for batching
+// and takes a few ms.
+const freeReservationTime = 150 * time.Millisecond
 
-// Export takes out all that the planner holds. Its calls in progress go on; their
-// ends belong to the planner that imports the state.
+// Export removes and returns all that the planner holds. Its calls in progress continue;
+// their ends are reported to the planner that imports the state.
 func (p *Planner) Export(now time.Time) State {
 	var state State
 	index := map[*target]int{}
@@ -24,17 +24,17 @@
 	for _, c := range p.calls {
 		state.Calls = append(state.Calls, p.exportCall(now, &state, index, c))
 	}
-	for _, w := range p.works {
-		state.Works = append(state.Works, p.exportWork(now, &state, index, w))
+	for _, req := range p.requests {
+		state.Requests = append(state.Requests, p.exportRequest(now, &state, index, req))
 	}
 	for handle, f := range p.freeing {
 		delete(p.freeing, handle)
 		i := p.exportTarget(now, &state, index, f.target)
-		f.target.heldBytes -= f.bytes
+		f.target.usedBytes -= f.bytes
 		held := &state.Targets[i]
-		held.Occupied = append(held.Occupied, HeldRoom{f.bytes, freeingFor})
+		held.Reserved = append(held.Reserved, ReservedCapacity{f.bytes, freeReservationTime})
 	}
-	clear(p.works)
+	clear(p.requests)
 	clear(p.calls)
 	for _, s := range p.services {
 		s.queue = nil
@@ -42,73 +42,73 @@
 	return state
 }
 
-func (s *service) exportTimes() HeldTimes {
-	times := HeldTimes{Service: s.name, Fixed: s.times.fixed}
-	for kind, factor := range s.times.pieces {
-		times.Pieces = append(times.Pieces, HeldPieceTime{kind.route, kind.stage, *factor})
+func (s *service) exportTimes() LearnedTimes {
+	times := LearnedTimes{Service: s.name, CallFactor: s.times.callFactor}
+	for kind, factor := range s.times.pieceFactors {
+		times.Pieces = append(times.Pieces, LearnedPieceTime{kind.route, kind.stage, *factor})
 	}
 	return times
 }
 
-// exportTarget returns the index of a target in the state. Results may also be at
-// targets that are no longer listed.
+// exportTarget returns the index of a target in the state. Results may also be at targets
+// that are no longer listed.
 func (p *Planner) exportTarget(now time.Time, state *State, index map[*target]int, t *target) int {
 	if i, ok := index[t]; ok {
 		return i
 	}
-	held := HeldTarget{
+	held := TargetState{
 		Service: t.service.name, Incarnation: t.Incarnation, Name: t.Name, Address: t.Address, DataCentre: t.DataCentre,
-		Ended: t.ended, Slow: t.slow, Answered: t.answered, DownUntil: left(now, t.downUntil), Failures: t.failures, Strikes: t.strikes,
+		Replaced: t.replaced, Slowness: t.slowness, Answered: t.answered, DownUntil: relativeTo(now, t.downUntil), UnansweredCalls: t.unansweredCalls, UnsuccessfulCalls: t.unsuccessfulCalls,
 	}
-	for _, l := range t.lost {
-		held.Occupied = append(held.Occupied, HeldRoom{l.bytes, l.expires.Sub(now)})
-		t.heldBytes -= l.bytes
+	for _, l := range t.reserved {
+		held.Reserved = append(held.Reserved, ReservedCapacity{l.bytes, l.until.Sub(now)})
+		t.usedBytes -= l.bytes
 	}
-	t.lost = nil
+	t.reserved = nil
 	index[t] = len(state.Targets)
 	state.Targets = append(state.Targets, held)
 	return index[t]
 }
 
-func (p *Planner) exportCall(now time.Time, state *State, index map[*target]int, c *call) HeldCall {
-	held := HeldCall{
+func (p *Planner) exportCall(now time.Time, state *State, index map[*target]int, c *call) CallState {
+	held := CallState{
 		ID: c.id, Target: p.exportTarget(now, state, index, c.target), Bytes: c.bytes,
-		Started: left(now, c.started), Overdue: left(now, c.overdue), ReadBy: left(now, c.readBy),
-		Expires: left(now, c.expires), Expected: c.expected, HandedOn: c.handedOn, Released: c.released,
+		StartedAt: relativeTo(now, c.startedAt), OverdueAt: relativeTo(now, c.overdueAt), InputsReadAt: relativeTo(now, c.inputsReadAt),
+		TimeoutAt: relativeTo(now, c.timeoutAt), ExpectedDuration: c.expectedDuration, Hedged: c.hedged, InputsFreed: c.inputsFreed,
 	}
 	for _, ref := range c.pieces {
-		piece := HeldPiece{Stage: ref.stage.index, Index: ref.index, Bytes: ref.stage.ResultBytes}
-		if w := ref.stage.work; p.works[w.ID] == w {
-			piece.Request = w.ID
+		piece := PieceState{Stage: ref.stage.index, Index: ref.index, Bytes: ref.stage.ResultBytes}
+		if req := ref.stage.request; p.requests[req.ID] == req {
+			piece.Request = req.ID
 		}
 		held.Pieces = append(held.Pieces, piece)
 	}
 	c.target.calls--
-	c.target.heldBytes -= c.bytes
+	c.target.usedBytes -= c.bytes
 	return held
 }
 
-func (p *Planner) exportWork(now time.Time, state *State, index map[*target]int, w *work) HeldWork {
-	held := HeldWork{
-		ID: w.ID, Route: w.Route, Key: w.Key, Priority: w.Priority, KindPriority: w.KindPriority, Stages: w.Stages,
-		Objective: left(now, w.Objective), Deadline: left(now, w.Deadline), Rest: w.Rest, DataCentre: w.DataCentre,
-		Admitted: left(now, w.admitted), Begun: w.begun, Lifted: w.lifted, Bounded: w.bounded, Completed: w.completed,
+func (p *Planner) exportRequest(now time.Time, state *State, index map[*target]int, req *heldRequest) RequestState {
+	held := RequestState{
+		ID: req.ID, Route: req.Route, Key: req.Key, Priority: req.Priority, KindPriority: req.KindPriority, Stages: req.Stages,
+		Objective: relativeTo(now, req.Objective), Deadline: relativeTo(now, req.Deadline), Remaining: req.Remaining, DataCentre: req.DataCentre,
+		AdmittedAt: relativeTo(now, req.admittedAt), Started: req.started, Boosted: req.boosted, DeadlineShortened: req.deadlineShortened, Completed: req.completed,
 	}
-	for _, s := range w.stages {
-		stage := HeldStage{
-			Todo: slices.Clone(s.todo), Resends: s.resends,
-			ReadySince: left(now, s.readySince), ReadBy: left(now, s.readBy), Sent: left(now, s.sent), Ended: left(now, s.ended),
+	for _, s := range req.stages {
+		stage := StageState{
+			Pending: slices.Clone(s.pending), Resends: s.resends,
+			ReadySince: relativeTo(now, s.readySince), InputsReadAt: relativeTo(now, s.inputsReadAt), SentAt: relativeTo(now, s.sentAt), EndedAt: relativeTo(now, s.endedAt),
 		}
 		for i, r := range s.results {
 			if r == nil {
 				continue
 			}
-			stage.Results = append(stage.Results, HeldResult{
+			stage.Results = append(stage.Results, ResultState{
 				Index: i, Handle: r.handle, Target: p.exportTarget(now, state, index, r.target),
-				Expires: left(now, r.expires), Freed: r.freed,
+				ExpiresAt: relativeTo(now, r.expiresAt), Freed: r.freed,
 			})
 			if !r.freed {
-				r.target.heldBytes -= r.bytes
+				r.target.usedBytes -= r.bytes
 			}
 		}
 		held.Progress = append(held.Progress, stage)
--- a/coordination/gather/fleet_test.go
+++ b/coordination/gather/fleet_test.go
@@ -19,20 +19,20 @@
 	rate      float64
 	objective time.Duration
 	deadline  time.Duration
-	// read is the time from the last stage's end until the results are read.
-	read   time.Duration
-	stages func(rng *rand.Rand) []Stage
+	// readDelay is the time from the last stage's end until the results are read.
+	readDelay time.Duration
+	stages    func(rng *rand.Rand) []Stage
 }
 
 // fleetService is a service with its targets.
 type fleetService struct {
 	name    string
 	targets int
-	shape   Shape
+	config  ServiceConfig
 }
 
-// The services and kinds of a deployment of several hundred instances. A scale of 1
-// has some 600 requests with stages a second.
+// The services and kinds of a deployment of several hundred instances. A scale of 1 has
+// some 600 requests with stages a second.
 const (
 	lookup  = "lookup"
 	ranking = "ranking"
@@ -42,13 +42,13 @@
 func fleetServices(scale float64) []fleetService {
 	n := func(targets float64) int { return int(math.Ceil(targets * scale)) }
 	return []fleetService{
-		{lookup, n(44), Shape{Slots: 1, MaxPieces: 12, CallTime: 200 * time.Millisecond, PieceTime: 14 * time.Millisecond, ResultBytes: 27 << 20, KeepFor: 4 * time.Second}},
-		{ranking, n(36), Shape{Slots: 1, MaxPieces: 48, CallTime: 200 * time.Millisecond, PieceTime: 3600 * time.Microsecond, ResultBytes: 6300 << 10, KeepFor: 4 * time.Second}},
-		{scoring, n(42), Shape{Slots: 1, MaxPieces: 68, CallTime: 200 * time.Millisecond, PieceTime: 2500 * time.Microsecond, ResultBytes: 900 << 10, KeepFor: 4 * time.Second}},
+		{lookup, n(44), ServiceConfig{Slots: 1, MaxPieces: 12, CallTime: 200 * time.Millisecond, PieceTime: 14 * time.Millisecond, ResultCapacity: 27 << 20, ResultTTL: 4 * time.Second}},
+		{ranking, n(36), ServiceConfig{Slots: 1, MaxPieces: 48, CallTime: 200 * time.Millisecond, PieceTime: 3600 * time.Microsecond, ResultCapacity: 6300 << 10, ResultTTL: 4 * time.Second}},
+		{scoring, n(42), ServiceConfig{Slots: 1, MaxPieces: 68, CallTime: 200 * time.Millisecond, PieceTime: 2500 * time.Microsecond, ResultCapacity: 900 << 10, ResultTTL: 4 * time.Second}},
 	}
 }
 
-// around draws a number of pieces about a mean.
+// around samples a number of pieces around a mean.
 func around(rng *rand.Rand, mean float64, most int) int {
 	return min(max(int(math.Round(mean*math.Exp(0.5*rng.NormFloat64()-0.125))), 1), most)
 }
@@ -82,18 +82,18 @@
 	}
 }
 
-// fleetResult is what callers of one kind got.
-type fleetResult struct{ asked, timely, late, refused int }
+// fleetResult counts the results of the requests of one kind.
+type fleetResult struct{ submitted, timely, missed, refused int }
 
-func (r fleetResult) timelyShare() float64  { return float64(r.timely) / float64(r.asked) }
-func (r fleetResult) refusedShare() float64 { return float64(r.refused) / float64(r.asked) }
+func (r fleetResult) timelyShare() float64  { return float64(r.timely) / float64(r.submitted) }
+func (r fleetResult) refusedShare() float64 { return float64(r.refused) / float64(r.submitted) }
 
-// fleetRun plays a load against a planner in virtual time.
+// fleetRun simulates a load against a planner in virtual time.
 type fleetRun struct {
 	planner *Planner
 	rng     *rand.Rand
 	kinds   []fleetKind
-	// surge multiplies a kind's rate at a time since the begin.
+	// surge multiplies a kind's rate at a time since the start.
 	surge    func(kind string, at time.Duration) float64
 	begin    time.Time
 	now      time.Time
@@ -106,9 +106,9 @@
 	calls    map[string]int
 	pieces   map[string]int
 	services map[string]fleetService
-	// spent is the time that the planner took.
-	spent time.Duration
-	most  int
+	// plannerTime is the time spent in the planner.
+	plannerTime time.Duration
+	maxHeld     int
 }
 
 type fleetOpen struct {
@@ -149,7 +149,7 @@
 	}
 	for _, s := range fleetServices(scale) {
 		r.services[s.name] = s
-		r.planner.SetService(s.name, s.shape)
+		r.planner.SetService(s.name, s.config)
 		var list []Target
 		for i := range s.targets {
 			id := fmt.Sprintf("%s-%d", s.name, i)
@@ -170,7 +170,7 @@
 	heap.Push(&r.events, fleetEvent{r.now.Add(d), r.order, run})
 }
 
-// run plays until a time since the begin.
+// run simulates until a time since the start.
 func (r *fleetRun) run(until time.Duration) {
 	for len(r.events) > 0 && r.events[0].at.Sub(r.begin) < until {
 		next := heap.Pop(&r.events).(fleetEvent)
@@ -192,12 +192,12 @@
 	q := Request{
 		ID: fmt.Sprint("q", r.nextID), Route: k.name, Key: "k", Priority: 1, KindPriority: k.priority,
 		Stages: k.stages(r.rng), Objective: r.now.Add(k.objective), Deadline: r.now.Add(k.deadline),
-		Rest: k.read, DataCentre: fmt.Sprint("dc", r.rng.IntN(5)),
+		Remaining: k.readDelay, DataCentre: fmt.Sprint("dc", r.rng.IntN(5)),
 	}
-	r.results[k.name].asked++
+	r.results[k.name].submitted++
 	r.open[q.ID] = fleetOpen{k, q.Objective}
 	r.step(func() []Action { return r.planner.Submit(r.now, q) })
-	r.most = max(r.most, r.planner.Held())
+	r.maxHeld = max(r.maxHeld, r.planner.RequestCount())
 }
 
 func (r *fleetRun) tick() {
@@ -207,11 +207,11 @@
 	})
 }
 
-// step runs a step of the planner and plays its actions.
+// step runs a step of the planner and carries out its actions.
 func (r *fleetRun) step(step func() []Action) {
 	begin := time.Now()
 	actions := step()
-	r.spent += time.Since(begin)
+	r.plannerTime += time.Since(begin)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartCall:
@@ -228,10 +228,10 @@
 }
 
 func (r *fleetRun) call(c StartCall) {
-	shape := r.services[c.Service].shape
+	config := r.services[c.Service].config
 	r.calls[c.Service]++
 	r.pieces[c.Service] += len(c.Pieces)
-	took := shape.CallTime + time.Duration(len(c.Pieces))*shape.PieceTime
+	took := config.CallTime + time.Duration(len(c.Pieces))*config.PieceTime
 	r.at(took, func() {
 		results := make([]PieceResult, len(c.Pieces))
 		for i := range results {
@@ -250,32 +250,32 @@
 		result.refused++
 		return
 	}
-	if r.now.Add(open.kind.read).After(open.due) {
-		result.late++
+	if r.now.Add(open.kind.readDelay).After(open.due) {
+		result.missed++
 	} else {
 		result.timely++
 	}
-	r.at(open.kind.read, func() { r.step(func() []Action { return r.planner.Drop(r.now, id) }) })
+	r.at(open.kind.readDelay, func() { r.step(func() []Action { return r.planner.Drop(r.now, id) }) })
 }
 
 func (r *fleetRun) log(t testing.TB) {
-	asked := 0
+	submitted := 0
 	for _, k := range r.kinds {
 		v := r.results[k.name]
-		asked += v.asked
-		t.Logf("%s: asked %d, timely %.3f, late %.3f, refused %.3f", k.name, v.asked,
-			v.timelyShare(), float64(v.late)/float64(v.asked), v.refusedShare())
+		submitted += v.submitted
+		t.Logf("%s: asked %d, timely %.3f, late %.3f, refused %.3f", k.name, v.submitted,
+			v.timelyShare(), float64(v.missed)/float64(v.submitted), v.refusedShare())
 	}
 	for name, n := range r.calls {
 		t.Logf("%s: %d calls of %.1f pieces", name, n, float64(r.pieces[name])/float64(n))
 	}
-	t.Logf("%s a request, at most %d held", r.spent/time.Duration(asked), r.most)
+	t.Logf("%s a request, at most %d held", r.plannerTime/time.Duration(submitted), r.maxHeld)
 }
 
-// TestLargeFleetIsServedLikeASmallOne guards against what grows with the number of targets
-// and of waiting requests: a bound that refuses, or an order that lets targets idle. All
-// kinds come twice as often for five seconds, with as many targets for each request.
-func TestLargeFleetIsServedLikeASmallOne(t *testing.T) {
+// Prevents degradation with the number of targets and of waiting requests: a limit that
+// refuses requests, or an order that leaves targets idle. All kinds arrive at twice their
+// rate for five seconds, with the same number of targets per request in both fleets.
+func TestLargeFleetIsServedLikeSmallOne(t *testing.T) {
 	play := func(scale float64) *fleetRun {
 		r := newFleetRun(1, scale)
 		r.surge = func(_ string, at time.Duration) float64 {
@@ -296,21 +296,21 @@
 	}
 }
 
-// checkBacklog compares the backlogs with a look at each request that waits.
+// checkBacklog compares the backlogs with a count over all waiting requests.
 func checkBacklog(t require.TestingT, p *Planner) {
 	for _, s := range p.services {
 		pieces := 0
-		for _, w := range p.works {
+		for _, w := range p.requests {
 			for _, st := range w.stages {
 				if st.service == s && !w.completed {
-					pieces += len(st.todo)
+					pieces += len(st.pending)
 				}
 			}
 		}
 		total := 0
 		for _, r := range s.backlog.ranks {
 			slots := 0
-			for _, w := range r.slots {
+			for _, w := range r.buckets {
 				slots += w.pieces
 			}
 			require.Equal(t, r.total.pieces, slots)
--- a/coordination/gather/handover_test.go
+++ b/coordination/gather/handover_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// handOver has a new planner go on with the queue, to which something happens before.
-func (r *rig) handOver(before ...func()) {
+// handover moves the queue to a new planner, on which before runs first.
+func (r *rig) handover(before ...func()) {
 	state := r.planner.Export(r.now)
-	require.Zero(r.t, r.planner.Held())
+	require.Zero(r.t, r.planner.RequestCount())
 	next := New(Config{})
 	for name, s := range r.services {
-		next.SetService(name, s.shape)
+		next.SetService(name, s.config)
 		require.Empty(r.t, next.SetTargets(r.now, name, s.targets))
 	}
 	r.planner = next
@@ -26,54 +26,55 @@
 	actions, ids := next.Import(r.now, state)
 	for i, c := range r.running[:inProgress] {
 		id, ok := ids[c.ID]
-		require.True(r.t, ok, "a call in progress is forgotten")
+		require.True(r.t, ok, "a call in progress is missing from the import")
 		r.running[i].ID = id
 	}
 	r.do(actions)
 }
 
-// tally counts what the targets see: how often each piece is sent, and how many calls
-// and results each target has.
-type tally struct {
-	sent    map[string]int
-	results map[string]int
-	at      map[string]string
+// callTally counts what the targets receive: how often each piece is sent, and which target
+// produced each result.
+type callTally struct {
+	sent       map[string]int
+	results    map[string]int
+	producedAt map[string]string
 }
 
-// watch checks each call as it is sent: a target has a place and room for it.
-func (r *rig) watch(shape Shape) *tally {
-	seen := &tally{sent: map[string]int{}, results: map[string]int{}, at: map[string]string{}}
-	r.took = func(c StartCall) time.Duration {
+// checkCalls checks for each call as it is sent that its target has a free slot and
+// capacity for the results.
+func (r *rig) checkCalls(config ServiceConfig) *callTally {
+	tally := &callTally{sent: map[string]int{}, results: map[string]int{}, producedAt: map[string]string{}}
+	r.callDuration = func(c StartCall) time.Duration {
 		busy := 0
-		room := len(c.Pieces)
+		results := len(c.Pieces)
 		for _, other := range r.running {
 			if other.Target == c.Target {
 				busy++
-				room += len(other.Pieces)
+				results += len(other.Pieces)
 			}
 		}
-		for handle, target := range seen.at {
+		for handle, target := range tally.producedAt {
 			if target == c.Target.Incarnation && !r.wasFreed(handle) {
-				room++
+				results++
 			}
 		}
-		require.Less(r.t, busy, shape.Slots, "a call finds its target full")
-		require.LessOrEqual(r.t, int64(room*1000), shape.ResultBytes, "results find no room")
+		require.Less(r.t, busy, config.Slots, "a call finds its target full")
+		require.LessOrEqual(r.t, int64(results*1000), config.ResultCapacity, "results do not fit")
 		for _, p := range c.Pieces {
-			seen.sent[fmt.Sprintf("%s/%d/%d", p.Request, p.Stage, p.Index)]++
+			tally.sent[fmt.Sprintf("%s/%d/%d", p.Request, p.Stage, p.Index)]++
 		}
-		return shape.CallTime + time.Duration(len(c.Pieces))*shape.PieceTime
+		return config.CallTime + time.Duration(len(c.Pieces))*config.PieceTime
 	}
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		results := make([]PieceResult, len(c.Pieces))
 		for i := range results {
-			r.made++
-			results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.made)
-			seen.at[results[i].Handle] = c.Target.Incarnation
+			r.produced++
+			results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.produced)
+			tally.producedAt[results[i].Handle] = c.Target.Incarnation
 		}
 		return CallAnswered, results
 	}
-	return seen
+	return tally
 }
 
 func (r *rig) wasFreed(handle string) bool {
@@ -85,78 +86,78 @@
 	return false
 }
 
-// roomy keeps results longer than any test takes, in room for 14 of them: as much as
-// a call and the results of a request.
-var roomy = Shape{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultBytes: 14_000, KeepFor: time.Minute}
+// longTTL keeps results longer than any test takes, with capacity for 14 of them: as much
+// as a call and the results of a request.
+var longTTL = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultCapacity: 14_000, ResultTTL: time.Minute}
 
-// The holder of the queue stops while calls are in progress and others wait. Begun
-// anew elsewhere, their pieces are made twice, calls find targets full that work for
-// the old holder, and results find no room beside those that nobody gives back.
+// The holder of the queue stops while calls are in progress and requests wait. Restarted
+// elsewhere, pieces would run twice, calls would find targets full that work for the old
+// holder, and results wouldn't fit beside those that nobody frees.
 //
-// Evidence: on a played day of stops 335 of 2,130 calls found their target full and
-// 1,224 results found no room, nearly all within seven seconds of a holder's stop.
-func TestHandOverMakesNothingAgain(t *testing.T) {
+// In a simulated day of stops, 335 of 2,130 calls found their target full and 1,224 results
+// didn't fit, nearly all within seven seconds of a holder's stop.
+func TestHandoverRepeatsNoPieces(t *testing.T) {
 	for _, after := range []time.Duration{0, 50, 200, 240, 260, 400, 700, 1100} {
 		t.Run(fmt.Sprint(int(after)), func(t *testing.T) {
 			r := newRig(t)
 			for _, name := range []string{"a", "b"} {
-				r.service(name, roomy, "x", "y")
+				r.service(name, longTTL, "x", "y")
 			}
-			seen := r.watch(roomy)
+			tally := r.checkCalls(longTTL)
 			for i := range 6 {
 				r.submit(chain(fmt.Sprint(i), 5, 3))
 			}
 			r.run(after * time.Millisecond)
-			r.handOver()
+			r.handover()
 			r.run(20 * time.Millisecond)
-			r.handOver()
+			r.handover()
 			r.run(4 * time.Second)
 			require.Len(t, r.completed, 6)
 			for i := range 6 {
 				r.do(r.planner.Drop(r.now, fmt.Sprint(i)))
 			}
-			for piece, n := range seen.sent {
+			for piece, n := range tally.sent {
 				require.Equal(t, 1, n, piece)
 			}
-			require.Len(t, r.freed, len(seen.at), "all room is given back")
+			require.Len(t, r.freed, len(tally.producedAt), "all capacity is freed")
 		})
 	}
 }
 
-// A result that was made before the queue changed hands is dropped by the new holder
-// when its maker no longer has it, and a call of which no word comes is made up for.
-func TestHandOverOfWhatIsLost(t *testing.T) {
+// After a handover the end of a call in progress is never reported, and the results that
+// it read may have expired at their target. The new holder must run its pieces again.
+func TestHandoverOfUnansweredCall(t *testing.T) {
 	r := newRig(t)
 	for _, name := range []string{"a", "b"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 	}
 	r.submit(chain("one", 1, 1))
 	r.run(100 * time.Millisecond)
-	r.handOver()
+	r.handover()
 	r.running = nil
 	r.run(4 * time.Second)
 	require.Contains(t, r.completed, "one")
 }
 
-// The new holder is asked for a request by its caller before the queue comes. The
-// one with results counts, and it ends once.
-func TestHandOverOfARequestHeldAlready(t *testing.T) {
+// A caller submits a request to the new holder before the queue arrives. The imported one
+// with results replaces it, and it ends once.
+func TestHandoverOfRequestAlreadyHeld(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
-	r.service("b", narrow, "x")
+	r.service("a", smallBatch, "x")
+	r.service("b", smallBatch, "x")
 	r.submit(chain("one", 2, 2))
 	r.run(300 * time.Millisecond)
-	r.handOver(func() {
+	r.handover(func() {
 		r.submit(chain("other", 8))
 		r.submit(chain("one", 2, 2))
 	})
 	r.run(time.Second)
 	require.Len(t, r.completed["one"], 2)
-	require.Equal(t, 1, r.ended["one"])
+	require.Equal(t, 1, r.endCount["one"])
 	r.do(r.planner.Drop(r.now, "one"))
 	r.do(r.planner.Drop(r.now, "other"))
-	require.Len(t, r.freed, r.made)
-	require.Equal(t, []int{2, 2, 8}, piecesOf(r.calls), "what the old holder had goes on")
+	require.Len(t, r.freed, r.produced)
+	require.Equal(t, []int{2, 2, 8}, piecesOf(r.calls), "the calls of the old holder continue")
 }
 
 // piecesOf returns the number of pieces of each call.
@@ -168,47 +169,47 @@
 	return n
 }
 
-// A call that another instance carries out counts as in progress, and as lost by the
-// time-out that its sender gave it.
-func TestHandOverOfACallInProgress(t *testing.T) {
+// A call that another instance carries out counts as in progress, and as unanswered after
+// the timeout that its sender gave it.
+func TestHandoverOfCallInProgress(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("one", 2))
 	timeout := r.calls[0].Timeout
 	r.run(100 * time.Millisecond)
-	r.handOver()
+	r.handover()
 	id := r.running[0].ID
-	require.Equal(t, map[uint64]time.Time{id: r.now.Add(timeout - 100*time.Millisecond)}, r.planner.Expiries(map[uint64]uint64{1: id}))
-	r.do(r.planner.Bound(r.now, r.now.Add(150*time.Millisecond), "one"))
+	require.Equal(t, map[uint64]time.Time{id: r.now.Add(timeout - 100*time.Millisecond)}, r.planner.CallTimeouts(map[uint64]uint64{1: id}))
+	r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(150*time.Millisecond), "one"))
 	require.Empty(t, r.refused, "it ends in 140 ms")
 	r.run(time.Second)
 	require.Len(t, r.completed, 1)
 }
 
-// The new holder knows of a target that the old one didn't. Its first call is full: the
-// queue comes at once and not request by request.
-func TestHandOverToFreeTargets(t *testing.T) {
+// The new holder knows a target that the old one didn't. Its first call is full: requests
+// are imported all at once and not one by one.
+func TestHandoverToFreeTargets(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	for i := range 6 {
 		r.submit(chain(fmt.Sprint(i), 2))
 	}
 	one := r.services["a"]
-	r.services["a"] = listed{narrow, append(one.targets, Target{Incarnation: "a-1", Name: "a-1", Address: "a-1", DataCentre: "x"})}
-	r.handOver()
+	r.services["a"] = listedService{smallBatch, append(one.targets, Target{Incarnation: "a-1", Name: "a-1", Address: "a-1", DataCentre: "x"})}
+	r.handover()
 	require.Equal(t, []int{2, 8}, piecesOf(r.calls))
 }
 
-// Nothing fails, callers come and leave, instances stop and bring deadlines forward,
-// in any order. No piece is made twice, no call finds a target full or without room,
-// each request ends once, and all room is given back.
-func TestAnyOrderOfHandOvers(t *testing.T) {
+// Without failures, callers submit and drop requests, instances stop and shorten deadlines,
+// in any order. No piece runs twice, no call finds its target full or without capacity,
+// each request ends once, and all capacity is freed.
+func TestAnyOrderOfHandovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newRig(t)
 		for _, name := range []string{"a", "b", "c"} {
-			r.service(name, roomy, "x", "y")
+			r.service(name, longTTL, "x", "y")
 		}
-		seen := r.watch(roomy)
+		tally := r.checkCalls(longTTL)
 		submitted := 0
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
@@ -220,69 +221,69 @@
 			case 3:
 				r.do(r.planner.Drop(r.now, fmt.Sprint(rapid.IntRange(0, submitted).Draw(rt, "dropped"))))
 			case 4:
-				r.handOver()
+				r.handover()
 			case 5:
 				left := time.Duration(rapid.IntRange(0, 3000).Draw(rt, "left")) * time.Millisecond
-				r.do(r.planner.Bound(r.now, r.now.Add(left), fmt.Sprint(rapid.IntRange(0, submitted).Draw(rt, "bounded"))))
+				r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(left), fmt.Sprint(rapid.IntRange(0, submitted).Draw(rt, "bounded"))))
 			}
 			r.run(time.Duration(rapid.IntRange(10, 400).Draw(rt, "pause")) * time.Millisecond)
 			checkBacklog(rt, r.planner)
 		}
 		r.run(12 * time.Second)
-		require.Zero(rt, r.planner.Held(), "everything has ended")
-		for piece, n := range seen.sent {
+		require.Zero(rt, r.planner.RequestCount(), "everything has ended")
+		for piece, n := range tally.sent {
 			require.Equal(rt, 1, n, piece)
 		}
-		for id, n := range r.ended {
+		for id, n := range r.endCount {
 			require.Equal(rt, 1, n, id)
 		}
-		require.Len(rt, r.freed, len(seen.at), "all room is given back")
+		require.Len(rt, r.freed, len(tally.producedAt), "all capacity is freed")
 	})
 }
 
-// Results are being given back as the queue changes hands. Counted as free at once,
-// their room would have the next call refused.
-func TestHandOverOfRoomThatIsBeingGivenBack(t *testing.T) {
+// Results are being freed during a handover of the queue. If their capacity counted as free
+// at once, the next call would be refused.
+func TestHandoverOfCapacityBeingFreed(t *testing.T) {
 	r := newRig(t)
-	r.service("a", roomy, "x")
+	r.service("a", longTTL, "x")
 	r.submit(chain("one", 3))
 	r.run(300 * time.Millisecond)
-	require.Len(t, r.planner.Drop(r.now, "one"), 1, "its maker isn't told yet")
-	r.handOver()
+	require.Len(t, r.planner.Drop(r.now, "one"), 1, "its target has not been notified yet")
+	r.handover()
 	target := r.planner.services["a"].targets["a-0"]
-	require.EqualValues(t, 3000, target.heldBytes)
-	r.run(freeingFor + 10*time.Millisecond)
-	require.Zero(t, target.heldBytes)
+	require.EqualValues(t, 3000, target.usedBytes)
+	r.run(freeReservationTime + 10*time.Millisecond)
+	require.Zero(t, target.usedBytes)
 }
 
-// The new holder hears of a target's restart by the queue that it takes over, before
-// its own list tells. Once that does, what it had at the process before is made again.
-func TestHandOverTellsOfARestartBeforeTheList(t *testing.T) {
-	r := madeByFirst(t)
+// The new holder learns of a target's restart from the queue that it imports before its own
+// list has it. Once the list does, the results at the old process are produced again.
+func TestHandoverReportsRestartBeforeTargetList(t *testing.T) {
+	r := producedByFirst(t)
 	other := New(Config{})
-	other.SetService("a", narrow)
-	other.SetTargets(r.now, "a", named("a", "a-0@200"))
+	other.SetService("a", smallBatch)
+	other.SetTargets(r.now, "a", targetsNamed("a", "a-0@200"))
 	r.starts["a-0"] = 200
 	actions, _ := r.planner.Import(r.now, other.Export(r.now))
 	r.do(actions)
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Equal(t, "a-0@200", r.calls[1].Target.Incarnation)
 }
 
-// A process that is gone is still in a call as the queue changes hands. Its reply, read
-// after that, names results that nobody holds.
-func TestHandOverOfACallOfAProcessThatIsGone(t *testing.T) {
+// A call to a replaced process is still in progress at the handover of the queue. Its
+// reply, read later, names results that no longer exist.
+func TestHandoverOfCallToReplacedTarget(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("one", 2))
 	r.run(100 * time.Millisecond)
 	r.starts["a-0"] = 1
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	require.Len(t, r.calls, 2, "sent again at once")
-	r.handOver()
+	r.handover()
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 2)
 	require.NotContains(t, r.freed, "a-0/1")
--- a/coordination/gather/planner.go
+++ b/coordination/gather/planner.go
@@ -5,114 +5,113 @@
 	"time"
 )
 
-// Config holds the bounds of a Planner. Zero values take the defaults.
+// Config holds the limits of a Planner. Zero values select the defaults.
 type Config struct {
-	// Patience is how long pieces wait for a target beside their inputs before
-	// they go to one of another data centre.
-	Patience time.Duration
-	// MaxRequests bounds the requests that are held.
+	// LocalityWait is how long pieces wait for a target near their inputs before they go to
+	// one in another data centre.
+	LocalityWait time.Duration
+	// MaxRequests bounds the requests that the planner holds.
 	MaxRequests int
 }
 
 // Defaults of Config.
 const (
-	// DefaultPatience is about the time until the next target of a data centre
-	// comes free.
-	DefaultPatience = 500 * time.Millisecond
-	// DefaultMaxRequests is several seconds of the load of a fleet of a thousand
-	// instances.
+	// DefaultLocalityWait is about the time until the next target of a data centre is free.
+	DefaultLocalityWait = 500 * time.Millisecond
+	// DefaultMaxRequests is several seconds of the load of a fleet of a thousand instances.
 	DefaultMaxRequests = 1 << 14
 )
 
 // maxResends bounds the calls that carry pieces of one stage again.
 const maxResends = 4
 
-// keepMargin is taken off the time that results are kept: a result must still be
-// there when its reader's call has its turn.
-const keepMargin = 300 * time.Millisecond
+// resultExpiryMargin is subtracted from the time that results are kept: a result must still
+// exist when its reader's call has its turn.
+const resultExpiryMargin = 300 * time.Millisecond
 
-// Planner holds the requests of a group of targets.
+// Planner holds the requests that use a group of targets and batches their pieces into
+// calls.
 type Planner struct {
 	config   Config
 	services map[string]*service
-	works    map[string]*work
+	requests map[string]*heldRequest
 	calls    map[uint64]*call
 	nextCall uint64
-	// freeing are the results whose makers are being told, by handle.
-	freeing map[string]freeing
-	shares  shares
-	// shortAt is when a result last found no room at any target.
-	shortAt time.Time
-	out     []Action
-	// importing tells that calls wait until all imported requests do.
+	// freeing has the results whose targets are being asked to free them, by handle.
+	freeing     map[string]pendingFree
+	attainments attainments
+	// capacityShortAt is when a result last didn't fit at any target.
+	capacityShortAt time.Time
+	actions         []Action
+	// importing suppresses calls until all imported requests are queued.
 	importing bool
 }
 
-// freeing is a result whose room is about to be given back.
-type freeing struct {
+// pendingFree is a result whose capacity is about to be freed.
+type pendingFree struct {
 	target *target
 	bytes  int64
 }
 
 // call is a call in progress.
 type call struct {
-	id       uint64
-	target   *target
-	pieces   []pieceRef
-	bytes    int64
-	started  time.Time
-	expected time.Duration
-	// overdue is when the pieces are made elsewhere as well; handedOn tells that
-	// they are.
-	overdue  time.Time
-	handedOn bool
-	// expires is when it counts as lost.
-	expires time.Time
-	// readBy is when it has read its inputs, released tells that they were given
-	// back since.
-	readBy   time.Time
-	released bool
+	id               uint64
+	target           *target
+	pieces           []pieceRef
+	bytes            int64
+	startedAt        time.Time
+	expectedDuration time.Duration
+	// overdueAt is when the pieces are queued for another target as well; hedged is true
+	// once they are.
+	overdueAt time.Time
+	hedged    bool
+	// timeoutAt is when the call counts as unanswered.
+	timeoutAt time.Time
+	// inputsReadAt is when the call has read its inputs; inputsFreed is true once they have
+	// been freed since.
+	inputsReadAt time.Time
+	inputsFreed  bool
 }
 
 type pieceRef struct {
-	stage *stageWork
+	stage *heldStage
 	index int
 }
 
 // New returns a planner without services.
 func New(c Config) *Planner {
-	if c.Patience <= 0 {
-		c.Patience = DefaultPatience
+	if c.LocalityWait <= 0 {
+		c.LocalityWait = DefaultLocalityWait
 	}
 	if c.MaxRequests <= 0 {
 		c.MaxRequests = DefaultMaxRequests
 	}
 	return &Planner{
-		config:   c,
-		services: map[string]*service{},
-		works:    map[string]*work{},
-		calls:    map[uint64]*call{},
-		freeing:  map[string]freeing{},
-		shares:   newShares(),
+		config:      c,
+		services:    map[string]*service{},
+		requests:    map[string]*heldRequest{},
+		calls:       map[uint64]*call{},
+		freeing:     map[string]pendingFree{},
+		attainments: newAttainments(),
 	}
 }
 
-// SetService takes the shape of a service's targets.
-func (p *Planner) SetService(name string, shape Shape) {
-	p.service(name).shape = shape
+// SetService sets the configuration of a service.
+func (p *Planner) SetService(name string, config ServiceConfig) {
+	p.service(name).config = config
 }
 
 func (p *Planner) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
-		s = &service{name: name, targets: map[string]*target{}, times: newCallTimes(), backlog: newBacklog(), rates: map[float64]*rate{}}
+		s = &service{name: name, targets: map[string]*target{}, times: newCallTimes(), backlog: newBacklog(), arrivalRates: map[float64]*rate{}}
 		p.services[name] = s
 	}
 	return s
 }
 
-// SetTargets takes the targets of a service that may get calls. Calls in
-// progress at one that is left out go on.
+// SetTargets sets the targets of a service that may get calls. Calls in progress at a
+// target that is missing from the list continue.
 func (p *Planner) SetTargets(now time.Time, name string, list []Target) []Action {
 	s := p.service(name)
 	kept := make(map[string]bool, len(list))
@@ -120,83 +119,85 @@
 	for _, t := range list {
 		kept[t.Incarnation] = true
 		if known := s.targets[t.Incarnation]; known != nil {
-			if known.leaving {
-				// It may be here only since a queue that was taken over told of it.
+			if known.unlisted {
+				// The target may be known only from an imported queue, with its restart
+				// still to be handled.
 				added = append(added, t)
 			}
-			known.leaving = false
+			known.unlisted = false
 			continue
 		}
-		s.targets[t.Incarnation] = &target{Target: t, service: s, slow: 1}
+		s.targets[t.Incarnation] = &target{Target: t, service: s, slowness: 1}
 		added = append(added, t)
 	}
 	for id, t := range s.targets {
 		if !kept[id] {
-			t.leaving = true
+			t.unlisted = true
 			if t.calls == 0 {
 				delete(s.targets, id)
 			}
 		}
 	}
-	p.restarted(now, added)
+	p.handleRestarts(now, added)
 	p.dispatch(now, s)
 	return p.flush()
 }
 
-// Held returns the number of requests that wait or have results here.
-func (p *Planner) Held() int { return len(p.works) }
+// RequestCount returns the number of requests that wait or have results here.
+func (p *Planner) RequestCount() int { return len(p.requests) }
 
-// Calls returns the number of calls in progress.
-func (p *Planner) Calls() int { return len(p.calls) }
+// CallCount returns the number of calls in progress.
+func (p *Planner) CallCount() int { return len(p.calls) }
 
-// Submit takes a request in, or refuses it at once.
+// Submit admits a request or refuses it at once.
 func (p *Planner) Submit(now time.Time, r Request) []Action {
-	if old := p.works[r.ID]; old != nil {
+	if old := p.requests[r.ID]; old != nil {
 		p.drop(old)
 	}
-	if len(p.works) >= p.config.MaxRequests || len(r.Stages) > maxStages {
-		p.out = append(p.out, Refused{Request: r.ID, Reason: ReasonBound, RetryAfter: minRetryAfter})
+	if len(p.requests) >= p.config.MaxRequests || len(r.Stages) > maxStages {
+		p.actions = append(p.actions, Refused{Request: r.ID, Reason: ReasonTooManyRequests, RetryAfter: minRetryAfter})
 		return p.flush()
 	}
-	w := p.newWork(r)
-	w.admitted = now
-	w.lateAt = w.Objective.Add(-p.least(w))
-	w.lifted = p.shares.behind(now, &w.Request)
-	p.shares.asked(now, &w.Request)
-	if refusal := p.admit(now, w); refusal != nil {
-		p.out = append(p.out, *refusal)
+	req := p.newHeldRequest(r)
+	req.admittedAt = now
+	req.latestStart = req.Objective.Add(-p.minRemaining(req))
+	req.boosted = p.attainments.underserved(now, &req.Request)
+	p.attainments.countSubmitted(now, &req.Request)
+	if refusal := p.admit(now, req); refusal != nil {
+		p.actions = append(p.actions, *refusal)
 		return p.flush()
 	}
-	p.works[r.ID] = w
-	for _, st := range w.stages {
+	p.requests[r.ID] = req
+	for _, st := range req.stages {
 		if st.Pieces > 0 {
-			st.service.came(now, w.ownRank(), st.Pieces)
+			st.service.countArrival(now, req.baseRank(), st.Pieces)
 		}
 	}
-	p.advance(now, w)
+	p.advance(now, req)
 	return p.flush()
 }
 
-// HasOther tells whether the planner holds another request under the id of this one. One
-// that is asked for again, on its way with the queue or for a second attempt, is the same.
-func (p *Planner) HasOther(r Request) bool {
-	w := p.works[r.ID]
-	return w != nil && !(w.Route == r.Route && w.Key == r.Key && slices.Equal(w.Request.pieces(), r.pieces()))
+// IDInUse reports whether the planner holds a different request with the same id. A request
+// that is submitted again, during a handover of the queue or for a second attempt, is the
+// same.
+func (p *Planner) IDInUse(r Request) bool {
+	req := p.requests[r.ID]
+	return req != nil && !(req.Route == r.Route && req.Key == r.Key && slices.Equal(req.Request.pieces(), r.pieces()))
 }
 
-// Drop forgets a request: its caller left, or its results have been read. What
-// it still holds is freed.
+// Drop removes a request whose caller left or whose results have been read, and frees the
+// results it still holds.
 func (p *Planner) Drop(_ time.Time, id string) []Action {
-	if w := p.works[id]; w != nil {
-		p.drop(w)
+	if req := p.requests[id]; req != nil {
+		p.drop(req)
 	}
 	return p.flush()
 }
 
-func (p *Planner) drop(w *work) {
-	delete(p.works, w.ID)
-	w.uncount()
-	for _, s := range w.stages {
+func (p *Planner) drop(req *heldRequest) {
+	delete(p.requests, req.ID)
+	req.leaveBacklog()
+	for _, s := range req.stages {
 		p.dequeue(s)
 		for _, r := range s.results {
 			p.free(r)
@@ -204,47 +205,47 @@
 	}
 }
 
-// Tick does what is due: results that were kept too long, requests that can't
-// be done in time, and targets that are tried again.
+// Tick drops expired results, refuses requests that can't meet their deadlines, hedges
+// overdue calls and retries targets.
 func (p *Planner) Tick(now time.Time) []Action {
-	for _, w := range p.works {
-		p.expireResults(now, w)
-		if !w.completed {
-			p.recount(now, w)
-			p.giveUpLate(now, w)
-		} else if now.After(w.Deadline) {
-			// The instance that asked is gone, or its word was lost.
-			p.drop(w)
+	for _, req := range p.requests {
+		p.expireResults(now, req)
+		if !req.completed {
+			p.updateBacklog(now, req)
+			p.enforceDeadline(now, req)
+		} else if now.After(req.Deadline) {
+			// The requester failed, or its report was lost.
+			p.drop(req)
 		}
 	}
-	p.handOn(now)
-	p.releaseRead(now)
+	p.hedgeOverdueCalls(now)
+	p.freeReadInputs(now)
 	for _, s := range p.services {
 		for _, t := range s.targets {
-			t.expireLost(now)
+			t.expireReservations(now)
 		}
 		p.dispatch(now, s)
 	}
 	return p.flush()
 }
 
-// expireResults drops results that their makers no longer keep, and has those
-// made again that are still needed.
-func (p *Planner) expireResults(now time.Time, w *work) {
-	if p.dropResults(w, func(r *result) bool { return !now.Before(r.expires) }) {
-		p.advance(now, w)
+// expireResults drops results that their targets no longer keep and produces again those
+// that are still needed.
+func (p *Planner) expireResults(now time.Time, req *heldRequest) {
+	if p.dropResults(req, func(r *result) bool { return !now.Before(r.expiresAt) }) {
+		p.advance(now, req)
 	}
 }
 
-// unmake has a piece made again whose result is gone. Stages that read it wait
-// until it is there: a piece with only some of its inputs would be answered with
-// another request's work, or with none.
-func (p *Planner) unmake(s *stageWork, index int) {
+// rerunPiece queues a piece again whose result is missing. Stages that read the result wait
+// until it exists: a piece with only some of its inputs would be answered with another
+// request's work, or with none.
+func (p *Planner) rerunPiece(s *heldStage, index int) {
 	s.results[index] = nil
-	s.made--
-	s.todo = append(s.todo, index)
+	s.produced--
+	s.pending = append(s.pending, index)
 	s.readySince = time.Time{}
-	for _, reader := range s.work.stages {
+	for _, reader := range s.request.stages {
 		if slices.Contains(reader.After, s.index) {
 			p.dequeue(reader)
 			reader.readySince = time.Time{}
@@ -252,82 +253,80 @@
 	}
 }
 
-// needed tells whether the results are still to be read: by the request's own
-// target, or by pieces that wait. Pieces in a call have read them; should that call
-// fail, its target's next answer tells that they are gone.
-func (p *Planner) needed(s *stageWork) bool {
+// needed reports whether the results will still be read by the request's own target or by
+// pending pieces. Pieces in a call have read them; if that call fails, the answer to the
+// next one reports them missing.
+func (p *Planner) needed(s *heldStage) bool {
 	if s.final() {
 		return true
 	}
-	for _, other := range s.work.stages {
-		if slices.Contains(other.After, s.index) && (len(other.todo) > 0 || other.needsLater()) {
+	for _, other := range s.request.stages {
+		if slices.Contains(other.After, s.index) && (len(other.pending) > 0 || other.waitsForInputs()) {
 			return true
 		}
 	}
 	return false
 }
 
-// needsLater tells whether the stage waits for other inputs than those that are
-// there.
-func (s *stageWork) needsLater() bool { return !s.done() && !s.inputsReady() }
-
-// giveUpLate refuses a request as soon as what is left takes longer than there
-// is time. One that is late and has nothing to lose yet is refused as soon as the
-// work before it leaves no time: its caller hears so while it can still do
-// something else.
-func (p *Planner) giveUpLate(now time.Time, w *work) {
-	if least := p.least(w); now.Add(least).After(w.Deadline) {
-		p.giveUp(w, Refused{
-			Reason: ReasonDeadline, RetryAfter: minRetryAfter,
-			Needed: least, Left: w.Deadline.Sub(now),
+// waitsForInputs reports whether the stage needs inputs that don't exist yet.
+func (s *heldStage) waitsForInputs() bool { return !s.done() && !s.inputsReady() }
+
+// enforceDeadline refuses a request as soon as the rest of it takes longer than the time to
+// its deadline. A request that will miss its objective and hasn't started is refused as
+// soon as the work ahead of it leaves no time, while its caller can still react.
+func (p *Planner) enforceDeadline(now time.Time, req *heldRequest) {
+	if remaining := p.minRemaining(req); now.Add(remaining).After(req.Deadline) {
+		p.refuse(req, Refused{
+			Reason: ReasonDeadlineTooNear, RetryAfter: minRetryAfter,
+			Needed: remaining, TimeToDeadline: req.Deadline.Sub(now),
 		})
 		return
 	}
-	if w.begun || !now.After(w.lateAt) {
+	if req.started || !now.After(req.latestStart) {
 		return
 	}
-	if refusal := p.admit(now, w); refusal != nil {
-		p.giveUp(w, *refusal)
+	if refusal := p.admit(now, req); refusal != nil {
+		p.refuse(req, *refusal)
 	}
 }
 
-// giveUp drops a request that was taken in, and refuses it.
-func (p *Planner) giveUp(w *work, refusal Refused) {
-	p.drop(w)
-	if w.bounded {
-		refusal = refusal.stopping()
+// refuse drops an admitted request and refuses it.
+func (p *Planner) refuse(req *heldRequest, refusal Refused) {
+	p.drop(req)
+	if req.deadlineShortened {
+		refusal = refusal.asStopping()
 	}
-	refusal.Request = w.ID
-	p.out = append(p.out, refusal)
+	refusal.Request = req.ID
+	p.actions = append(p.actions, refusal)
 }
 
-// advance queues the stages of a request that are due, and completes it when all
-// are done.
-func (p *Planner) advance(now time.Time, w *work) {
-	if w.completed {
+// advance queues the stages of a request that can run, and completes the request once all
+// its final stages are done.
+func (p *Planner) advance(now time.Time, req *heldRequest) {
+	if req.completed {
 		return
 	}
-	w.lateAt = w.Objective.Add(-p.least(w))
-	defer p.recount(now, w)
-	if w.allDone() {
-		w.completed = true
-		if !now.Add(w.Rest).After(w.Objective) {
-			p.shares.done(now, &w.Request)
+	req.latestStart = req.Objective.Add(-p.minRemaining(req))
+	defer p.updateBacklog(now, req)
+	if req.allDone() {
+		req.completed = true
+		if !now.Add(req.Remaining).After(req.Objective) {
+			p.attainments.countTimely(now, &req.Request)
 		}
-		for _, s := range w.stages {
-			// A piece that is made again may not be needed any more.
-			s.todo = nil
+		for _, s := range req.stages {
+			// A piece that was queued again may no longer be needed.
+			s.pending = nil
 			p.dequeue(s)
 		}
-		p.out = append(p.out, Completed{
-			Request: w.ID, Handles: w.handles(), Times: w.times(), Route: w.Route, Bytes: w.finalBytes(),
-			Taken: now.Sub(w.admitted), Predicted: w.predicted, Left: w.Objective.Sub(w.admitted),
+		p.actions = append(p.actions, Completed{
+			Request: req.ID, Handles: req.handles(), Times: req.stageTimes(), Route: req.Route, Bytes: req.finalBytes(),
+			Elapsed: now.Sub(req.admittedAt), Predicted: req.predicted, TimeToObjective: req.Objective.Sub(req.admittedAt),
 		})
 		return
 	}
-	p.restoreInputs(w)
-	for _, s := range w.stages {
-		if len(s.todo) == 0 || !s.due() {
+	p.rerunMissingInputs(req)
+	for _, s := range req.stages {
+		if len(s.pending) == 0 || !s.runnable() {
 			continue
 		}
 		if s.readySince.IsZero() {
@@ -338,41 +337,40 @@
 	}
 }
 
-// restoreInputs has the inputs made again of stages that have pieces to send and
-// whose inputs were given back, or have expired: a piece that is to be made once
-// more was to be made for the last time when they were. Sent without them it would
-// cost a call, whose answer says that they are gone.
-func (p *Planner) restoreInputs(w *work) {
-	for i := len(w.stages) - 1; i >= 0; i-- {
-		s := w.stages[i]
-		if len(s.todo) == 0 || !s.inputsReady() {
+// rerunMissingInputs produces the inputs again that stages with pending pieces need and
+// that were freed or have expired. Inputs are freed when the piece is expected to run for the
+// last time; run again without them, it would waste a call that only reports them missing.
+func (p *Planner) rerunMissingInputs(req *heldRequest) {
+	for i := len(req.stages) - 1; i >= 0; i-- {
+		s := req.stages[i]
+		if len(s.pending) == 0 || !s.inputsReady() {
 			continue
 		}
-		for _, before := range s.After {
-			for n, r := range w.stages[before].results {
+		for _, input := range s.After {
+			for n, r := range req.stages[input].results {
 				if r.freed {
-					p.unmake(w.stages[before], n)
+					p.rerunPiece(req.stages[input], n)
 				}
 			}
 		}
 	}
 }
 
-func (p *Planner) enqueue(s *stageWork) {
+func (p *Planner) enqueue(s *heldStage) {
 	sv := s.service
 	if !slices.Contains(sv.queue, s) {
 		sv.queue = append(sv.queue, s)
 	}
 }
 
-func (p *Planner) dequeue(s *stageWork) {
+func (p *Planner) dequeue(s *heldStage) {
 	sv := s.service
 	if i := slices.Index(sv.queue, s); i >= 0 {
 		sv.queue = slices.Delete(sv.queue, i, i+1)
 	}
 }
 
-// free gives a result's room back.
+// free frees a result.
 func (p *Planner) free(r *result) {
 	if r == nil || r.freed {
 		return
@@ -381,29 +379,28 @@
 	p.freeHandle(r.target, r.handle, r.bytes)
 }
 
-// freeHandle joins the handles of one target into one action. The room counts as
-// taken until the target has been told.
-func (p *Planner) freeHandle(held *target, handle string, bytes int64) {
-	t := held.Target
-	p.freeing[handle] = freeing{held, bytes}
-	for i, a := range p.out {
+// freeHandle combines the handles of one target into one action. The capacity counts as
+// occupied until the target has been notified.
+func (p *Planner) freeHandle(producer *target, handle string, bytes int64) {
+	t := producer.Target
+	p.freeing[handle] = pendingFree{producer, bytes}
+	for i, a := range p.actions {
 		if f, ok := a.(FreeResults); ok && f.Target == t {
 			f.Handles = append(f.Handles, handle)
-			p.out[i] = f
+			p.actions[i] = f
 			return
 		}
 	}
-	p.out = append(p.out, FreeResults{Target: t, Handles: []string{handle}})
+	p.actions = append(p.actions, FreeResults{Target: t, Handles: []string{handle}})
 }
 
-// FreeDone tells that a target gave the room of results back, or that it couldn't
-// be told.
+// FreeDone reports that a target freed results, or that it couldn't be notified.
 func (p *Planner) FreeDone(now time.Time, handles []string) []Action {
 	touched := map[*service]bool{}
 	for _, handle := range handles {
 		if f, ok := p.freeing[handle]; ok {
 			delete(p.freeing, handle)
-			f.target.heldBytes -= f.bytes
+			f.target.usedBytes -= f.bytes
 			touched[f.target.service] = true
 		}
 	}
@@ -414,7 +411,7 @@
 }
 
 func (p *Planner) flush() []Action {
-	out := p.out
-	p.out = nil
-	return out
+	actions := p.actions
+	p.actions = nil
+	return actions
 }
--- a/coordination/gather/planner_test.go
+++ b/coordination/gather/planner_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rig plays targets against a planner in virtual time.
+// rig simulates targets against a planner in virtual time.
 type rig struct {
 	t         *testing.T
 	planner   *Planner
@@ -18,23 +18,23 @@
 	completed map[string][]string
 	refused   map[string]Refused
 	freed     []string
-	// took overrides how long a call takes.
-	took func(StartCall) time.Duration
-	// end overrides how a call ends.
-	end func(StartCall) (CallOutcome, []PieceResult)
-	// calls are all calls, in order.
-	calls []StartCall
-	made  int
-	// starts counts the starts of targets under their names.
+	// callDuration overrides how long a call takes.
+	callDuration func(StartCall) time.Duration
+	// callEnd overrides how a call ends.
+	callEnd func(StartCall) (CallOutcome, []PieceResult)
+	// calls has all calls in order.
+	calls    []StartCall
+	produced int
+	// starts counts the starts of targets by name.
 	starts map[string]int
-	// services are those added so far, for a planner that takes over.
-	services map[string]listed
-	// ended counts how often each request ended.
-	ended map[string]int
+	// services has those added so far, for a planner that imports the queue.
+	services map[string]listedService
+	// endCount counts how often each request ended.
+	endCount map[string]int
 }
 
-type listed struct {
-	shape   Shape
+type listedService struct {
+	config  ServiceConfig
 	targets []Target
 }
 
@@ -47,21 +47,22 @@
 	return &rig{
 		t: t, planner: New(Config{}), now: time.Unix(1000, 0),
 		completed: map[string][]string{}, refused: map[string]Refused{}, starts: map[string]int{},
-		services: map[string]listed{}, ended: map[string]int{},
+		services: map[string]listedService{}, endCount: map[string]int{},
 	}
 }
 
-var narrow = Shape{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, KeepFor: 4 * time.Second}
+// smallBatch is a configuration with calls of up to eight pieces.
+var smallBatch = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultTTL: 4 * time.Second}
 
 // service adds a service with targets in the given data centres.
-func (r *rig) service(name string, shape Shape, dataCentres ...string) {
-	r.planner.SetService(name, shape)
+func (r *rig) service(name string, config ServiceConfig, dataCentres ...string) {
+	r.planner.SetService(name, config)
 	var list []Target
 	for i, dc := range dataCentres {
 		id := fmt.Sprintf("%s-%d", name, i)
 		list = append(list, Target{Incarnation: r.incarnation(id), Name: id, Address: id, DataCentre: dc})
 	}
-	r.services[name] = listed{shape, list}
+	r.services[name] = listedService{config, list}
 	r.do(r.planner.SetTargets(r.now, name, list))
 }
 
@@ -80,21 +81,21 @@
 			for _, piece := range a.Pieces {
 				r.requireHeld(piece.Inputs)
 				for _, input := range piece.Inputs {
-					require.NotContains(r.t, r.freed, input, "a call reads a result that was given back")
+					require.NotContains(r.t, r.freed, input, "a call reads a freed result")
 				}
 			}
 			took := 200*time.Millisecond + time.Duration(len(a.Pieces))*20*time.Millisecond
-			if r.took != nil {
-				took = r.took(a)
+			if r.callDuration != nil {
+				took = r.callDuration(a)
 			}
 			r.running = append(r.running, runningCall{a, r.now.Add(min(took, a.Timeout))})
 		case Completed:
 			r.requireHeld(a.Handles)
 			r.completed[a.Request] = a.Handles
-			r.ended[a.Request]++
+			r.endCount[a.Request]++
 		case Refused:
 			r.refused[a.Request] = a
-			r.ended[a.Request]++
+			r.endCount[a.Request]++
 		case FreeResults:
 			r.freed = append(r.freed, a.Handles...)
 			r.do(r.planner.FreeDone(r.now, a.Handles))
@@ -102,7 +103,7 @@
 	}
 }
 
-// run plays for a while.
+// run advances the virtual time by d.
 func (r *rig) run(d time.Duration) {
 	until := r.now.Add(d)
 	for r.now.Before(until) {
@@ -121,16 +122,16 @@
 }
 
 func (r *rig) finish(c StartCall) {
-	if r.end != nil {
-		if outcome, results := r.end(c); outcome != CallAnswered || results != nil {
+	if r.callEnd != nil {
+		if outcome, results := r.callEnd(c); outcome != CallAnswered || results != nil {
 			r.do(r.planner.CallDone(r.now, c.ID, outcome, results))
 			return
 		}
 	}
 	results := make([]PieceResult, len(c.Pieces))
 	for i := range c.Pieces {
-		r.made++
-		results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.made)
+		r.produced++
+		results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.produced)
 	}
 	r.do(r.planner.CallDone(r.now, c.ID, CallAnswered, results))
 }
@@ -148,12 +149,12 @@
 	return q
 }
 
-// Requests run through their stages in order, each piece reads all results
-// before it and only those, and the last stage's results are handed out.
+// Requests run through their stages in order, each piece reads all results of the stage
+// before it and only those, and the last stage's results are returned.
 func TestStagesRunInOrder(t *testing.T) {
 	r := newRig(t)
 	for _, name := range []string{"a", "b", "c"} {
-		r.service(name, narrow, "x", "x")
+		r.service(name, smallBatch, "x", "x")
 	}
 	r.submit(chain("one", 1, 3, 2))
 	r.run(2 * time.Second)
@@ -166,17 +167,17 @@
 			require.Equal(t, p.Stage == 0, p.Key != "")
 		}
 	}
-	require.Len(t, r.freed, 4, "results that were read are given back")
+	require.Len(t, r.freed, 4, "results that were read are freed")
 	r.do(r.planner.Drop(r.now, "one"))
 	require.Len(t, r.freed, 6)
-	require.Zero(t, r.planner.Held())
+	require.Zero(t, r.planner.RequestCount())
 }
 
-// Many requests come at once. Sent one by one they would take a call each; pieces
-// that wait together leave in full calls.
+// Many requests arrive at once. Sent one by one they would take a call each; pieces that
+// wait together are sent in full calls.
 func TestCallsAreFilled(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	for i := range 34 {
 		r.submit(chain(fmt.Sprint(i), 1))
 	}
@@ -185,17 +186,16 @@
 	require.LessOrEqual(t, len(r.calls), 2+32/8+1)
 }
 
-// A stage target falls silent for its results: while the second stage of a request
-// waits for a place, the first stage's results expire. The second stage must wait
-// until they are made again; sent with what was left, it would read nothing, and
-// the instance that holds the queue would crash.
+// The first stage's results expire while the second stage waits for a free target. The
+// second stage must wait until they are produced again; sent with the remaining ones, it
+// would read nothing, and the instance that holds the queue would crash.
 func TestResultsExpireWhileTheirReaderWaits(t *testing.T) {
 	r := newRig(t)
-	short := narrow
-	short.KeepFor = 600 * time.Millisecond
+	short := smallBatch
+	short.ResultTTL = 600 * time.Millisecond
 	r.service("a", short, "x")
-	r.service("b", narrow, "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("b", smallBatch, "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 1 {
 			return 700 * time.Millisecond
 		}
@@ -215,16 +215,16 @@
 	}
 }
 
-// A target falls silent in the middle of a call, and the results that the call read
-// expire meanwhile. Handed on, its pieces would be sent without inputs, and the
-// instance that holds the queue would crash.
+// A target stops answering during a call, and the results that the call read expire
+// meanwhile. Hedged, its pieces would be sent without inputs, and the instance that holds
+// the queue would crash.
 func TestResultsExpireDuringAnOverdueCall(t *testing.T) {
 	r := newRig(t)
-	short := narrow
-	short.KeepFor = 700 * time.Millisecond
+	short := smallBatch
+	short.ResultTTL = 700 * time.Millisecond
 	r.service("a", short, "x")
-	r.service("b", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("b", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		if c.Pieces[0].Stage == 1 && c.Target.Incarnation == "b-0" {
 			return 3 * time.Second
 		}
@@ -240,19 +240,19 @@
 	require.Len(t, r.completed, 6)
 }
 
-// The answer to one call says that an input is gone, for every piece that read it.
-// The input is made again once, and the pieces after it.
-func TestInputGone(t *testing.T) {
+// The answer to one call reports a missing input for every piece that read it. The input is
+// produced again once, and then the pieces that read it.
+func TestMissingInputIsProducedAgain(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
-	r.service("b", narrow, "x")
-	gone := true
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
-		if c.Pieces[0].Stage == 0 || !gone {
+	r.service("a", smallBatch, "x")
+	r.service("b", smallBatch, "x")
+	missing := true
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
+		if c.Pieces[0].Stage == 0 || !missing {
 			return CallAnswered, nil
 		}
-		gone = false
-		return CallAnswered, []PieceResult{{Failure: PieceInputGone}, {Failure: PieceInputGone}}
+		missing = false
+		return CallAnswered, []PieceResult{{Failure: PieceInputMissing}, {Failure: PieceInputMissing}}
 	}
 	r.submit(chain("one", 1, 2))
 	r.run(3 * time.Second)
@@ -260,19 +260,19 @@
 	require.Len(t, r.calls, 4)
 }
 
-// A target refuses, another is gone, a third loses its answer: the pieces go to
-// the target that is left, and the request doesn't fail.
-func TestFailedCallsGoElsewhere(t *testing.T) {
+// One target refuses the call, one is replaced by another process, one doesn't answer: the
+// pieces go to the remaining target, and the request doesn't fail.
+func TestFailedCallsAreRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x", "x", "x")
-	r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+	r.service("a", smallBatch, "x", "x", "x", "x")
+	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		switch c.Target.Incarnation {
 		case "a-0":
-			return CallFull, nil
+			return CallTargetFull, nil
 		case "a-1":
 			return CallWrongTarget, nil
 		case "a-2":
-			return CallLost, nil
+			return CallUnanswered, nil
 		}
 		return CallAnswered, nil
 	}
@@ -282,11 +282,11 @@
 	require.Empty(t, r.refused)
 }
 
-// A request that can't be done in time is refused at once and says when it could,
-// before it costs a stage.
-func TestRefusedAtOnce(t *testing.T) {
+// A request that can't meet its deadline is refused at once with a retry delay, before any
+// stage runs.
+func TestUnattainableRequestIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	for i := range 80 {
 		q := chain(fmt.Sprint(i), 4)
 		q.Objective, q.Deadline = r.now.Add(time.Second), r.now.Add(3*time.Second)
@@ -294,39 +294,39 @@
 	}
 	require.NotEmpty(t, r.refused)
 	for _, refused := range r.refused {
-		require.Equal(t, ReasonQueue, refused.Reason)
+		require.Equal(t, ReasonQueueTooLong, refused.Reason)
 		require.GreaterOrEqual(t, refused.RetryAfter, minRetryAfter)
 	}
 	refused := len(r.refused)
 	r.run(5 * time.Second)
-	require.Len(t, r.refused, refused, "what was taken in was done in time")
+	require.Len(t, r.refused, refused, "admitted requests are done in time")
 	require.Equal(t, 80, len(r.completed)+refused)
 }
 
-// A caller waits for less than the objective. What it takes fits the objective but
-// not the caller's wait: refused at once, not after a stage.
+// A request's deadline is before its objective. Its stages would meet the objective but not
+// the deadline: it must be refused at once, not after a stage.
 func TestDeadlineBeforeTheObjective(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	q := chain("one", 1)
 	q.Objective, q.Deadline = r.now.Add(2*time.Second), r.now.Add(100*time.Millisecond)
 	r.submit(q)
-	require.Equal(t, ReasonQueue, r.refused["one"].Reason)
+	require.Equal(t, ReasonQueueTooLong, r.refused["one"].Reason)
 	require.Empty(t, r.calls)
 }
 
-// A service has no target: a request that needs it is told so at once.
+// A request that needs a service without targets is refused at once.
 func TestNoTarget(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow)
+	r.service("a", smallBatch)
 	r.submit(chain("one", 1))
 	require.Equal(t, ReasonNoTarget, r.refused["one"].Reason)
 }
 
-// The more urgent go first when all wait.
+// Of the waiting requests, the more urgent go first.
 func TestUrgentFirst(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("first", 8))
 	for _, name := range []string{"low", "high"} {
 		q := chain(name, 8)
@@ -338,12 +338,12 @@
 	require.Equal(t, "low", r.calls[2].Pieces[0].Request)
 }
 
-// A target has room for two results of the size. A third piece sent there would be
-// refused and cost a call.
-func TestRoomIsKept(t *testing.T) {
+// A target has capacity for two results of the size. A third piece sent there would be
+// refused and waste a call.
+func TestResultCapacityIsRespected(t *testing.T) {
 	r := newRig(t)
-	tight := narrow
-	tight.ResultBytes = 2500
+	tight := smallBatch
+	tight.ResultCapacity = 2500
 	r.service("a", tight, "x")
 	for i := range 3 {
 		r.submit(chain(fmt.Sprint(i), 1))
@@ -357,10 +357,10 @@
 	require.Len(t, r.completed, 3)
 }
 
-// A caller leaves while its pieces run: what they bring is given back.
+// A caller leaves while its pieces run: their results are freed.
 func TestDroppedDuringACall(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x")
+	r.service("a", smallBatch, "x")
 	r.submit(chain("one", 2))
 	r.do(r.planner.Drop(r.now, "one"))
 	r.run(time.Second)
@@ -368,13 +368,13 @@
 	require.Empty(t, r.completed)
 }
 
-// One of two targets works five times as long. Waiting for the other is faster, so
-// the slow one gets only a call now and then, which tells when it is well again.
+// One of two targets takes five times as long. Waiting for the other is faster, so the slow
+// one gets only an occasional call, which shows when it has recovered.
 func TestSlowTargetIsPassedOver(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	slow := true
-	r.took = func(c StartCall) time.Duration {
+	r.callDuration = func(c StartCall) time.Duration {
 		if slow && c.Target.Incarnation == "a-0" {
 			return 1300 * time.Millisecond
 		}
--- a/coordination/gather/property_test.go
+++ b/coordination/gather/property_test.go
@@ -9,31 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-// Targets are slow, full, silent or gone, or start again under their names, results
-// expire, callers leave, lists of targets change, the queue changes hands, all in any
-// order. Whatever happens, a piece is sent with all its inputs or none, and none that
-// lay at a process which is gone, each request ends once, and nothing is held for ever.
+// Targets are slow, full, silent, unreachable or restart under their names, results expire,
+// callers leave, target lists change and the queue is handed over, in any order. A piece is
+// always sent with all its inputs or none, and none from a replaced process; each request
+// ends once, and nothing is held forever.
 func TestAnyOrderOfFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newRig(t)
-		shape := narrow
-		shape.KeepFor = time.Duration(rapid.IntRange(300, 3000).Draw(rt, "keep")) * time.Millisecond
-		shape.ResultBytes = int64(rapid.IntRange(5, 40).Draw(rt, "room")) * 1000
+		config := smallBatch
+		config.ResultTTL = time.Duration(rapid.IntRange(300, 3000).Draw(rt, "keep")) * time.Millisecond
+		config.ResultCapacity = int64(rapid.IntRange(5, 40).Draw(rt, "room")) * 1000
 		services := []string{"a", "b", "c"}
 		for _, name := range services {
-			r.service(name, shape, "x", "y", "x")
+			r.service(name, config, "x", "y", "x")
 		}
-		r.took = func(StartCall) time.Duration {
+		r.callDuration = func(StartCall) time.Duration {
 			return time.Duration(rapid.IntRange(50, 3000).Draw(rt, "took")) * time.Millisecond
 		}
-		r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+		r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 			switch rapid.IntRange(0, 9).Draw(rt, "end") {
 			case 0:
-				return CallFull, nil
+				return CallTargetFull, nil
 			case 1:
 				return CallWrongTarget, nil
 			case 2:
-				return CallLost, nil
+				return CallUnanswered, nil
 			case 3:
 				results := make([]PieceResult, len(c.Pieces))
 				for i := range results {
@@ -57,25 +57,25 @@
 			case 4:
 				name := rapid.SampledFrom(services).Draw(rt, "restarted")
 				r.starts[fmt.Sprintf("%s-%d", name, rapid.IntRange(0, 3).Draw(rt, "target"))]++
-				r.service(name, shape, "x", "y", "x", "y")
+				r.service(name, config, "x", "y", "x", "y")
 			case 3:
 				name := rapid.SampledFrom(services).Draw(rt, "relisted")
-				r.service(name, shape, []string{"x", "y", "x", "y"}[:rapid.IntRange(0, 4).Draw(rt, "targets")]...)
+				r.service(name, config, []string{"x", "y", "x", "y"}[:rapid.IntRange(0, 4).Draw(rt, "targets")]...)
 			case 5:
-				r.handOver()
+				r.handover()
 			}
 			r.run(time.Duration(rapid.IntRange(10, 400).Draw(rt, "pause")) * time.Millisecond)
 			checkBacklog(rt, r.planner)
 		}
 		r.run(12 * time.Second)
 		for _, c := range r.calls {
-			require.LessOrEqual(rt, len(c.Pieces), shape.MaxPieces)
+			require.LessOrEqual(rt, len(c.Pieces), config.MaxPieces)
 		}
-		require.Zero(rt, r.planner.Held(), "everything has ended")
+		require.Zero(rt, r.planner.RequestCount(), "everything has ended")
 		for id := range r.completed {
 			require.NotContains(rt, r.refused, id)
 		}
-		for id, n := range r.ended {
+		for id, n := range r.endCount {
 			require.Equal(rt, 1, n, id)
 		}
 	})
--- a/coordination/gather/restart.go
+++ b/coordination/gather/restart.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// restarted takes in targets that are new. Where one started again under its name,
-// whatever its earlier incarnations held is gone, and they answer nothing any more.
+// handleRestarts handles new targets. If one replaces an earlier process of its name, the
+// results at earlier incarnations are lost and their calls get no answers any more.
 //
-// Without it the results would count as there until they expire, four seconds later.
-// Each stage that reads one of them costs a call whose pieces come back unmade, and a
-// call in progress behind a silent link holds its pieces until its time-out: requests
-// would end late that have the time for another try.
-func (p *Planner) restarted(now time.Time, added []Target) {
+// Otherwise the results would count as present until they expire four seconds later: each
+// stage that reads one of them would spend a call whose pieces come back without results,
+// and a call in progress behind a silent link would keep its pieces until its timeout.
+// Requests with enough time for another attempt would then miss their deadlines.
+func (p *Planner) handleRestarts(now time.Time, added []Target) {
 	latest := map[string]string{}
 	for _, t := range added {
 		if t.Name != "" {
@@ -23,41 +23,42 @@
 		incarnation, known := latest[t.Name]
 		return known && incarnation != t.Incarnation
 	}
-	var short []*work
-	for _, w := range p.works {
-		if p.dropResults(w, func(r *result) bool { return earlier(r.target) }) {
-			short = append(short, w)
+	var incomplete []*heldRequest
+	for _, req := range p.requests {
+		if p.dropResults(req, func(r *result) bool { return earlier(r.target) }) {
+			incomplete = append(incomplete, req)
 		}
 	}
-	// Only now: a stage sent before all of this is known would read what is gone.
-	for _, w := range short {
-		p.advance(now, w)
+	// Advance only after all lost results are dropped: a stage that is sent earlier could
+	// read results that are lost too.
+	for _, req := range incomplete {
+		p.advance(now, req)
 	}
 	for _, c := range p.calls {
 		if earlier(c.target) {
-			c.target.ended = true
-			p.handOnCall(now, c)
+			c.target.replaced = true
+			p.hedgeCall(now, c)
 		}
 	}
 }
 
-// dropResults drops results that are gone at their makers, and has those made again
-// that are still needed. It tells whether there are any; the request is to be advanced
-// then.
-func (p *Planner) dropResults(w *work, gone func(*result) bool) bool {
-	unmade := false
-	for _, s := range w.stages {
+// dropResults drops results that are missing at their targets and queues the pieces again
+// whose results are still needed. It reports whether there are any; the caller then
+// advances the request.
+func (p *Planner) dropResults(req *heldRequest, missing func(*result) bool) bool {
+	rerun := false
+	for _, s := range req.stages {
 		for i, r := range s.results {
-			if r == nil || r.freed || !gone(r) {
+			if r == nil || r.freed || !missing(r) {
 				continue
 			}
-			r.target.heldBytes -= r.bytes
+			r.target.usedBytes -= r.bytes
 			r.freed = true
-			if !w.completed && p.needed(s) {
-				p.unmake(s, i)
-				unmade = true
+			if !req.completed && p.needed(s) {
+				p.rerunPiece(s, i)
+				rerun = true
 			}
 		}
 	}
-	return unmade
+	return rerun
 }
--- a/coordination/gather/restart_test.go
+++ b/coordination/gather/restart_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// incarnation is a target's latest one.
+// incarnation returns the latest incarnation of a target.
 func (r *rig) incarnation(name string) string {
 	if r.starts[name] == 0 {
 		return name
@@ -18,17 +18,17 @@
 	return fmt.Sprintf("%s@%d", name, r.starts[name])
 }
 
-// requireHeld requires that results lie at the latest incarnations of their makers.
+// requireHeld requires that results are at the latest incarnations of their targets.
 func (r *rig) requireHeld(handles []string) {
 	for _, handle := range handles {
-		maker, _, _ := strings.Cut(handle, "/")
-		name, _, _ := strings.Cut(maker, "@")
-		require.Equal(r.t, r.incarnation(name), maker, "a result of a process that is gone")
+		producer, _, _ := strings.Cut(handle, "/")
+		name, _, _ := strings.Cut(producer, "@")
+		require.Equal(r.t, r.incarnation(name), producer, "a result of a replaced process")
 	}
 }
 
-// named lists targets of a service by name and incarnation.
-func named(service string, incarnations ...string) []Target {
+// targetsNamed lists targets of a service, named by index, with the given incarnations.
+func targetsNamed(service string, incarnations ...string) []Target {
 	var list []Target
 	for i, incarnation := range incarnations {
 		name := service + "-" + string(rune('0'+i))
@@ -37,15 +37,15 @@
 	return list
 }
 
-// madeByFirst has a request of two stages whose first results are made by a-0@100, and
-// whose second stage waits since its target went.
-func madeByFirst(t *testing.T) *rig {
+// producedByFirst returns a rig with a request of two stages. Its first results were
+// produced by a-0@100, and its second stage waits because its target was removed.
+func producedByFirst(t *testing.T) *rig {
 	r := newRig(t)
 	r.starts["a-0"], r.starts["b-0"] = 100, 100
-	r.planner.SetService("a", narrow)
-	r.planner.SetService("b", narrow)
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.planner.SetService("a", smallBatch)
+	r.planner.SetService("b", smallBatch)
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	q := chain("one", 2, 3)
 	q.Objective, q.Deadline = r.now.Add(20*time.Second), r.now.Add(30*time.Second)
 	r.submit(q)
@@ -56,15 +56,15 @@
 	return r
 }
 
-// A target makes results, crashes and starts again under its name and address, all
-// while the stage that reads them waits for its turn. The results are gone: they are
-// made again before the stage is sent, at the target that has its room free again, and
-// no call reads or frees one of the process before.
-func TestResultsOfTheProcessBeforeAreMadeAgain(t *testing.T) {
-	r := madeByFirst(t)
+// A target produces results, crashes and restarts under its name and address while the
+// stage that reads them waits. The lost results must be produced again before the stage is
+// sent, at the target whose capacity is free again, and no call may read or free a result
+// of the old process.
+func TestResultsOfReplacedTargetAreProducedAgain(t *testing.T) {
+	r := producedByFirst(t)
 	r.starts["a-0"] = 200
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Len(t, r.calls, 3)
@@ -72,45 +72,45 @@
 	require.Equal(t, []string{"a-0@200/3", "a-0@200/4"}, r.calls[2].Pieces[0].Inputs)
 	require.NotContains(t, r.freed, "a-0@100/1")
 	for _, held := range r.planner.services["a"].targets {
-		require.Zero(t, held.heldBytes, "what the process before held takes no room")
+		require.Zero(t, held.usedBytes, "results of the old process occupy no capacity")
 	}
 }
 
-// The same, where the entry was removed first, so that the old incarnation is known no
-// more when the new one comes.
-func TestResultsAreMadeAgainAfterARemoval(t *testing.T) {
-	r := madeByFirst(t)
+// The same as above, but the entry is removed first, so that the old incarnation is no
+// longer known when the new one appears.
+func TestResultsAreProducedAgainAfterRemoval(t *testing.T) {
+	r := producedByFirst(t)
 	r.starts["a-0"] = 200
 	r.do(r.planner.SetTargets(r.now, "a", nil))
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Equal(t, []string{"a-0@200/3", "a-0@200/4"}, r.calls[2].Pieces[0].Inputs)
 }
 
-// An outage of the store lets entries lapse, and the same incarnation is back: what it
-// holds is still there.
-func TestResultsOutliveALapse(t *testing.T) {
-	r := madeByFirst(t)
+// An outage of the store lets entries lapse, and the same incarnation returns: its results
+// still exist.
+func TestResultsOutliveLapsedEntry(t *testing.T) {
+	r := producedByFirst(t)
 	r.do(r.planner.SetTargets(r.now, "a", nil))
-	r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-	r.do(r.planner.SetTargets(r.now, "b", named("b", "b-0@100")))
+	r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+	r.do(r.planner.SetTargets(r.now, "b", targetsNamed("b", "b-0@100")))
 	r.run(2 * time.Second)
 	require.Len(t, r.completed["one"], 3)
 	require.Len(t, r.calls, 2)
 }
 
-// A target crashes behind a cut link with a call in its hands and starts again under
-// its name. The call is silent until its time-out, seconds later. Its pieces are made
-// elsewhere as soon as the restart is known, and an answer of the old process that is
-// read after that names nothing that anybody holds.
-func TestCallsOfTheProcessBeforeAreLost(t *testing.T) {
+// A target crashes behind a broken link during a call and restarts under its name. The call
+// gets no answer until its timeout, seconds later. Its pieces must be sent again as soon as
+// the restart is known, and an answer of the old process that is read later must be
+// ignored.
+func TestCallsToReplacedTargetAreHedged(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		r := newRig(t)
-		r.planner.SetService("a", narrow)
-		r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@100")))
-		r.took = func(c StartCall) time.Duration {
+		r.planner.SetService("a", smallBatch)
+		r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@100")))
+		r.callDuration = func(c StartCall) time.Duration {
 			switch {
 			case c.Target.Incarnation != "a-0@100":
 				return 250 * time.Millisecond
@@ -119,16 +119,16 @@
 			}
 			return time.Hour
 		}
-		r.end = func(c StartCall) (CallOutcome, []PieceResult) {
+		r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 			if c.Target.Incarnation == "a-0@100" && !answers {
-				return CallLost, nil
+				return CallUnanswered, nil
 			}
 			return CallAnswered, nil
 		}
 		r.submit(chain("one", 2))
 		r.run(100 * time.Millisecond)
 		r.starts["a-0"] = 200
-		r.do(r.planner.SetTargets(r.now, "a", named("a", "a-0@200")))
+		r.do(r.planner.SetTargets(r.now, "a", targetsNamed("a", "a-0@200")))
 		require.Len(t, r.calls, 2, "sent again at once")
 		r.run(400 * time.Millisecond)
 		require.Empty(t, r.refused)
@@ -141,13 +141,13 @@
 	}
 }
 
-// One service makes two stages of each request, and its two targets start again while
-// the second stages wait for them. What one of the requests needs made again gives the
-// targets their first calls: the other request's second stage must not be sent with it,
-// on results that are gone too.
-func TestRestartsAreKnownOfAllRequestsAtOnce(t *testing.T) {
+// One service runs two stages of each request, and its two targets restart while the second
+// stages wait for them. The first request's lost results take up both targets' first calls:
+// the other request's second stage must not be sent with them, since its inputs are lost
+// too.
+func TestRestartsApplyToAllRequestsAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	for _, id := range []string{"one", "two"} {
 		q := chain(id, 2, 2)
 		q.Stages[1].Service = "a"
@@ -158,7 +158,7 @@
 	r.do(r.planner.SetTargets(r.now, "a", nil))
 	r.run(600 * time.Millisecond)
 	r.starts["a-0"], r.starts["a-1"] = 1, 1
-	r.service("a", narrow, "x", "x")
+	r.service("a", smallBatch, "x", "x")
 	r.run(3 * time.Second)
 	require.Empty(t, r.refused)
 	require.Len(t, r.completed, 2)
--- a/coordination/gather/results.go
+++ b/coordination/gather/results.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// handOn has the pieces of overdue calls made elsewhere as well. The call goes on:
-// whichever result comes first is used and the other is given back. It guards
-// against a target that turned slow or silent in the middle of a call, whose
-// requests would wait for its time-out.
-func (p *Planner) handOn(now time.Time) {
+// hedgeOverdueCalls queues the pieces of overdue calls for other targets as well. The
+// overdue call continues; the first result is used and the other is freed.
+//
+// Otherwise the requests of a target that turns slow or silent during a call would wait for
+// the call's timeout.
+func (p *Planner) hedgeOverdueCalls(now time.Time) {
 	for _, c := range p.calls {
-		if c.handedOn || now.Before(c.overdue) {
+		if c.hedged || now.Before(c.overdueAt) {
 			continue
 		}
-		c.target.slow = max(c.target.slow, float64(now.Sub(c.started))/float64(c.expected))
-		p.handOnCall(now, c)
+		c.target.slowness = max(c.target.slowness, float64(now.Sub(c.startedAt))/float64(c.expectedDuration))
+		p.hedgeCall(now, c)
 	}
 }
 
-// handOnCall has those pieces of a call made elsewhere that are still wanted. They are
-// sent together: a call for each would take as many targets.
-func (p *Planner) handOnCall(now time.Time, c *call) {
-	if c.handedOn {
+// hedgeCall queues the pieces of a call again that are still needed. Their requests advance
+// only after all pieces are queued, since separate calls would take up as many targets.
+func (p *Planner) hedgeCall(now time.Time, c *call) {
+	if c.hedged {
 		return
 	}
-	c.handedOn = true
-	wanted := map[*work]bool{}
+	c.hedged = true
+	wanted := map[*heldRequest]bool{}
 	for _, ref := range c.pieces {
 		st := ref.stage
-		if p.works[st.work.ID] != st.work || st.work.completed || st.results[ref.index] != nil || slices.Contains(st.todo, ref.index) {
+		if p.requests[st.request.ID] != st.request || st.request.completed || st.results[ref.index] != nil || slices.Contains(st.pending, ref.index) {
 			continue
 		}
-		st.todo = append(st.todo, ref.index)
-		wanted[st.work] = true
+		st.pending = append(st.pending, ref.index)
+		wanted[st.request] = true
 	}
-	for w := range wanted {
-		p.advance(now, w)
+	for req := range wanted {
+		p.advance(now, req)
 	}
 }
 
-// CallDone takes in the end of a call. Results is in the order of the pieces;
-// it is only read for CallAnswered.
+// CallDone handles the end of a call. Results are in the order of the pieces and are only
+// read for CallAnswered.
 func (p *Planner) CallDone(now time.Time, id uint64, outcome CallOutcome, results []PieceResult) []Action {
 	c := p.calls[id]
 	if c == nil {
@@ -49,146 +50,145 @@
 	}
 	delete(p.calls, id)
 	t := c.target
-	if t.ended {
-		outcome = CallLost
+	if t.replaced {
+		outcome = CallUnanswered
 	}
 	t.calls--
-	t.heldBytes -= c.bytes
-	if outcome == CallCrashed {
-		outcome = CallLost
-		p.noteCrash(c)
+	t.usedBytes -= c.bytes
+	if outcome == CallTargetCrashed {
+		outcome = CallUnanswered
+		p.countCrash(c)
 	}
 	p.learn(now, c, outcome)
-	p.releaseRead(now)
-	touched := map[*work]bool{}
+	p.freeReadInputs(now)
+	touched := map[*heldRequest]bool{}
 	for i, ref := range c.pieces {
 		r := PieceResult{Failure: PieceFailed}
 		if outcome == CallAnswered && i < len(results) {
 			r = results[i]
 		}
 		p.pieceDone(now, c, ref, outcome, r)
-		touched[ref.stage.work] = true
+		touched[ref.stage.request] = true
 	}
-	if t.leaving && t.calls == 0 {
+	if t.unlisted && t.calls == 0 {
 		delete(t.service.targets, t.Incarnation)
 	}
-	for w := range touched {
-		if p.works[w.ID] == w {
-			p.advance(now, w)
+	for req := range touched {
+		if p.requests[req.ID] == req {
+			p.advance(now, req)
 		}
 	}
 	p.dispatch(now, t.service)
 	return p.flush()
 }
 
-// learn takes what a call tells of its target and of the pieces' times.
+// learn updates the state of the target and the learned times from the end of a call.
 func (p *Planner) learn(now time.Time, c *call, outcome CallOutcome) {
 	t := c.target
-	t.strikes++
+	t.unsuccessfulCalls++
 	switch outcome {
-	case CallFull:
+	case CallTargetFull:
 		t.downUntil = now.Add(fullPause)
 		return
 	case CallWrongTarget:
-		t.leaving = true
+		t.unlisted = true
 		return
-	case CallLost:
-		t.callLost(now, c.bytes)
+	case CallUnanswered:
+		t.callUnanswered(now, c.bytes)
 		return
 	}
-	t.failures, t.strikes, t.answered = 0, 0, true
+	t.unansweredCalls, t.unsuccessfulCalls, t.answered = 0, 0, true
 	t.downUntil = time.Time{}
-	taken := now.Sub(c.started)
-	ratio := float64(taken) / float64(max(c.expected, time.Millisecond))
-	t.slow += sampleShare * (ratio - t.slow)
-	if ratio < slowFactor && t.slow < slowFactor {
-		c.learnTimes(taken)
+	elapsed := now.Sub(c.startedAt)
+	ratio := float64(elapsed) / float64(max(c.expectedDuration, time.Millisecond))
+	t.slowness += slownessWeight * (ratio - t.slowness)
+	if ratio < slowThreshold && t.slowness < slowThreshold {
+		c.learnTimes(elapsed)
 	}
-	if ratio < slowFactor {
-		t.slow = min(t.slow, slowFactor)
+	if ratio < slowThreshold {
+		t.slowness = min(t.slowness, slowThreshold)
 	}
 }
 
-// pieceDone takes in the end of one piece.
+// pieceDone handles the end of one piece.
 func (p *Planner) pieceDone(now time.Time, c *call, ref pieceRef, outcome CallOutcome, r PieceResult) {
 	st := ref.stage
 	st.inCall--
-	st.ended = now
-	w := st.work
-	if p.works[w.ID] != w || w.completed || st.results[ref.index] != nil {
+	st.endedAt = now
+	req := st.request
+	if p.requests[req.ID] != req || req.completed || st.results[ref.index] != nil {
 		if r.Handle != "" {
-			c.target.heldBytes += st.ResultBytes
+			c.target.usedBytes += st.ResultBytes
 			p.freeHandle(c.target, r.Handle, st.ResultBytes)
 		}
 		return
 	}
 	if r.Handle != "" {
-		keep := c.target.service.shape.KeepFor
+		keep := c.target.service.config.ResultTTL
 		st.results[ref.index] = &result{
 			handle: r.Handle, target: c.target, bytes: st.ResultBytes,
-			expires: now.Add(keep - min(keepMargin, keep/2)),
+			expiresAt: now.Add(keep - min(resultExpiryMargin, keep/2)),
 		}
-		c.target.heldBytes += st.ResultBytes
-		st.made++
-		if i := slices.Index(st.todo, ref.index); i >= 0 {
-			st.todo = slices.Delete(st.todo, i, i+1)
-			if len(st.todo) == 0 {
+		c.target.usedBytes += st.ResultBytes
+		st.produced++
+		if i := slices.Index(st.pending, ref.index); i >= 0 {
+			st.pending = slices.Delete(st.pending, i, i+1)
+			if len(st.pending) == 0 {
 				p.dequeue(st)
 			}
 		}
 		if st.done() {
-			p.freeRead(st)
+			p.freeUnneededInputs(st)
 		}
 		return
 	}
-	p.again(now, c, ref, outcome, r.Failure)
+	p.retryPiece(now, c, ref, outcome, r.Failure)
 }
 
-// freeRead gives back the results that no stage reads any more, now that st is
-// done.
-func (p *Planner) freeRead(st *stageWork) {
+// freeUnneededInputs frees the results that no stage reads any more now that st is done.
+func (p *Planner) freeUnneededInputs(st *heldStage) {
 	for _, i := range st.After {
-		read := st.work.stages[i]
-		if p.needed(read) {
+		input := st.request.stages[i]
+		if p.needed(input) {
 			continue
 		}
-		for _, r := range read.results {
+		for _, r := range input.results {
 			p.free(r)
 		}
 	}
 }
 
-// again has a piece sent once more, or gives its request up.
-func (p *Planner) again(now time.Time, c *call, ref pieceRef, outcome CallOutcome, failure PieceFailure) {
+// retryPiece queues a failed piece again, or refuses its request.
+func (p *Planner) retryPiece(now time.Time, c *call, ref pieceRef, outcome CallOutcome, failure PieceFailure) {
 	st := ref.stage
-	w := st.work
-	if c.handedOn && outcome != CallAnswered || slices.Contains(st.todo, ref.index) {
-		return // it is on its way again already
+	req := st.request
+	if c.hedged && outcome != CallAnswered || slices.Contains(st.pending, ref.index) {
+		return // it is queued or in a call again already
 	}
-	if outcome == CallAnswered && failure == PieceLate {
-		p.giveUp(w, Refused{Reason: ReasonDeadline, RetryAfter: minRetryAfter, Left: w.Deadline.Sub(now)})
+	if outcome == CallAnswered && failure == PieceDeadlineExceeded {
+		p.refuse(req, Refused{Reason: ReasonDeadlineTooNear, RetryAfter: minRetryAfter, TimeToDeadline: req.Deadline.Sub(now)})
 		return
 	}
-	if ref.index == c.firstOf(st) {
+	if ref.index == c.firstPieceOf(st) {
 		st.resends++
 	}
 	if st.resends > maxResends {
-		p.giveUp(w, Refused{Reason: ReasonRetries, RetryAfter: time.Second})
+		p.refuse(req, Refused{Reason: ReasonStageFailed, RetryAfter: time.Second})
 		return
 	}
-	if failure == PieceInputGone {
-		p.remake(st)
+	if failure == PieceInputMissing {
+		p.rerunInputs(st)
 	}
-	if failure == PieceNoRoom && outcome == CallAnswered {
-		c.target.occupied(now, st.ResultBytes)
+	if failure == PieceNoCapacity && outcome == CallAnswered {
+		c.target.reserveForUnknown(now, st.ResultBytes)
 	}
-	st.todo = append(st.todo, ref.index)
-	slices.Sort(st.todo)
+	st.pending = append(st.pending, ref.index)
+	slices.Sort(st.pending)
 }
 
-// firstOf is the first piece of a stage in the call, so that a stage counts a
+// firstPieceOf returns the first piece of a stage in the call, so that a stage counts a
 // failed call once.
-func (c *call) firstOf(st *stageWork) int {
+func (c *call) firstPieceOf(st *heldStage) int {
 	for _, ref := range c.pieces {
 		if ref.stage == st {
 			return ref.index
@@ -197,17 +197,17 @@
 	return -1
 }
 
-// remake has the inputs of a stage made again: one of them is gone, and the
-// answer doesn't tell which.
-func (p *Planner) remake(st *stageWork) {
+// rerunInputs produces the inputs of a stage again: one of them is missing, and the answer
+// doesn't say which.
+func (p *Planner) rerunInputs(st *heldStage) {
 	for _, i := range st.After {
-		before := st.work.stages[i]
-		for n, r := range before.results {
+		input := st.request.stages[i]
+		for n, r := range input.results {
 			if r == nil {
 				continue
 			}
 			p.free(r)
-			p.unmake(before, n)
+			p.rerunPiece(input, n)
 		}
 	}
 }
--- a/coordination/gather/state.go
+++ b/coordination/gather/state.go
@@ -5,122 +5,122 @@
 	"time"
 )
 
-// State is what a planner holds, for the planner of another instance to go on with.
-// It travels between instances; one that knows other fields than the sender refuses
-// it, and each goes on with its own. All times are what is left of them, negative for
-// the past, since clocks differ.
+// State is the exported state of a planner, which the planner of another instance
+// continues. It is sent between instances; an instance that knows other fields than the
+// sender rejects it, and each continues with its own queue. All times are relative to the
+// export, negative for the past, since clocks differ.
 type State struct {
-	Works   []HeldWork
-	Calls   []HeldCall
-	Targets []HeldTarget
-	Times   []HeldTimes
+	Requests []RequestState
+	Calls    []CallState
+	Targets  []TargetState
+	Times    []LearnedTimes
 }
 
-// unset stands for a time that isn't set.
+// unset represents a zero time.
 const unset = time.Duration(math.MinInt64)
 
-// left is what is left of a time.
-func left(now, t time.Time) time.Duration {
+// relativeTo returns the time from now until t.
+func relativeTo(now, t time.Time) time.Duration {
 	if t.IsZero() {
 		return unset
 	}
 	return t.Sub(now)
 }
 
-// until is the time of which so much is left.
-func until(now time.Time, d time.Duration) time.Time {
+// absoluteFrom is the inverse of relativeTo.
+func absoluteFrom(now time.Time, d time.Duration) time.Time {
 	if d == unset {
 		return time.Time{}
 	}
 	return now.Add(d)
 }
 
-// HeldWork is an admitted request with what is made of it.
-type HeldWork struct {
+// RequestState is an admitted request with its progress.
+type RequestState struct {
 	ID, Route, Key         string
 	Priority, KindPriority int
 	Stages                 []Stage
 	Objective, Deadline    time.Duration
-	Rest                   time.Duration
+	Remaining              time.Duration
 	DataCentre             string
 
-	Admitted time.Duration
-	// Begun, Lifted, Bounded and Completed are as in work.
-	Begun, Lifted, Bounded, Completed bool
+	AdmittedAt time.Duration
+	// Started, Boosted, DeadlineShortened and Completed are as in heldRequest.
+	Started, Boosted, DeadlineShortened, Completed bool
 	// Progress has an entry for each stage.
-	Progress []HeldStage
+	Progress []StageState
 }
 
-// HeldStage is how far a stage is. What is neither in Todo nor in Results is in a
-// call.
-type HeldStage struct {
-	Todo                            []int
-	Results                         []HeldResult
-	Resends                         int
-	ReadySince, ReadBy, Sent, Ended time.Duration
+// StageState is the progress of a stage. Pieces that are neither in Pending nor in Results
+// are in a call.
+type StageState struct {
+	Pending                                   []int
+	Results                                   []ResultState
+	Resends                                   int
+	ReadySince, InputsReadAt, SentAt, EndedAt time.Duration
 }
 
-// HeldResult is a result at its maker.
-type HeldResult struct {
+// ResultState is a result at the target that produced it.
+type ResultState struct {
 	Index  int
 	Handle string
-	// Target is the maker's index in State.Targets.
-	Target  int
-	Expires time.Duration
-	Freed   bool
+	// Target is the target's index in State.Targets.
+	Target    int
+	ExpiresAt time.Duration
+	Freed     bool
 }
 
-// HeldCall is a call in progress. Who sent it passes its end on.
-type HeldCall struct {
-	// ID is the call's number at the planner that sent it.
+// CallState is a call in progress. The instance that sent it forwards its end.
+type CallState struct {
+	// ID is the call's id at the planner that sent it.
 	ID uint64
 	// Target is an index in State.Targets.
 	Target int
-	Pieces []HeldPiece
+	Pieces []PieceState
 	Bytes  int64
-	// Started, Overdue, ReadBy and Expires are as in call.
-	Started, Overdue, ReadBy, Expires time.Duration
-	Expected                          time.Duration
-	HandedOn, Released                bool
+	// StartedAt, OverdueAt, InputsReadAt and TimeoutAt are as in call.
+	StartedAt, OverdueAt, InputsReadAt, TimeoutAt time.Duration
+	ExpectedDuration                              time.Duration
+	Hedged, InputsFreed                           bool
 }
 
-// HeldPiece is a piece in a call. One of a request that is no longer held takes room
-// of the given size until the call ends.
-type HeldPiece struct {
+// PieceState is a piece in a call. If its request is no longer held, it occupies Bytes of
+// capacity until the call ends.
+type PieceState struct {
 	Request      string
 	Stage, Index int
 	Bytes        int64
 }
 
-// HeldTarget is what is known of a target.
-type HeldTarget struct {
+// TargetState is what is known of a target.
+type TargetState struct {
 	Service                                string
 	Incarnation, Name, Address, DataCentre string
-	// Ended tells that the process is gone, since another took its name.
-	Ended             bool
-	Slow              float64
-	Answered          bool
-	DownUntil         time.Duration
-	Failures, Strikes int
-	// Occupied is room that is taken by what nobody can free.
-	Occupied []HeldRoom
+	// Replaced is true if another process has taken over the target's name.
+	Replaced                           bool
+	Slowness                           float64
+	Answered                           bool
+	DownUntil                          time.Duration
+	UnansweredCalls, UnsuccessfulCalls int
+	// Reserved is capacity that is occupied by results nobody can free.
+	Reserved []ReservedCapacity
 }
 
-// HeldRoom is room that is taken for a time.
-type HeldRoom struct {
+// ReservedCapacity is capacity that is reserved for a limited time.
+type ReservedCapacity struct {
 	Bytes int64
 	Until time.Duration
 }
 
-// HeldTimes are the learned times of a service, as multiples of the configured ones.
-type HeldTimes struct {
-	Service string
-	Fixed   float64
-	Pieces  []HeldPieceTime
+// LearnedTimes are the learned times of a service, as multiples of the configured ones.
+type LearnedTimes struct {
+	Service    string
+	CallFactor float64
+	Pieces     []LearnedPieceTime
 }
 
-// HeldPieceTime is the learned time of the pieces of one stage of a route.
-type HeldPieceTime struct {
+// LearnedPieceTime is the learned time of the pieces of one stage of a route.
+type LearnedPieceTime struct {
 	Route  string
 	Stage  int
 	Factor float64
--- a/coordination/gather/times.go
+++ b/coordination/gather/times.go
@@ -2,64 +2,63 @@
 
 import "time"
 
-// The times that calls take are learned from their ends, by normalised least mean
-// squares (B. Widrow and M. Hoff, "Adaptive Switching Circuits", IRE WESCON 1960):
-// the error of a call is put down to its fixed time and to the pieces of each kind
-// in proportion to what each is expected to add. Put down to the pieces alone, the
-// few milliseconds that the way to a target costs made the pieces of small calls
-// count three times what they take; the next burst was then refused as too long
-// while targets were idle.
+// The durations of calls are learned from their ends by normalised least mean squares (B.
+// Widrow and M. Hoff, "Adaptive Switching Circuits", IRE WESCON 1960): the error of a call
+// is attributed to its fixed time and to the pieces of each kind in proportion to what each
+// is expected to add. Attributed to the pieces alone, the few milliseconds of latency to a
+// target made the pieces of small calls count three times their actual time; the next burst
+// was then refused as too long while targets were idle.
 const (
-	// learnRate is the part of a call's error that is learned at once. Some ten
-	// calls, two seconds of one target, take most of it in.
-	learnRate = 0.2
-	// Bounds of what is learned, as multiples of the configured times: one call
-	// that met a pause must not stop the service's admission.
-	leastFixed, mostFixed = 0.5, 2.0
-	leastPiece, mostPiece = 0.1, 4.0
+	// learningRate is the fraction of a call's error that is learned at once. Some ten
+	// calls, two seconds of one target, absorb most of it.
+	learningRate = 0.2
+	// Bounds of the learned factors, as multiples of the configured times: one call that
+	// coincided with a pause must not stop the service's admission.
+	minCallFactor, maxCallFactor   = 0.5, 2.0
+	minPieceFactor, maxPieceFactor = 0.1, 4.0
 )
 
-// callTimes is how long calls to a service take, as multiples of what is
-// configured.
+// callTimes holds the learned times of calls to a service, as multiples of the configured
+// ones.
 type callTimes struct {
-	fixed  float64
-	pieces map[pieceKind]*float64
+	callFactor   float64
+	pieceFactors map[pieceKind]*float64
 }
 
-// pieceKind is a stage of a kind of request: its pieces take alike time.
+// pieceKind is a stage of a kind of request, whose pieces take about the same time.
 type pieceKind struct {
 	route string
 	stage int
 }
 
 func newCallTimes() callTimes {
-	return callTimes{fixed: 1, pieces: map[pieceKind]*float64{}}
+	return callTimes{callFactor: 1, pieceFactors: map[pieceKind]*float64{}}
 }
 
-// piece is the multiple for pieces of a kind. It is shared: what is learned of later
-// calls shows in it.
-func (t *callTimes) piece(k pieceKind) *float64 {
-	factor := t.pieces[k]
+// pieceFactor returns the factor for pieces of a kind. The pointer is shared and reflects
+// what is learned from later calls.
+func (t *callTimes) pieceFactor(k pieceKind) *float64 {
+	factor := t.pieceFactors[k]
 	if factor == nil {
-		if len(t.pieces) >= maxKinds {
-			clear(t.pieces)
+		if len(t.pieceFactors) >= maxKinds {
+			clear(t.pieceFactors)
 		}
-		usual := 1.0
-		factor = &usual
-		t.pieces[k] = factor
+		initial := 1.0
+		factor = &initial
+		t.pieceFactors[k] = factor
 	}
 	return factor
 }
 
-// learnTimes takes in how long the call took.
-func (c *call) learnTimes(taken time.Duration) {
+// learnTimes updates the learned times with the duration of the call.
+func (c *call) learnTimes(elapsed time.Duration) {
 	s := c.target.service
-	fixed := s.shape.CallTime.Seconds()
+	fixed := s.config.CallTime.Seconds()
 	added := map[*float64]float64{}
 	for _, ref := range c.pieces {
-		added[ref.stage.factor] += s.shape.PieceTime.Seconds()
+		added[ref.stage.timeFactor] += s.config.PieceTime.Seconds()
 	}
-	expected, norm := s.times.fixed*fixed, fixed*fixed
+	expected, norm := s.times.callFactor*fixed, fixed*fixed
 	for factor, seconds := range added {
 		expected += *factor * seconds
 		norm += seconds * seconds
@@ -67,24 +66,25 @@
 	if norm == 0 {
 		return
 	}
-	step := learnRate * (taken.Seconds() - expected) / norm
-	s.times.fixed = min(max(s.times.fixed+step*fixed, leastFixed), mostFixed)
+	step := learningRate * (elapsed.Seconds() - expected) / norm
+	s.times.callFactor = min(max(s.times.callFactor+step*fixed, minCallFactor), maxCallFactor)
 	for factor, seconds := range added {
-		*factor = min(max(*factor+step*seconds, leastPiece), mostPiece)
+		*factor = min(max(*factor+step*seconds, minPieceFactor), maxPieceFactor)
 	}
 }
 
-// callTime is what a call takes whatever it holds.
+// callTime returns the learned fixed time of a call.
 func (s *service) callTime() time.Duration {
-	return time.Duration(s.times.fixed * float64(s.shape.CallTime))
+	return time.Duration(s.times.callFactor * float64(s.config.CallTime))
 }
 
-// pieceTime is what one piece of a stage adds to a call.
-func (s *stageWork) pieceTime() time.Duration {
-	return time.Duration(*s.factor * float64(s.service.shape.PieceTime))
+// pieceTime returns what one piece of the stage adds to a call.
+func (s *heldStage) pieceTime() time.Duration {
+	return time.Duration(*s.timeFactor * float64(s.service.config.PieceTime))
 }
 
-// expected is how long a call of pieces takes at a target of usual speed.
+// expected returns the duration of a call at a target of usual speed, given what its pieces
+// add.
 func (s *service) expected(pieceTime time.Duration) time.Duration {
 	return s.callTime() + pieceTime
 }
--- a/coordination/gather/times_test.go
+++ b/coordination/gather/times_test.go
@@ -8,14 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// On a calm afternoon calls hold one piece, and the way to the targets adds twenty
-// milliseconds to each. Then a burst fills the calls. If the twenty milliseconds
-// were taken for the piece's, each piece would count twice what it takes, and
-// requests would be refused that there is time for.
+// Calls hold one piece each, and latency adds twenty milliseconds to each. Then a burst
+// fills the calls. If the latency were attributed to the piece, each piece would count
+// twice its time, and requests would be refused that can be served in time.
 func TestSmallCallsTeachNoPieceTimes(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("a", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		return 220*time.Millisecond + time.Duration(len(c.Pieces))*20*time.Millisecond
 	}
 	for i := range 60 {
@@ -25,7 +24,7 @@
 	s := r.planner.services["a"]
 	kind := pieceKind{route: "r", stage: 0}
 	require.InDelta(t, 220, s.callTime().Milliseconds(), 6)
-	require.InDelta(t, 1, *s.times.piece(kind), 0.2)
+	require.InDelta(t, 1, *s.times.pieceFactor(kind), 0.2)
 
 	for i := range 36 { // six full calls for each target end within 2.3 s
 		q := chain(fmt.Sprint("burst", i), 2)
@@ -35,12 +34,12 @@
 	require.Empty(t, r.refused)
 }
 
-// The pieces of one kind of request take a third of what is configured, those of
-// another twice as much. Both are learned, from calls that hold both too.
+// The pieces of one kind of request take a third of the configured time, those of another
+// twice as much. Both must be learned, also from calls that hold both.
 func TestPieceTimesAreLearnedByKind(t *testing.T) {
 	r := newRig(t)
-	r.service("a", narrow, "x", "x")
-	r.took = func(c StartCall) time.Duration {
+	r.service("a", smallBatch, "x", "x")
+	r.callDuration = func(c StartCall) time.Duration {
 		took := 200 * time.Millisecond
 		for _, piece := range c.Pieces {
 			if piece.Request[0] == 's' {
@@ -59,7 +58,7 @@
 		r.run(250 * time.Millisecond)
 	}
 	s := r.planner.services["a"]
-	require.InDelta(t, 0.35, *s.times.piece(pieceKind{"r", 0}), 0.25)
-	require.InDelta(t, 2, *s.times.piece(pieceKind{"long", 0}), 0.4)
+	require.InDelta(t, 0.35, *s.times.pieceFactor(pieceKind{"r", 0}), 0.25)
+	require.InDelta(t, 2, *s.times.pieceFactor(pieceKind{"long", 0}), 0.4)
 	require.InDelta(t, 200, s.callTime().Milliseconds(), 15)
 }
--- a/coordination/gather/types.go
+++ b/coordination/gather/types.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Shape is how one target of a service works.
-type Shape struct {
-	// Slots is the number of calls that one target works on at once.
+// ServiceConfig describes the targets of one service.
+type ServiceConfig struct {
+	// Slots is the number of calls that one target runs at once.
 	Slots int
 	// MaxPieces bounds the pieces of a call.
 	MaxPieces int
-	// CallTime is what a call takes, PieceTime what each piece adds to it.
+	// CallTime is the fixed time of a call, PieceTime what each piece adds to it.
 	CallTime, PieceTime time.Duration
-	// ResultBytes is a target's room for results.
-	ResultBytes int64
-	// KeepFor is how long a result is kept that nobody frees.
-	KeepFor time.Duration
+	// ResultCapacity is the capacity of one target for results, in bytes.
+	ResultCapacity int64
+	// ResultTTL is how long a result is kept that nobody frees.
+	ResultTTL time.Duration
 }
 
 // Target is one incarnation of a stage target.
 type Target struct {
 	Incarnation string
-	// Name is what the target answers to, and keeps when it starts again.
+	// Name is the name of the target, which it keeps across restarts.
 	Name       string
 	Address    string
 	DataCentre string
@@ -28,31 +28,31 @@
 // Stage is one stage of a request.
 type Stage struct {
 	Service string
-	// After lists the stages whose results each piece reads, all of them.
+	// After lists the stages of which each piece reads all results.
 	After []int
-	// Pieces is the number of pieces; a stage of none is left out.
+	// Pieces is the number of pieces; a stage with zero pieces is left out.
 	Pieces int
 	// ResultBytes is the usual size of one result.
 	ResultBytes int64
 }
 
-// Request asks for all results of the stages that no other stage reads.
+// Request is a request for all results of the stages that no other stage reads.
 type Request struct {
 	ID string
-	// Route names the kind of request, whose pieces take alike time.
+	// Route names the kind of request; pieces of one kind take about the same time.
 	Route string
 	// Key is passed to pieces that read no other piece's result.
 	Key string
-	// Priority is what the client account pays for, or that of the kind of request
-	// where its account has none; 0 goes first. KindPriority is the kind's own: among
-	// requests of one Priority, no kind gets less than a less urgent one.
+	// Priority is the priority that the client account pays for, or that of the kind of
+	// request if the account has none; 0 goes first. KindPriority is the kind's own: among
+	// requests of one Priority, no kind is served less than a less urgent one.
 	Priority, KindPriority int
 	Stages                 []Stage
-	// Objective is when the caller's answer is due to be on time, Deadline when
-	// it is of no use any more.
+	// Objective is the time by which the caller should have its answer, Deadline the time
+	// after which the answer is of no use.
 	Objective, Deadline time.Time
-	// Rest is what the request still takes after its stages.
-	Rest time.Duration
+	// Remaining is the time that the request needs after its stages.
+	Remaining time.Duration
 	// DataCentre is where the final results are read.
 	DataCentre string
 }
@@ -66,8 +66,8 @@
 	return pieces
 }
 
-// PieceOrder is one piece of a call.
-type PieceOrder struct {
+// Piece is one piece of a call.
+type Piece struct {
 	Request string
 	Stage   int
 	Index   int
@@ -78,96 +78,96 @@
 	Deadline time.Time
 }
 
-// PieceResult is what became of one piece.
+// PieceResult is the result of one piece.
 type PieceResult struct {
-	// Handle names the result at its maker; it is empty if there is none.
+	// Handle names the result at the target that produced it; it is empty if there is none.
 	Handle  string
 	Failure PieceFailure
 }
 
-// PieceFailure is why a piece has no result.
+// PieceFailure is the reason why a piece has no result.
 type PieceFailure uint8
 
-// The failures of a piece.
+// Reasons why a piece has no result.
 const (
-	// PieceOK is no failure.
+	// PieceOK means no failure.
 	PieceOK PieceFailure = iota
-	// PieceLate ran out of time before its turn.
-	PieceLate
-	// PieceInputGone reads a result that its maker no longer has.
-	PieceInputGone
-	// PieceNoRoom found no room for its result.
-	PieceNoRoom
-	// PieceFailed failed at the target.
+	// PieceDeadlineExceeded means that the piece's deadline passed before its turn.
+	PieceDeadlineExceeded
+	// PieceInputMissing means that a result it reads no longer exists.
+	PieceInputMissing
+	// PieceNoCapacity means that its result didn't fit.
+	PieceNoCapacity
+	// PieceFailed means that the target failed to run it.
 	PieceFailed
 )
 
 // CallOutcome is how a call as a whole ended.
 type CallOutcome uint8
 
-// The outcomes of a call.
+// Outcomes of a call.
 const (
-	// CallAnswered has a result for each piece.
+	// CallAnswered means that there is a result for each piece.
 	CallAnswered CallOutcome = iota
-	// CallFull was refused: the target has no place and ran nothing.
-	CallFull
-	// CallWrongTarget reached another process at the address; nothing was run.
+	// CallTargetFull means that the target had no free slot and ran nothing.
+	CallTargetFull
+	// CallWrongTarget means that another process was reached at the address; nothing ran.
 	CallWrongTarget
-	// CallLost got no answer; the pieces may have been made.
-	CallLost
-	// CallCrashed is CallLost, and its target has ended.
-	CallCrashed
+	// CallUnanswered means that no answer arrived; the pieces may have run.
+	CallUnanswered
+	// CallTargetCrashed is CallUnanswered of a target whose process has ended.
+	CallTargetCrashed
 )
 
-// Action is what the driver is to do.
+// Action is what the driver has to do.
 type Action interface{ gatherAction() }
 
 // StartCall sends pieces to a target. The driver reports the end by CallDone.
 type StartCall struct {
 	ID     uint64
 	Target Target
-	// Service is the target's.
+	// Service is the target's service.
 	Service string
-	Pieces  []PieceOrder
-	// Timeout is when the call counts as lost.
+	Pieces  []Piece
+	// Timeout is the time after which the call counts as unanswered.
 	Timeout time.Duration
 }
 
-// Completed hands out the results of a request: the handles of all pieces of the
-// final stages, in their order.
+// Completed has the results of a request whose stages are done: the handles of all pieces
+// of the final stages, in their order.
 type Completed struct {
 	Request string
 	Handles []string
-	// Times tells for each stage when it could be sent, was sent and was done,
-	// counted from the request's admission; all zero for one without pieces.
+	// Times has the times of each stage, all zero for a stage without pieces.
 	Times []StageTimes
 	// Route names the kind of request.
 	Route string
-	// Bytes are the sizes of the results by the data centre in which they are.
+	// Bytes has the total sizes of the results by data centre.
 	Bytes map[string]int64
-	// Taken is the time from the request's admission to now, Predicted what its
-	// stages were predicted to take then, zero for a request that was taken over from
-	// another queue. Left is the time that there was then for an answer in time.
-	Taken, Predicted, Left time.Duration
+	// Elapsed is the time from the request's admission until now. Predicted is what its
+	// stages were predicted to take at admission, zero for a request imported from another
+	// queue. TimeToObjective is the time from its admission to its objective.
+	Elapsed, Predicted, TimeToObjective time.Duration
 }
 
-// StageTimes are the times of one stage.
+// StageTimes is when a stage could be sent, was last sent and last ended, relative to the
+// request's admission.
 type StageTimes struct {
 	Ready, Sent, Done time.Duration
 }
 
-// Refused gives a request up. Its own target has not been asked.
+// Refused is the refusal of a request, whose own target has not been called.
 type Refused struct {
 	Request string
 	Reason  Reason
-	// RetryAfter is when the request could be served.
+	// RetryAfter is the time after which the request could be served.
 	RetryAfter time.Duration
-	// Needed is how long the rest of it was predicted to take, Left the time until
-	// its deadline. Both are zero for a refusal that no prediction decided.
-	Needed, Left time.Duration
+	// Needed is the predicted time that the rest of the request takes, TimeToDeadline the
+	// time until its deadline. Both are zero for a refusal without a prediction.
+	Needed, TimeToDeadline time.Duration
 }
 
-// FreeResults gives back the room of results.
+// FreeResults asks a target to free results.
 type FreeResults struct {
 	Target  Target
 	Handles []string
@@ -178,26 +178,27 @@
 func (Refused) gatherAction()     {}
 func (FreeResults) gatherAction() {}
 
-// Reason is why a request was given up.
+// Reason is why a request was refused.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons of a refusal.
 const (
-	// ReasonQueue tells that the work ahead leaves no time.
-	ReasonQueue Reason = "queue_too_long"
-	// ReasonDeadline tells that what is left takes longer than there is time.
-	ReasonDeadline Reason = "deadline_too_near"
-	// ReasonNoTarget tells that a service has no target.
+	// ReasonQueueTooLong means that the work ahead leaves no time for the request.
+	ReasonQueueTooLong Reason = "queue_too_long"
+	// ReasonDeadlineTooNear means that the rest takes longer than the time to the deadline.
+	ReasonDeadlineTooNear Reason = "deadline_too_near"
+	// ReasonNoTarget means that a service has no target.
 	ReasonNoTarget Reason = "no_stage_target"
-	// ReasonRetries tells that pieces failed too often.
-	ReasonRetries Reason = "stage_failed"
-	// ReasonCrashes tells that targets ended under calls of its pieces, the last of them
-	// under one that had no others.
-	ReasonCrashes Reason = "crashes_stage_targets"
-	// ReasonIDInUse tells that another request has the id.
+	// ReasonStageFailed means that pieces failed too often.
+	ReasonStageFailed Reason = "stage_failed"
+	// ReasonCrashesStageTargets means that targets crashed under calls with its pieces, the
+	// last of them under a call without other pieces.
+	ReasonCrashesStageTargets Reason = "crashes_stage_targets"
+	// ReasonIDInUse means that another request has the id.
 	ReasonIDInUse Reason = "id_in_use"
-	// ReasonBound tells that the planner holds all requests that it may.
-	ReasonBound Reason = "too_many_requests"
-	// ReasonStopping tells that it won't be done before its asker's planned stop.
+	// ReasonTooManyRequests means that the planner holds the maximum number of requests.
+	ReasonTooManyRequests Reason = "too_many_requests"
+	// ReasonStopping means that the request won't be done before the planned stop of its
+	// requester.
 	ReasonStopping Reason = "stopping"
 )
--- a/coordination/gather/work.go
+++ b/coordination/gather/work.go
@@ -5,141 +5,142 @@
 	"time"
 )
 
-// work is one admitted request.
-type work struct {
+// heldRequest is one admitted request.
+type heldRequest struct {
 	Request
-	stages    []*stageWork
+	stages    []*heldStage
 	completed bool
-	// begun tells that some piece was sent.
-	begun bool
-	// crashes counts the calls with pieces of it under which the target ended.
+	// started is true once a piece was sent.
+	started bool
+	// crashes counts the calls with its pieces under which the target crashed.
 	crashes int
-	// lifted tells that its kind got less than it should when it came.
-	lifted bool
-	// bounded tells that its asker stops and gave it an earlier deadline.
-	bounded  bool
-	admitted time.Time
-	// predicted is how long its stages were predicted to take at its admission.
+	// boosted is true if its kind was underserved at its admission.
+	boosted bool
+	// deadlineShortened is true if its requester stops and gave it an earlier deadline.
+	deadlineShortened bool
+	admittedAt        time.Time
+	// predicted is the time its stages were predicted to take at its admission.
 	predicted time.Duration
-	// lateAt is from when on the answer can't be on time any more.
-	lateAt time.Time
+	// latestStart is the latest time at which the remaining stages must start for the
+	// request to meet its objective.
+	latestStart time.Time
 }
 
-// liftedBy is how much better a request ranks whose kind gets less than it should:
-// before all others of its priority, behind all of the next.
-const liftedBy = 0.5
+// priorityBoost is how much higher requests of an underserved kind rank: ahead of all
+// others of their priority, behind all of the next higher one.
+const priorityBoost = 0.5
 
-// ownRank orders requests whose answers can be on time.
-func (w *work) ownRank() float64 {
-	if w.lifted {
-		return float64(w.Priority) - liftedBy
+// baseRank orders requests that can meet their objectives; the lowest goes first.
+func (req *heldRequest) baseRank() float64 {
+	if req.boosted {
+		return float64(req.Priority) - priorityBoost
 	}
-	return float64(w.Priority)
+	return float64(req.Priority)
 }
 
-// rank is ownRank, lower for an answer that can't be on time.
-func (w *work) rank(now time.Time) float64 {
-	if now.After(w.lateAt) {
-		return w.ownRank() + lateRank
+// rank is baseRank with a penalty for requests that can't meet their objectives any more.
+func (req *heldRequest) rank(now time.Time) float64 {
+	if now.After(req.latestStart) {
+		return req.baseRank() + missedObjectivePenalty
 	}
-	return w.ownRank()
+	return req.baseRank()
 }
 
-// stageWork is one stage of a request.
-type stageWork struct {
-	work    *work
+// heldStage is one stage of a held request.
+type heldStage struct {
+	request *heldRequest
 	service *service
 	index   int
-	// factor is how many times the configured time its pieces take.
-	factor *float64
+	// timeFactor is the learned time of its pieces as a multiple of the configured one.
+	timeFactor *float64
 	Stage
-	// height is the number of stages on the longest way from this one to the
-	// request's own target, itself included.
+	// height is the number of stages on the longest path from this one to the request's own
+	// target, itself included.
 	height int
-	// todo are the pieces without a result that are in no call.
-	todo []int
+	// pending has the pieces without a result that are in no call.
+	pending []int
 	// inCall counts the pieces in calls.
 	inCall int
-	// results has an entry for each piece; nil before its result.
-	results []*result
-	made    int
+	// results has an entry for each piece, nil until its result exists.
+	results  []*result
+	produced int
 	// readySince is when the stage could first be sent; zero before.
 	readySince time.Time
 	// resends counts the calls that carried pieces again.
 	resends int
-	// readBy is when the latest call with pieces of it has read their inputs.
-	readBy time.Time
-	// counted is how its pieces to send are counted in the service's backlog.
-	counted counted
-	// sent and ended are when the latest call with pieces of it began and ended.
-	sent, ended time.Time
+	// inputsReadAt is when the latest call with pieces of it has read their inputs.
+	inputsReadAt time.Time
+	// backlogEntry is how its pending pieces are counted in the service's backlog.
+	backlogEntry backlogEntry
+	// sentAt and endedAt are when the latest call with pieces of it started and ended.
+	sentAt, endedAt time.Time
 }
 
-// result is a piece's result at its maker.
+// result is a piece's result at the target that produced it.
 type result struct {
-	handle  string
-	target  *target
-	bytes   int64
-	expires time.Time
-	freed   bool
+	handle    string
+	target    *target
+	bytes     int64
+	expiresAt time.Time
+	freed     bool
 }
 
-// newWork lays a request out in its stages; nothing waits yet.
-func (p *Planner) newWork(r Request) *work {
-	w := &work{Request: r}
+// newHeldRequest sets up a request and its stages, none of them queued yet.
+func (p *Planner) newHeldRequest(r Request) *heldRequest {
+	req := &heldRequest{Request: r}
 	for i, s := range r.Stages {
 		sv := p.service(s.Service)
-		sw := &stageWork{work: w, service: sv, index: i, factor: sv.times.piece(pieceKind{r.Route, i}), Stage: s, results: make([]*result, s.Pieces)}
-		sw.todo = make([]int, s.Pieces)
-		for n := range sw.todo {
-			sw.todo[n] = n
+		st := &heldStage{request: req, service: sv, index: i, timeFactor: sv.times.pieceFactor(pieceKind{r.Route, i}), Stage: s, results: make([]*result, s.Pieces)}
+		st.pending = make([]int, s.Pieces)
+		for n := range st.pending {
+			st.pending[n] = n
 		}
-		w.stages = append(w.stages, sw)
+		req.stages = append(req.stages, st)
 	}
-	// A stage only names earlier ones, so heights settle from the last back.
-	for i := len(w.stages) - 1; i >= 0; i-- {
-		s := w.stages[i]
+	// A stage only depends on earlier ones, so heights are final in reverse order.
+	for i := len(req.stages) - 1; i >= 0; i-- {
+		s := req.stages[i]
 		if s.Pieces == 0 {
 			continue
 		}
 		s.height = 1
-		for _, later := range w.stages[i+1:] {
+		for _, later := range req.stages[i+1:] {
 			if later.Pieces > 0 && slices.Contains(later.After, i) {
 				s.height = max(s.height, later.height+1)
 			}
 		}
 	}
-	return w
+	return req
 }
 
-func (s *stageWork) done() bool { return s.made == s.Pieces }
+func (s *heldStage) done() bool { return s.produced == s.Pieces }
 
-// inputsReady tells whether all results that the stage reads are there.
-func (s *stageWork) inputsReady() bool {
+// inputsReady reports whether all results that the stage reads exist.
+func (s *heldStage) inputsReady() bool {
 	for _, i := range s.After {
-		if !s.work.stages[i].done() {
+		if !s.request.stages[i].done() {
 			return false
 		}
 	}
 	return true
 }
 
-// heldResultBytes is the size of a result from which on it is made as late as
-// possible. A target has room for a dozen results of 1.5 MB; made first, they
-// would lie there while the other stages of their request run, and calls of
-// other requests would find no room.
-const heldResultBytes = 256 << 10
+// largeResultBytes is the size of a result from which on it is produced as late as
+// possible. A target has capacity for a dozen results of 1.5 MB; produced first, they would
+// occupy it while the other stages of their request run, and calls of other requests would
+// find no capacity.
+const largeResultBytes = 256 << 10
 
-// due tells whether the stage should run now: large results that only the
-// request's own target reads are made beside the last stage of the longest way.
-func (s *stageWork) due() bool {
+// runnable reports whether the stage should run now. Large results that only the request's
+// own target reads are produced in parallel with the last stage of the longest path.
+func (s *heldStage) runnable() bool {
 	if !s.inputsReady() {
 		return false
 	}
-	if s.ResultBytes < heldResultBytes {
+	if s.ResultBytes < largeResultBytes {
 		return true
 	}
-	for _, other := range s.work.stages {
+	for _, other := range s.request.stages {
 		if !other.done() && other.height > s.height {
 			return false
 		}
@@ -147,43 +148,43 @@
 	return true
 }
 
-// final tells whether no other stage reads the results.
-func (s *stageWork) final() bool {
+// final reports whether no other stage reads the results.
+func (s *heldStage) final() bool {
 	return s.Pieces > 0 && s.height == 1
 }
 
 // inputs returns the handles that each piece of the stage reads.
-func (s *stageWork) inputs() []string {
+func (s *heldStage) inputs() []string {
 	var handles []string
 	for _, i := range s.After {
-		for _, r := range s.work.stages[i].results {
+		for _, r := range s.request.stages[i].results {
 			handles = append(handles, r.handle)
 		}
 	}
 	return handles
 }
 
-// crossing is the bytes that cross data centres if one piece of the stage runs
-// in the given one.
-func (s *stageWork) crossing(dataCentre string) int64 {
+// crossingBytes returns the bytes that cross data centres if one piece of the stage runs in
+// the given one.
+func (s *heldStage) crossingBytes(dataCentre string) int64 {
 	var bytes int64
 	for _, i := range s.After {
-		for _, r := range s.work.stages[i].results {
+		for _, r := range s.request.stages[i].results {
 			if r.target.DataCentre != dataCentre {
 				bytes += r.bytes
 			}
 		}
 	}
-	if s.final() && s.work.DataCentre != "" && s.work.DataCentre != dataCentre {
+	if s.final() && s.request.DataCentre != "" && s.request.DataCentre != dataCentre {
 		bytes += s.ResultBytes
 	}
 	return bytes
 }
 
-// finalBytes are the sizes of the final results by data centre.
-func (w *work) finalBytes() map[string]int64 {
+// finalBytes returns the total sizes of the final results by data centre.
+func (req *heldRequest) finalBytes() map[string]int64 {
 	bytes := map[string]int64{}
-	for _, s := range w.stages {
+	for _, s := range req.stages {
 		if !s.final() {
 			continue
 		}
@@ -194,20 +195,20 @@
 	return bytes
 }
 
-// times tells how long each stage waited and took.
-func (w *work) times() []StageTimes {
-	times := make([]StageTimes, len(w.stages))
-	for i, s := range w.stages {
+// stageTimes returns the times of each stage relative to the admission.
+func (req *heldRequest) stageTimes() []StageTimes {
+	times := make([]StageTimes, len(req.stages))
+	for i, s := range req.stages {
 		if s.Pieces > 0 {
-			times[i] = StageTimes{s.readySince.Sub(w.admitted), s.sent.Sub(w.admitted), s.ended.Sub(w.admitted)}
+			times[i] = StageTimes{s.readySince.Sub(req.admittedAt), s.sentAt.Sub(req.admittedAt), s.endedAt.Sub(req.admittedAt)}
 		}
 	}
 	return times
 }
 
-// allDone tells whether all final stages are done.
-func (w *work) allDone() bool {
-	for _, s := range w.stages {
+// allDone reports whether all final stages are done.
+func (req *heldRequest) allDone() bool {
+	for _, s := range req.stages {
 		if s.final() && !s.done() {
 			return false
 		}
@@ -216,9 +217,9 @@
 }
 
 // handles returns the results of the final stages in order.
-func (w *work) handles() []string {
+func (req *heldRequest) handles() []string {
 	var handles []string
-	for _, s := range w.stages {
+	for _, s := range req.stages {
 		if !s.final() {
 			continue
 		}
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -135,7 +135,7 @@
 	}
 	r := gather.Request{
 		ID: q.call.ID, Route: q.route.Name, Key: q.call.PieceKey, Priority: q.priority, KindPriority: q.route.Priority,
-		Objective: objective, Deadline: q.stagesDue(time.Now()), Rest: engineTime, DataCentre: dataCentre,
+		Objective: objective, Deadline: q.stagesDue(time.Now()), Remaining: engineTime, DataCentre: dataCentre,
 	}
 	for i, s := range q.route.Stages {
 		pieces := 0
--- a/daemon/relay/content.go
+++ b/daemon/relay/content.go
@@ -68,7 +68,7 @@
 // under one that had no pieces of others.
 func (q *request) noteStages(err error) {
 	var refused *stages.RefusedError
-	if !errors.As(err, &refused) || refused.Reason != gather.ReasonCrashes {
+	if !errors.As(err, &refused) || refused.Reason != gather.ReasonCrashesStageTargets {
 		return
 	}
 	for i := range gather.MaxCrashes {
--- a/daemon/stages/answers_test.go
+++ b/daemon/stages/answers_test.go
@@ -14,7 +14,7 @@
 func TestAnswersComeOnce(t *testing.T) {
 	var a answers
 	made := func(handles ...string) []gather.PieceResult {
-		results := []gather.PieceResult{{Failure: gather.PieceLate}}
+		results := []gather.PieceResult{{Failure: gather.PieceDeadlineExceeded}}
 		for _, h := range handles {
 			results = append(results, gather.PieceResult{Handle: h})
 		}
--- a/daemon/stages/bound.go
+++ b/daemon/stages/bound.go
@@ -84,7 +84,7 @@
 // bound gives requests an earlier deadline. One that has moved meanwhile has it from
 // its asker, which asks the new holder with it.
 func (o *Owner) bound(until time.Time, ids []string) {
-	o.do(func(p *gather.Planner) []gather.Action { return p.Bound(time.Now(), until, ids...) })
+	o.do(func(p *gather.Planner) []gather.Action { return p.ShortenDeadlines(time.Now(), until, ids...) })
 }
 
 // ask notes which instance is asked for a request and returns the request with the
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -18,8 +18,8 @@
 func (o *Owner) call(c gather.StartCall) {
 	started, known := time.Now(), o.follower.TargetsAge()
 	results, how, err := o.exchange(c)
-	if how == gather.CallLost && forward.EndedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
-		how = gather.CallCrashed
+	if how == gather.CallUnanswered && forward.EndedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
+		how = gather.CallTargetCrashed
 	}
 	if err != nil {
 		telemetry.ErrorS(err, "Stage call failed", telemetry.Event{
@@ -60,19 +60,19 @@
 
 // pieceFailures names failures in logs.
 var pieceFailures = map[gather.PieceFailure]string{
-	gather.PieceLate:      "late",
-	gather.PieceInputGone: "input_gone",
-	gather.PieceNoRoom:    "no_room",
-	gather.PieceFailed:    "failed",
+	gather.PieceDeadlineExceeded: "late",
+	gather.PieceInputMissing:     "input_gone",
+	gather.PieceNoCapacity:       "no_room",
+	gather.PieceFailed:           "failed",
 }
 
 // callOutcomes names outcomes in logs.
 var callOutcomes = map[gather.CallOutcome]string{
-	gather.CallAnswered:    "answered",
-	gather.CallFull:        "target_full",
-	gather.CallWrongTarget: "wrong_target",
-	gather.CallLost:        "lost",
-	gather.CallCrashed:     "crashed",
+	gather.CallAnswered:      "answered",
+	gather.CallTargetFull:    "target_full",
+	gather.CallWrongTarget:   "wrong_target",
+	gather.CallUnanswered:    "lost",
+	gather.CallTargetCrashed: "crashed",
 }
 
 // useFree keeps the connections apart that free results: their answers say nothing by which
@@ -87,11 +87,11 @@
 	defer cancel()
 	request, err := o.dialect.StageCall(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
 	if err != nil {
-		return nil, gather.CallLost, err
+		return nil, gather.CallUnanswered, err
 	}
 	reply, err := o.client.Do(ctx, c.Target.Address, request, forward.Options{Process: c.Target.Incarnation})
 	if err != nil {
-		return nil, gather.CallLost, err
+		return nil, gather.CallUnanswered, err
 	}
 	inStep := !reply.Reused()
 	defer func() {
@@ -106,11 +106,11 @@
 	case said.WrongTarget:
 		return nil, gather.CallWrongTarget, errors.Newf("status %d", reply.Status)
 	case said.NotRun:
-		return nil, gather.CallFull, errors.Newf("status %d", reply.Status)
+		return nil, gather.CallTargetFull, errors.Newf("status %d", reply.Status)
 	case err != nil:
-		return nil, gather.CallLost, err
+		return nil, gather.CallUnanswered, err
 	case reply.Status != http.StatusOK:
-		return nil, gather.CallLost, errors.Newf("status %d: %.100s", reply.Status, bytes.TrimSpace(body))
+		return nil, gather.CallUnanswered, errors.Newf("status %d: %.100s", reply.Status, bytes.TrimSpace(body))
 	}
 	results, err := o.dialect.ParseStageReply(body)
 	if err == nil && len(results) != len(c.Pieces) {
@@ -120,7 +120,7 @@
 		inStep, err = false, errRepeated
 	}
 	if err != nil {
-		return nil, gather.CallLost, err
+		return nil, gather.CallUnanswered, err
 	}
 	inStep = inStep || firstHandle(results) != ""
 	return results, gather.CallAnswered, nil
--- a/daemon/stages/cluster_test.go
+++ b/daemon/stages/cluster_test.go
@@ -160,8 +160,8 @@
 // the given time.
 func holdCall(t *testing.T, s *Stages, within time.Duration) {
 	require.True(t, s.owner.takeOver(sender{"z", 1}, gather.State{
-		Targets: []gather.HeldTarget{{Service: "stage", Incarnation: "t"}},
-		Calls:   []gather.HeldCall{{ID: 7, Expires: within}},
+		Targets: []gather.TargetState{{Service: "stage", Incarnation: "t"}},
+		Calls:   []gather.CallState{{ID: 7, TimeoutAt: within}},
 	}))
 }
 
--- a/daemon/stages/giving_test.go
+++ b/daemon/stages/giving_test.go
@@ -88,9 +88,9 @@
 		s := startStages(t, c)
 		var state gather.State
 		for i := range 40 * worksPerPart {
-			state.Works = append(state.Works, gather.HeldWork{
+			state.Requests = append(state.Requests, gather.RequestState{
 				ID: fmt.Sprint(i), Objective: time.Hour, Deadline: time.Hour,
-				Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.HeldStage{{Todo: []int{0}}},
+				Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.StageState{{Pending: []int{0}}},
 			})
 		}
 		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
@@ -121,10 +121,10 @@
 }
 
 // heldWork is a request of one piece that waits.
-func heldWork(id string) gather.HeldWork {
-	return gather.HeldWork{
+func heldWork(id string) gather.RequestState {
+	return gather.RequestState{
 		ID: id, Objective: time.Hour, Deadline: time.Hour,
-		Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.HeldStage{{Todo: []int{0}}},
+		Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.StageState{{Pending: []int{0}}},
 	}
 }
 
@@ -146,15 +146,15 @@
 		}
 		s := startStages(t, c)
 		var state gather.State
-		state.Targets = []gather.HeldTarget{{Service: "stage", Incarnation: "t"}}
+		state.Targets = []gather.TargetState{{Service: "stage", Incarnation: "t"}}
 		for i := range 10 {
-			state.Calls = append(state.Calls, gather.HeldCall{ID: uint64(i + 1), Expires: time.Minute})
+			state.Calls = append(state.Calls, gather.CallState{ID: uint64(i + 1), TimeoutAt: time.Minute})
 		}
 		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
 		go s.Yield()
 		synctest.Wait()
 		for i := range 10 {
-			s.owner.adoptedEnded(sender{"z", 1}, uint64(i+1), gather.CallLost, nil)
+			s.owner.adoptedEnded(sender{"z", 1}, uint64(i+1), gather.CallUnanswered, nil)
 		}
 		close(release)
 		synctest.Wait()
@@ -194,7 +194,7 @@
 		s := startStages(t, c)
 		var state gather.State
 		for i := range 5 * worksPerPart {
-			state.Works = append(state.Works, heldWork(fmt.Sprint(i)))
+			state.Requests = append(state.Requests, heldWork(fmt.Sprint(i)))
 		}
 		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
 		s.owner.mu.Lock()
--- a/daemon/stages/handover.go
+++ b/daemon/stages/handover.go
@@ -102,7 +102,7 @@
 	begun := time.Now()
 	state := s.owner.freeze()
 	sent := state
-	if len(state.Works) == 0 && len(state.Calls) == 0 {
+	if len(state.Requests) == 0 && len(state.Calls) == 0 {
 		// What an instance knows of targets that it sends no calls is old.
 		sent.Targets, sent.Times = nil, nil
 		if !s.owner.everTookOver() {
@@ -119,14 +119,14 @@
 		err = s.sendState(ctx, next.Address, sent)
 	}
 	if errors.As(err, &kept) {
-		telemetry.ErrorS(err, "Stage queue not handed over", telemetry.Event{Peer: next.Name, Count: len(state.Works)})
+		telemetry.ErrorS(err, "Stage queue not handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests)})
 		s.owner.thaw(state)
 		return false
 	}
 	if err != nil {
-		telemetry.ErrorS(err, "Stage queue handed over without a word", telemetry.Event{Peer: next.Name, Count: len(state.Works)})
+		telemetry.ErrorS(err, "Stage queue handed over without a word", telemetry.Event{Peer: next.Name, Count: len(state.Requests)})
 	}
-	telemetry.InfoS("Stage queue handed over", telemetry.Event{Peer: next.Name, Count: len(state.Works), Elapsed: time.Since(begun)})
+	telemetry.InfoS("Stage queue handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests), Elapsed: time.Since(begun)})
 	s.owner.moved(next.Address)
 	go s.tellKnown(next.Address)
 	return true
@@ -184,8 +184,8 @@
 	for calls := range slices.Chunk(state.Calls, callsPerPart) {
 		parts = append(parts, gather.State{Calls: calls})
 	}
-	for works := range slices.Chunk(state.Works, worksPerPart) {
-		parts = append(parts, gather.State{Works: works})
+	for works := range slices.Chunk(state.Requests, worksPerPart) {
+		parts = append(parts, gather.State{Requests: works})
 	}
 	return parts
 }
@@ -207,7 +207,7 @@
 	state, ok := s.gatherParts(from.Name, &ask)
 	if ok && ask.Last {
 		ok = s.owner.takeOver(sender{from.Name, from.Incarnation}, state)
-		telemetry.InfoS("Stage queue taken over", telemetry.Event{Peer: from.Name, Count: len(state.Works)})
+		telemetry.InfoS("Stage queue taken over", telemetry.Event{Peer: from.Name, Count: len(state.Requests)})
 	}
 	return encode(&takeAnswer{Taken: ok})
 }
@@ -225,14 +225,14 @@
 		t = &taking{number: ask.Number, begun: time.Now()}
 		s.taking[name] = t
 	}
-	if len(t.state.Works)+len(ask.Part.Works) > gather.DefaultMaxRequests {
+	if len(t.state.Requests)+len(ask.Part.Requests) > gather.DefaultMaxRequests {
 		delete(s.taking, name)
 		return gather.State{}, false
 	}
 	t.state.Targets = append(t.state.Targets, ask.Part.Targets...)
 	t.state.Times = append(t.state.Times, ask.Part.Times...)
 	t.state.Calls = append(t.state.Calls, ask.Part.Calls...)
-	t.state.Works = append(t.state.Works, ask.Part.Works...)
+	t.state.Requests = append(t.state.Requests, ask.Part.Requests...)
 	if ask.Last {
 		delete(s.taking, name)
 	}
@@ -250,8 +250,8 @@
 
 // passEnd tells the new holder of the end of a call that this instance carried out.
 func (s *Stages) passEnd(to string, id uint64, how gather.CallOutcome, results []gather.PieceResult) {
-	if how == gather.CallCrashed {
-		how = gather.CallLost // instances of the version before know no other
+	if how == gather.CallTargetCrashed {
+		how = gather.CallUnanswered // instances of the version before know no other
 	}
 	body, err := encode(&endedAsk{Call: id, Outcome: uint8(how), Results: results})
 	if err == nil {
--- a/daemon/stages/handover_test.go
+++ b/daemon/stages/handover_test.go
@@ -18,9 +18,9 @@
 // three stages at 30 targets, all of which have a full call.
 func burst(tb testing.TB, now time.Time) *gather.Planner {
 	p := gather.New(gather.Config{})
-	shape := gather.Shape{
+	shape := gather.ServiceConfig{
 		Slots: 1, MaxPieces: 128, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond,
-		ResultBytes: 8 << 20, KeepFor: 4 * time.Second,
+		ResultCapacity: 8 << 20, ResultTTL: 4 * time.Second,
 	}
 	var calls []gather.StartCall
 	for _, name := range []string{"a", "b", "c"} {
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	require.Equal(tb, 2500, p.Held())
+	require.Equal(tb, 2500, p.RequestCount())
 	return p
 }
 
@@ -80,14 +80,14 @@
 		got.Targets = append(got.Targets, ask.Part.Targets...)
 		got.Times = append(got.Times, ask.Part.Times...)
 		got.Calls = append(got.Calls, ask.Part.Calls...)
-		got.Works = append(got.Works, ask.Part.Works...)
+		got.Requests = append(got.Requests, ask.Part.Requests...)
 	}
-	t.Logf("%d requests, %d calls: %d messages, %d bytes", len(state.Works), len(state.Calls), len(parts), bytes)
-	require.Equal(t, len(state.Works), len(got.Works))
+	t.Logf("%d requests, %d calls: %d messages, %d bytes", len(state.Requests), len(state.Calls), len(parts), bytes)
+	require.Equal(t, len(state.Requests), len(got.Requests))
 	again := gather.New(gather.Config{})
 	_, ids := again.Import(now, got)
 	require.Len(t, ids, len(state.Calls))
-	require.Equal(t, 2500, again.Held())
+	require.Equal(t, 2500, again.RequestCount())
 }
 
 // BenchmarkHandOver measures what both ends of a hand-over work.
--- a/daemon/stages/messages.go
+++ b/daemon/stages/messages.go
@@ -92,7 +92,7 @@
 	ask := &makeAsk{
 		ID: r.ID, Route: r.Route, Key: r.Key, Priority: r.Priority, Kind: r.KindPriority,
 		Objective: r.Objective.Sub(now), Deadline: r.Deadline.Sub(now),
-		Rest: r.Rest, DataCentre: r.DataCentre,
+		Rest: r.Remaining, DataCentre: r.DataCentre,
 	}
 	for _, st := range r.Stages {
 		ask.Stages = append(ask.Stages, stageAsk{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
@@ -104,7 +104,7 @@
 	r := gather.Request{
 		ID: a.ID, Route: a.Route, Key: a.Key, Priority: a.Priority, KindPriority: a.Kind,
 		Objective: now.Add(a.Objective), Deadline: now.Add(a.Deadline),
-		Rest: a.Rest, DataCentre: a.DataCentre,
+		Remaining: a.Rest, DataCentre: a.DataCentre,
 	}
 	for _, st := range a.Stages {
 		r.Stages = append(r.Stages, gather.Stage{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
--- a/daemon/stages/metrics.go
+++ b/daemon/stages/metrics.go
@@ -42,11 +42,11 @@
 // done takes in the time that the stages of a request took, and by how much that was
 // more or less than predicted.
 func (m metrics) done(c gather.Completed) {
-	m.taken.Record(c.Taken)
+	m.taken.Record(c.Elapsed)
 	if c.Predicted <= 0 {
 		return
 	}
-	if over := c.Taken - c.Predicted; over > 0 {
+	if over := c.Elapsed - c.Predicted; over > 0 {
 		m.longer.Record(over)
 	} else {
 		m.shorter.Record(-over)
--- a/daemon/stages/moving.go
+++ b/daemon/stages/moving.go
@@ -173,7 +173,7 @@
 	}
 	now := time.Now()
 	o.tookOver, o.movedTo, o.yielded = now, "", false
-	for _, w := range state.Works {
+	for _, w := range state.Requests {
 		if !w.Completed && o.waiting[w.ID] == nil {
 			o.unclaimed[w.ID] = now.Add(claimWithin)
 		}
@@ -182,7 +182,7 @@
 	for there, here := range ids {
 		o.adopted[adoptedCall{from, there}] = here
 	}
-	expiries := o.planner.Expiries(ids)
+	expiries := o.planner.CallTimeouts(ids)
 	o.settle(actions)
 	o.mu.Unlock()
 	o.carryOut(actions)
@@ -203,7 +203,7 @@
 	gone := o.forgetGiven(id) || o.movedTo != ""
 	o.mu.Unlock()
 	if !gone {
-		o.callEnded(id, gather.CallLost, nil)
+		o.callEnded(id, gather.CallUnanswered, nil)
 	}
 }
 
--- a/daemon/stages/moving_test.go
+++ b/daemon/stages/moving_test.go
@@ -63,7 +63,7 @@
 				require.Empty(t, s.owner.movedCalls)
 				require.Empty(t, s.owner.renamed)
 				require.Empty(t, s.owner.adopted)
-				require.Zero(t, s.owner.planner.Calls())
+				require.Zero(t, s.owner.planner.CallCount())
 				if name != "on its way" {
 					require.Empty(t, c.calls("at-b"), "the next holder finds out for itself")
 				}
@@ -79,7 +79,7 @@
 	called []string
 }
 
-func (d *stubDialect) StageCall(address, name string, _ []gather.PieceOrder, _ time.Time) (*http.Request, error) {
+func (d *stubDialect) StageCall(address, name string, _ []gather.Piece, _ time.Time) (*http.Request, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.called = append(d.called, name)
@@ -108,8 +108,8 @@
 		s.SetTargets(time.Now(), table, usable)
 		id := usable["stage"][0].Incarnation()
 		require.True(t, s.owner.takeOver(sender{"z", 1}, gather.State{
-			Targets: []gather.HeldTarget{{Service: "stage", Incarnation: id, Name: "t", Address: "at-t", DataCentre: "x", Slow: 1, DownUntil: 350 * time.Millisecond}},
-			Works:   []gather.HeldWork{heldWork("1")},
+			Targets:  []gather.TargetState{{Service: "stage", Incarnation: id, Name: "t", Address: "at-t", DataCentre: "x", Slowness: 1, DownUntil: 350 * time.Millisecond}},
+			Requests: []gather.RequestState{heldWork("1")},
 		}))
 		s.owner.mu.Lock()
 		clear(s.owner.unclaimed)
@@ -139,7 +139,7 @@
 					r.Stages[0].Pieces = 1
 					r.Deadline = time.Now().Add(20 * time.Second)
 					r.Objective = r.Deadline
-					require.True(t, s.owner.takeOver(sender{"z", 1}, gather.State{Works: []gather.HeldWork{heldWork("1")}}))
+					require.True(t, s.owner.takeOver(sender{"z", 1}, gather.State{Requests: []gather.RequestState{heldWork("1")}}))
 					go s.owner.make(lost, r, placing.Prompt{}, false, true)
 					synctest.Wait()
 					state := s.owner.freeze()
@@ -164,7 +164,7 @@
 					synctest.Wait()
 					s.owner.mu.Lock()
 					defer s.owner.mu.Unlock()
-					require.Equal(t, len(s.owner.waiting), s.owner.planner.Held(), "try %d: its asker waits for a request that isn't held", i)
+					require.Equal(t, len(s.owner.waiting), s.owner.planner.RequestCount(), "try %d: its asker waits for a request that isn't held", i)
 				})
 			}
 		})
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -102,11 +102,11 @@
 	}
 }
 
-func shape(b *routes.Batch) gather.Shape {
-	return gather.Shape{
+func shape(b *routes.Batch) gather.ServiceConfig {
+	return gather.ServiceConfig{
 		Slots: b.Slots, MaxPieces: b.MaxPieces,
 		CallTime: b.CallTime, PieceTime: b.PieceTime,
-		ResultBytes: b.ResultBytes, KeepFor: b.KeepFor,
+		ResultCapacity: b.ResultBytes, ResultTTL: b.KeepFor,
 	}
 }
 
@@ -121,7 +121,7 @@
 		case now := <-ticker.C:
 			o.takeBackGone(view())
 			o.enter()
-			idle := o.planner.Held() == 0
+			idle := o.planner.RequestCount() == 0
 			o.engines.Tick(now)
 			o.mu.Unlock()
 			o.dropUnclaimed(now)
@@ -175,7 +175,7 @@
 		o.mu.Unlock()
 		return done, nil
 	}
-	if o.planner.HasOther(r) {
+	if o.planner.IDInUse(r) {
 		done <- outcome{refused: &gather.Refused{Request: r.ID, Reason: gather.ReasonIDInUse}}
 		o.mu.Unlock()
 		return done, nil
@@ -197,7 +197,7 @@
 	case !taken:
 		actions = o.planner.Submit(time.Now(), r)
 	case bounded:
-		actions = o.planner.Bound(time.Now(), r.Deadline, r.ID)
+		actions = o.planner.ShortenDeadlines(time.Now(), r.Deadline, r.ID)
 	}
 	o.settle(actions)
 	o.mu.Unlock()
@@ -281,11 +281,11 @@
 		case gather.Completed:
 			o.metrics.done(a)
 			telemetry.InfoS("Stages done", telemetry.Event{
-				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Taken, Needed: a.Predicted, Left: a.Left,
+				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Needed: a.Predicted, Left: a.TimeToObjective,
 			})
 		case gather.Refused:
 			o.metrics.refused(string(a.Reason))
-			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Needed: a.Needed, Left: a.Left, RetryAfter: a.RetryAfter})
+			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Needed: a.Needed, Left: a.TimeToDeadline, RetryAfter: a.RetryAfter})
 		}
 	}
 }
--- a/daemon/stages/placed.go
+++ b/daemon/stages/placed.go
@@ -34,13 +34,13 @@
 	if prompt.Pool == "" {
 		return r
 	}
-	choice, ok := o.engines.Choose(now, &prompt, o.planner.Detours(now, &r))
+	choice, ok := o.engines.Choose(now, &prompt, o.planner.ReadCosts(now, &r))
 	if !ok {
 		return r
 	}
 	o.prompts[r.ID] = prompt
 	r.DataCentre = choice.Engine.DataCentre
-	r.Rest = min(choice.Idle+restMargin, mostRest)
+	r.Remaining = min(choice.Idle+restMargin, mostRest)
 	return r
 }
 
@@ -57,7 +57,7 @@
 		total += bytes
 	}
 	choice, ok := o.engines.Choose(now, &prompt, func(dataCentre string) time.Duration {
-		return gather.CrossingTime(total - done.Bytes[dataCentre])
+		return gather.CrossingCost(total - done.Bytes[dataCentre])
 	})
 	if !ok {
 		return ""
--- a/daemon/stages/placed_test.go
+++ b/daemon/stages/placed_test.go
@@ -32,9 +32,9 @@
 	o := engineOwner()
 	short := o.near(time.Now(), gather.Request{ID: "short"}, ownPrompt(100))
 	long := o.near(time.Now(), gather.Request{ID: "long"}, ownPrompt(30_000))
-	require.Less(t, short.Rest, 150*time.Millisecond)
-	require.Greater(t, long.Rest, 500*time.Millisecond)
-	require.LessOrEqual(t, o.near(time.Now(), gather.Request{ID: "endless"}, ownPrompt(1<<30)).Rest, mostRest)
+	require.Less(t, short.Remaining, 150*time.Millisecond)
+	require.Greater(t, long.Remaining, 500*time.Millisecond)
+	require.LessOrEqual(t, o.near(time.Now(), gather.Request{ID: "endless"}, ownPrompt(1<<30)).Remaining, mostRest)
 }
 
 // A request's large results lie in one data centre when its stages are done. It goes to
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -388,5 +388,5 @@
 func (s *Stages) Held() int {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	return s.owner.planner.Held() + s.owner.running + len(s.owner.freeing)
+	return s.owner.planner.RequestCount() + s.owner.running + len(s.owner.freeing)
 }
--- a/daemon/stages/yield.go
+++ b/daemon/stages/yield.go
@@ -22,7 +22,7 @@
 }
 
 // holdsWork tells whether requests or calls are held here; mu is held.
-func (o *Owner) holdsWork() bool { return o.planner.Held() > 0 || o.planner.Calls() > 0 }
+func (o *Owner) holdsWork() bool { return o.planner.RequestCount() > 0 || o.planner.CallCount() > 0 }
 
 // Yield gives the queue to the next holder while this instance goes on. Without one
 // it keeps the queue.
--- a/daemon/stages/yield_test.go
+++ b/daemon/stages/yield_test.go
@@ -46,7 +46,7 @@
 				require.Equal(t, map[bool]string{true: "at-b", false: "at-a"}[c.moves], made.Owner)
 				s.owner.mu.Lock()
 				defer s.owner.mu.Unlock()
-				require.Equal(t, c.holds && !c.moves, s.owner.planner.Calls() == 1, "the call is counted by who holds the queue")
+				require.Equal(t, c.holds && !c.moves, s.owner.planner.CallCount() == 1, "the call is counted by who holds the queue")
 			})
 		})
 	}
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -79,7 +79,7 @@
 	// StampAnswer sets the request's id on an answer of the system's own.
 	StampAnswer(h http.Header, id string)
 	// StageCall is the request for pieces, for the target of that name alone.
-	StageCall(address, target string, pieces []gather.PieceOrder, now time.Time) (*http.Request, error)
+	StageCall(address, target string, pieces []gather.Piece, now time.Time) (*http.Request, error)
 	ParseStageReply(body []byte) ([]gather.PieceResult, error)
 	// FreeCall is the request that gives results back.
 	FreeCall(address, target string, handles []string) (*http.Request, error)
