--- a/coordination/gather/share_test.go
+++ b/coordination/gather/attainment_test.go
@@ -8,22 +8,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// offered is one kind of request in a played load.
+// offeredLoad is one kind of request in a simulated load.
 type offeredLoad struct {
 	kind     string
 	priority int
-	every    time.Duration // between two requests
+	every    time.Duration // interval between requests
 	stages   int           // each with two pieces
 }
 
-// answeredInTime plays kinds of requests of client accounts that all pay for
-// priority 1, on services of two targets of which full calls do 44 pieces a second. It returns which part of each kind is answered by its objective.
+// timelyShares simulates kinds of requests of client accounts that all pay for priority 1,
+// on services of two targets that process 44 pieces a second in full calls. It returns the
+// fraction of each kind that is answered by its objective.
 func timelyShares(t *testing.T, load ...offeredLoad) map[string]float64 {
 	r := newRig(t)
 	for _, name := range []string{"a", "b", "c"} {
 		r.service(name, smallBatch, "x", "x")
 	}
-	asked, inTime := map[string]float64{}, map[string]float64{}
+	submitted, inTime := map[string]float64{}, map[string]float64{}
 	due := map[string]time.Time{}
 	kindOf := map[string]string{}
 	for at := time.Duration(0); at < 30*time.Second; at += 10 * time.Millisecond {
@@ -34,7 +35,7 @@
 			q := chain(fmt.Sprint(o.kind, at), []int{2, 2, 2}[:o.stages]...)
 			q.Route, q.Priority, q.KindPriority = o.kind, 1, o.priority
 			q.Objective, q.Deadline = r.now.Add(1500*time.Millisecond), r.now.Add(4*time.Second)
-			asked[o.kind]++
+			submitted[o.kind]++
 			due[q.ID], kindOf[q.ID] = q.Objective, o.kind
 			r.submit(q)
 		}
@@ -47,28 +48,28 @@
 			r.do(r.planner.Drop(r.now, id))
 		}
 	}
-	for kind := range asked {
-		inTime[kind] /= asked[kind]
+	for kind := range submitted {
+		inTime[kind] /= submitted[kind]
 	}
 	t.Log("answered in time:", inTime)
 	return inTime
 }
 
-// All client accounts pay for the same priority. Water-test results, the most
-// urgent kind, need two stages and crew queries one, and together they ask for more
-// than there is. Ranked alike, the kind with the longer way loses: officers would be
-// refused while crews are served.
+// All client accounts pay for the same priority. The most urgent kind needs three stages
+// and a less urgent one needs one, and together they need more than the targets can do.
+// Ranked equally, the kind with the longer chain of stages would be refused while the less
+// urgent one is served.
 func TestUrgentKindIsNotUnderserved(t *testing.T) {
 	got := timelyShares(t,
 		offeredLoad{kind: "results", priority: 0, every: 80 * time.Millisecond, stages: 3},
 		offeredLoad{kind: "queries", priority: 2, every: 80 * time.Millisecond, stages: 1})
 	require.Greater(t, got["results"], got["queries"]-0.15)
 	require.Greater(t, got["results"], 0.7)
-	require.Greater(t, got["queries"], 0.7, "a kind that is behind goes first, not always")
+	require.Greater(t, got["queries"], 0.7, "an underserved kind goes first, not always")
 }
 
-// The most urgent kind alone asks for twice what the targets do, for half a minute.
-// The crews in their trenches are not left without any answer.
+// The most urgent kind alone needs twice the capacity of the targets for half a minute. The
+// less urgent kind must still get some answers.
 func TestNoKindIsStarved(t *testing.T) {
 	got := timelyShares(t,
 		offeredLoad{kind: "results", priority: 0, every: 20 * time.Millisecond, stages: 1},
@@ -77,8 +78,8 @@
 	require.Greater(t, got["queries"], 0.06)
 }
 
-// The least urgent kind has the longest way, and the urgent one fills its stages. It
-// isn't entitled to go first, but it isn't left without answers either.
+// The least urgent kind has the longest chain of stages, and the urgent one fills its
+// stages. It isn't entitled to go first, but must still get some answers.
 func TestLongPipelineIsNotStarved(t *testing.T) {
 	got := timelyShares(t,
 		offeredLoad{kind: "queries", priority: 0, every: 60 * time.Millisecond, stages: 1},
--- a/coordination/gather/backlog.go
+++ b/coordination/gather/backlog.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// slotWidth is how far apart the objectives may be of requests that are counted
-// together.
+// bucketWidth is the range of objectives that are counted together.
 const bucketWidth = 50 * time.Millisecond
 
-// waiting is work that waits at a service.
+// queuedWork is an amount of work that waits at a service.
 type queuedWork struct {
 	pieces int
-	// added is the time that the pieces add to calls.
+	// pieceTime is the time that the pieces add to calls.
 	pieceTime time.Duration
 }
 
@@ -23,15 +22,15 @@
 	w.pieceTime -= other.pieceTime
 }
 
-// backlog sums the work that waits at a service, by rank and objective, so that the
-// work ahead of a request is known without a look at each request that waits.
+// backlog sums the work that waits at a service by rank and objective, so that the work
+// ahead of a request is known without iterating over all waiting requests.
 type backlog struct {
 	ranks map[float64]*rankBacklog
 }
 
 type rankBacklog struct {
 	total queuedWork
-	// slots are the sums by slot of objectives.
+	// buckets has the sums by range of objectives.
 	buckets map[int64]queuedWork
 }
 
@@ -39,34 +38,34 @@
 
 func bucketOf(objective time.Time) int64 { return objective.UnixNano() / int64(bucketWidth) }
 
-func (b *backlog) add(rank float64, slot int64, w queuedWork) {
+func (b *backlog) add(rank float64, bucket int64, w queuedWork) {
 	r := b.ranks[rank]
 	if r == nil {
 		r = &rankBacklog{buckets: map[int64]queuedWork{}}
 		b.ranks[rank] = r
 	}
 	r.total.add(w)
-	sum := r.buckets[slot]
+	sum := r.buckets[bucket]
 	sum.add(w)
-	r.buckets[slot] = sum
+	r.buckets[bucket] = sum
 }
 
-func (b *backlog) remove(rank float64, slot int64, w queuedWork) {
+func (b *backlog) remove(rank float64, bucket int64, w queuedWork) {
 	r := b.ranks[rank]
 	r.total.remove(w)
-	sum := r.buckets[slot]
+	sum := r.buckets[bucket]
 	sum.remove(w)
 	if sum.pieces > 0 {
-		r.buckets[slot] = sum
+		r.buckets[bucket] = sum
 		return
 	}
-	delete(r.buckets, slot)
+	delete(r.buckets, bucket)
 	if len(r.buckets) == 0 {
 		delete(b.ranks, rank)
 	}
 }
 
-// ahead is the work that goes before a position.
+// ahead returns the work that is ahead of a position.
 func (b *backlog) ahead(at queuePosition) queuedWork {
 	var sum queuedWork
 	last := bucketOf(at.objective)
@@ -83,35 +82,36 @@
 
 func (r *rankBacklog) upTo(last int64) queuedWork {
 	var sum queuedWork
-	for slot, w := range r.buckets {
-		if slot <= last {
+	for bucket, w := range r.buckets {
+		if bucket <= last {
 			sum.add(w)
 		}
 	}
 	return sum
 }
 
-// counted is where and how a stage is counted in its service's backlog, with the time
-// that its pieces took as it was counted.
+// backlogEntry is how a stage is counted in its service's backlog. Its piece time is the
+// one at the time of counting.
 type backlogEntry struct {
 	rank   float64
 	bucket int64
 	queuedWork
 }
 
-// recount brings the backlogs up to date with what a request has waiting, if it is
-// held.
-func (p *Planner) updateBacklog(now time.Time, w *heldRequest) {
-	if p.requests[w.ID] != w {
+// updateBacklog updates the backlogs with the pending pieces of a request if the planner
+// holds it.
+func (p *Planner) updateBacklog(now time.Time, req *heldRequest) {
+	if p.requests[req.ID] != req {
 		return
 	}
-	rank, slot := w.rank(now), bucketOf(w.Objective)
-	for _, s := range w.stages {
-		s.updateBacklog(rank, slot)
+	rank, bucket := req.rank(now), bucketOf(req.Objective)
+	for _, s := range req.stages {
+		s.updateBacklog(rank, bucket)
 	}
 }
 
-// recountStages does so for the requests of pieces, which follow one another by stage.
+// updateBacklogs updates the backlogs for the requests of pieces. The pieces of a stage are
+// adjacent.
 func (p *Planner) updateBacklogs(now time.Time, pieces []pieceRef) {
 	var last *heldStage
 	for _, ref := range pieces {
@@ -122,19 +122,19 @@
 	}
 }
 
-// count brings its service's backlog up to date with the stage's pieces.
-func (s *heldStage) updateBacklog(rank float64, slot int64) {
-	if s.backlogEntry.pieces == len(s.pending) && s.backlogEntry.rank == rank && s.backlogEntry.bucket == slot {
+// updateBacklog updates the service's backlog with the stage's pending pieces.
+func (s *heldStage) updateBacklog(rank float64, bucket int64) {
+	if s.backlogEntry.pieces == len(s.pending) && s.backlogEntry.rank == rank && s.backlogEntry.bucket == bucket {
 		return
 	}
 	s.leaveBacklog()
 	if n := len(s.pending); n > 0 {
-		s.backlogEntry = backlogEntry{rank, slot, queuedWork{n, time.Duration(n) * s.pieceTime()}}
-		s.service.backlog.add(rank, slot, s.backlogEntry.queuedWork)
+		s.backlogEntry = backlogEntry{rank, bucket, queuedWork{n, time.Duration(n) * s.pieceTime()}}
+		s.service.backlog.add(rank, bucket, s.backlogEntry.queuedWork)
 	}
 }
 
-// uncount takes a stage out of its service's backlog.
+// leaveBacklog removes the stage from its service's backlog.
 func (s *heldStage) leaveBacklog() {
 	if s.backlogEntry.pieces > 0 {
 		s.service.backlog.remove(s.backlogEntry.rank, s.backlogEntry.bucket, s.backlogEntry.queuedWork)
@@ -142,9 +142,9 @@
 	s.backlogEntry = backlogEntry{}
 }
 
-// uncount takes a request out of the backlogs.
-func (w *heldRequest) leaveBacklog() {
-	for _, s := range w.stages {
+// leaveBacklog removes the request from the backlogs.
+func (req *heldRequest) leaveBacklog() {
+	for _, s := range req.stages {
 		s.leaveBacklog()
 	}
 }
--- a/coordination/gather/bench_test.go
+++ b/coordination/gather/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkSubmit is one request that comes among those that wait. It is dropped again,
-// so that as many wait for the next one.
+// BenchmarkSubmit measures the submission of one request while others wait. The request is
+// dropped again, so that the number of waiting requests is constant.
 func BenchmarkSubmit(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -29,7 +29,7 @@
 			}
 			for i := range waiting {
 				q := request(fmt.Sprint("w", i))
-				// Requests come over two seconds.
+				// The objectives of the requests are spread over two seconds.
 				q.Objective = q.Objective.Add(time.Duration(i) * 2 * time.Second / time.Duration(waiting))
 				p.Submit(now, q)
 			}
--- a/coordination/gather/room_test.go
+++ b/coordination/gather/capacity_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tight has room for the results of two requests of chain(id, 1, 2) that stand in
-// stage a: one lies there to be read, one is being made.
+// tightCapacity sets up a service a with capacity for the results of two requests of
+// chain(id, 1, 2): one that waits to be read and one that is being produced.
 func tightCapacity(r *rig) {
 	small := smallBatch
 	small.ResultCapacity = 2000
@@ -25,8 +25,8 @@
 	}
 }
 
-// askEach submits requests that have time, a little faster than the room allows
-// when results are kept to the end, and returns their ids.
+// submitEach submits requests with distant deadlines, slightly faster than the capacity
+// allows if results are kept until the end, and returns their ids.
 func submitEach(r *rig, name string, n int) []string {
 	var ids []string
 	for i := range n {
@@ -39,9 +39,9 @@
 	return ids
 }
 
-// Clerks ask more often than the room of the first stage's target holds results.
-// Kept until their readers have answered, results leave the target idle, the queue
-// grows and requests are refused, although no target has too much to do.
+// Requests arrive faster than the first stage's target can hold results until their readers
+// have answered. Held that long, results would leave the target idle, the queue would grow
+// and requests would be refused although no target is overloaded.
 func TestCapacityIsFreedOnceResultsAreRead(t *testing.T) {
 	r := newRig(t)
 	tightCapacity(r)
@@ -58,41 +58,41 @@
 	}
 }
 
-// A target is lost in the middle of a call whose inputs were given back since it
-// had read them. They are made again before its pieces go to another target; sent
-// without them, the pieces would be answered as gone for ever.
+// A call fails whose inputs were freed after it had read them. They must be produced again
+// before its pieces go to another target; sent without them, the pieces would be reported
+// as missing their inputs forever.
 func TestReadInputsAreProducedAgainForUnansweredCall(t *testing.T) {
 	r := newRig(t)
 	tightCapacity(r)
-	made := submitEach(r, "before", 8)
-	lost := 0
+	ids := submitEach(r, "before", 8)
+	unanswered := 0
 	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
-		if c.Pieces[0].Stage == 1 && lost < 3 {
-			lost++
+		if c.Pieces[0].Stage == 1 && unanswered < 3 {
+			unanswered++
 			return CallUnanswered, nil
 		}
 		return CallAnswered, nil
 	}
-	made = append(made, submitEach(r, "after", 8)...)
+	ids = append(ids, submitEach(r, "after", 8)...)
 	r.run(20 * time.Second)
-	require.Equal(t, 3, lost)
-	for _, id := range made {
+	require.Equal(t, 3, unanswered)
+	for _, id := range ids {
 		require.Len(t, r.completed[id], 2, id)
 	}
 	seen := map[string]bool{}
 	for _, handle := range r.freed {
-		require.False(t, seen[handle], "a result is given back once: %s", handle)
+		require.False(t, seen[handle], "a result is freed once: %s", handle)
 		seen[handle] = true
 	}
 }
 
-// A target falls silent in the middle of a call whose inputs were given back. Its
-// pieces are not left to the time-out of the call: their inputs are made again, and
-// another target makes them.
+// A target stops answering during a call whose inputs were freed. Its pieces must not wait
+// for the timeout of the call: their inputs are produced again and another target runs
+// them.
 func TestReadInputsAreProducedAgainForOverdueCall(t *testing.T) {
 	r := newRig(t)
 	tightCapacity(r)
-	made := submitEach(r, "before", 8)
+	ids := submitEach(r, "before", 8)
 	usual := r.callDuration
 	r.callDuration = func(c StartCall) time.Duration {
 		if c.Target.Incarnation == "b-0" {
@@ -100,15 +100,15 @@
 		}
 		return usual(c)
 	}
-	made = append(made, submitEach(r, "after", 6)...)
+	ids = append(ids, submitEach(r, "after", 6)...)
 	r.run(3 * time.Second)
-	for _, id := range made {
+	for _, id := range ids {
 		require.Len(t, r.completed[id], 2, id)
 	}
 }
 
-// Where there is room, inputs stay until their reader has answered: should it be
-// lost, its pieces go elsewhere at once.
+// While there is capacity, inputs stay until their reader has answered, so that its pieces
+// can go to another target at once if the call fails.
 func TestReadInputsStayWhileThereIsCapacity(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -125,9 +125,9 @@
 	require.Len(t, r.calls, 3, "the first stage ran once")
 }
 
-// Two instances hold queues for a while, and a call waits at its target for that of
-// the other before it reads its inputs. Given back by the time that it should have
-// read them, they would be gone, and the requests would start from their first stage.
+// Two instances hold queues for a while, and a call waits at its target behind that of the
+// other instance before it reads its inputs. Freed at the time when they should have been
+// read, the inputs would be missing and the requests would restart at their first stage.
 func TestInputsStayWhileCallsWaitAtTargets(t *testing.T) {
 	r := newRig(t)
 	tightCapacity(r)
--- a/coordination/gather/crashes_test.go
+++ b/coordination/gather/crashes_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// carries tells whether a call has pieces of a request.
+// carries reports whether a call has pieces of a request.
 func carries(c StartCall, request string) bool {
 	return slices.ContainsFunc(c.Pieces, func(p Piece) bool { return p.Request == request })
 }
 
-// answerAll makes the results of all pieces of a call.
+// produceAll produces the results of all pieces of a call.
 func (r *rig) produceAll(c StartCall) (CallOutcome, []PieceResult) {
 	results := make([]PieceResult, len(c.Pieces))
 	for i := range results {
@@ -29,8 +29,8 @@
 	return Request{ID: id, Stages: []Stage{{Service: "s", Pieces: 2, ResultBytes: 1000}}}
 }
 
-// TestRequestThatCrashesStageTargetsIsGivenUp guards against a request under whose pieces one
-// target ends after the other, and against those in its calls being given up with it.
+// A request crashes one target after another. It must be refused, and the requests that
+// share its calls must not be refused with it.
 func TestRequestThatCrashesStageTargetsIsRefused(t *testing.T) {
 	r := newRig(t)
 	r.service("s", smallBatch, "x", "x")
@@ -46,7 +46,7 @@
 		return CallTargetCrashed, nil
 	}
 	for _, id := range []string{"first", "second", "bad", "a", "b", "c"} {
-		r.submit(simple(id)) // the first two take both targets, the others wait and share a call
+		r.submit(simple(id)) // the first two occupy both targets, the others wait and share a call
 	}
 	r.run(5 * time.Second)
 	require.Positive(t, shared)
@@ -56,8 +56,8 @@
 	require.LessOrEqual(t, crashed, MaxCrashes)
 }
 
-// TestTargetsThatCrashAtOnceCostNoRequest guards against a request being given up since one
-// event ended targets of all services that worked for it.
+// One event crashes targets of all services that work for a request. The request must not
+// be refused because of it.
 func TestSimultaneousCrashesRefuseNoRequest(t *testing.T) {
 	r := newRig(t)
 	var stages []Stage
--- a/coordination/gather/bound_test.go
+++ b/coordination/gather/deadlines_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance stops while its requests wait for their stages. Those that won't be done
-// by the end of its grace are refused at once, so that their callers can be served
-// elsewhere; told at the end of the grace, they have no time left. What can be done
-// goes on.
+// An instance stops while its requests wait for their stages. Requests that won't be done
+// by the end of its grace period are refused at once, so that their callers can be served
+// elsewhere; at the end of the grace period it would be too late. The other requests
+// continue.
 func TestShortenedDeadlineRefusesUnattainableRequests(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -20,8 +20,8 @@
 	}
 	r.run(100 * time.Millisecond)
 	r.do(r.planner.ShortenDeadlines(r.now, r.now.Add(900*time.Millisecond), "0", "1", "2", "3", "unknown"))
-	require.NotContains(t, r.refused, "0", "it has begun")
-	require.NotContains(t, r.refused, "1", "it has its turn in time")
+	require.NotContains(t, r.refused, "0", "it has started")
+	require.NotContains(t, r.refused, "1", "its turn comes in time")
 	for _, id := range []string{"2", "3"} {
 		require.Equal(t, ReasonStopping, r.refused[id].Reason, id)
 		require.Equal(t, minRetryAfter, r.refused[id].RetryAfter)
@@ -30,8 +30,8 @@
 	require.Len(t, r.completed, 2)
 }
 
-// One that has begun is refused by the least that it takes, and its results are given
-// back.
+// A started request is refused according to the minimum time that it still takes, and its
+// results are freed.
 func TestShortenedDeadlineOfStartedRequest(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -45,7 +45,7 @@
 	require.Zero(t, r.planner.RequestCount())
 }
 
-// A deadline is never put off, and what is done stays done.
+// A deadline is never extended, and a completed request stays completed.
 func TestShortenDeadlinesNeverExtends(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
--- a/coordination/gather/dispatch.go
+++ b/coordination/gather/dispatch.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// crossBytes is how many more bytes than at the best place may cross data
-// centres without a wait: below it the price of a crossing is under a hundredth
-// of what a request is worth.
+// crossingTolerance is how many more bytes than at the best target may cross data centres
+// without a wait: below it a crossing costs less than a hundredth of what a request is
+// worth.
 const crossingTolerance = 64 << 10
 
-// candidate is a stage with pieces to send, with what orders it.
+// candidate is a stage with pending pieces and its rank.
 type candidate struct {
 	stage *heldStage
-	// rank is the priority, lower for an answer that can't be on time any more.
+	// rank is the priority, lowered for a request that can't meet its objective any more.
 	rank float64
 }
 
-// dispatch gives calls to the targets of a service that can take one, those
-// first that answered last, and then the fastest.
+// dispatch starts calls at the targets of a service that can take one: first those with the
+// fewest unsuccessful calls in a row, then the fastest.
 func (p *Planner) dispatch(now time.Time, s *service) {
 	if len(s.queue) == 0 || p.importing {
 		return
@@ -47,41 +47,42 @@
 	}
 }
 
-// lateRank is how many priorities lower a request ranks whose answer can't be on
-// time: below timely ones of the next priority, which it would make late, and above
-// those of the one after, which must not starve it to its deadline.
+// missedObjectivePenalty is how many priorities lower a request ranks that can't meet its
+// objective: below requests of the next priority that can meet theirs, which it would make
+// miss them, and above those of the priority after that, which must not starve it until its
+// deadline.
 const missedObjectivePenalty = 1.5
 
-// order sorts the queue: by rank, then what has results that take room, then what
-// is due earlier.
+// sortedQueue returns the queue sorted by rank, then by ascending height, since stages near
+// the end read results that already occupy capacity, then by objective.
 func (p *Planner) sortedQueue(now time.Time, s *service) []candidate {
 	ordered := make([]candidate, len(s.queue))
 	for i, st := range s.queue {
 		ordered[i] = candidate{stage: st, rank: st.request.rank(now)}
 	}
 	slices.SortStableFunc(ordered, func(a, b candidate) int {
-		wa, wb := a.stage.request, b.stage.request
+		reqA, reqB := a.stage.request, b.stage.request
 		return cmp.Or(
 			cmp.Compare(a.rank, b.rank),
 			cmp.Compare(a.stage.height, b.stage.height),
-			wa.Objective.Compare(wb.Objective),
+			reqA.Objective.Compare(reqB.Objective),
 		)
 	})
 	return ordered
 }
 
-// choose takes the pieces of a target's next call. Pieces of one stage of a
-// request stay together, since each of them reads all results before it; only a
-// stage that no call holds whole is split.
+// choosePieces returns the pieces of a target's next call. The pieces of one stage of a
+// request stay together, since each of them reads all results before it. A stage is split
+// only if no call can hold all of it.
 //
-// near are the data centres where pieces may wait for a target.
+// near lists the data centres where pieces may wait for a target.
 func (p *Planner) choosePieces(now time.Time, t *target, ordered []candidate, near []string) []pieceRef {
 	s := t.service
 	if p.skipsSlow(now, t) {
 		return nil
 	}
 	var chosen []pieceRef
-	room := s.config.ResultCapacity - t.usedBytes
+	free := s.config.ResultCapacity - t.usedBytes
 	for _, c := range ordered {
 		left := s.config.MaxPieces - len(chosen)
 		if left <= 0 {
@@ -93,14 +94,14 @@
 			continue
 		}
 		n = min(n, left)
-		if fits := s.maxResults(room, st.ResultBytes); fits < n {
+		if most := s.maxResults(free, st.ResultBytes); most < n {
 			p.noteCapacityShortage(now, t)
-			n = fits
+			n = most
 		}
 		if n <= 0 {
 			continue
 		}
-		room -= int64(n) * st.ResultBytes
+		free -= int64(n) * st.ResultBytes
 		for _, index := range st.pending[:n] {
 			chosen = append(chosen, pieceRef{st, index})
 		}
@@ -108,9 +109,9 @@
 	return chosen
 }
 
-// passOver tells whether a slow target is left without a call: a call there
-// takes longer than waiting for another target, and its pieces would come late.
-// Now and then it gets one, to learn whether it is still slow.
+// skipsSlow reports whether a slow target gets no call because a call there takes longer
+// than waiting for another target. Now and then it gets one, to learn whether it is still
+// slow.
 func (p *Planner) skipsSlow(now time.Time, t *target) bool {
 	if t.slowness < slowThreshold || now.Sub(t.lastCallAt) > slowProbeInterval {
 		return false
@@ -132,7 +133,7 @@
 	return t.slowness > calls+1
 }
 
-// nearTargets lists the data centres that have a target of usual speed.
+// fastDataCentres lists the data centres that have a target of usual speed.
 func (s *service) fastDataCentres(now time.Time) []string {
 	var near []string
 	for _, t := range s.targets {
@@ -143,8 +144,8 @@
 	return near
 }
 
-// waitsForNearer tells whether pieces rather wait a little for a target beside
-// their inputs or their reader, in one of the data centres that have any.
+// waitsForCloserTarget reports whether pieces should wait briefly for a target near their
+// inputs or their reader, in one of the data centres in near.
 func (p *Planner) waitsForCloserTarget(now time.Time, t *target, st *heldStage, near []string) bool {
 	here := st.crossingBytes(t.DataCentre) * int64(len(st.pending))
 	if here <= crossingTolerance || now.Sub(st.readySince) >= p.localityWait(now, st) {
@@ -158,13 +159,12 @@
 	return false
 }
 
-// patienceShare is the part of a request's spare time that one stage may wait for
-// a target beside its inputs.
+// localityWaitDivisor divides a request's spare time to get how long one stage may wait for
+// a target near its inputs.
 const localityWaitDivisor = 2
 
-// patience is how long a stage waits for a target beside its inputs: a share of
-// the time that the request has to spare, so that saving bytes makes no answer
-// late.
+// localityWait returns how long a stage waits for a target near its inputs: at most a part
+// of the request's spare time, so that saving bytes makes no request miss its objective.
 func (p *Planner) localityWait(now time.Time, st *heldStage) time.Duration {
 	spare := st.request.Objective.Sub(now) - p.minRemaining(st.request)
 	if spare < 0 {
@@ -173,12 +173,12 @@
 	return min(p.config.LocalityWait, spare/localityWaitDivisor)
 }
 
-// start begins a call.
+// startCall starts a call.
 func (p *Planner) startCall(now time.Time, t *target, chosen []pieceRef) {
 	p.nextCall++
 	c := &call{id: p.nextCall, target: t, pieces: chosen, startedAt: now}
 	c.inputsReadAt = now.Add(time.Duration(inputReadShare * float64(t.service.config.CallTime)))
-	orders := make([]Piece, 0, len(chosen))
+	pieces := make([]Piece, 0, len(chosen))
 	var pieceTime time.Duration
 	var inputs []string
 	var reader *heldStage
@@ -187,14 +187,14 @@
 		if reader != st {
 			reader, inputs = st, st.inputs()
 		}
-		order := Piece{
+		piece := Piece{
 			Request: st.request.ID, Stage: st.index, Index: ref.index,
 			Inputs: inputs, Deadline: st.request.Deadline.Add(-st.request.Remaining),
 		}
 		if len(inputs) == 0 {
-			order.Key = st.request.Key
+			piece.Key = st.request.Key
 		}
-		orders = append(orders, order)
+		pieces = append(pieces, piece)
 		st.pending = slices.DeleteFunc(st.pending, func(i int) bool { return i == ref.index })
 		st.inCall++
 		st.request.started = true
@@ -216,5 +216,5 @@
 	c.overdueAt = now.Add(time.Duration(overdueFactor*max(t.slowness, 1)*float64(c.expectedDuration)) + overdueMargin)
 	timeout := time.Duration(timeoutFactor*float64(c.expectedDuration)) + timeoutMargin
 	c.timeoutAt = now.Add(timeout)
-	p.actions = append(p.actions, StartCall{ID: c.id, Target: t.Target, Service: t.service.name, Pieces: orders, Timeout: timeout})
+	p.actions = append(p.actions, StartCall{ID: c.id, Target: t.Target, Service: t.service.name, Pieces: pieces, Timeout: timeout})
 }
--- a/coordination/gather/export.go
+++ b/coordination/gather/export.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// freeingFor is how long room counts as taken whose results are being given back as
-// the queue changes hands: the call to their maker is gathered for 40 ms and takes a
-// few.
+// freeReservationTime is how long capacity stays reserved for results that are being freed
+// during a handover of the queue: the call that frees them is delayed by 40 ms for batching
+// and takes a few ms.
 const freeReservationTime = 150 * time.Millisecond
 
-// Export takes out all that the planner holds. Its calls in progress go on; their
-// ends belong to the planner that imports the state.
+// Export removes and returns all that the planner holds. Its calls in progress continue;
+// their ends are reported to the planner that imports the state.
 func (p *Planner) Export(now time.Time) State {
 	var state State
 	index := map[*target]int{}
@@ -24,8 +24,8 @@
 	for _, c := range p.calls {
 		state.Calls = append(state.Calls, p.exportCall(now, &state, index, c))
 	}
-	for _, w := range p.requests {
-		state.Requests = append(state.Requests, p.exportRequest(now, &state, index, w))
+	for _, req := range p.requests {
+		state.Requests = append(state.Requests, p.exportRequest(now, &state, index, req))
 	}
 	for handle, f := range p.freeing {
 		delete(p.freeing, handle)
@@ -50,8 +50,8 @@
 	return times
 }
 
-// exportTarget returns the index of a target in the state. Results may also be at
-// targets that are no longer listed.
+// exportTarget returns the index of a target in the state. Results may also be at targets
+// that are no longer listed.
 func (p *Planner) exportTarget(now time.Time, state *State, index map[*target]int, t *target) int {
 	if i, ok := index[t]; ok {
 		return i
@@ -78,8 +78,8 @@
 	}
 	for _, ref := range c.pieces {
 		piece := PieceState{Stage: ref.stage.index, Index: ref.index, Bytes: ref.stage.ResultBytes}
-		if w := ref.stage.request; p.requests[w.ID] == w {
-			piece.Request = w.ID
+		if req := ref.stage.request; p.requests[req.ID] == req {
+			piece.Request = req.ID
 		}
 		held.Pieces = append(held.Pieces, piece)
 	}
@@ -88,13 +88,13 @@
 	return held
 }
 
-func (p *Planner) exportRequest(now time.Time, state *State, index map[*target]int, w *heldRequest) RequestState {
+func (p *Planner) exportRequest(now time.Time, state *State, index map[*target]int, req *heldRequest) RequestState {
 	held := RequestState{
-		ID: w.ID, Route: w.Route, Key: w.Key, Priority: w.Priority, KindPriority: w.KindPriority, Stages: w.Stages,
-		Objective: relativeTo(now, w.Objective), Deadline: relativeTo(now, w.Deadline), Remaining: w.Remaining, DataCentre: w.DataCentre,
-		AdmittedAt: relativeTo(now, w.admittedAt), Started: w.started, Boosted: w.boosted, DeadlineShortened: w.deadlineShortened, Completed: w.completed,
+		ID: req.ID, Route: req.Route, Key: req.Key, Priority: req.Priority, KindPriority: req.KindPriority, Stages: req.Stages,
+		Objective: relativeTo(now, req.Objective), Deadline: relativeTo(now, req.Deadline), Remaining: req.Remaining, DataCentre: req.DataCentre,
+		AdmittedAt: relativeTo(now, req.admittedAt), Started: req.started, Boosted: req.boosted, DeadlineShortened: req.deadlineShortened, Completed: req.completed,
 	}
-	for _, s := range w.stages {
+	for _, s := range req.stages {
 		stage := StageState{
 			Pending: slices.Clone(s.pending), Resends: s.resends,
 			ReadySince: relativeTo(now, s.readySince), InputsReadAt: relativeTo(now, s.inputsReadAt), SentAt: relativeTo(now, s.sentAt), EndedAt: relativeTo(now, s.endedAt),
--- a/coordination/gather/fleet_test.go
+++ b/coordination/gather/fleet_test.go
@@ -19,7 +19,7 @@
 	rate      float64
 	objective time.Duration
 	deadline  time.Duration
-	// read is the time from the last stage's end until the results are read.
+	// readDelay is the time from the last stage's end until the results are read.
 	readDelay time.Duration
 	stages    func(rng *rand.Rand) []Stage
 }
@@ -31,8 +31,8 @@
 	config  ServiceConfig
 }
 
-// The services and kinds of a deployment of several hundred instances. A scale of 1
-// has some 600 requests with stages a second.
+// The services and kinds of a deployment of several hundred instances. A scale of 1 has
+// some 600 requests with stages a second.
 const (
 	lookup  = "lookup"
 	ranking = "ranking"
@@ -48,7 +48,7 @@
 	}
 }
 
-// around draws a number of pieces about a mean.
+// around samples a number of pieces around a mean.
 func around(rng *rand.Rand, mean float64, most int) int {
 	return min(max(int(math.Round(mean*math.Exp(0.5*rng.NormFloat64()-0.125))), 1), most)
 }
@@ -82,18 +82,18 @@
 	}
 }
 
-// fleetResult is what callers of one kind got.
+// fleetResult counts the results of the requests of one kind.
 type fleetResult struct{ submitted, timely, missed, refused int }
 
 func (r fleetResult) timelyShare() float64  { return float64(r.timely) / float64(r.submitted) }
 func (r fleetResult) refusedShare() float64 { return float64(r.refused) / float64(r.submitted) }
 
-// fleetRun plays a load against a planner in virtual time.
+// fleetRun simulates a load against a planner in virtual time.
 type fleetRun struct {
 	planner *Planner
 	rng     *rand.Rand
 	kinds   []fleetKind
-	// surge multiplies a kind's rate at a time since the begin.
+	// surge multiplies a kind's rate at a time since the start.
 	surge    func(kind string, at time.Duration) float64
 	begin    time.Time
 	now      time.Time
@@ -106,7 +106,7 @@
 	calls    map[string]int
 	pieces   map[string]int
 	services map[string]fleetService
-	// spent is the time that the planner took.
+	// plannerTime is the time spent in the planner.
 	plannerTime time.Duration
 	maxHeld     int
 }
@@ -170,7 +170,7 @@
 	heap.Push(&r.events, fleetEvent{r.now.Add(d), r.order, run})
 }
 
-// run plays until a time since the begin.
+// run simulates until a time since the start.
 func (r *fleetRun) run(until time.Duration) {
 	for len(r.events) > 0 && r.events[0].at.Sub(r.begin) < until {
 		next := heap.Pop(&r.events).(fleetEvent)
@@ -207,7 +207,7 @@
 	})
 }
 
-// step runs a step of the planner and plays its actions.
+// step runs a step of the planner and carries out its actions.
 func (r *fleetRun) step(step func() []Action) {
 	begin := time.Now()
 	actions := step()
@@ -228,10 +228,10 @@
 }
 
 func (r *fleetRun) call(c StartCall) {
-	shape := r.services[c.Service].config
+	config := r.services[c.Service].config
 	r.calls[c.Service]++
 	r.pieces[c.Service] += len(c.Pieces)
-	took := shape.CallTime + time.Duration(len(c.Pieces))*shape.PieceTime
+	took := config.CallTime + time.Duration(len(c.Pieces))*config.PieceTime
 	r.at(took, func() {
 		results := make([]PieceResult, len(c.Pieces))
 		for i := range results {
@@ -259,22 +259,22 @@
 }
 
 func (r *fleetRun) log(t testing.TB) {
-	asked := 0
+	submitted := 0
 	for _, k := range r.kinds {
 		v := r.results[k.name]
-		asked += v.submitted
+		submitted += v.submitted
 		t.Logf("%s: asked %d, timely %.3f, late %.3f, refused %.3f", k.name, v.submitted,
 			v.timelyShare(), float64(v.missed)/float64(v.submitted), v.refusedShare())
 	}
 	for name, n := range r.calls {
 		t.Logf("%s: %d calls of %.1f pieces", name, n, float64(r.pieces[name])/float64(n))
 	}
-	t.Logf("%s a request, at most %d held", r.plannerTime/time.Duration(asked), r.maxHeld)
+	t.Logf("%s a request, at most %d held", r.plannerTime/time.Duration(submitted), r.maxHeld)
 }
 
-// TestLargeFleetIsServedLikeASmallOne guards against what grows with the number of targets
-// and of waiting requests: a bound that refuses, or an order that lets targets idle. All
-// kinds come twice as often for five seconds, with as many targets for each request.
+// Prevents degradation with the number of targets and of waiting requests: a limit that
+// refuses requests, or an order that leaves targets idle. All kinds arrive at twice their
+// rate for five seconds, with the same number of targets per request in both fleets.
 func TestLargeFleetIsServedLikeSmallOne(t *testing.T) {
 	play := func(scale float64) *fleetRun {
 		r := newFleetRun(1, scale)
@@ -296,7 +296,7 @@
 	}
 }
 
-// checkBacklog compares the backlogs with a look at each request that waits.
+// checkBacklog compares the backlogs with a count over all waiting requests.
 func checkBacklog(t require.TestingT, p *Planner) {
 	for _, s := range p.services {
 		pieces := 0
--- a/coordination/gather/handover_test.go
+++ b/coordination/gather/handover_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// handOver has a new planner go on with the queue, to which something happens before.
+// handover moves the queue to a new planner, on which before runs first.
 func (r *rig) handover(before ...func()) {
 	state := r.planner.Export(r.now)
 	require.Zero(r.t, r.planner.RequestCount())
@@ -26,54 +26,55 @@
 	actions, ids := next.Import(r.now, state)
 	for i, c := range r.running[:inProgress] {
 		id, ok := ids[c.ID]
-		require.True(r.t, ok, "a call in progress is forgotten")
+		require.True(r.t, ok, "a call in progress is missing from the import")
 		r.running[i].ID = id
 	}
 	r.do(actions)
 }
 
-// tally counts what the targets see: how often each piece is sent, and how many calls
-// and results each target has.
+// callTally counts what the targets receive: how often each piece is sent, and which target
+// produced each result.
 type callTally struct {
 	sent       map[string]int
 	results    map[string]int
 	producedAt map[string]string
 }
 
-// watch checks each call as it is sent: a target has a place and room for it.
-func (r *rig) checkCalls(shape ServiceConfig) *callTally {
-	seen := &callTally{sent: map[string]int{}, results: map[string]int{}, producedAt: map[string]string{}}
+// checkCalls checks for each call as it is sent that its target has a free slot and
+// capacity for the results.
+func (r *rig) checkCalls(config ServiceConfig) *callTally {
+	tally := &callTally{sent: map[string]int{}, results: map[string]int{}, producedAt: map[string]string{}}
 	r.callDuration = func(c StartCall) time.Duration {
 		busy := 0
-		room := len(c.Pieces)
+		results := len(c.Pieces)
 		for _, other := range r.running {
 			if other.Target == c.Target {
 				busy++
-				room += len(other.Pieces)
+				results += len(other.Pieces)
 			}
 		}
-		for handle, target := range seen.producedAt {
+		for handle, target := range tally.producedAt {
 			if target == c.Target.Incarnation && !r.wasFreed(handle) {
-				room++
+				results++
 			}
 		}
-		require.Less(r.t, busy, shape.Slots, "a call finds its target full")
-		require.LessOrEqual(r.t, int64(room*1000), shape.ResultCapacity, "results find no room")
+		require.Less(r.t, busy, config.Slots, "a call finds its target full")
+		require.LessOrEqual(r.t, int64(results*1000), config.ResultCapacity, "results do not fit")
 		for _, p := range c.Pieces {
-			seen.sent[fmt.Sprintf("%s/%d/%d", p.Request, p.Stage, p.Index)]++
+			tally.sent[fmt.Sprintf("%s/%d/%d", p.Request, p.Stage, p.Index)]++
 		}
-		return shape.CallTime + time.Duration(len(c.Pieces))*shape.PieceTime
+		return config.CallTime + time.Duration(len(c.Pieces))*config.PieceTime
 	}
 	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
 		results := make([]PieceResult, len(c.Pieces))
 		for i := range results {
 			r.produced++
 			results[i].Handle = fmt.Sprintf("%s/%d", c.Target.Incarnation, r.produced)
-			seen.producedAt[results[i].Handle] = c.Target.Incarnation
+			tally.producedAt[results[i].Handle] = c.Target.Incarnation
 		}
 		return CallAnswered, results
 	}
-	return seen
+	return tally
 }
 
 func (r *rig) wasFreed(handle string) bool {
@@ -85,16 +86,16 @@
 	return false
 }
 
-// roomy keeps results longer than any test takes, in room for 14 of them: as much as
-// a call and the results of a request.
+// longTTL keeps results longer than any test takes, with capacity for 14 of them: as much
+// as a call and the results of a request.
 var longTTL = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultCapacity: 14_000, ResultTTL: time.Minute}
 
-// The holder of the queue stops while calls are in progress and others wait. Begun
-// anew elsewhere, their pieces are made twice, calls find targets full that work for
-// the old holder, and results find no room beside those that nobody gives back.
+// The holder of the queue stops while calls are in progress and requests wait. Restarted
+// elsewhere, pieces would run twice, calls would find targets full that work for the old
+// holder, and results wouldn't fit beside those that nobody frees.
 //
-// Evidence: on a played day of stops 335 of 2,130 calls found their target full and
-// 1,224 results found no room, nearly all within seven seconds of a holder's stop.
+// In a simulated day of stops, 335 of 2,130 calls found their target full and 1,224 results
+// didn't fit, nearly all within seven seconds of a holder's stop.
 func TestHandoverRepeatsNoPieces(t *testing.T) {
 	for _, after := range []time.Duration{0, 50, 200, 240, 260, 400, 700, 1100} {
 		t.Run(fmt.Sprint(int(after)), func(t *testing.T) {
@@ -102,7 +103,7 @@
 			for _, name := range []string{"a", "b"} {
 				r.service(name, longTTL, "x", "y")
 			}
-			seen := r.checkCalls(longTTL)
+			tally := r.checkCalls(longTTL)
 			for i := range 6 {
 				r.submit(chain(fmt.Sprint(i), 5, 3))
 			}
@@ -115,16 +116,16 @@
 			for i := range 6 {
 				r.do(r.planner.Drop(r.now, fmt.Sprint(i)))
 			}
-			for piece, n := range seen.sent {
+			for piece, n := range tally.sent {
 				require.Equal(t, 1, n, piece)
 			}
-			require.Len(t, r.freed, len(seen.producedAt), "all room is given back")
+			require.Len(t, r.freed, len(tally.producedAt), "all capacity is freed")
 		})
 	}
 }
 
-// A result that was made before the queue changed hands is dropped by the new holder
-// when its maker no longer has it, and a call of which no word comes is made up for.
+// After a handover the end of a call in progress is never reported, and the results that
+// it read may have expired at their target. The new holder must run its pieces again.
 func TestHandoverOfUnansweredCall(t *testing.T) {
 	r := newRig(t)
 	for _, name := range []string{"a", "b"} {
@@ -138,8 +139,8 @@
 	require.Contains(t, r.completed, "one")
 }
 
-// The new holder is asked for a request by its caller before the queue comes. The
-// one with results counts, and it ends once.
+// A caller submits a request to the new holder before the queue arrives. The imported one
+// with results replaces it, and it ends once.
 func TestHandoverOfRequestAlreadyHeld(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -156,7 +157,7 @@
 	r.do(r.planner.Drop(r.now, "one"))
 	r.do(r.planner.Drop(r.now, "other"))
 	require.Len(t, r.freed, r.produced)
-	require.Equal(t, []int{2, 2, 8}, piecesOf(r.calls), "what the old holder had goes on")
+	require.Equal(t, []int{2, 2, 8}, piecesOf(r.calls), "the calls of the old holder continue")
 }
 
 // piecesOf returns the number of pieces of each call.
@@ -168,8 +169,8 @@
 	return n
 }
 
-// A call that another instance carries out counts as in progress, and as lost by the
-// time-out that its sender gave it.
+// A call that another instance carries out counts as in progress, and as unanswered after
+// the timeout that its sender gave it.
 func TestHandoverOfCallInProgress(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -185,8 +186,8 @@
 	require.Len(t, r.completed, 1)
 }
 
-// The new holder knows of a target that the old one didn't. Its first call is full: the
-// queue comes at once and not request by request.
+// The new holder knows a target that the old one didn't. Its first call is full: requests
+// are imported all at once and not one by one.
 func TestHandoverToFreeTargets(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -199,16 +200,16 @@
 	require.Equal(t, []int{2, 8}, piecesOf(r.calls))
 }
 
-// Nothing fails, callers come and leave, instances stop and bring deadlines forward,
-// in any order. No piece is made twice, no call finds a target full or without room,
-// each request ends once, and all room is given back.
+// Without failures, callers submit and drop requests, instances stop and shorten deadlines,
+// in any order. No piece runs twice, no call finds its target full or without capacity,
+// each request ends once, and all capacity is freed.
 func TestAnyOrderOfHandovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newRig(t)
 		for _, name := range []string{"a", "b", "c"} {
 			r.service(name, longTTL, "x", "y")
 		}
-		seen := r.checkCalls(longTTL)
+		tally := r.checkCalls(longTTL)
 		submitted := 0
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
@@ -230,24 +231,24 @@
 		}
 		r.run(12 * time.Second)
 		require.Zero(rt, r.planner.RequestCount(), "everything has ended")
-		for piece, n := range seen.sent {
+		for piece, n := range tally.sent {
 			require.Equal(rt, 1, n, piece)
 		}
 		for id, n := range r.endCount {
 			require.Equal(rt, 1, n, id)
 		}
-		require.Len(rt, r.freed, len(seen.producedAt), "all room is given back")
+		require.Len(rt, r.freed, len(tally.producedAt), "all capacity is freed")
 	})
 }
 
-// Results are being given back as the queue changes hands. Counted as free at once,
-// their room would have the next call refused.
+// Results are being freed during a handover of the queue. If their capacity counted as free
+// at once, the next call would be refused.
 func TestHandoverOfCapacityBeingFreed(t *testing.T) {
 	r := newRig(t)
 	r.service("a", longTTL, "x")
 	r.submit(chain("one", 3))
 	r.run(300 * time.Millisecond)
-	require.Len(t, r.planner.Drop(r.now, "one"), 1, "its maker isn't told yet")
+	require.Len(t, r.planner.Drop(r.now, "one"), 1, "its target has not been notified yet")
 	r.handover()
 	target := r.planner.services["a"].targets["a-0"]
 	require.EqualValues(t, 3000, target.usedBytes)
@@ -255,8 +256,8 @@
 	require.Zero(t, target.usedBytes)
 }
 
-// The new holder hears of a target's restart by the queue that it takes over, before
-// its own list tells. Once that does, what it had at the process before is made again.
+// The new holder learns of a target's restart from the queue that it imports before its own
+// list has it. Once the list does, the results at the old process are produced again.
 func TestHandoverReportsRestartBeforeTargetList(t *testing.T) {
 	r := producedByFirst(t)
 	other := New(Config{})
@@ -272,8 +273,8 @@
 	require.Equal(t, "a-0@200", r.calls[1].Target.Incarnation)
 }
 
-// A process that is gone is still in a call as the queue changes hands. Its reply, read
-// after that, names results that nobody holds.
+// A call to a replaced process is still in progress at the handover of the queue. Its
+// reply, read later, names results that no longer exist.
 func TestHandoverOfCallToReplacedTarget(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
--- a/coordination/gather/import.go
+++ b/coordination/gather/import.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Import goes on with what another planner held. It returns the numbers that the
-// calls in progress have here, by those that they had there: their ends are reported
-// by CallDone as of any other call.
+// Import continues with what another planner held. It returns the ids that the calls in
+// progress have here by their ids at the exporting planner; their ends are reported by
+// CallDone like those of any other call.
 //
-// A request that is held here already gives way to the imported one, which has
-// results. Beyond the bound requests are refused and their results given back.
+// A request that is already held here is replaced by the imported one, which has results.
+// Requests beyond the limit are refused and their results freed.
 func (p *Planner) Import(now time.Time, state State) ([]Action, map[uint64]uint64) {
 	for _, times := range state.Times {
 		p.importTimes(times)
@@ -16,10 +16,10 @@
 	for i, held := range state.Targets {
 		targets[i] = p.importTarget(now, held)
 	}
-	var taken []*heldRequest
+	var imported []*heldRequest
 	for _, held := range state.Requests {
-		if w := p.importRequest(now, targets, held); w != nil {
-			taken = append(taken, w)
+		if req := p.importRequest(now, targets, held); req != nil {
+			imported = append(imported, req)
 		}
 	}
 	ids := make(map[uint64]uint64, len(state.Calls))
@@ -28,15 +28,15 @@
 			ids[held.ID] = p.importCall(now, targets[held.Target], held)
 		}
 	}
-	// Targets are only used once all calls in progress at them are known and all
-	// requests wait: one by one, the first would take free targets with calls that are
-	// nearly empty.
+	// Targets are used only after all calls in progress at them are known and all requests
+	// are queued. Otherwise the first requests would occupy free targets with nearly empty
+	// calls.
 	p.importing = true
 	for _, s := range p.services {
 		p.handleRestarts(now, s.listedTargets())
 	}
-	for _, w := range taken {
-		p.advance(now, w)
+	for _, req := range imported {
+		p.advance(now, req)
 	}
 	p.importing = false
 	for _, s := range p.services {
@@ -53,8 +53,8 @@
 	}
 }
 
-// importTarget takes over what is known of a target; one that isn't listed here gets
-// no calls.
+// importTarget imports what is known of a target. A target that isn't listed here gets no
+// calls.
 func (p *Planner) importTarget(now time.Time, held TargetState) *target {
 	s := p.service(held.Service)
 	t := s.targets[held.Incarnation]
@@ -65,39 +65,39 @@
 	t.replaced = t.replaced || held.Replaced
 	t.slowness, t.answered, t.unansweredCalls, t.unsuccessfulCalls = max(held.Slowness, 0), held.Answered, held.UnansweredCalls, held.UnsuccessfulCalls
 	t.downUntil = absoluteFrom(now, held.DownUntil)
-	for _, room := range held.Reserved {
-		t.usedBytes += room.Bytes
-		t.reserved = append(t.reserved, reservation{room.Bytes, now.Add(room.Until)})
+	for _, reserved := range held.Reserved {
+		t.usedBytes += reserved.Bytes
+		t.reserved = append(t.reserved, reservation{reserved.Bytes, now.Add(reserved.Until)})
 	}
 	return t
 }
 
-// importWork returns nil for a request that can't be taken.
+// importRequest returns nil for a request that can't be accepted.
 func (p *Planner) importRequest(now time.Time, targets []*target, held RequestState) *heldRequest {
 	if old := p.requests[held.ID]; old != nil {
 		p.drop(old)
 	}
-	w := p.newHeldRequest(Request{
+	req := p.newHeldRequest(Request{
 		ID: held.ID, Route: held.Route, Key: held.Key, Priority: held.Priority, KindPriority: held.KindPriority, Stages: held.Stages,
 		Objective: now.Add(held.Objective), Deadline: now.Add(held.Deadline), Remaining: held.Remaining, DataCentre: held.DataCentre,
 	})
-	w.admittedAt = absoluteFrom(now, held.AdmittedAt)
-	w.started, w.boosted, w.deadlineShortened, w.completed = held.Started, held.Boosted, held.DeadlineShortened, held.Completed
+	req.admittedAt = absoluteFrom(now, held.AdmittedAt)
+	req.started, req.boosted, req.deadlineShortened, req.completed = held.Started, held.Boosted, held.DeadlineShortened, held.Completed
 	for i, progress := range held.Progress {
-		if i < len(w.stages) {
-			w.stages[i].restore(now, targets, progress)
+		if i < len(req.stages) {
+			req.stages[i].restore(now, targets, progress)
 		}
 	}
 	if len(p.requests) >= p.config.MaxRequests || len(held.Stages) > maxStages {
-		p.refuse(w, Refused{Reason: ReasonTooManyRequests, RetryAfter: minRetryAfter})
+		p.refuse(req, Refused{Reason: ReasonTooManyRequests, RetryAfter: minRetryAfter})
 		return nil
 	}
-	p.requests[w.ID] = w
-	p.updateBacklog(now, w)
-	return w
+	p.requests[req.ID] = req
+	p.updateBacklog(now, req)
+	return req
 }
 
-// resume takes over how far a stage is.
+// restore sets the progress of a stage.
 func (s *heldStage) restore(now time.Time, targets []*target, held StageState) {
 	s.pending = held.Pending
 	s.resends = held.Resends
@@ -116,7 +116,7 @@
 	}
 }
 
-// importCall counts a call that another instance carries out.
+// importCall adds a call that another instance carries out.
 func (p *Planner) importCall(now time.Time, t *target, held CallState) uint64 {
 	p.nextCall++
 	c := &call{
@@ -141,30 +141,30 @@
 	return c.id
 }
 
-// pieceStage is the stage of a piece in a call. A piece of a request that isn't held
-// belongs to one that nobody waits for, so that its result is given back.
+// stageOfPiece returns the stage of a piece in a call. A piece of a request that isn't held
+// gets a stage that nobody waits for, so that its result is freed.
 func (p *Planner) stageOfPiece(s *service, piece PieceState) *heldStage {
-	w := p.requests[piece.Request]
-	if w != nil && piece.Stage >= 0 && piece.Stage < len(w.stages) &&
-		piece.Index >= 0 && piece.Index < len(w.stages[piece.Stage].results) {
-		return w.stages[piece.Stage]
+	req := p.requests[piece.Request]
+	if req != nil && piece.Stage >= 0 && piece.Stage < len(req.stages) &&
+		piece.Index >= 0 && piece.Index < len(req.stages[piece.Stage].results) {
+		return req.stages[piece.Stage]
 	}
-	usual := 1.0
-	return &heldStage{request: &heldRequest{}, service: s, timeFactor: &usual, Stage: Stage{ResultBytes: piece.Bytes}}
+	factor := 1.0
+	return &heldStage{request: &heldRequest{}, service: s, timeFactor: &factor, Stage: Stage{ResultBytes: piece.Bytes}}
 }
 
-// Expiries tells when the calls in progress of the given numbers count as lost.
+// CallTimeouts returns when the calls with the ids that Import returned time out.
 func (p *Planner) CallTimeouts(ids map[uint64]uint64) map[uint64]time.Time {
-	expiries := make(map[uint64]time.Time, len(ids))
+	timeouts := make(map[uint64]time.Time, len(ids))
 	for _, id := range ids {
 		if c := p.calls[id]; c != nil {
-			expiries[id] = c.timeoutAt
+			timeouts[id] = c.timeoutAt
 		}
 	}
-	return expiries
+	return timeouts
 }
 
-// listed returns the targets that may be called, those of the list that came last.
+// listedTargets returns the targets of the latest list, which may be called.
 func (s *service) listedTargets() []Target {
 	var list []Target
 	for _, t := range s.targets {
--- a/coordination/gather/planner_test.go
+++ b/coordination/gather/planner_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rig plays targets against a planner in virtual time.
+// rig simulates targets against a planner in virtual time.
 type rig struct {
 	t         *testing.T
 	planner   *Planner
@@ -18,18 +18,18 @@
 	completed map[string][]string
 	refused   map[string]Refused
 	freed     []string
-	// took overrides how long a call takes.
+	// callDuration overrides how long a call takes.
 	callDuration func(StartCall) time.Duration
-	// end overrides how a call ends.
+	// callEnd overrides how a call ends.
 	callEnd func(StartCall) (CallOutcome, []PieceResult)
-	// calls are all calls, in order.
+	// calls has all calls in order.
 	calls    []StartCall
 	produced int
-	// starts counts the starts of targets under their names.
+	// starts counts the starts of targets by name.
 	starts map[string]int
-	// services are those added so far, for a planner that takes over.
+	// services has those added so far, for a planner that imports the queue.
 	services map[string]listedService
-	// ended counts how often each request ended.
+	// endCount counts how often each request ended.
 	endCount map[string]int
 }
 
@@ -51,17 +51,18 @@
 	}
 }
 
+// smallBatch is a configuration with calls of up to eight pieces.
 var smallBatch = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultTTL: 4 * time.Second}
 
 // service adds a service with targets in the given data centres.
-func (r *rig) service(name string, shape ServiceConfig, dataCentres ...string) {
-	r.planner.SetService(name, shape)
+func (r *rig) service(name string, config ServiceConfig, dataCentres ...string) {
+	r.planner.SetService(name, config)
 	var list []Target
 	for i, dc := range dataCentres {
 		id := fmt.Sprintf("%s-%d", name, i)
 		list = append(list, Target{Incarnation: r.incarnation(id), Name: id, Address: id, DataCentre: dc})
 	}
-	r.services[name] = listedService{shape, list}
+	r.services[name] = listedService{config, list}
 	r.do(r.planner.SetTargets(r.now, name, list))
 }
 
@@ -80,7 +81,7 @@
 			for _, piece := range a.Pieces {
 				r.requireHeld(piece.Inputs)
 				for _, input := range piece.Inputs {
-					require.NotContains(r.t, r.freed, input, "a call reads a result that was given back")
+					require.NotContains(r.t, r.freed, input, "a call reads a freed result")
 				}
 			}
 			took := 200*time.Millisecond + time.Duration(len(a.Pieces))*20*time.Millisecond
@@ -102,7 +103,7 @@
 	}
 }
 
-// run plays for a while.
+// run advances the virtual time by d.
 func (r *rig) run(d time.Duration) {
 	until := r.now.Add(d)
 	for r.now.Before(until) {
@@ -148,8 +149,8 @@
 	return q
 }
 
-// Requests run through their stages in order, each piece reads all results
-// before it and only those, and the last stage's results are handed out.
+// Requests run through their stages in order, each piece reads all results of the stage
+// before it and only those, and the last stage's results are returned.
 func TestStagesRunInOrder(t *testing.T) {
 	r := newRig(t)
 	for _, name := range []string{"a", "b", "c"} {
@@ -166,14 +167,14 @@
 			require.Equal(t, p.Stage == 0, p.Key != "")
 		}
 	}
-	require.Len(t, r.freed, 4, "results that were read are given back")
+	require.Len(t, r.freed, 4, "results that were read are freed")
 	r.do(r.planner.Drop(r.now, "one"))
 	require.Len(t, r.freed, 6)
 	require.Zero(t, r.planner.RequestCount())
 }
 
-// Many requests come at once. Sent one by one they would take a call each; pieces
-// that wait together leave in full calls.
+// Many requests arrive at once. Sent one by one they would take a call each; pieces that
+// wait together are sent in full calls.
 func TestCallsAreFilled(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x", "x")
@@ -185,10 +186,9 @@
 	require.LessOrEqual(t, len(r.calls), 2+32/8+1)
 }
 
-// A stage target falls silent for its results: while the second stage of a request
-// waits for a place, the first stage's results expire. The second stage must wait
-// until they are made again; sent with what was left, it would read nothing, and
-// the instance that holds the queue would crash.
+// The first stage's results expire while the second stage waits for a free target. The
+// second stage must wait until they are produced again; sent with the remaining ones, it
+// would read nothing, and the instance that holds the queue would crash.
 func TestResultsExpireWhileTheirReaderWaits(t *testing.T) {
 	r := newRig(t)
 	short := smallBatch
@@ -215,9 +215,9 @@
 	}
 }
 
-// A target falls silent in the middle of a call, and the results that the call read
-// expire meanwhile. Handed on, its pieces would be sent without inputs, and the
-// instance that holds the queue would crash.
+// A target stops answering during a call, and the results that the call read expire
+// meanwhile. Hedged, its pieces would be sent without inputs, and the instance that holds
+// the queue would crash.
 func TestResultsExpireDuringAnOverdueCall(t *testing.T) {
 	r := newRig(t)
 	short := smallBatch
@@ -240,18 +240,18 @@
 	require.Len(t, r.completed, 6)
 }
 
-// The answer to one call says that an input is gone, for every piece that read it.
-// The input is made again once, and the pieces after it.
+// The answer to one call reports a missing input for every piece that read it. The input is
+// produced again once, and then the pieces that read it.
 func TestMissingInputIsProducedAgain(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
 	r.service("b", smallBatch, "x")
-	gone := true
+	missing := true
 	r.callEnd = func(c StartCall) (CallOutcome, []PieceResult) {
-		if c.Pieces[0].Stage == 0 || !gone {
+		if c.Pieces[0].Stage == 0 || !missing {
 			return CallAnswered, nil
 		}
-		gone = false
+		missing = false
 		return CallAnswered, []PieceResult{{Failure: PieceInputMissing}, {Failure: PieceInputMissing}}
 	}
 	r.submit(chain("one", 1, 2))
@@ -260,8 +260,8 @@
 	require.Len(t, r.calls, 4)
 }
 
-// A target refuses, another is gone, a third loses its answer: the pieces go to
-// the target that is left, and the request doesn't fail.
+// One target refuses the call, one is replaced by another process, one doesn't answer: the
+// pieces go to the remaining target, and the request doesn't fail.
 func TestFailedCallsAreRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x", "x", "x", "x")
@@ -282,8 +282,8 @@
 	require.Empty(t, r.refused)
 }
 
-// A request that can't be done in time is refused at once and says when it could,
-// before it costs a stage.
+// A request that can't meet its deadline is refused at once with a retry delay, before any
+// stage runs.
 func TestUnattainableRequestIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -299,12 +299,12 @@
 	}
 	refused := len(r.refused)
 	r.run(5 * time.Second)
-	require.Len(t, r.refused, refused, "what was taken in was done in time")
+	require.Len(t, r.refused, refused, "admitted requests are done in time")
 	require.Equal(t, 80, len(r.completed)+refused)
 }
 
-// A caller waits for less than the objective. What it takes fits the objective but
-// not the caller's wait: refused at once, not after a stage.
+// A request's deadline is before its objective. Its stages would meet the objective but not
+// the deadline: it must be refused at once, not after a stage.
 func TestDeadlineBeforeTheObjective(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -315,7 +315,7 @@
 	require.Empty(t, r.calls)
 }
 
-// A service has no target: a request that needs it is told so at once.
+// A request that needs a service without targets is refused at once.
 func TestNoTarget(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch)
@@ -323,7 +323,7 @@
 	require.Equal(t, ReasonNoTarget, r.refused["one"].Reason)
 }
 
-// The more urgent go first when all wait.
+// Of the waiting requests, the more urgent go first.
 func TestUrgentFirst(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -338,8 +338,8 @@
 	require.Equal(t, "low", r.calls[2].Pieces[0].Request)
 }
 
-// A target has room for two results of the size. A third piece sent there would be
-// refused and cost a call.
+// A target has capacity for two results of the size. A third piece sent there would be
+// refused and waste a call.
 func TestResultCapacityIsRespected(t *testing.T) {
 	r := newRig(t)
 	tight := smallBatch
@@ -357,7 +357,7 @@
 	require.Len(t, r.completed, 3)
 }
 
-// A caller leaves while its pieces run: what they bring is given back.
+// A caller leaves while its pieces run: their results are freed.
 func TestDroppedDuringACall(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -368,8 +368,8 @@
 	require.Empty(t, r.completed)
 }
 
-// One of two targets works five times as long. Waiting for the other is faster, so
-// the slow one gets only a call now and then, which tells when it is well again.
+// One of two targets takes five times as long. Waiting for the other is faster, so the slow
+// one gets only an occasional call, which shows when it has recovered.
 func TestSlowTargetIsPassedOver(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x", "x")
--- a/coordination/gather/detour.go
+++ b/coordination/gather/readcost.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// crossingPerByte is how long a request may rather wait than have a byte of its inputs
-// carried between data centres: 50 ms for a megabyte.
+// crossingPerByte is the wait that a request accepts rather than have a byte of its inputs
+// transferred between data centres: 50 ms for a megabyte.
 const crossingPerByte = 50 * time.Millisecond / (1 << 20)
 
-// CrossingTime is how long a request may rather wait than have bytes carried between
-// data centres.
+// CrossingCost returns the wait that a request accepts rather than have bytes transferred
+// between data centres.
 func CrossingCost(bytes int64) time.Duration { return time.Duration(bytes) * crossingPerByte }
 
-// Detours tells what it costs a request, which isn't taken in yet, to have its results
-// read in a data centre: the wait for the targets there beyond that for the targets that
-// are free first, or the carrying of its results from elsewhere if that is less. Only
-// large results count.
+// ReadCosts returns the cost for a request, not admitted yet, of having its results read in
+// a data centre: the wait for the targets there beyond that for the targets that are free
+// first, or the transfer of its results from elsewhere if that is less. Only large results
+// count.
 //
-// The load it answers: one target of four in a data centre that has a third of the
-// engines. Requests that are all read there wait for that one target, or their results
-// cross.
+// It is designed for one target of four in a data centre that has a third of the engines:
+// requests whose results are all read there wait for that one target, or their results
+// cross data centres.
 func (p *Planner) ReadCosts(now time.Time, r *Request) func(dataCentre string) time.Duration {
-	total := map[string]time.Duration{}
-	var elsewhere time.Duration
+	perDataCentre := map[string]time.Duration{}
+	var allCrossing time.Duration
 	for i, st := range r.Stages {
 		s := p.services[st.Service]
 		bytes := int64(st.Pieces) * st.ResultBytes
@@ -31,20 +31,20 @@
 			continue
 		}
 		crossing := CrossingCost(bytes)
-		elsewhere += crossing
+		allCrossing += crossing
 		waits := s.waitByDataCentre(now)
 		first := crossing
 		for _, wait := range waits {
 			first = min(first, wait)
 		}
 		for dataCentre, wait := range waits {
-			total[dataCentre] += min(wait-first, crossing) - crossing
+			perDataCentre[dataCentre] += min(wait-first, crossing) - crossing
 		}
 	}
-	return func(dataCentre string) time.Duration { return elsewhere + total[dataCentre] }
+	return func(dataCentre string) time.Duration { return allCrossing + perDataCentre[dataCentre] }
 }
 
-// isRead tells whether another stage with pieces reads the results of a stage.
+// hasReaders reports whether another stage with pieces reads the results of a stage.
 func (r *Request) hasReaders(index int) bool {
 	for _, other := range r.Stages {
 		if other.Pieces > 0 && slices.Contains(other.After, index) {
@@ -54,7 +54,7 @@
 	return false
 }
 
-// waits is, by data centre, how long pieces wait there that come now.
+// waitByDataCentre returns how long pieces that arrive now wait in each data centre.
 func (s *service) waitByDataCentre(now time.Time) map[string]time.Duration {
 	targets := map[string]float64{}
 	free := map[string]time.Duration{}
@@ -62,12 +62,12 @@
 		if !t.available(now) || t.slowness >= slowThreshold {
 			continue
 		}
-		left := max(t.downUntil.Sub(now), 0)
+		untilFree := max(t.downUntil.Sub(now), 0)
 		if t.calls >= max(s.config.Slots, 1) {
-			left = max(left, t.busyUntil.Sub(now))
+			untilFree = max(untilFree, t.busyUntil.Sub(now))
 		}
-		if targets[t.DataCentre] == 0 || left < free[t.DataCentre] {
-			free[t.DataCentre] = left
+		if targets[t.DataCentre] == 0 || untilFree < free[t.DataCentre] {
+			free[t.DataCentre] = untilFree
 		}
 		targets[t.DataCentre]++
 	}
--- a/coordination/gather/results.go
+++ b/coordination/gather/results.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// handOn has the pieces of overdue calls made elsewhere as well. The call goes on:
-// whichever result comes first is used and the other is given back. It guards
-// against a target that turned slow or silent in the middle of a call, whose
-// requests would wait for its time-out.
+// hedgeOverdueCalls queues the pieces of overdue calls for other targets as well. The
+// overdue call continues; the first result is used and the other is freed.
+//
+// Otherwise the requests of a target that turns slow or silent during a call would wait for
+// the call's timeout.
 func (p *Planner) hedgeOverdueCalls(now time.Time) {
 	for _, c := range p.calls {
 		if c.hedged || now.Before(c.overdueAt) {
@@ -19,8 +20,8 @@
 	}
 }
 
-// handOnCall has those pieces of a call made elsewhere that are still wanted. They are
-// sent together: a call for each would take as many targets.
+// hedgeCall queues the pieces of a call again that are still needed. Their requests advance
+// only after all pieces are queued, since separate calls would take up as many targets.
 func (p *Planner) hedgeCall(now time.Time, c *call) {
 	if c.hedged {
 		return
@@ -35,13 +36,13 @@
 		st.pending = append(st.pending, ref.index)
 		wanted[st.request] = true
 	}
-	for w := range wanted {
-		p.advance(now, w)
+	for req := range wanted {
+		p.advance(now, req)
 	}
 }
 
-// CallDone takes in the end of a call. Results is in the order of the pieces;
-// it is only read for CallAnswered.
+// CallDone handles the end of a call. Results are in the order of the pieces and are only
+// read for CallAnswered.
 func (p *Planner) CallDone(now time.Time, id uint64, outcome CallOutcome, results []PieceResult) []Action {
 	c := p.calls[id]
 	if c == nil {
@@ -72,16 +73,16 @@
 	if t.unlisted && t.calls == 0 {
 		delete(t.service.targets, t.Incarnation)
 	}
-	for w := range touched {
-		if p.requests[w.ID] == w {
-			p.advance(now, w)
+	for req := range touched {
+		if p.requests[req.ID] == req {
+			p.advance(now, req)
 		}
 	}
 	p.dispatch(now, t.service)
 	return p.flush()
 }
 
-// learn takes what a call tells of its target and of the pieces' times.
+// learn updates the state of the target and the learned times from the end of a call.
 func (p *Planner) learn(now time.Time, c *call, outcome CallOutcome) {
 	t := c.target
 	t.unsuccessfulCalls++
@@ -98,24 +99,24 @@
 	}
 	t.unansweredCalls, t.unsuccessfulCalls, t.answered = 0, 0, true
 	t.downUntil = time.Time{}
-	taken := now.Sub(c.startedAt)
-	ratio := float64(taken) / float64(max(c.expectedDuration, time.Millisecond))
+	elapsed := now.Sub(c.startedAt)
+	ratio := float64(elapsed) / float64(max(c.expectedDuration, time.Millisecond))
 	t.slowness += slownessWeight * (ratio - t.slowness)
 	if ratio < slowThreshold && t.slowness < slowThreshold {
-		c.learnTimes(taken)
+		c.learnTimes(elapsed)
 	}
 	if ratio < slowThreshold {
 		t.slowness = min(t.slowness, slowThreshold)
 	}
 }
 
-// pieceDone takes in the end of one piece.
+// pieceDone handles the end of one piece.
 func (p *Planner) pieceDone(now time.Time, c *call, ref pieceRef, outcome CallOutcome, r PieceResult) {
 	st := ref.stage
 	st.inCall--
 	st.endedAt = now
-	w := st.request
-	if p.requests[w.ID] != w || w.completed || st.results[ref.index] != nil {
+	req := st.request
+	if p.requests[req.ID] != req || req.completed || st.results[ref.index] != nil {
 		if r.Handle != "" {
 			c.target.usedBytes += st.ResultBytes
 			p.freeHandle(c.target, r.Handle, st.ResultBytes)
@@ -144,36 +145,35 @@
 	p.retryPiece(now, c, ref, outcome, r.Failure)
 }
 
-// freeRead gives back the results that no stage reads any more, now that st is
-// done.
+// freeUnneededInputs frees the results that no stage reads any more now that st is done.
 func (p *Planner) freeUnneededInputs(st *heldStage) {
 	for _, i := range st.After {
-		read := st.request.stages[i]
-		if p.needed(read) {
+		input := st.request.stages[i]
+		if p.needed(input) {
 			continue
 		}
-		for _, r := range read.results {
+		for _, r := range input.results {
 			p.free(r)
 		}
 	}
 }
 
-// again has a piece sent once more, or gives its request up.
+// retryPiece queues a failed piece again, or refuses its request.
 func (p *Planner) retryPiece(now time.Time, c *call, ref pieceRef, outcome CallOutcome, failure PieceFailure) {
 	st := ref.stage
-	w := st.request
+	req := st.request
 	if c.hedged && outcome != CallAnswered || slices.Contains(st.pending, ref.index) {
-		return // it is on its way again already
+		return // it is queued or in a call again already
 	}
 	if outcome == CallAnswered && failure == PieceDeadlineExceeded {
-		p.refuse(w, Refused{Reason: ReasonDeadlineTooNear, RetryAfter: minRetryAfter, TimeToDeadline: w.Deadline.Sub(now)})
+		p.refuse(req, Refused{Reason: ReasonDeadlineTooNear, RetryAfter: minRetryAfter, TimeToDeadline: req.Deadline.Sub(now)})
 		return
 	}
 	if ref.index == c.firstPieceOf(st) {
 		st.resends++
 	}
 	if st.resends > maxResends {
-		p.refuse(w, Refused{Reason: ReasonStageFailed, RetryAfter: time.Second})
+		p.refuse(req, Refused{Reason: ReasonStageFailed, RetryAfter: time.Second})
 		return
 	}
 	if failure == PieceInputMissing {
@@ -186,7 +186,7 @@
 	slices.Sort(st.pending)
 }
 
-// firstOf is the first piece of a stage in the call, so that a stage counts a
+// firstPieceOf returns the first piece of a stage in the call, so that a stage counts a
 // failed call once.
 func (c *call) firstPieceOf(st *heldStage) int {
 	for _, ref := range c.pieces {
@@ -197,17 +197,17 @@
 	return -1
 }
 
-// remake has the inputs of a stage made again: one of them is gone, and the
-// answer doesn't tell which.
+// rerunInputs produces the inputs of a stage again: one of them is missing, and the answer
+// doesn't say which.
 func (p *Planner) rerunInputs(st *heldStage) {
 	for _, i := range st.After {
-		before := st.request.stages[i]
-		for n, r := range before.results {
+		input := st.request.stages[i]
+		for n, r := range input.results {
 			if r == nil {
 				continue
 			}
 			p.free(r)
-			p.rerunPiece(before, n)
+			p.rerunPiece(input, n)
 		}
 	}
 }
--- a/coordination/gather/times_test.go
+++ b/coordination/gather/times_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// On a calm afternoon calls hold one piece, and the way to the targets adds twenty
-// milliseconds to each. Then a burst fills the calls. If the twenty milliseconds
-// were taken for the piece's, each piece would count twice what it takes, and
-// requests would be refused that there is time for.
+// Calls hold one piece each, and latency adds twenty milliseconds to each. Then a burst
+// fills the calls. If the latency were attributed to the piece, each piece would count
+// twice its time, and requests would be refused that can be served in time.
 func TestSmallCallsTeachNoPieceTimes(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x", "x")
@@ -35,8 +34,8 @@
 	require.Empty(t, r.refused)
 }
 
-// The pieces of one kind of request take a third of what is configured, those of
-// another twice as much. Both are learned, from calls that hold both too.
+// The pieces of one kind of request take a third of the configured time, those of another
+// twice as much. Both must be learned, also from calls that hold both.
 func TestPieceTimesAreLearnedByKind(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x", "x")
