--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -10,17 +10,17 @@
 
 // Window is the time of a planned stop.
 type Window struct {
-	Began time.Time
+	Start time.Time
 	// Noticed is when the balancer has surely noticed.
-	Noticed time.Time
+	BalancerNoticed time.Time
 	// Ends is when the last answer must have been given.
-	Ends time.Time
+	End time.Time
 }
 
 // lateArrival is how long after the balancer has noticed requests are still taken whose
 // end nobody can know: they may have been accepted just before. What comes later comes on
 // kept connections, and its caller loses nothing by going elsewhere.
-const lateArrival = 300 * time.Millisecond
+const arrivalGrace = 300 * time.Millisecond
 
 // Request is what the decisions need to know of a request.
 type Request struct {
@@ -28,19 +28,19 @@
 	// Deadline is when its answer is due at the latest.
 	Deadline time.Time
 	// Streams tells that its answer may go on for longer than is known.
-	Streams bool
+	Streaming bool
 	// Usual is how long answers of its kind usually take once it has been sent.
-	Usual time.Duration
+	Expected time.Duration
 }
 
 // Takes tells whether a request that has just come is served. A plain one is if its answer
 // is there for sure; until the balancer has noticed, any other too while its usual time
 // is left: refused, its caller might be sent here again.
-func (w Window) Takes(r Request) bool {
-	if !r.Streams && !r.Deadline.After(w.Ends) {
+func (w Window) Accepts(r Request) bool {
+	if !r.Streaming && !r.Deadline.After(w.End) {
 		return true
 	}
-	return r.Arrived.Sub(w.Noticed) <= lateArrival && !r.Arrived.After(w.SendBy(r))
+	return r.Arrived.Sub(w.BalancerNoticed) <= arrivalGrace && !r.Arrived.After(w.SendDeadline(r))
 }
 
 // SendBy is the last moment at which a request may be sent to its target. One that
@@ -48,11 +48,11 @@
 //
 // It guards against requests that wait for stages until the end of the grace: their
 // connections were closed without a word.
-func (w Window) SendBy(r Request) time.Time {
-	usual := r.Usual
-	if !r.Streams {
+func (w Window) SendDeadline(r Request) time.Time {
+	usual := r.Expected
+	if !r.Streaming {
 		// Its deadline bounds it; without one it needs as long as it usually takes.
 		usual = min(usual, r.Deadline.Sub(r.Arrived))
 	}
-	return w.Ends.Add(-min(usual, w.Ends.Sub(w.Began)))
+	return w.End.Add(-min(usual, w.End.Sub(w.Start)))
 }
--- a/coordination/holder/holder.go
+++ b/coordination/holder/holder.go
@@ -27,7 +27,7 @@
 		if m.Name != view.Self && avoided(m.Name) {
 			continue
 		}
-		if !found || before(m, chosen) {
+		if !found || preferred(m, chosen) {
 			chosen, found = m, true
 		}
 	}
@@ -39,7 +39,7 @@
 // It guards against instances that start in the same instant: without the name each of
 // them picks itself for as long as both live, and two queues take each other's places
 // and room at the targets.
-func before(a, b membership.Member) bool {
+func preferred(a, b membership.Member) bool {
 	return cmp.Or(
 		cmp.Compare(b.Capacity, a.Capacity),
 		cmp.Compare(a.Incarnation, b.Incarnation),
--- a/coordination/holder/next.go
+++ b/coordination/holder/next.go
@@ -11,7 +11,7 @@
 		if m.Name == view.Self || avoided(m.Name) {
 			continue
 		}
-		if !found || before(m, chosen) {
+		if !found || preferred(m, chosen) {
 			chosen, found = m, true
 		}
 	}
--- a/coordination/holder/stall_test.go
+++ b/coordination/holder/stall_test.go
@@ -11,10 +11,10 @@
 // and against one that gives it away since its time of day was set.
 func TestStall(t *testing.T) {
 	wall, boot := time.Unix(1000, 0), time.Unix(50, 0)
-	var s Stall
+	var s StallDetector
 	look := func(wallStep, bootStep time.Duration) bool {
 		wall, boot = wall.Add(wallStep), boot.Add(bootStep)
-		return s.Look(wall, func() time.Time { return boot })
+		return s.Check(wall, func() time.Time { return boot })
 	}
 	const tick = 100 * time.Millisecond
 	require.False(t, look(0, 0), "the first look")
--- a/coordination/placing/choose.go
+++ b/coordination/placing/choose.go
@@ -9,7 +9,7 @@
 	// unreadWeight is how many times the time counts that an engine reads for a
 	// request alone: its other requests wait for it, and what one engine has read
 	// another need not.
-	unreadWeight = 4.0
+	uncachedWeight = 4.0
 	// homeAdvantage is by how much another engine has to be better than the one that a
 	// hash gives: so that the same engines are found again by an instance that knows
 	// nothing of what was read where.
@@ -28,29 +28,29 @@
 	if known == nil {
 		return Choice{}, false
 	}
-	s := search{now: now, prompt: p, detour: detour}
-	for _, e := range known.named[known.homeOf(p.home())] {
-		s.try(e, homeAdvantage)
+	s := search{now: now, prompt: p, transferCost: detour}
+	for _, e := range known.byName[known.homeOf(p.homeKey())] {
+		s.consider(e, homeAdvantage)
 	}
-	holders, unread := known.rareHolders(p)
+	holders, unread := known.enginesWithRarePart(p)
 	for _, e := range holders {
-		s.try(e, 0)
+		s.consider(e, 0)
 	}
-	least := known.leastDetour(detour)
-	for _, e := range known.bySlowness {
-		bound := e.readCost(unread) + least
+	least := known.minTransferCost(detour)
+	for _, e := range known.bySlowdown {
+		bound := e.prefillCost(unread) + least
 		if s.best != nil && bound > s.cost {
 			break
 		}
-		if s.isBetter(bound+e.delay(now), e) {
-			s.try(e, 0)
+		if s.isBetter(bound+e.queueCost(now), e) {
+			s.consider(e, 0)
 		}
 	}
 	return s.choice()
 }
 
 // home is what a request has in common with others: the last part that isn't its own.
-func (p *Prompt) home() string {
+func (p *Prompt) homeKey() string {
 	if len(p.Parts) == 0 {
 		return ""
 	}
@@ -59,20 +59,20 @@
 
 // search is the search for a request's engine.
 type search struct {
-	now    time.Time
-	prompt *Prompt
-	detour func(dataCentre string) time.Duration
+	now          time.Time
+	prompt       *Prompt
+	transferCost func(dataCentre string) time.Duration
 	// best is the best engine so far, nil without one, cost what the request costs there.
-	best *engine
+	best *engineState
 	cost time.Duration
 }
 
 // try looks at an engine whose cost counts as less by an advantage.
-func (s *search) try(e *engine, advantage time.Duration) {
+func (s *search) consider(e *engineState, advantage time.Duration) {
 	if slices.Contains(s.prompt.Exclude, e.Incarnation) {
 		return
 	}
-	cost := e.delay(s.now) + e.readCost(e.unread(s.prompt)) + s.detour(e.DataCentre) - advantage
+	cost := e.queueCost(s.now) + e.prefillCost(e.uncachedTokens(s.prompt)) + s.transferCost(e.DataCentre) - advantage
 	if s.isBetter(cost, e) {
 		s.best, s.cost = e, cost
 	}
@@ -80,7 +80,7 @@
 
 // isBetter tells whether an engine of a cost is to be taken rather than the best so far;
 // of equals it is the one whose incarnation comes first.
-func (s *search) isBetter(cost time.Duration, e *engine) bool {
+func (s *search) isBetter(cost time.Duration, e *engineState) bool {
 	return s.best == nil || cost < s.cost || cost == s.cost && e.Incarnation < s.best.Incarnation
 }
 
@@ -88,7 +88,7 @@
 	if s.best == nil {
 		return Choice{}, false
 	}
-	unread, wait := s.best.unread(s.prompt), s.best.wait(s.now)
-	idle := s.best.readTime(unread)
-	return Choice{Engine: s.best.Engine, First: wait + idle, Idle: idle, unread: unread, wait: wait}, true
+	unread, wait := s.best.uncachedTokens(s.prompt), s.best.queueWait(s.now)
+	idle := s.best.prefillTime(unread)
+	return Choice{Engine: s.best.Engine, FirstEvent: wait + idle, FirstEventIdle: idle, uncached: unread, queueWait: wait}, true
 }
--- a/coordination/placing/choose_test.go
+++ b/coordination/placing/choose_test.go
@@ -14,7 +14,7 @@
 )
 
 // chooseAmongAll is what Choose has to return: it looks at all engines and uses no index.
-func (t *Table) chooseAmongAll(now time.Time, p *Prompt, detour func(dataCentre string) time.Duration) (Choice, bool) {
+func (t *Table) scanChoose(now time.Time, p *Prompt, detour func(dataCentre string) time.Duration) (Choice, bool) {
 	known := t.pools[p.Pool]
 	if known == nil {
 		return Choice{}, false
@@ -22,32 +22,32 @@
 	var best Choice
 	var bestCost time.Duration
 	found := false
-	homeOf := known.hashAmongAll(p.home())
+	homeOf := known.scanHome(p.homeKey())
 	for _, e := range known.engines {
 		if slices.Contains(p.Exclude, e.Incarnation) {
 			continue
 		}
-		unread := e.unread(p)
-		wait := e.waitForAll(now)
-		seconds := known.model.seconds(unread) * e.slow
-		extra := float64(unread) * known.model.token * e.slow * (unreadWeight - 1)
+		unread := e.uncachedTokens(p)
+		wait := e.scanQueueWait(now)
+		seconds := known.model.seconds(unread) * e.slowdown
+		extra := float64(unread) * known.model.perToken * e.slowdown * (uncachedWeight - 1)
 		cost := wait + duration(seconds+extra) + detour(e.DataCentre)
 		if e.Name == homeOf {
 			cost -= homeAdvantage
 		}
-		if now.Before(e.goneUntil) {
-			cost += goneCost
+		if now.Before(e.avoidUntil) {
+			cost += unreachablePenalty
 		}
 		if found && cmp.Or(cmp.Compare(cost, bestCost), cmp.Compare(e.Incarnation, best.Engine.Incarnation)) >= 0 {
 			continue
 		}
-		best = Choice{Engine: e.Engine, First: wait + duration(seconds), Idle: duration(seconds), unread: unread, wait: wait}
+		best = Choice{Engine: e.Engine, FirstEvent: wait + duration(seconds), FirstEventIdle: duration(seconds), uncached: unread, queueWait: wait}
 		bestCost, found = cost, true
 	}
 	return best, found
 }
 
-func (p *pool) hashAmongAll(home string) string {
+func (p *poolState) scanHome(home string) string {
 	if home == "" {
 		return ""
 	}
@@ -62,12 +62,12 @@
 	return best
 }
 
-func (e *engine) waitForAll(now time.Time) time.Duration {
-	if len(e.reading) == 0 {
+func (e *engineState) scanQueueWait(now time.Time) time.Duration {
+	if len(e.prefills) == 0 {
 		return 0
 	}
 	var first, last time.Time
-	for _, r := range e.reading {
+	for _, r := range e.prefills {
 		if first.IsZero() || r.due.Before(first) {
 			first = r.due
 		}
@@ -75,28 +75,28 @@
 			last = r.due
 		}
 	}
-	behind := max(now.Sub(first.Add(wordDelay)), 0)
+	behind := max(now.Sub(first.Add(reportDelay)), 0)
 	return max(last.Sub(now), 0) + behind
 }
 
 // world is a table to which anything happens in any order.
-type world struct {
+type randomTable struct {
 	*rapid.T
 	table   *Table
 	now     time.Time
 	engines int
-	open    []Served
+	open    []RequestEnd
 	next    int
 }
 
-func (w *world) number(name string, most int) int { return rapid.IntRange(0, most).Draw(w.T, name) }
+func (w *randomTable) draw(name string, most int) int { return rapid.IntRange(0, most).Draw(w.T, name) }
 
 // list has some engines come, go or start again; few have no name.
-func (w *world) list() {
+func (w *randomTable) setEngines() {
 	var list []Engine
 	for i := range w.engines {
 		e := Engine{Incarnation: fmt.Sprintf("e%d@0", i), Name: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%3)}
-		switch w.number("state", 15) {
+		switch w.draw("state", 15) {
 		case 0:
 			continue
 		case 1:
@@ -113,110 +113,110 @@
 }
 
 // prompt may be shorter than its parts, read a part twice and have none.
-func (w *world) prompt() *Prompt {
-	p := &Prompt{Pool: "p", Tokens: 500 * w.number("tokens", 16)}
-	for depth := range w.number("parts", 4) {
-		id := fmt.Sprint("part", depth, w.number("part", 1<<depth))
-		if w.number("twice", 9) == 0 {
+func (w *randomTable) prompt() *Prompt {
+	p := &Prompt{Pool: "p", Tokens: 500 * w.draw("tokens", 16)}
+	for depth := range w.draw("parts", 4) {
+		id := fmt.Sprint("part", depth, w.draw("part", 1<<depth))
+		if w.draw("twice", 9) == 0 {
 			id = "part00"
 		}
-		p.Parts = append(p.Parts, Part{id, 500 * w.number("part tokens", 6)})
+		p.Parts = append(p.Parts, Part{id, 500 * w.draw("part tokens", 6)})
 	}
-	for range w.number("excluded", 9) - 6 {
+	for range w.draw("excluded", 9) - 6 {
 		p.Exclude = append(p.Exclude, w.engine())
 	}
 	return p
 }
 
-func (w *world) engine() string { return fmt.Sprintf("e%d@0", w.number("engine", w.engines)) }
+func (w *randomTable) engine() string { return fmt.Sprintf("e%d@0", w.draw("engine", w.engines)) }
 
 // request compares the choices for a prompt and may send it.
-func (w *world) request() {
+func (w *randomTable) request() {
 	p := w.prompt()
 	detours := map[string]time.Duration{}
 	for i := range 3 {
-		detours[fmt.Sprint("dc", i)] = time.Duration(w.number("detour", 3)) * 10 * time.Millisecond
+		detours[fmt.Sprint("dc", i)] = time.Duration(w.draw("detour", 3)) * 10 * time.Millisecond
 	}
 	detour := func(dataCentre string) time.Duration { return detours[dataCentre] }
-	want, wantOK := w.table.chooseAmongAll(w.now, p, detour)
+	want, wantOK := w.table.scanChoose(w.now, p, detour)
 	got, ok := w.table.Choose(w.now, p, detour)
 	require.Equal(w, wantOK, ok)
 	require.Equal(w, want, got)
-	if !ok || w.number("sent", 3) == 0 {
+	if !ok || w.draw("sent", 3) == 0 {
 		return
 	}
 	id := fmt.Sprint(w.next)
 	w.next++
-	w.table.Sent(w.now, id, p, got)
-	w.open = append(w.open, Served{Request: id, Engine: got.Engine.Incarnation})
+	w.table.RecordSent(w.now, id, p, got)
+	w.open = append(w.open, RequestEnd{Request: id, Engine: got.Engine.Incarnation})
 }
 
 // end ends a request, with or without a first event.
-func (w *world) end() {
+func (w *randomTable) end() {
 	if len(w.open) == 0 {
 		return
 	}
-	i := w.number("ended", len(w.open)-1)
+	i := w.draw("ended", len(w.open)-1)
 	s := w.open[i]
 	w.open = slices.Delete(w.open, i, i+1)
-	s.First = time.Duration(w.number("first", 20)) * 20 * time.Millisecond
-	w.table.Ended(s)
+	s.FirstEvent = time.Duration(w.draw("first", 20)) * 20 * time.Millisecond
+	w.table.RecordEnd(s)
 }
 
 // known has engines read a part by another's word, as after a change of the holder.
-func (w *world) known() {
-	var known []Known
-	part := Part{fmt.Sprint("part", 0, w.number("known", 1)), 500}
-	for i := range w.number("readers", w.engines) {
-		known = append(known, Known{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
+func (w *randomTable) mergeCaches() {
+	var known []EngineCache
+	part := Part{fmt.Sprint("part", 0, w.draw("known", 1)), 500}
+	for i := range w.draw("readers", w.engines) {
+		known = append(known, EngineCache{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
 	}
-	w.table.Learn(w.now, known)
+	w.table.MergeCaches(w.now, known)
 }
 
 // Choose looks at few engines and has to find the one that is best of all, with fewer and
 // with more of them than it looks at one by one.
 func TestChoiceIsBestOfAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{T: rt, table: NewTable(), now: start, engines: rapid.SampledFrom([]int{1, 4, 3 * fewHolders}).Draw(rt, "engines")}
-		w.list()
+		w := &randomTable{T: rt, table: NewTable(), now: start, engines: rapid.SampledFrom([]int{1, 4, 3 * maxScannedCachers}).Draw(rt, "engines")}
+		w.setEngines()
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-			w.now = w.now.Add(time.Duration(w.number("pause", 60)) * time.Millisecond)
-			switch w.number("step", 20) {
+			w.now = w.now.Add(time.Duration(w.draw("pause", 60)) * time.Millisecond)
+			switch w.draw("step", 20) {
 			case 0:
-				w.list()
+				w.setEngines()
 			case 1:
-				w.table.Gone(w.now, "p", w.engine())
+				w.table.RecordUnreachable(w.now, "p", w.engine())
 			case 2:
-				w.known()
+				w.mergeCaches()
 			case 3:
-				w.table.Read(w.now, w.prompt(), w.engine())
+				w.table.RecordPrefill(w.now, w.prompt(), w.engine())
 			case 4:
-				w.now = w.now.Add(forgetAfter)
+				w.now = w.now.Add(requestExpiry)
 				w.table.Tick(w.now)
 			case 5, 6, 7, 8, 9:
 				w.end()
 			default:
 				w.request()
 			}
-			requireIndexed(rt, w.table.pools["p"])
+			requireConsistentIndexes(rt, w.table.pools["p"])
 		}
 	})
 }
 
 // requireIndexed compares the indexes with the engines.
-func requireIndexed(t require.TestingT, p *pool) {
-	require.Len(t, p.bySlowness, len(p.engines))
-	require.True(t, slices.IsSortedFunc(p.bySlowness, compareSlowness))
+func requireConsistentIndexes(t require.TestingT, p *poolState) {
+	require.Len(t, p.bySlowdown, len(p.engines))
+	require.True(t, slices.IsSortedFunc(p.bySlowdown, compareSlowdown))
 	cached, held := 0, 0
 	for _, e := range p.engines {
 		cached += len(e.cached)
 		for id := range e.cached {
-			require.Contains(t, p.holders[id], e)
+			require.Contains(t, p.cachedBy[id], e)
 		}
 	}
-	for _, holders := range p.holders {
+	for _, holders := range p.cachedBy {
 		held += len(holders)
 	}
 	require.Equal(t, cached, held)
-	require.LessOrEqual(t, len(p.homes), maxHomes)
+	require.LessOrEqual(t, len(p.homeNames), maxHomes)
 }
--- a/coordination/placing/table.go
+++ b/coordination/placing/table.go
@@ -8,33 +8,33 @@
 
 // Table holds the engines of all pools.
 type Table struct {
-	pools map[string]*pool
+	pools map[string]*poolState
 	// placed are the engines of the requests that are being read, by request.
-	placed map[string]*engine
+	assigned map[string]*engineState
 }
 
 // NewTable returns a table without engines.
 func NewTable() *Table {
-	return &Table{pools: map[string]*pool{}, placed: map[string]*engine{}}
+	return &Table{pools: map[string]*poolState{}, assigned: map[string]*engineState{}}
 }
 
 // SetEngines takes the engines of a pool that may get requests.
 func (t *Table) SetEngines(p Pool, list []Engine) {
 	known := t.pools[p.Name]
 	if known == nil {
-		known = newPool()
+		known = newPoolState()
 		t.pools[p.Name] = known
 	}
 	known.Pool = p
-	for _, e := range known.set(list) {
-		t.forget(keys(e.reading)...)
+	for _, e := range known.setEngines(list) {
+		t.removeRequests(requestIDs(e.prefills)...)
 	}
 }
 
-func keys(reading map[string]read) []string { return slices.Collect(maps.Keys(reading)) }
+func requestIDs(reading map[string]prefill) []string { return slices.Collect(maps.Keys(reading)) }
 
 // Sent notes that a request goes to an engine.
-func (t *Table) Sent(now time.Time, request string, p *Prompt, c Choice) {
+func (t *Table) RecordSent(now time.Time, request string, p *Prompt, c Choice) {
 	known := t.pools[p.Pool]
 	if known == nil {
 		return
@@ -43,46 +43,46 @@
 	if e == nil {
 		return
 	}
-	t.forget(request)
-	e.begin(request, read{
-		sent: now, due: now.Add(c.First), unread: c.unread, alone: c.wait == 0,
+	t.removeRequests(request)
+	e.startPrefill(request, prefill{
+		sent: now, due: now.Add(c.FirstEvent), uncached: c.uncached, engineIdle: c.queueWait == 0,
 	})
-	e.cache(now, p.Parts, len(p.Parts)-1, known.CacheTokens)
-	t.placed[request] = e
+	e.addToCache(now, p.Parts, len(p.Parts)-1, known.CacheTokens)
+	t.assigned[request] = e
 }
 
 // Ended takes in what became of a request.
-func (t *Table) Ended(s Served) {
-	e := t.placed[s.Request]
+func (t *Table) RecordEnd(s RequestEnd) {
+	e := t.assigned[s.Request]
 	if e == nil {
 		return
 	}
-	r, reading := e.reading[s.Request]
-	t.forget(s.Request)
-	if reading && s.Engine == e.Incarnation && s.First > 0 {
-		e.gone = 0
-		e.learn(r, s.First)
+	r, reading := e.prefills[s.Request]
+	t.removeRequests(s.Request)
+	if reading && s.Engine == e.Incarnation && s.FirstEvent > 0 {
+		e.unreachableCount = 0
+		e.observe(r, s.FirstEvent)
 	}
 }
 
 // Gone notes that nothing listens at an engine's address. The load it answers: hundreds of
 // instances, of which each finds out for itself and only after the holder has chosen the
 // engine for it, since an engine that reads nothing counts as idle.
-func (t *Table) Gone(now time.Time, pool, engine string) {
+func (t *Table) RecordUnreachable(now time.Time, pool, engine string) {
 	if p := t.pools[pool]; p != nil && p.engines[engine] != nil {
-		p.engines[engine].isGone(now)
+		p.engines[engine].markUnreachable(now)
 	}
 }
 
 // learn takes in the time to a first event. Only a request before which nothing was
 // read tells of its own tokens.
-func (e *engine) learn(r read, first time.Duration) {
-	if !r.alone {
+func (e *engineState) observe(r prefill, first time.Duration) {
+	if !r.engineIdle {
 		return
 	}
-	ratio := first.Seconds() / e.pool.model.seconds(r.unread)
-	e.pool.setSlow(e, clamp(e.slow+slowShare*(ratio-e.slow), leastSlow, mostSlow))
-	e.pool.model.learn(r.unread, first.Seconds())
+	ratio := first.Seconds() / e.pool.model.seconds(r.uncached)
+	e.pool.setSlowdown(e, clamp(e.slowdown+slowdownGain*(ratio-e.slowdown), minSlowdown, maxSlowdown))
+	e.pool.model.update(r.uncached, first.Seconds())
 }
 
 // Tick forgets the requests of whose ends no word came.
@@ -93,17 +93,17 @@
 func (t *Table) Tick(now time.Time) {
 	for _, p := range t.pools {
 		for _, e := range p.engines {
-			t.forget(e.lost(now)...)
+			t.removeRequests(e.expired(now)...)
 		}
 	}
 }
 
 // forget takes requests from their engines.
-func (t *Table) forget(requests ...string) {
+func (t *Table) removeRequests(requests ...string) {
 	for _, id := range requests {
-		if e := t.placed[id]; e != nil {
-			e.end(id)
-			delete(t.placed, id)
+		if e := t.assigned[id]; e != nil {
+			e.endPrefill(id)
+			delete(t.assigned, id)
 		}
 	}
 }
--- a/coordination/placing/types.go
+++ b/coordination/placing/types.go
@@ -41,17 +41,17 @@
 	Engine Engine
 	// First is the predicted time to its first event, Idle what that would be if the
 	// engine read nothing before it.
-	First, Idle time.Duration
+	FirstEvent, FirstEventIdle time.Duration
 	// unread is the number of tokens that the engine is to read.
-	unread int
-	wait   time.Duration
+	uncached  int
+	queueWait time.Duration
 }
 
 // Served is what became of a request at an engine.
-type Served struct {
+type RequestEnd struct {
 	Request string
 	// Engine is the incarnation that was asked last; empty if none was.
 	Engine string
 	// First is the time from the sending to the first event; 0 without one.
-	First time.Duration
+	FirstEvent time.Duration
 }
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -14,18 +14,18 @@
 const (
 	step = 50 * time.Millisecond
 	// heard is the users' bound for the news among instances in touch.
-	heard = 3 * time.Second
+	gossipBound = 3 * time.Second
 	// late is how many runs may begin later than that after the third crash, before the
 	// first trial.
-	late = 3
+	maxLateRuns = 3
 	// mostLost bounds the share of messages that are lost.
-	mostLost = 0.1
+	maxLoss = 0.1
 	// runTime is how long a run takes to its end or its crash.
 	runTime = 150 * time.Millisecond
 )
 
 // fleet are instances that exchange records over links that lose messages.
-type fleet struct {
+type fleetSim struct {
 	t         *rapid.T
 	now       time.Time
 	instances []*Table
@@ -38,14 +38,14 @@
 	joined []time.Time
 	// crashed are the times at which the request that crashes its targets did so, begun those
 	// at which a run of it began at an instance in touch.
-	crashed, begun []time.Time
-	running        []run
+	crashed, started []time.Time
+	running          []run
 }
 
 // join puts a new instance in a place.
-func (f *fleet) join(place int) {
+func (f *fleetSim) replace(place int) {
 	f.instances[place], f.joined[place] = New(DefaultConfig()), f.now
-	f.ask(place)
+	f.exchangeSamples(place)
 }
 
 // run is one run of the request that crashes its targets.
@@ -55,34 +55,34 @@
 }
 
 // lost draws whether a message is lost.
-func (f *fleet) lost() bool { return f.random.Float64() < f.loss }
+func (f *fleetSim) drop() bool { return f.random.Float64() < f.loss }
 
 // other draws another instance.
-func (f *fleet) other(i int) *Table {
+func (f *fleetSim) randomPeer(i int) *Table {
 	return f.instances[(i+1+rapid.IntRange(0, len(f.instances)-2).Draw(f.t, "to"))%len(f.instances)]
 }
 
 // tell has an instance send its news.
-func (f *fleet) tell(i int) {
-	to := f.other(i)
-	for _, c := range f.instances[i].News(f.now, 64, 4) {
-		if !f.lost() {
+func (f *fleetSim) sendGossip(i int) {
+	to := f.randomPeer(i)
+	for _, c := range f.instances[i].Gossip(f.now, 64, 4) {
+		if !f.drop() {
 			to.Merge(f.now, c)
 		}
 	}
 }
 
 // ask has an instance exchange samples.
-func (f *fleet) ask(i int) {
-	from, to := f.instances[i], f.other(i)
-	if f.lost() {
+func (f *fleetSim) exchangeSamples(i int) {
+	from, to := f.instances[i], f.randomPeer(i)
+	if f.drop() {
 		return
 	}
 	answer := to.Sample(f.now, 16)
 	for _, c := range from.Sample(f.now, 16) {
 		to.Merge(f.now, c)
 	}
-	if f.lost() {
+	if f.drop() {
 		return
 	}
 	for _, c := range answer {
@@ -91,18 +91,18 @@
 }
 
 // send sends the request that crashes its targets to an instance.
-func (f *fleet) send(instance int) {
+func (f *fleetSim) send(instance int) {
 	if f.instances[instance].Judge(f.now, suspect).State != Allowed {
 		return
 	}
-	if f.now.Sub(f.joined[instance]) > heard {
-		f.begun = append(f.begun, f.now)
+	if f.now.Sub(f.joined[instance]) > gossipBound {
+		f.started = append(f.started, f.now)
 	}
 	f.running = append(f.running, run{instance, f.now.Add(runTime)})
 }
 
 // end ends the runs whose time has come, each with its target and what runs beside it.
-func (f *fleet) end(beside []Digest) {
+func (f *fleetSim) end(beside []Digest) {
 	left := f.running[:0]
 	for _, r := range f.running {
 		if r.ends.After(f.now) {
@@ -112,22 +112,22 @@
 		f.targets++
 		f.crashed = append(f.crashed, f.now)
 		target := fmt.Sprint("target-", f.targets)
-		f.instances[r.instance].Crashed(f.now, suspect, target)
+		f.instances[r.instance].RecordCrash(f.now, suspect, target)
 		for i, d := range beside {
-			f.instances[(r.instance+i)%len(f.instances)].Crashed(f.now, d, target)
+			f.instances[(r.instance+i)%len(f.instances)].RecordCrash(f.now, d, target)
 		}
 	}
 	f.running = left
 }
 
 // lateRuns counts the runs that began later than the bound after the third crash.
-func (f *fleet) lateRuns() int {
+func (f *fleetSim) lateRuns() int {
 	if len(f.crashed) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range f.begun {
-		if at.Sub(f.crashed[2]) > heard {
+	for _, at := range f.started {
+		if at.Sub(f.crashed[2]) > gossipBound {
 			n++
 		}
 	}
@@ -140,8 +140,8 @@
 func TestCrashingRequestIsStoppedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		f := &fleet{
-			t: t, now: start, loss: rapid.Float64Range(0, mostLost).Draw(t, "loss"), random: rand.New(rand.NewPCG(seed, seed)),
+		f := &fleetSim{
+			t: t, now: start, loss: rapid.Float64Range(0, maxLoss).Draw(t, "loss"), random: rand.New(rand.NewPCG(seed, seed)),
 		}
 		for range rapid.IntRange(2, 8).Draw(t, "instances") {
 			f.instances = append(f.instances, New(DefaultConfig()))
@@ -157,22 +157,22 @@
 			f.end(common)
 			for place := range f.instances {
 				if i%2 == 0 {
-					f.tell(place)
+					f.sendGossip(place)
 				}
 				if i%20 == 0 {
-					f.ask(place)
+					f.exchangeSamples(place)
 				}
 			}
 			if i%100 == 99 {
-				f.join(rapid.IntRange(0, len(f.instances)-1).Draw(t, "replaced"))
+				f.replace(rapid.IntRange(0, len(f.instances)-1).Draw(t, "replaced"))
 			}
 			for _, d := range common {
 				for _, instance := range f.instances {
 					require.Equal(t, Allowed, instance.Judge(f.now, d).State)
-					instance.EndedWell(f.now, d)
+					instance.RecordCompletion(f.now, d)
 				}
 			}
 		}
-		require.LessOrEqual(t, f.lateRuns(), late)
+		require.LessOrEqual(t, f.lateRuns(), maxLateRuns)
 	})
 }
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -9,21 +9,21 @@
 // Config holds the bounds.
 type Config struct {
 	// Crashes is how many crashes block a request.
-	Crashes int
+	BlockThreshold int
 	// Restart is the least time between the ends of one target that starts again.
-	Restart time.Duration
+	MinRestart time.Duration
 	// Trust is how long a request that ended well isn't blamed for crashes, at least: it is
 	// in progress at many targets, and one event may end them all.
-	Trust time.Duration
+	TrustPeriod time.Duration
 	// MaxTrusted bounds the requests that are remembered for that, twice.
 	MaxTrusted int
 	// Hold is how long a request is blocked, HoldGrowth how many times longer after each
 	// further crash, up to MaxHold; then one run at a time is tried.
-	Hold, MaxHold time.Duration
-	HoldGrowth    int
+	BlockPeriod, MaxBlockPeriod time.Duration
+	BlockGrowth                 int
 	// Keep is how long after the latest crash the records of a request are kept. It is
 	// longer than MaxHold.
-	Keep time.Duration
+	Retention time.Duration
 	// MaxRequests bounds the requests that there are records of, MaxCrashes the records of
 	// each.
 	MaxRequests, MaxCrashes int
@@ -32,16 +32,16 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Crashes:     3,
-		Restart:     200 * time.Millisecond,
-		Trust:       5 * time.Second,
-		MaxTrusted:  4096,
-		Hold:        30 * time.Second,
-		MaxHold:     10 * time.Minute,
-		HoldGrowth:  4,
-		Keep:        20 * time.Minute,
-		MaxRequests: 4096,
-		MaxCrashes:  8,
+		BlockThreshold: 3,
+		MinRestart:     200 * time.Millisecond,
+		TrustPeriod:    5 * time.Second,
+		MaxTrusted:     4096,
+		BlockPeriod:    30 * time.Second,
+		MaxBlockPeriod: 10 * time.Minute,
+		BlockGrowth:    4,
+		Retention:      20 * time.Minute,
+		MaxRequests:    4096,
+		MaxCrashes:     8,
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 // maxTarget bounds a target's name in a record that another instance sent, in bytes.
-const maxTarget = 128
+const maxTargetBytes = 128
 
 // State tells what to do with a request.
 type State uint8
@@ -84,46 +84,46 @@
 	// Crashes is how many crashes count against it.
 	Crashes int
 	// Left is how long a Blocked request stays so.
-	Left time.Duration
+	Remaining time.Duration
 	// Since is the time since its latest crash.
-	Since time.Duration
+	SinceLastCrash time.Duration
 }
 
 // Table holds the records of crashes that an instance knows.
 type Table struct {
 	config   Config
-	requests map[Digest]*request
+	requests map[Digest]*requestState
 	// trusted are the requests that ended well here lately.
-	trusted recent
+	trusted recentSet
 	// toSend are the records that are being passed on.
-	toSend []*record
+	gossipQueue []*record
 	// next is where the next sample begins.
-	next Digest
+	sampleStart Digest
 }
 
 // request is what is known of one request.
-type request struct {
+type requestState struct {
 	crashes []*record
 	// latest is when the latest of all crashes was, those included that don't count.
-	latest time.Time
+	lastCrash time.Time
 	// trialUntil is when the run that was allowed last has ended at the latest.
 	trialUntil time.Time
 }
 
 // record is one crash and how often it was passed on.
 type record struct {
-	digest  Digest
-	target  string
-	at      time.Time
-	cleared bool
-	copies  int
+	digest    Digest
+	target    string
+	at        time.Time
+	cleared   bool
+	timesSent int
 	// seen tells that this instance saw the crash itself.
-	seen bool
+	local bool
 }
 
 // New returns a table without records.
 func New(c Config) *Table {
-	return &Table{config: c, requests: map[Digest]*request{}, trusted: newRecent(c.Trust, c.MaxTrusted)}
+	return &Table{config: c, requests: map[Digest]*requestState{}, trusted: newRecentSet(c.TrustPeriod, c.MaxTrusted)}
 }
 
 // Len returns the number of requests that there are records of.
@@ -131,25 +131,25 @@
 
 // Crashed records a crash that this instance saw, unless the request ended well here
 // lately. It tells whether it is news.
-func (t *Table) Crashed(now time.Time, digest Digest, target string) bool {
+func (t *Table) RecordCrash(now time.Time, digest Digest, target string) bool {
 	if t.trusted.has(now, digest) {
 		return false
 	}
-	target = t.unseen(now, digest, target)
-	news := t.put(now, Crash{Digest: digest, Target: target})
-	if known := t.find(digest, target); known != nil {
-		known.seen = true
+	target = t.uniqueTarget(now, digest, target)
+	news := t.insert(now, Crash{Digest: digest, Target: target})
+	if known := t.findCrash(digest, target); known != nil {
+		known.local = true
 	}
 	return news
 }
 
 // unseen returns the name of a crash that this instance hasn't recorded a while ago. A target
 // that it saw end then has started again, and it hasn't heard of the new start.
-func (t *Table) unseen(now time.Time, digest Digest, target string) string {
+func (t *Table) uniqueTarget(now time.Time, digest Digest, target string) string {
 	name := target
 	for n := 2; ; n++ {
-		known := t.find(digest, name)
-		if known == nil || !known.seen || now.Sub(known.at) < t.config.Restart {
+		known := t.findCrash(digest, name)
+		if known == nil || !known.local || now.Sub(known.at) < t.config.MinRestart {
 			return name
 		}
 		name = fmt.Sprintf("%s, %d", target, n)
@@ -157,7 +157,7 @@
 }
 
 // find returns the record of a crash, or nil.
-func (t *Table) find(digest Digest, target string) *record {
+func (t *Table) findCrash(digest Digest, target string) *record {
 	r := t.requests[digest]
 	if r == nil {
 		return nil
@@ -172,38 +172,38 @@
 
 // Merge takes in a record of another instance. It tells whether it is news.
 func (t *Table) Merge(now time.Time, c Crash) bool {
-	if c.Target == "" || len(c.Target) > maxTarget || c.Age < 0 {
+	if c.Target == "" || len(c.Target) > maxTargetBytes || c.Age < 0 {
 		return false
 	}
-	return t.put(now, c)
+	return t.insert(now, c)
 }
 
 // put keeps a record. Two records of one crash become one, which is cleared if either is,
 // so that records may come twice and in any order.
-func (t *Table) put(now time.Time, c Crash) bool {
-	if c.Age >= t.config.Keep {
+func (t *Table) insert(now time.Time, c Crash) bool {
+	if c.Age >= t.config.Retention {
 		return false
 	}
 	at := now.Add(-c.Age)
 	r := t.requests[c.Digest]
 	if r == nil {
-		t.makeRoom()
-		r = &request{}
+		t.evictRequest()
+		r = &requestState{}
 		t.requests[c.Digest] = r
 	}
-	if known := t.find(c.Digest, c.Target); known != nil {
+	if known := t.findCrash(c.Digest, c.Target); known != nil {
 		if known.cleared || !c.Cleared {
 			return false
 		}
 		known.cleared = true
-		t.passOn(known)
+		t.enqueueGossip(known)
 		return true
 	}
 	if len(r.crashes) == t.config.MaxCrashes && at.Before(r.crashes[0].at) {
 		return false // it was dropped before, and would be again
 	}
-	if at.After(r.latest) {
-		r.latest = at
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
 	added := &record{digest: c.Digest, target: c.Target, at: at, cleared: c.Cleared}
 	r.crashes = append(r.crashes, added)
@@ -211,20 +211,20 @@
 	if len(r.crashes) > t.config.MaxCrashes {
 		r.crashes = r.crashes[1:]
 	}
-	t.passOn(added)
+	t.enqueueGossip(added)
 	return true
 }
 
 // makeRoom drops the request with the fewest crashes, of several the one with the oldest,
 // if the table is full.
-func (t *Table) makeRoom() {
+func (t *Table) evictRequest() {
 	if len(t.requests) < t.config.MaxRequests {
 		return
 	}
 	var least Digest
-	var chosen *request
+	var chosen *requestState
 	for digest, r := range t.requests {
-		if chosen == nil || worthLess(r, chosen) {
+		if chosen == nil || lessRelevant(r, chosen) {
 			least, chosen = digest, r
 		}
 	}
@@ -232,16 +232,16 @@
 }
 
 // worthLess orders requests by their crashes, then by the time of the latest one.
-func worthLess(a, b *request) bool {
-	if x, y := a.count(), b.count(); x != y {
+func lessRelevant(a, b *requestState) bool {
+	if x, y := a.activeCrashes(), b.activeCrashes(); x != y {
 		return x < y
 	}
-	return a.latest.Before(b.latest)
+	return a.lastCrash.Before(b.lastCrash)
 }
 
 // EndedWell records that a target ran a request to an end of its own. It tells whether
 // that clears crashes.
-func (t *Table) EndedWell(now time.Time, digest Digest) bool {
+func (t *Table) RecordCompletion(now time.Time, digest Digest) bool {
 	t.trusted.add(now, digest)
 	r := t.requests[digest]
 	if r == nil {
@@ -251,14 +251,14 @@
 	for _, c := range r.crashes {
 		if !c.cleared {
 			c.cleared, cleared = true, true
-			t.passOn(c)
+			t.enqueueGossip(c)
 		}
 	}
 	return cleared
 }
 
 // count returns how many crashes count against a request: those that no run has cleared.
-func (r *request) count() int {
+func (r *requestState) activeCrashes() int {
 	n := 0
 	for _, c := range r.crashes {
 		if !c.cleared {
@@ -277,28 +277,28 @@
 	return t.verdict(now, r)
 }
 
-func (t *Table) verdict(now time.Time, r *request) Verdict {
-	v := Verdict{Crashes: r.count(), Since: now.Sub(r.latest)}
-	if v.Crashes < t.config.Crashes {
+func (t *Table) verdict(now time.Time, r *requestState) Verdict {
+	v := Verdict{Crashes: r.activeCrashes(), SinceLastCrash: now.Sub(r.lastCrash)}
+	if v.Crashes < t.config.BlockThreshold {
 		return v
 	}
 	v.State = OnTrial
-	if v.Left = t.hold(v.Crashes) - v.Since; v.Left > 0 {
+	if v.Remaining = t.blockPeriod(v.Crashes) - v.SinceLastCrash; v.Remaining > 0 {
 		v.State = Blocked
 	}
 	return v
 }
 
 // hold is how long so many crashes block a request.
-func (t *Table) hold(crashes int) time.Duration {
-	hold := t.config.Hold
-	for range crashes - t.config.Crashes {
-		if hold >= t.config.MaxHold {
+func (t *Table) blockPeriod(crashes int) time.Duration {
+	hold := t.config.BlockPeriod
+	for range crashes - t.config.BlockThreshold {
+		if hold >= t.config.MaxBlockPeriod {
 			break
 		}
-		hold *= time.Duration(t.config.HoldGrowth)
+		hold *= time.Duration(t.config.BlockGrowth)
 	}
-	return min(hold, t.config.MaxHold)
+	return min(hold, t.config.MaxBlockPeriod)
 }
 
 // GrantTrial allows one run of a request that is on trial, unless this instance has
@@ -315,7 +315,7 @@
 // Expire drops the requests whose latest crash is too long ago.
 func (t *Table) Expire(now time.Time) {
 	for digest, r := range t.requests {
-		if now.Sub(r.latest) >= t.config.Keep {
+		if now.Sub(r.lastCrash) >= t.config.Retention {
 			delete(t.requests, digest)
 		}
 	}
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -26,49 +26,49 @@
 
 // returnGrace is how long after the store's return an entry may be missing whose
 // target lives: the platform says about two seconds.
-const returnGrace = 2200 * time.Millisecond
+const outageGrace = 2200 * time.Millisecond
 
 // Bounds of what is remembered: incarnations as leaving, and starts by name.
 const (
-	maxLeft    = 8192
-	maxStarted = 8192
+	maxLeaving = 8192
+	maxStarts  = 8192
 )
 
 // Gone is the removal of an entry that has taken effect.
-type Gone struct {
+type Removal struct {
 	Name     string
 	Revision uint64
 }
 
 // Roster holds the targets of all services.
 type Roster struct {
-	gone []Gone
+	removals []Removal
 	// entries are by name.
 	entries map[string]*entry
 	// left are incarnations that were told to leave; nothing brings them back.
-	left     map[string]struct{}
-	leftList []string
+	leaving      map[string]struct{}
+	leavingOrder []string
 	// started is the latest start of each name, where starts are told. It outlives
 	// the entry: an earlier start may still be told then.
-	started     map[string]int64
-	startedList []string
+	lastStart  map[string]int64
+	startOrder []string
 	// troubled is when the store was last known not to answer, or to be back.
-	troubled time.Time
-	changed  bool
+	lastFailure time.Time
+	changed     bool
 }
 
 type entry struct {
 	target   routes.Target
 	revision uint64
 	// removed is when the entry vanished; zero while it is there.
-	removed time.Time
+	removedAt time.Time
 	// goneAt is when a vanished entry takes effect.
-	goneAt time.Time
+	effectiveAt time.Time
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{entries: map[string]*entry{}, left: map[string]struct{}{}, started: map[string]int64{}}
+	return &Roster{entries: map[string]*entry{}, leaving: map[string]struct{}{}, lastStart: map[string]int64{}}
 }
 
 // Put takes in an entry as of a revision of the store. It tells whether that is
@@ -82,14 +82,14 @@
 	if e != nil && revision < e.revision {
 		return false
 	}
-	if t.Started < r.started[t.Name] {
+	if t.Started < r.lastStart[t.Name] {
 		return false
 	}
-	r.noteStart(t)
+	r.recordStart(t)
 	if t.Leaving {
-		r.Leaving(t.Incarnation())
+		r.MarkLeaving(t.Incarnation())
 	}
-	if e != nil && e.removed.IsZero() && e.target == t {
+	if e != nil && e.removedAt.IsZero() && e.target == t {
 		e.revision = revision
 		return false
 	}
@@ -99,24 +99,24 @@
 }
 
 // noteStart remembers the latest start of a name.
-func (r *Roster) noteStart(t routes.Target) {
+func (r *Roster) recordStart(t routes.Target) {
 	if t.Started == 0 {
 		return
 	}
-	if _, known := r.started[t.Name]; !known {
-		if len(r.startedList) >= maxStarted {
-			delete(r.started, r.startedList[0])
-			r.startedList = r.startedList[1:]
+	if _, known := r.lastStart[t.Name]; !known {
+		if len(r.startOrder) >= maxStarts {
+			delete(r.lastStart, r.startOrder[0])
+			r.startOrder = r.startOrder[1:]
 		}
-		r.startedList = append(r.startedList, t.Name)
+		r.startOrder = append(r.startOrder, t.Name)
 	}
-	r.started[t.Name] = t.Started
+	r.lastStart[t.Name] = t.Started
 }
 
 // TellsStart tells whether an entry of the name has told a start: one without is
 // not whole then.
-func (r *Roster) TellsStart(name string) bool {
-	_, known := r.started[name]
+func (r *Roster) KnowsStart(name string) bool {
+	_, known := r.lastStart[name]
 	return known
 }
 
@@ -131,27 +131,27 @@
 // instance's own contact with the store is like says nothing about it. An instance
 // that the store refuses would else go on sending work to a target that left, for as
 // long as it is refused.
-func (r *Roster) RemoveSettled(now time.Time, name string, revision uint64) bool {
+func (r *Roster) RemoveNow(now time.Time, name string, revision uint64) bool {
 	return r.remove(now, name, revision, true)
 }
 
 func (r *Roster) remove(now time.Time, name string, revision uint64, settled bool) bool {
 	e := r.entries[name]
-	if e == nil || revision < e.revision || (!e.removed.IsZero() && !settled) {
+	if e == nil || revision < e.revision || (!e.removedAt.IsZero() && !settled) {
 		return false
 	}
 	e.revision = revision
-	e.removed = now
-	e.goneAt = now
-	if !settled && !r.troubled.IsZero() && now.Sub(r.troubled) < returnGrace {
-		e.goneAt = r.troubled.Add(returnGrace)
+	e.removedAt = now
+	e.effectiveAt = now
+	if !settled && !r.lastFailure.IsZero() && now.Sub(r.lastFailure) < outageGrace {
+		e.effectiveAt = r.lastFailure.Add(outageGrace)
 	}
 	r.changed = true
 	return true
 }
 
 // Listed takes in a whole list as of a revision: what it doesn't have is removed.
-func (r *Roster) Listed(now time.Time, targets []routes.Target, revision uint64) {
+func (r *Roster) ApplyList(now time.Time, targets []routes.Target, revision uint64) {
 	listed := make(map[string]bool, len(targets))
 	for _, t := range targets {
 		listed[t.Name] = true
@@ -166,24 +166,24 @@
 
 // Leaving notes that an incarnation takes no new work, from whichever source.
 // It tells whether that is news.
-func (r *Roster) Leaving(incarnation string) bool {
-	if _, known := r.left[incarnation]; known {
+func (r *Roster) MarkLeaving(incarnation string) bool {
+	if _, known := r.leaving[incarnation]; known {
 		return false
 	}
-	if len(r.leftList) >= maxLeft {
-		delete(r.left, r.leftList[0])
-		r.leftList = r.leftList[1:]
+	if len(r.leavingOrder) >= maxLeaving {
+		delete(r.leaving, r.leavingOrder[0])
+		r.leavingOrder = r.leavingOrder[1:]
 	}
-	r.left[incarnation] = struct{}{}
-	r.leftList = append(r.leftList, incarnation)
+	r.leaving[incarnation] = struct{}{}
+	r.leavingOrder = append(r.leavingOrder, incarnation)
 	r.changed = true
 	return true
 }
 
 // StoreFailed notes that the store was away at a time, or came back then.
-func (r *Roster) StoreFailed(at time.Time) {
-	if at.After(r.troubled) {
-		r.troubled = at
+func (r *Roster) RecordStoreFailure(at time.Time) {
+	if at.After(r.lastFailure) {
+		r.lastFailure = at
 	}
 }
 
@@ -192,26 +192,26 @@
 func (r *Roster) Tick(now time.Time) time.Time {
 	var next time.Time
 	for name, e := range r.entries {
-		if e.removed.IsZero() {
+		if e.removedAt.IsZero() {
 			continue
 		}
-		if !now.Before(e.goneAt) {
+		if !now.Before(e.effectiveAt) {
 			delete(r.entries, name)
-			r.gone = append(r.gone, Gone{name, e.revision})
+			r.removals = append(r.removals, Removal{name, e.revision})
 			r.changed = true
 			continue
 		}
-		if next.IsZero() || e.goneAt.Before(next) {
-			next = e.goneAt
+		if next.IsZero() || e.effectiveAt.Before(next) {
+			next = e.effectiveAt
 		}
 	}
 	return next
 }
 
 // TakeGone returns the removals that took effect since the last call.
-func (r *Roster) TakeGone() []Gone {
-	gone := r.gone
-	r.gone = nil
+func (r *Roster) TakeRemovals() []Removal {
+	gone := r.removals
+	r.removals = nil
 	return gone
 }
 
@@ -228,7 +228,7 @@
 func (r *Roster) Usable() map[string][]routes.Target {
 	usable := map[string][]routes.Target{}
 	for _, e := range r.entries {
-		if _, left := r.left[e.target.Incarnation()]; !left {
+		if _, left := r.leaving[e.target.Incarnation()]; !left {
 			usable[e.target.Service] = append(usable[e.target.Service], e.target)
 		}
 	}
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -42,7 +42,7 @@
 	r.Remove(start, "a", 3)
 	r.Tick(start)
 	require.Equal(t, []string{"b"}, usable(r))
-	require.Equal(t, []Gone{{"a", 3}}, r.TakeGone())
+	require.Equal(t, []Removal{{"a", 3}}, r.TakeRemovals())
 }
 
 // The store is down, and entries expire in it although their targets live. They are
@@ -52,13 +52,13 @@
 	r := New()
 	r.Put(target("a"), 1)
 	r.Put(target("b"), 2)
-	r.StoreFailed(start)
-	r.Listed(at(100*time.Millisecond), nil, 10)
+	r.RecordStoreFailure(start)
+	r.ApplyList(at(100*time.Millisecond), nil, 10)
 	r.Tick(at(time.Second))
 	require.Equal(t, []string{"a", "b"}, usable(r))
 	r.Put(target("a"), 11)
 	require.False(t, r.Tick(at(2*time.Second)).IsZero())
-	r.Tick(at(returnGrace))
+	r.Tick(at(outageGrace))
 	require.Equal(t, []string{"a"}, usable(r))
 }
 
@@ -69,8 +69,8 @@
 func TestRemovalSettledElsewhere(t *testing.T) {
 	r := New()
 	r.Put(target("a"), 1)
-	r.StoreFailed(start)
-	require.True(t, r.RemoveSettled(at(100*time.Millisecond), "a", 2))
+	r.RecordStoreFailure(start)
+	require.True(t, r.RemoveNow(at(100*time.Millisecond), "a", 2))
 	r.Tick(at(100 * time.Millisecond))
 	require.Empty(t, usable(r))
 }
@@ -79,11 +79,11 @@
 func TestRemovalSettledWhileWaiting(t *testing.T) {
 	r := New()
 	r.Put(target("a"), 1)
-	r.StoreFailed(start)
+	r.RecordStoreFailure(start)
 	r.Remove(at(100*time.Millisecond), "a", 2)
 	r.Tick(at(200 * time.Millisecond))
 	require.Equal(t, []string{"a"}, usable(r))
-	r.RemoveSettled(at(300*time.Millisecond), "a", 2)
+	r.RemoveNow(at(300*time.Millisecond), "a", 2)
 	r.Tick(at(300 * time.Millisecond))
 	require.Empty(t, usable(r))
 }
@@ -93,10 +93,10 @@
 func TestLeavingIsFinal(t *testing.T) {
 	r := New()
 	r.Put(target("a"), 5)
-	require.True(t, r.Leaving("a"))
-	require.False(t, r.Leaving("a"))
+	require.True(t, r.MarkLeaving("a"))
+	require.False(t, r.MarkLeaving("a"))
 	r.Put(target("a"), 6)
-	r.Listed(start, []routes.Target{target("a")}, 7)
+	r.ApplyList(start, []routes.Target{target("a")}, 7)
 	require.Empty(t, usable(r))
 }
 
@@ -109,7 +109,7 @@
 	require.False(t, r.Put(target("a"), 4))
 	require.False(t, r.Remove(start, "a", 4))
 	require.Equal(t, "new", r.Usable()["s"][0].Address)
-	r.Listed(start, nil, 4)
+	r.ApplyList(start, nil, 4)
 	r.Tick(start)
 	require.Len(t, usable(r), 1, "a list from before the entry doesn't remove it")
 }
@@ -147,7 +147,7 @@
 			r.Put(leaving, 5)
 			r.Put(c.next, 6)
 			require.Equal(t, c.want, usable(r))
-			require.False(t, r.Leaving("a@100"), "it was told before")
+			require.False(t, r.MarkLeaving("a@100"), "it was told before")
 			require.Equal(t, c.want, usable(r))
 		})
 	}
@@ -164,7 +164,7 @@
 	require.False(t, r.Put(late, 6))
 	require.Equal(t, []string{"a@200"}, usable(r))
 	require.Equal(t, "a", r.Usable()["s"][0].Address)
-	require.True(t, r.Leaving("a@200"), "the late entry said nothing of this start")
+	require.True(t, r.MarkLeaving("a@200"), "the late entry said nothing of this start")
 }
 
 // The entry of a target that crashed is removed. It starts again, and after that
@@ -177,11 +177,11 @@
 	require.Empty(t, usable(r))
 	require.False(t, r.Put(startedAt("a", 50), 1), "of an earlier start, told late")
 	r.Put(startedAt("a", 200), 3)
-	require.False(t, r.RemoveSettled(start, "a", 2))
+	require.False(t, r.RemoveNow(start, "a", 2))
 	require.False(t, r.Put(startedAt("a", 100), 1))
 	r.Tick(start)
 	require.Equal(t, []string{"a@200"}, usable(r))
-	require.Equal(t, []Gone{{"a", 2}}, r.TakeGone())
+	require.Equal(t, []Removal{{"a", 2}}, r.TakeRemovals())
 }
 
 // An entry that can't be read takes the place of a target's. The target takes nothing
@@ -190,8 +190,8 @@
 func TestEntryThatNamesNoTarget(t *testing.T) {
 	r := New()
 	r.Put(startedAt("a", 100), 1)
-	r.StoreFailed(start)
-	require.True(t, r.RemoveSettled(at(time.Millisecond), "a", 2))
+	r.RecordStoreFailure(start)
+	require.True(t, r.RemoveNow(at(time.Millisecond), "a", 2))
 	r.Tick(at(time.Millisecond))
 	require.Empty(t, usable(r))
 	r.Put(startedAt("a", 100), 3)
@@ -201,11 +201,11 @@
 // Names come and go for weeks. What is remembered of their starts stays bounded.
 func TestStartsAreBounded(t *testing.T) {
 	r := New()
-	for i := range maxStarted + 10 {
+	for i := range maxStarts + 10 {
 		r.Put(startedAt(strconv.Itoa(i), 100), uint64(i+1))
 	}
-	require.Len(t, r.started, maxStarted)
-	require.Len(t, r.startedList, maxStarted)
-	require.False(t, r.TellsStart("0"))
-	require.True(t, r.TellsStart(strconv.Itoa(maxStarted)))
+	require.Len(t, r.lastStart, maxStarts)
+	require.Len(t, r.startOrder, maxStarts)
+	require.False(t, r.KnowsStart("0"))
+	require.True(t, r.KnowsStart(strconv.Itoa(maxStarts)))
 }
