--- a/coordination/placing/bench_test.go
+++ b/coordination/placing/bench_test.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// readTime is how long an engine reads a request.
-	readTime = 110 * time.Millisecond
-	// prompts are so many that engines have forgotten the first at the last.
+	// prefillDuration is how long an engine processes a prompt.
+	prefillDuration = 110 * time.Millisecond
+	// prompts is high enough that the first prompt is evicted before the last one is sent.
 	prompts = 30_000
-	// perSubject are the requests of a subject before another comes in its place.
+	// perSubject is the number of requests of a subject before another subject replaces it.
 	perSubject = 20
 )
 
-// load is a table of engines that serve requests at a steady rate.
-type load struct {
+// steadyLoad is a table of engines that receive requests at a steady rate.
+type steadyLoad struct {
 	table   *Table
 	now     time.Time
 	pause   time.Duration
 	prompts []Prompt
 	ids     []string
-	// detours are by data centre, factors how slow an engine is.
-	detours map[string]time.Duration
-	factors map[string]float64
-	// sent and ended count requests; those between them are read.
+	// transferCosts are by data centre, slowdowns by engine.
+	transferCosts map[string]time.Duration
+	slowdowns     map[string]float64
+	// sent and ended count requests; those between them are being processed.
 	sent, ended int
-	at          [prompts]time.Time
-	served      [prompts]Served
+	sentAt      [prompts]time.Time
+	requestEnds [prompts]RequestEnd
 }
 
-func newLoad(engines int, ratePerEngine float64) *load {
+func newSteadyLoad(engines int, ratePerEngine float64) *steadyLoad {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := &load{
-		table: newFleet(engines).table, now: time.Now(),
-		detours: map[string]time.Duration{}, factors: map[string]float64{},
+	l := &steadyLoad{
+		table: newFleetSim(engines).table, now: time.Now(),
+		transferCosts: map[string]time.Duration{}, slowdowns: map[string]float64{},
 		pause: time.Duration(float64(time.Second) / (ratePerEngine * float64(engines))),
 	}
 	for i := range 3 {
-		l.detours[fmt.Sprint("dc", i)] = time.Duration(i) * time.Millisecond
+		l.transferCosts[fmt.Sprint("dc", i)] = time.Duration(i) * time.Millisecond
 	}
 	for i := range engines {
-		l.factors[fmt.Sprint("e", i)] = 0.9 + 0.2*rng.Float64()
+		l.slowdowns[fmt.Sprint("e", i)] = 0.9 + 0.2*rng.Float64()
 	}
 	for i := range prompts {
 		base, own := rng.IntN(4), 500+rng.IntN(4000)
@@ -56,39 +56,41 @@
 	return l
 }
 
-func (l *load) detour(dataCentre string) time.Duration { return l.detours[dataCentre] }
+func (l *steadyLoad) transferCost(dataCentre string) time.Duration {
+	return l.transferCosts[dataCentre]
+}
 
-// step plays one request: its two choices, its sending, and the ends that are due.
-func (l *load) step() {
+// step simulates one request: its two choices, its sending, and the ends that are due.
+func (l *steadyLoad) step() {
 	l.now = l.now.Add(l.pause)
-	for l.ended < l.sent && l.now.Sub(l.at[l.ended%prompts]) >= readTime {
-		l.table.Ended(l.served[l.ended%prompts])
+	for l.ended < l.sent && l.now.Sub(l.sentAt[l.ended%prompts]) >= prefillDuration {
+		l.table.RecordEnd(l.requestEnds[l.ended%prompts])
 		l.ended++
 	}
 	i := l.sent % prompts
 	p := &l.prompts[i]
-	l.table.Choose(l.now, p, l.detour)
-	c, _ := l.table.Choose(l.now, p, l.detour)
-	l.table.Sent(l.now, l.ids[i], p, c)
-	first := readFixed + time.Duration(c.unread)*readPerToken
-	l.at[i] = l.now
-	l.served[i] = Served{
+	l.table.Choose(l.now, p, l.transferCost)
+	c, _ := l.table.Choose(l.now, p, l.transferCost)
+	l.table.RecordSent(l.now, l.ids[i], p, c)
+	first := prefillFixed + time.Duration(c.uncached)*prefillPerToken
+	l.sentAt[i] = l.now
+	l.requestEnds[i] = RequestEnd{
 		Request: l.ids[i], Engine: c.Engine.Incarnation,
-		First: time.Duration(float64(first) * l.factors[c.Engine.Incarnation]),
+		FirstEvent: time.Duration(float64(first) * l.slowdowns[c.Engine.Incarnation]),
 	}
 	l.sent++
 }
 
-// What a request costs in a fleet: two choices and what is noted of it, where a quarter
-// of the engines are reading and where all are.
+// BenchmarkRequest measures the cost of one request: two choices and its record, with a
+// quarter of the engines busy and with all of them busy.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{60, 240, 1000} {
-		for _, load := range []struct {
+		for _, c := range []struct {
 			name          string
 			ratePerEngine float64
 		}{{"quarter", 2.4}, {"all", 20}} {
-			b.Run(fmt.Sprint(n, "/", load.name), func(b *testing.B) {
-				l := newLoad(n, load.ratePerEngine)
+			b.Run(fmt.Sprint(n, "/", c.name), func(b *testing.B) {
+				l := newSteadyLoad(n, c.ratePerEngine)
 				for range prompts {
 					l.step()
 				}
--- a/coordination/placing/choose.go
+++ b/coordination/placing/choose.go
@@ -6,81 +6,82 @@
 )
 
 const (
-	// unreadWeight is how many times the time counts that an engine reads for a
-	// request alone: its other requests wait for it, and what one engine has read
-	// another need not.
-	unreadWeight = 4.0
-	// homeAdvantage is by how much another engine has to be better than the one that a
-	// hash gives: so that the same engines are found again by an instance that knows
-	// nothing of what was read where.
+	// uncachedWeight is the weight of the time that an engine spends on uncached tokens of
+	// one request: the engine's other requests wait for it, and the same part need not be
+	// processed at a second engine.
+	uncachedWeight = 4.0
+	// homeAdvantage is how much cheaper another engine has to be than the home. It makes an
+	// instance that knows nothing of the caches choose the same engines again.
 	homeAdvantage = 40 * time.Millisecond
 )
 
-// Choose returns the engine at which a request costs least: the time until what is
-// before it has been read, the weighted time of reading what the engine has not, and
-// the detour of its inputs to the engine's data centre, which has to be the same for all
-// engines there. It is false for a pool without an engine.
+// Choose returns the engine with the lowest cost for a request. The cost is the sum of the
+// wait for the requests before it, the weighted time for its uncached tokens, and the cost
+// of transferring its inputs to the engine's data centre, which has to be the same for all
+// engines there. It returns false if no engine of the pool may serve the request.
 //
-// Few engines are looked at: the home, those that have read a part that few have, and of
-// the others the fastest, until the next can't cost less than the best.
-func (t *Table) Choose(now time.Time, p *Prompt, detour func(dataCentre string) time.Duration) (Choice, bool) {
-	known := t.pools[p.Pool]
-	if known == nil {
+// Few engines are examined: the home, those with a part in cache that few others have, and
+// then the remaining ones in ascending order of slowdown, until the lower bound of the next
+// one's cost exceeds the lowest cost found.
+func (t *Table) Choose(now time.Time, p *Prompt, transferCost func(dataCentre string) time.Duration) (Choice, bool) {
+	pool := t.pools[p.Pool]
+	if pool == nil {
 		return Choice{}, false
 	}
-	s := search{now: now, prompt: p, detour: detour}
-	for _, e := range known.named[known.homeOf(p.home())] {
-		s.try(e, homeAdvantage)
+	s := search{now: now, prompt: p, transferCost: transferCost}
+	for _, e := range pool.byName[pool.homeOf(p.homeKey())] {
+		s.consider(e, homeAdvantage)
 	}
-	holders, unread := known.rareHolders(p)
-	for _, e := range holders {
-		s.try(e, 0)
+	cachers, uncached := pool.enginesWithRarePart(p)
+	for _, e := range cachers {
+		s.consider(e, 0)
 	}
-	least := known.leastDetour(detour)
-	for _, e := range known.bySlowness {
-		bound := e.readCost(unread) + least
+	minTransfer := pool.minTransferCost(transferCost)
+	for _, e := range pool.bySlowdown {
+		bound := e.prefillCost(uncached) + minTransfer
 		if s.best != nil && bound > s.cost {
 			break
 		}
-		if s.isBetter(bound+e.delay(now), e) {
-			s.try(e, 0)
+		if s.isBetter(bound+e.queueCost(now), e) {
+			s.consider(e, 0)
 		}
 	}
 	return s.choice()
 }
 
-// home is what a request has in common with others: the last part that isn't its own.
-func (p *Prompt) home() string {
+// homeKey returns the key that requests of the same home have in common: the ID of the last
+// part that isn't specific to the request, or of the only part.
+func (p *Prompt) homeKey() string {
 	if len(p.Parts) == 0 {
 		return ""
 	}
 	return p.Parts[max(len(p.Parts)-2, 0)].ID
 }
 
-// search is the search for a request's engine.
+// search is the state of one call of Choose.
 type search struct {
-	now    time.Time
-	prompt *Prompt
-	detour func(dataCentre string) time.Duration
-	// best is the best engine so far, nil without one, cost what the request costs there.
-	best *engine
+	now          time.Time
+	prompt       *Prompt
+	transferCost func(dataCentre string) time.Duration
+	// best is the cheapest engine so far, nil if there is none; cost is the cost there.
+	best *engineState
 	cost time.Duration
 }
 
-// try looks at an engine whose cost counts as less by an advantage.
-func (s *search) try(e *engine, advantage time.Duration) {
+// consider compares an engine with the best so far; advantage is subtracted from its cost.
+func (s *search) consider(e *engineState, advantage time.Duration) {
 	if slices.Contains(s.prompt.Exclude, e.Incarnation) {
 		return
 	}
-	cost := e.delay(s.now) + e.readCost(e.unread(s.prompt)) + s.detour(e.DataCentre) - advantage
+	cost := e.queueCost(s.now) + e.prefillCost(e.uncachedTokens(s.prompt)) + s.transferCost(e.DataCentre) - advantage
 	if s.isBetter(cost, e) {
 		s.best, s.cost = e, cost
 	}
 }
 
-// isBetter tells whether an engine of a cost is to be taken rather than the best so far;
-// of equals it is the one whose incarnation comes first.
-func (s *search) isBetter(cost time.Duration, e *engine) bool {
+// isBetter reports whether an engine of a cost is preferred to the best so far; if the costs
+// are equal, the lower incarnation is.
+func (s *search) isBetter(cost time.Duration, e *engineState) bool {
 	return s.best == nil || cost < s.cost || cost == s.cost && e.Incarnation < s.best.Incarnation
 }
 
@@ -88,7 +89,7 @@
 	if s.best == nil {
 		return Choice{}, false
 	}
-	unread, wait := s.best.unread(s.prompt), s.best.wait(s.now)
-	idle := s.best.readTime(unread)
-	return Choice{Engine: s.best.Engine, First: wait + idle, Idle: idle, unread: unread, wait: wait}, true
+	uncached, wait := s.best.uncachedTokens(s.prompt), s.best.queueWait(s.now)
+	idle := s.best.prefillTime(uncached)
+	return Choice{Engine: s.best.Engine, FirstEvent: wait + idle, FirstEventIdle: idle, uncached: uncached, queueWait: wait}, true
 }
--- a/coordination/placing/choose_test.go
+++ b/coordination/placing/choose_test.go
@@ -13,41 +13,41 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// chooseAmongAll is what Choose has to return: it looks at all engines and uses no index.
-func (t *Table) chooseAmongAll(now time.Time, p *Prompt, detour func(dataCentre string) time.Duration) (Choice, bool) {
-	known := t.pools[p.Pool]
-	if known == nil {
+// scanChoose is the reference for Choose: it examines all engines and uses no index.
+func (t *Table) scanChoose(now time.Time, p *Prompt, transferCost func(dataCentre string) time.Duration) (Choice, bool) {
+	pool := t.pools[p.Pool]
+	if pool == nil {
 		return Choice{}, false
 	}
 	var best Choice
 	var bestCost time.Duration
 	found := false
-	homeOf := known.hashAmongAll(p.home())
-	for _, e := range known.engines {
+	homeOf := pool.scanHome(p.homeKey())
+	for _, e := range pool.engines {
 		if slices.Contains(p.Exclude, e.Incarnation) {
 			continue
 		}
-		unread := e.unread(p)
-		wait := e.waitForAll(now)
-		seconds := known.model.seconds(unread) * e.slow
-		extra := float64(unread) * known.model.token * e.slow * (unreadWeight - 1)
-		cost := wait + duration(seconds+extra) + detour(e.DataCentre)
+		uncached := e.uncachedTokens(p)
+		wait := e.scanQueueWait(now)
+		seconds := pool.model.seconds(uncached) * e.slowdown
+		weighted := float64(uncached) * pool.model.perToken * e.slowdown * (uncachedWeight - 1)
+		cost := wait + duration(seconds+weighted) + transferCost(e.DataCentre)
 		if e.Name == homeOf {
 			cost -= homeAdvantage
 		}
-		if now.Before(e.goneUntil) {
-			cost += goneCost
+		if now.Before(e.avoidUntil) {
+			cost += unreachablePenalty
 		}
 		if found && cmp.Or(cmp.Compare(cost, bestCost), cmp.Compare(e.Incarnation, best.Engine.Incarnation)) >= 0 {
 			continue
 		}
-		best = Choice{Engine: e.Engine, First: wait + duration(seconds), Idle: duration(seconds), unread: unread, wait: wait}
+		best = Choice{Engine: e.Engine, FirstEvent: wait + duration(seconds), FirstEventIdle: duration(seconds), uncached: uncached, queueWait: wait}
 		bestCost, found = cost, true
 	}
 	return best, found
 }
 
-func (p *pool) hashAmongAll(home string) string {
+func (p *poolState) scanHome(home string) string {
 	if home == "" {
 		return ""
 	}
@@ -62,12 +62,12 @@
 	return best
 }
 
-func (e *engine) waitForAll(now time.Time) time.Duration {
-	if len(e.reading) == 0 {
+func (e *engineState) scanQueueWait(now time.Time) time.Duration {
+	if len(e.prefills) == 0 {
 		return 0
 	}
 	var first, last time.Time
-	for _, r := range e.reading {
+	for _, r := range e.prefills {
 		if first.IsZero() || r.due.Before(first) {
 			first = r.due
 		}
@@ -75,28 +75,28 @@
 			last = r.due
 		}
 	}
-	behind := max(now.Sub(first.Add(wordDelay)), 0)
-	return max(last.Sub(now), 0) + behind
+	overdue := max(now.Sub(first.Add(reportDelay)), 0)
+	return max(last.Sub(now), 0) + overdue
 }
 
-// world is a table to which anything happens in any order.
-type world struct {
+// randomTable is a table that receives random events in random order.
+type randomTable struct {
 	*rapid.T
 	table   *Table
 	now     time.Time
 	engines int
-	open    []Served
+	open    []RequestEnd
 	next    int
 }
 
-func (w *world) number(name string, most int) int { return rapid.IntRange(0, most).Draw(w.T, name) }
+func (w *randomTable) draw(name string, most int) int { return rapid.IntRange(0, most).Draw(w.T, name) }
 
-// list has some engines come, go or start again; few have no name.
-func (w *world) list() {
+// setEngines adds, removes and restarts random engines; a few have no name.
+func (w *randomTable) setEngines() {
 	var list []Engine
 	for i := range w.engines {
 		e := Engine{Incarnation: fmt.Sprintf("e%d@0", i), Name: fmt.Sprint("e", i), DataCentre: fmt.Sprint("dc", i%3)}
-		switch w.number("state", 15) {
+		switch w.draw("state", 15) {
 		case 0:
 			continue
 		case 1:
@@ -112,111 +112,112 @@
 	w.table.SetEngines(Pool{Name: "p", CacheTokens: 40_000}, list)
 }
 
-// prompt may be shorter than its parts, read a part twice and have none.
-func (w *world) prompt() *Prompt {
-	p := &Prompt{Pool: "p", Tokens: 500 * w.number("tokens", 16)}
-	for depth := range w.number("parts", 4) {
-		id := fmt.Sprint("part", depth, w.number("part", 1<<depth))
-		if w.number("twice", 9) == 0 {
+// prompt returns a random prompt, which may be shorter than its parts, have a part twice or
+// have no parts.
+func (w *randomTable) prompt() *Prompt {
+	p := &Prompt{Pool: "p", Tokens: 500 * w.draw("tokens", 16)}
+	for depth := range w.draw("parts", 4) {
+		id := fmt.Sprint("part", depth, w.draw("part", 1<<depth))
+		if w.draw("twice", 9) == 0 {
 			id = "part00"
 		}
-		p.Parts = append(p.Parts, Part{id, 500 * w.number("part tokens", 6)})
+		p.Parts = append(p.Parts, Part{id, 500 * w.draw("part tokens", 6)})
 	}
-	for range w.number("excluded", 9) - 6 {
+	for range w.draw("excluded", 9) - 6 {
 		p.Exclude = append(p.Exclude, w.engine())
 	}
 	return p
 }
 
-func (w *world) engine() string { return fmt.Sprintf("e%d@0", w.number("engine", w.engines)) }
+func (w *randomTable) engine() string { return fmt.Sprintf("e%d@0", w.draw("engine", w.engines)) }
 
-// request compares the choices for a prompt and may send it.
-func (w *world) request() {
+// request compares both choices for a random prompt, and may send it.
+func (w *randomTable) request() {
 	p := w.prompt()
-	detours := map[string]time.Duration{}
+	transferCosts := map[string]time.Duration{}
 	for i := range 3 {
-		detours[fmt.Sprint("dc", i)] = time.Duration(w.number("detour", 3)) * 10 * time.Millisecond
+		transferCosts[fmt.Sprint("dc", i)] = time.Duration(w.draw("transfer cost", 3)) * 10 * time.Millisecond
 	}
-	detour := func(dataCentre string) time.Duration { return detours[dataCentre] }
-	want, wantOK := w.table.chooseAmongAll(w.now, p, detour)
-	got, ok := w.table.Choose(w.now, p, detour)
+	transferCost := func(dataCentre string) time.Duration { return transferCosts[dataCentre] }
+	want, wantOK := w.table.scanChoose(w.now, p, transferCost)
+	got, ok := w.table.Choose(w.now, p, transferCost)
 	require.Equal(w, wantOK, ok)
 	require.Equal(w, want, got)
-	if !ok || w.number("sent", 3) == 0 {
+	if !ok || w.draw("sent", 3) == 0 {
 		return
 	}
 	id := fmt.Sprint(w.next)
 	w.next++
-	w.table.Sent(w.now, id, p, got)
-	w.open = append(w.open, Served{Request: id, Engine: got.Engine.Incarnation})
+	w.table.RecordSent(w.now, id, p, got)
+	w.open = append(w.open, RequestEnd{Request: id, Engine: got.Engine.Incarnation})
 }
 
-// end ends a request, with or without a first event.
-func (w *world) end() {
+// end ends a random request, with or without a first event.
+func (w *randomTable) end() {
 	if len(w.open) == 0 {
 		return
 	}
-	i := w.number("ended", len(w.open)-1)
+	i := w.draw("ended", len(w.open)-1)
 	s := w.open[i]
 	w.open = slices.Delete(w.open, i, i+1)
-	s.First = time.Duration(w.number("first", 20)) * 20 * time.Millisecond
-	w.table.Ended(s)
+	s.FirstEvent = time.Duration(w.draw("first", 20)) * 20 * time.Millisecond
+	w.table.RecordEnd(s)
 }
 
-// known has engines read a part by another's word, as after a change of the holder.
-func (w *world) known() {
-	var known []Known
-	part := Part{fmt.Sprint("part", 0, w.number("known", 1)), 500}
-	for i := range w.number("readers", w.engines) {
-		known = append(known, Known{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
+// mergeCaches adds a part to the caches of some engines, as after a handover of the queue.
+func (w *randomTable) mergeCaches() {
+	var caches []EngineCache
+	part := Part{fmt.Sprint("part", 0, w.draw("caches", 1)), 500}
+	for i := range w.draw("readers", w.engines) {
+		caches = append(caches, EngineCache{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
 	}
-	w.table.Learn(w.now, known)
+	w.table.MergeCaches(w.now, caches)
 }
 
-// Choose looks at few engines and has to find the one that is best of all, with fewer and
-// with more of them than it looks at one by one.
-func TestChoiceIsBestOfAll(t *testing.T) {
+// Choose examines few engines and must return the same choice as a scan of all of them, both
+// with fewer and with more engines than maxScannedCachers.
+func TestChooseMatchesScan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{T: rt, table: NewTable(), now: start, engines: rapid.SampledFrom([]int{1, 4, 3 * fewHolders}).Draw(rt, "engines")}
-		w.list()
+		w := &randomTable{T: rt, table: NewTable(), now: start, engines: rapid.SampledFrom([]int{1, 4, 3 * maxScannedCachers}).Draw(rt, "engines")}
+		w.setEngines()
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-			w.now = w.now.Add(time.Duration(w.number("pause", 60)) * time.Millisecond)
-			switch w.number("step", 20) {
+			w.now = w.now.Add(time.Duration(w.draw("pause", 60)) * time.Millisecond)
+			switch w.draw("step", 20) {
 			case 0:
-				w.list()
+				w.setEngines()
 			case 1:
-				w.table.Gone(w.now, "p", w.engine())
+				w.table.RecordUnreachable(w.now, "p", w.engine())
 			case 2:
-				w.known()
+				w.mergeCaches()
 			case 3:
-				w.table.Read(w.now, w.prompt(), w.engine())
+				w.table.RecordPrefill(w.now, w.prompt(), w.engine())
 			case 4:
-				w.now = w.now.Add(forgetAfter)
+				w.now = w.now.Add(requestExpiry)
 				w.table.Tick(w.now)
 			case 5, 6, 7, 8, 9:
 				w.end()
 			default:
 				w.request()
 			}
-			requireIndexed(rt, w.table.pools["p"])
+			requireConsistentIndexes(rt, w.table.pools["p"])
 		}
 	})
 }
 
-// requireIndexed compares the indexes with the engines.
-func requireIndexed(t require.TestingT, p *pool) {
-	require.Len(t, p.bySlowness, len(p.engines))
-	require.True(t, slices.IsSortedFunc(p.bySlowness, compareSlowness))
+// requireConsistentIndexes compares the indexes with the engines.
+func requireConsistentIndexes(t require.TestingT, p *poolState) {
+	require.Len(t, p.bySlowdown, len(p.engines))
+	require.True(t, slices.IsSortedFunc(p.bySlowdown, compareSlowdown))
 	cached, held := 0, 0
 	for _, e := range p.engines {
 		cached += len(e.cached)
 		for id := range e.cached {
-			require.Contains(t, p.holders[id], e)
+			require.Contains(t, p.cachedBy[id], e)
 		}
 	}
-	for _, holders := range p.holders {
-		held += len(holders)
+	for _, cachers := range p.cachedBy {
+		held += len(cachers)
 	}
 	require.Equal(t, cached, held)
-	require.LessOrEqual(t, len(p.homes), maxHomes)
+	require.LessOrEqual(t, len(p.homeNames), maxHomes)
 }
--- a/coordination/placing/engine.go
+++ b/coordination/placing/engine.go
@@ -8,83 +8,85 @@
 )
 
 const (
-	// wordDelay is how much later than an engine's first event its word comes: the
-	// way through the instance that serves the request, which gathers such words.
-	wordDelay = 60 * time.Millisecond
-	// forgetAfter is when a request counts as over of whose end no word came.
-	forgetAfter = 10 * time.Second
-	// gonePause is how long an engine gets nothing at whose address nothing listens; it
-	// doubles up to mostGonePause.
-	gonePause     = 400 * time.Millisecond
-	mostGonePause = 4 * time.Second
-	// goneCost is what a request costs at such an engine: more than at any other.
-	goneCost = time.Minute
-	// cacheShare is the share of an engine's room that is counted on for prompts; the
-	// rest belongs to requests that run.
+	// reportDelay is how much later than an engine's first event its report arrives: it
+	// passes through the instance that serves the request, which batches such reports.
+	reportDelay = 60 * time.Millisecond
+	// requestExpiry is the age at which a request whose end wasn't reported counts as ended.
+	requestExpiry = 10 * time.Second
+	// unreachableBackoff is how long an engine gets no requests after nothing listened at
+	// its address; it doubles up to maxUnreachableBackoff.
+	unreachableBackoff    = 400 * time.Millisecond
+	maxUnreachableBackoff = 4 * time.Second
+	// unreachablePenalty is added to the cost of such an engine; it exceeds the cost of any
+	// other engine.
+	unreachablePenalty = time.Minute
+	// cacheShare is the share of an engine's cache that is assumed to hold prompts; the rest
+	// is used by running requests.
 	cacheShare = 0.7
-	// maxParts bounds the parts that are remembered of one engine where its room isn't
-	// known, and in any case.
-	maxParts = 4096
-	// evictShare is the part of the bounds that is made free at once.
-	evictShare = 8
+	// maxCachedParts limits the parts that are tracked for each engine. It is the only limit
+	// if the cache capacity is unknown.
+	maxCachedParts = 4096
+	// evictDivisor sets how much is evicted at once: one part in evictDivisor of the limits.
+	evictDivisor = 8
 )
 
-// engine is what is known of one engine.
-type engine struct {
+// engineState is the state of one engine.
+type engineState struct {
 	Engine
-	pool *pool
-	// reading are the requests whose first events have not come, by id; firstDue and
-	// lastDue are when the first events of the first and the last are predicted.
-	reading           map[string]read
+	pool *poolState
+	// prefills are the requests whose first events have not been reported, by request ID;
+	// firstDue and lastDue are the earliest and the latest of their predicted first events.
+	prefills          map[string]prefill
 	firstDue, lastDue time.Time
-	// cached are the parts that it has read, cachedTokens their length.
+	// cached are the prompt parts that the engine has processed, cachedTokens their total
+	// length.
 	cached       map[string]*cachedPart
 	cachedTokens int
-	// slow is how many times the usual time it takes, as a moving average.
-	slow float64
-	// goneUntil is when an engine is tried again at whose address nothing listened, gone
-	// how often in a row that was so.
-	goneUntil time.Time
-	gone      int
+	// slowdown is the ratio of the engine's time to the predicted time, as a moving average.
+	slowdown float64
+	// avoidUntil is the end of the backoff after nothing listened at the engine's address,
+	// unreachableCount the number of times in a row that this was reported.
+	avoidUntil       time.Time
+	unreachableCount int
 }
 
-// read is a request that an engine reads.
-type read struct {
+// prefill is a request whose prompt an engine processes.
+type prefill struct {
 	sent time.Time
-	// due is when its first event is predicted to come.
-	due    time.Time
-	unread int
-	// alone tells that nothing was read before it.
-	alone bool
+	// due is when its first event is predicted.
+	due      time.Time
+	uncached int
+	// engineIdle is true if the engine had no other prompt to process when it was sent.
+	engineIdle bool
 }
 
 type cachedPart struct {
-	tokens int
-	used   time.Time
-	// shared tells that other requests read it too.
+	tokens   int
+	lastUsed time.Time
+	// shared is true if other requests have the part too.
 	shared bool
 }
 
-func newEngine(p *pool, e Engine) *engine {
-	return &engine{Engine: e, pool: p, reading: map[string]read{}, cached: map[string]*cachedPart{}, slow: 1}
+func newEngineState(p *poolState, e Engine) *engineState {
+	return &engineState{Engine: e, pool: p, prefills: map[string]prefill{}, cached: map[string]*cachedPart{}, slowdown: 1}
 }
 
-// begin notes that the engine reads a request.
-func (e *engine) begin(id string, r read) {
-	e.reading[id] = r
-	e.noteDue(r.due)
+// startPrefill records that the engine processes the prompt of a request.
+func (e *engineState) startPrefill(id string, p prefill) {
+	e.prefills[id] = p
+	e.extendDue(p.due)
 }
 
-// end notes that it reads a request no more.
-func (e *engine) end(id string) {
-	delete(e.reading, id)
+// endPrefill removes a request from the prompts being processed.
+func (e *engineState) endPrefill(id string) {
+	delete(e.prefills, id)
 	e.firstDue, e.lastDue = time.Time{}, time.Time{}
-	for _, r := range e.reading {
-		e.noteDue(r.due)
+	for _, r := range e.prefills {
+		e.extendDue(r.due)
 	}
 }
 
-func (e *engine) noteDue(due time.Time) {
+func (e *engineState) extendDue(due time.Time) {
 	if e.firstDue.IsZero() || due.Before(e.firstDue) {
 		e.firstDue = due
 	}
@@ -93,120 +95,121 @@
 	}
 }
 
-// wait is how long a request that is sent now waits for those before it. An engine
-// behind its predictions counts as that much longer taken: one that is dead or silent
-// gets less and less without a word from anybody.
-func (e *engine) wait(now time.Time) time.Duration {
-	if len(e.reading) == 0 {
+// queueWait returns how long a request that is sent now waits for those before it. If
+// the first one is overdue, the wait grows by the time it is overdue, so that a failed or
+// silent engine gets ever fewer requests without anybody reporting it.
+func (e *engineState) queueWait(now time.Time) time.Duration {
+	if len(e.prefills) == 0 {
 		return 0
 	}
-	behind := max(now.Sub(e.firstDue)-wordDelay, 0)
-	return max(e.lastDue.Sub(now), 0) + behind
+	overdue := max(now.Sub(e.firstDue)-reportDelay, 0)
+	return max(e.lastDue.Sub(now), 0) + overdue
 }
 
-// readTime is how long the engine takes until the first event of a request of whose
-// prompt it has to read so many tokens.
-func (e *engine) readTime(unread int) time.Duration {
-	return duration(e.pool.model.seconds(unread) * e.slow)
+// prefillTime returns the predicted time to the first event of a request with this number
+// of uncached tokens, without other requests before it.
+func (e *engineState) prefillTime(uncached int) time.Duration {
+	return duration(e.pool.model.seconds(uncached) * e.slowdown)
 }
 
-// readCost is the weighted time; it is the greater the slower the engine and the longer
-// what it has to read.
-func (e *engine) readCost(unread int) time.Duration {
+// prefillCost returns the prefill time with the uncached tokens weighted by uncachedWeight.
+// It rises with the slowdown and with the number of uncached tokens, as Choose requires.
+func (e *engineState) prefillCost(uncached int) time.Duration {
 	m := &e.pool.model
-	extra := float64(unread) * m.token * e.slow * (unreadWeight - 1)
-	return duration(m.seconds(unread)*e.slow + extra)
+	extra := float64(uncached) * m.perToken * e.slowdown * (uncachedWeight - 1)
+	return duration(m.seconds(uncached)*e.slowdown + extra)
 }
 
-// delay is what a request that is sent now costs beside the reading of its prompt.
-func (e *engine) delay(now time.Time) time.Duration {
-	if now.Before(e.goneUntil) {
-		return e.wait(now) + goneCost
+// queueCost returns the cost of a request that is sent now, without that of its prompt.
+func (e *engineState) queueCost(now time.Time) time.Duration {
+	if now.Before(e.avoidUntil) {
+		return e.queueWait(now) + unreachablePenalty
 	}
-	return e.wait(now)
+	return e.queueWait(now)
 }
 
-// isGone notes that nothing listens at the engine's address. Askers that found out before
-// the pause began tell nothing new.
-func (e *engine) isGone(now time.Time) {
-	if now.Before(e.goneUntil) {
+// markUnreachable starts a backoff since nothing listens at the engine's address. Reports
+// during a backoff are ignored: they are of attempts from before it began.
+func (e *engineState) markUnreachable(now time.Time) {
+	if now.Before(e.avoidUntil) {
 		return
 	}
-	e.goneUntil = now.Add(min(gonePause<<min(e.gone, 8), mostGonePause))
-	e.gone++
+	e.avoidUntil = now.Add(min(unreachableBackoff<<min(e.unreachableCount, 8), maxUnreachableBackoff))
+	e.unreachableCount++
 }
 
-// unread is how many tokens of a prompt the engine has to read: a part counts as read
-// only behind all parts before it.
-func (e *engine) unread(p *Prompt) int {
-	left := p.Tokens
+// uncachedTokens returns how many tokens of a prompt the engine has to process. A cached
+// part only counts if all parts before it are cached as well.
+func (e *engineState) uncachedTokens(p *Prompt) int {
+	uncached := p.Tokens
 	for _, part := range p.Parts {
 		if e.cached[part.ID] == nil {
 			break
 		}
-		left -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return max(left, 0)
+	return max(uncached, 0)
 }
 
-// cache notes that the engine reads parts of prompts, of which the first are shared.
-func (e *engine) cache(now time.Time, parts []Part, shared, room int) {
+// addToCache records that the engine has processed these parts, the first of which, as
+// many as shared, belong to other requests too. capacity is that of its cache, in tokens.
+func (e *engineState) addToCache(now time.Time, parts []Part, shared, capacity int) {
 	for i, part := range parts {
 		c := e.cached[part.ID]
 		if c == nil {
 			c = &cachedPart{tokens: part.Tokens}
 			e.cached[part.ID] = c
 			e.cachedTokens += part.Tokens
-			e.pool.hold(part.ID, e)
+			e.pool.addCacher(part.ID, e)
 		}
-		c.used = now
+		c.lastUsed = now
 		c.shared = c.shared || i < shared
 	}
 	tokens := math.MaxInt
-	if room > 0 {
-		tokens = int(cacheShare * float64(room))
+	if capacity > 0 {
+		tokens = int(cacheShare * float64(capacity))
 	}
-	if len(e.cached) > maxParts || e.cachedTokens > tokens {
-		e.evict(maxParts/evictShare*(evictShare-1), tokens/evictShare*(evictShare-1))
+	if len(e.cached) > maxCachedParts || e.cachedTokens > tokens {
+		e.evict(maxCachedParts/evictDivisor*(evictDivisor-1), tokens/evictDivisor*(evictDivisor-1))
 	}
 }
 
-// evict forgets the parts that were used longest ago, as engines do, until there are
-// fewer parts and tokens than the given.
-func (e *engine) evict(parts, tokens int) {
+// evict removes the least recently used parts, as engines do, until neither limit is
+// exceeded.
+func (e *engineState) evict(parts, tokens int) {
 	ids := make([]string, 0, len(e.cached))
 	for id := range e.cached {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(e.cached[a].used.Compare(e.cached[b].used), cmp.Compare(a, b))
+		return cmp.Or(e.cached[a].lastUsed.Compare(e.cached[b].lastUsed), cmp.Compare(a, b))
 	})
 	for _, id := range ids {
 		if len(e.cached) <= parts && e.cachedTokens <= tokens {
 			return
 		}
-		e.forgetPart(id)
+		e.evictPart(id)
 	}
 }
 
-// forgetParts forgets all that the engine has read.
-func (e *engine) forgetParts() {
+// clearCache removes all parts.
+func (e *engineState) clearCache() {
 	for id := range e.cached {
-		e.forgetPart(id)
+		e.evictPart(id)
 	}
 }
 
-func (e *engine) forgetPart(id string) {
+func (e *engineState) evictPart(id string) {
 	e.cachedTokens -= e.cached[id].tokens
 	delete(e.cached, id)
-	e.pool.release(id, e)
+	e.pool.removeCacher(id, e)
 }
 
-// lost lists the requests of whose end no word came.
-func (e *engine) lost(now time.Time) []string {
+// expired returns the requests whose ends are overdue.
+func (e *engineState) expired(now time.Time) []string {
 	var ids []string
-	for id, r := range e.reading {
-		if now.Sub(r.sent) > forgetAfter {
+	for id, r := range e.prefills {
+		if now.Sub(r.sent) > requestExpiry {
 			ids = append(ids, id)
 		}
 	}
--- a/coordination/placing/pool.go
+++ b/coordination/placing/pool.go
@@ -10,149 +10,152 @@
 )
 
 const (
-	// maxHomes bounds the homes whose engines are remembered.
+	// maxHomes limits the number of home keys whose hash results are cached.
 	maxHomes = 4096
-	// fewHolders are so few engines that each is looked at.
-	fewHolders = 16
+	// maxScannedCachers is the largest number of engines with a part in cache that Choose
+	// examines one by one.
+	maxScannedCachers = 16
 )
 
-// pool is the engines of a service, with indexes for the search among them.
-type pool struct {
+// poolState holds the engines of a service, with indexes for Choose.
+type poolState struct {
 	Pool
-	model   model
-	engines map[string]*engine
-	// bySlowness are the engines, the fastest first.
-	bySlowness []*engine
-	// named are the engines of a name, names what their hashes are made of.
-	named map[string][]*engine
-	names []string
-	// dataCentres are those of the engines.
+	model   firstEventModel
+	engines map[string]*engineState
+	// bySlowdown has the engines in ascending order of slowdown.
+	bySlowdown []*engineState
+	// byName has the engines by name, names is the sorted input of the hash of homes: the
+	// incarnation stands in for an empty name.
+	byName map[string][]*engineState
+	names  []string
+	// dataCentres has each data centre with an engine once.
 	dataCentres []string
-	// holders are the engines that have read a part, by its id.
-	holders map[string][]*engine
-	// homes are the names that hashes have given to homes.
-	homes map[string]string
+	// cachedBy has the engines that have a part in cache, by the part's ID.
+	cachedBy map[string][]*engineState
+	// homeNames caches the result of hashHome by home key.
+	homeNames map[string]string
 }
 
-func newPool() *pool {
-	return &pool{
-		model: newModel(), engines: map[string]*engine{},
-		holders: map[string][]*engine{}, homes: map[string]string{},
+func newPoolState() *poolState {
+	return &poolState{
+		model: newFirstEventModel(), engines: map[string]*engineState{},
+		cachedBy: map[string][]*engineState{}, homeNames: map[string]string{},
 	}
 }
 
-// set takes the engines and returns those that are gone.
-func (p *pool) set(list []Engine) (gone []*engine) {
-	kept := make(map[string]*engine, len(list))
+// setEngines replaces the list of engines and returns those that were removed.
+func (p *poolState) setEngines(list []Engine) (removed []*engineState) {
+	kept := make(map[string]*engineState, len(list))
 	for _, e := range list {
 		if kept[e.Incarnation] = p.engines[e.Incarnation]; kept[e.Incarnation] == nil {
-			kept[e.Incarnation] = newEngine(p, e)
+			kept[e.Incarnation] = newEngineState(p, e)
 		}
 	}
 	for id, e := range p.engines {
 		if kept[id] == nil {
-			e.forgetParts()
-			gone = append(gone, e)
+			e.clearCache()
+			removed = append(removed, e)
 		}
 	}
 	p.engines = kept
-	p.index()
-	return gone
+	p.rebuildIndexes()
+	return removed
 }
 
-// index makes the indexes that depend on the list of engines.
-func (p *pool) index() {
-	p.bySlowness = slices.SortedFunc(maps.Values(p.engines), compareSlowness)
-	p.named = map[string][]*engine{}
+// rebuildIndexes rebuilds the indexes that depend on the list of engines.
+func (p *poolState) rebuildIndexes() {
+	p.bySlowdown = slices.SortedFunc(maps.Values(p.engines), compareSlowdown)
+	p.byName = map[string][]*engineState{}
 	names := map[string]bool{}
 	dataCentres := map[string]bool{}
 	for _, e := range p.engines {
-		p.named[e.Name] = append(p.named[e.Name], e)
+		p.byName[e.Name] = append(p.byName[e.Name], e)
 		names[cmp.Or(e.Name, e.Incarnation)] = true
 		dataCentres[e.DataCentre] = true
 	}
 	p.dataCentres = slices.Collect(maps.Keys(dataCentres))
 	if sorted := slices.Sorted(maps.Keys(names)); !slices.Equal(sorted, p.names) {
 		p.names = sorted
-		clear(p.homes)
+		clear(p.homeNames)
 	}
 }
 
-func compareSlowness(a, b *engine) int {
-	return cmp.Or(cmp.Compare(a.slow, b.slow), cmp.Compare(a.Incarnation, b.Incarnation))
+func compareSlowdown(a, b *engineState) int {
+	return cmp.Or(cmp.Compare(a.slowdown, b.slowdown), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// setSlow notes how slow an engine is.
-func (p *pool) setSlow(e *engine, slow float64) {
-	i, _ := slices.BinarySearchFunc(p.bySlowness, e, compareSlowness)
-	p.bySlowness = slices.Delete(p.bySlowness, i, i+1)
-	e.slow = slow
-	i, _ = slices.BinarySearchFunc(p.bySlowness, e, compareSlowness)
-	p.bySlowness = slices.Insert(p.bySlowness, i, e)
+// setSlowdown changes an engine's slowdown and its position in bySlowdown.
+func (p *poolState) setSlowdown(e *engineState, slowdown float64) {
+	i, _ := slices.BinarySearchFunc(p.bySlowdown, e, compareSlowdown)
+	p.bySlowdown = slices.Delete(p.bySlowdown, i, i+1)
+	e.slowdown = slowdown
+	i, _ = slices.BinarySearchFunc(p.bySlowdown, e, compareSlowdown)
+	p.bySlowdown = slices.Insert(p.bySlowdown, i, e)
 }
 
-// rareHolders are the engines that have read the first part of a prompt that few have
-// read, and what any other has at least to read.
-func (p *pool) rareHolders(prompt *Prompt) (holders []*engine, unread int) {
-	unread = prompt.Tokens
+// enginesWithRarePart returns the engines that have the first part of a prompt in cache that
+// is cached by at most maxScannedCachers of them, and a lower bound for the uncached tokens
+// at every other engine. If there is no such part, the engines are those of the last part.
+func (p *poolState) enginesWithRarePart(prompt *Prompt) (cachers []*engineState, uncached int) {
+	uncached = prompt.Tokens
 	for _, part := range prompt.Parts {
-		holders = p.holders[part.ID]
-		if len(holders) <= fewHolders {
+		cachers = p.cachedBy[part.ID]
+		if len(cachers) <= maxScannedCachers {
 			break
 		}
-		unread -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return holders, max(unread, 0)
+	return cachers, max(uncached, 0)
 }
 
-// leastDetour is the least of the detours to the data centres.
-func (p *pool) leastDetour(detour func(dataCentre string) time.Duration) time.Duration {
+// minTransferCost returns the lowest transfer cost to any data centre of the engines.
+func (p *poolState) minTransferCost(transferCost func(dataCentre string) time.Duration) time.Duration {
 	var least time.Duration
 	for i, dataCentre := range p.dataCentres {
-		if d := detour(dataCentre); i == 0 || d < least {
+		if d := transferCost(dataCentre); i == 0 || d < least {
 			least = d
 		}
 	}
 	return least
 }
 
-// homeOf is the name of the engine that a hash gives to a home.
-func (p *pool) homeOf(home string) string {
-	if home == "" {
+// homeOf returns the engine name that the hash assigns to a home key.
+func (p *poolState) homeOf(key string) string {
+	if key == "" {
 		return ""
 	}
-	name, ok := p.homes[home]
+	name, ok := p.homeNames[key]
 	if !ok {
-		name = p.hash(home)
-		if len(p.homes) >= maxHomes {
-			clear(p.homes)
+		name = p.hashHome(key)
+		if len(p.homeNames) >= maxHomes {
+			clear(p.homeNames)
 		}
-		p.homes[home] = name
+		p.homeNames[key] = name
 	}
 	return name
 }
 
-func (p *pool) hash(home string) string {
+func (p *poolState) hashHome(key string) string {
 	var best string
 	var bestScore uint64
 	for _, name := range p.names {
-		if score := rendezvous.Score(name, home); best == "" || score < bestScore || score == bestScore && name < best {
+		if score := rendezvous.Score(name, key); best == "" || score < bestScore || score == bestScore && name < best {
 			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-// hold notes that an engine has read a part.
-func (p *pool) hold(id string, e *engine) { p.holders[id] = append(p.holders[id], e) }
+// addCacher records that an engine has a part in cache.
+func (p *poolState) addCacher(id string, e *engineState) { p.cachedBy[id] = append(p.cachedBy[id], e) }
 
-// release notes that an engine no longer has a part.
-func (p *pool) release(id string, e *engine) {
-	holders := p.holders[id]
-	if len(holders) == 1 {
-		delete(p.holders, id)
+// removeCacher records that an engine has a part no longer.
+func (p *poolState) removeCacher(id string, e *engineState) {
+	cachers := p.cachedBy[id]
+	if len(cachers) == 1 {
+		delete(p.cachedBy, id)
 		return
 	}
-	i := slices.Index(holders, e)
-	p.holders[id] = slices.Delete(holders, i, i+1)
+	i := slices.Index(cachers, e)
+	p.cachedBy[id] = slices.Delete(cachers, i, i+1)
 }
--- a/coordination/placing/table.go
+++ b/coordination/placing/table.go
@@ -6,104 +6,105 @@
 	"time"
 )
 
-// Table holds the engines of all pools.
+// Table holds the engines of all pools and assigns requests to them.
 type Table struct {
-	pools map[string]*pool
-	// placed are the engines of the requests that are being read, by request.
-	placed map[string]*engine
+	pools map[string]*poolState
+	// assigned has the engines of the requests whose prompts are being processed, by request
+	// ID.
+	assigned map[string]*engineState
 }
 
 // NewTable returns a table without engines.
 func NewTable() *Table {
-	return &Table{pools: map[string]*pool{}, placed: map[string]*engine{}}
+	return &Table{pools: map[string]*poolState{}, assigned: map[string]*engineState{}}
 }
 
-// SetEngines takes the engines of a pool that may get requests.
+// SetEngines replaces the engines of a pool that may receive requests.
 func (t *Table) SetEngines(p Pool, list []Engine) {
-	known := t.pools[p.Name]
-	if known == nil {
-		known = newPool()
-		t.pools[p.Name] = known
+	pool := t.pools[p.Name]
+	if pool == nil {
+		pool = newPoolState()
+		t.pools[p.Name] = pool
 	}
-	known.Pool = p
-	for _, e := range known.set(list) {
-		t.forget(keys(e.reading)...)
+	pool.Pool = p
+	for _, e := range pool.setEngines(list) {
+		t.removeRequests(requestIDs(e.prefills)...)
 	}
 }
 
-func keys(reading map[string]read) []string { return slices.Collect(maps.Keys(reading)) }
+func requestIDs(prefills map[string]prefill) []string { return slices.Collect(maps.Keys(prefills)) }
 
-// Sent notes that a request goes to an engine.
-func (t *Table) Sent(now time.Time, request string, p *Prompt, c Choice) {
-	known := t.pools[p.Pool]
-	if known == nil {
+// RecordSent records that a request is sent to an engine.
+func (t *Table) RecordSent(now time.Time, request string, p *Prompt, c Choice) {
+	pool := t.pools[p.Pool]
+	if pool == nil {
 		return
 	}
-	e := known.engines[c.Engine.Incarnation]
+	e := pool.engines[c.Engine.Incarnation]
 	if e == nil {
 		return
 	}
-	t.forget(request)
-	e.begin(request, read{
-		sent: now, due: now.Add(c.First), unread: c.unread, alone: c.wait == 0,
+	t.removeRequests(request)
+	e.startPrefill(request, prefill{
+		sent: now, due: now.Add(c.FirstEvent), uncached: c.uncached, engineIdle: c.queueWait == 0,
 	})
-	e.cache(now, p.Parts, len(p.Parts)-1, known.CacheTokens)
-	t.placed[request] = e
+	e.addToCache(now, p.Parts, len(p.Parts)-1, pool.CacheTokens)
+	t.assigned[request] = e
 }
 
-// Ended takes in what became of a request.
-func (t *Table) Ended(s Served) {
-	e := t.placed[s.Request]
+// RecordEnd records the end of a request, and learns from the time to its first event.
+func (t *Table) RecordEnd(end RequestEnd) {
+	e := t.assigned[end.Request]
 	if e == nil {
 		return
 	}
-	r, reading := e.reading[s.Request]
-	t.forget(s.Request)
-	if reading && s.Engine == e.Incarnation && s.First > 0 {
-		e.gone = 0
-		e.learn(r, s.First)
+	p, processing := e.prefills[end.Request]
+	t.removeRequests(end.Request)
+	if processing && end.Engine == e.Incarnation && end.FirstEvent > 0 {
+		e.unreachableCount = 0
+		e.observe(p, end.FirstEvent)
 	}
 }
 
-// Gone notes that nothing listens at an engine's address. The load it answers: hundreds of
-// instances, of which each finds out for itself and only after the holder has chosen the
-// engine for it, since an engine that reads nothing counts as idle.
-func (t *Table) Gone(now time.Time, pool, engine string) {
+// RecordUnreachable records that nothing listens at an engine's address. An engine that
+// processes nothing counts as idle; without a backoff it would be chosen again for each of
+// the hundreds of instances that find out one by one, and only after the choice.
+func (t *Table) RecordUnreachable(now time.Time, pool, engine string) {
 	if p := t.pools[pool]; p != nil && p.engines[engine] != nil {
-		p.engines[engine].isGone(now)
+		p.engines[engine].markUnreachable(now)
 	}
 }
 
-// learn takes in the time to a first event. Only a request before which nothing was
-// read tells of its own tokens.
-func (e *engine) learn(r read, first time.Duration) {
-	if !r.alone {
+// observe updates the predictions by the time to a first event. Only a request that had no
+// other before it shows the time for its own tokens.
+func (e *engineState) observe(p prefill, firstEvent time.Duration) {
+	if !p.engineIdle {
 		return
 	}
-	ratio := first.Seconds() / e.pool.model.seconds(r.unread)
-	e.pool.setSlow(e, clamp(e.slow+slowShare*(ratio-e.slow), leastSlow, mostSlow))
-	e.pool.model.learn(r.unread, first.Seconds())
+	ratio := firstEvent.Seconds() / e.pool.model.seconds(p.uncached)
+	e.pool.setSlowdown(e, clamp(e.slowdown+slowdownGain*(ratio-e.slowdown), minSlowdown, maxSlowdown))
+	e.pool.model.update(p.uncached, firstEvent.Seconds())
 }
 
-// Tick forgets the requests of whose ends no word came.
+// Tick removes the requests whose ends are overdue.
 //
-// It guards against a word that is lost, as when an asker is cut off: the engine would
-// count as further and further behind, get nothing any more, and so never be found to
-// be well.
+// A report of an end is lost when, for example, a requester is disconnected. Without this
+// the engine would seem ever further behind, receive no more requests, and so never be
+// found to have recovered.
 func (t *Table) Tick(now time.Time) {
 	for _, p := range t.pools {
 		for _, e := range p.engines {
-			t.forget(e.lost(now)...)
+			t.removeRequests(e.expired(now)...)
 		}
 	}
 }
 
-// forget takes requests from their engines.
-func (t *Table) forget(requests ...string) {
+// removeRequests removes requests from their engines.
+func (t *Table) removeRequests(requests ...string) {
 	for _, id := range requests {
-		if e := t.placed[id]; e != nil {
-			e.end(id)
-			delete(t.placed, id)
+		if e := t.assigned[id]; e != nil {
+			e.endPrefill(id)
+			delete(t.assigned, id)
 		}
 	}
 }
--- a/coordination/placing/types.go
+++ b/coordination/placing/types.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Part is a part of a prompt that other requests may read too.
+// Part is a segment of a prompt. Several requests may have it in common.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what an engine reads of a request.
+// Prompt describes the prompt of a request to an engine.
 type Prompt struct {
-	// Pool is the service whose engines may serve the request; empty where an engine
-	// isn't to be chosen.
+	// Pool is the service whose engines may serve the request; empty if no engine is to
+	// be chosen.
 	Pool string
-	// Parts are in their order. The last one belongs to the request or its session.
+	// Parts are in the order of the prompt. The last one is specific to the request or
+	// its session.
 	Parts []Part
 	// Tokens is the length of the whole prompt.
 	Tokens int
@@ -21,37 +22,37 @@
 	Exclude []string
 }
 
-// Engine is one incarnation of an engine.
+// Engine identifies one incarnation of an engine.
 type Engine struct {
 	Incarnation string
-	// Name is kept when the engine starts again.
+	// Name stays the same when the engine restarts.
 	Name       string
 	DataCentre string
 }
 
-// Pool is how the engines of a service work.
+// Pool describes the engines of a service.
 type Pool struct {
 	Name string
-	// CacheTokens is the room for prompts at each engine; 0 where it isn't known.
+	// CacheTokens is the capacity of each engine's prompt cache; 0 if unknown.
 	CacheTokens int
 }
 
-// Choice is the engine of a request.
+// Choice is the engine chosen for a request.
 type Choice struct {
 	Engine Engine
-	// First is the predicted time to its first event, Idle what that would be if the
-	// engine read nothing before it.
-	First, Idle time.Duration
-	// unread is the number of tokens that the engine is to read.
-	unread int
-	wait   time.Duration
+	// FirstEvent is the predicted time to the request's first event, FirstEventIdle the
+	// prediction for an engine without other prompts to process.
+	FirstEvent, FirstEventIdle time.Duration
+	// uncached is the number of prompt tokens that the engine has to process.
+	uncached  int
+	queueWait time.Duration
 }
 
-// Served is what became of a request at an engine.
-type Served struct {
+// RequestEnd reports the end of a request at an engine.
+type RequestEnd struct {
 	Request string
-	// Engine is the incarnation that was asked last; empty if none was.
+	// Engine is the last incarnation that the request was sent to; empty if there was none.
 	Engine string
-	// First is the time from the sending to the first event; 0 without one.
-	First time.Duration
+	// FirstEvent is the time from sending the request to its first event; 0 if none came.
+	FirstEvent time.Duration
 }
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -35,7 +35,7 @@
 // Maker has the stages of a request run.
 type Maker interface {
 	Make(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Made, error)
-	Drop(owner string, served placing.Served)
+	Drop(owner string, served placing.RequestEnd)
 	// EngineGone tells an owner that nothing listens at an engine's address.
 	EngineGone(owner, pool, engine string)
 	// Bound gives requests that wait in Make an earlier deadline, and refuses those
--- a/daemon/relay/results.go
+++ b/daemon/relay/results.go
@@ -31,7 +31,7 @@
 // with them: the time to the first event, or 0 without one.
 func (q *request) release(first time.Duration) {
 	if q.owner != "" {
-		q.relay.options.Stages.Drop(q.owner, placing.Served{Request: q.call.ID, Engine: q.target, First: first})
+		q.relay.options.Stages.Drop(q.owner, placing.RequestEnd{Request: q.call.ID, Engine: q.target, FirstEvent: first})
 	}
 	q.owner, q.handles, q.engine = "", nil, ""
 }
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (m *maker) Drop(string, placing.Served) {}
+func (m *maker) Drop(string, placing.RequestEnd) {}
 
 func (m *maker) EngineGone(string, string, string) {}
 
--- a/daemon/stages/askers.go
+++ b/daemon/stages/askers.go
@@ -25,13 +25,13 @@
 // again: nobody reads them, and nobody will say so. Those of askers that leave as
 // planned stay, since these still serve what they have.
 func (o *Owner) dropReaderless(now time.Time, view *membership.View) {
-	var gone []placing.Served
+	var gone []placing.RequestEnd
 	o.mu.Lock()
 	for id, r := range o.readers {
 		m, ok := view.Find(r.name)
 		switch {
 		case ok && (m.Incarnation > r.incarnation || m.State == membership.Dead):
-			gone = append(gone, placing.Served{Request: id})
+			gone = append(gone, placing.RequestEnd{Request: id})
 		case now.After(r.until):
 			delete(o.readers, id)
 		}
@@ -62,7 +62,7 @@
 	}
 	o.mu.Unlock()
 	if !lost {
-		o.drop(placing.Served{Request: id})
+		o.drop(placing.RequestEnd{Request: id})
 	}
 }
 
--- a/daemon/stages/gone.go
+++ b/daemon/stages/gone.go
@@ -57,5 +57,5 @@
 func (o *Owner) engineGone(pool, engine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.engines.Gone(time.Now(), pool, engine)
+	o.engines.RecordUnreachable(time.Now(), pool, engine)
 }
--- a/daemon/stages/known.go
+++ b/daemon/stages/known.go
@@ -42,8 +42,8 @@
 }
 
 // splitKnown cuts what is known into messages.
-func splitKnown(known []placing.Known) [][]placing.Known {
-	var messages [][]placing.Known
+func splitKnown(known []placing.EngineCache) [][]placing.EngineCache {
+	var messages [][]placing.EngineCache
 	left := 0
 	for _, k := range known {
 		for parts := range slices.Chunk(k.Parts, knownPerMessage) {
@@ -52,14 +52,14 @@
 			}
 			left -= len(parts)
 			last := len(messages) - 1
-			messages[last] = append(messages[last], placing.Known{Pool: k.Pool, Engine: k.Engine, Parts: parts})
+			messages[last] = append(messages[last], placing.EngineCache{Pool: k.Pool, Engine: k.Engine, Parts: parts})
 		}
 	}
 	return messages
 }
 
 func (s *Stages) handleKnown(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var known []placing.Known
+	var known []placing.EngineCache
 	if err := msgpack.Unmarshal(body, &known); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
@@ -67,16 +67,16 @@
 	return nil, nil
 }
 
-func (o *Owner) known() []placing.Known {
+func (o *Owner) known() []placing.EngineCache {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.engines.Known()
+	return o.engines.Caches()
 }
 
-func (o *Owner) learnKnown(known []placing.Known) {
+func (o *Owner) learnKnown(known []placing.EngineCache) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.engines.Learn(time.Now(), known)
+	o.engines.MergeCaches(time.Now(), known)
 }
 
 // noteRead notes what an engine reads by another holder's choice: should this instance
@@ -84,5 +84,5 @@
 func (o *Owner) noteRead(prompt placing.Prompt, engine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.engines.Read(time.Now(), &prompt, engine)
+	o.engines.RecordPrefill(time.Now(), &prompt, engine)
 }
--- a/daemon/stages/moving.go
+++ b/daemon/stages/moving.go
@@ -48,7 +48,7 @@
 	// steps, ends and drops came while it was frozen; listed tells the targets that did.
 	steps  []func(*gather.Planner) []gather.Action
 	ends   []callEnd
-	drops  []placing.Served
+	drops  []placing.RequestEnd
 	listed func() []gather.Action
 	// movedTo is the address of the instance that has the queue. yielded tells that
 	// this one goes on beside it and may have the queue again.
@@ -261,7 +261,7 @@
 
 // dropUnclaimed forgets requests that were taken over and whose askers never came.
 func (o *Owner) dropUnclaimed(now time.Time) {
-	var gone []placing.Served
+	var gone []placing.RequestEnd
 	o.mu.Lock()
 	if o.frozen {
 		// Their askers may be waiting to hear who has the queue.
@@ -270,7 +270,7 @@
 	}
 	for id, until := range o.unclaimed {
 		if now.After(until) {
-			gone = append(gone, placing.Served{Request: id})
+			gone = append(gone, placing.RequestEnd{Request: id})
 		}
 	}
 	o.mu.Unlock()
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -48,7 +48,7 @@
 	// passEnd and passDrops tell the instance that has the queue of the end of a call
 	// and of requests that nobody waits for.
 	passEnd   func(to string, call uint64, how gather.CallOutcome, results []gather.PieceResult)
-	passDrops func(to string, served ...placing.Served)
+	passDrops func(to string, served ...placing.RequestEnd)
 
 	mu      sync.Mutex
 	planner *gather.Planner
@@ -206,13 +206,13 @@
 }
 
 // drop forgets requests and frees what they hold.
-func (o *Owner) drop(served ...placing.Served) {
+func (o *Owner) drop(served ...placing.RequestEnd) {
 	ids := make([]string, len(served))
 	o.enter()
 	for i, s := range served {
 		id := s.Request
 		ids[i] = id
-		o.engines.Ended(s)
+		o.engines.RecordEnd(s)
 		if o.waiting[id] != nil {
 			o.finish(id, outcome{dropped: true})
 		}
--- a/daemon/stages/placed.go
+++ b/daemon/stages/placed.go
@@ -40,7 +40,7 @@
 	}
 	o.prompts[r.ID] = prompt
 	r.DataCentre = choice.Engine.DataCentre
-	r.Rest = min(choice.Idle+restMargin, mostRest)
+	r.Rest = min(choice.FirstEventIdle+restMargin, mostRest)
 	return r
 }
 
@@ -62,6 +62,6 @@
 	if !ok {
 		return ""
 	}
-	o.engines.Sent(now, done.Request, &prompt, choice)
+	o.engines.RecordSent(now, done.Request, &prompt, choice)
 	return choice.Engine.Incarnation
 }
--- a/daemon/stages/relayed.go
+++ b/daemon/stages/relayed.go
@@ -105,8 +105,8 @@
 
 // dropHere drops ended requests that are held here, and tells their holder of those
 // that were passed on.
-func (s *Stages) dropHere(served []placing.Served) {
-	here := make([]placing.Served, 0, len(served))
+func (s *Stages) dropHere(served []placing.RequestEnd) {
+	here := make([]placing.RequestEnd, 0, len(served))
 	for _, one := range served {
 		r, ok := s.forgetRelayed(one.Request)
 		switch {
--- a/daemon/stages/served.go
+++ b/daemon/stages/served.go
@@ -27,7 +27,7 @@
 
 // Drop tells the holder that a request's results have been read, and how its engine did,
 // or that its caller left. It doesn't wait.
-func (s *Stages) Drop(owner string, served placing.Served) {
+func (s *Stages) Drop(owner string, served placing.RequestEnd) {
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	if owner == self.Address {
 		s.owner.drop(served)
@@ -58,7 +58,7 @@
 
 // tellServed tells a holder of ended requests; one of an earlier version just which
 // they are.
-func (s *Stages) tellServed(ctx context.Context, owner string, served []placing.Served) error {
+func (s *Stages) tellServed(ctx context.Context, owner string, served []placing.RequestEnd) error {
 	body, err := encode(served)
 	if err != nil {
 		return errors.Wrap(err, "encode")
@@ -79,7 +79,7 @@
 
 // dropElsewhere tells the present holder of ended requests: it may have them from the
 // one that didn't answer.
-func (s *Stages) dropElsewhere(lost string, served []placing.Served) {
+func (s *Stages) dropElsewhere(lost string, served []placing.RequestEnd) {
 	next, _ := s.pick(time.Now())
 	if next.Address == lost || next.Address == "" {
 		return
@@ -94,7 +94,7 @@
 	if err := msgpack.Unmarshal(body, &ids); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	served := make([]placing.Served, len(ids))
+	served := make([]placing.RequestEnd, len(ids))
 	for i, id := range ids {
 		served[i].Request = id
 	}
@@ -103,7 +103,7 @@
 }
 
 func (s *Stages) handleServed(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var served []placing.Served
+	var served []placing.RequestEnd
 	if err := msgpack.Unmarshal(body, &served); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -77,7 +77,7 @@
 	answered map[string]time.Time
 	// relayed are the requests of other instances that were passed on, by their ids.
 	relayed  map[string]relayed
-	dropping map[string][]placing.Served
+	dropping map[string][]placing.RequestEnd
 	// asking are the requests of this instance that wait for their stages.
 	asking map[string]*asking
 	// stopping tells that this instance gives its queue away and takes no other.
@@ -101,14 +101,14 @@
 		redirects: map[string]redirect{},
 		answered:  map[string]time.Time{},
 		relayed:   map[string]relayed{},
-		dropping:  map[string][]placing.Served{},
+		dropping:  map[string][]placing.RequestEnd{},
 		asking:    map[string]*asking{},
 		taking:    map[string]*taking{},
 		ended:     make(chan struct{}),
 	}
 	s.owner.passEnd = s.passEnd
 	s.owner.stalled = s.Yield
-	s.owner.passDrops = func(to string, served ...placing.Served) {
+	s.owner.passDrops = func(to string, served ...placing.RequestEnd) {
 		for _, one := range served {
 			s.Drop(to, one)
 		}
@@ -183,7 +183,7 @@
 			return made, err
 		}
 		if ctx.Err() != nil {
-			s.Drop(m.Address, placing.Served{Request: r.ID})
+			s.Drop(m.Address, placing.RequestEnd{Request: r.ID})
 			return Made{}, err
 		}
 		telemetry.ErrorS(err, "Holder of the stage queue didn't answer", telemetry.Event{RequestID: r.ID, Peer: m.Name})
--- a/daemon/stages/wire_test.go
+++ b/daemon/stages/wire_test.go
@@ -84,11 +84,11 @@
 		{"ended", &endedAsk{Call: 39, Outcome: uint8(gather.CallLost), Results: []gather.PieceResult{
 			{Handle: "handle", Failure: gather.PieceFailed},
 		}}, "93cf0000000000000027cc039192a668616e646c65cc04"},
-		{"known", []placing.Known{{
+		{"known", []placing.EngineCache{{
 			Pool: "pool", Engine: "engine", Parts: []placing.Part{{ID: "part", Tokens: 40}},
 		}}, "9193a4706f6f6ca6656e67696e659192a47061727428"},
 		{"gone", &goneAsk{Pool: "pool", Engine: "engine"}, "92a4706f6f6ca6656e67696e65"},
-		{"served", []placing.Served{{Request: "request", Engine: "engine", First: 41}}, "9193a772657175657374a6656e67696e65d30000000000000029"},
+		{"served", []placing.RequestEnd{{Request: "request", Engine: "engine", FirstEvent: 41}}, "9193a772657175657374a6656e67696e65d30000000000000029"},
 		{"bound", &boundAsk{Left: 42, IDs: []string{"id1", "id2"}}, "92d3000000000000002a92a3696431a3696432"},
 	}
 	for _, c := range cases {
--- a/daemon/stages/yield_test.go
+++ b/daemon/stages/yield_test.go
@@ -108,7 +108,7 @@
 		s := startStages(t, c)
 		time.Sleep(2 * tick)
 		holdCall(t, s, time.Minute)
-		time.AfterFunc(1400*time.Millisecond, func() { s.owner.drop(placing.Served{Request: "x"}) })
+		time.AfterFunc(1400*time.Millisecond, func() { s.owner.drop(placing.RequestEnd{Request: "x"}) })
 		c.standStill(1500 * time.Millisecond)
 		time.Sleep(time.Second)
 		require.True(t, s.owner.hasMoved())
