--- a/coordination/quarantine/digest.go
+++ b/coordination/quarantine/digest.go
@@ -1,11 +1,13 @@
-// Package quarantine decides which requests are refused since they crash the targets that
-// run them.
+// Package quarantine decides which requests are refused because they crash the targets
+// that run them.
 //
-// A request is known by a digest of what its repeats have in common. An instance that sees
-// a target end under a request records a Crash. The records spread among the instances;
-// enough of them, at different times and without a run between them that ended well, block
-// the request on all instances for a while. It is pure: time is an argument, records to
-// pass on are returned. It is not safe for concurrent use.
+// A request is identified by a digest of what its repetitions have in common. An instance
+// that sees a target end during a request records a Crash. The records are gossiped among
+// the instances. Enough of them, at different times and without a run in between that ended
+// well, block the request on all instances for some time.
+//
+// Table is a pure state machine: time is an argument, and records to send are returned. It
+// is not safe for concurrent use.
 package quarantine
 
 import (
@@ -17,12 +19,11 @@
 // digestSize is the size of a digest in bytes.
 const digestSize = 16
 
-// Digest tells requests of different content apart. What it was made of can't be read
-// back.
+// Digest identifies the content of a request. The content can't be recovered from it.
 type Digest [digestSize]byte
 
-// DigestOf returns the digest of a request: host and path with its query, the client
-// account and the body. The id isn't part of it, and no other header is.
+// DigestOf returns the digest of a request: of its host, its path with the query, the client
+// account and the body. It covers neither the request ID nor any other header.
 func DigestOf(host, path, account string, body []byte) Digest {
 	h := sha256.New()
 	for _, text := range []string{host, path, account} {
@@ -35,5 +36,5 @@
 	return Digest(h.Sum(nil)[:digestSize])
 }
 
-// String returns the digest in hexadecimal, as logs have it.
+// String returns the digest in hexadecimal, as it appears in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/coordination/quarantine/digest_test.go
+++ b/coordination/quarantine/digest_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestDigestTellsContentsApart guards against two requests that differ in one part, or in
-// where one part ends and the next begins, being taken for the same.
-func TestDigestTellsContentsApart(t *testing.T) {
+// Prevents treating two requests as the same that differ in one part, or in where one part
+// ends and the next begins.
+func TestDigestDistinguishesContents(t *testing.T) {
 	type content struct{ Host, Path, Account, Body string }
 	part := rapid.StringOfN(rapid.RuneFrom([]rune("ab/")), 0, 3, -1)
 	draw := rapid.Custom(func(t *rapid.T) content {
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -10,79 +10,79 @@
 	"pgregory.net/rapid"
 )
 
-// Times of the fleet of the tests, as far as decisions depend on them.
+// Durations and limits of the simulated fleet.
 const (
 	step = 50 * time.Millisecond
-	// heard is the users' bound for the news among instances in touch.
-	heard = 3 * time.Second
-	// late is how many runs may begin later than that after the third crash, before the
-	// first trial.
-	late = 3
-	// mostLost bounds the share of messages that are lost.
-	mostLost = 0.1
-	// runTime is how long a run takes to its end or its crash.
+	// gossipBound is how long records may take between connected instances, as users require.
+	gossipBound = 3 * time.Second
+	// maxLateRuns is how many runs may start later than gossipBound after the third crash,
+	// before the first trial.
+	maxLateRuns = 3
+	// maxLoss limits the share of messages that are lost.
+	maxLoss = 0.1
+	// runTime is how long a run takes until it ends or crashes its target.
 	runTime = 150 * time.Millisecond
 )
 
-// fleet are instances that exchange records over links that lose messages.
-type fleet struct {
+// fleetSim simulates instances that exchange records over links that lose messages.
+type fleetSim struct {
 	t         *rapid.T
 	now       time.Time
 	instances []*Table
-	// loss is the share of messages that are lost, random what draws them: instances that
-	// lose far more aren't in touch.
+	// loss is the share of messages that are lost, random decides which. Instances that lose
+	// a far larger share don't count as connected.
 	loss    float64
 	random  *rand.Rand
 	targets int
-	// joined are the times at which the instances began.
+	// joined has the start times of the instances.
 	joined []time.Time
-	// crashed are the times at which the request that crashes its targets did so, begun those
-	// at which a run of it began at an instance in touch.
-	crashed, begun []time.Time
-	running        []run
+	// crashed has the times at which the suspect crashed a target, started the times at which
+	// a run of it started at a connected instance.
+	crashed, started []time.Time
+	running          []run
 }
 
-// join puts a new instance in a place.
-func (f *fleet) join(place int) {
-	f.instances[place], f.joined[place] = New(DefaultConfig()), f.now
-	f.ask(place)
+// replace replaces an instance by a new one.
+func (f *fleetSim) replace(i int) {
+	f.instances[i], f.joined[i] = New(DefaultConfig()), f.now
+	f.exchangeSamples(i)
 }
 
-// run is one run of the request that crashes its targets.
+// run is one run of the suspect.
 type run struct {
 	instance int
 	ends     time.Time
 }
 
-// lost draws whether a message is lost.
-func (f *fleet) lost() bool { return f.random.Float64() < f.loss }
+// drop decides whether a message is lost.
+func (f *fleetSim) drop() bool { return f.random.Float64() < f.loss }
 
-// other draws another instance.
-func (f *fleet) other(i int) *Table {
+// randomPeer returns a random other instance.
+func (f *fleetSim) randomPeer(i int) *Table {
 	return f.instances[(i+1+rapid.IntRange(0, len(f.instances)-2).Draw(f.t, "to"))%len(f.instances)]
 }
 
-// tell has an instance send its news.
-func (f *fleet) tell(i int) {
-	to := f.other(i)
-	for _, c := range f.instances[i].News(f.now, 64, 4) {
-		if !f.lost() {
+// sendGossip sends the gossip of an instance to another one.
+func (f *fleetSim) sendGossip(i int) {
+	to := f.randomPeer(i)
+	for _, c := range f.instances[i].Gossip(f.now, 64, 4) {
+		if !f.drop() {
 			to.Merge(f.now, c)
 		}
 	}
 }
 
-// ask has an instance exchange samples.
-func (f *fleet) ask(i int) {
-	from, to := f.instances[i], f.other(i)
-	if f.lost() {
+// exchangeSamples exchanges samples between an instance and another one.
+func (f *fleetSim) exchangeSamples(i int) {
+	from, to := f.instances[i], f.randomPeer(i)
+	if f.drop() {
 		return
 	}
 	answer := to.Sample(f.now, 16)
 	for _, c := range from.Sample(f.now, 16) {
 		to.Merge(f.now, c)
 	}
-	if f.lost() {
+	if f.drop() {
 		return
 	}
 	for _, c := range answer {
@@ -90,58 +90,58 @@
 	}
 }
 
-// send sends the request that crashes its targets to an instance.
-func (f *fleet) send(instance int) {
+// send sends the suspect to an instance.
+func (f *fleetSim) send(instance int) {
 	if f.instances[instance].Judge(f.now, suspect).State != Allowed {
 		return
 	}
-	if f.now.Sub(f.joined[instance]) > heard {
-		f.begun = append(f.begun, f.now)
+	if f.now.Sub(f.joined[instance]) > gossipBound {
+		f.started = append(f.started, f.now)
 	}
 	f.running = append(f.running, run{instance, f.now.Add(runTime)})
 }
 
-// end ends the runs whose time has come, each with its target and what runs beside it.
-func (f *fleet) end(beside []Digest) {
-	left := f.running[:0]
+// end ends the runs that are due, each with its target and all requests running beside it.
+func (f *fleetSim) end(concurrent []Digest) {
+	running := f.running[:0]
 	for _, r := range f.running {
 		if r.ends.After(f.now) {
-			left = append(left, r)
+			running = append(running, r)
 			continue
 		}
 		f.targets++
 		f.crashed = append(f.crashed, f.now)
 		target := fmt.Sprint("target-", f.targets)
-		f.instances[r.instance].Crashed(f.now, suspect, target)
-		for i, d := range beside {
-			f.instances[(r.instance+i)%len(f.instances)].Crashed(f.now, d, target)
+		f.instances[r.instance].RecordCrash(f.now, suspect, target)
+		for i, d := range concurrent {
+			f.instances[(r.instance+i)%len(f.instances)].RecordCrash(f.now, d, target)
 		}
 	}
-	f.running = left
+	f.running = running
 }
 
-// lateRuns counts the runs that began later than the bound after the third crash.
-func (f *fleet) lateRuns() int {
+// lateRuns counts the runs that started later than gossipBound after the third crash.
+func (f *fleetSim) lateRuns() int {
 	if len(f.crashed) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range f.begun {
-		if at.Sub(f.crashed[2]) > heard {
+	for _, at := range f.started {
+		if at.Sub(f.crashed[2]) > gossipBound {
 			n++
 		}
 	}
 	return n
 }
 
-// TestCrashingRequestIsStoppedInTime guards against a request that crashes its targets
-// being sent on, whatever runs beside it, whichever messages are lost and whichever
-// instances are replaced, and against common requests being blocked for it.
-func TestCrashingRequestIsStoppedInTime(t *testing.T) {
+// Prevents sending a request on and on that crashes its targets, whichever requests run
+// beside it, messages are lost and instances are replaced; and prevents blocking common
+// requests for those crashes.
+func TestCrashingRequestIsBlockedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		f := &fleet{
-			t: t, now: start, loss: rapid.Float64Range(0, mostLost).Draw(t, "loss"), random: rand.New(rand.NewPCG(seed, seed)),
+		f := &fleetSim{
+			t: t, now: start, loss: rapid.Float64Range(0, maxLoss).Draw(t, "loss"), random: rand.New(rand.NewPCG(seed, seed)),
 		}
 		for range rapid.IntRange(2, 8).Draw(t, "instances") {
 			f.instances = append(f.instances, New(DefaultConfig()))
@@ -155,24 +155,24 @@
 				f.send(rapid.IntRange(0, len(f.instances)-1).Draw(t, "at"))
 			}
 			f.end(common)
-			for place := range f.instances {
+			for from := range f.instances {
 				if i%2 == 0 {
-					f.tell(place)
+					f.sendGossip(from)
 				}
 				if i%20 == 0 {
-					f.ask(place)
+					f.exchangeSamples(from)
 				}
 			}
 			if i%100 == 99 {
-				f.join(rapid.IntRange(0, len(f.instances)-1).Draw(t, "replaced"))
+				f.replace(rapid.IntRange(0, len(f.instances)-1).Draw(t, "replaced"))
 			}
 			for _, d := range common {
 				for _, instance := range f.instances {
 					require.Equal(t, Allowed, instance.Judge(f.now, d).State)
-					instance.EndedWell(f.now, d)
+					instance.RecordCompletion(f.now, d)
 				}
 			}
 		}
-		require.LessOrEqual(t, f.lateRuns(), late)
+		require.LessOrEqual(t, f.lateRuns(), maxLateRuns)
 	})
 }
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// recent holds the requests that ended well lately, in two generations: what is in the
-// older one ended between one and two spans ago at most.
-type recent struct {
-	span            time.Duration
-	most            int
-	current, before map[Digest]struct{}
-	began           time.Time
+// recentSet holds the requests that ended well recently, in two generations. An entry of the
+// older one is at least one and at most two periods old when it is dropped.
+type recentSet struct {
+	period            time.Duration
+	maxSize           int
+	current, previous map[Digest]struct{}
+	rotated           time.Time
 }
 
-func newRecent(span time.Duration, most int) recent {
-	return recent{span: span, most: most, current: map[Digest]struct{}{}}
+func newRecentSet(period time.Duration, maxSize int) recentSet {
+	return recentSet{period: period, maxSize: maxSize, current: map[Digest]struct{}{}}
 }
 
-// add notes that a request ended well. Beyond the bound it is left out: it will end well
-// again if it comes often.
-func (r *recent) add(now time.Time, digest Digest) {
-	r.turn(now)
-	if len(r.current) < r.most {
+// add records that a request ended well. It ignores the request if the current generation is
+// full: a frequent request is added later.
+func (r *recentSet) add(now time.Time, digest Digest) {
+	r.rotate(now)
+	if len(r.current) < r.maxSize {
 		r.current[digest] = struct{}{}
 	}
 }
 
-// has tells whether a request ended well lately.
-func (r *recent) has(now time.Time, digest Digest) bool {
-	r.turn(now)
+// has reports whether a request ended well recently.
+func (r *recentSet) has(now time.Time, digest Digest) bool {
+	r.rotate(now)
 	_, current := r.current[digest]
-	_, before := r.before[digest]
-	return current || before
+	_, previous := r.previous[digest]
+	return current || previous
 }
 
-// turn begins a new generation once the current one is a span old.
-func (r *recent) turn(now time.Time) {
-	age := now.Sub(r.began)
-	if age < r.span {
+// rotate starts a new generation if the current one is a period old.
+func (r *recentSet) rotate(now time.Time) {
+	age := now.Sub(r.rotated)
+	if age < r.period {
 		return
 	}
-	r.before = r.current
-	if age >= 2*r.span {
-		r.before = nil
+	r.previous = r.current
+	if age >= 2*r.period {
+		r.previous = nil
 	}
-	r.current, r.began = map[Digest]struct{}{}, now
+	r.current, r.rotated = map[Digest]struct{}{}, now
 }
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// Config holds the bounds.
+// Config holds the limits and periods of a Table.
 type Config struct {
-	// Crashes is how many crashes block a request.
-	Crashes int
-	// Restart is the least time between the ends of one target that starts again.
-	Restart time.Duration
-	// Trust is how long a request that ended well isn't blamed for crashes, at least: it is
-	// in progress at many targets, and one event may end them all.
-	Trust time.Duration
-	// MaxTrusted bounds the requests that are remembered for that, twice.
+	// BlockThreshold is the number of crashes that block a request.
+	BlockThreshold int
+	// MinRestart is the shortest time between two ends of a target that restarts.
+	MinRestart time.Duration
+	// TrustPeriod is the shortest time during which a request that ended well isn't blamed
+	// for crashes: it is in progress at many targets, and one event may end them all.
+	TrustPeriod time.Duration
+	// MaxTrusted limits the requests that are trusted in each of two generations.
 	MaxTrusted int
-	// Hold is how long a request is blocked, HoldGrowth how many times longer after each
-	// further crash, up to MaxHold; then one run at a time is tried.
-	Hold, MaxHold time.Duration
-	HoldGrowth    int
-	// Keep is how long after the latest crash the records of a request are kept. It is
-	// longer than MaxHold.
-	Keep time.Duration
-	// MaxRequests bounds the requests that there are records of, MaxCrashes the records of
-	// each.
+	// BlockPeriod is how long a request is blocked. Each further crash multiplies it by
+	// BlockGrowth, up to MaxBlockPeriod. After it, one run at a time is allowed as a trial.
+	BlockPeriod, MaxBlockPeriod time.Duration
+	BlockGrowth                 int
+	// Retention is how long the records of a request are kept after its last crash. It is
+	// longer than MaxBlockPeriod.
+	Retention time.Duration
+	// MaxRequests limits the requests with records, MaxCrashes the records of each request.
 	MaxRequests, MaxCrashes int
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
-		Crashes:     3,
-		Restart:     200 * time.Millisecond,
-		Trust:       5 * time.Second,
-		MaxTrusted:  4096,
-		Hold:        30 * time.Second,
-		MaxHold:     10 * time.Minute,
-		HoldGrowth:  4,
-		Keep:        20 * time.Minute,
-		MaxRequests: 4096,
-		MaxCrashes:  8,
+		BlockThreshold: 3,
+		MinRestart:     200 * time.Millisecond,
+		TrustPeriod:    5 * time.Second,
+		MaxTrusted:     4096,
+		BlockPeriod:    30 * time.Second,
+		MaxBlockPeriod: 10 * time.Minute,
+		BlockGrowth:    4,
+		Retention:      20 * time.Minute,
+		MaxRequests:    4096,
+		MaxCrashes:     8,
 	}
 }
 
-// Crash records that a target ended while it ran a request.
+// Crash reports that a target ended while it ran a request.
 type Crash struct {
 	Digest Digest
 	// Target is the incarnation of the target.
 	Target string
-	// Age is the time since the crash, added up hop by hop: no clocks are compared.
+	// Age is the time since the crash. Each instance adds to it; clocks of different
+	// instances are never compared.
 	Age time.Duration
-	// Cleared tells that a run of the request has ended well since.
+	// Cleared is true if a run of the request has ended well since.
 	Cleared bool
 }
 
-// maxTarget bounds a target's name in a record that another instance sent, in bytes.
-const maxTarget = 128
+// maxTargetBytes limits the target's name in a record from another instance.
+const maxTargetBytes = 128
 
-// State tells what to do with a request.
+// State determines how a request is treated.
 type State uint8
 
 // The states of a request.
@@ -68,8 +68,8 @@
 	Allowed State = iota
 	// Blocked requests are refused.
 	Blocked
-	// OnTrial requests were blocked long enough: one run at a time may show whether they
-	// still crash their targets.
+	// OnTrial requests have been blocked long enough. One run at a time is allowed, to find
+	// out whether they still crash their targets.
 	OnTrial
 )
 
@@ -78,132 +78,133 @@
 	return [...]string{"allowed", "blocked", "on_trial"}[s]
 }
 
-// Verdict is what is known of a request.
+// Verdict is the assessment of a request.
 type Verdict struct {
 	State State
-	// Crashes is how many crashes count against it.
+	// Crashes is the number of crashes that are not cleared.
 	Crashes int
-	// Left is how long a Blocked request stays so.
-	Left time.Duration
-	// Since is the time since its latest crash.
-	Since time.Duration
+	// Remaining is how much longer a Blocked request stays blocked.
+	Remaining time.Duration
+	// SinceLastCrash is the time since the last crash of the request.
+	SinceLastCrash time.Duration
 }
 
-// Table holds the records of crashes that an instance knows.
+// Table holds the crash records that an instance knows.
 type Table struct {
 	config   Config
-	requests map[Digest]*request
-	// trusted are the requests that ended well here lately.
-	trusted recent
-	// toSend are the records that are being passed on.
-	toSend []*record
-	// next is where the next sample begins.
-	next Digest
+	requests map[Digest]*requestState
+	// trusted are the requests that ended well recently at this instance.
+	trusted recentSet
+	// gossipQueue has the records that are being sent to other instances.
+	gossipQueue []*record
+	// sampleStart is the digest at which the next sample starts.
+	sampleStart Digest
 }
 
-// request is what is known of one request.
-type request struct {
+// requestState has the records of one request.
+type requestState struct {
 	crashes []*record
-	// latest is when the latest of all crashes was, those included that don't count.
-	latest time.Time
-	// trialUntil is when the run that was allowed last has ended at the latest.
+	// lastCrash is the time of the last crash, also if that one is cleared or was dropped.
+	lastCrash time.Time
+	// trialUntil is when the last trial that was granted has ended at the latest.
 	trialUntil time.Time
 }
 
-// record is one crash and how often it was passed on.
+// record is a crash and its dissemination.
 type record struct {
-	digest  Digest
-	target  string
-	at      time.Time
-	cleared bool
-	copies  int
-	// seen tells that this instance saw the crash itself.
-	seen bool
+	digest    Digest
+	target    string
+	at        time.Time
+	cleared   bool
+	timesSent int
+	// local is true if this instance saw the crash itself.
+	local bool
 }
 
 // New returns a table without records.
 func New(c Config) *Table {
-	return &Table{config: c, requests: map[Digest]*request{}, trusted: newRecent(c.Trust, c.MaxTrusted)}
+	return &Table{config: c, requests: map[Digest]*requestState{}, trusted: newRecentSet(c.TrustPeriod, c.MaxTrusted)}
 }
 
-// Len returns the number of requests that there are records of.
+// Len returns the number of requests with records.
 func (t *Table) Len() int { return len(t.requests) }
 
-// Crashed records a crash that this instance saw, unless the request ended well here
-// lately. It tells whether it is news.
-func (t *Table) Crashed(now time.Time, digest Digest, target string) bool {
+// RecordCrash records a crash that this instance saw, unless the request ended well here
+// recently. It reports whether the record is new.
+func (t *Table) RecordCrash(now time.Time, digest Digest, target string) bool {
 	if t.trusted.has(now, digest) {
 		return false
 	}
-	target = t.unseen(now, digest, target)
-	news := t.put(now, Crash{Digest: digest, Target: target})
-	if known := t.find(digest, target); known != nil {
-		known.seen = true
+	target = t.uniqueTarget(now, digest, target)
+	added := t.insert(now, Crash{Digest: digest, Target: target})
+	if existing := t.findCrash(digest, target); existing != nil {
+		existing.local = true
 	}
-	return news
+	return added
 }
 
-// unseen returns the name of a crash that this instance hasn't recorded a while ago. A target
-// that it saw end then has started again, and it hasn't heard of the new start.
-func (t *Table) unseen(now time.Time, digest Digest, target string) string {
+// uniqueTarget returns the name under which a crash is recorded: the target, or the target
+// with a number if this instance saw the target end at least MinRestart ago. The target has
+// restarted since then, although its new incarnation isn't known here yet.
+func (t *Table) uniqueTarget(now time.Time, digest Digest, target string) string {
 	name := target
 	for n := 2; ; n++ {
-		known := t.find(digest, name)
-		if known == nil || !known.seen || now.Sub(known.at) < t.config.Restart {
+		existing := t.findCrash(digest, name)
+		if existing == nil || !existing.local || now.Sub(existing.at) < t.config.MinRestart {
 			return name
 		}
 		name = fmt.Sprintf("%s, %d", target, n)
 	}
 }
 
-// find returns the record of a crash, or nil.
-func (t *Table) find(digest Digest, target string) *record {
+// findCrash returns the record of a crash, or nil.
+func (t *Table) findCrash(digest Digest, target string) *record {
 	r := t.requests[digest]
 	if r == nil {
 		return nil
 	}
-	for _, known := range r.crashes {
-		if known.target == target {
-			return known
+	for _, existing := range r.crashes {
+		if existing.target == target {
+			return existing
 		}
 	}
 	return nil
 }
 
-// Merge takes in a record of another instance. It tells whether it is news.
+// Merge adds a record from another instance. It reports whether the record is new.
 func (t *Table) Merge(now time.Time, c Crash) bool {
-	if c.Target == "" || len(c.Target) > maxTarget || c.Age < 0 {
+	if c.Target == "" || len(c.Target) > maxTargetBytes || c.Age < 0 {
 		return false
 	}
-	return t.put(now, c)
+	return t.insert(now, c)
 }
 
-// put keeps a record. Two records of one crash become one, which is cleared if either is,
-// so that records may come twice and in any order.
-func (t *Table) put(now time.Time, c Crash) bool {
-	if c.Age >= t.config.Keep {
+// insert adds a record. Two records of one crash become one, which is cleared if either is,
+// so records may arrive repeatedly and in any order.
+func (t *Table) insert(now time.Time, c Crash) bool {
+	if c.Age >= t.config.Retention {
 		return false
 	}
 	at := now.Add(-c.Age)
 	r := t.requests[c.Digest]
 	if r == nil {
-		t.makeRoom()
-		r = &request{}
+		t.evictRequest()
+		r = &requestState{}
 		t.requests[c.Digest] = r
 	}
-	if known := t.find(c.Digest, c.Target); known != nil {
-		if known.cleared || !c.Cleared {
+	if existing := t.findCrash(c.Digest, c.Target); existing != nil {
+		if existing.cleared || !c.Cleared {
 			return false
 		}
-		known.cleared = true
-		t.passOn(known)
+		existing.cleared = true
+		t.enqueueGossip(existing)
 		return true
 	}
 	if len(r.crashes) == t.config.MaxCrashes && at.Before(r.crashes[0].at) {
-		return false // it was dropped before, and would be again
+		return false // it has been dropped already
 	}
-	if at.After(r.latest) {
-		r.latest = at
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
 	added := &record{digest: c.Digest, target: c.Target, at: at, cleared: c.Cleared}
 	r.crashes = append(r.crashes, added)
@@ -211,37 +212,37 @@
 	if len(r.crashes) > t.config.MaxCrashes {
 		r.crashes = r.crashes[1:]
 	}
-	t.passOn(added)
+	t.enqueueGossip(added)
 	return true
 }
 
-// makeRoom drops the request with the fewest crashes, of several the one with the oldest,
-// if the table is full.
-func (t *Table) makeRoom() {
+// evictRequest removes a request if the table is full: the one with the fewest crashes, and
+// of those the one whose last crash is the oldest.
+func (t *Table) evictRequest() {
 	if len(t.requests) < t.config.MaxRequests {
 		return
 	}
-	var least Digest
-	var chosen *request
+	var victim Digest
+	var chosen *requestState
 	for digest, r := range t.requests {
-		if chosen == nil || worthLess(r, chosen) {
-			least, chosen = digest, r
+		if chosen == nil || lessRelevant(r, chosen) {
+			victim, chosen = digest, r
 		}
 	}
-	delete(t.requests, least)
+	delete(t.requests, victim)
 }
 
-// worthLess orders requests by their crashes, then by the time of the latest one.
-func worthLess(a, b *request) bool {
-	if x, y := a.count(), b.count(); x != y {
+// lessRelevant orders requests by their number of crashes, then by their last crash.
+func lessRelevant(a, b *requestState) bool {
+	if x, y := a.activeCrashes(), b.activeCrashes(); x != y {
 		return x < y
 	}
-	return a.latest.Before(b.latest)
+	return a.lastCrash.Before(b.lastCrash)
 }
 
-// EndedWell records that a target ran a request to an end of its own. It tells whether
-// that clears crashes.
-func (t *Table) EndedWell(now time.Time, digest Digest) bool {
+// RecordCompletion records that a target ran a request to completion without a crash. It reports whether
+// that cleared any crashes.
+func (t *Table) RecordCompletion(now time.Time, digest Digest) bool {
 	t.trusted.add(now, digest)
 	r := t.requests[digest]
 	if r == nil {
@@ -251,14 +252,14 @@
 	for _, c := range r.crashes {
 		if !c.cleared {
 			c.cleared, cleared = true, true
-			t.passOn(c)
+			t.enqueueGossip(c)
 		}
 	}
 	return cleared
 }
 
-// count returns how many crashes count against a request: those that no run has cleared.
-func (r *request) count() int {
+// activeCrashes returns the number of crashes that no run has cleared.
+func (r *requestState) activeCrashes() int {
 	n := 0
 	for _, c := range r.crashes {
 		if !c.cleared {
@@ -268,7 +269,7 @@
 	return n
 }
 
-// Judge tells what is known of a request.
+// Judge returns the assessment of a request.
 func (t *Table) Judge(now time.Time, digest Digest) Verdict {
 	r := t.requests[digest]
 	if r == nil {
@@ -277,51 +278,52 @@
 	return t.verdict(now, r)
 }
 
-func (t *Table) verdict(now time.Time, r *request) Verdict {
-	v := Verdict{Crashes: r.count(), Since: now.Sub(r.latest)}
-	if v.Crashes < t.config.Crashes {
+func (t *Table) verdict(now time.Time, r *requestState) Verdict {
+	v := Verdict{Crashes: r.activeCrashes(), SinceLastCrash: now.Sub(r.lastCrash)}
+	if v.Crashes < t.config.BlockThreshold {
 		return v
 	}
 	v.State = OnTrial
-	if v.Left = t.hold(v.Crashes) - v.Since; v.Left > 0 {
+	if v.Remaining = t.blockPeriod(v.Crashes) - v.SinceLastCrash; v.Remaining > 0 {
 		v.State = Blocked
 	}
 	return v
 }
 
-// hold is how long so many crashes block a request.
-func (t *Table) hold(crashes int) time.Duration {
-	hold := t.config.Hold
-	for range crashes - t.config.Crashes {
-		if hold >= t.config.MaxHold {
+// blockPeriod returns how long this number of crashes blocks a request.
+func (t *Table) blockPeriod(crashes int) time.Duration {
+	period := t.config.BlockPeriod
+	for range crashes - t.config.BlockThreshold {
+		if period >= t.config.MaxBlockPeriod {
 			break
 		}
-		hold *= time.Duration(t.config.HoldGrowth)
+		period *= time.Duration(t.config.BlockGrowth)
 	}
-	return min(hold, t.config.MaxHold)
+	return min(period, t.config.MaxBlockPeriod)
 }
 
-// GrantTrial allows one run of a request that is on trial, unless this instance has
-// allowed another one that may not have ended, or knows better. The run ends within left.
-func (t *Table) GrantTrial(now time.Time, digest Digest, left time.Duration) bool {
+// GrantTrial allows one run of a request that is on trial. It refuses if an earlier trial
+// that this instance granted may still run, or if this instance has no record of the request
+// or considers it blocked. The run ends within maxDuration.
+func (t *Table) GrantTrial(now time.Time, digest Digest, maxDuration time.Duration) bool {
 	r := t.requests[digest]
 	if r == nil || t.verdict(now, r).State == Blocked || now.Before(r.trialUntil) {
 		return false
 	}
-	r.trialUntil = now.Add(left)
+	r.trialUntil = now.Add(maxDuration)
 	return true
 }
 
-// Expire drops the requests whose latest crash is too long ago.
+// Expire removes the requests whose last crash is older than the retention.
 func (t *Table) Expire(now time.Time) {
 	for digest, r := range t.requests {
-		if now.Sub(r.latest) >= t.config.Keep {
+		if now.Sub(r.lastCrash) >= t.config.Retention {
 			delete(t.requests, digest)
 		}
 	}
 }
 
-// Blocked returns what is known of the requests that are blocked or on trial.
+// Blocked returns the assessment of all requests that are blocked or on trial.
 func (t *Table) Blocked(now time.Time) map[Digest]Verdict {
 	blocked := map[Digest]Verdict{}
 	for digest, r := range t.requests {
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -11,28 +11,27 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// digestOf returns the digest of a request of the tests.
+// digestOf returns the digest of a test request.
 func digestOf(name string) Digest { return DigestOf("host", "/"+name, "account", nil) }
 
 var suspect = digestOf("suspect")
 
-// crashApart records so many crashes of the suspect, a second apart, and returns when the
-// last was.
+// crashApart records n crashes of the suspect, one second apart, and returns the time of the
+// last one.
 func crashApart(t *Table, n int) time.Time {
 	now := start
 	for i := range n {
 		now = start.Add(time.Duration(i) * time.Second)
-		t.Crashed(now, suspect, fmt.Sprint("target-", i))
+		t.RecordCrash(now, suspect, fmt.Sprint("target-", i))
 	}
 	return now
 }
 
-// TestCrashesBlock guards against a request that is blocked too early, too late, for too
-// long or for ever.
+// Prevents blocking a request too early, too late, for too long or for ever.
 func TestCrashesBlock(t *testing.T) {
 	c := DefaultConfig()
 	for crashes, hold := range map[int]time.Duration{
-		0: 0, 1: 0, 2: 0, 3: c.Hold, 4: 4 * c.Hold, 5: 16 * c.Hold, 6: c.MaxHold, 8: c.MaxHold, 20: c.MaxHold,
+		0: 0, 1: 0, 2: 0, 3: c.BlockPeriod, 4: 4 * c.BlockPeriod, 5: 16 * c.BlockPeriod, 6: c.MaxBlockPeriod, 8: c.MaxBlockPeriod, 20: c.MaxBlockPeriod,
 	} {
 		t.Run(fmt.Sprint(crashes), func(t *testing.T) {
 			table := New(c)
@@ -42,61 +41,61 @@
 				return
 			}
 			require.Equal(t, Blocked, table.Judge(latest, suspect).State)
-			require.Equal(t, hold, table.Judge(latest, suspect).Left)
+			require.Equal(t, hold, table.Judge(latest, suspect).Remaining)
 			require.Equal(t, Blocked, table.Judge(latest.Add(hold-1), suspect).State)
 			require.Equal(t, OnTrial, table.Judge(latest.Add(hold), suspect).State)
-			table.Expire(latest.Add(c.Keep - 1))
-			require.Equal(t, OnTrial, table.Judge(latest.Add(c.Keep-1), suspect).State)
-			table.Expire(latest.Add(c.Keep))
-			require.Equal(t, Allowed, table.Judge(latest.Add(c.Keep), suspect).State)
+			table.Expire(latest.Add(c.Retention - 1))
+			require.Equal(t, OnTrial, table.Judge(latest.Add(c.Retention-1), suspect).State)
+			table.Expire(latest.Add(c.Retention))
+			require.Equal(t, Allowed, table.Judge(latest.Add(c.Retention), suspect).State)
 			require.Zero(t, table.Len())
 		})
 	}
 }
 
-// TestCommonRequestIsNotBlamedForOneEvent guards against a request that was in progress at
-// many targets as one event ended them all.
+// Prevents blaming a request that was in progress at many targets when one event ended all of
+// them.
 func TestCommonRequestIsNotBlamedForOneEvent(t *testing.T) {
 	c := DefaultConfig()
-	for age, blamed := range map[time.Duration]bool{0: false, c.Trust: false, 2 * c.Trust: true} {
+	for age, blamed := range map[time.Duration]bool{0: false, c.TrustPeriod: false, 2 * c.TrustPeriod: true} {
 		table := New(c)
-		table.EndedWell(start, suspect)
+		table.RecordCompletion(start, suspect)
 		for i := range 20 {
-			require.Equal(t, blamed, table.Crashed(start.Add(age), suspect, fmt.Sprint(i)), age)
+			require.Equal(t, blamed, table.RecordCrash(start.Add(age), suspect, fmt.Sprint(i)), age)
 		}
 		require.Equal(t, blamed, table.Judge(start.Add(age), suspect).State == Blocked, age)
 	}
 }
 
-// TestTrustIsBounded guards against requests that ended well being remembered without limit.
+// Prevents remembering requests that ended well without limit.
 func TestTrustIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxTrusted = 10
 	table := New(c)
 	for i := range 1000 {
-		table.EndedWell(start.Add(time.Duration(i)*time.Second), digestOf(fmt.Sprint(i)))
-		require.LessOrEqual(t, len(table.trusted.current)+len(table.trusted.before), 2*c.MaxTrusted)
+		table.RecordCompletion(start.Add(time.Duration(i)*time.Second), digestOf(fmt.Sprint(i)))
+		require.LessOrEqual(t, len(table.trusted.current)+len(table.trusted.previous), 2*c.MaxTrusted)
 	}
 }
 
-// TestOneCrashCountsOnce guards against a crash that counts as often as instances report it.
+// Prevents counting a crash once for each instance that reports it.
 func TestOneCrashCountsOnce(t *testing.T) {
 	table := New(DefaultConfig())
-	require.True(t, table.Crashed(start, suspect, "a"))
+	require.True(t, table.RecordCrash(start, suspect, "a"))
 	for i := range 5 {
 		require.False(t, table.Merge(start.Add(time.Duration(i)*time.Second), Crash{Digest: suspect, Target: "a"}))
 	}
 	require.Equal(t, 1, table.Judge(start, suspect).Crashes)
 }
 
-// TestRunThatEndsWellClears guards against a common request that is blocked by the crashes
-// that it was in progress at, and against old news that blocks it again.
-func TestRunThatEndsWellClears(t *testing.T) {
+// Prevents blocking a common request for crashes during which it was in progress, and blocking
+// it again because of records from before it was cleared.
+func TestCompletedRunClearsCrashes(t *testing.T) {
 	table, other := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(table, 4)
 	old := table.Sample(latest, 10)
-	require.True(t, table.EndedWell(latest, suspect))
-	require.False(t, table.EndedWell(latest, suspect), "there is nothing left to clear")
+	require.True(t, table.RecordCompletion(latest, suspect))
+	require.False(t, table.RecordCompletion(latest, suspect), "there is nothing left to clear")
 	for _, c := range table.Sample(latest, 10) {
 		other.Merge(latest, c)
 	}
@@ -106,51 +105,50 @@
 	for _, each := range []*Table{table, other} {
 		require.Equal(t, Allowed, each.Judge(latest, suspect).State)
 	}
-	later := latest.Add(2 * DefaultConfig().Trust)
-	table.Crashed(later, suspect, "later")
+	later := latest.Add(2 * DefaultConfig().TrustPeriod)
+	table.RecordCrash(later, suspect, "later")
 	require.Equal(t, 1, table.Judge(later, suspect).Crashes)
 }
 
-// TestOneTrialAtATime guards against many runs of a request that was blocked long enough,
-// each of which ends a target.
+// Prevents several concurrent runs of a request on trial, each of which may end a target.
 func TestOneTrialAtATime(t *testing.T) {
 	c := DefaultConfig()
 	table := New(c)
 	latest := crashApart(table, 3)
-	require.False(t, table.GrantTrial(latest.Add(c.Hold-1), suspect, time.Second), "it is blocked")
-	now := latest.Add(c.Hold)
-	require.False(t, table.GrantTrial(now, digestOf("unknown"), time.Second), "this instance knows nothing of it")
+	require.False(t, table.GrantTrial(latest.Add(c.BlockPeriod-1), suspect, time.Second), "it is blocked")
+	now := latest.Add(c.BlockPeriod)
+	require.False(t, table.GrantTrial(now, digestOf("unknown"), time.Second), "the request has no records here")
 	require.True(t, table.GrantTrial(now, suspect, 10*time.Second))
 	require.False(t, table.GrantTrial(now.Add(10*time.Second-1), suspect, time.Second))
 	require.True(t, table.GrantTrial(now.Add(10*time.Second), suspect, time.Second))
-	table.Crashed(now.Add(11*time.Second), suspect, "again")
+	table.RecordCrash(now.Add(11*time.Second), suspect, "again")
 	require.False(t, table.GrantTrial(now.Add(12*time.Second), suspect, time.Second), "it has crashed again")
 }
 
-// TestTableIsBounded guards against records that grow without limit, and against a blocked
-// request being forgotten for many that were beside one crash.
+// Prevents records from growing without limit, and a blocked request from being evicted
+// for many requests that each ran beside one crash.
 func TestTableIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxRequests = 10
 	table := New(c)
 	latest := crashApart(table, 100)
 	for i := range 1000 {
-		table.Crashed(latest, digestOf(fmt.Sprint(i)), "target")
+		table.RecordCrash(latest, digestOf(fmt.Sprint(i)), "target")
 	}
 	require.Equal(t, c.MaxRequests, table.Len())
 	require.Len(t, table.requests[suspect].crashes, c.MaxCrashes)
-	require.LessOrEqual(t, len(table.toSend), maxToSend)
+	require.LessOrEqual(t, len(table.gossipQueue), maxGossipQueue)
 	require.Equal(t, Blocked, table.Judge(latest, suspect).State)
 	require.Contains(t, table.Blocked(latest), suspect)
 	require.False(t, table.Merge(latest, Crash{Digest: suspect}), "a target without a name")
 	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: "a", Age: -1}))
-	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: "a", Age: c.Keep}))
-	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: string(make([]byte, maxTarget+1))}))
+	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: "a", Age: c.Retention}))
+	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: string(make([]byte, maxTargetBytes+1))}))
 }
 
-// TestMergeNeedsNoOrder guards against instances that hold the same news and judge a request
-// differently, since it came in another order or twice.
-func TestMergeNeedsNoOrder(t *testing.T) {
+// Prevents different verdicts at instances that received the same records in another order or
+// repeatedly.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Crash {
 		target := rapid.IntRange(0, 5).Draw(t, "target")
 		return Crash{
@@ -159,11 +157,11 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(draw, 0, 10).Draw(t, "news")
-		again := append(append([]Crash{}, news...), news...)
+		crashes := rapid.SliceOfN(draw, 0, 10).Draw(t, "crashes")
+		again := append(append([]Crash{}, crashes...), crashes...)
 		shuffled := rapid.Permutation(again).Draw(t, "shuffled")
 		a, b := New(DefaultConfig()), New(DefaultConfig())
-		for _, c := range news {
+		for _, c := range crashes {
 			a.Merge(start, c)
 		}
 		for _, c := range shuffled {
@@ -173,14 +171,14 @@
 	})
 }
 
-// TestSampleTellsOfAllInTurn guards against records that no sample ever has, and against a
-// blocked request that waits for its turn.
-func TestSampleTellsOfAllInTurn(t *testing.T) {
+// Prevents records that are never part of a sample, and a blocked request that is not in
+// the next sample.
+func TestSamplesRotateThroughAllRecords(t *testing.T) {
 	const others, limit = 50, 8
 	table, other := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(table, 3)
 	for i := range others {
-		table.Crashed(latest, digestOf(fmt.Sprint(i)), "target")
+		table.RecordCrash(latest, digestOf(fmt.Sprint(i)), "target")
 	}
 	for round := range others {
 		sample := table.Sample(latest, limit)
@@ -195,22 +193,22 @@
 	require.Equal(t, table.Len(), other.Len())
 }
 
-// TestNewsIsPassedOnSoOften guards against news that is never passed on, or for ever.
-func TestNewsIsPassedOnSoOften(t *testing.T) {
+// Prevents gossip that is never sent, or sent for ever.
+func TestGossipIsSentLimitedTimes(t *testing.T) {
 	table := New(DefaultConfig())
 	crashApart(table, 3)
 	sent := 0
-	for table.HasNews() {
-		sent += len(table.News(start, 2, 4))
+	for table.HasGossip() {
+		sent += len(table.Gossip(start, 2, 4))
 		require.LessOrEqual(t, sent, 12)
 	}
 	require.Equal(t, 12, sent)
-	table.EndedWell(start, suspect)
-	require.True(t, table.HasNews(), "that it is cleared is news")
+	table.RecordCompletion(start, suspect)
+	require.True(t, table.HasGossip(), "a cleared record is gossiped")
 }
 
-// TestFewTrialsOfARequestThatStillCrashes guards against trials that add up, one crash each.
-func TestFewTrialsOfARequestThatStillCrashes(t *testing.T) {
+// Prevents trials from adding up, each with a crash.
+func TestTrialsOfCrashingRequestAreRare(t *testing.T) {
 	const most, within = 3, 15 * time.Minute
 	table := New(DefaultConfig())
 	blocked := crashApart(table, 3)
@@ -218,15 +216,14 @@
 	for now := blocked; now.Before(blocked.Add(within)); now = now.Add(time.Second) {
 		if table.GrantTrial(now, suspect, time.Second) {
 			trials++
-			table.Crashed(now, suspect, fmt.Sprint("trial-", trials))
+			table.RecordCrash(now, suspect, fmt.Sprint("trial-", trials))
 		}
 	}
 	require.Equal(t, most, trials)
 }
 
-// TestDroppedCrashIsNoNews guards against records beyond the bound that instances tell one
-// another again and again.
-func TestDroppedCrashIsNoNews(t *testing.T) {
+// Prevents instances from sending each other over and over the records that exceed the limit.
+func TestDroppedCrashIsNotGossiped(t *testing.T) {
 	a, b := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(a, 3*DefaultConfig().MaxCrashes)
 	early := New(DefaultConfig())
@@ -242,18 +239,18 @@
 	require.Equal(t, a.Judge(latest, suspect), b.Judge(latest, suspect))
 }
 
-// TestTargetThatStartedAgainCrashesAgain guards against crashes that count as one since the
-// instance hasn't heard that the target started again.
-func TestTargetThatStartedAgainCrashesAgain(t *testing.T) {
+// Prevents counting several crashes of a target as one before the instance learns that the
+// target has restarted.
+func TestCrashesOfRestartedTargetCount(t *testing.T) {
 	c := DefaultConfig()
 	table, other := New(c), New(c)
 	for i := range 3 {
-		at := start.Add(time.Duration(i) * c.Restart)
-		require.True(t, table.Crashed(at, suspect, "target"))
-		require.False(t, table.Crashed(at.Add(c.Restart-1), suspect, "target"), "another attempt at the same end")
+		at := start.Add(time.Duration(i) * c.MinRestart)
+		require.True(t, table.RecordCrash(at, suspect, "target"))
+		require.False(t, table.RecordCrash(at.Add(c.MinRestart-1), suspect, "target"), "another attempt at the same end")
 	}
-	now := start.Add(3 * c.Restart)
+	now := start.Add(3 * c.MinRestart)
 	require.Equal(t, Blocked, table.Judge(now, suspect).State)
 	other.Merge(now, Crash{Digest: suspect, Target: "target", Age: time.Second})
-	require.False(t, other.Crashed(now, suspect, "target"), "only what it saw itself tells of two ends")
+	require.False(t, other.RecordCrash(now, suspect, "target"), "only a crash that it saw itself shows a restart")
 }
--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -68,7 +68,7 @@
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.table.Crashed(now, digest, target) {
+	if b.table.RecordCrash(now, digest, target) {
 		b.metrics.crashes[sourceLocal].Inc(1)
 		b.changed(now, digest, sourceLocal, target)
 	}
@@ -79,7 +79,7 @@
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.table.EndedWell(now, digest) {
+	if b.table.RecordCompletion(now, digest) {
 		b.changed(now, digest, sourceLocal, "")
 	}
 }
@@ -106,7 +106,7 @@
 	b.requests.Store(int64(b.table.Len()))
 	v := b.table.Judge(now, digest)
 	event := telemetry.Event{
-		Digest: digest.String(), Target: target, Reason: source, Count: v.Crashes, Elapsed: v.Since, RetryAfter: v.Left,
+		Digest: digest.String(), Target: target, Reason: source, Count: v.Crashes, Elapsed: v.SinceLastCrash, RetryAfter: v.Remaining,
 	}
 	switch {
 	case v.State == quarantine.Blocked && (source == sourceLocal || !b.blocked[digest]):
--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -214,11 +214,11 @@
 		f.crash(3)
 		only := f.instances["at-0"]
 		require.Equal(t, quarantine.Blocked, only.Admit(ctx, digest, time.Second).State)
-		time.Sleep(quarantine.DefaultConfig().Hold)
+		time.Sleep(quarantine.DefaultConfig().BlockPeriod)
 		require.Equal(t, quarantine.OnTrial, only.Admit(ctx, digest, time.Second).State)
 		second := only.Admit(ctx, digest, time.Second)
 		require.Equal(t, quarantine.Blocked, second.State)
-		require.Positive(t, second.Left, "its caller is told when to come back")
+		require.Positive(t, second.Remaining, "its caller is told when to come back")
 		only.EndedWell(digest)
 		require.Equal(t, quarantine.Allowed, only.Admit(ctx, digest, time.Second).State)
 	})
@@ -237,7 +237,7 @@
 			return scope.Snapshot().Counters()["quarantine.trials+outcome="+trialDenied].Value()
 		}
 		f.crash(3)
-		time.Sleep(quarantine.DefaultConfig().Hold)
+		time.Sleep(quarantine.DefaultConfig().BlockPeriod)
 		require.Equal(t, quarantine.OnTrial, m.Admit(t.Context(), digest, time.Minute).State)
 		for range 100 {
 			require.Equal(t, quarantine.Blocked, m.Admit(t.Context(), digest, time.Second).State)
--- a/daemon/blocklist/exchange.go
+++ b/daemon/blocklist/exchange.go
@@ -137,7 +137,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.table.HasNews() {
+	if b.table.HasGossip() {
 		b.signal()
 	}
 }
@@ -148,7 +148,7 @@
 	defer b.mu.Unlock()
 	size := len(b.cluster.View().Live())
 	copies := int(math.Ceil(math.Log(float64(max(size, 1))))) + extraCopies
-	m := exchange{Ask: sample, Crashes: encodeCrashes(b.table.News(now, newsPerMessage, copies))}
+	m := exchange{Ask: sample, Crashes: encodeCrashes(b.table.Gossip(now, newsPerMessage, copies))}
 	if sample {
 		m.Crashes = append(m.Crashes, encodeCrashes(b.table.Sample(now, samplePerMessage))...)
 	}
--- a/daemon/blocklist/listing.go
+++ b/daemon/blocklist/listing.go
@@ -27,7 +27,7 @@
 	for digest, v := range b.Blocked() {
 		entries = append(entries, entry{
 			Digest: digest.String(), State: v.State.String(), Crashes: v.Crashes,
-			SinceSeconds: v.Since.Seconds(), LeftSeconds: max(v.Left.Seconds(), 0),
+			SinceSeconds: v.SinceLastCrash.Seconds(), LeftSeconds: max(v.Remaining.Seconds(), 0),
 		})
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.SinceSeconds, b.SinceSeconds) })
--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -39,7 +39,7 @@
 		return v
 	}
 	b.deny(digest)
-	v.State, v.Left = quarantine.Blocked, askAgain
+	v.State, v.Remaining = quarantine.Blocked, askAgain
 	return v
 }
 
--- a/daemon/execute/content.go
+++ b/daemon/execute/content.go
@@ -35,7 +35,7 @@
 }
 
 func (r *run) crashes(step string, v quarantine.Verdict) *Failure {
-	return &Failure{Reason: ReasonCrashes, Step: step, RetryAfter: v.Left, Cause: errCrashes}
+	return &Failure{Reason: ReasonCrashes, Step: step, RetryAfter: v.Remaining, Cause: errCrashes}
 }
 
 // noteCrash records a target that ended under the attempt: it broke the connection, and
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -43,13 +43,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen++
-	r.table.Crashed(time.Now(), d, fmt.Sprint(target, r.seen))
+	r.table.RecordCrash(time.Now(), d, fmt.Sprint(target, r.seen))
 }
 
 func (r *records) EndedWell(d quarantine.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.EndedWell(time.Now(), d)
+	r.table.RecordCompletion(time.Now(), d)
 }
 
 // crashRig is a rig whose targets break all connections off and are gone then.
--- a/daemon/relay/content.go
+++ b/daemon/relay/content.go
@@ -40,7 +40,7 @@
 		q.onTrial = verdict.State != quarantine.Blocked
 	}
 	if verdict.State == quarantine.Blocked {
-		return &blockedError{verdict.Left}
+		return &blockedError{verdict.Remaining}
 	}
 	return nil
 }
