--- a/coordination/watching/watching.go
+++ b/coordination/watching/watching.go
@@ -1,246 +1,248 @@
-// Package watching decides how an instance keeps what it knows of the platform's store
-// fresh: how long its watches wait, which one is to be sent again, whose word it takes
-// for the store's, and when it has to watch itself.
+// Package watching decides how an instance keeps its knowledge of the platform's store up to
+// date: how long its watches wait, which watch is sent again, whose report replaces the
+// store's response, and when the instance has to watch itself.
 //
-// A watch that waits looks the same whether there is no news or nobody listens. One that
-// was sent while the store was silent is never answered, also not once the store is back;
-// so the silence of a watch proves nothing for longer than its term, and a short term
-// costs calls. Therefore the first watcher of a fleet alone watches with short terms. The
-// others ask one another how old their knowledge is, hear of news as records are spread,
-// and take its place where it is silent.
+// A waiting watch looks the same whether there are no changes or nobody is listening. A watch
+// that is sent while the store is silent is orphaned: it is never answered, not even after the
+// store has recovered. So a watch without a response proves nothing beyond its timeout, and a
+// short timeout costs calls. Therefore only the first watcher of a fleet uses short timeouts.
+// The others poll one another for the age of their knowledge, receive changes by gossip, and
+// take over from the first watcher if it is silent.
 //
 // Tracker is a pure state machine: time is an argument. It is not safe for concurrent use.
 package watching
 
 import "time"
 
-// Part is what one watch follows.
+// Part is the part of the store's content that one watch follows.
 type Part string
 
-// The parts of what is known of a store.
+// The parts of the store's content.
 const (
 	Configuration Part = "configuration"
 	Targets       Part = "targets"
 )
 
-// Times of watches, and bounds of the word of others.
+// Timeouts of watches, and limits for the reports of other instances.
 const (
-	// longTerm is how long a watch waits whose silence somebody else would notice.
-	longTerm = 8 * time.Second
-	// shortTerm is how long the watches of the first watcher wait. With the slack that
-	// its client grants and the pause after a failure it bounds the time after which a
-	// deaf watch is sent again: within the three seconds after a disruption of the store
-	// in which no bound holds.
-	shortTerm = 800 * time.Millisecond
-	// wordAge is how old a watcher's knowledge may be for its word to count: a short
-	// term, an answer of a slow store, and the time between two questions.
-	wordAge = 2500 * time.Millisecond
-	// silentRounds without a word that counts have an instance watch for itself.
-	silentRounds = 2
-	// deafRounds have one do so that doesn't watch else, where the watchers answer and
-	// know nothing new: the store is likely away for all, and many instances that call it
-	// add nothing.
-	deafRounds = 4
-	// maxPlace is the last place of a watcher that waits for those before it to take
-	// over. It bounds the time until anyone does.
-	maxPlace = 3
-	// standInFor is how long an instance watches for itself if it hears nothing else.
-	standInFor = 6 * time.Second
-	// gatherFor is how long a watcher that isn't the first waits after news, so that one
-	// call tells of what follows: it hears the same by the first one's word.
-	gatherFor = 250 * time.Millisecond
+	// longTimeout is the long-poll timeout of a watch whose silence another instance would notice.
+	longTimeout = 8 * time.Second
+	// shortTimeout is the timeout of the first watcher's watches. With the slack that its
+	// client grants and the pause after a failure, it limits the time until an orphaned watch
+	// is sent again. That must be within the three seconds after a disruption of the store in
+	// which no bound holds.
+	shortTimeout = 800 * time.Millisecond
+	// maxReportAge is the maximum age of a watcher's knowledge for its report to be fresh: a
+	// short timeout, a response of a slow store, and the time between two polls.
+	maxReportAge = 2500 * time.Millisecond
+	// maxMissedReports is the number of polls in a row without a fresh report after which an
+	// instance watches itself.
+	maxMissedReports = 2
+	// maxStaleReports is that number for an instance that doesn't usually watch, if the
+	// watchers respond but have no fresh knowledge: the store is probably unavailable to all,
+	// and calls from many more instances wouldn't help.
+	maxStaleReports = 4
+	// maxWaitingRank limits the additional polls that a watcher waits for those of lower rank
+	// to take over. It limits the time until any watcher does.
+	maxWaitingRank = 3
+	// takeoverPeriod is how long an instance watches itself if it receives no fresh report.
+	takeoverPeriod = 6 * time.Second
+	// batchDelay is how long a watcher other than the first waits after a change, so that one
+	// call returns the following changes too. The first watcher's gossip delivers them anyway.
+	batchDelay = 250 * time.Millisecond
 )
 
-// NoWatcher is the place of an instance that leaves the watching to others.
-const NoWatcher = -1
+// NoRank is the rank of an instance that leaves watching to others.
+const NoRank = -1
 
-// Word is what an instance tells another of its knowledge.
-type Word struct {
-	// Known tells whether the instance knows everything as of Age ago.
+// Report describes the knowledge of an instance to another one. It is sent by field names.
+type Report struct {
+	// Known is true if the instance knows everything as of Age ago.
 	Known bool
 	Age   time.Duration
-	// Recovered is how long ago the store answered again after a failure; 0 if that
-	// isn't known.
+	// Recovered is how long ago the store responded again after a failure; 0 if unknown.
 	Recovered time.Duration
 }
 
-// Counts tells whether an instance needs no watch of its own beside such a word.
-func (w Word) Counts() bool { return w.Known && w.Age <= wordAge }
+// IsFresh reports whether a receiver of the report needs no watch of its own.
+func (r Report) IsFresh() bool { return r.Known && r.Age <= maxReportAge }
 
-// Tracker is what an instance knows of its watches.
+// Tracker tracks the watches of an instance and the reports of others.
 type Tracker struct {
 	parts map[Part]*watch
-	// place is this instance's among the watchers, 0 for the first.
-	place int
-	// proof is the latest begin of a call that was answered.
-	proof time.Time
-	// recovered is when the store is last known to have answered again after a failure.
+	// rank is this instance's rank among the watchers, 0 for the first.
+	rank int
+	// lastAnswered is the latest start of a call that the store answered.
+	lastAnswered time.Time
+	// recovered is when the store is last known to have responded again after a failure.
 	recovered time.Time
-	// told is as of when another instance knows everything.
-	told    time.Time
-	silent  int
-	standIn time.Time
+	// peerKnownAt is the time as of which another instance knows everything.
+	peerKnownAt   time.Time
+	missedReports int
+	takeoverUntil time.Time
 }
 
 // watch is the state of a part's watch.
 type watch struct {
-	// known is as of when the store has told everything.
-	known time.Time
-	// sent is the begin of the call in progress; zero if there is none.
-	sent   time.Time
-	term   time.Duration
-	failed int
+	// knownAt is the time as of which the store has returned everything.
+	knownAt time.Time
+	// sentAt is the start of the call in progress; zero if there is none.
+	sentAt   time.Time
+	timeout  time.Duration
+	failures int
 }
 
-// New returns a tracker of an instance that is the first watcher.
+// New returns a tracker for an instance that is the first watcher.
 func New() *Tracker {
 	return &Tracker{parts: map[Part]*watch{Configuration: {}, Targets: {}}}
 }
 
-// SetPlace takes this instance's place among the watchers: 0 for the first, NoWatcher for
-// one that leaves it to others.
-func (t *Tracker) SetPlace(place int) { t.place = place }
+// SetRank sets this instance's rank among the watchers: 0 for the first, NoRank for an
+// instance that leaves watching to others.
+func (t *Tracker) SetRank(rank int) { t.rank = rank }
 
-// Watches tells whether the instance is to call the store.
-func (t *Tracker) Watches(now time.Time) bool {
-	return t.place != NoWatcher || now.Before(t.standIn)
+// ShouldWatch reports whether the instance is to call the store.
+func (t *Tracker) ShouldWatch(now time.Time) bool {
+	return t.rank != NoRank || now.Before(t.takeoverUntil)
 }
 
-// isFirst tells whether the instance's watches are those that notice a silent store.
+// isFirst reports whether the instance's watches are those that detect a silent store.
 func (t *Tracker) isFirst(now time.Time) bool {
-	return t.place == 0 || (t.place > 0 && now.Before(t.standIn))
+	return t.rank == 0 || (t.rank > 0 && now.Before(t.takeoverUntil))
 }
 
-// Begin notes that a call about a part begins, and returns how long its watch is to wait.
+// BeginCall records the start of a call for a part, and returns the timeout of its watch.
 //
-// After a failure it doesn't wait: a store that is back is noticed with its first answer,
-// and not with its first news or at the end of a term.
-func (t *Tracker) Begin(now time.Time, part Part) time.Duration {
-	p := t.parts[part]
-	p.sent = now
+// After a failure the timeout is zero, so that the store's recovery shows in its first
+// response, rather than in the first change or at the end of a timeout.
+func (t *Tracker) BeginCall(now time.Time, part Part) time.Duration {
+	w := t.parts[part]
+	w.sentAt = now
 	switch {
-	case p.failed > 0:
-		p.term = 0
+	case w.failures > 0:
+		w.timeout = 0
 	case t.isFirst(now):
-		p.term = shortTerm
+		w.timeout = shortTimeout
 	default:
-		p.term = longTerm
+		w.timeout = longTimeout
 	}
-	return p.term
+	return w.timeout
 }
 
-// Answered notes the store's answer. It tells whether the store is back: it didn't answer
-// the call before.
-func (t *Tracker) Answered(now time.Time, part Part) (back bool) {
-	p := t.parts[part]
-	back = p.failed > 0
-	if back {
+// RecordResponse records a response of the store. It reports whether the store has recovered,
+// that is, whether the previous call failed.
+func (t *Tracker) RecordResponse(now time.Time, part Part) (recovered bool) {
+	w := t.parts[part]
+	recovered = w.failures > 0
+	if recovered {
 		t.recovered = now
 	}
-	t.proof = latest(t.proof, p.sent)
-	p.failed = 0
-	p.known = now
-	p.sent = time.Time{}
-	return back
+	t.lastAnswered = latest(t.lastAnswered, w.sentAt)
+	w.failures = 0
+	w.knownAt = now
+	w.sentAt = time.Time{}
+	return recovered
 }
 
-// Pause returns how long the next watch is put off after an answer with news.
+// Pause returns the delay of the next watch after a response with changes.
 func (t *Tracker) Pause(now time.Time) time.Duration {
 	if t.isFirst(now) {
 		return 0
 	}
-	return gatherFor
+	return batchDelay
 }
 
-// Failed notes that the store didn't answer. It tells whether that shows that the store is
-// away now. The failure of a deaf watch doesn't: a later call was answered, and so the
-// store was away before that.
-func (t *Tracker) Failed(part Part) (away bool) {
-	p := t.parts[part]
-	away = !t.proof.After(p.sent)
-	p.failed++
-	p.sent = time.Time{}
-	return away
+// RecordFailure records that the store didn't respond. It reports whether that shows the store
+// to be unavailable now. An orphaned watch doesn't: a later call was answered, so the store was
+// unavailable before that.
+func (t *Tracker) RecordFailure(part Part) (unavailable bool) {
+	w := t.parts[part]
+	unavailable = !t.lastAnswered.After(w.sentAt)
+	w.failures++
+	w.sentAt = time.Time{}
+	return unavailable
 }
 
-// Held notes that a call was held back here and never left. It tells nothing of the store.
-func (t *Tracker) Held(part Part) { t.parts[part].sent = time.Time{} }
+// RecordNotSent records that this instance held back a call, which proves nothing about the
+// store.
+func (t *Tracker) RecordNotSent(part Part) { t.parts[part].sentAt = time.Time{} }
 
-// Failures returns how many calls about a part in a row had no answer.
-func (t *Tracker) Failures(part Part) int { return t.parts[part].failed }
+// Failures returns the number of failed calls for a part in a row.
+func (t *Tracker) Failures(part Part) int { return t.parts[part].failures }
 
-// Resend tells whether the watch in progress is to be sent again: it proves nothing, since
-// it went out before the store was back, or its term is longer than it may be by now.
-func (t *Tracker) Resend(now time.Time, part Part) bool {
-	p := t.parts[part]
-	if p.sent.IsZero() {
+// ShouldResend reports whether the watch in progress is to be sent again, because it was sent
+// before the store recovered or its timeout is longer than now allowed.
+func (t *Tracker) ShouldResend(now time.Time, part Part) bool {
+	w := t.parts[part]
+	if w.sentAt.IsZero() {
 		return false
 	}
-	return p.sent.Before(t.recovered) || (t.isFirst(now) && p.term > shortTerm)
+	return w.sentAt.Before(t.recovered) || (t.isFirst(now) && w.timeout > shortTimeout)
 }
 
-// Recovered returns when the store is last known to have answered again; zero if it isn't
-// known to have failed.
+// Recovered returns when the store is last known to have responded again; zero if no failure
+// is known.
 func (t *Tracker) Recovered() time.Time { return t.recovered }
 
-// Age returns how old the knowledge of a part is, by the store's own answers and by the
-// word of others; 0 if there was none.
+// Age returns the age of the knowledge of a part, by the store's responses and by the reports
+// of others; 0 if the store has never answered.
 func (t *Tracker) Age(now time.Time, part Part) time.Duration {
-	known := t.parts[part].known
+	known := t.parts[part].knownAt
 	if known.IsZero() {
 		return 0
 	}
-	return now.Sub(latest(known, t.told))
+	return now.Sub(latest(known, t.peerKnownAt))
 }
 
-// Word returns what other instances are told.
-func (t *Tracker) Word(now time.Time) Word {
-	w := Word{Known: true}
-	for part, p := range t.parts {
-		w.Known = w.Known && !p.known.IsZero()
-		w.Age = max(w.Age, t.Age(now, part))
+// Report returns the report for other instances.
+func (t *Tracker) Report(now time.Time) Report {
+	r := Report{Known: true}
+	for part, w := range t.parts {
+		r.Known = r.Known && !w.knownAt.IsZero()
+		r.Age = max(r.Age, t.Age(now, part))
 	}
 	if !t.recovered.IsZero() {
-		w.Recovered = now.Sub(t.recovered)
+		r.Recovered = now.Sub(t.recovered)
 	}
-	return w
+	return r
 }
 
-// Asks tells which of the watchers is to be asked for its word, by a number below count;
-// false if none: this instance is the first. A watcher asks those before it in turn, from
-// the first on, so that one alone takes the place of one that is silent. Who doesn't watch
-// asks any of them, drawn by random.
-func (t *Tracker) Asks(count int, random func(n int) int) (nth int, ask bool) {
+// NextPoll returns the index, below count, of the watcher to poll for its report, and false if
+// there is none, as for the first watcher. A watcher polls those of lower rank, starting with
+// the first and moving on after each missed report, so that only one watcher takes over from a
+// silent one. An instance that doesn't watch polls a random watcher.
+func (t *Tracker) NextPoll(count int, random func(n int) int) (index int, poll bool) {
 	switch {
-	case t.place == 0 || count == 0:
+	case t.rank == 0 || count == 0:
 		return 0, false
-	case t.place == NoWatcher:
+	case t.rank == NoRank:
 		return random(count), true
 	default:
-		return t.silent % min(t.place, count), true
+		return t.missedReports % min(t.rank, count), true
 	}
 }
 
-// Heard takes in a watcher's answer; a zero Word if there was none. asked is when it was
-// asked. It tells whether this instance begins to watch for itself.
-func (t *Tracker) Heard(asked, now time.Time, w Word) (standsIn bool) {
-	if w.Recovered > 0 {
-		// Rather too late than too early: a watch between the two would stay deaf.
-		t.recovered = latest(t.recovered, now.Add(-w.Recovered))
+// RecordReport records the report of a watcher that was polled at a time; the zero Report if
+// there was no response. It reports whether this instance starts to watch itself.
+func (t *Tracker) RecordReport(polledAt, now time.Time, r Report) (takesOver bool) {
+	if r.Recovered > 0 {
+		// A later time than the actual one is safe; with an earlier one, a watch that was sent
+		// between the two would stay orphaned.
+		t.recovered = latest(t.recovered, now.Add(-r.Recovered))
 	}
-	if w.Counts() {
-		t.told = latest(t.told, asked.Add(-w.Age))
-		t.silent = 0
-		t.standIn = time.Time{}
+	if r.IsFresh() {
+		t.peerKnownAt = latest(t.peerKnownAt, polledAt.Add(-r.Age))
+		t.missedReports = 0
+		t.takeoverUntil = time.Time{}
 		return false
 	}
-	t.silent++
-	if t.silent < t.patience(w) {
+	t.missedReports++
+	if t.missedReports < t.maxMissed(r) {
 		return false
 	}
-	standsIn = now.After(t.standIn)
-	t.standIn = now.Add(standInFor)
-	return standsIn
+	takesOver = now.After(t.takeoverUntil)
+	t.takeoverUntil = now.Add(takeoverPeriod)
+	return takesOver
 }
 
 func latest(a, b time.Time) time.Time {
@@ -250,14 +252,14 @@
 	return b
 }
 
-// patience is how many rounds without a word that counts an instance bears, of which w is
-// the latest.
-func (t *Tracker) patience(w Word) int {
+// maxMissed returns the number of polls in a row without a fresh report after which the
+// instance watches itself. r is the last report.
+func (t *Tracker) maxMissed(r Report) int {
 	switch {
-	case t.place == NoWatcher && w.Known:
-		return deafRounds
-	case t.place == NoWatcher:
-		return silentRounds
+	case t.rank == NoRank && r.Known:
+		return maxStaleReports
+	case t.rank == NoRank:
+		return maxMissedReports
 	}
-	return silentRounds + min(t.place, maxPlace) - 1
+	return maxMissedReports + min(t.rank, maxWaitingRank) - 1
 }
--- a/coordination/watching/watching_test.go
+++ b/coordination/watching/watching_test.go
@@ -11,200 +11,204 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// well is a tracker at a place whose store answered about both parts at start.
-func well(place int) *Tracker {
+// newHealthyTracker returns a tracker of a rank, to which the store answered for both parts at
+// start.
+func newHealthyTracker(rank int) *Tracker {
 	t := New()
-	t.SetPlace(place)
+	t.SetRank(rank)
 	for _, part := range []Part{Configuration, Targets} {
-		t.Begin(at(-time.Millisecond), part)
-		t.Answered(start, part)
+		t.BeginCall(at(-time.Millisecond), part)
+		t.RecordResponse(start, part)
 	}
 	return t
 }
 
-// A watch that failed is followed by one that doesn't wait: one that did, sent while the
-// store was still silent, would be deaf for a term after its return.
-func TestTermOfAWatch(t *testing.T) {
-	first, other := well(0), well(1)
-	require.Equal(t, shortTerm, first.Begin(start, Targets))
-	require.Equal(t, longTerm, other.Begin(start, Targets))
+// After a failed watch, the next one has no timeout: a watch sent while the store is still
+// silent would be orphaned for its whole timeout after the recovery.
+func TestWatchTimeout(t *testing.T) {
+	first, other := newHealthyTracker(0), newHealthyTracker(1)
+	require.Equal(t, shortTimeout, first.BeginCall(start, Targets))
+	require.Equal(t, longTimeout, other.BeginCall(start, Targets))
 	for _, tracker := range []*Tracker{first, other} {
-		tracker.Failed(Targets)
-		require.Zero(t, tracker.Begin(at(time.Second), Targets))
-		tracker.Answered(at(time.Second), Targets)
-		require.NotZero(t, tracker.Begin(at(time.Second), Targets))
+		tracker.RecordFailure(Targets)
+		require.Zero(t, tracker.BeginCall(at(time.Second), Targets))
+		tracker.RecordResponse(at(time.Second), Targets)
+		require.NotZero(t, tracker.BeginCall(at(time.Second), Targets))
 	}
 }
 
-// A watch of the targets goes out while the store is silent and fails seconds after the
-// store's return. Meanwhile a watch of the configuration, sent later, was answered: the
-// store isn't away, and what vanishes now has left.
-func TestDeafWatchIsNoSignOfTrouble(t *testing.T) {
-	tracker := well(1)
-	tracker.Begin(at(time.Second), Targets)
-	require.True(t, tracker.Failed(Targets), "nothing was answered since")
-
-	tracker.Begin(at(2*time.Second), Targets)
-	tracker.Begin(at(3*time.Second), Configuration)
-	tracker.Answered(at(4*time.Second), Configuration)
-	require.False(t, tracker.Failed(Targets))
+// A watch of the targets is sent while the store is silent and fails seconds after the store's
+// recovery. Meanwhile a watch of the configuration, sent later, was answered: the store isn't
+// unavailable, and entries that vanish now have been removed.
+func TestOrphanedWatchIsNoOutage(t *testing.T) {
+	tracker := newHealthyTracker(1)
+	tracker.BeginCall(at(time.Second), Targets)
+	require.True(t, tracker.RecordFailure(Targets), "no later call was answered")
+
+	tracker.BeginCall(at(2*time.Second), Targets)
+	tracker.BeginCall(at(3*time.Second), Configuration)
+	tracker.RecordResponse(at(4*time.Second), Configuration)
+	require.False(t, tracker.RecordFailure(Targets))
 }
 
-// The store answers about one part after a failure. The watch of the other part went out
-// before: nobody knows whether it was received.
-func TestWatchFromBeforeTheReturnIsSentAgain(t *testing.T) {
-	tracker := well(0)
-	tracker.Begin(at(time.Second), Configuration)
-	tracker.Begin(at(time.Second), Targets)
-	require.False(t, tracker.Answered(at(2*time.Second), Configuration))
-	require.False(t, tracker.Resend(at(2*time.Second), Targets))
-
-	tracker.Begin(at(2*time.Second), Configuration)
-	tracker.Failed(Configuration)
-	tracker.Begin(at(3*time.Second), Configuration)
-	require.True(t, tracker.Answered(at(3*time.Second), Configuration))
-	require.True(t, tracker.Resend(at(3*time.Second), Targets))
-	tracker.Begin(at(4*time.Second), Targets)
-	require.False(t, tracker.Resend(at(4*time.Second), Targets), "it went out since")
+// The store answers for one part after a failure. The watch of the other part was sent before,
+// and may never have been received.
+func TestWatchFromBeforeRecoveryIsResent(t *testing.T) {
+	tracker := newHealthyTracker(0)
+	tracker.BeginCall(at(time.Second), Configuration)
+	tracker.BeginCall(at(time.Second), Targets)
+	require.False(t, tracker.RecordResponse(at(2*time.Second), Configuration))
+	require.False(t, tracker.ShouldResend(at(2*time.Second), Targets))
+
+	tracker.BeginCall(at(2*time.Second), Configuration)
+	tracker.RecordFailure(Configuration)
+	tracker.BeginCall(at(3*time.Second), Configuration)
+	require.True(t, tracker.RecordResponse(at(3*time.Second), Configuration))
+	require.True(t, tracker.ShouldResend(at(3*time.Second), Targets))
+	tracker.BeginCall(at(4*time.Second), Targets)
+	require.False(t, tracker.ShouldResend(at(4*time.Second), Targets), "it was sent after the recovery")
 }
 
-// The same by the word of another instance, which had the failure.
-func TestWordOfTheReturn(t *testing.T) {
-	tracker := well(2)
-	tracker.Begin(at(time.Second), Targets)
-	tracker.Heard(at(5*time.Second), at(5*time.Second), Word{Known: true, Recovered: 3 * time.Second})
-	require.True(t, tracker.Resend(at(5*time.Second), Targets))
+// As before, but the failure and recovery are reported by another instance.
+func TestReportedRecovery(t *testing.T) {
+	tracker := newHealthyTracker(2)
+	tracker.BeginCall(at(time.Second), Targets)
+	tracker.RecordReport(at(5*time.Second), at(5*time.Second), Report{Known: true, Recovered: 3 * time.Second})
+	require.True(t, tracker.ShouldResend(at(5*time.Second), Targets))
 	require.Equal(t, at(2*time.Second), tracker.Recovered())
-	tracker.Begin(at(5*time.Second), Targets)
-	tracker.Heard(at(6*time.Second), at(6*time.Second), Word{Known: true, Recovered: 4 * time.Second})
-	require.False(t, tracker.Resend(at(6*time.Second), Targets), "the same return")
+	tracker.BeginCall(at(5*time.Second), Targets)
+	tracker.RecordReport(at(6*time.Second), at(6*time.Second), Report{Known: true, Recovered: 4 * time.Second})
+	require.False(t, tracker.ShouldResend(at(6*time.Second), Targets), "the same recovery")
 }
 
-// The first watcher hears nothing more. Its word counts until it is too old; then the
-// second takes its place, the others find its word good, and it gives the place back.
-func TestNextWatcherTakesThePlace(t *testing.T) {
-	second, third := well(1), well(2)
-	random := func(int) int { panic("watchers ask in turn") }
-	silent := Word{Known: true, Age: wordAge + 1}
-	fresh := Word{Known: true, Age: shortTerm}
-	for round := 1; round <= silentRounds; round++ {
-		now := at(time.Duration(round) * time.Second)
-		nth, ask := second.Asks(6, random)
-		require.True(t, ask)
-		require.Equal(t, 0, nth)
-		require.Equal(t, round == silentRounds, second.Heard(now, now, silent))
-
-		nth, _ = third.Asks(6, random)
-		require.Equal(t, round-1, nth)
-		word := silent
-		if nth == 1 {
-			word = fresh
+// The first watcher no longer receives responses. Its report is fresh until it is too old. Then
+// the second watcher takes over, its reports are fresh to the others, and it steps back once
+// the first is fresh again.
+func TestNextWatcherTakesOver(t *testing.T) {
+	second, third := newHealthyTracker(1), newHealthyTracker(2)
+	random := func(int) int { panic("watchers poll in order") }
+	silent := Report{Known: true, Age: maxReportAge + 1}
+	fresh := Report{Known: true, Age: shortTimeout}
+	for poll := 1; poll <= maxMissedReports; poll++ {
+		now := at(time.Duration(poll) * time.Second)
+		index, ok := second.NextPoll(6, random)
+		require.True(t, ok)
+		require.Equal(t, 0, index)
+		require.Equal(t, poll == maxMissedReports, second.RecordReport(now, now, silent))
+
+		index, _ = third.NextPoll(6, random)
+		require.Equal(t, poll-1, index)
+		report := silent
+		if index == 1 {
+			report = fresh
 		}
-		require.False(t, third.Heard(now, now, word))
+		require.False(t, third.RecordReport(now, now, report))
 	}
 	now := at(3 * time.Second)
-	require.Equal(t, shortTerm, second.Begin(now, Targets))
-	require.Equal(t, longTerm, third.Begin(now, Targets))
-	second.Heard(now, now, fresh)
-	require.Equal(t, longTerm, second.Begin(now, Targets))
+	require.Equal(t, shortTimeout, second.BeginCall(now, Targets))
+	require.Equal(t, longTimeout, third.BeginCall(now, Targets))
+	second.RecordReport(now, now, fresh)
+	require.Equal(t, longTimeout, second.BeginCall(now, Targets))
 }
 
-// A watcher that takes a place with a long watch in progress may have a deaf one.
-func TestLongWatchIsSentAgainWithTheFirstPlace(t *testing.T) {
-	tracker := well(1)
-	tracker.Begin(start, Targets)
-	tracker.SetPlace(0)
-	require.True(t, tracker.Resend(start, Targets))
-	require.Equal(t, shortTerm, tracker.Begin(start, Targets))
-	require.False(t, tracker.Resend(start, Targets))
+// A watcher that becomes the first during a long watch may have an orphaned one.
+func TestLongWatchIsResentByNewFirstWatcher(t *testing.T) {
+	tracker := newHealthyTracker(1)
+	tracker.BeginCall(start, Targets)
+	tracker.SetRank(0)
+	require.True(t, tracker.ShouldResend(start, Targets))
+	require.Equal(t, shortTimeout, tracker.BeginCall(start, Targets))
+	require.False(t, tracker.ShouldResend(start, Targets))
 }
 
-// An instance that leaves the watching to others asks any of them, watches for itself when
-// none has a word that counts, and stops when that time is over.
-func TestInstanceThatDoesNotWatch(t *testing.T) {
-	tracker := well(NoWatcher)
-	require.False(t, tracker.Watches(start))
-	nth, ask := tracker.Asks(6, func(n int) int { return n - 1 })
-	require.True(t, ask)
-	require.Equal(t, 5, nth)
-	require.False(t, tracker.Heard(start, start, Word{}))
-	require.True(t, tracker.Heard(start, start, Word{}))
-	require.False(t, tracker.Heard(start, start, Word{}), "it does so already")
-	require.True(t, tracker.Watches(start))
-	require.Equal(t, longTerm, tracker.Begin(start, Targets))
-	require.False(t, tracker.Watches(at(standInFor)))
+// An instance that leaves watching to others polls any of them, watches itself if no report is
+// fresh, and stops at the end of the takeover period.
+func TestInstanceWithoutRank(t *testing.T) {
+	tracker := newHealthyTracker(NoRank)
+	require.False(t, tracker.ShouldWatch(start))
+	index, ok := tracker.NextPoll(6, func(n int) int { return n - 1 })
+	require.True(t, ok)
+	require.Equal(t, 5, index)
+	require.False(t, tracker.RecordReport(start, start, Report{}))
+	require.True(t, tracker.RecordReport(start, start, Report{}))
+	require.False(t, tracker.RecordReport(start, start, Report{}), "it watches already")
+	require.True(t, tracker.ShouldWatch(start))
+	require.Equal(t, longTimeout, tracker.BeginCall(start, Targets))
+	require.False(t, tracker.ShouldWatch(at(takeoverPeriod)))
 }
 
-// The store is away for all watchers of a large fleet. They say so, and the many who don't
-// watch wait longer before they call it as well; they stop as soon as a watcher hears it.
-func TestDeafWatchersAreGivenTime(t *testing.T) {
-	tracker := well(NoWatcher)
-	for range deafRounds - 1 {
-		require.False(t, tracker.Heard(start, start, Word{Known: true, Age: time.Minute}))
+// The store is unavailable to all watchers of a large fleet, and they report so. The many
+// instances that don't watch wait longer before they call it as well, and stop as soon as a
+// watcher's report is fresh.
+func TestStaleReportsDelayTakeover(t *testing.T) {
+	tracker := newHealthyTracker(NoRank)
+	for range maxStaleReports - 1 {
+		require.False(t, tracker.RecordReport(start, start, Report{Known: true, Age: time.Minute}))
 	}
-	require.True(t, tracker.Heard(start, start, Word{Known: true, Age: time.Minute}))
-	require.True(t, tracker.Watches(start))
-	tracker.Heard(start, start, Word{Known: true})
-	require.False(t, tracker.Watches(start))
+	require.True(t, tracker.RecordReport(start, start, Report{Known: true, Age: time.Minute}))
+	require.True(t, tracker.ShouldWatch(start))
+	tracker.RecordReport(start, start, Report{Known: true})
+	require.False(t, tracker.ShouldWatch(start))
 }
 
-// A change wakes all watchers. The first goes on at once; the others gather what follows.
-func TestOthersGatherNews(t *testing.T) {
-	require.Zero(t, well(0).Pause(start))
-	require.Equal(t, gatherFor, well(1).Pause(start))
-	require.Equal(t, gatherFor, well(NoWatcher).Pause(start))
+// A change answers all watches. The first watcher sends the next at once, the others wait for
+// further changes.
+func TestOtherWatchersBatchChanges(t *testing.T) {
+	require.Zero(t, newHealthyTracker(0).Pause(start))
+	require.Equal(t, batchDelay, newHealthyTracker(1).Pause(start))
+	require.Equal(t, batchDelay, newHealthyTracker(NoRank).Pause(start))
 }
 
-// The age of what is known is that of the older part, and grows less by another's word.
+// A report has the age of the older part, and reports of others reduce the age.
 func TestAge(t *testing.T) {
 	require.Zero(t, New().Age(start, Targets))
-	require.False(t, New().Word(start).Counts(), "nothing is known")
-	tracker := well(3)
-	tracker.Begin(start, Targets)
-	tracker.Answered(at(time.Second), Targets)
+	require.False(t, New().Report(start).IsFresh(), "nothing is known")
+	tracker := newHealthyTracker(3)
+	tracker.BeginCall(start, Targets)
+	tracker.RecordResponse(at(time.Second), Targets)
 	now := at(3 * time.Second)
 	require.Equal(t, 2*time.Second, tracker.Age(now, Targets))
-	require.Equal(t, 3*time.Second, tracker.Word(now).Age)
-	require.False(t, tracker.Word(now).Counts())
-	tracker.Heard(at(2900*time.Millisecond), now, Word{Known: true, Age: 400 * time.Millisecond})
+	require.Equal(t, 3*time.Second, tracker.Report(now).Age)
+	require.False(t, tracker.Report(now).IsFresh())
+	tracker.RecordReport(at(2900*time.Millisecond), now, Report{Known: true, Age: 400 * time.Millisecond})
 	require.Equal(t, 500*time.Millisecond, tracker.Age(now, Targets))
-	require.Equal(t, 500*time.Millisecond, tracker.Word(now).Age)
-	require.True(t, tracker.Word(now).Counts())
+	require.Equal(t, 500*time.Millisecond, tracker.Report(now).Age)
+	require.True(t, tracker.Report(now).IsFresh())
 }
 
-// Two instances each take the other for the first watcher. Their words are of one another's
-// and grow old, until both watch.
-func TestWordsOfOneAnotherGrowOld(t *testing.T) {
-	a, b := well(1), well(1)
+// Two instances each treat the other as the first watcher. Their reports are based on one
+// another and grow older, until both watch.
+func TestMutualReportsExpire(t *testing.T) {
+	a, b := newHealthyTracker(1), newHealthyTracker(1)
 	for now := start; now.Before(at(8 * time.Second)); now = now.Add(700 * time.Millisecond) {
-		a.Heard(now, now, b.Word(now))
-		b.Heard(now, now, a.Word(now))
+		a.RecordReport(now, now, b.Report(now))
+		b.RecordReport(now, now, a.Report(now))
 	}
 	now := at(8 * time.Second)
-	require.Equal(t, shortTerm, a.Begin(now, Targets))
-	require.Equal(t, shortTerm, b.Begin(now, Targets))
+	require.Equal(t, shortTimeout, a.BeginCall(now, Targets))
+	require.Equal(t, shortTimeout, b.BeginCall(now, Targets))
 }
 
-// A call that was held back here tells nothing of the store.
-func TestHeldCallIsNoFailure(t *testing.T) {
-	tracker := well(0)
-	tracker.Begin(start, Targets)
-	tracker.Held(Targets)
+// A call that was held back proves nothing about the store.
+func TestCallNotSentIsNoFailure(t *testing.T) {
+	tracker := newHealthyTracker(0)
+	tracker.BeginCall(start, Targets)
+	tracker.RecordNotSent(Targets)
 	require.Zero(t, tracker.Failures(Targets))
-	require.Equal(t, shortTerm, tracker.Begin(start, Targets))
-	require.False(t, tracker.Answered(start, Targets))
+	require.Equal(t, shortTimeout, tracker.BeginCall(start, Targets))
+	require.False(t, tracker.RecordResponse(start, Targets))
 }
 
-// The first watcher dies in a fleet of eight. If all seven others took its place in the same
-// round, each would call the store like it: those behind bear more rounds without a word.
-func TestThoseBehindBearMoreRounds(t *testing.T) {
-	rounds := map[int]int{1: 2, 2: 3, 3: 4, 6: 4, NoWatcher: 2}
-	for place, want := range rounds {
-		tracker := well(place)
-		made := 1
-		for !tracker.Heard(start, start, Word{}) {
-			made++
+// The first watcher of a fleet of eight fails. If all seven others took over at the same time,
+// each would call the store as often as the first: those of higher rank wait longer.
+func TestHigherRanksWaitLonger(t *testing.T) {
+	polls := map[int]int{1: 2, 2: 3, 3: 4, 6: 4, NoRank: 2}
+	for rank, want := range polls {
+		tracker := newHealthyTracker(rank)
+		got := 1
+		for !tracker.RecordReport(start, start, Report{}) {
+			got++
 		}
-		require.Equal(t, want, made, "place %d", place)
+		require.Equal(t, want, got, "rank %d", rank)
 	}
 }
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -236,7 +236,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent[part] = cancel
-	return f.watching.Begin(now, part)
+	return f.watching.BeginCall(now, part)
 }
 
 // noteAnswer notes that the store answered, before what it told is taken in: entries that
@@ -248,7 +248,7 @@
 	defer f.mu.Unlock()
 	delete(f.sent, k.part)
 	told := telemetry.Event{Record: k.kind, Count: f.watching.Failures(k.part), Known: f.watching.Age(now, k.part)}
-	if f.watching.Answered(now, k.part) {
+	if f.watching.RecordResponse(now, k.part) {
 		f.roster.RecordStoreFailure(now)
 		f.resend(now)
 		telemetry.InfoS("Store answers again", told)
@@ -276,8 +276,8 @@
 	told := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), Known: f.watching.Age(now, k.part)}
 	switch {
 	case errors.Is(err, platform.ErrBudget):
-		f.watching.Held(k.part)
-	case f.watching.Failed(k.part) && !errors.Is(err, platform.ErrOutage):
+		f.watching.RecordNotSent(k.part)
+	case f.watching.RecordFailure(k.part) && !errors.Is(err, platform.ErrOutage):
 		f.roster.RecordStoreFailure(now)
 	}
 	f.mu.Unlock()
@@ -288,7 +288,7 @@
 		telemetry.ErrorS(err, "Store still doesn't answer", told)
 	}
 	most := retryMax
-	if f.options.Fleet.Place() == watching.NoWatcher {
+	if f.options.Fleet.Place() == watching.NoRank {
 		most = standInRetryMax
 	}
 	pause(ctx, min(retryMin<<min(failed, 4), most)+rand.N(retryMin))
--- a/daemon/follow/patrol.go
+++ b/daemon/follow/patrol.go
@@ -36,7 +36,7 @@
 	AwaitJoin(ctx context.Context)
 	// AskWatcher asks the watcher of a place for its word; a zero Word if it doesn't
 	// answer.
-	AskWatcher(ctx context.Context, place int) watching.Word
+	AskWatcher(ctx context.Context, place int) watching.Report
 }
 
 // alone is a fleet of one instance.
@@ -50,13 +50,13 @@
 
 func (alone) AwaitJoin(context.Context) {}
 
-func (alone) AskWatcher(context.Context, int) watching.Word { return watching.Word{} }
+func (alone) AskWatcher(context.Context, int) watching.Report { return watching.Report{} }
 
 // Word returns what this instance tells another of its knowledge.
-func (f *Follower) Word() watching.Word {
+func (f *Follower) Word() watching.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watching.Word(time.Now())
+	return f.watching.Report(time.Now())
 }
 
 // watches tells whether this instance is to call the store now.
@@ -64,8 +64,8 @@
 	place := f.options.Fleet.Place()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watching.SetPlace(place)
-	return f.watching.Watches(time.Now())
+	f.watching.SetRank(place)
+	return f.watching.ShouldWatch(time.Now())
 }
 
 // awaitDuty waits until this instance is to call the store.
@@ -89,7 +89,7 @@
 	f.watches()
 	watchers := f.options.Fleet.Watchers()
 	f.mu.Lock()
-	place, ask := f.watching.Asks(watchers, rand.IntN)
+	place, ask := f.watching.NextPoll(watchers, rand.IntN)
 	f.mu.Unlock()
 	if ask {
 		f.hear(ctx, place)
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.watching.Recovered()
-	if f.watching.Heard(asked, time.Now(), word) {
+	if f.watching.RecordReport(asked, time.Now(), word) {
 		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: word.Age})
 		if word.Known {
 			// The store is away for a watcher that lives. What this instance hears first,
@@ -127,7 +127,7 @@
 // resend ends the watches that are to be sent again; mu is held.
 func (f *Follower) resend(now time.Time) {
 	for part, cancel := range f.sent {
-		if f.watching.Resend(now, part) {
+		if f.watching.ShouldResend(now, part) {
 			cancel(errResend)
 		}
 	}
--- a/daemon/follow/patrol_test.go
+++ b/daemon/follow/patrol_test.go
@@ -34,7 +34,7 @@
 	if s.i < fleetWatchers || s.all {
 		return min(s.i, fleetWatchers)
 	}
-	return watching.NoWatcher
+	return watching.NoRank
 }
 
 func (s seat) AllWatch() bool { return s.all }
@@ -60,10 +60,10 @@
 
 func (n newcomer) AwaitJoin(context.Context) { time.Sleep(time.Until(n.joins)) }
 
-func (s seat) AskWatcher(ctx context.Context, place int) watching.Word {
+func (s seat) AskWatcher(ctx context.Context, place int) watching.Report {
 	if s.fl.isCut(s.i) || s.fl.isCut(place) {
 		<-ctx.Done()
-		return watching.Word{}
+		return watching.Report{}
 	}
 	time.Sleep(time.Millisecond) // virtual
 	return s.fl.followers[place].Word()
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -146,7 +146,7 @@
 		return msgpack.Marshal(g.follower.Word())
 	}, peer.Idempotent())
 	g.cluster.Handle(methodHears, func(context.Context, peer.Peer, []byte) ([]byte, error) {
-		return msgpack.Marshal(g.follower.Word().Counts())
+		return msgpack.Marshal(g.follower.Word().IsFresh())
 	}, peer.Idempotent())
 	g.stages = stages.New(g.cluster, p.Dialect, g.client, g.follower, t.Scope)
 	g.blocklist = blocklist.New(g.cluster, quarantine.DefaultConfig(), t.Scope)
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -54,7 +54,7 @@
 	if f.AllWatch() {
 		return len(owners)
 	}
-	return watching.NoWatcher
+	return watching.NoRank
 }
 
 // AllWatch implements follow.Fleet.
@@ -69,19 +69,19 @@
 }
 
 // AskWatcher implements follow.Fleet.
-func (f fleet) AskWatcher(ctx context.Context, place int) watching.Word {
+func (f fleet) AskWatcher(ctx context.Context, place int) watching.Report {
 	owners := f.owners()
 	if place >= len(owners) {
-		return watching.Word{}
+		return watching.Report{}
 	}
-	var word watching.Word
+	var word watching.Report
 	answer, err := f.g.cluster.Call(ctx, owners[place].Address, methodWord, nil)
 	if err != nil {
-		return watching.Word{} // a watcher that can't be asked is no help, whatever it knows
+		return watching.Report{} // a watcher that can't be asked is no help, whatever it knows
 	}
 	if err := msgpack.Unmarshal(answer, &word); err != nil {
 		klog.ErrorS(err, "Answer of a peer could not be read", "peer", owners[place].Name, "step", methodWord)
-		return watching.Word{}
+		return watching.Report{}
 	}
 	return word
 }
