--- a/coordination/holder/holder.go
+++ b/coordination/holder/holder.go
@@ -1,10 +1,10 @@
-// Package holder decides which instance does what one does for all, such as holding
-// the queue of the stage targets. All instances work it out from their views, so it
-// is a hint: two views may differ for a while, and two holders at once must do no
-// harm.
+// Package holder decides which instance performs a duty for the whole fleet, such as holding
+// the queue of the stage targets. Each instance decides from its own view of the membership,
+// so the result is a hint: two views may differ for a while, and two holders at the same time
+// must do no harm.
 //
-// The load it answers: the queue of a fleet of which most instances are small and a few
-// have several times the processor share and the link.
+// It is made for fleets in which most instances are small and a few have several times their
+// processor share and link capacity.
 package holder
 
 import (
@@ -13,13 +13,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// Pick returns the live member with the most capacity, and of several the one that
-// has run longest; the instance itself if all others are avoided.
+// Pick returns the live member with the highest capacity, and of those the one that has run
+// the longest. It returns the instance itself if all others are avoided.
 //
-// An instance that starts again is the youngest, so a duty moves only when its holder
-// ends. Chosen by a hash of names, it would come back to each holder that was
-// restarted, and while instances are restarted in turn several would hold a part of
-// it.
+// A restarted instance counts as the youngest, so a duty moves only when its holder ends. If
+// the holder were chosen by a hash of names, the duty would move back to each restarted
+// holder, and several instances would hold a part of it during a rolling restart.
 func Pick(view *membership.View, avoided func(name string) bool) membership.Member {
 	chosen, _ := view.Find(view.Self)
 	found := chosen.Live() && chosen.Name != ""
@@ -27,19 +26,19 @@
 		if m.Name != view.Self && avoided(m.Name) {
 			continue
 		}
-		if !found || before(m, chosen) {
+		if !found || preferred(m, chosen) {
 			chosen, found = m, true
 		}
 	}
 	return chosen
 }
 
-// before tells whether a is chosen rather than b. No two members are alike in it.
+// preferred reports whether a is preferred to b. It is a strict total order.
 //
-// It guards against instances that start in the same instant: without the name each of
-// them picks itself for as long as both live, and two queues take each other's places
-// and room at the targets.
-func before(a, b membership.Member) bool {
+// The name breaks the tie of instances that start at the same instant. Without it each of
+// them would pick itself for as long as both live, and two queues would claim each other's
+// slots at the targets.
+func preferred(a, b membership.Member) bool {
 	return cmp.Or(
 		cmp.Compare(b.Capacity, a.Capacity),
 		cmp.Compare(a.Incarnation, b.Incarnation),
--- a/coordination/holder/holder_test.go
+++ b/coordination/holder/holder_test.go
@@ -12,9 +12,9 @@
 	return membership.Member{Name: name, Capacity: capacity, Incarnation: incarnation, State: state}
 }
 
-// A fleet of many small instances and a few large ones is restarted one by one. Held
-// by the oldest, the queue would stand on an instance too small for it, which is the
-// next to be restarted besides.
+// A fleet of many small instances and a few large ones is restarted one by one. If the oldest
+// held the queue, it would be on an instance that is too small for it and is the next to be
+// restarted.
 func TestPick(t *testing.T) {
 	const alive, suspect, dead, left = membership.Alive, membership.Suspect, membership.Dead, membership.Left
 	cases := map[string]struct {
@@ -25,7 +25,7 @@
 		"the largest, though the youngest": {[]membership.Member{member("a", 192, 1, alive), member("b", 800, 9, alive)}, "", "b"},
 		"of the largest the oldest":        {[]membership.Member{member("a", 800, 5, alive), member("b", 800, 3, alive), member("c", 192, 1, alive)}, "", "b"},
 		"a suspect still counts":           {[]membership.Member{member("a", 192, 1, alive), member("b", 800, 9, suspect)}, "", "b"},
-		"not one that is gone":             {[]membership.Member{member("a", 192, 1, alive), member("b", 800, 9, dead), member("c", 800, 2, left)}, "", "a"},
+		"neither dead nor left":            {[]membership.Member{member("a", 192, 1, alive), member("b", 800, 9, dead), member("c", 800, 2, left)}, "", "a"},
 		"not one that is avoided":          {[]membership.Member{member("a", 192, 1, alive), member("b", 800, 9, alive)}, "b", "a"},
 		"itself, avoided or not":           {[]membership.Member{member("a", 192, 1, alive)}, "a", "a"},
 		"unknown capacity is the least":    {[]membership.Member{member("a", 0, 1, alive), member("b", 192, 9, alive)}, "", "b"},
@@ -39,22 +39,22 @@
 	}
 }
 
-// Two instances start in the same instant, as when a data centre's power comes back.
-// Each found that the other isn't older and took itself for the holder, for as long as
-// both lived: two queues filled the stage targets' few places and gave each other's
-// room away, and on a calm day a fifth of the answers in time were lost.
-func TestAllPickTheSameOfEqualMembers(t *testing.T) {
+// Two instances start at the same instant, as after a power failure of a data centre. Without
+// a tie-break each took itself for the holder for as long as both lived: two queues filled the
+// stage targets' few slots and released each other's. On a calm day a fifth of the responses
+// that would have met their deadlines were lost.
+func TestEqualMembersPickTheSameHolder(t *testing.T) {
 	members := []membership.Member{
 		member("a", 800, 5, membership.Alive), member("b", 800, 5, membership.Alive), member("c", 800, 5, membership.Alive),
 	}
 	for _, self := range []string{"a", "b", "c"} {
 		got := Pick(membership.NewView(1, self, members), func(string) bool { return false })
-		require.Equal(t, "a", got.Name, "as %s sees it", self)
+		require.Equal(t, "a", got.Name, "in the view of %s", self)
 	}
 }
 
-// An instance stops and gives its duties to the one that all others pick next, though
-// it still counts itself as live.
+// A stopping instance hands its duties over to the instance that all others pick next, although
+// it is still live in its own view.
 func TestNext(t *testing.T) {
 	view := membership.NewView(1, "a", []membership.Member{
 		member("a", 800, 1, membership.Alive), member("b", 192, 2, membership.Alive),
--- a/coordination/holder/next.go
+++ b/coordination/holder/next.go
@@ -2,8 +2,8 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/membership"
 
-// Next returns the live member that holds a duty once the instance itself has left,
-// as all others pick it; false if there is none that isn't avoided.
+// Next returns the live member that holds a duty once this instance has left, as all others
+// pick it; false if all others are avoided.
 func Next(view *membership.View, avoided func(name string) bool) (membership.Member, bool) {
 	var chosen membership.Member
 	found := false
@@ -11,7 +11,7 @@
 		if m.Name == view.Self || avoided(m.Name) {
 			continue
 		}
-		if !found || before(m, chosen) {
+		if !found || preferred(m, chosen) {
 			chosen, found = m, true
 		}
 	}
--- a/coordination/holder/stall.go
+++ b/coordination/holder/stall.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// stalledFor is the time without a sign after which those who wait for a holder ask
-// another one.
-const stalledFor = time.Second
+// stallThreshold is the silence after which those who wait for a holder turn to another one.
+const stallThreshold = time.Second
 
-// Stall finds out that an instance stood still, as while its machine was suspended. It
-// must be asked more often than once in stalledFor while the instance runs.
-type Stall struct {
-	wall time.Time
-	// ahead is how far the clock since the machine's boot is ahead of the time of day.
-	ahead time.Duration
+// StallDetector detects that the instance was stalled, for example while its machine was
+// suspended. Check must be called more often than once per stallThreshold.
+type StallDetector struct {
+	lastCheck time.Time
+	// bootOffset is how far the clock since the machine's boot is ahead of the time of day.
+	bootOffset time.Duration
 }
 
-// Look tells whether the instance stood still since the last look: by the time of day,
-// and by the clock since the machine's boot where the time of day says so, since that
-// may have been set.
-func (s *Stall) Look(wall time.Time, boot func() time.Time) bool {
+// Check reports whether the instance was stalled since the previous call. If the time of day
+// suggests so, the clock since the machine's boot decides, since the time of day may have been
+// set.
+func (s *StallDetector) Check(wall time.Time, boot func() time.Time) bool {
 	wall = wall.Round(0)
-	before := s.wall
-	s.wall = wall
-	if elapsed := wall.Sub(before); !before.IsZero() && elapsed >= 0 && elapsed < stalledFor {
+	previous := s.lastCheck
+	s.lastCheck = wall
+	if elapsed := wall.Sub(previous); !previous.IsZero() && elapsed >= 0 && elapsed < stallThreshold {
 		return false
 	}
 	now := boot()
-	stalled := !before.IsZero() && now.Sub(before.Add(s.ahead)) >= stalledFor
-	s.ahead = now.Sub(wall)
+	stalled := !previous.IsZero() && now.Sub(previous.Add(s.bootOffset)) >= stallThreshold
+	s.bootOffset = now.Sub(wall)
 	return stalled
 }
--- a/coordination/holder/stall_test.go
+++ b/coordination/holder/stall_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStall guards against a holder that goes on with its queue after it stood still,
-// and against one that gives it away since its time of day was set.
-func TestStall(t *testing.T) {
+// Prevents a holder from continuing with its queue after a stall, and from giving it up because
+// the time of day was set.
+func TestStallDetector(t *testing.T) {
 	wall, boot := time.Unix(1000, 0), time.Unix(50, 0)
-	var s Stall
-	look := func(wallStep, bootStep time.Duration) bool {
+	var s StallDetector
+	check := func(wallStep, bootStep time.Duration) bool {
 		wall, boot = wall.Add(wallStep), boot.Add(bootStep)
-		return s.Look(wall, func() time.Time { return boot })
+		return s.Check(wall, func() time.Time { return boot })
 	}
 	const tick = 100 * time.Millisecond
-	require.False(t, look(0, 0), "the first look")
+	require.False(t, check(0, 0), "the first check")
 	for range 50 {
-		require.False(t, look(tick, tick))
+		require.False(t, check(tick, tick))
 	}
-	require.True(t, look(4*time.Second, 4*time.Second), "suspended")
-	require.False(t, look(tick, tick), "told once")
-	require.False(t, look(2*time.Second, tick), "the time of day is set ahead")
-	require.False(t, look(-2*time.Second, tick), "and back")
-	require.False(t, look(tick, tick))
-	require.True(t, look(1500*time.Millisecond, 1500*time.Millisecond))
+	require.True(t, check(4*time.Second, 4*time.Second), "suspended")
+	require.False(t, check(tick, tick), "reported once")
+	require.False(t, check(2*time.Second, tick), "the time of day is set ahead")
+	require.False(t, check(-2*time.Second, tick), "and back")
+	require.False(t, check(tick, tick))
+	require.True(t, check(1500*time.Millisecond, 1500*time.Millisecond))
 }
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -58,7 +58,7 @@
 	waiting map[string]chan outcome
 	freeing map[gather.Target][]string
 	// stall finds out that this instance stood still, by boot beside the time of day.
-	stall holder.Stall
+	stall holder.StallDetector
 	boot  boottime.Clock
 	// stalled is called once the queue is frozen since this instance stood still.
 	stalled func()
--- a/daemon/stages/yield.go
+++ b/daemon/stages/yield.go
@@ -14,7 +14,7 @@
 // targets.
 func (o *Owner) enter() {
 	o.mu.Lock()
-	if !o.stall.Look(time.Now(), o.boot) || o.frozen || o.movedTo != "" || !o.holdsWork() {
+	if !o.stall.Check(time.Now(), o.boot) || o.frozen || o.movedTo != "" || !o.holdsWork() {
 		return
 	}
 	o.export()
