--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,58 +1,58 @@
-// Package drain decides what an instance that stops as planned still takes, and until
-// when, so that each request that a caller has sent gets an answer or a true refusal
-// before the process ends.
+// Package drain decides which requests an instance still accepts during a planned stop, and
+// until when, so that each request receives a response or a definite refusal before the
+// process ends.
 //
-// What can't end in time is refused as early as that is known: its caller can then be
-// served by another instance, where one that waits until the end can't any more.
+// A request that can't end in time is refused as early as that is known: its caller can then
+// be served by another instance, which is no longer possible at the end of the stop.
 package drain
 
 import "time"
 
-// Window is the time of a planned stop.
+// Window is the period of a planned stop.
 type Window struct {
-	Began time.Time
-	// Noticed is when the balancer has surely noticed.
-	Noticed time.Time
-	// Ends is when the last answer must have been given.
-	Ends time.Time
+	Start time.Time
+	// BalancerNoticed is when the balancer has certainly noticed the stop.
+	BalancerNoticed time.Time
+	// End is when the last response must be complete.
+	End time.Time
 }
 
-// lateArrival is how long after the balancer has noticed requests are still taken whose
-// end nobody can know: they may have been accepted just before. What comes later comes on
-// kept connections, and its caller loses nothing by going elsewhere.
-const lateArrival = 300 * time.Millisecond
+// arrivalGrace is how long after BalancerNoticed requests of unknown duration are accepted, as
+// the balancer may have accepted them just before. Later ones arrive on kept connections, and
+// their callers lose nothing by going elsewhere.
+const arrivalGrace = 300 * time.Millisecond
 
-// Request is what the decisions need to know of a request.
+// Request is what the decisions depend on.
 type Request struct {
 	Arrived time.Time
-	// Deadline is when its answer is due at the latest.
+	// Deadline is when its response is due.
 	Deadline time.Time
-	// Streams tells that its answer may go on for longer than is known.
-	Streams bool
-	// Usual is how long answers of its kind usually take once it has been sent.
-	Usual time.Duration
+	// Streaming is true if its response may take longer than is known in advance.
+	Streaming bool
+	// Expected is how long responses of its kind usually take once it has been sent.
+	Expected time.Duration
 }
 
-// Takes tells whether a request that has just come is served. A plain one is if its answer
-// is there for sure; until the balancer has noticed, any other too while its usual time
-// is left: refused, its caller might be sent here again.
-func (w Window) Takes(r Request) bool {
-	if !r.Streams && !r.Deadline.After(w.Ends) {
+// Accepts reports whether a request that has just arrived is served. A plain one is if its
+// response is certain to end in time. Until the balancer has noticed, any other is served too
+// if its expected time is left, as its caller might be sent to this instance again.
+func (w Window) Accepts(r Request) bool {
+	if !r.Streaming && !r.Deadline.After(w.End) {
 		return true
 	}
-	return r.Arrived.Sub(w.Noticed) <= lateArrival && !r.Arrived.After(w.SendBy(r))
+	return r.Arrived.Sub(w.BalancerNoticed) <= arrivalGrace && !r.Arrived.After(w.SendDeadline(r))
 }
 
-// SendBy is the last moment at which a request may be sent to its target. One that
-// still waits for its stages then is refused.
+// SendDeadline returns the last time at which a request may be sent to its target. A request
+// that still waits for its stages then is refused.
 //
-// It guards against requests that wait for stages until the end of the grace: their
-// connections were closed without a word.
-func (w Window) SendBy(r Request) time.Time {
-	usual := r.Usual
-	if !r.Streams {
-		// Its deadline bounds it; without one it needs as long as it usually takes.
-		usual = min(usual, r.Deadline.Sub(r.Arrived))
+// Otherwise requests would wait for stages until the end of the grace period, and their
+// connections would be closed without a response.
+func (w Window) SendDeadline(r Request) time.Time {
+	expected := r.Expected
+	if !r.Streaming {
+		// Its deadline limits it; if the request has none, the expected time applies.
+		expected = min(expected, r.Deadline.Sub(r.Arrived))
 	}
-	return w.Ends.Add(-min(usual, w.Ends.Sub(w.Began)))
+	return w.End.Add(-min(expected, w.End.Sub(w.Start)))
 }
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -171,7 +171,7 @@
 func (q *request) stagesDue(now time.Time) time.Time {
 	due := q.nextEventDue(now)
 	if window, stopping := q.relay.draining(); stopping {
-		due = earlier(due, window.SendBy(q.drainRequest()).Add(engineTime))
+		due = earlier(due, window.SendDeadline(q.drainRequest()).Add(engineTime))
 	}
 	return due
 }
--- a/daemon/relay/durations.go
+++ b/daemon/relay/durations.go
@@ -15,10 +15,10 @@
 // to the answer's end.
 type durations struct {
 	mu      sync.Mutex
-	byRoute map[string]*drain.Usual
+	byRoute map[string]*drain.DurationEstimate
 }
 
-func newDurations() *durations { return &durations{byRoute: map[string]*drain.Usual{}} }
+func newDurations() *durations { return &durations{byRoute: map[string]*drain.DurationEstimate{}} }
 
 // observe takes in an answer's time.
 func (d *durations) observe(route string, taken time.Duration) {
@@ -29,7 +29,7 @@
 		if len(d.byRoute) >= maxKinds {
 			clear(d.byRoute)
 		}
-		u = &drain.Usual{}
+		u = &drain.DurationEstimate{}
 		d.byRoute[route] = u
 	}
 	u.Observe(taken)
@@ -40,7 +40,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u := d.byRoute[route]; u != nil {
-		return u.Time()
+		return u.Value()
 	}
-	return drain.Unobserved
+	return drain.DefaultDuration
 }
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -252,7 +252,7 @@
 		}
 	}
 	q.setTimes()
-	if window, stopping := q.relay.draining(); stopping && !window.Takes(q.drainRequest()) {
+	if window, stopping := q.relay.draining(); stopping && !window.Accepts(q.drainRequest()) {
 		q.refuse("stopping", minRetryAfter)
 		return false
 	}
@@ -349,7 +349,7 @@
 	wait.until(q.deadline)
 	release := context.AfterFunc(q.relay.stopping.begun, func() {
 		window, _ := q.relay.draining()
-		wait.until(earlier(q.deadline, window.SendBy(q.drainRequest())))
+		wait.until(earlier(q.deadline, window.SendDeadline(q.drainRequest())))
 	})
 	defer release()
 	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, limit))
--- a/daemon/relay/stop.go
+++ b/daemon/relay/stop.go
@@ -41,7 +41,7 @@
 // what is in flight then is ended.
 func (s *Relay) Drain(noticed, ends time.Time) {
 	s.stopping.once.Do(func() {
-		s.stopping.window = drain.Window{Began: time.Now(), Noticed: noticed, Ends: ends}
+		s.stopping.window = drain.Window{Start: time.Now(), BalancerNoticed: noticed, End: ends}
 		s.stopping.begin()
 		s.boundStages()
 		time.AfterFunc(time.Until(ends), func() { s.stopping.end(errStopOver) })
@@ -52,7 +52,7 @@
 // done. Those that won't be are refused now, as long as their callers have time to be
 // served elsewhere, and not when the time is over.
 func (s *Relay) boundStages() {
-	due := s.waiting.due(func(q *request) time.Time { return s.stopping.window.SendBy(q.drainRequest()).Add(engineTime) })
+	due := s.waiting.due(func(q *request) time.Time { return s.stopping.window.SendDeadline(q.drainRequest()).Add(engineTime) })
 	for by, ids := range due {
 		s.options.Stages.Bound(by, ids...)
 	}
@@ -69,15 +69,15 @@
 // drainRequest is the request as the decisions of a stop see it.
 func (q *request) drainRequest() drain.Request {
 	return drain.Request{
-		Arrived: q.arrived, Deadline: q.deadline, Streams: q.streams(),
-		Usual: q.relay.durations.usual(q.route.Name),
+		Arrived: q.arrived, Deadline: q.deadline, Streaming: q.streams(),
+		Expected: q.relay.durations.usual(q.route.Name),
 	}
 }
 
 // tooLateToSend tells that a planned stop leaves no time for another attempt.
 func (q *request) tooLateToSend(now time.Time) bool {
 	window, stopping := q.relay.draining()
-	return stopping && now.After(window.SendBy(q.drainRequest()))
+	return stopping && now.After(window.SendDeadline(q.drainRequest()))
 }
 
 // untilStopped returns a context that ends with the planned stop too, by errStopOver.
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	release := context.AfterFunc(q.relay.stopping.begun, func() {
 		window, _ := q.relay.draining()
-		timer := time.AfterFunc(time.Until(window.SendBy(q.drainRequest())), func() { cancel(errNoTimeToSend) })
+		timer := time.AfterFunc(time.Until(window.SendDeadline(q.drainRequest())), func() { cancel(errNoTimeToSend) })
 		context.AfterFunc(ctx, func() { timer.Stop() })
 	})
 	return ctx, func() {
