--- a/coordination/outcome/example_test.go
+++ b/coordination/outcome/example_test.go
@@ -6,14 +6,14 @@
 	"github.com/ivyhollow/ivyhollow/coordination/outcome"
 )
 
-// A first attempt is refused by its target, a second one gets no answer before
-// the deadline: the request may have run.
+// The target refuses the first attempt. The second one gets no response before the deadline, so
+// the request may have run.
 func ExampleLedger() {
 	var ledger outcome.Ledger
 	if ledger.Dispatch() {
 		ledger.Settle(outcome.NotRun)
 	}
-	ledger.Dispatch() // its answer is lost
+	ledger.Dispatch() // its response is lost
 	fmt.Println(ledger.Seal() == outcome.Unknown)
 	fmt.Println(ledger.Dispatch()) // too late for a hedge
 	// Output:
--- a/coordination/outcome/ledger.go
+++ b/coordination/outcome/ledger.go
@@ -1,29 +1,28 @@
-// Package outcome decides what may be said about the work behind a request
-// that could not be answered whole: that it did not run, that it ran, or that
-// nobody can know.
+// Package outcome decides what may be promised about the work of a request that got no complete
+// response: that it did not run, that it ran, or that neither is known.
 package outcome
 
 import "sync"
 
-// Verdict says what became of the work behind a request.
+// Verdict states what is known about the work of a request.
 type Verdict int
 
 // The verdicts, from the strongest promise to none.
 const (
-	// NotRun is a promise: no stage was started, and none ever will be.
+	// NotRun promises that no stage was started and none ever will be.
 	NotRun Verdict = iota
 	// Ran means that some stage is known to have started.
 	Ran
-	// Unknown means that some attempt left and no answer tells its fate.
+	// Unknown means that the result of at least one attempt that was sent is not known.
 	Unknown
 )
 
-// Ledger keeps the fate of every attempt of one request.
+// Ledger records the attempts of one request and their results.
 //
-// It guards against a false "not run": an attempt is entered before its first
-// byte may leave, and counts as unknown until an answer settles it. A crash of
-// the attempt's goroutine, a timeout or a forgotten path therefore can only
-// weaken the promise, never invent one. It is safe for concurrent use.
+// It prevents a false NotRun: an attempt is recorded before its first byte is sent, and counts
+// as Unknown until a response settles it. A crash of the attempt's goroutine, a timeout or a
+// code path that doesn't call Settle can therefore only weaken the promise, never create a
+// false one. It is safe for concurrent use.
 type Ledger struct {
 	mu      sync.Mutex
 	open    int
@@ -32,9 +31,8 @@
 	sealed  bool
 }
 
-// Dispatch enters an attempt before it is sent. It returns false once the
-// ledger is sealed: the request has had its final answer, so nothing may leave
-// any more.
+// Dispatch records an attempt before it is sent. It returns false if the ledger is sealed: the
+// request has its final response, so no further attempt may be sent.
 func (l *Ledger) Dispatch() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +43,7 @@
 	return true
 }
 
-// Settle enters the fate of an attempt entered by Dispatch.
+// Settle records the result of an attempt that was recorded by Dispatch.
 func (l *Ledger) Settle(v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,11 +56,11 @@
 	}
 }
 
-// Seal ends the request and returns what may be promised. Attempts still open
-// count as unknown.
+// Seal ends the request and returns what may be promised. Attempts without a result count as
+// Unknown.
 //
-// Without the seal a hedge could leave after "not run" was written: the caller
-// would run the work again elsewhere while this one starts.
+// Without the seal a hedge could be sent after NotRun was returned to the caller, who would
+// then run the work again elsewhere while the hedge starts it.
 func (l *Ledger) Seal() Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/outcome/ledger_test.go
+++ b/coordination/outcome/ledger_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// A clerk is told "not run", submits again, and two crews dig one street: an
-// attempt had left before the refusal and its fate was not counted. Or a hedge
-// leaves after the refusal was written.
-func TestSealNeverPromisesNotRunFalsely(t *testing.T) {
+// Prevents two runs of the same work: a caller that receives "not run" submits again, although
+// an attempt had been sent before the refusal and its result was not counted, or a hedge is
+// sent after the refusal was written.
+func TestSealNeverReturnsFalseNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
 		open, bad := 0, false
@@ -32,8 +32,8 @@
 	})
 }
 
-// What a refusal says must hold for the worst of a request's attempts: one whose
-// answer is lost outweighs all that are known not to have run.
+// A refusal must hold for the worst of a request's attempts: one with a lost response outweighs
+// all that are known not to have run.
 func TestVerdicts(t *testing.T) {
 	cases := map[string]struct {
 		settle []Verdict
