--- a/coordination/placing/table_test.go
+++ b/coordination/placing/table_test.go
@@ -162,8 +162,8 @@
 	require.Greater(t, same, 75)
 }
 
-// An engine has failed or is silent, but is still listed. Requests that are sent there miss
-// their first events until another engine is chosen.
+// An engine has failed or is silent, but is still listed. Requests wait there for their first
+// events, and each that is sent there meanwhile is late.
 func TestSilentEngineIsAvoided(t *testing.T) {
 	f := newFleetSim(3)
 	p := &Prompt{Pool: "p", Tokens: 2000, Parts: []Part{{"subject", 1900}, {"own", 100}}}
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -134,9 +134,9 @@
 	return n
 }
 
-// Prevents sending a request on and on that crashes its targets, whichever requests run
-// beside it, messages are lost and instances are replaced; and prevents blocking common
-// requests for those crashes.
+// Prevents a request that crashes its targets from being sent on, whichever requests run beside
+// it, messages are lost and instances are replaced, and common requests from being blocked for
+// its crashes.
 func TestCrashingRequestIsBlockedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recentSet holds the requests that ended well recently, in two generations. An entry of the
-// older one is at least one and at most two periods old when it is dropped.
+// recentSet holds the requests that ended well recently, in two generations. An
+// entry expires after at least one and at most two periods.
 type recentSet struct {
 	period            time.Duration
 	maxSize           int
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -201,7 +201,7 @@
 		return true
 	}
 	if len(r.crashes) == t.config.MaxCrashes && at.Before(r.crashes[0].at) {
-		return false // it has been dropped already
+		return false // it was dropped before, and would be again
 	}
 	if at.After(r.lastCrash) {
 		r.lastCrash = at
@@ -240,8 +240,8 @@
 	return a.lastCrash.Before(b.lastCrash)
 }
 
-// RecordCompletion records that a target ran a request to completion without a crash. It reports whether
-// that cleared any crashes.
+// RecordCompletion records that a target ran a request to completion without a crash. It
+// reports whether that cleared any crashes.
 func (t *Table) RecordCompletion(now time.Time, digest Digest) bool {
 	t.trusted.add(now, digest)
 	r := t.requests[digest]
