--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -12,15 +12,15 @@
 
 const grace = 7400 * time.Millisecond
 
-// A stream came on a kept connection 6.7 s after the stop began and was cut 0.7 s
-// later by the end of the process. What can't be finished is refused, so that its
-// caller gets a whole answer elsewhere; what can be is served to the end.
-func TestLateRequestsDuringAStop(t *testing.T) {
+// A stream arrived on a kept connection 6.7 s after the start of a stop and was cut 0.7 s later
+// by the end of the process. A request that can't finish is refused, so that its caller gets a
+// complete response elsewhere; one that can is served to the end.
+func TestRequestsDuringStop(t *testing.T) {
 	window := Window{Start: start, BalancerNoticed: start.Add(2500 * time.Millisecond), End: start.Add(grace)}
 	cases := map[string]struct {
-		streams               bool
-		usual, timeout, after time.Duration
-		takes                 bool
+		streaming                bool
+		expected, timeout, after time.Duration
+		accepted                 bool
 	}{
 		"stream at once":        {true, DefaultDuration, 6 * time.Second, 0, true},
 		"stream before notice":  {true, DefaultDuration, 20 * time.Second, 2700 * time.Millisecond, true},
@@ -38,33 +38,33 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			arrived := start.Add(c.after)
-			r := Request{Arrived: arrived, Deadline: arrived.Add(c.timeout), Streaming: c.streams, Expected: c.usual}
-			require.Equal(t, c.takes, window.Accepts(r))
+			r := Request{Arrived: arrived, Deadline: arrived.Add(c.timeout), Streaming: c.streaming, Expected: c.expected}
+			require.Equal(t, c.accepted, window.Accepts(r))
 		})
 	}
 }
 
-// A balancer checks seldom, and goes on sending for five seconds. Streams that it sends are
-// taken all the while: refused, their callers would be sent here again.
-func TestRequestsAreTakenUntilTheBalancerHasNoticed(t *testing.T) {
+// A balancer checks rarely and goes on sending for five seconds. Its streams are accepted until
+// then, since the callers of refused ones would be sent here again.
+func TestRequestsAreAcceptedUntilBalancerNotices(t *testing.T) {
 	window := Window{Start: start, BalancerNoticed: start.Add(5 * time.Second), End: start.Add(30 * time.Second)}
-	for after, takes := range map[time.Duration]bool{4 * time.Second: true, 5200 * time.Millisecond: true, 5400 * time.Millisecond: false} {
+	for after, accepted := range map[time.Duration]bool{4 * time.Second: true, 5200 * time.Millisecond: true, 5400 * time.Millisecond: false} {
 		arrived := start.Add(after)
 		r := Request{Arrived: arrived, Deadline: arrived.Add(time.Minute), Streaming: true, Expected: time.Second}
-		require.Equal(t, takes, window.Accepts(r), after)
+		require.Equal(t, accepted, window.Accepts(r), after)
 	}
 }
 
-// A request waits for its stages when the stop begins. It must be refused while its
-// caller can still go elsewhere, and never after the last moment at which its answer
-// could end in the grace.
+// A request waits for its stages when the stop begins. It must be refused while its caller can
+// still go elsewhere, and not after the last time at which its response could end within the
+// grace period.
 func TestWaitingRequestsAreRefusedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := Window{Start: start, End: start.Add(time.Duration(rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "grace")))}
 		r := Request{
 			Arrived:   start.Add(-time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "age"))),
 			Streaming: rapid.Bool().Draw(t, "streams"),
-			Expected:  time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "usual")),
+			Expected:  time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "expected")),
 			Deadline:  start.Add(time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "left"))),
 		}
 		by := window.SendDeadline(r)
@@ -76,26 +76,26 @@
 	})
 }
 
-// Estimates follow what answers take, and cover most of them: of streams of three
-// seconds on average, of which one in five takes twice that, four in five at least.
-func TestUsualCoversMostAnswers(t *testing.T) {
-	var u DurationEstimate
-	require.Equal(t, DefaultDuration, u.Value())
-	u.Observe(2250 * time.Millisecond)
+// Estimates follow the observed durations and cover most of them: at least four in five, of
+// streams of three seconds on average, of which one in five takes twice as long.
+func TestEstimateCoversMostResponses(t *testing.T) {
+	var e DurationEstimate
+	require.Equal(t, DefaultDuration, e.Value())
+	e.Observe(2250 * time.Millisecond)
 	covered := 0
 	for i := range 100 {
-		taken := 2250 * time.Millisecond
+		duration := 2250 * time.Millisecond
 		if i%5 == 4 {
-			taken = 6 * time.Second
+			duration = 6 * time.Second
 		}
-		if taken <= u.Value() {
+		if duration <= e.Value() {
 			covered++
 		}
-		u.Observe(taken)
+		e.Observe(duration)
 	}
 	require.GreaterOrEqual(t, covered, 80)
 	for range 50 {
-		u.Observe(100 * time.Millisecond)
+		e.Observe(100 * time.Millisecond)
 	}
-	require.Less(t, u.Value(), 200*time.Millisecond)
+	require.Less(t, e.Value(), 200*time.Millisecond)
 }
--- a/coordination/placing/bench_test.go
+++ b/coordination/placing/bench_test.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// readTime is how long an engine reads a request.
+	// prefillDuration is how long an engine processes a prompt.
 	prefillDuration = 110 * time.Millisecond
-	// prompts are so many that engines have forgotten the first at the last.
+	// prompts is high enough that the first prompt is evicted before the last one is sent.
 	prompts = 30_000
-	// perSubject are the requests of a subject before another comes in its place.
+	// perSubject is the number of requests of a subject before another subject replaces it.
 	perSubject = 20
 )
 
-// load is a table of engines that serve requests at a steady rate.
+// steadyLoad is a table of engines that receive requests at a steady rate.
 type steadyLoad struct {
 	table   *Table
 	now     time.Time
 	pause   time.Duration
 	prompts []Prompt
 	ids     []string
-	// detours are by data centre, factors how slow an engine is.
+	// transferCosts are by data centre, slowdowns by engine.
 	transferCosts map[string]time.Duration
 	slowdowns     map[string]float64
-	// sent and ended count requests; those between them are read.
+	// sent and ended count requests; those between them are being processed.
 	sent, ended int
 	sentAt      [prompts]time.Time
 	requestEnds [prompts]RequestEnd
@@ -60,7 +60,7 @@
 	return l.transferCosts[dataCentre]
 }
 
-// step plays one request: its two choices, its sending, and the ends that are due.
+// step simulates one request: its two choices, its sending, and the ends that are due.
 func (l *steadyLoad) step() {
 	l.now = l.now.Add(l.pause)
 	for l.ended < l.sent && l.now.Sub(l.sentAt[l.ended%prompts]) >= prefillDuration {
@@ -81,16 +81,16 @@
 	l.sent++
 }
 
-// What a request costs in a fleet: two choices and what is noted of it, where a quarter
-// of the engines are reading and where all are.
+// BenchmarkRequest measures the cost of one request: two choices and its record, with a
+// quarter of the engines busy and with all of them busy.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{60, 240, 1000} {
-		for _, load := range []struct {
+		for _, c := range []struct {
 			name          string
 			ratePerEngine float64
 		}{{"quarter", 2.4}, {"all", 20}} {
-			b.Run(fmt.Sprint(n, "/", load.name), func(b *testing.B) {
-				l := newSteadyLoad(n, load.ratePerEngine)
+			b.Run(fmt.Sprint(n, "/", c.name), func(b *testing.B) {
+				l := newSteadyLoad(n, c.ratePerEngine)
 				for range prompts {
 					l.step()
 				}
--- a/coordination/placing/known.go
+++ b/coordination/placing/caches.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Known is what an engine has read, as one holder tells the next.
+// EngineCache lists the prompt parts that an engine has in cache, as a holder of the stage
+// queue reports them to its successor.
 type EngineCache struct {
 	Pool, Engine string
 	Parts        []Part
 }
 
-// Known returns what the engines have read, those parts of each first that were used
-// last.
+// Caches returns the shared parts in the cache of each engine, the most recently used first.
 func (t *Table) Caches() []EngineCache {
 	var all []EngineCache
 	for _, p := range t.pools {
@@ -36,22 +36,22 @@
 	return parts
 }
 
-// Learn takes in what engines have read by another's word.
-func (t *Table) MergeCaches(now time.Time, known []EngineCache) {
-	for _, k := range known {
-		p := t.pools[k.Pool]
-		if p == nil || p.engines[k.Engine] == nil {
+// MergeCaches adds the cache contents that another instance reported.
+func (t *Table) MergeCaches(now time.Time, caches []EngineCache) {
+	for _, c := range caches {
+		p := t.pools[c.Pool]
+		if p == nil || p.engines[c.Engine] == nil {
 			continue
 		}
-		p.engines[k.Engine].addToCache(now, k.Parts, len(k.Parts), p.CacheTokens)
+		p.engines[c.Engine].addToCache(now, c.Parts, len(c.Parts), p.CacheTokens)
 	}
 }
 
-// Read notes that an engine reads a prompt that it was sent by another holder's choice.
+// RecordPrefill records that an engine processes a prompt that another holder assigned to it.
 func (t *Table) RecordPrefill(now time.Time, p *Prompt, engine string) {
-	known := t.pools[p.Pool]
-	if known == nil || known.engines[engine] == nil {
+	pool := t.pools[p.Pool]
+	if pool == nil || pool.engines[engine] == nil {
 		return
 	}
-	known.engines[engine].addToCache(now, p.Parts, len(p.Parts)-1, known.CacheTokens)
+	pool.engines[engine].addToCache(now, p.Parts, len(p.Parts)-1, pool.CacheTokens)
 }
--- a/coordination/placing/choose_test.go
+++ b/coordination/placing/choose_test.go
@@ -13,25 +13,25 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// chooseAmongAll is what Choose has to return: it looks at all engines and uses no index.
-func (t *Table) scanChoose(now time.Time, p *Prompt, detour func(dataCentre string) time.Duration) (Choice, bool) {
-	known := t.pools[p.Pool]
-	if known == nil {
+// scanChoose is the reference for Choose: it examines all engines and uses no index.
+func (t *Table) scanChoose(now time.Time, p *Prompt, transferCost func(dataCentre string) time.Duration) (Choice, bool) {
+	pool := t.pools[p.Pool]
+	if pool == nil {
 		return Choice{}, false
 	}
 	var best Choice
 	var bestCost time.Duration
 	found := false
-	homeOf := known.scanHome(p.homeKey())
-	for _, e := range known.engines {
+	homeOf := pool.scanHome(p.homeKey())
+	for _, e := range pool.engines {
 		if slices.Contains(p.Exclude, e.Incarnation) {
 			continue
 		}
-		unread := e.uncachedTokens(p)
+		uncached := e.uncachedTokens(p)
 		wait := e.scanQueueWait(now)
-		seconds := known.model.seconds(unread) * e.slowdown
-		extra := float64(unread) * known.model.perToken * e.slowdown * (uncachedWeight - 1)
-		cost := wait + duration(seconds+extra) + detour(e.DataCentre)
+		seconds := pool.model.seconds(uncached) * e.slowdown
+		weighted := float64(uncached) * pool.model.perToken * e.slowdown * (uncachedWeight - 1)
+		cost := wait + duration(seconds+weighted) + transferCost(e.DataCentre)
 		if e.Name == homeOf {
 			cost -= homeAdvantage
 		}
@@ -41,7 +41,7 @@
 		if found && cmp.Or(cmp.Compare(cost, bestCost), cmp.Compare(e.Incarnation, best.Engine.Incarnation)) >= 0 {
 			continue
 		}
-		best = Choice{Engine: e.Engine, FirstEvent: wait + duration(seconds), FirstEventIdle: duration(seconds), uncached: unread, queueWait: wait}
+		best = Choice{Engine: e.Engine, FirstEvent: wait + duration(seconds), FirstEventIdle: duration(seconds), uncached: uncached, queueWait: wait}
 		bestCost, found = cost, true
 	}
 	return best, found
@@ -75,11 +75,11 @@
 			last = r.due
 		}
 	}
-	behind := max(now.Sub(first.Add(reportDelay)), 0)
-	return max(last.Sub(now), 0) + behind
+	overdue := max(now.Sub(first.Add(reportDelay)), 0)
+	return max(last.Sub(now), 0) + overdue
 }
 
-// world is a table to which anything happens in any order.
+// randomTable is a table that receives random events in random order.
 type randomTable struct {
 	*rapid.T
 	table   *Table
@@ -91,7 +91,7 @@
 
 func (w *randomTable) draw(name string, most int) int { return rapid.IntRange(0, most).Draw(w.T, name) }
 
-// list has some engines come, go or start again; few have no name.
+// setEngines adds, removes and restarts random engines; a few have no name.
 func (w *randomTable) setEngines() {
 	var list []Engine
 	for i := range w.engines {
@@ -112,7 +112,8 @@
 	w.table.SetEngines(Pool{Name: "p", CacheTokens: 40_000}, list)
 }
 
-// prompt may be shorter than its parts, read a part twice and have none.
+// prompt returns a random prompt, which may be shorter than its parts, have a part twice or
+// have no parts.
 func (w *randomTable) prompt() *Prompt {
 	p := &Prompt{Pool: "p", Tokens: 500 * w.draw("tokens", 16)}
 	for depth := range w.draw("parts", 4) {
@@ -130,16 +131,16 @@
 
 func (w *randomTable) engine() string { return fmt.Sprintf("e%d@0", w.draw("engine", w.engines)) }
 
-// request compares the choices for a prompt and may send it.
+// request compares both choices for a random prompt, and may send it.
 func (w *randomTable) request() {
 	p := w.prompt()
-	detours := map[string]time.Duration{}
+	transferCosts := map[string]time.Duration{}
 	for i := range 3 {
-		detours[fmt.Sprint("dc", i)] = time.Duration(w.draw("detour", 3)) * 10 * time.Millisecond
+		transferCosts[fmt.Sprint("dc", i)] = time.Duration(w.draw("transfer cost", 3)) * 10 * time.Millisecond
 	}
-	detour := func(dataCentre string) time.Duration { return detours[dataCentre] }
-	want, wantOK := w.table.scanChoose(w.now, p, detour)
-	got, ok := w.table.Choose(w.now, p, detour)
+	transferCost := func(dataCentre string) time.Duration { return transferCosts[dataCentre] }
+	want, wantOK := w.table.scanChoose(w.now, p, transferCost)
+	got, ok := w.table.Choose(w.now, p, transferCost)
 	require.Equal(w, wantOK, ok)
 	require.Equal(w, want, got)
 	if !ok || w.draw("sent", 3) == 0 {
@@ -151,7 +152,7 @@
 	w.open = append(w.open, RequestEnd{Request: id, Engine: got.Engine.Incarnation})
 }
 
-// end ends a request, with or without a first event.
+// end ends a random request, with or without a first event.
 func (w *randomTable) end() {
 	if len(w.open) == 0 {
 		return
@@ -163,19 +164,19 @@
 	w.table.RecordEnd(s)
 }
 
-// known has engines read a part by another's word, as after a change of the holder.
+// mergeCaches adds a part to the caches of some engines, as after a handover of the queue.
 func (w *randomTable) mergeCaches() {
-	var known []EngineCache
-	part := Part{fmt.Sprint("part", 0, w.draw("known", 1)), 500}
+	var caches []EngineCache
+	part := Part{fmt.Sprint("part", 0, w.draw("caches", 1)), 500}
 	for i := range w.draw("readers", w.engines) {
-		known = append(known, EngineCache{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
+		caches = append(caches, EngineCache{Pool: "p", Engine: fmt.Sprintf("e%d@0", i), Parts: []Part{part}})
 	}
-	w.table.MergeCaches(w.now, known)
+	w.table.MergeCaches(w.now, caches)
 }
 
-// Choose looks at few engines and has to find the one that is best of all, with fewer and
-// with more of them than it looks at one by one.
-func TestChoiceIsBestOfAll(t *testing.T) {
+// Choose examines few engines and must return the same choice as a scan of all of them, both
+// with fewer and with more engines than maxScannedCachers.
+func TestChooseMatchesScan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := &randomTable{T: rt, table: NewTable(), now: start, engines: rapid.SampledFrom([]int{1, 4, 3 * maxScannedCachers}).Draw(rt, "engines")}
 		w.setEngines()
@@ -203,7 +204,7 @@
 	})
 }
 
-// requireIndexed compares the indexes with the engines.
+// requireConsistentIndexes compares the indexes with the engines.
 func requireConsistentIndexes(t require.TestingT, p *poolState) {
 	require.Len(t, p.bySlowdown, len(p.engines))
 	require.True(t, slices.IsSortedFunc(p.bySlowdown, compareSlowdown))
@@ -214,8 +215,8 @@
 			require.Contains(t, p.cachedBy[id], e)
 		}
 	}
-	for _, holders := range p.cachedBy {
-		held += len(holders)
+	for _, cachers := range p.cachedBy {
+		held += len(cachers)
 	}
 	require.Equal(t, cached, held)
 	require.LessOrEqual(t, len(p.homeNames), maxHomes)
--- a/coordination/placing/pool.go
+++ b/coordination/placing/pool.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// maxHomes bounds the homes whose engines are remembered.
+	// maxHomes limits the number of home keys whose hash results are cached.
 	maxHomes = 4096
-	// fewHolders are so few engines that each is looked at.
+	// maxScannedCachers is the largest number of engines with a part in cache that Choose
+	// examines one by one.
 	maxScannedCachers = 16
 )
 
-// pool is the engines of a service, with indexes for the search among them.
+// poolState holds the engines of a service, with indexes for Choose.
 type poolState struct {
 	Pool
 	model   firstEventModel
 	engines map[string]*engineState
-	// bySlowness are the engines, the fastest first.
+	// bySlowdown has the engines in ascending order of slowdown.
 	bySlowdown []*engineState
-	// named are the engines of a name, names what their hashes are made of.
+	// byName has the engines by name, names is the sorted input of the hash of homes: the
+	// incarnation stands in for an empty name.
 	byName map[string][]*engineState
 	names  []string
-	// dataCentres are those of the engines.
+	// dataCentres has each data centre with an engine once.
 	dataCentres []string
-	// holders are the engines that have read a part, by its id.
+	// cachedBy has the engines that have a part in cache, by the part's ID.
 	cachedBy map[string][]*engineState
-	// homes are the names that hashes have given to homes.
+	// homeNames caches the result of hashHome by home key.
 	homeNames map[string]string
 }
 
@@ -41,8 +43,8 @@
 	}
 }
 
-// set takes the engines and returns those that are gone.
-func (p *poolState) setEngines(list []Engine) (gone []*engineState) {
+// setEngines replaces the list of engines and returns those that were removed.
+func (p *poolState) setEngines(list []Engine) (removed []*engineState) {
 	kept := make(map[string]*engineState, len(list))
 	for _, e := range list {
 		if kept[e.Incarnation] = p.engines[e.Incarnation]; kept[e.Incarnation] == nil {
@@ -52,15 +54,15 @@
 	for id, e := range p.engines {
 		if kept[id] == nil {
 			e.clearCache()
-			gone = append(gone, e)
+			removed = append(removed, e)
 		}
 	}
 	p.engines = kept
 	p.rebuildIndexes()
-	return gone
+	return removed
 }
 
-// index makes the indexes that depend on the list of engines.
+// rebuildIndexes rebuilds the indexes that depend on the list of engines.
 func (p *poolState) rebuildIndexes() {
 	p.bySlowdown = slices.SortedFunc(maps.Values(p.engines), compareSlowdown)
 	p.byName = map[string][]*engineState{}
@@ -82,77 +84,78 @@
 	return cmp.Or(cmp.Compare(a.slowdown, b.slowdown), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// setSlow notes how slow an engine is.
-func (p *poolState) setSlowdown(e *engineState, slow float64) {
+// setSlowdown changes an engine's slowdown and its position in bySlowdown.
+func (p *poolState) setSlowdown(e *engineState, slowdown float64) {
 	i, _ := slices.BinarySearchFunc(p.bySlowdown, e, compareSlowdown)
 	p.bySlowdown = slices.Delete(p.bySlowdown, i, i+1)
-	e.slowdown = slow
+	e.slowdown = slowdown
 	i, _ = slices.BinarySearchFunc(p.bySlowdown, e, compareSlowdown)
 	p.bySlowdown = slices.Insert(p.bySlowdown, i, e)
 }
 
-// rareHolders are the engines that have read the first part of a prompt that few have
-// read, and what any other has at least to read.
-func (p *poolState) enginesWithRarePart(prompt *Prompt) (holders []*engineState, unread int) {
-	unread = prompt.Tokens
+// enginesWithRarePart returns the engines that have the first part of a prompt in cache that
+// is cached by at most maxScannedCachers of them, and a lower bound for the uncached tokens
+// at every other engine. If there is no such part, the engines are those of the last part.
+func (p *poolState) enginesWithRarePart(prompt *Prompt) (cachers []*engineState, uncached int) {
+	uncached = prompt.Tokens
 	for _, part := range prompt.Parts {
-		holders = p.cachedBy[part.ID]
-		if len(holders) <= maxScannedCachers {
+		cachers = p.cachedBy[part.ID]
+		if len(cachers) <= maxScannedCachers {
 			break
 		}
-		unread -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return holders, max(unread, 0)
+	return cachers, max(uncached, 0)
 }
 
-// leastDetour is the least of the detours to the data centres.
-func (p *poolState) minTransferCost(detour func(dataCentre string) time.Duration) time.Duration {
+// minTransferCost returns the lowest transfer cost to any data centre of the engines.
+func (p *poolState) minTransferCost(transferCost func(dataCentre string) time.Duration) time.Duration {
 	var least time.Duration
 	for i, dataCentre := range p.dataCentres {
-		if d := detour(dataCentre); i == 0 || d < least {
+		if d := transferCost(dataCentre); i == 0 || d < least {
 			least = d
 		}
 	}
 	return least
 }
 
-// homeOf is the name of the engine that a hash gives to a home.
-func (p *poolState) homeOf(home string) string {
-	if home == "" {
+// homeOf returns the engine name that the hash assigns to a home key.
+func (p *poolState) homeOf(key string) string {
+	if key == "" {
 		return ""
 	}
-	name, ok := p.homeNames[home]
+	name, ok := p.homeNames[key]
 	if !ok {
-		name = p.hashHome(home)
+		name = p.hashHome(key)
 		if len(p.homeNames) >= maxHomes {
 			clear(p.homeNames)
 		}
-		p.homeNames[home] = name
+		p.homeNames[key] = name
 	}
 	return name
 }
 
-func (p *poolState) hashHome(home string) string {
+func (p *poolState) hashHome(key string) string {
 	var best string
 	var bestScore uint64
 	for _, name := range p.names {
-		if score := rendezvous.Score(name, home); best == "" || score < bestScore || score == bestScore && name < best {
+		if score := rendezvous.Score(name, key); best == "" || score < bestScore || score == bestScore && name < best {
 			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-// hold notes that an engine has read a part.
+// addCacher records that an engine has a part in cache.
 func (p *poolState) addCacher(id string, e *engineState) { p.cachedBy[id] = append(p.cachedBy[id], e) }
 
-// release notes that an engine no longer has a part.
+// removeCacher records that an engine has a part no longer.
 func (p *poolState) removeCacher(id string, e *engineState) {
-	holders := p.cachedBy[id]
-	if len(holders) == 1 {
+	cachers := p.cachedBy[id]
+	if len(cachers) == 1 {
 		delete(p.cachedBy, id)
 		return
 	}
-	i := slices.Index(holders, e)
-	p.cachedBy[id] = slices.Delete(holders, i, i+1)
+	i := slices.Index(cachers, e)
+	p.cachedBy[id] = slices.Delete(cachers, i, i+1)
 }
--- a/coordination/placing/table_test.go
+++ b/coordination/placing/table_test.go
@@ -15,10 +15,10 @@
 
 func noTransferCost(string) time.Duration { return 0 }
 
-// fleet plays engines that read one prompt after the other.
+// fleetSim simulates engines that process one prompt after the other.
 type fleetSim struct {
 	table *Table
-	// free is when an engine has read what it was sent, cached what it has read.
+	// idleAt is when an engine has processed all that it was sent, cached what its cache holds.
 	idleAt      map[string]time.Time
 	cached      map[string]map[string]bool
 	pendingEnds []pendingEnd
@@ -46,7 +46,7 @@
 	return f
 }
 
-// send has an engine read a prompt and returns the time to its first event.
+// send has an engine process a prompt and returns the time to its first event.
 func (f *fleetSim) send(now time.Time, id string, p *Prompt, engine string) time.Duration {
 	f.reportEnds(now)
 	unread := p.Tokens
@@ -69,7 +69,7 @@
 	return first
 }
 
-// settle tells the table of the first events up to now.
+// reportEnds reports the first events up to now to the table.
 func (f *fleetSim) reportEnds(now time.Time) {
 	slices.SortStableFunc(f.pendingEnds, func(a, b pendingEnd) int { return a.at.Compare(b.at) })
 	for len(f.pendingEnds) > 0 && !f.pendingEnds[0].at.After(now) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// burst is four seconds of prompts of 9,000 tokens, six tenths of them shared by a few
-// of 160 subjects.
-func burst(seed uint64, play func(now time.Time, id string, p *Prompt)) {
+// burst generates four seconds of prompts of about 9,000 tokens, each of one of 160
+// subjects. 6,300 tokens of each prompt are parts shared with others.
+func burst(seed uint64, send func(now time.Time, id string, p *Prompt)) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := start
 	for i := range 100 {
@@ -90,16 +90,16 @@
 		p := &Prompt{Pool: "p", Tokens: 6300 + own, Parts: []Part{
 			{ID: fmt.Sprint("base", subject%4), Tokens: 2520}, {ID: fmt.Sprint("subject", subject), Tokens: 3780}, {ID: fmt.Sprint("own", i), Tokens: own},
 		}}
-		play(now, fmt.Sprint(i), p)
+		send(now, fmt.Sprint(i), p)
 	}
 }
 
-// Callers come twice as often for some seconds, with long prompts. By hash alone two or
-// three engines of nine get most of them, and their callers wait a second for the first
-// event while the other engines are idle.
-func TestBurstIsSpread(t *testing.T) {
-	const inTime = 500 * time.Millisecond
-	var late, lateByHash int
+// Prevents long response times in a burst of long prompts at twice the usual rate. By hash
+// alone, two or three of nine engines get most of the requests, whose first events take a
+// second while the other engines are idle.
+func TestBurstIsBalanced(t *testing.T) {
+	const objective = 500 * time.Millisecond
+	var missed, missedByHash int
 	for seed := range uint64(10) {
 		f, byHash := newFleetSim(9), newFleetSim(9)
 		burst(seed, func(now time.Time, id string, p *Prompt) {
@@ -107,21 +107,21 @@
 			c, ok := f.table.Choose(now, p, noTransferCost)
 			require.True(t, ok)
 			f.table.RecordSent(now, id, p, c)
-			if f.send(now, id, p, c.Engine.Incarnation) > inTime {
-				late++
+			if f.send(now, id, p, c.Engine.Incarnation) > objective {
+				missed++
 			}
-			if byHash.send(now, id, p, byHash.table.pools["p"].homeOf(p.homeKey())) > inTime {
-				lateByHash++
+			if byHash.send(now, id, p, byHash.table.pools["p"].homeOf(p.homeKey())) > objective {
+				missedByHash++
 			}
 		})
 	}
-	t.Logf("of 1,000 prompts %d take more than %v, by hash alone %d", late, inTime, lateByHash)
-	require.Less(t, 5*late, lateByHash)
+	t.Logf("of 1,000 prompts %d take more than %v, by hash alone %d", missed, objective, missedByHash)
+	require.Less(t, 5*missed, missedByHash)
 }
 
-// Requests of one subject come a few times a second. Read at another engine each time,
-// its 6,000 shared tokens would cost more than their own part.
-func TestSubjectsStayWhereTheyWereRead(t *testing.T) {
+// Requests of one subject come a few times a second. Processing its 6,000 shared tokens at
+// another engine each time would cost more than their own parts do.
+func TestSubjectStaysAtItsEngine(t *testing.T) {
 	f := newFleetSim(9)
 	engines := map[string]bool{}
 	for i := range 20 {
@@ -136,14 +136,14 @@
 	require.Len(t, engines, 1)
 }
 
-// Another instance holds the queue after the one before was killed. It knows of nothing
-// that was read, and must find most subjects where they are.
-func TestNewHolderFindsSubjectsAgain(t *testing.T) {
+// A new holder of the queue, after the previous one was killed, knows nothing of the caches
+// and must choose the same engines for most subjects.
+func TestNewHolderChoosesSameEngines(t *testing.T) {
 	before, after := newFleetSim(9), newFleetSim(9)
 	prompt := func(i int) *Prompt {
 		return &Prompt{Pool: "p", Tokens: 1500, Parts: []Part{{fmt.Sprint("subject", i), 1000}, {fmt.Sprint("own", i), 500}}}
 	}
-	placed := map[int]string{}
+	chosen := map[int]string{}
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * 40 * time.Millisecond)
 		before.reportEnds(now)
@@ -151,33 +151,33 @@
 		c, _ := before.table.Choose(now, p, noTransferCost)
 		before.table.RecordSent(now, fmt.Sprint(i), p, c)
 		before.send(now, fmt.Sprint(i), p, c.Engine.Incarnation)
-		placed[i] = c.Engine.Incarnation
+		chosen[i] = c.Engine.Incarnation
 	}
 	same := 0
 	for i := range 100 {
-		if c, _ := after.table.Choose(start, prompt(i), noTransferCost); c.Engine.Incarnation == placed[i] {
+		if c, _ := after.table.Choose(start, prompt(i), noTransferCost); c.Engine.Incarnation == chosen[i] {
 			same++
 		}
 	}
 	require.Greater(t, same, 75)
 }
 
-// An engine is dead or silent, and no list says so yet. Requests wait there for their
-// first events; each that is sent there meanwhile is late.
-func TestSilentEngineIsLeft(t *testing.T) {
+// An engine has failed or is silent, but is still listed. Requests wait there for their first
+// events, and each that is sent there meanwhile is late.
+func TestSilentEngineIsAvoided(t *testing.T) {
 	f := newFleetSim(3)
 	p := &Prompt{Pool: "p", Tokens: 2000, Parts: []Part{{"subject", 1900}, {"own", 100}}}
 	c, _ := f.table.Choose(start, p, noTransferCost)
 	f.table.RecordSent(start, "1", p, c)
 	again, _ := f.table.Choose(start.Add(100*time.Millisecond), p, noTransferCost)
-	require.Equal(t, c.Engine, again.Engine, "what it has read is worth a short wait")
+	require.Equal(t, c.Engine, again.Engine, "its cache is worth a short wait")
 	later, _ := f.table.Choose(start.Add(2*time.Second), p, noTransferCost)
 	require.NotEqual(t, c.Engine, later.Engine)
 }
 
-// TestEngineThatIsGoneIsLeft guards against requests sent in turn to an engine at whose
-// address nothing listens, which reads nothing and so counts as idle.
-func TestEngineThatIsGoneIsLeft(t *testing.T) {
+// TestUnreachableEngineIsAvoided prevents sending one request after the other to an engine
+// at whose address nothing listens: it processes nothing and so counts as idle.
+func TestUnreachableEngineIsAvoided(t *testing.T) {
 	f := newFleetSim(3)
 	p := &Prompt{Pool: "p", Tokens: 2000, Parts: []Part{{"subject", 1900}, {"own", 100}}}
 	c, _ := f.table.Choose(start, p, noTransferCost)
@@ -191,18 +191,18 @@
 	require.Equal(t, c.Engine, again.Engine, "it is tried again")
 	f.table.RecordUnreachable(later, "p", c.Engine.Incarnation)
 	other, _ = f.table.Choose(later.Add(2*unreachableBackoff-time.Millisecond), p, noTransferCost)
-	require.NotEqual(t, c.Engine, other.Engine, "the pause grows")
+	require.NotEqual(t, c.Engine, other.Engine, "the backoff grows")
 
 	for _, e := range []string{"e0", "e1", "e2"} {
 		f.table.RecordUnreachable(later.Add(time.Minute), "p", e)
 	}
 	_, ok := f.table.Choose(later.Add(time.Minute), p, noTransferCost)
-	require.True(t, ok, "one of several that are gone may be back")
+	require.True(t, ok, "one of several unreachable engines may have recovered")
 }
 
-// The word of a request's first event is lost. Its engine counts as behind, but not for
-// ever: it would get nothing any more.
-func TestLostWordIsForgotten(t *testing.T) {
+// The report of a request's end is lost. Its engine counts as overdue only until the request
+// expires; otherwise it would never receive a request again.
+func TestOverdueRequestExpires(t *testing.T) {
 	f := newFleetSim(3)
 	p := &Prompt{Pool: "p", Tokens: 2000, Parts: []Part{{"subject", 1900}, {"own", 100}}}
 	c, _ := f.table.Choose(start, p, noTransferCost)
@@ -217,8 +217,8 @@
 	require.Empty(t, f.table.assigned)
 }
 
-// An engine failed the request before, which is to go elsewhere. With all engines
-// excluded there is none.
+// A request goes to another engine after its engine failed it. If all engines are excluded,
+// none is chosen.
 func TestExcludedEnginesAreNotChosen(t *testing.T) {
 	f := newFleetSim(2)
 	p := &Prompt{Pool: "p", Tokens: 2000, Parts: []Part{{"subject", 1900}, {"own", 100}}}
@@ -232,11 +232,11 @@
 	require.False(t, ok)
 }
 
-// Large inputs are made in one data centre. A request whose shared part is short is
-// served there; one whose long shared part was read elsewhere stays with it.
-func TestInputsDrawShortPrompts(t *testing.T) {
+// Large inputs are produced in one data centre. A request with a short shared part is served
+// there; one whose long shared part is cached elsewhere is served by that engine.
+func TestShortPromptsFollowInputs(t *testing.T) {
 	f := newFleetSim(9)
-	detour := func(dataCentre string) time.Duration {
+	transferCost := func(dataCentre string) time.Duration {
 		if dataCentre == "dc1" {
 			return 0
 		}
@@ -244,18 +244,18 @@
 	}
 	for i := range 20 {
 		short := &Prompt{Pool: "p", Tokens: 700, Parts: []Part{{fmt.Sprint("s", i), 170}, {"own", 530}}}
-		c, _ := f.table.Choose(start, short, detour)
+		c, _ := f.table.Choose(start, short, transferCost)
 		require.Equal(t, "dc1", c.Engine.DataCentre)
 	}
 	long := &Prompt{Pool: "p", Tokens: 7000, Parts: []Part{{"long", 6300}, {"own", 700}}}
 	f.table.RecordSent(start, "1", long, Choice{Engine: Engine{Incarnation: "e0"}})
 	f.table.RecordEnd(RequestEnd{Request: "1"})
-	c, _ := f.table.Choose(start, long, detour)
+	c, _ := f.table.Choose(start, long, transferCost)
 	require.Equal(t, "e0", c.Engine.Incarnation)
 }
 
-// An engine takes five times as long as the others. It is learned, and it gets less.
-func TestSlowEngineGetsLess(t *testing.T) {
+// An engine that takes five times as long as the others receives fewer requests.
+func TestSlowEngineGetsFewerRequests(t *testing.T) {
 	f := newFleetSim(4)
 	count := map[string]int{}
 	for i := range 400 {
@@ -274,8 +274,8 @@
 	require.Less(t, count["e0"], 40, "%v", count)
 }
 
-// Requests, ends, failures and lists of engines come in any order. A choice is always a
-// listed engine that isn't excluded, and nothing is remembered of what has ended.
+// Requests, ends and lists of engines come in any order. The chosen engine is always listed
+// and not excluded, and no state remains of requests that have ended.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := NewTable()
@@ -314,17 +314,17 @@
 					break
 				}
 			}
-			reading := 0
+			processing := 0
 			for _, e := range table.pools["p"].engines {
-				reading += len(e.prefills)
+				processing += len(e.prefills)
 				require.LessOrEqual(rt, e.cachedTokens, 20_000)
 			}
-			require.Len(rt, table.assigned, reading)
+			require.Len(rt, table.assigned, processing)
 		}
 	})
 }
 
-// What a choice costs at fleets of 10, 100 and 1,000 engines.
+// BenchmarkChoose measures one choice with 10, 100 and 1,000 engines.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/coordination/quarantine/spread.go
+++ b/coordination/quarantine/gossip.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// passOn has a record passed on to other instances.
+// enqueueGossip marks a record to be sent to other instances.
 func (t *Table) enqueueGossip(r *record) {
 	r.timesSent = 0
 	if !slices.Contains(t.gossipQueue, r) {
 		t.gossipQueue = append(t.gossipQueue, r)
 	}
 	if len(t.gossipQueue) > maxGossipQueue {
-		t.gossipQueue = t.gossipQueue[1:] // samples find it
+		t.gossipQueue = t.gossipQueue[1:] // samples include it
 	}
 }
 
-// maxToSend bounds the records that are passed on at once. The others are found by samples.
+// maxGossipQueue limits the records that are gossiped at the same time. Instances learn the
+// others from samples.
 const maxGossipQueue = 1024
 
-// News returns records that were not passed on often enough, at most limit; copies is how
-// often is enough. It counts them as passed on.
+// Gossip returns at most limit records that have been sent fewer than copies times, those
+// sent the fewest times first, and counts them as sent once more.
 func (t *Table) Gossip(now time.Time, limit, copies int) []Crash {
 	slices.SortStableFunc(t.gossipQueue, func(a, b *record) int { return a.timesSent - b.timesSent })
 	n := min(limit, len(t.gossipQueue))
-	news := make([]Crash, 0, n)
+	crashes := make([]Crash, 0, n)
 	for _, r := range t.gossipQueue[:n] {
 		r.timesSent++
-		news = append(news, r.crash(now))
+		crashes = append(crashes, r.crash(now))
 	}
 	t.gossipQueue = slices.DeleteFunc(t.gossipQueue, func(r *record) bool { return r.timesSent >= copies })
-	return news
+	return crashes
 }
 
-// HasNews tells whether News would return any.
+// HasGossip reports whether Gossip would return any record.
 func (t *Table) HasGossip() bool { return len(t.gossipQueue) > 0 }
 
-// Sample returns records of up to limit, by which another instance learns what it missed:
-// those of blocked requests first, then others in turn.
+// Sample returns at most limit records from which another instance learns what it missed:
+// those of requests that are blocked or on trial first, then the others in rotation.
 func (t *Table) Sample(now time.Time, limit int) []Crash {
-	var held, others []Digest
+	var blocked, others []Digest
 	for _, digest := range t.sampleOrder() {
 		if t.verdict(now, t.requests[digest]).State == Allowed {
 			others = append(others, digest)
 		} else {
-			held = append(held, digest)
+			blocked = append(blocked, digest)
 		}
 	}
-	return t.collectSample(now, append(held, others...), limit)
+	return t.collectSample(now, append(blocked, others...), limit)
 }
 
-// inTurn returns all digests in their order, beginning where the latest sample ended.
+// sampleOrder returns all digests in ascending order, rotated to where the last sample ended.
 func (t *Table) sampleOrder() []Digest {
 	digests := slices.SortedFunc(maps.Keys(t.requests), compareDigests)
 	start, _ := slices.BinarySearchFunc(digests, t.sampleStart, compareDigests)
@@ -61,7 +62,7 @@
 
 func compareDigests(a, b Digest) int { return bytes.Compare(a[:], b[:]) }
 
-// sampleOf returns records of requests in their order, those of the latest crashes of each.
+// collectSample returns records of requests in their order, the latest crashes of each first.
 func (t *Table) collectSample(now time.Time, digests []Digest, limit int) []Crash {
 	var sample []Crash
 	for _, digest := range digests {
@@ -77,7 +78,7 @@
 	return sample
 }
 
-// crash returns the record as it is passed on.
+// crash returns the record as it is sent to other instances.
 func (r *record) crash(now time.Time) Crash {
 	return Crash{Digest: r.digest, Target: r.target, Age: now.Sub(r.at), Cleared: r.cleared}
 }
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recent holds the requests that ended well lately, in two generations: what is in the
-// older one ended between one and two spans ago at most.
+// recentSet holds the requests that ended well recently, in two generations. An
+// entry expires after at least one and at most two periods.
 type recentSet struct {
 	period            time.Duration
 	maxSize           int
@@ -11,12 +11,12 @@
 	rotated           time.Time
 }
 
-func newRecentSet(span time.Duration, most int) recentSet {
-	return recentSet{period: span, maxSize: most, current: map[Digest]struct{}{}}
+func newRecentSet(period time.Duration, maxSize int) recentSet {
+	return recentSet{period: period, maxSize: maxSize, current: map[Digest]struct{}{}}
 }
 
-// add notes that a request ended well. Beyond the bound it is left out: it will end well
-// again if it comes often.
+// add records that a request ended well. It ignores the request if the current generation is
+// full: a frequent request is added later.
 func (r *recentSet) add(now time.Time, digest Digest) {
 	r.rotate(now)
 	if len(r.current) < r.maxSize {
@@ -24,15 +24,15 @@
 	}
 }
 
-// has tells whether a request ended well lately.
+// has reports whether a request ended well recently.
 func (r *recentSet) has(now time.Time, digest Digest) bool {
 	r.rotate(now)
 	_, current := r.current[digest]
-	_, before := r.previous[digest]
-	return current || before
+	_, previous := r.previous[digest]
+	return current || previous
 }
 
-// turn begins a new generation once the current one is a span old.
+// rotate starts a new generation if the current one is a period old.
 func (r *recentSet) rotate(now time.Time) {
 	age := now.Sub(r.rotated)
 	if age < r.period {
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -11,13 +11,13 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// digestOf returns the digest of a request of the tests.
+// digestOf returns the digest of a test request.
 func digestOf(name string) Digest { return DigestOf("host", "/"+name, "account", nil) }
 
 var suspect = digestOf("suspect")
 
-// crashApart records so many crashes of the suspect, a second apart, and returns when the
-// last was.
+// crashApart records n crashes of the suspect, one second apart, and returns the time of the
+// last one.
 func crashApart(t *Table, n int) time.Time {
 	now := start
 	for i := range n {
@@ -27,8 +27,7 @@
 	return now
 }
 
-// TestCrashesBlock guards against a request that is blocked too early, too late, for too
-// long or for ever.
+// Prevents blocking a request too early, too late, for too long or for ever.
 func TestCrashesBlock(t *testing.T) {
 	c := DefaultConfig()
 	for crashes, hold := range map[int]time.Duration{
@@ -54,8 +53,8 @@
 	}
 }
 
-// TestCommonRequestIsNotBlamedForOneEvent guards against a request that was in progress at
-// many targets as one event ended them all.
+// Prevents blaming a request that was in progress at many targets when one event ended all of
+// them.
 func TestCommonRequestIsNotBlamedForOneEvent(t *testing.T) {
 	c := DefaultConfig()
 	for age, blamed := range map[time.Duration]bool{0: false, c.TrustPeriod: false, 2 * c.TrustPeriod: true} {
@@ -68,7 +67,7 @@
 	}
 }
 
-// TestTrustIsBounded guards against requests that ended well being remembered without limit.
+// Prevents remembering requests that ended well without limit.
 func TestTrustIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxTrusted = 10
@@ -79,7 +78,7 @@
 	}
 }
 
-// TestOneCrashCountsOnce guards against a crash that counts as often as instances report it.
+// Prevents counting a crash once for each instance that reports it.
 func TestOneCrashCountsOnce(t *testing.T) {
 	table := New(DefaultConfig())
 	require.True(t, table.RecordCrash(start, suspect, "a"))
@@ -89,9 +88,9 @@
 	require.Equal(t, 1, table.Judge(start, suspect).Crashes)
 }
 
-// TestRunThatEndsWellClears guards against a common request that is blocked by the crashes
-// that it was in progress at, and against old news that blocks it again.
-func TestRunThatEndsWellClears(t *testing.T) {
+// Prevents blocking a common request for crashes during which it was in progress, and blocking
+// it again because of records from before it was cleared.
+func TestCompletedRunClearsCrashes(t *testing.T) {
 	table, other := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(table, 4)
 	old := table.Sample(latest, 10)
@@ -111,15 +110,14 @@
 	require.Equal(t, 1, table.Judge(later, suspect).Crashes)
 }
 
-// TestOneTrialAtATime guards against many runs of a request that was blocked long enough,
-// each of which ends a target.
+// Prevents several concurrent runs of a request on trial, each of which may end a target.
 func TestOneTrialAtATime(t *testing.T) {
 	c := DefaultConfig()
 	table := New(c)
 	latest := crashApart(table, 3)
 	require.False(t, table.GrantTrial(latest.Add(c.BlockPeriod-1), suspect, time.Second), "it is blocked")
 	now := latest.Add(c.BlockPeriod)
-	require.False(t, table.GrantTrial(now, digestOf("unknown"), time.Second), "this instance knows nothing of it")
+	require.False(t, table.GrantTrial(now, digestOf("unknown"), time.Second), "the request has no records here")
 	require.True(t, table.GrantTrial(now, suspect, 10*time.Second))
 	require.False(t, table.GrantTrial(now.Add(10*time.Second-1), suspect, time.Second))
 	require.True(t, table.GrantTrial(now.Add(10*time.Second), suspect, time.Second))
@@ -127,8 +125,8 @@
 	require.False(t, table.GrantTrial(now.Add(12*time.Second), suspect, time.Second), "it has crashed again")
 }
 
-// TestTableIsBounded guards against records that grow without limit, and against a blocked
-// request being forgotten for many that were beside one crash.
+// Prevents records from growing without limit, and a blocked request from being evicted
+// for many requests that each ran beside one crash.
 func TestTableIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxRequests = 10
@@ -148,9 +146,9 @@
 	require.False(t, table.Merge(latest, Crash{Digest: suspect, Target: string(make([]byte, maxTargetBytes+1))}))
 }
 
-// TestMergeNeedsNoOrder guards against instances that hold the same news and judge a request
-// differently, since it came in another order or twice.
-func TestMergeNeedsNoOrder(t *testing.T) {
+// Prevents different verdicts at instances that received the same records in another order or
+// repeatedly.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Crash {
 		target := rapid.IntRange(0, 5).Draw(t, "target")
 		return Crash{
@@ -159,11 +157,11 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(draw, 0, 10).Draw(t, "news")
-		again := append(append([]Crash{}, news...), news...)
+		crashes := rapid.SliceOfN(draw, 0, 10).Draw(t, "crashes")
+		again := append(append([]Crash{}, crashes...), crashes...)
 		shuffled := rapid.Permutation(again).Draw(t, "shuffled")
 		a, b := New(DefaultConfig()), New(DefaultConfig())
-		for _, c := range news {
+		for _, c := range crashes {
 			a.Merge(start, c)
 		}
 		for _, c := range shuffled {
@@ -173,9 +171,9 @@
 	})
 }
 
-// TestSampleTellsOfAllInTurn guards against records that no sample ever has, and against a
-// blocked request that waits for its turn.
-func TestSampleTellsOfAllInTurn(t *testing.T) {
+// Prevents records that are never part of a sample, and a blocked request that is not in
+// the next sample.
+func TestSamplesRotateThroughAllRecords(t *testing.T) {
 	const others, limit = 50, 8
 	table, other := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(table, 3)
@@ -195,8 +193,8 @@
 	require.Equal(t, table.Len(), other.Len())
 }
 
-// TestNewsIsPassedOnSoOften guards against news that is never passed on, or for ever.
-func TestNewsIsPassedOnSoOften(t *testing.T) {
+// Prevents gossip that is never sent, or sent for ever.
+func TestGossipIsSentLimitedTimes(t *testing.T) {
 	table := New(DefaultConfig())
 	crashApart(table, 3)
 	sent := 0
@@ -206,11 +204,11 @@
 	}
 	require.Equal(t, 12, sent)
 	table.RecordCompletion(start, suspect)
-	require.True(t, table.HasGossip(), "that it is cleared is news")
+	require.True(t, table.HasGossip(), "a cleared record is gossiped")
 }
 
-// TestFewTrialsOfARequestThatStillCrashes guards against trials that add up, one crash each.
-func TestFewTrialsOfARequestThatStillCrashes(t *testing.T) {
+// Prevents trials from adding up, each with a crash.
+func TestTrialsOfCrashingRequestAreRare(t *testing.T) {
 	const most, within = 3, 15 * time.Minute
 	table := New(DefaultConfig())
 	blocked := crashApart(table, 3)
@@ -224,9 +222,8 @@
 	require.Equal(t, most, trials)
 }
 
-// TestDroppedCrashIsNoNews guards against records beyond the bound that instances tell one
-// another again and again.
-func TestDroppedCrashIsNoNews(t *testing.T) {
+// Prevents instances from sending each other over and over the records that exceed the limit.
+func TestDroppedCrashIsNotGossiped(t *testing.T) {
 	a, b := New(DefaultConfig()), New(DefaultConfig())
 	latest := crashApart(a, 3*DefaultConfig().MaxCrashes)
 	early := New(DefaultConfig())
@@ -242,9 +239,9 @@
 	require.Equal(t, a.Judge(latest, suspect), b.Judge(latest, suspect))
 }
 
-// TestTargetThatStartedAgainCrashesAgain guards against crashes that count as one since the
-// instance hasn't heard that the target started again.
-func TestTargetThatStartedAgainCrashesAgain(t *testing.T) {
+// Prevents counting several crashes of a target as one before the instance learns that the
+// target has restarted.
+func TestCrashesOfRestartedTargetCount(t *testing.T) {
 	c := DefaultConfig()
 	table, other := New(c), New(c)
 	for i := range 3 {
@@ -255,5 +252,5 @@
 	now := start.Add(3 * c.MinRestart)
 	require.Equal(t, Blocked, table.Judge(now, suspect).State)
 	other.Merge(now, Crash{Digest: suspect, Target: "target", Age: time.Second})
-	require.False(t, other.RecordCrash(now, suspect, "target"), "only what it saw itself tells of two ends")
+	require.False(t, other.RecordCrash(now, suspect, "target"), "only a crash that it saw itself shows a restart")
 }
--- a/coordination/watching/watching_test.go
+++ b/coordination/watching/watching_test.go
@@ -11,10 +11,11 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// well is a tracker at a place whose store answered about both parts at start.
-func newHealthyTracker(place int) *Tracker {
+// newHealthyTracker returns a tracker of a rank, to which the store answered for both parts at
+// start.
+func newHealthyTracker(rank int) *Tracker {
 	t := New()
-	t.SetRank(place)
+	t.SetRank(rank)
 	for _, part := range []Part{Configuration, Targets} {
 		t.BeginCall(at(-time.Millisecond), part)
 		t.RecordResponse(start, part)
@@ -22,9 +23,9 @@
 	return t
 }
 
-// A watch that failed is followed by one that doesn't wait: one that did, sent while the
-// store was still silent, would be deaf for a term after its return.
-func TestTermOfAWatch(t *testing.T) {
+// After a failed watch, the next one has no timeout: a watch sent while the store is still
+// silent would be orphaned for its whole timeout after the recovery.
+func TestWatchTimeout(t *testing.T) {
 	first, other := newHealthyTracker(0), newHealthyTracker(1)
 	require.Equal(t, shortTimeout, first.BeginCall(start, Targets))
 	require.Equal(t, longTimeout, other.BeginCall(start, Targets))
@@ -36,13 +37,13 @@
 	}
 }
 
-// A watch of the targets goes out while the store is silent and fails seconds after the
-// store's return. Meanwhile a watch of the configuration, sent later, was answered: the
-// store isn't away, and what vanishes now has left.
-func TestDeafWatchIsNoSignOfTrouble(t *testing.T) {
+// A watch of the targets is sent while the store is silent and fails seconds after the store's
+// recovery. Meanwhile a watch of the configuration, sent later, was answered: the store isn't
+// unavailable, and entries that vanish now have been removed.
+func TestOrphanedWatchIsNoOutage(t *testing.T) {
 	tracker := newHealthyTracker(1)
 	tracker.BeginCall(at(time.Second), Targets)
-	require.True(t, tracker.RecordFailure(Targets), "nothing was answered since")
+	require.True(t, tracker.RecordFailure(Targets), "no later call was answered")
 
 	tracker.BeginCall(at(2*time.Second), Targets)
 	tracker.BeginCall(at(3*time.Second), Configuration)
@@ -50,9 +51,9 @@
 	require.False(t, tracker.RecordFailure(Targets))
 }
 
-// The store answers about one part after a failure. The watch of the other part went out
-// before: nobody knows whether it was received.
-func TestWatchFromBeforeTheReturnIsSentAgain(t *testing.T) {
+// The store answers for one part after a failure. The watch of the other part was sent before,
+// and may never have been received.
+func TestWatchFromBeforeRecoveryIsResent(t *testing.T) {
 	tracker := newHealthyTracker(0)
 	tracker.BeginCall(at(time.Second), Configuration)
 	tracker.BeginCall(at(time.Second), Targets)
@@ -65,11 +66,11 @@
 	require.True(t, tracker.RecordResponse(at(3*time.Second), Configuration))
 	require.True(t, tracker.ShouldResend(at(3*time.Second), Targets))
 	tracker.BeginCall(at(4*time.Second), Targets)
-	require.False(t, tracker.ShouldResend(at(4*time.Second), Targets), "it went out since")
+	require.False(t, tracker.ShouldResend(at(4*time.Second), Targets), "it was sent after the recovery")
 }
 
-// The same by the word of another instance, which had the failure.
-func TestWordOfTheReturn(t *testing.T) {
+// As before, but the failure and recovery are reported by another instance.
+func TestReportedRecovery(t *testing.T) {
 	tracker := newHealthyTracker(2)
 	tracker.BeginCall(at(time.Second), Targets)
 	tracker.RecordReport(at(5*time.Second), at(5*time.Second), Report{Known: true, Recovered: 3 * time.Second})
@@ -77,30 +78,31 @@
 	require.Equal(t, at(2*time.Second), tracker.Recovered())
 	tracker.BeginCall(at(5*time.Second), Targets)
 	tracker.RecordReport(at(6*time.Second), at(6*time.Second), Report{Known: true, Recovered: 4 * time.Second})
-	require.False(t, tracker.ShouldResend(at(6*time.Second), Targets), "the same return")
+	require.False(t, tracker.ShouldResend(at(6*time.Second), Targets), "the same recovery")
 }
 
-// The first watcher hears nothing more. Its word counts until it is too old; then the
-// second takes its place, the others find its word good, and it gives the place back.
-func TestNextWatcherTakesThePlace(t *testing.T) {
+// The first watcher no longer receives responses. Its report is fresh until it is too old. Then
+// the second watcher takes over, its reports are fresh to the others, and it steps back once
+// the first is fresh again.
+func TestNextWatcherTakesOver(t *testing.T) {
 	second, third := newHealthyTracker(1), newHealthyTracker(2)
-	random := func(int) int { panic("watchers ask in turn") }
+	random := func(int) int { panic("watchers poll in order") }
 	silent := Report{Known: true, Age: maxReportAge + 1}
 	fresh := Report{Known: true, Age: shortTimeout}
-	for round := 1; round <= maxMissedReports; round++ {
-		now := at(time.Duration(round) * time.Second)
-		nth, ask := second.NextPoll(6, random)
-		require.True(t, ask)
-		require.Equal(t, 0, nth)
-		require.Equal(t, round == maxMissedReports, second.RecordReport(now, now, silent))
-
-		nth, _ = third.NextPoll(6, random)
-		require.Equal(t, round-1, nth)
-		word := silent
-		if nth == 1 {
-			word = fresh
+	for poll := 1; poll <= maxMissedReports; poll++ {
+		now := at(time.Duration(poll) * time.Second)
+		index, ok := second.NextPoll(6, random)
+		require.True(t, ok)
+		require.Equal(t, 0, index)
+		require.Equal(t, poll == maxMissedReports, second.RecordReport(now, now, silent))
+
+		index, _ = third.NextPoll(6, random)
+		require.Equal(t, poll-1, index)
+		report := silent
+		if index == 1 {
+			report = fresh
 		}
-		require.False(t, third.RecordReport(now, now, word))
+		require.False(t, third.RecordReport(now, now, report))
 	}
 	now := at(3 * time.Second)
 	require.Equal(t, shortTimeout, second.BeginCall(now, Targets))
@@ -109,8 +111,8 @@
 	require.Equal(t, longTimeout, second.BeginCall(now, Targets))
 }
 
-// A watcher that takes a place with a long watch in progress may have a deaf one.
-func TestLongWatchIsSentAgainWithTheFirstPlace(t *testing.T) {
+// A watcher that becomes the first during a long watch may have an orphaned one.
+func TestLongWatchIsResentByNewFirstWatcher(t *testing.T) {
 	tracker := newHealthyTracker(1)
 	tracker.BeginCall(start, Targets)
 	tracker.SetRank(0)
@@ -119,25 +121,26 @@
 	require.False(t, tracker.ShouldResend(start, Targets))
 }
 
-// An instance that leaves the watching to others asks any of them, watches for itself when
-// none has a word that counts, and stops when that time is over.
-func TestInstanceThatDoesNotWatch(t *testing.T) {
+// An instance that leaves watching to others polls any of them, watches itself if no report is
+// fresh, and stops at the end of the takeover period.
+func TestInstanceWithoutRank(t *testing.T) {
 	tracker := newHealthyTracker(NoRank)
 	require.False(t, tracker.ShouldWatch(start))
-	nth, ask := tracker.NextPoll(6, func(n int) int { return n - 1 })
-	require.True(t, ask)
-	require.Equal(t, 5, nth)
+	index, ok := tracker.NextPoll(6, func(n int) int { return n - 1 })
+	require.True(t, ok)
+	require.Equal(t, 5, index)
 	require.False(t, tracker.RecordReport(start, start, Report{}))
 	require.True(t, tracker.RecordReport(start, start, Report{}))
-	require.False(t, tracker.RecordReport(start, start, Report{}), "it does so already")
+	require.False(t, tracker.RecordReport(start, start, Report{}), "it watches already")
 	require.True(t, tracker.ShouldWatch(start))
 	require.Equal(t, longTimeout, tracker.BeginCall(start, Targets))
 	require.False(t, tracker.ShouldWatch(at(takeoverPeriod)))
 }
 
-// The store is away for all watchers of a large fleet. They say so, and the many who don't
-// watch wait longer before they call it as well; they stop as soon as a watcher hears it.
-func TestDeafWatchersAreGivenTime(t *testing.T) {
+// The store is unavailable to all watchers of a large fleet, and they report so. The many
+// instances that don't watch wait longer before they call it as well, and stop as soon as a
+// watcher's report is fresh.
+func TestStaleReportsDelayTakeover(t *testing.T) {
 	tracker := newHealthyTracker(NoRank)
 	for range maxStaleReports - 1 {
 		require.False(t, tracker.RecordReport(start, start, Report{Known: true, Age: time.Minute}))
@@ -148,14 +151,15 @@
 	require.False(t, tracker.ShouldWatch(start))
 }
 
-// A change wakes all watchers. The first goes on at once; the others gather what follows.
-func TestOthersGatherNews(t *testing.T) {
+// A change answers all watches. The first watcher sends the next at once, the others wait for
+// further changes.
+func TestOtherWatchersBatchChanges(t *testing.T) {
 	require.Zero(t, newHealthyTracker(0).Pause(start))
 	require.Equal(t, batchDelay, newHealthyTracker(1).Pause(start))
 	require.Equal(t, batchDelay, newHealthyTracker(NoRank).Pause(start))
 }
 
-// The age of what is known is that of the older part, and grows less by another's word.
+// A report has the age of the older part, and reports of others reduce the age.
 func TestAge(t *testing.T) {
 	require.Zero(t, New().Age(start, Targets))
 	require.False(t, New().Report(start).IsFresh(), "nothing is known")
@@ -172,9 +176,9 @@
 	require.True(t, tracker.Report(now).IsFresh())
 }
 
-// Two instances each take the other for the first watcher. Their words are of one another's
-// and grow old, until both watch.
-func TestWordsOfOneAnotherGrowOld(t *testing.T) {
+// Two instances each treat the other as the first watcher. Their reports are based on one
+// another and grow older, until both watch.
+func TestMutualReportsExpire(t *testing.T) {
 	a, b := newHealthyTracker(1), newHealthyTracker(1)
 	for now := start; now.Before(at(8 * time.Second)); now = now.Add(700 * time.Millisecond) {
 		a.RecordReport(now, now, b.Report(now))
@@ -185,8 +189,8 @@
 	require.Equal(t, shortTimeout, b.BeginCall(now, Targets))
 }
 
-// A call that was held back here tells nothing of the store.
-func TestHeldCallIsNoFailure(t *testing.T) {
+// A call that was held back proves nothing about the store.
+func TestCallNotSentIsNoFailure(t *testing.T) {
 	tracker := newHealthyTracker(0)
 	tracker.BeginCall(start, Targets)
 	tracker.RecordNotSent(Targets)
@@ -195,16 +199,16 @@
 	require.False(t, tracker.RecordResponse(start, Targets))
 }
 
-// The first watcher dies in a fleet of eight. If all seven others took its place in the same
-// round, each would call the store like it: those behind bear more rounds without a word.
-func TestThoseBehindBearMoreRounds(t *testing.T) {
-	rounds := map[int]int{1: 2, 2: 3, 3: 4, 6: 4, NoRank: 2}
-	for place, want := range rounds {
-		tracker := newHealthyTracker(place)
-		made := 1
+// The first watcher of a fleet of eight fails. If all seven others took over at the same time,
+// each would call the store as often as the first: those of higher rank wait longer.
+func TestHigherRanksWaitLonger(t *testing.T) {
+	polls := map[int]int{1: 2, 2: 3, 3: 4, 6: 4, NoRank: 2}
+	for rank, want := range polls {
+		tracker := newHealthyTracker(rank)
+		got := 1
 		for !tracker.RecordReport(start, start, Report{}) {
-			made++
+			got++
 		}
-		require.Equal(t, want, made, "place %d", place)
+		require.Equal(t, want, got, "rank %d", rank)
 	}
 }
