--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -31,11 +31,11 @@
 }
 
 // Terms are the times of a lease.
-type Terms struct {
+type Timing struct {
 	// Term is how long a lease holds after a renewal.
 	Term time.Duration
 	// RenewEvery is the time between renewals, at most a third of Term.
-	RenewEvery time.Duration
+	RenewInterval time.Duration
 	// Margin is taken off the holder's own term, for clocks that run at
 	// different rates.
 	Margin time.Duration
@@ -44,11 +44,11 @@
 }
 
 // DefaultTerms suit orders that load weights for some seconds.
-var DefaultTerms = Terms{
-	Term:         10 * time.Second,
-	RenewEvery:   3 * time.Second,
-	Margin:       time.Second,
-	LongestOrder: 30 * time.Second,
+var DefaultTiming = Timing{
+	Term:          10 * time.Second,
+	RenewInterval: 3 * time.Second,
+	Margin:        time.Second,
+	LongestOrder:  30 * time.Second,
 }
 
 // Action is what the driver does next.
@@ -76,52 +76,52 @@
 // one clock that runs while the process is paused. It isn't safe for
 // concurrent use.
 type Lease struct {
-	self  string
-	terms Terms
+	self   string
+	timing Timing
 	// seen is the record last read, at revision, unchanged since seenSince.
-	seen      Record
-	revision  uint64
-	seenSince time.Time
-	known     bool
+	observed      Record
+	revision      uint64
+	observedSince time.Time
+	upToDate      bool
 	// asked is when the write under way was sent.
-	asked   time.Time
-	wanted  Record
-	attempt uint64
+	writeSentAt time.Time
+	lastWrite   Record
+	attempt     uint64
 	// floor is the highest fencing number that a target has seen.
-	floor   uint64
-	held    bool
-	expires time.Time
+	maxSeenFencing uint64
+	held           bool
+	expiresAt      time.Time
 	// clearAt is when no order of an earlier holder can be under way any more.
-	clearAt time.Time
-	next    time.Time
+	safeWithoutFencingAt time.Time
+	nextActionAt         time.Time
 }
 
 // New returns a lease that isn't held. self names the incarnation.
-func New(self string, terms Terms) *Lease { return &Lease{self: self, terms: terms} }
+func New(self string, terms Timing) *Lease { return &Lease{self: self, timing: terms} }
 
 // Next returns what to do at a time.
 func (l *Lease) Next(now time.Time) Action {
-	l.lapse(now)
-	if now.Before(l.next) {
-		return Wait{Until: l.next}
+	l.expireIfDue(now)
+	if now.Before(l.nextActionAt) {
+		return Wait{Until: l.nextActionAt}
 	}
-	if !l.known {
+	if !l.upToDate {
 		return Read{}
 	}
-	if !l.held && !l.free(now) {
+	if !l.held && !l.available(now) {
 		return Read{}
 	}
-	if l.seen.Holder == l.self && l.seen.Fencing >= l.floor {
+	if l.observed.Holder == l.self && l.observed.Fencing >= l.maxSeenFencing {
 		return l.write(now, l.renewal())
 	}
 	return l.write(now, l.acquisition())
 }
 
 // Absent tells that the store has no lease.
-func (l *Lease) Absent(now time.Time) {
+func (l *Lease) ObservedAbsent(now time.Time) {
 	l.held = false
-	l.known, l.seen, l.revision, l.seenSince = true, Record{}, 0, now
-	l.next = now
+	l.upToDate, l.observed, l.revision, l.observedSince = true, Record{}, 0, now
+	l.nextActionAt = now
 }
 
 // Seen tells which record the store holds, after a read or a conflict.
@@ -131,38 +131,38 @@
 // earliest time at which it can have taken effect. An earlier write of this
 // holder that took effect late doesn't count: observers may have seen it long
 // before the last one was sent.
-func (l *Lease) Seen(now time.Time, r Record, revision uint64) {
-	if !l.known || revision != l.revision {
-		l.seenSince = now
+func (l *Lease) Observed(now time.Time, r Record, revision uint64) {
+	if !l.upToDate || revision != l.revision {
+		l.observedSince = now
 	}
-	mine := !l.asked.IsZero() && r == l.wanted
-	l.known, l.seen, l.revision = true, r, revision
-	l.next = now.Add(l.terms.RenewEvery)
+	mine := !l.writeSentAt.IsZero() && r == l.lastWrite
+	l.upToDate, l.observed, l.revision = true, r, revision
+	l.nextActionAt = now.Add(l.timing.RenewInterval)
 	if mine {
-		l.take()
+		l.startTerm()
 		return
 	}
-	l.asked = time.Time{}
+	l.writeSentAt = time.Time{}
 	if r.Holder != l.self {
 		l.held = false
 	}
-	if l.held || l.free(now) {
-		l.next = now
+	if l.held || l.available(now) {
+		l.nextActionAt = now
 	}
 }
 
 // Written tells that the write under way has taken effect.
 func (l *Lease) Written(now time.Time, revision uint64) {
-	l.seen, l.revision, l.seenSince = l.wanted, revision, now
-	l.next = l.asked.Add(l.terms.RenewEvery)
-	l.take()
+	l.observed, l.revision, l.observedSince = l.lastWrite, revision, now
+	l.nextActionAt = l.writeSentAt.Add(l.timing.RenewInterval)
+	l.startTerm()
 }
 
 // Failed tells that a call to the store got no answer. The lease is read again
 // before the next write; meanwhile a held lease runs out by itself.
-func (l *Lease) Failed(now time.Time) {
-	l.known = false
-	l.next = now.Add(l.terms.RenewEvery / 3)
+func (l *Lease) CallFailed(now time.Time) {
+	l.upToDate = false
+	l.nextActionAt = now.Add(l.timing.RenewInterval / 3)
 }
 
 // Held tells whether an order that ends by the longest order time may be
@@ -175,30 +175,30 @@
 // the fencing number refuse that order, and for the others the successor
 // waits out the longest order, which bounds the order but not the pause.
 func (l *Lease) Held(now time.Time) (uint64, bool) {
-	l.lapse(now)
+	l.expireIfDue(now)
 	if !l.held {
 		return 0, false
 	}
-	return l.wanted.Fencing, true
+	return l.lastWrite.Fencing, true
 }
 
 // Clear tells whether orders to targets that ignore the fencing number may be
 // given: the lease is held and the orders of earlier holders are over.
-func (l *Lease) Clear(now time.Time) bool {
+func (l *Lease) SafeWithoutFencing(now time.Time) bool {
 	_, held := l.Held(now)
-	return held && !now.Before(l.clearAt)
+	return held && !now.Before(l.safeWithoutFencingAt)
 }
 
 // ClearAt is when Clear turns true, if the lease stays held.
-func (l *Lease) ClearAt() time.Time { return l.clearAt }
+func (l *Lease) SafeWithoutFencingAt() time.Time { return l.safeWithoutFencingAt }
 
 // Outranked gives the lease up at once, because a target has seen a higher
 // fencing number; number is 0 when it isn't known. The lease is read again: a
 // successor shows there. When none does (the lease was removed and began again
 // at 1), the next number taken is above the one that the target has seen.
-func (l *Lease) Outranked(now time.Time, number uint64) {
-	l.floor = max(l.floor, number)
-	l.held, l.known, l.asked, l.next = false, false, time.Time{}, now
+func (l *Lease) Fenced(now time.Time, number uint64) {
+	l.maxSeenFencing = max(l.maxSeenFencing, number)
+	l.held, l.upToDate, l.writeSentAt, l.nextActionAt = false, false, time.Time{}, now
 }
 
 // Release returns the record that gives a held lease up, when no order is
@@ -207,32 +207,32 @@
 	if _, held := l.Held(now); !held {
 		return Write{}, false
 	}
-	r := l.seen
+	r := l.observed
 	r.Holder = ""
-	l.held, l.known, l.next = false, false, now.Add(l.terms.Term)
+	l.held, l.upToDate, l.nextActionAt = false, false, now.Add(l.timing.Term)
 	return Write{Record: r, Revision: l.revision}, true
 }
 
 // lapse gives up a lease whose time has run out.
-func (l *Lease) lapse(now time.Time) {
-	if l.held && !now.Before(l.expires) {
-		l.held, l.known, l.next = false, false, now
+func (l *Lease) expireIfDue(now time.Time) {
+	if l.held && !now.Before(l.expiresAt) {
+		l.held, l.upToDate, l.nextActionAt = false, false, now
 	}
 }
 
 // free tells whether the lease may be taken: it was given up, or it stood
 // unchanged in this observer's sight for its whole term. No clocks of two
 // instances are compared.
-func (l *Lease) free(now time.Time) bool {
-	if l.revision == 0 || l.seen.Holder == "" || l.seen.Holder == l.self {
+func (l *Lease) available(now time.Time) bool {
+	if l.revision == 0 || l.observed.Holder == "" || l.observed.Holder == l.self {
 		return true
 	}
-	return now.Sub(l.seenSince) >= l.seen.term()
+	return now.Sub(l.observedSince) >= l.observed.term()
 }
 
 // renewal prolongs this incarnation's own record under its fencing number.
 func (l *Lease) renewal() Record {
-	r := l.seen
+	r := l.observed
 	r.Attempt = l.nextAttempt()
 	return r
 }
@@ -244,15 +244,15 @@
 // ignore the fencing number that order would meet ours, so a successor waits
 // out the predecessor's term and longest order from its last sign of life.
 func (l *Lease) acquisition() Record {
-	if l.seen.Holder != "" {
-		l.clearAt = l.seenSince.Add(l.seen.term() + l.seen.longestOrder())
+	if l.observed.Holder != "" {
+		l.safeWithoutFencingAt = l.observedSince.Add(l.observed.term() + l.observed.longestOrder())
 	}
 	return Record{
 		Holder:         l.self,
-		Fencing:        max(l.seen.Fencing, l.floor) + 1,
-		TermMS:         l.terms.Term.Milliseconds(),
+		Fencing:        max(l.observed.Fencing, l.maxSeenFencing) + 1,
+		TermMS:         l.timing.Term.Milliseconds(),
 		Attempt:        l.nextAttempt(),
-		LongestOrderMS: l.terms.LongestOrder.Milliseconds(),
+		LongestOrderMS: l.timing.LongestOrder.Milliseconds(),
 	}
 }
 
@@ -262,13 +262,13 @@
 }
 
 func (l *Lease) write(now time.Time, r Record) Action {
-	l.asked, l.wanted = now, r
+	l.writeSentAt, l.lastWrite = now, r
 	return Write{Record: r, Revision: l.revision}
 }
 
 // take counts the wanted record as in force since its write was sent.
-func (l *Lease) take() {
+func (l *Lease) startTerm() {
 	l.held = true
-	l.expires = l.asked.Add(l.terms.Term - l.terms.Margin)
-	l.asked = time.Time{}
+	l.expiresAt = l.writeSentAt.Add(l.timing.Term - l.timing.Margin)
+	l.writeSentAt = time.Time{}
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{
-	Term: 10 * time.Second, RenewEvery: 3 * time.Second, Margin: time.Second, LongestOrder: 30 * time.Second,
+var testTiming = Timing{
+	Term: 10 * time.Second, RenewInterval: 3 * time.Second, Margin: time.Second, LongestOrder: 30 * time.Second,
 }
 
 // fakeStore is a store with one lease and writes that take effect late.
 type fakeStore struct {
 	record   Record
 	revision uint64
-	late     []Write
+	delayed  []Write
 }
 
 func (s *fakeStore) apply(w Write) bool {
@@ -30,7 +30,7 @@
 
 // exchange does the lease's next action. fault 1 loses the answer, 2 delays
 // the effect, 3 does nothing.
-func (s *fakeStore) exchange(l *Lease, now time.Time, fault int) {
+func (s *fakeStore) step(l *Lease, now time.Time, fault int) {
 	switch a := l.Next(now).(type) {
 	case Write:
 		s.write(l, a, now, fault)
@@ -43,29 +43,29 @@
 	switch fault {
 	case 1:
 		s.apply(w)
-		l.Failed(now)
+		l.CallFailed(now)
 	case 2:
-		s.late = append(s.late, w)
-		l.Failed(now)
+		s.delayed = append(s.delayed, w)
+		l.CallFailed(now)
 	case 3:
-		l.Failed(now)
+		l.CallFailed(now)
 	default:
 		if s.apply(w) {
 			l.Written(now, s.revision)
 			return
 		}
-		l.Seen(now, s.record, s.revision)
+		l.Observed(now, s.record, s.revision)
 	}
 }
 
 func (s *fakeStore) read(l *Lease, now time.Time, fault int) {
 	switch {
 	case fault == 3:
-		l.Failed(now)
+		l.CallFailed(now)
 	case s.revision == 0:
-		l.Absent(now)
+		l.ObservedAbsent(now)
 	default:
-		l.Seen(now, s.record, s.revision)
+		l.Observed(now, s.record, s.revision)
 	}
 }
 
@@ -77,16 +77,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		store := &fakeStore{}
-		leases := []*Lease{New("a", terms), New("b", terms), New("c", terms)}
+		leases := []*Lease{New("a", testTiming), New("b", testTiming), New("c", testTiming)}
 		fencing, holderOf := uint64(0), map[uint64]int{}
 		for range rapid.IntRange(10, 150).Draw(t, "moves") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 100, 1000, 3000, 9500}).Draw(t, "ms")) * time.Millisecond)
-			if len(store.late) > 0 && rapid.Bool().Draw(t, "late") {
-				store.apply(store.late[0])
-				store.late = store.late[1:]
+			if len(store.delayed) > 0 && rapid.Bool().Draw(t, "late") {
+				store.apply(store.delayed[0])
+				store.delayed = store.delayed[1:]
 			}
 			i := rapid.IntRange(0, 2).Draw(t, "lease")
-			store.exchange(leases[i], now, rapid.IntRange(0, 4).Draw(t, "fault"))
+			store.step(leases[i], now, rapid.IntRange(0, 4).Draw(t, "fault"))
 			held := 0
 			for j, l := range leases {
 				number, ok := l.Held(now)
@@ -115,53 +115,53 @@
 func TestPauseAcrossLapse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store := &fakeStore{}
-	first, second := New("a", terms), New("b", terms)
-	store.exchange(first, now, 0)
-	store.exchange(first, now, 0)
+	first, second := New("a", testTiming), New("b", testTiming)
+	store.step(first, now, 0)
+	store.step(first, now, 0)
 	number, held := first.Held(now)
 	require.True(t, held)
 	require.Equal(t, uint64(1), number)
-	require.True(t, first.Clear(now), "nobody held the lease before")
+	require.True(t, first.SafeWithoutFencing(now), "nobody held the lease before")
 
-	store.exchange(second, now, 0)
-	taken := now.Add(terms.Term)
+	store.step(second, now, 0)
+	taken := now.Add(testTiming.Term)
 	require.IsType(t, Read{}, second.Next(taken.Add(-time.Second)))
-	store.exchange(second, taken, 0)
+	store.step(second, taken, 0)
 	number, held = second.Held(taken)
 	require.True(t, held)
 	require.Equal(t, uint64(2), number)
 	_, held = first.Held(taken)
 	require.False(t, held)
 
-	require.False(t, second.Clear(taken))
-	clear := now.Add(terms.Term + terms.LongestOrder)
-	require.Equal(t, clear, second.ClearAt())
-	for at := taken; at.Before(clear); at = at.Add(terms.RenewEvery) {
-		store.exchange(second, at, 0)
-		require.False(t, second.Clear(at))
+	require.False(t, second.SafeWithoutFencing(taken))
+	clear := now.Add(testTiming.Term + testTiming.LongestOrder)
+	require.Equal(t, clear, second.SafeWithoutFencingAt())
+	for at := taken; at.Before(clear); at = at.Add(testTiming.RenewInterval) {
+		store.step(second, at, 0)
+		require.False(t, second.SafeWithoutFencing(at))
 	}
-	store.exchange(second, clear, 0)
-	require.True(t, second.Clear(clear))
+	store.step(second, clear, 0)
+	require.True(t, second.SafeWithoutFencing(clear))
 
 	release, ok := second.Release(clear)
 	require.True(t, ok)
 	require.True(t, store.apply(release))
-	third := New("c", terms)
-	store.exchange(third, clear, 0)
-	store.exchange(third, clear, 0)
+	third := New("c", testTiming)
+	store.step(third, clear, 0)
+	store.step(third, clear, 0)
 	number, _ = third.Held(clear)
 	require.Equal(t, uint64(3), number)
-	require.True(t, third.Clear(clear), "a lease given up needs no wait")
+	require.True(t, third.SafeWithoutFencing(clear), "a lease given up needs no wait")
 }
 
 // Story: an operator overwrites the lease by hand. The holder sees a foreign
 // holder and stops at once, without waiting for its own lapse.
 func TestForeignHolderEndsTheLease(t *testing.T) {
 	now := time.Unix(1000, 0)
-	store, l := &fakeStore{}, New("a", terms)
-	store.exchange(l, now, 0)
-	store.exchange(l, now, 0)
-	l.Seen(now, Record{Holder: "x", Fencing: 9, TermMS: 10_000}, 9)
+	store, l := &fakeStore{}, New("a", testTiming)
+	store.step(l, now, 0)
+	store.step(l, now, 0)
+	l.Observed(now, Record{Holder: "x", Fencing: 9, TermMS: 10_000}, 9)
 	_, held := l.Held(now)
 	require.False(t, held)
 }
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -27,51 +27,51 @@
 	MaxUpdates     int
 	MaxUpdateBytes int
 	// DeadRetry is the time between two tries to reach a dead member.
-	DeadRetry time.Duration
+	DeadProbeInterval time.Duration
 	// Retention is how long a member that is dead or left is remembered. It is
 	// longer than the partitions that should heal by themselves.
 	Retention time.Duration
 	// MaxGone bounds the remembered members that are dead or left.
-	MaxGone int
+	MaxDeadOrLeft int
 	// MaxMembers bounds the members that are live.
 	MaxMembers int
 	// SyncEvery is the time between two full exchanges while the digests of
 	// two instances differ.
-	SyncEvery time.Duration
+	SyncInterval time.Duration
 	// SyncPage bounds the members in one SyncAnswer.
 	SyncPage int
 	// LeaveFanout is the number of members told directly of a departure.
 	LeaveFanout int
 	// NewsFanout is the number of members to whom each that hears of a start or of a
 	// departure passes the word on at once.
-	NewsFanout int
+	EagerFanout int
 	// NewsRate is how many such words an instance sends a second over time, NewsBurst
 	// how many at once. One has some 100 bytes, and all control traffic 2 KB/s.
-	NewsRate  int
-	NewsBurst int
+	EagerRate  int
+	EagerBurst int
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Period:           time.Second,
-		ProbeTimeout:     300 * time.Millisecond,
-		IndirectProbes:   3,
-		Rings:            8,
-		SuspicionPeriods: 4,
-		RetransmitFactor: 3,
-		MaxUpdates:       6,
-		MaxUpdateBytes:   600,
-		DeadRetry:        5 * time.Second,
-		Retention:        2 * time.Hour,
-		MaxGone:          1024,
-		MaxMembers:       4096,
-		SyncEvery:        30 * time.Second,
-		SyncPage:         32,
-		LeaveFanout:      6,
-		NewsFanout:       3,
-		NewsRate:         3,
-		NewsBurst:        80,
+		Period:            time.Second,
+		ProbeTimeout:      300 * time.Millisecond,
+		IndirectProbes:    3,
+		Rings:             8,
+		SuspicionPeriods:  4,
+		RetransmitFactor:  3,
+		MaxUpdates:        6,
+		MaxUpdateBytes:    600,
+		DeadProbeInterval: 5 * time.Second,
+		Retention:         2 * time.Hour,
+		MaxDeadOrLeft:     1024,
+		MaxMembers:        4096,
+		SyncInterval:      30 * time.Second,
+		SyncPage:          32,
+		LeaveFanout:       6,
+		EagerFanout:       3,
+		EagerRate:         3,
+		EagerBurst:        80,
 	}
 }
 
@@ -86,15 +86,15 @@
 	c.RetransmitFactor = cmp.Or(c.RetransmitFactor, d.RetransmitFactor)
 	c.MaxUpdates = cmp.Or(c.MaxUpdates, d.MaxUpdates)
 	c.MaxUpdateBytes = cmp.Or(c.MaxUpdateBytes, d.MaxUpdateBytes)
-	c.DeadRetry = cmp.Or(c.DeadRetry, d.DeadRetry)
+	c.DeadProbeInterval = cmp.Or(c.DeadProbeInterval, d.DeadProbeInterval)
 	c.Retention = cmp.Or(c.Retention, d.Retention)
-	c.MaxGone = cmp.Or(c.MaxGone, d.MaxGone)
+	c.MaxDeadOrLeft = cmp.Or(c.MaxDeadOrLeft, d.MaxDeadOrLeft)
 	c.MaxMembers = cmp.Or(c.MaxMembers, d.MaxMembers)
-	c.SyncEvery = cmp.Or(c.SyncEvery, d.SyncEvery)
+	c.SyncInterval = cmp.Or(c.SyncInterval, d.SyncInterval)
 	c.SyncPage = cmp.Or(c.SyncPage, d.SyncPage)
 	c.LeaveFanout = cmp.Or(c.LeaveFanout, d.LeaveFanout)
-	c.NewsFanout = cmp.Or(c.NewsFanout, d.NewsFanout)
-	c.NewsRate = cmp.Or(c.NewsRate, d.NewsRate)
-	c.NewsBurst = cmp.Or(c.NewsBurst, d.NewsBurst)
+	c.EagerFanout = cmp.Or(c.EagerFanout, d.EagerFanout)
+	c.EagerRate = cmp.Or(c.EagerRate, d.EagerRate)
+	c.EagerBurst = cmp.Or(c.EagerBurst, d.EagerBurst)
 	return c
 }
--- a/coordination/membership/depart.go
+++ b/coordination/membership/depart.go
@@ -4,7 +4,7 @@
 
 // hearsayFor is how long a departure is remembered that was over when it was heard of:
 // longer than older word of the same run is on its way.
-const hearsayFor = time.Minute
+const unknownDepartureRetention = time.Minute
 
 // hear remembers the departure of a member that isn't known here.
 //
@@ -13,20 +13,20 @@
 // until that is gone. It holds since a departure is final for an incarnation: older word
 // doesn't supersede it. What is heard so is not passed on, and not kept for the
 // retention, or departures would go from instance to instance for ever.
-func (m *Membership) hear(now time.Time, u Member) {
-	if u.State != Left || len(m.gone) >= m.cfg.MaxGone {
+func (m *Membership) storeUnknownDeparture(now time.Time, u Member) {
+	if u.State != Left || len(m.deadOrLeft) >= m.cfg.MaxDeadOrLeft {
 		return
 	}
 	m.store(now, u)
 	e := m.table[u.Name]
-	e.hearsay = true
-	e.changed = now.Add(min(hearsayFor, m.cfg.Retention) - m.cfg.Retention)
+	e.departureOnly = true
+	e.stateSince = now.Add(min(unknownDepartureRetention, m.cfg.Retention) - m.cfg.Retention)
 }
 
 // correct puts a departure into the next message if the sender of an update still
 // counts the member as live: its own word was passed on often enough before that one
 // started.
-func (m *Membership) correct(u Member) {
+func (m *Membership) queueCorrection(u Member) {
 	e := m.table[u.Name]
 	if e != nil && e.State == Left && u.Live() && e.Incarnation == u.Incarnation {
 		m.updates.put(e.Member)
@@ -39,13 +39,13 @@
 func (m *Membership) tickLeaving(now time.Time) {
 	p := &m.probes
 	p.target = ""
-	if now.Before(p.next) {
+	if now.Before(p.nextProbe) {
 		return
 	}
-	p.next = now.Add(m.cfg.Period)
+	p.nextProbe = now.Add(m.cfg.Period)
 	m.expireRelays(now)
-	if e := m.nextTarget(); e != nil {
+	if e := m.nextProbeTarget(); e != nil {
 		m.send(Send{To: e.Address, Message: m.ping(e, p.nextSeq())})
-		delete(p.doubts, e.Name)
+		delete(p.disputed, e.Name)
 	}
 }
--- a/coordination/membership/leads.go
+++ b/coordination/membership/leads.go
@@ -8,13 +8,13 @@
 
 const (
 	// maxLeads bounds the members that are contacted first.
-	maxLeads = 16
+	maxPrioritySeeds = 16
 	// leadEvery is the time between two tries to contact them, leadTries how many there
 	// are: as long as instances take that start at the same time.
-	leadEvery = 150 * time.Millisecond
-	leadTries = 8
+	prioritySeedInterval    = 150 * time.Millisecond
+	maxPrioritySeedAttempts = 8
 	// joinWithin is how long after its start an instance counts as joining at most.
-	joinWithin = 1500 * time.Millisecond
+	joinTimeout = 1500 * time.Millisecond
 )
 
 // leads are the listed instances of the most capacity, of which one holds each duty that
@@ -23,19 +23,19 @@
 // The load they answer: hundreds of instances that start at the same time. By probes and
 // rumours it takes seconds until each knows all, and until then each gives the duty to
 // another, or takes it itself.
-type leads struct {
+type prioritySeeds struct {
 	// named tells that the platform's list has come.
-	named bool
-	count int
+	listComplete bool
+	count        int
 	// tries is how often those were contacted that aren't known yet, by address.
-	tries map[string]int
-	next  time.Time
-	since time.Time
+	attempts     map[string]int
+	nextContact  time.Time
+	joiningSince time.Time
 }
 
 // nameLeads takes those of the first list that names any.
-func (m *Membership) nameLeads(seeds []Member) {
-	l := &m.candidates.leads
+func (m *Membership) choosePrioritySeeds(seeds []Member) {
+	l := &m.candidates.priority
 	if l.count > 0 {
 		return
 	}
@@ -45,32 +45,32 @@
 	slices.SortFunc(others, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Name, b.Name))
 	})
-	l.tries = make(map[string]int, maxLeads)
+	l.attempts = make(map[string]int, maxPrioritySeeds)
 	for _, s := range others {
-		if len(l.tries) < maxLeads && s.Capacity == others[0].Capacity {
-			l.tries[s.Address] = 0
+		if len(l.attempts) < maxPrioritySeeds && s.Capacity == others[0].Capacity {
+			l.attempts[s.Address] = 0
 		}
 	}
-	l.count = len(l.tries)
+	l.count = len(l.attempts)
 }
 
 // Listed notes that the seeds named so far hold the whole list of the platform.
-func (m *Membership) Listed() { m.candidates.leads.named = true }
+func (m *Membership) MarkSeedsComplete() { m.candidates.priority.listComplete = true }
 
 // contactLeads asks those for a sign of life that aren't known yet.
-func (m *Membership) contactLeads(now time.Time) {
-	l := &m.candidates.leads
-	if len(l.tries) == 0 || now.Before(l.next) {
+func (m *Membership) contactPrioritySeeds(now time.Time) {
+	l := &m.candidates.priority
+	if len(l.attempts) == 0 || now.Before(l.nextContact) {
 		return
 	}
-	l.next = now.Add(leadEvery)
-	for _, address := range sortedKeys(l.tries) {
-		if _, known := m.byAddress[address]; known || l.tries[address] >= leadTries {
-			delete(l.tries, address)
+	l.nextContact = now.Add(prioritySeedInterval)
+	for _, address := range sortedKeys(l.attempts) {
+		if _, known := m.byAddress[address]; known || l.attempts[address] >= maxPrioritySeedAttempts {
+			delete(l.attempts, address)
 			continue
 		}
-		l.tries[address]++
-		m.send(Send{To: address, Message: m.ping(&entry{}, m.probes.nextSeq()), Fresh: l.tries[address] > 1})
+		l.attempts[address]++
+		m.send(Send{To: address, Message: m.ping(&entry{}, m.probes.nextSeq()), NewConnection: l.attempts[address] > 1})
 	}
 }
 
@@ -78,18 +78,18 @@
 // duties that one instance has for all: it has no list of instances, or has heard of no
 // more than half of those of the most capacity.
 func (m *Membership) Joining(now time.Time) bool {
-	l := &m.candidates.leads
-	if l.since.IsZero() {
-		l.since = now
+	l := &m.candidates.priority
+	if l.joiningSince.IsZero() {
+		l.joiningSince = now
 	}
-	if now.Sub(l.since) >= joinWithin {
+	if now.Sub(l.joiningSince) >= joinTimeout {
 		return false
 	}
-	if !l.named {
+	if !l.listComplete {
 		return true
 	}
 	unknown := 0
-	for address := range l.tries {
+	for address := range l.attempts {
 		if _, known := m.byAddress[address]; !known {
 			unknown++
 		}
--- a/coordination/membership/leads_test.go
+++ b/coordination/membership/leads_test.go
@@ -9,10 +9,10 @@
 )
 
 // listed are members of which the first few have most capacity.
-func listed(n, large int) []Member {
+func seedList(n, large int) []Member {
 	list := make([]Member, n)
 	for i := range list {
-		list[i] = manyth(i)
+		list[i] = largeClusterMember(i)
 		list[i].Capacity = 192
 		if i < large {
 			list[i].Capacity = 800
@@ -25,8 +25,8 @@
 // for themselves, or give to different ones, in the first seconds after all were lost.
 func TestFleetThatStartsTogetherKnowsItsLeads(t *testing.T) {
 	const n, large = 90, 8
-	list := listed(n, large)
-	b := newBench(t, 0, DefaultConfig())
+	list := seedList(n, large)
+	b := newSimCluster(t, 0, DefaultConfig())
 	order := rand.New(rand.NewPCG(1, 1)).Perm(n)
 	var started []*Membership
 	for _, i := range order {
@@ -35,13 +35,13 @@
 		b.nodes[list[i].Address] = m
 		started = append(started, m)
 		require.True(t, m.Joining(b.now), "it has no list yet")
-		b.do(m, m.Seed(b.now, list))
-		m.Listed()
+		b.deliver(m, m.Seed(b.now, list))
+		m.MarkSeedsComplete()
 	}
 	for range 4 {
 		b.now = b.now.Add(100 * time.Millisecond)
 		for _, m := range started {
-			b.do(m, m.Tick(b.now))
+			b.deliver(m, m.Tick(b.now))
 		}
 	}
 	for _, m := range started {
@@ -57,22 +57,22 @@
 func TestJoiningEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	start := func(had bool, seeds []Member) *Membership {
-		m := New(DefaultConfig(), listed(1, 0)[0], rand.New(rand.NewPCG(1, 1)))
+		m := New(DefaultConfig(), seedList(1, 0)[0], rand.New(rand.NewPCG(1, 1)))
 		require.True(t, m.Joining(now))
 		m.Seed(now, seeds)
 		if had {
-			m.Listed()
+			m.MarkSeedsComplete()
 		}
 		return m
 	}
-	require.False(t, start(true, listed(1, 0)).Joining(now), "it is alone")
+	require.False(t, start(true, seedList(1, 0)).Joining(now), "it is alone")
 	require.False(t, start(true, nil).Joining(now), "it is alone, and its entry not there yet")
 	require.True(t, start(false, nil).Joining(now), "the list wasn't had")
-	require.False(t, start(false, nil).Joining(now.Add(joinWithin)))
-	m := start(true, listed(20, 9))
+	require.False(t, start(false, nil).Joining(now.Add(joinTimeout)))
+	m := start(true, seedList(20, 9))
 	require.True(t, m.Joining(now))
-	for at := now; at.Before(now.Add(joinWithin)); at = at.Add(50 * time.Millisecond) {
+	for at := now; at.Before(now.Add(joinTimeout)); at = at.Add(50 * time.Millisecond) {
 		m.Tick(at)
 	}
-	require.False(t, m.Joining(now.Add(joinWithin-time.Millisecond)), "none of them answers")
+	require.False(t, m.Joining(now.Add(joinTimeout-time.Millisecond)), "none of them answers")
 }
--- a/coordination/membership/leave_test.go
+++ b/coordination/membership/leave_test.go
@@ -12,14 +12,14 @@
 )
 
 // leave has an instance of a bench announce its departure. It goes on answering.
-func (b *bench) leave(i int) *Membership {
+func (b *simCluster) leave(i int) *Membership {
 	m := b.nodes[member(i).Address]
-	b.do(m, m.Leave(b.now))
+	b.deliver(m, m.Leave(b.now))
 	return m
 }
 
 // departed returns a member's last word.
-func departed(i int) Member {
+func leftMember(i int) Member {
 	m := member(i)
 	m.State = Left
 	return m
@@ -31,12 +31,12 @@
 // all, and sends its requests there.
 func TestOneThatLeavesSaysSoToWhoeverAsks(t *testing.T) {
 	cfg := Config{SyncPage: 4, MaxUpdates: 3}.withDefaults()
-	b := newBench(t, 12, cfg)
+	b := newSimCluster(t, 12, cfg)
 	b.run(10 * time.Second)
 	m := b.leave(6)
 	b.run(2 * time.Minute)
 	crowd := m.Receive(b.now, member(1), &Ping{Updates: []Member{member(12), member(13), member(14), member(15)}})
-	require.Contains(t, crowd[0].(Send).Message.(*Ack).Updates, departed(6), "not crowded out by newer word")
+	require.Contains(t, crowd[0].(Send).Message.(*Ack).Updates, leftMember(6), "not crowded out by newer word")
 	b.run(10 * time.Second) // it could ask for all by now, as one whose set of live members differs
 
 	asked := map[string]Message{
@@ -45,7 +45,7 @@
 		"the first page":            &SyncRequest{},
 		"a page past it":            &SyncRequest{After: member(8).Name},
 		"the last page":             &SyncRequest{After: member(11).Name},
-		"a page that leads to more": &SyncAnswer{Next: member(4).Name},
+		"a page that leads to more": &SyncResponse{Next: member(4).Name},
 	}
 	for name, msg := range asked {
 		t.Run(name, func(t *testing.T) {
@@ -62,11 +62,11 @@
 				case *Ack:
 					told = answer.Updates
 					require.LessOrEqual(t, len(told), cfg.MaxUpdates)
-				case *SyncAnswer:
+				case *SyncResponse:
 					told = answer.Members
 					require.LessOrEqual(t, len(told), cfg.SyncPage)
 				}
-				require.Contains(t, told, departed(6), "%T", send.Message)
+				require.Contains(t, told, leftMember(6), "%T", send.Message)
 			}
 		})
 	}
@@ -76,13 +76,13 @@
 // over for it, or the new instance would miss one.
 func TestPagesOfOneThatLeavesHoldAll(t *testing.T) {
 	for leaver := range 10 {
-		b := newBench(t, 10, Config{SyncPage: 4})
+		b := newSimCluster(t, 10, Config{SyncPage: 4})
 		b.run(10 * time.Second)
 		m := b.leave(leaver)
 		seen := map[string]bool{}
 		after := ""
 		for range 10 {
-			page := m.page(after)
+			page := m.syncPage(after)
 			require.LessOrEqual(t, len(page.Members), 4)
 			for _, x := range page.Members {
 				seen[x.Name] = true
@@ -101,14 +101,14 @@
 func TestJoinerTakesOverWhoLeaves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{SyncPage: rapid.IntRange(2, 16).Draw(rt, "page")}
-		b := newBench(rt, 10, cfg)
+		b := newSimCluster(rt, 10, cfg)
 		b.run(10 * time.Second)
 		leaver := rapid.IntRange(1, 9).Draw(rt, "leaver")
 		b.leave(leaver)
 		b.run(time.Duration(rapid.IntRange(10, 100).Draw(rt, "tenths")) * 100 * time.Millisecond)
 		joiner := member(10)
 		var first *View
-		b.watch = func(v *View) {
+		b.onView = func(v *View) {
 			if v.Self != joiner.Name {
 				return
 			}
@@ -119,7 +119,7 @@
 		m := b.start(cfg, joiner, member(rapid.IntRange(0, 9).Draw(rt, "seed")))
 		for range rapid.IntRange(1, 4).Draw(rt, "stale") {
 			ignorant := member(rapid.IntRange(0, 9).Draw(rt, "ignorant"))
-			b.do(m, m.Receive(b.now, ignorant, &Ping{Seq: 1, Updates: []Member{member(leaver)}}))
+			b.deliver(m, m.Receive(b.now, ignorant, &Ping{Seq: 1, Updates: []Member{member(leaver)}}))
 			b.run(time.Duration(rapid.IntRange(0, 30).Draw(rt, "between")) * 100 * time.Millisecond)
 		}
 		require.Nil(rt, first, "%s counts as live", member(leaver).Name)
@@ -130,7 +130,7 @@
 // probes one that knows, whose word of the departure was passed on often enough long ago:
 // the answer must put it right, or it asks the one that leaves until that is gone.
 func TestStaleWordIsPutRightInTheAnswer(t *testing.T) {
-	b := newBench(t, 8, Config{})
+	b := newSimCluster(t, 8, Config{})
 	b.run(10 * time.Second)
 	b.leave(3)
 	b.run(2 * time.Minute)
@@ -144,9 +144,9 @@
 		for _, a := range knows.Receive(b.now, member(2), msg) {
 			switch s := a.(Send).Message.(type) {
 			case *Ping:
-				said = said || len(s.Updates) > 0 && s.Updates[0] == departed(3)
+				said = said || len(s.Updates) > 0 && s.Updates[0] == leftMember(3)
 			case *Ack:
-				said = said || len(s.Updates) > 0 && s.Updates[0] == departed(3)
+				said = said || len(s.Updates) > 0 && s.Updates[0] == leftMember(3)
 			}
 		}
 		require.True(t, said, "%T", msg)
@@ -157,20 +157,20 @@
 // and is no news: passed on, it would come back from instance to instance for ever.
 func TestDeparturesHeardOfAreForgottenAndNotPassedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := New(Config{MaxGone: 4}, member(0), rand.New(rand.NewPCG(1, 1)))
-	m.updates.drop(member(0).Name)
+	m := New(Config{MaxDeadOrLeft: 4}, member(0), rand.New(rand.NewPCG(1, 1)))
+	m.updates.remove(member(0).Name)
 	var told []Member
 	for i := 2; i < 12; i++ {
-		told = append(told, departed(i))
+		told = append(told, leftMember(i))
 	}
-	m.Receive(now, member(1), &SyncAnswer{Members: told})
-	require.Len(t, m.gone, 4, "bounded")
-	for _, x := range m.page("").Members {
+	m.Receive(now, member(1), &SyncResponse{Members: told})
+	require.Len(t, m.deadOrLeft, 4, "bounded")
+	for _, x := range m.syncPage("").Members {
 		require.NotEqual(t, Left, x.State, "%s", x.Name)
 	}
-	require.NotContains(t, m.updates.byName, departed(2).Name)
+	require.NotContains(t, m.updates.byName, leftMember(2).Name)
 	m.Tick(now.Add(time.Minute))
-	require.Empty(t, m.gone)
+	require.Empty(t, m.deadOrLeft)
 }
 
 // One of 90 instances leaves. Each passes the word on at once to a few, so that nearly
@@ -179,7 +179,7 @@
 func TestWordOfADepartureOutrunsTheProbes(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
-	b := newBench(t, n, cfg)
+	b := newSimCluster(t, n, cfg)
 	b.run(30 * time.Second)
 	for leaver := range 3 {
 		sent := map[string]int{}
@@ -209,7 +209,7 @@
 // nobody: silence around it may be its own end.
 func TestOneThatLeavesStillHearsOfOthers(t *testing.T) {
 	cfg := DefaultConfig()
-	b := newBench(t, 12, cfg)
+	b := newSimCluster(t, 12, cfg)
 	b.run(10 * time.Second)
 	m := b.leave(3)
 	b.run(time.Second)
@@ -229,7 +229,7 @@
 	}
 	b.drop = func(string, string, bool) bool { return false }
 	b.run(3 * cfg.Period)
-	b.agree(slices.DeleteFunc(all(13), func(name string) bool {
+	b.requireLive(slices.DeleteFunc(memberNames(13), func(name string) bool {
 		return name == member(3).Name || name == member(4).Name
 	})...)
 }
@@ -241,9 +241,9 @@
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	joiner := New(cfg, member(12), rand.New(rand.NewPCG(1, 1)))
-	joiner.Receive(now, member(0), &SyncAnswer{Members: []Member{member(0), member(1), member(2), member(3)}})
+	joiner.Receive(now, member(0), &SyncResponse{Members: []Member{member(0), member(1), member(2), member(3)}})
 	require.True(t, joiner.sync.joined)
-	joiner.Receive(now, member(1), &SyncAnswer{Members: []Member{member(1)}}) // of the first round
+	joiner.Receive(now, member(1), &SyncResponse{Members: []Member{member(1)}}) // of the first round
 	asked := map[time.Duration]int{}
 	for since := 100 * time.Millisecond; since <= time.Minute; since += 100 * time.Millisecond {
 		for _, a := range joiner.Tick(now.Add(since)) {
@@ -256,7 +256,7 @@
 			}
 		}
 		if since == 2*cfg.Period+200*time.Millisecond {
-			joiner.Receive(now.Add(since), member(2), &SyncAnswer{Members: []Member{member(2)}})
+			joiner.Receive(now.Add(since), member(2), &SyncResponse{Members: []Member{member(2)}})
 		}
 	}
 	require.Equal(t, map[time.Duration]int{cfg.Period: 1, 2 * cfg.Period: 1}, asked, "until one answers")
@@ -270,15 +270,15 @@
 	now := time.Unix(1000, 0)
 	m := New(cfg, member(0), rand.New(rand.NewPCG(1, 1)))
 	for i := 1; i < 440; i++ {
-		m.Receive(now, manyth(i), &Ping{Digest: m.digest})
+		m.Receive(now, largeClusterMember(i), &Ping{Digest: m.digest})
 	}
 	m.Tick(now)
 	copies := 0
 	const perSecond, short, series = 4, 20, 400
 	for i := 1; i <= series; i++ {
-		x := manyth(i)
+		x := largeClusterMember(i)
 		x.State = Left
-		for _, a := range m.Receive(now, manyth(439), &Ping{Updates: []Member{x}}) {
+		for _, a := range m.Receive(now, largeClusterMember(439), &Ping{Updates: []Member{x}}) {
 			if s, ok := a.(Send); ok {
 				if word, ok := s.Message.(*Ack); ok && word.Seq == 0 && !s.Reply {
 					copies += len(word.Updates)
@@ -286,18 +286,18 @@
 			}
 		}
 		if i == short {
-			require.Equal(t, short*cfg.NewsFanout, copies)
+			require.Equal(t, short*cfg.EagerFanout, copies)
 		}
 		now = now.Add(time.Second / perSecond)
 		m.Tick(now)
 	}
 	seconds := series / perSecond
-	require.LessOrEqual(t, copies, cfg.NewsBurst+cfg.NewsRate*seconds)
-	require.Greater(t, copies, cfg.NewsRate*(seconds-1), "it goes on at the rate")
+	require.LessOrEqual(t, copies, cfg.EagerBurst+cfg.EagerRate*seconds)
+	require.Greater(t, copies, cfg.EagerRate*(seconds-1), "it goes on at the rate")
 }
 
 // manyth returns a member of a large cluster.
-func manyth(i int) Member {
+func largeClusterMember(i int) Member {
 	m := member(i)
 	m.Address = fmt.Sprintf("10.0.%d.%d:7", i/250, i%250)
 	return m
@@ -310,7 +310,7 @@
 func TestWordOfAStartOutrunsTheProbes(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
-	b := newBench(t, n, cfg)
+	b := newSimCluster(t, n, cfg)
 	b.run(30 * time.Second)
 	sent := map[string]int{}
 	b.drop = func(from, _ string, _ bool) bool { sent[from]++; return false }
@@ -335,17 +335,17 @@
 	m := New(cfg, member(0), rand.New(rand.NewPCG(1, 1)))
 	m.sync.joined = true
 	for i := 1; i < 200; i++ {
-		m.Receive(now, manyth(i), &Ping{Digest: m.digest})
+		m.Receive(now, largeClusterMember(i), &Ping{Digest: m.digest})
 	}
-	x := manyth(5)
+	x := largeClusterMember(5)
 	x.State = Left
-	require.GreaterOrEqual(t, m.words, float64(cfg.NewsBurst)/2-float64(cfg.NewsFanout))
-	require.Less(t, m.words, float64(cfg.NewsBurst)/2, "starts used their part")
+	require.GreaterOrEqual(t, m.eagerTokens, float64(cfg.EagerBurst)/2-float64(cfg.EagerFanout))
+	require.Less(t, m.eagerTokens, float64(cfg.EagerBurst)/2, "starts used their part")
 	words := 0
-	for _, a := range m.Receive(now, manyth(9), &Ping{Updates: []Member{x}}) {
+	for _, a := range m.Receive(now, largeClusterMember(9), &Ping{Updates: []Member{x}}) {
 		if s, ok := a.(Send); ok && !s.Reply {
 			words++
 		}
 	}
-	require.Equal(t, cfg.NewsFanout, words)
+	require.Equal(t, cfg.EagerFanout, words)
 }
--- a/coordination/membership/messages.go
+++ b/coordination/membership/messages.go
@@ -97,16 +97,16 @@
 
 // SyncAnswer is one page of members in the order of their names. Next is the
 // name to continue after, empty at the end.
-type SyncAnswer struct {
+type SyncResponse struct {
 	Members []Member
 	Next    string
 }
 
-func (*Ping) membershipMessage()        {}
-func (*PingReq) membershipMessage()     {}
-func (*Ack) membershipMessage()         {}
-func (*SyncRequest) membershipMessage() {}
-func (*SyncAnswer) membershipMessage()  {}
+func (*Ping) membershipMessage()         {}
+func (*PingReq) membershipMessage()      {}
+func (*Ack) membershipMessage()          {}
+func (*SyncRequest) membershipMessage()  {}
+func (*SyncResponse) membershipMessage() {}
 
 // Action is what the driver has to do after a call.
 type Action interface{ membershipAction() }
@@ -116,18 +116,18 @@
 	To      string
 	Message Message
 	// Fresh asks for a new connection: an existing one may be silent.
-	Fresh bool
+	NewConnection bool
 	// Reply prefers the connection on which the answered message came.
 	Reply bool
 }
 
 // Changed says that the view has a new version.
-type Changed struct{ View *View }
+type ViewChanged struct{ View *View }
 
 // Superseded says that another run under this instance's name has a higher
 // incarnation, so this one is outdated or the name is used twice.
 type Superseded struct{ By Member }
 
-func (Send) membershipAction()       {}
-func (Changed) membershipAction()    {}
-func (Superseded) membershipAction() {}
+func (Send) membershipAction()        {}
+func (ViewChanged) membershipAction() {}
+func (Superseded) membershipAction()  {}
--- a/coordination/membership/rings.go
+++ b/coordination/membership/rings.go
@@ -12,7 +12,7 @@
 // one other on each ring: it is probed about once a period, and connections
 // stay bounded however many members there are.
 func Successors(v *View, rings int) []Member {
-	return onRings(v, rings, func(own, other uint64) uint64 { return other - own })
+	return nearestOnRings(v, rings, func(own, other uint64) uint64 { return other - own })
 }
 
 // Neighbours returns the successors and those of whom this instance is a
@@ -22,7 +22,7 @@
 	if len(v.live) <= rings+1 {
 		return Successors(v, rings)
 	}
-	before := onRings(v, rings, func(own, other uint64) uint64 { return own - other })
+	before := nearestOnRings(v, rings, func(own, other uint64) uint64 { return own - other })
 	all := Successors(v, rings)
 	seen := make(map[string]struct{}, len(all))
 	for _, m := range all {
@@ -37,14 +37,14 @@
 }
 
 // onRings returns the nearest live member on each ring, without repeats.
-func onRings(v *View, rings int, distance func(own, other uint64) uint64) []Member {
+func nearestOnRings(v *View, rings int, distance func(own, other uint64) uint64) []Member {
 	if len(v.live) <= rings+1 {
 		return v.others("")
 	}
 	var out []Member
 	seen := make(map[string]struct{}, rings)
 	for ring := range rings {
-		m := v.nearest(strconv.Itoa(ring), distance)
+		m := v.nearestOnRing(strconv.Itoa(ring), distance)
 		if _, ok := seen[m.Name]; !ok {
 			seen[m.Name] = struct{}{}
 			out = append(out, m)
@@ -54,7 +54,7 @@
 }
 
 // nearest returns the other live member at the least distance on a ring.
-func (v *View) nearest(ring string, distance func(own, other uint64) uint64) Member {
+func (v *View) nearestOnRing(ring string, distance func(own, other uint64) uint64) Member {
 	own := rendezvous.Score(v.Self, ring)
 	best, least := -1, uint64(0)
 	for i := range v.live {
--- a/coordination/membership/sync.go
+++ b/coordination/membership/sync.go
@@ -10,21 +10,21 @@
 	maxCandidates = 1024
 	// candidateTries is how often a seed is contacted before it is dropped
 	// until it is named again.
-	candidateTries = 3
+	maxCandidateAttempts = 3
 	// firstContacts is how many seeds are contacted at once.
-	firstContacts = 3
+	initialContacts = 3
 	// settleFactor, in periods, is how long two digests may differ before it
 	// counts: updates on their way make them differ for a while.
-	settleFactor = 5
+	digestSettlePeriods = 5
 )
 
 // candidates are addresses that may be instances. They are no members until
 // they are heard of: a platform's list lags, and what it names may be long
 // gone.
-type candidates struct {
-	tries map[string]int
-	next  time.Time
-	leads leads
+type seedCandidates struct {
+	attempts    map[string]int
+	nextContact time.Time
+	priority    prioritySeeds
 }
 
 // syncState is the state of the full exchange.
@@ -32,42 +32,42 @@
 	joined bool
 	// again is when the full exchange is next tried a second time, zero once it was
 	// done; trying says that it was asked for.
-	again  time.Time
-	trying bool
+	repeatAt      time.Time
+	repeatPending bool
 	// differs is since when the digests differ, zero if they do not.
-	differs time.Time
-	next    time.Time
+	differsSince time.Time
+	nextRequest  time.Time
 }
 
 // Seed names possible instances, from the settings or the platform's list.
 // Only the address is needed.
 func (m *Membership) Seed(now time.Time, seeds []Member) []Action {
 	c := &m.candidates
-	if c.tries == nil {
-		c.tries = make(map[string]int)
+	if c.attempts == nil {
+		c.attempts = make(map[string]int)
 	}
 	for _, s := range seeds {
 		_, known := m.byAddress[s.Address]
-		if s.Address == "" || s.Address == m.self.Address || known || len(c.tries) >= maxCandidates {
+		if s.Address == "" || s.Address == m.self.Address || known || len(c.attempts) >= maxCandidates {
 			continue
 		}
-		c.tries[s.Address] = 0
+		c.attempts[s.Address] = 0
 	}
 	if !m.leaving {
-		m.nameLeads(seeds)
-		m.contactLeads(now)
-		m.contact(firstContacts)
-		c.next = now.Add(m.cfg.Period)
+		m.choosePrioritySeeds(seeds)
+		m.contactPrioritySeeds(now)
+		m.contact(initialContacts)
+		c.nextContact = now.Add(m.cfg.Period)
 	}
 	return m.flush()
 }
 
 // tickCandidates contacts one seed a period.
 func (m *Membership) tickCandidates(now time.Time) {
-	if len(m.candidates.tries) == 0 || now.Before(m.candidates.next) {
+	if len(m.candidates.attempts) == 0 || now.Before(m.candidates.nextContact) {
 		return
 	}
-	m.candidates.next = now.Add(m.cfg.Period)
+	m.candidates.nextContact = now.Add(m.cfg.Period)
 	m.contact(1)
 }
 
@@ -75,19 +75,19 @@
 // were tried often enough.
 func (m *Membership) contact(n int) {
 	c := &m.candidates
-	addresses := sortedKeys(c.tries)
+	addresses := sortedKeys(c.attempts)
 	m.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	for _, address := range addresses {
-		if _, known := m.byAddress[address]; known || c.tries[address] >= candidateTries {
-			delete(c.tries, address)
+		if _, known := m.byAddress[address]; known || c.attempts[address] >= maxCandidateAttempts {
+			delete(c.attempts, address)
 			continue
 		}
 		if n == 0 {
 			return
 		}
 		n--
-		c.tries[address]++
-		m.send(Send{To: address, Message: m.contactMessage(), Fresh: c.tries[address] > 1})
+		c.attempts[address]++
+		m.send(Send{To: address, Message: m.contactMessage(), NewConnection: c.attempts[address] > 1})
 	}
 }
 
@@ -109,14 +109,14 @@
 // the member asked knows.
 func (m *Membership) tickSync(now time.Time) {
 	switch {
-	case !m.sync.joined && !now.Before(m.sync.next):
-		m.sync.next = now.Add(m.cfg.Period)
-	case m.sync.joined && !m.sync.again.IsZero() && !now.Before(m.sync.again):
-		m.sync.again, m.sync.trying = now.Add(m.cfg.Period), true
+	case !m.sync.joined && !now.Before(m.sync.nextRequest):
+		m.sync.nextRequest = now.Add(m.cfg.Period)
+	case m.sync.joined && !m.sync.repeatAt.IsZero() && !now.Before(m.sync.repeatAt):
+		m.sync.repeatAt, m.sync.repeatPending = now.Add(m.cfg.Period), true
 	default:
 		return
 	}
-	for _, e := range m.pick(1, "") {
+	for _, e := range m.sampleLive(1, "") {
 		m.send(Send{To: e.Address, Message: &SyncRequest{}})
 	}
 }
@@ -124,24 +124,24 @@
 // noteDigest compares the sets of live members. If they differ for longer than
 // updates take to arrive, the two exchange all they know: an update can die
 // out before it has reached everyone.
-func (m *Membership) noteDigest(now time.Time, from Member, digest uint64) {
+func (m *Membership) compareDigest(now time.Time, from Member, digest uint64) {
 	if digest == m.digest {
-		m.sync.differs = time.Time{}
+		m.sync.differsSince = time.Time{}
 		return
 	}
-	if m.sync.differs.IsZero() {
-		m.sync.differs = now
+	if m.sync.differsSince.IsZero() {
+		m.sync.differsSince = now
 	}
-	if m.leaving || now.Sub(m.sync.differs) < settleFactor*m.cfg.Period || now.Before(m.sync.next) {
+	if m.leaving || now.Sub(m.sync.differsSince) < digestSettlePeriods*m.cfg.Period || now.Before(m.sync.nextRequest) {
 		return
 	}
-	m.sync.next = now.Add(m.cfg.SyncEvery)
+	m.sync.nextRequest = now.Add(m.cfg.SyncInterval)
 	m.send(Send{To: from.Address, Reply: true, Message: &SyncRequest{}})
 }
 
 // page returns the members that follow a name. One that leaves adds itself to each.
-func (m *Membership) page(after string) *SyncAnswer {
-	members, size := m.known(), m.cfg.SyncPage
+func (m *Membership) syncPage(after string) *SyncResponse {
+	members, size := m.syncMembers(), m.cfg.SyncPage
 	if m.leaving {
 		size--
 	}
@@ -158,7 +158,7 @@
 		i++
 	}
 	end := min(i+size, len(members))
-	answer := &SyncAnswer{Members: slices.Clone(members[i:end])}
+	answer := &SyncResponse{Members: slices.Clone(members[i:end])}
 	if end < len(members) {
 		answer.Next = members[end-1].Name
 	}
@@ -169,15 +169,15 @@
 }
 
 // known returns the members that are told of in a full exchange.
-func (m *Membership) known() []Member {
+func (m *Membership) syncMembers() []Member {
 	return slices.DeleteFunc(slices.Clone(m.view.Members), func(x Member) bool {
 		e := m.table[x.Name]
-		return e != nil && e.hearsay
+		return e != nil && e.departureOnly
 	})
 }
 
 // applyPage takes a page over and asks for the next one.
-func (m *Membership) applyPage(now time.Time, from Member, a *SyncAnswer) {
+func (m *Membership) applyPage(now time.Time, from Member, a *SyncResponse) {
 	if len(a.Members) > m.cfg.SyncPage {
 		return
 	}
@@ -185,7 +185,7 @@
 		m.reconcile(now, u)
 	}
 	if a.Next == "" {
-		m.exchanged(now)
+		m.completeSync(now)
 		return
 	}
 	if m.leaving {
@@ -195,12 +195,12 @@
 }
 
 // exchanged notes that the last page of a full exchange has come.
-func (m *Membership) exchanged(now time.Time) {
+func (m *Membership) completeSync(now time.Time) {
 	switch {
 	case !m.sync.joined:
-		m.sync.joined, m.sync.again = true, now.Add(m.cfg.Period)
-	case m.sync.trying:
-		m.sync.again, m.sync.trying = time.Time{}, false
+		m.sync.joined, m.sync.repeatAt = true, now.Add(m.cfg.Period)
+	case m.sync.repeatPending:
+		m.sync.repeatAt, m.sync.repeatPending = time.Time{}, false
 	}
 }
 
@@ -224,7 +224,7 @@
 	if e.State == Dead {
 		doubt = e.Member
 	}
-	if len(m.probes.doubts) < maxDoubts {
-		m.probes.doubts[u.Name] = doubt
+	if len(m.probes.disputed) < maxDisputed {
+		m.probes.disputed[u.Name] = doubt
 	}
 }
--- a/coordination/membership/updates.go
+++ b/coordination/membership/updates.go
@@ -22,9 +22,9 @@
 
 // queuedUpdate is an update and how often it was passed on.
 type queuedUpdate struct {
-	member Member
-	sent   int
-	order  uint64
+	member        Member
+	transmissions int
+	order         uint64
 }
 
 // updateQueue holds the newest update of each member until it was passed on
@@ -44,12 +44,12 @@
 	q.byName[m.Name] = &queuedUpdate{member: m, order: q.order}
 	if len(q.byName) > maxQueuedUpdates {
 		sorted := q.sorted()
-		q.drop(sorted[len(sorted)-1].member.Name)
+		q.remove(sorted[len(sorted)-1].member.Name)
 	}
 }
 
 // drop removes a member's update.
-func (q *updateQueue) drop(name string) { delete(q.byName, name) }
+func (q *updateQueue) remove(name string) { delete(q.byName, name) }
 
 // sorted returns the updates, the least often sent first, then the newest.
 func (q *updateQueue) sorted() []*queuedUpdate {
@@ -58,13 +58,13 @@
 		list = append(list, u)
 	}
 	slices.SortFunc(list, func(a, b *queuedUpdate) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.order, a.order))
+		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.order, a.order))
 	})
 	return list
 }
 
 // take returns the updates for one message within its bounds.
-func (q *updateQueue) take(count, bytes, limit int) []Member {
+func (q *updateQueue) nextBatch(count, bytes, limit int) []Member {
 	if len(q.byName) == 0 {
 		return nil
 	}
@@ -76,17 +76,17 @@
 		if size := EncodedSize(u.member); size <= bytes {
 			bytes -= size
 			out = append(out, u.member)
-			q.sentOnce(u, limit)
+			q.countTransmission(u, limit)
 		}
 	}
 	return out
 }
 
 // sentOnce counts a transmission and drops the update after the last.
-func (q *updateQueue) sentOnce(u *queuedUpdate, limit int) {
-	u.sent++
-	if u.sent >= limit {
-		q.drop(u.member.Name)
+func (q *updateQueue) countTransmission(u *queuedUpdate, limit int) {
+	u.transmissions++
+	if u.transmissions >= limit {
+		q.remove(u.member.Name)
 	}
 }
 
@@ -104,11 +104,11 @@
 		out = append(out, e.Member)
 		count--
 		bytes -= EncodedSize(e.Member)
-	} else if doubt, ok := m.probes.doubts[to]; ok {
+	} else if doubt, ok := m.probes.disputed[to]; ok {
 		out = append(out, doubt)
 		count--
 		bytes -= EncodedSize(doubt)
 	}
 	limit := int(math.Ceil(float64(m.cfg.RetransmitFactor) * math.Log2(float64(len(m.view.live)+1))))
-	return append(out, m.updates.take(count, bytes, limit)...)
+	return append(out, m.updates.nextBatch(count, bytes, limit)...)
 }
--- a/coordination/membership/view.go
+++ b/coordination/membership/view.go
@@ -55,7 +55,7 @@
 // Gone tells whether a run of an instance is known to be over: its member is
 // dead or has left, or a higher incarnation runs under its name. An unknown
 // name is not known to be over.
-func (v *View) Gone(name string, incarnation uint64) bool {
+func (v *View) RunEnded(name string, incarnation uint64) bool {
 	m, ok := v.Find(name)
 	if !ok || m.Incarnation < incarnation {
 		return false
@@ -80,10 +80,10 @@
 	for limit := 1; len(owners) < cap(owners); limit++ {
 		for i := range ranked {
 			m := ranked[i].member
-			if ranked[i].taken || perCentre[m.DataCentre] >= limit {
+			if ranked[i].chosen || perCentre[m.DataCentre] >= limit {
 				continue
 			}
-			ranked[i].taken = true
+			ranked[i].chosen = true
 			perCentre[m.DataCentre]++
 			owners = append(owners, *m)
 			if len(owners) == cap(owners) {
@@ -97,7 +97,7 @@
 type rankedMember struct {
 	score  uint64
 	member *Member
-	taken  bool
+	chosen bool
 }
 
 // rank orders members by their score for a key, the highest first.
--- a/coordination/spread/messages.go
+++ b/coordination/spread/messages.go
@@ -48,24 +48,24 @@
 type Pull struct {
 	Root uint64
 	// Newest is the highest revision that the sender holds.
-	Newest uint64
-	Bucket int
-	Leaves []uint64
+	NewestRevision uint64
+	Bucket         int
+	Leaves         []uint64
 }
 
 // PullAnswer carries the bucket sums of a peer whose root differs.
-type PullAnswer struct {
-	Same    bool
+type PullResponse struct {
+	InSync  bool
 	Buckets []uint64
 }
 
 // Loads carries load digests to a peer.
 type Loads struct{ Digests []LoadDigest }
 
-func (*Push) spreadMessage()       {}
-func (*Pull) spreadMessage()       {}
-func (*PullAnswer) spreadMessage() {}
-func (*Loads) spreadMessage()      {}
+func (*Push) spreadMessage()         {}
+func (*Pull) spreadMessage()         {}
+func (*PullResponse) spreadMessage() {}
+func (*Loads) spreadMessage()        {}
 
 // Action is what the driver has to do after a call.
 type Action interface{ spreadAction() }
--- a/coordination/spread/table.go
+++ b/coordination/spread/table.go
@@ -15,7 +15,7 @@
 )
 
 // MaxRecord bounds a record's body, in bytes, so that it fits a frame.
-const MaxRecord = 512 << 10
+const MaxRecordBytes = 512 << 10
 
 // recentRecords is how many of the latest records Since knows.
 const recentRecords = 64
@@ -31,7 +31,7 @@
 
 // Source holds the records that are spread. Its contents only grow: for one
 // kind and name, a revision is never replaced by a lower one.
-type Source interface {
+type RecordSet interface {
 	// Digest summarises all records.
 	Digest() Digest
 	// Leaves returns the leaf sums of one bucket.
@@ -40,7 +40,7 @@
 	// from the given ones, up to about limit bytes.
 	Delta(bucket int, leaves []uint64, limit int) []Record
 	// Newest returns the highest revision held.
-	Newest() uint64
+	NewestRevision() uint64
 	// Since returns recent records of a higher revision than the given one, up
 	// to about limit bytes. It need not know them all.
 	Since(revision uint64, limit int) []Record
@@ -52,16 +52,16 @@
 
 // Table is a Source in memory.
 type Table struct {
-	records       map[recordKey]Record
-	leaves        [Buckets][LeavesPerBucket]leaf
-	digest        Digest
-	tombstones    int
-	maxTombstones int
-	newest        uint64
+	records        map[recordKey]Record
+	leaves         [Buckets][LeavesPerBucket]leaf
+	digest         Digest
+	tombstones     int
+	maxTombstones  int
+	newestRevision uint64
 	// recent holds the keys of the latest records, the latest last.
 	recent []recordKey
 	// floor is the highest revision of a dropped tombstone.
-	floor uint64
+	tombstoneFloor uint64
 }
 
 type leaf struct {
@@ -117,7 +117,7 @@
 }
 
 // Newest implements Source.
-func (t *Table) Newest() uint64 { return t.newest }
+func (t *Table) NewestRevision() uint64 { return t.newestRevision }
 
 // Since implements Source.
 func (t *Table) Since(revision uint64, limit int) []Record {
@@ -145,21 +145,21 @@
 	if held && r.Revision <= old.Revision {
 		return false
 	}
-	if len(r.Body) > MaxRecord || (!held && r.Deleted && r.Revision <= t.floor) {
+	if len(r.Body) > MaxRecordBytes || (!held && r.Deleted && r.Revision <= t.tombstoneFloor) {
 		return false
 	}
 	if held {
-		t.count(old, -1)
-		t.toggle(key, old)
+		t.countTombstones(old, -1)
+		t.toggleSum(key, old)
 	}
 	t.records[key] = r
-	t.count(r, 1)
-	t.toggle(key, r)
+	t.countTombstones(r, 1)
+	t.toggleSum(key, r)
 	if !held {
 		l := t.leafOf(key)
 		l.keys = append(l.keys, key)
 	}
-	t.newest = max(t.newest, r.Revision)
+	t.newestRevision = max(t.newestRevision, r.Revision)
 	t.recent = append(t.recent, key)
 	if len(t.recent) > recentRecords {
 		t.recent = t.recent[1:]
@@ -169,16 +169,16 @@
 }
 
 // count keeps the number of tombstones.
-func (t *Table) count(r Record, n int) {
+func (t *Table) countTombstones(r Record, n int) {
 	if r.Deleted {
 		t.tombstones += n
 	}
 }
 
 // toggle adds a record to the sums, or takes it out again.
-func (t *Table) toggle(key recordKey, r Record) {
+func (t *Table) toggleSum(key recordKey, r Record) {
 	sum := recordSum(r)
-	bucket, _ := position(key)
+	bucket, _ := leafPosition(key)
 	t.leafOf(key).sum ^= sum
 	t.digest.Buckets[bucket] ^= sum
 	t.digest.Root ^= sum
@@ -186,7 +186,7 @@
 
 // leafOf returns the leaf of a key.
 func (t *Table) leafOf(key recordKey) *leaf {
-	bucket, l := position(key)
+	bucket, l := leafPosition(key)
 	return &t.leaves[bucket][l]
 }
 
@@ -202,15 +202,15 @@
 			}
 		}
 		t.remove(oldest)
-		t.floor = max(t.floor, revision)
+		t.tombstoneFloor = max(t.tombstoneFloor, revision)
 	}
 }
 
 // remove drops a record from the table.
 func (t *Table) remove(key recordKey) {
 	r := t.records[key]
-	t.count(r, -1)
-	t.toggle(key, r)
+	t.countTombstones(r, -1)
+	t.toggleSum(key, r)
 	delete(t.records, key)
 	l := t.leafOf(key)
 	for i := range l.keys {
@@ -222,8 +222,8 @@
 }
 
 // position returns the bucket and leaf of a key.
-func position(key recordKey) (bucket, leaf int) {
-	h := hashTexts(key.kind, key.name, nil)
+func leafPosition(key recordKey) (bucket, leaf int) {
+	h := hashStrings(key.kind, key.name, nil)
 	return int(h % Buckets), int(h / Buckets % LeavesPerBucket)
 }
 
@@ -234,11 +234,11 @@
 	if r.Deleted {
 		tail[8] = 1
 	}
-	return hashTexts(r.Kind, r.Name, tail[:])
+	return hashStrings(r.Kind, r.Name, tail[:])
 }
 
 // hashTexts hashes two texts and a tail.
-func hashTexts(a, b string, tail []byte) uint64 {
+func hashStrings(a, b string, tail []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(a)
--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -110,7 +110,7 @@
 // Put takes over a record learned from the store and spreads it. OnRecord is
 // told if it is news.
 func (c *Cluster) Put(r spread.Record) {
-	c.withSpread(nil, func(s *spread.Spread) []spread.Action { return s.Put(r) })
+	c.withSpread(nil, func(s *spread.Gossip) []spread.Action { return s.Put(r) })
 }
 
 // Stats returns the counts of the connections.
@@ -138,7 +138,7 @@
 	if !c.leaving {
 		return
 	}
-	if acked, told := c.members.LeaveAcked(); acked < told {
+	if acked, told := c.members.LeaveProgress(); acked < told {
 		return
 	}
 	select {
--- a/protocol/peer/messages.go
+++ b/protocol/peer/messages.go
@@ -139,13 +139,13 @@
 	case TypeSyncRequest:
 		return new(membership.SyncRequest)
 	case TypeSyncAnswer:
-		return new(membership.SyncAnswer)
+		return new(membership.SyncResponse)
 	case TypePush:
 		return new(spread.Push)
 	case TypePull:
 		return new(spread.Pull)
 	case TypePullAnswer:
-		return new(spread.PullAnswer)
+		return new(spread.PullResponse)
 	case TypeLoads:
 		return new(spread.Loads)
 	case TypeAsk:
@@ -175,13 +175,13 @@
 		return TypeAck
 	case *membership.SyncRequest:
 		return TypeSyncRequest
-	case *membership.SyncAnswer:
+	case *membership.SyncResponse:
 		return TypeSyncAnswer
 	case *spread.Push:
 		return TypePush
 	case *spread.Pull:
 		return TypePull
-	case *spread.PullAnswer:
+	case *spread.PullResponse:
 		return TypePullAnswer
 	case *spread.Loads:
 		return TypeLoads
--- a/protocol/peer/wire_test.go
+++ b/protocol/peer/wire_test.go
@@ -38,12 +38,12 @@
 		{"ping by way of another", &membership.PingReq{Seq: 11, Target: "target", Address: "at", Updates: updates}, "000000290b940ba6746172676574a261749198a66d656d626572a761646472657373a375726ca2646304050106"},
 		{"ack", &membership.Ack{Seq: 12, Digest: 13, Updates: updates}, "000000200c930c0d9198a66d656d626572a761646472657373a375726ca2646304050106"},
 		{"sync", &membership.SyncRequest{After: "after"}, "000000080d91a56166746572"},
-		{"sync's answer", &membership.SyncAnswer{Members: updates, Next: "next"}, "000000230e929198a66d656d626572a761646472657373a375726ca2646304050106a46e657874"},
+		{"sync's answer", &membership.SyncResponse{Members: updates, Next: "next"}, "000000230e929198a66d656d626572a761646472657373a375726ca2646304050106a46e657874"},
 		{"push", &spread.Push{Records: []spread.Record{
 			{Kind: "kind", Name: "name", Revision: 14, Deleted: true, Body: []byte{15}},
 		}, Recovered: true}, "0000001414929195a46b696e64a46e616d650ec3c4010fc3"},
-		{"pull", &spread.Pull{Root: 16, Newest: 17, Bucket: 18, Leaves: []uint64{19, 20}}, "000000081594101112921314"},
-		{"pull's answer", &spread.PullAnswer{Same: true, Buckets: []uint64{21, 22}}, "000000061692c3921516"},
+		{"pull", &spread.Pull{Root: 16, NewestRevision: 17, Bucket: 18, Leaves: []uint64{19, 20}}, "000000081594101112921314"},
+		{"pull's answer", &spread.PullResponse{InSync: true, Buckets: []uint64{21, 22}}, "000000061692c3921516"},
 		{"loads", &spread.Loads{Digests: []spread.LoadDigest{
 			{Origin: "origin", Incarnation: 23, Seq: 24, AgeMillis: 25, Body: []byte{26}},
 		}}, "0000001117919195a66f726967696e171819c4011a"},
