--- a/coordination/membership/apply.go
+++ b/coordination/membership/apply.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// supersedes tells whether update u replaces what is known, k, of one name. It
-// is a total order, so that instances that hear the same updates in different
-// orders end with the same state.
+// supersedes reports whether update u replaces k, the known state of the same
+// name. It is a total order, so that instances that receive the same updates in
+// different orders converge to the same state.
 func supersedes(u, k Member) bool {
 	if u.Incarnation != k.Incarnation {
 		return u.Incarnation > k.Incarnation
@@ -22,19 +22,20 @@
 	return u.State > k.State
 }
 
-// applyAll applies the updates of a message, and has the answer put right what is
-// out of date in them.
+// applyAll applies the updates of a message and queues corrections for those
+// that are out of date, so that the response carries them.
 func (m *Membership) applyAll(now time.Time, updates []Member) {
 	for _, u := range updates {
-		m.hearOf(now, u)
-		m.correct(u)
+		m.processUpdate(now, u)
+		m.queueCorrection(u)
 	}
 }
 
-// apply takes an update over if it is news, and passes it on.
+// apply stores an update and queues it for gossip if it supersedes the known
+// state.
 func (m *Membership) apply(now time.Time, u Member) {
 	if u.Name == m.self.Name {
-		m.contradict(u)
+		m.handleUpdateOfSelf(u)
 		return
 	}
 	if u.Name == "" || u.Address == "" || u.State > Left {
@@ -42,64 +43,65 @@
 	}
 	e := m.table[u.Name]
 	if e == nil && !m.admits(u) {
-		m.hear(now, u)
+		m.storeUnknownDeparture(now, u)
 		return
 	}
 	if e != nil && !supersedes(u, e.Member) {
 		return
 	}
-	if u.Live() && !m.takeAddress(now, u) {
+	if u.Live() && !m.claimAddress(now, u) {
 		return
 	}
 	if e != nil && u.State == Dead && e.State == Alive && u.Incarnation == e.Incarnation {
-		// Someone found it dead while here it is alive and was not even
-		// suspected. The other's path may be the broken one, so the member
-		// gets the time to refute before it is given up here.
+		// Another instance declared dead a member that is alive here and not
+		// even suspected. That instance's own path may be the broken one, so
+		// the member gets the suspicion timeout to refute.
 		u.State = Suspect
 	}
-	m.set(now, u)
+	m.storeAndGossip(now, u)
 }
 
-// admits tells whether an unknown member is taken in. One that is gone is not,
-// or members forgotten here would come back from those who still keep them.
+// admits reports whether an unknown member is added to the table. One that is
+// dead or has left is not: otherwise members removed here would come back from
+// instances that still remember them.
 func (m *Membership) admits(u Member) bool {
-	return u.Live() && len(m.table)-len(m.gone) < m.cfg.MaxMembers
+	return u.Live() && len(m.table)-len(m.deadOrLeft) < m.cfg.MaxMembers
 }
 
-// set stores a member's new state and queues it to be passed on.
-func (m *Membership) set(now time.Time, u Member) {
+// storeAndGossip stores a member's new state and queues it for gossip.
+func (m *Membership) storeAndGossip(now time.Time, u Member) {
 	m.store(now, u)
 	m.updates.put(u)
 }
 
-// store stores a member's new state.
+// store replaces a member's state and updates the indexes over the table.
 func (m *Membership) store(now time.Time, u Member) {
 	old := m.table[u.Name]
 	if old != nil && m.byAddress[old.Address] == u.Name {
 		delete(m.byAddress, old.Address)
 	}
 	delete(m.suspects, u.Name)
-	delete(m.gone, u.Name)
-	if i, ok := slices.BinarySearch(m.order, u.Name); !ok {
-		m.order = slices.Insert(m.order, i, u.Name)
+	delete(m.deadOrLeft, u.Name)
+	if i, ok := slices.BinarySearch(m.sortedNames, u.Name); !ok {
+		m.sortedNames = slices.Insert(m.sortedNames, i, u.Name)
 	}
-	m.table[u.Name] = &entry{Member: u, changed: now}
+	m.table[u.Name] = &entry{Member: u, stateSince: now}
 	switch u.State {
 	case Suspect:
 		m.suspects[u.Name] = struct{}{}
 	case Dead, Left:
-		m.gone[u.Name] = struct{}{}
+		m.deadOrLeft[u.Name] = struct{}{}
 	}
 	if u.Live() {
 		m.byAddress[u.Address] = u.Name
 	}
-	m.dirty = true
+	m.viewStale = true
 }
 
-// takeAddress settles that one address has one live member: a process that was
-// started anew under another name at the same address has replaced the older
-// one. It returns false if u is the older one.
-func (m *Membership) takeAddress(now time.Time, u Member) bool {
+// claimAddress ensures that an address has a single live member: a process that
+// was restarted under another name at the same address replaces the older one,
+// which is marked dead. It returns false if u is the older one.
+func (m *Membership) claimAddress(now time.Time, u Member) bool {
 	if u.Address == m.self.Address {
 		return false
 	}
@@ -112,17 +114,17 @@
 		return false
 	}
 	holder.State = Dead
-	m.set(now, holder)
+	m.storeAndGossip(now, holder)
 	return true
 }
 
-// contradict answers what others say of this instance. A suspicion or a death
+// handleUpdateOfSelf handles an update about this instance. A suspicion or death
 // of this run is refuted by a higher refutation number; a higher incarnation
-// means that a later run has the name.
-func (m *Membership) contradict(u Member) {
+// means that a later run uses the name.
+func (m *Membership) handleUpdateOfSelf(u Member) {
 	switch {
 	case u.Incarnation > m.self.Incarnation:
-		m.out = append(m.out, Superseded{By: u})
+		m.actions = append(m.actions, Superseded{By: u})
 	case u.Incarnation < m.self.Incarnation:
 		if u.Live() && !m.leaving {
 			m.updates.put(m.self)
@@ -131,11 +133,11 @@
 	case u.Refutation >= m.self.Refutation:
 		m.self.Refutation = u.Refutation + 1
 		m.updates.put(m.self)
-		m.dirty = true
+		m.viewStale = true
 	}
 }
 
-// suspect begins a suspicion.
+// suspect marks an alive member as suspect.
 func (m *Membership) suspect(now time.Time, name string) {
 	e := m.table[name]
 	if e == nil || e.State != Alive {
@@ -143,55 +145,56 @@
 	}
 	u := e.Member
 	u.State = Suspect
-	m.set(now, u)
+	m.storeAndGossip(now, u)
 }
 
-// endSuspicions declares dead who did not refute in time.
-func (m *Membership) endSuspicions(now time.Time) {
-	limit := m.suspicion()
+// expireSuspicions declares dead the suspects that did not refute within the
+// suspicion timeout.
+func (m *Membership) expireSuspicions(now time.Time) {
+	limit := m.suspicionTimeout()
 	for _, name := range sortedKeys(m.suspects) {
 		e := m.table[name]
-		if now.Sub(e.changed) < limit {
+		if now.Sub(e.stateSince) < limit {
 			continue
 		}
 		u := e.Member
 		u.State = Dead
-		m.set(now, u)
+		m.storeAndGossip(now, u)
 	}
 }
 
-// forgetGone drops members that are dead or left after the retention, and the
-// oldest ones beyond the bound.
-func (m *Membership) forgetGone(now time.Time) {
-	for name := range m.gone {
-		if now.Sub(m.table[name].changed) >= m.cfg.Retention {
-			m.forget(name)
+// expireDeadOrLeft removes members that are dead or left after the retention,
+// and the oldest ones beyond MaxDeadOrLeft.
+func (m *Membership) expireDeadOrLeft(now time.Time) {
+	for name := range m.deadOrLeft {
+		if now.Sub(m.table[name].stateSince) >= m.cfg.Retention {
+			m.remove(name)
 		}
 	}
-	for len(m.gone) > m.cfg.MaxGone {
+	for len(m.deadOrLeft) > m.cfg.MaxDeadOrLeft {
 		oldest := ""
-		for name := range m.gone {
-			if oldest == "" || m.table[name].changed.Before(m.table[oldest].changed) {
+		for name := range m.deadOrLeft {
+			if oldest == "" || m.table[name].stateSince.Before(m.table[oldest].stateSince) {
 				oldest = name
 			}
 		}
-		m.forget(oldest)
+		m.remove(oldest)
 	}
 }
 
-// forget drops a member that is gone.
-func (m *Membership) forget(name string) {
-	delete(m.gone, name)
+// remove deletes a member that is dead or left from the table.
+func (m *Membership) remove(name string) {
+	delete(m.deadOrLeft, name)
 	delete(m.table, name)
-	if i, ok := slices.BinarySearch(m.order, name); ok {
-		m.order = slices.Delete(m.order, i, i+1)
+	if i, ok := slices.BinarySearch(m.sortedNames, name); ok {
+		m.sortedNames = slices.Delete(m.sortedNames, i, i+1)
 	}
-	m.updates.drop(name)
-	m.dirty = true
+	m.updates.remove(name)
+	m.viewStale = true
 }
 
-// sortedKeys returns the keys of a map in order, so that one seed always gives
-// one course of events.
+// sortedKeys returns the keys of a map in order, so that a run is reproducible
+// from its random seed.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/coordination/membership/depart.go
+++ b/coordination/membership/depart.go
@@ -2,50 +2,53 @@
 
 import "time"
 
-// hearsayFor is how long a departure is remembered that was over when it was heard of:
-// longer than older word of the same run is on its way.
-const hearsayFor = time.Minute
+// unknownDepartureRetention is how long the departure of a member that was never live
+// here is remembered. It exceeds the time for which older updates about the same run are
+// still in flight.
+const unknownDepartureRetention = time.Minute
 
-// hear remembers the departure of a member that isn't known here.
+// storeUnknownDeparture remembers the departure of a member that isn't known here.
 //
-// The failure it guards against: an instance that starts while another leaves hears of
-// the departure first, then from a third that the other is alive, and counts it as live
-// until that is gone. It holds since a departure is final for an incarnation: older word
-// doesn't supersede it. What is heard so is not passed on, and not kept for the
-// retention, or departures would go from instance to instance for ever.
-func (m *Membership) hear(now time.Time, u Member) {
-	if u.State != Left || len(m.gone) >= m.cfg.MaxGone {
+// It prevents a stale live entry: an instance that starts while another leaves may learn
+// of the departure first, then receive from a third instance that the other is alive, and
+// would count it as live until its process has ended. A departure is final for an
+// incarnation, so a stored one isn't superseded by older updates. It is neither gossiped
+// nor kept for the full retention; otherwise departures would circulate between instances
+// forever.
+func (m *Membership) storeUnknownDeparture(now time.Time, u Member) {
+	if u.State != Left || len(m.deadOrLeft) >= m.cfg.MaxDeadOrLeft {
 		return
 	}
 	m.store(now, u)
 	e := m.table[u.Name]
-	e.hearsay = true
-	e.changed = now.Add(min(hearsayFor, m.cfg.Retention) - m.cfg.Retention)
+	e.departureOnly = true
+	e.stateSince = now.Add(min(unknownDepartureRetention, m.cfg.Retention) - m.cfg.Retention)
 }
 
-// correct puts a departure into the next message if the sender of an update still
-// counts the member as live: its own word was passed on often enough before that one
-// started.
-func (m *Membership) correct(u Member) {
+// queueCorrection queues a departure for the next message if an update shows that its
+// sender still counts the member as live. The departure may have been transmitted for the
+// last time before that sender started.
+func (m *Membership) queueCorrection(u Member) {
 	e := m.table[u.Name]
 	if e != nil && e.State == Left && u.Live() && e.Incarnation == u.Incarnation {
 		m.updates.put(e.Member)
 	}
 }
 
-// tickLeaving asks one member a period for its news, without a verdict if no answer
-// comes. One that leaves is probed by nobody, and runs on for seconds to end what is in
-// flight: without news it would go on asking members that left after it.
+// tickLeaving pings one member a period to receive updates, and doesn't suspect it if no
+// Ack comes. A leaving instance isn't probed by others but runs for seconds more to finish
+// the requests in flight; without updates it would keep sending requests to members that
+// left after it.
 func (m *Membership) tickLeaving(now time.Time) {
 	p := &m.probes
 	p.target = ""
-	if now.Before(p.next) {
+	if now.Before(p.nextProbe) {
 		return
 	}
-	p.next = now.Add(m.cfg.Period)
+	p.nextProbe = now.Add(m.cfg.Period)
 	m.expireRelays(now)
-	if e := m.nextTarget(); e != nil {
+	if e := m.nextProbeTarget(); e != nil {
 		m.send(Send{To: e.Address, Message: m.ping(e, p.nextSeq())})
-		delete(p.doubts, e.Name)
+		delete(p.disputed, e.Name)
 	}
 }
--- a/coordination/membership/leave_test.go
+++ b/coordination/membership/leave_test.go
@@ -11,78 +11,78 @@
 	"pgregory.net/rapid"
 )
 
-// leave has an instance of a bench announce its departure. It goes on answering.
-func (b *bench) leave(i int) *Membership {
+// leave makes an instance announce its departure. The instance keeps running.
+func (b *simCluster) leave(i int) *Membership {
 	m := b.nodes[member(i).Address]
-	b.do(m, m.Leave(b.now))
+	b.deliver(m, m.Leave(b.now))
 	return m
 }
 
-// departed returns a member's last word.
-func departed(i int) Member {
+// leftMember returns a member in state Left.
+func leftMember(i int) Member {
 	m := member(i)
 	m.State = Left
 	return m
 }
 
-// Instances are restarted in turn. One that leaves answers for seconds more, long after
-// its word went round, and is the first that a new one meets: the platform's list still
-// names it. The new one counts it as alive, takes it for the holder of what one does for
-// all, and sends its requests there.
-func TestOneThatLeavesSaysSoToWhoeverAsks(t *testing.T) {
+// In a rolling restart, a leaving instance responds for seconds after its departure was
+// disseminated, and may be the first contact of a new instance, since the platform's list
+// still contains it. The new instance would count it as alive, assume that it holds
+// singleton duties, and send requests to it.
+func TestLeavingInstanceReportsDepartureInEveryResponse(t *testing.T) {
 	cfg := Config{SyncPage: 4, MaxUpdates: 3}.withDefaults()
-	b := newBench(t, 12, cfg)
+	b := newSimCluster(t, 12, cfg)
 	b.run(10 * time.Second)
 	m := b.leave(6)
 	b.run(2 * time.Minute)
-	crowd := m.Receive(b.now, member(1), &Ping{Updates: []Member{member(12), member(13), member(14), member(15)}})
-	require.Contains(t, crowd[0].(Send).Message.(*Ack).Updates, departed(6), "not crowded out by newer word")
-	b.run(10 * time.Second) // it could ask for all by now, as one whose set of live members differs
+	response := m.Receive(b.now, member(1), &Ping{Updates: []Member{member(12), member(13), member(14), member(15)}})
+	require.Contains(t, response[0].(Send).Message.(*Ack).Updates, leftMember(6), "not displaced by newer updates")
+	b.run(10 * time.Second) // its digest differs for long enough by now to request a full exchange
 
-	asked := map[string]Message{
-		"a probe":                   &Ping{Seq: 9},
-		"a probe through it":        &PingReq{Seq: 9, Target: member(2).Name, Address: member(2).Address},
-		"the first page":            &SyncRequest{},
-		"a page past it":            &SyncRequest{After: member(8).Name},
-		"the last page":             &SyncRequest{After: member(11).Name},
-		"a page that leads to more": &SyncAnswer{Next: member(4).Name},
+	requests := map[string]Message{
+		"ping":                            &Ping{Seq: 9},
+		"ping request":                    &PingReq{Seq: 9, Target: member(2).Name, Address: member(2).Address},
+		"first page":                      &SyncRequest{},
+		"page past its own name":          &SyncRequest{After: member(8).Name},
+		"last page":                       &SyncRequest{After: member(11).Name},
+		"response that has further pages": &SyncResponse{Next: member(4).Name},
 	}
-	for name, msg := range asked {
+	for name, msg := range requests {
 		t.Run(name, func(t *testing.T) {
 			for _, a := range m.Receive(b.now, member(13), msg) {
 				send, ok := a.(Send)
 				if !ok {
 					continue
 				}
-				var told []Member
-				switch answer := send.Message.(type) {
+				var updates []Member
+				switch msg := send.Message.(type) {
 				case *Ping:
-					told = answer.Updates
-					require.LessOrEqual(t, len(told), cfg.MaxUpdates)
+					updates = msg.Updates
+					require.LessOrEqual(t, len(updates), cfg.MaxUpdates)
 				case *Ack:
-					told = answer.Updates
-					require.LessOrEqual(t, len(told), cfg.MaxUpdates)
-				case *SyncAnswer:
-					told = answer.Members
-					require.LessOrEqual(t, len(told), cfg.SyncPage)
+					updates = msg.Updates
+					require.LessOrEqual(t, len(updates), cfg.MaxUpdates)
+				case *SyncResponse:
+					updates = msg.Members
+					require.LessOrEqual(t, len(updates), cfg.SyncPage)
 				}
-				require.Contains(t, told, departed(6), "%T", send.Message)
+				require.Contains(t, updates, leftMember(6), "%T", send.Message)
 			}
 		})
 	}
 }
 
-// The page of one that leaves has room for its own word. No other member may be passed
-// over for it, or the new instance would miss one.
-func TestPagesOfOneThatLeavesHoldAll(t *testing.T) {
-	for leaver := range 10 {
-		b := newBench(t, 10, Config{SyncPage: 4})
+// A leaving instance reserves a place for itself on each page that it sends. It must not
+// omit another member for it, or a new instance would miss that member.
+func TestSyncPagesOfLeavingInstanceAreComplete(t *testing.T) {
+	for leaving := range 10 {
+		b := newSimCluster(t, 10, Config{SyncPage: 4})
 		b.run(10 * time.Second)
-		m := b.leave(leaver)
+		m := b.leave(leaving)
 		seen := map[string]bool{}
 		after := ""
 		for range 10 {
-			page := m.page(after)
+			page := m.syncPage(after)
 			require.LessOrEqual(t, len(page.Members), 4)
 			for _, x := range page.Members {
 				seen[x.Name] = true
@@ -95,121 +95,123 @@
 	}
 }
 
-// An instance starts while another leaves. It meets the one that leaves, or a member that
-// knows, and then hears older word from one that doesn't know yet. In none of its views
-// may the leaving one be live from the first exchange on, whatever the order.
-func TestJoinerTakesOverWhoLeaves(t *testing.T) {
+// An instance starts while another leaves. It contacts the leaving one, or a member that
+// knows of the departure, and then receives older updates from a member that doesn't. The
+// leaving instance must not be live in any of its views, in whatever order the messages
+// arrive.
+func TestJoinerNeverSeesLeavingInstanceAsLive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{SyncPage: rapid.IntRange(2, 16).Draw(rt, "page")}
-		b := newBench(rt, 10, cfg)
+		b := newSimCluster(rt, 10, cfg)
 		b.run(10 * time.Second)
-		leaver := rapid.IntRange(1, 9).Draw(rt, "leaver")
-		b.leave(leaver)
+		leaving := rapid.IntRange(1, 9).Draw(rt, "leaver")
+		b.leave(leaving)
 		b.run(time.Duration(rapid.IntRange(10, 100).Draw(rt, "tenths")) * 100 * time.Millisecond)
 		joiner := member(10)
 		var first *View
-		b.watch = func(v *View) {
+		b.onView = func(v *View) {
 			if v.Self != joiner.Name {
 				return
 			}
-			if x, _ := v.Find(member(leaver).Name); x.Live() && x.Name != "" {
+			if x, _ := v.Find(member(leaving).Name); x.Live() && x.Name != "" {
 				first = v
 			}
 		}
 		m := b.start(cfg, joiner, member(rapid.IntRange(0, 9).Draw(rt, "seed")))
 		for range rapid.IntRange(1, 4).Draw(rt, "stale") {
-			ignorant := member(rapid.IntRange(0, 9).Draw(rt, "ignorant"))
-			b.do(m, m.Receive(b.now, ignorant, &Ping{Seq: 1, Updates: []Member{member(leaver)}}))
+			unaware := member(rapid.IntRange(0, 9).Draw(rt, "ignorant"))
+			b.deliver(m, m.Receive(b.now, unaware, &Ping{Seq: 1, Updates: []Member{member(leaving)}}))
 			b.run(time.Duration(rapid.IntRange(0, 30).Draw(rt, "between")) * 100 * time.Millisecond)
 		}
-		require.Nil(rt, first, "%s counts as live", member(leaver).Name)
+		require.Nil(rt, first, "%s counts as live", member(leaving).Name)
 	})
 }
 
-// A new instance has heard of one that leaves only from members that didn't know. It
-// probes one that knows, whose word of the departure was passed on often enough long ago:
-// the answer must put it right, or it asks the one that leaves until that is gone.
-func TestStaleWordIsPutRightInTheAnswer(t *testing.T) {
-	b := newBench(t, 8, Config{})
+// A new instance knows a leaving one only from members that weren't aware of its departure.
+// It probes a member that is aware but has used up its transmissions of the departure. The
+// response must correct the stale update, or the new instance would send requests to the
+// leaving one until that has stopped.
+func TestStaleUpdateIsCorrectedInTheResponse(t *testing.T) {
+	b := newSimCluster(t, 8, Config{})
 	b.run(10 * time.Second)
 	b.leave(3)
 	b.run(2 * time.Minute)
-	knows := b.nodes[member(1).Address]
-	require.Empty(t, knows.updates.byName, "nothing is passed on any more")
+	aware := b.nodes[member(1).Address]
+	require.Empty(t, aware.updates.byName, "no updates left to transmit")
 	for _, msg := range []Message{
 		&Ping{Seq: 1, Updates: []Member{member(3)}},
 		&PingReq{Seq: 1, Target: member(2).Name, Address: member(2).Address, Updates: []Member{member(3)}},
 	} {
-		said := false
-		for _, a := range knows.Receive(b.now, member(2), msg) {
+		corrected := false
+		for _, a := range aware.Receive(b.now, member(2), msg) {
 			switch s := a.(Send).Message.(type) {
 			case *Ping:
-				said = said || len(s.Updates) > 0 && s.Updates[0] == departed(3)
+				corrected = corrected || len(s.Updates) > 0 && s.Updates[0] == leftMember(3)
 			case *Ack:
-				said = said || len(s.Updates) > 0 && s.Updates[0] == departed(3)
+				corrected = corrected || len(s.Updates) > 0 && s.Updates[0] == leftMember(3)
 			}
 		}
-		require.True(t, said, "%T", msg)
+		require.True(t, corrected, "%T", msg)
 	}
 }
 
-// What a new instance was told of departures that it didn't see is kept for a while only
-// and is no news: passed on, it would come back from instance to instance for ever.
-func TestDeparturesHeardOfAreForgottenAndNotPassedOn(t *testing.T) {
+// Departures of members that an instance never knew are kept for a short time and aren't
+// gossiped: otherwise they would circulate between instances for ever.
+func TestUnknownDeparturesExpireAndAreNotGossiped(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := New(Config{MaxGone: 4}, member(0), rand.New(rand.NewPCG(1, 1)))
-	m.updates.drop(member(0).Name)
-	var told []Member
+	m := New(Config{MaxDeadOrLeft: 4}, member(0), rand.New(rand.NewPCG(1, 1)))
+	m.updates.remove(member(0).Name)
+	var updates []Member
 	for i := 2; i < 12; i++ {
-		told = append(told, departed(i))
+		updates = append(updates, leftMember(i))
 	}
-	m.Receive(now, member(1), &SyncAnswer{Members: told})
-	require.Len(t, m.gone, 4, "bounded")
-	for _, x := range m.page("").Members {
+	m.Receive(now, member(1), &SyncResponse{Members: updates})
+	require.Len(t, m.deadOrLeft, 4, "bounded")
+	for _, x := range m.syncPage("").Members {
 		require.NotEqual(t, Left, x.State, "%s", x.Name)
 	}
-	require.NotContains(t, m.updates.byName, departed(2).Name)
+	require.NotContains(t, m.updates.byName, leftMember(2).Name)
 	m.Tick(now.Add(time.Minute))
-	require.Empty(t, m.gone)
+	require.Empty(t, m.deadOrLeft)
 }
 
-// One of 90 instances leaves. Each passes the word on at once to a few, so that nearly
-// all know before the next probe: until then some ask the one that leaves and all others
-// its successor. The messages for it are bounded for each instance.
-func TestWordOfADepartureOutrunsTheProbes(t *testing.T) {
+// One of 90 instances leaves. Each forwards the departure immediately to a few, so that
+// nearly all know of it before the next probe: until then some would send requests to the
+// leaving instance and all others to its successor. The messages per instance are bounded.
+func TestDepartureIsDisseminatedBeforeTheNextProbe(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
-	b := newBench(t, n, cfg)
+	b := newSimCluster(t, n, cfg)
 	b.run(30 * time.Second)
-	for leaver := range 3 {
+	for leaving := range 3 {
 		sent := map[string]int{}
 		b.drop = func(from, _ string, _ bool) bool { sent[from]++; return false }
-		b.leave(leaver)
+		b.leave(leaving)
 		b.drop = func(string, string, bool) bool { return false }
-		ignorant := 0
-		for i := leaver + 1; i < n; i++ {
+		unaware := 0
+		for i := leaving + 1; i < n; i++ {
 			m := b.nodes[member(i).Address]
-			if x, _ := m.View().Find(member(leaver).Name); x.State != Left {
-				ignorant++
+			if x, _ := m.View().Find(member(leaving).Name); x.State != Left {
+				unaware++
 			}
 			require.LessOrEqual(t, sent[m.self.Address], 3+2, fmt.Sprint(m.self.Name))
 		}
-		require.Less(t, ignorant, n/10)
+		require.Less(t, unaware, n/10)
 		b.run(2 * cfg.Period)
-		for i := leaver + 1; i < n; i++ {
-			x, _ := b.nodes[member(i).Address].View().Find(member(leaver).Name)
+		for i := leaving + 1; i < n; i++ {
+			x, _ := b.nodes[member(i).Address].View().Find(member(leaving).Name)
 			require.Equal(t, Left, x.State, "%s sees %s", member(i).Name, x.Name)
 		}
 	}
 }
 
-// Instances stop one after the other, each running on for seconds to end what is in
-// flight. One that has announced its departure is probed no more; if it asked nobody
-// either, it would go on sending its requests to a member that left after it. It accuses
-// nobody: silence around it may be its own end.
-func TestOneThatLeavesStillHearsOfOthers(t *testing.T) {
+// Instances stop one after the other, each running for seconds more to finish the requests
+// in flight. An instance that has announced its departure isn't probed any more; if it
+// probed no others either, it would keep sending requests to a member that left after it.
+// It must not suspect others: their silence may be due to its own shutdown.
+func TestLeavingInstanceStillReceivesUpdates(t *testing.T) {
 	cfg := DefaultConfig()
-	b := newBench(t, 12, cfg)
+	b := newSimCluster(t, 12, cfg)
 	b.run(10 * time.Second)
 	m := b.leave(3)
 	b.run(time.Second)
@@ -229,22 +231,23 @@
 	}
 	b.drop = func(string, string, bool) bool { return false }
 	b.run(3 * cfg.Period)
-	b.agree(slices.DeleteFunc(all(13), func(name string) bool {
+	b.requireLive(slices.DeleteFunc(memberNames(13), func(name string) bool {
 		return name == member(3).Name || name == member(4).Name
 	})...)
 }
 
-// An instance starts in the moment in which another leaves: the member that it asks for
-// all others doesn't know yet, and nobody knows the new one when the word goes round. By
-// probes the word competes with that of all others that start and stop.
-func TestJoinerAsksOnceMoreForAll(t *testing.T) {
+// An instance starts at the moment in which another leaves: the member that responds to its
+// first full exchange doesn't know of the departure yet, and no member knows the new
+// instance while the departure is disseminated. Piggybacked on probes, the departure
+// competes with the updates of all other members that start and stop.
+func TestJoinerRepeatsTheFullExchangeOnce(t *testing.T) {
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	joiner := New(cfg, member(12), rand.New(rand.NewPCG(1, 1)))
-	joiner.Receive(now, member(0), &SyncAnswer{Members: []Member{member(0), member(1), member(2), member(3)}})
+	joiner.Receive(now, member(0), &SyncResponse{Members: []Member{member(0), member(1), member(2), member(3)}})
 	require.True(t, joiner.sync.joined)
-	joiner.Receive(now, member(1), &SyncAnswer{Members: []Member{member(1)}}) // of the first round
-	asked := map[time.Duration]int{}
+	joiner.Receive(now, member(1), &SyncResponse{Members: []Member{member(1)}}) // belongs to the first exchange
+	requests := map[time.Duration]int{}
 	for since := 100 * time.Millisecond; since <= time.Minute; since += 100 * time.Millisecond {
 		for _, a := range joiner.Tick(now.Add(since)) {
 			s, ok := a.(Send)
@@ -252,100 +255,100 @@
 				continue
 			}
 			if _, ok := s.Message.(*SyncRequest); ok {
-				asked[since]++
+				requests[since]++
 			}
 		}
 		if since == 2*cfg.Period+200*time.Millisecond {
-			joiner.Receive(now.Add(since), member(2), &SyncAnswer{Members: []Member{member(2)}})
+			joiner.Receive(now.Add(since), member(2), &SyncResponse{Members: []Member{member(2)}})
 		}
 	}
-	require.Equal(t, map[time.Duration]int{cfg.Period: 1, 2 * cfg.Period: 1}, asked, "until one answers")
+	require.Equal(t, map[time.Duration]int{cfg.Period: 1, 2 * cfg.Period: 1}, requests, "until one member responds")
 }
 
-// A fleet of hundreds is restarted at several instances a second for minutes. The word of
-// each departure, passed on at once by everyone, would take what all control traffic may
-// use. A short series is passed on whole, a long one at a bounded rate.
-func TestWordPassedOnAtOnceIsBounded(t *testing.T) {
+// Hundreds of instances are restarted at several per second for minutes. If every instance
+// forwarded each departure immediately, this would use up the budget of all control
+// traffic. A short series is forwarded completely, a long one at a bounded rate.
+func TestEagerUpdatesAreRateLimited(t *testing.T) {
 	cfg := Config{MaxMembers: 500}.withDefaults()
 	now := time.Unix(1000, 0)
 	m := New(cfg, member(0), rand.New(rand.NewPCG(1, 1)))
 	for i := 1; i < 440; i++ {
-		m.Receive(now, manyth(i), &Ping{Digest: m.digest})
+		m.Receive(now, largeClusterMember(i), &Ping{Digest: m.digest})
 	}
 	m.Tick(now)
 	copies := 0
 	const perSecond, short, series = 4, 20, 400
 	for i := 1; i <= series; i++ {
-		x := manyth(i)
+		x := largeClusterMember(i)
 		x.State = Left
-		for _, a := range m.Receive(now, manyth(439), &Ping{Updates: []Member{x}}) {
+		for _, a := range m.Receive(now, largeClusterMember(439), &Ping{Updates: []Member{x}}) {
 			if s, ok := a.(Send); ok {
-				if word, ok := s.Message.(*Ack); ok && word.Seq == 0 && !s.Reply {
-					copies += len(word.Updates)
+				if ack, ok := s.Message.(*Ack); ok && ack.Seq == 0 && !s.Reply {
+					copies += len(ack.Updates)
 				}
 			}
 		}
 		if i == short {
-			require.Equal(t, short*cfg.NewsFanout, copies)
+			require.Equal(t, short*cfg.EagerFanout, copies)
 		}
 		now = now.Add(time.Second / perSecond)
 		m.Tick(now)
 	}
 	seconds := series / perSecond
-	require.LessOrEqual(t, copies, cfg.NewsBurst+cfg.NewsRate*seconds)
-	require.Greater(t, copies, cfg.NewsRate*(seconds-1), "it goes on at the rate")
+	require.LessOrEqual(t, copies, cfg.EagerBurst+cfg.EagerRate*seconds)
+	require.Greater(t, copies, cfg.EagerRate*(seconds-1), "continues at the configured rate")
 }
 
-// manyth returns a member of a large cluster.
-func manyth(i int) Member {
+// largeClusterMember returns the i-th member of a cluster of more than 250.
+func largeClusterMember(i int) Member {
 	m := member(i)
 	m.Address = fmt.Sprintf("10.0.%d.%d:7", i/250, i%250)
 	return m
 }
 
-// Instances stop in a row and two start meanwhile. The one that gives a duty away knows
-// of the second alone and gives it there, while the others pick the first, which is
-// older: two hold it. Word of a start is passed on at once as well, but what an instance
-// learns of all others as it joins is no news.
-func TestWordOfAStartOutrunsTheProbes(t *testing.T) {
+// Instances stop in turn and two start meanwhile. If the instance that hands over a duty
+// knows only the second of them, it assigns the duty there, while the others assign it to
+// the first, which is older: two instances hold it. So starts are forwarded immediately as
+// well, but not those that an instance learns of while it joins.
+func TestStartIsDisseminatedBeforeTheNextProbe(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
-	b := newBench(t, n, cfg)
+	b := newSimCluster(t, n, cfg)
 	b.run(30 * time.Second)
 	sent := map[string]int{}
 	b.drop = func(from, _ string, _ bool) bool { sent[from]++; return false }
 	joiner := b.start(cfg, member(n), member(7))
 	b.drop = func(string, string, bool) bool { return false }
-	ignorant := 0
+	unaware := 0
 	for i := range n {
 		m := b.nodes[member(i).Address]
 		if x, _ := m.View().Find(joiner.self.Name); !x.Live() || x.Name == "" {
-			ignorant++
+			unaware++
 		}
 	}
-	require.Less(t, ignorant, n/10)
-	require.LessOrEqual(t, sent[joiner.self.Address], 1+n/cfg.SyncPage, "asks for pages and passes nothing on")
+	require.Less(t, unaware, n/10)
+	require.LessOrEqual(t, sent[joiner.self.Address], 1+n/cfg.SyncPage, "requests pages and forwards nothing")
 }
 
-// Many starts must not use up what departures need to be passed on: a member that isn't
-// known yet is asked later, one that is gone is asked in vain.
-func TestWordOfDeparturesGoesBeforeThatOfStarts(t *testing.T) {
+// Many starts must not use up the tokens for departures: a member that isn't known yet only
+// gets requests later, while requests to one that has left fail.
+func TestEagerTokensAreReservedForDepartures(t *testing.T) {
 	cfg := DefaultConfig()
 	now := time.Unix(1000, 0)
 	m := New(cfg, member(0), rand.New(rand.NewPCG(1, 1)))
 	m.sync.joined = true
 	for i := 1; i < 200; i++ {
-		m.Receive(now, manyth(i), &Ping{Digest: m.digest})
+		m.Receive(now, largeClusterMember(i), &Ping{Digest: m.digest})
 	}
-	x := manyth(5)
+	x := largeClusterMember(5)
 	x.State = Left
-	require.GreaterOrEqual(t, m.words, float64(cfg.NewsBurst)/2-float64(cfg.NewsFanout))
-	require.Less(t, m.words, float64(cfg.NewsBurst)/2, "starts used their part")
-	words := 0
-	for _, a := range m.Receive(now, manyth(9), &Ping{Updates: []Member{x}}) {
+	require.GreaterOrEqual(t, m.eagerTokens, float64(cfg.EagerBurst)/2-float64(cfg.EagerFanout))
+	require.Less(t, m.eagerTokens, float64(cfg.EagerBurst)/2, "starts used their half")
+	copies := 0
+	for _, a := range m.Receive(now, largeClusterMember(9), &Ping{Updates: []Member{x}}) {
 		if s, ok := a.(Send); ok && !s.Reply {
-			words++
+			copies++
 		}
 	}
-	require.Equal(t, cfg.NewsFanout, words)
+	require.Equal(t, cfg.EagerFanout, copies)
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -17,170 +17,170 @@
 		}
 	}
 	cases := []struct {
-		name  string
-		story string
-		run   func(t *testing.T, b *bench)
+		name        string
+		description string
+		run         func(t *testing.T, b *simCluster)
 	}{
-		{"join", "Seven instances know one seed. Each learns all others.",
-			func(t *testing.T, b *bench) { b.agree(all(8)...) }},
-		{"crash", "A process dies. All others give it up, and remember it for the retention only.",
-			func(t *testing.T, b *bench) {
+		{"join", "Seven instances know one seed. Each learns of all others.",
+			func(t *testing.T, b *simCluster) { b.requireLive(memberNames(8)...) }},
+		{"crash", "A process crashes. All others remove it from their live members and remember it only for the retention.",
+			func(t *testing.T, b *simCluster) {
 				delete(b.nodes, member(3).Address)
 				b.run(20 * time.Second)
-				b.agree(append(all(3), all(8)[4:]...)...)
+				b.requireLive(append(memberNames(3), memberNames(8)[4:]...)...)
 				b.run(20 * time.Minute)
 				require.Len(t, b.nodes[member(0).Address].Members(), 7)
 			}},
-		{"restart", "A process dies and is started anew at once at its address. " +
-			"Updates about the earlier run are still on their way; they must not take the new one out.",
-			func(t *testing.T, b *bench) {
+		{"restart", "A process crashes and is restarted at its address. " +
+			"Updates about the earlier run are still in flight; they must not remove the new run.",
+			func(t *testing.T, b *simCluster) {
 				delete(b.nodes, member(3).Address)
 				b.run(3 * time.Second)
 				again := member(3)
 				again.Incarnation = 2
 				b.start(Config{}, again, member(5))
 				b.run(20 * time.Second)
-				b.agree(all(8)...)
+				b.requireLive(memberNames(8)...)
 				for _, m := range b.nodes {
 					x, _ := m.View().Find(again.Name)
 					require.Equal(t, uint64(2), x.Incarnation)
-					require.True(t, m.View().Gone(again.Name, 1))
+					require.True(t, m.View().RunEnded(again.Name, 1))
 				}
 			}},
-		{"replaced", "Another instance gets the address of one that died. " +
+		{"replaced", "Another instance gets the address of one that crashed. " +
 			"Calls to the old name must not reach the new process.",
-			func(t *testing.T, b *bench) {
+			func(t *testing.T, b *simCluster) {
 				next := member(3)
 				next.Name, next.Incarnation = "other", 9
 				b.start(Config{}, next, member(5))
 				b.run(2 * time.Second)
-				b.agree(append(append(all(3), all(8)[4:]...), "other")...)
+				b.requireLive(append(append(memberNames(3), memberNames(8)[4:]...), "other")...)
 			}},
-		{"leave", "An instance leaves. Others drop it within a second or two, and a platform's " +
-			"list that still names it does not bring this run back.",
-			func(t *testing.T, b *bench) {
+		{"leave", "An instance leaves. Others remove it from their live members within two seconds, and a " +
+			"platform's list that still contains it does not make this run live again.",
+			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(3).Address]
-				b.do(m, m.Leave(b.now))
-				acked, told := m.LeaveAcked()
-				require.Equal(t, told, acked)
-				require.Positive(t, told)
+				b.deliver(m, m.Leave(b.now))
+				acked, notified := m.LeaveProgress()
+				require.Equal(t, notified, acked)
+				require.Positive(t, notified)
 				b.run(2 * time.Second)
 				delete(b.nodes, member(3).Address)
-				b.do(b.nodes[member(0).Address], b.nodes[member(0).Address].Seed(b.now, []Member{member(3)}))
+				b.deliver(b.nodes[member(0).Address], b.nodes[member(0).Address].Seed(b.now, []Member{member(3)}))
 				for _, n := range b.nodes {
-					b.do(n, n.Receive(b.now, member(3), &Ping{}))
+					b.deliver(n, n.Receive(b.now, member(3), &Ping{}))
 				}
 				b.run(10 * time.Second)
-				b.agree(append(all(3), all(8)[4:]...)...)
+				b.requireLive(append(memberNames(3), memberNames(8)[4:]...)...)
 			}},
-		{"cut path", "Two instances lose the path between each other, both are well. " +
-			"Either would call the other dead; the paths through others must prevent it.",
-			func(t *testing.T, b *bench) {
+		{"cut path", "The path between two healthy instances breaks. " +
+			"Each would declare the other dead; the indirect probes through others must prevent it.",
+			func(t *testing.T, b *simCluster) {
 				b.drop = cut(member(1), member(2))
 				b.run(2 * time.Minute)
-				b.agree(all(8)...)
-				require.Equal(t, Alive, b.accused[member(1).Name])
-				require.Equal(t, Alive, b.accused[member(2).Name])
+				b.requireLive(memberNames(8)...)
+				require.Equal(t, Alive, b.worst[member(1).Name])
+				require.Equal(t, Alive, b.worst[member(2).Name])
 			}},
-		{"one way cut", "An instance is not heard by half of the others, but hears all. " +
-			"Those who can reach it keep it alive for everyone.",
-			func(t *testing.T, b *bench) {
+		{"one way cut", "Messages from an instance do not reach half of the others, but it receives from all. " +
+			"Those with a working path keep it alive for everyone.",
+			func(t *testing.T, b *simCluster) {
 				b.drop = func(from, to string, _ bool) bool {
 					return from == member(2).Address && to < member(4).Address
 				}
 				b.run(2 * time.Minute)
-				b.agree(all(8)...)
-				require.Less(t, b.accused[member(2).Name], Dead)
+				b.requireLive(memberNames(8)...)
+				require.Less(t, b.worst[member(2).Name], Dead)
 			}},
-		{"silent connections", "Every open connection of an instance goes silent while new ones " +
+		{"silent connections", "Every open connection of an instance becomes silent while new ones " +
 			"work. It must not even be suspected.",
-			func(t *testing.T, b *bench) {
-				b.drop = func(from, to string, fresh bool) bool { return !fresh && to == member(2).Address }
+			func(t *testing.T, b *simCluster) {
+				b.drop = func(from, to string, newConnection bool) bool { return !newConnection && to == member(2).Address }
 				b.run(time.Minute)
-				require.Equal(t, Alive, b.accused[member(2).Name])
+				require.Equal(t, Alive, b.worst[member(2).Name])
 			}},
-		{"paused", "A process is stopped for less than the others' suspicion lasts, then runs on. " +
-			"To it all others were silent; it must accuse none of them.",
-			func(t *testing.T, b *bench) {
+		{"paused", "A process is paused for less than the others' suspicion timeout, then resumes. " +
+			"It received no Ack meanwhile; it must not suspect others for it.",
+			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(2).Address]
 				b.drop = func(_, to string, _ bool) bool { return to == m.self.Address }
 				for m.probes.target == "" {
 					b.run(100 * time.Millisecond)
 				}
-				accused := member(5)
-				accused.State = Suspect
-				m.Receive(b.now, member(0), &Ping{Updates: []Member{accused}})
+				suspect := member(5)
+				suspect.State = Suspect
+				m.Receive(b.now, member(0), &Ping{Updates: []Member{suspect}})
 				b.frozen[m.self.Address] = true
 				b.drop = func(string, string, bool) bool { return false }
 				b.run(6 * time.Second)
 				b.frozen[m.self.Address] = false
 				b.run(20 * time.Second)
-				b.agree(all(8)...)
+				b.requireLive(memberNames(8)...)
 				for i := range 8 {
 					if i != 2 && i != 5 {
-						require.Equal(t, Alive, b.accused[member(i).Name], member(i).Name)
+						require.Equal(t, Alive, b.worst[member(i).Name], member(i).Name)
 					}
 				}
-				require.Less(t, b.accused[member(5).Name], Dead)
+				require.Less(t, b.worst[member(5).Name], Dead)
 			}},
-		{"false verdict", "One instance whose own paths are broken declares another dead and says so. " +
-			"Those to whom it is alive must let it refute.",
-			func(t *testing.T, b *bench) {
-				verdict := member(3)
-				verdict.State = Dead
+		{"false verdict", "One instance whose own paths are broken declares another dead and reports it. " +
+			"Members that see it as alive must give it time to refute.",
+			func(t *testing.T, b *simCluster) {
+				claim := member(3)
+				claim.State = Dead
 				m := b.nodes[member(1).Address]
-				b.do(m, m.Receive(b.now, member(2), &Ping{Updates: []Member{verdict}}))
+				b.deliver(m, m.Receive(b.now, member(2), &Ping{Updates: []Member{claim}}))
 				b.run(10 * time.Second)
-				require.Equal(t, Suspect, b.accused[verdict.Name])
-				b.agree(all(8)...)
+				require.Equal(t, Suspect, b.worst[claim.Name])
+				b.requireLive(memberNames(8)...)
 			}},
-		{"exchange after a cut", "The first full exchange after a cut carries the other side's verdicts " +
-			"of death about all of this side. Nobody may be accused for it; the dead are asked and refute.",
-			func(t *testing.T, b *bench) {
-				var verdicts []Member
+		{"exchange after a cut", "The first full exchange after a partition declares all members of this side " +
+			"dead. No member may be suspected for it; the disputed members are probed and refute.",
+			func(t *testing.T, b *simCluster) {
+				var claims []Member
 				for i := 2; i < 8; i++ {
 					v := member(i)
 					v.State = Dead
-					verdicts = append(verdicts, v)
+					claims = append(claims, v)
 				}
 				m := b.nodes[member(1).Address]
-				b.do(m, m.Receive(b.now, member(0), &SyncAnswer{Members: verdicts}))
+				b.deliver(m, m.Receive(b.now, member(0), &SyncResponse{Members: claims}))
 				b.run(10 * time.Second)
-				for _, v := range verdicts {
-					require.Equal(t, Alive, b.accused[v.Name])
+				for _, v := range claims {
+					require.Equal(t, Alive, b.worst[v.Name])
 					require.Equal(t, uint32(1), b.nodes[v.Address].self.Refutation)
 				}
 			}},
-		{"parted", "One data centre loses the others for ten minutes. Each side gives the other up. " +
-			"When the cut heals, all see all again, and the first exchange kills nobody.",
-			func(t *testing.T, b *bench) {
+		{"parted", "One data centre is partitioned from the others for ten minutes. Each side declares the other " +
+			"dead. After the partition all are live again, and the first exchange declares no member dead.",
+			func(t *testing.T, b *simCluster) {
 				side := func(a string) bool { return b.nodes[a].self.DataCentre == "dc0" }
 				b.drop = func(from, to string, _ bool) bool { return side(from) != side(to) }
 				b.run(10 * time.Minute)
 				require.Len(t, b.nodes[member(0).Address].View().Live(), 3)
 				require.Len(t, b.nodes[member(1).Address].View().Live(), 5)
 				b.drop = func(string, string, bool) bool { return false }
-				b.near = map[string]State{}
+				b.worstInOwnCentre = map[string]State{}
 				b.run(time.Minute)
-				for name, state := range b.near {
-					require.Equal(t, Alive, state, "%s was accused in its own data centre", name)
+				for name, state := range b.worstInOwnCentre {
+					require.Equal(t, Alive, state, "%s was suspected in its own data centre", name)
 				}
-				b.agree(all(8)...)
+				b.requireLive(memberNames(8)...)
 			}},
-		{"forgotten", "A cut outlasts the retention, so that both sides forgot each other. " +
-			"The platform's list brings them together.",
-			func(t *testing.T, b *bench) {
+		{"forgotten", "A partition outlasts the retention, so that both sides removed each other. " +
+			"The platform's list joins them again.",
+			func(t *testing.T, b *simCluster) {
 				alone := member(7).Address
 				b.drop = func(from, to string, _ bool) bool { return (from == alone) != (to == alone) }
 				b.run(20 * time.Minute)
 				require.Len(t, b.nodes[alone].Members(), 1)
 				b.drop = func(string, string, bool) bool { return false }
-				b.do(b.nodes[alone], b.nodes[alone].Seed(b.now, []Member{member(0), member(1)}))
+				b.deliver(b.nodes[alone], b.nodes[alone].Seed(b.now, []Member{member(0), member(1)}))
 				b.run(time.Minute)
-				b.agree(all(8)...)
+				b.requireLive(memberNames(8)...)
 			}},
-		{"superseded", "Two processes run under one name. The earlier one is told.",
-			func(t *testing.T, b *bench) {
+		{"superseded", "Two processes run under one name. The earlier one is notified.",
+			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(2).Address]
 				later := member(2)
 				later.Incarnation = 5
@@ -189,25 +189,25 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, 8, Config{Retention: 15 * time.Minute})
+			b := newSimCluster(t, 8, Config{Retention: 15 * time.Minute})
 			b.run(10 * time.Second)
 			c.run(t, b)
 		})
 	}
 }
 
-// Messages are lost, processes die and are started anew in any order. In the
-// end all that run must see just each other, nobody who runs may be held dead,
-// no message may exceed its bounds, and what is remembered is bounded.
+// Messages are lost and processes crash and restart in any order. In the end the
+// live members in every view must be exactly the running processes, no message
+// may exceed its limits, and the members that are dead or left are bounded.
 func TestConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := Config{MaxGone: 4}.withDefaults()
-		b := newBench(rt, 12, cfg)
+		cfg := Config{MaxDeadOrLeft: 4}.withDefaults()
+		b := newSimCluster(rt, 12, cfg)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		rng := rand.New(rand.NewPCG(seed, 1))
 		loss := rapid.Float64Range(0, 0.3).Draw(rt, "loss")
 		b.drop = func(string, string, bool) bool { return rng.Float64() < loss }
-		b.check = func(m Message) {
+		b.onMessage = func(m Message) {
 			var updates []Member
 			switch m := m.(type) {
 			case *Ping:
@@ -233,18 +233,18 @@
 		var running []string
 		for _, m := range b.nodes {
 			running = append(running, m.self.Name)
-			require.LessOrEqual(rt, len(m.gone), cfg.MaxGone)
-			require.Empty(rt, m.probes.doubts)
+			require.LessOrEqual(rt, len(m.deadOrLeft), cfg.MaxDeadOrLeft)
+			require.Empty(rt, m.probes.disputed)
 		}
-		b.agree(running...)
+		b.requireLive(running...)
 	})
 }
 
-// Instances come and go for days. What is remembered of those that are gone
-// must not grow, and must not come back from others who still remember them.
+// Instances start and stop for days. The members that are dead or left must stay
+// bounded, and must not come back from others that still remember them.
 func TestRememberedMembersAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := New(Config{MaxGone: 4, MaxMembers: 9}, member(0), rand.New(rand.NewPCG(1, 1)))
+	m := New(Config{MaxDeadOrLeft: 4, MaxMembers: 9}, member(0), rand.New(rand.NewPCG(1, 1)))
 	for i := 1; i < maxMembers; i++ {
 		x := member(i)
 		m.Receive(now, x, &Ping{})
@@ -255,14 +255,14 @@
 		m.Tick(now)
 		now = now.Add(time.Millisecond)
 	}
-	require.Len(t, m.Members(), 1+4+8, "self, the latest gone and the live ones")
-	gone := member(1)
-	gone.State = Dead
-	m.Receive(now, member(9), &SyncAnswer{Members: []Member{gone}})
+	require.Len(t, m.Members(), 1+4+8, "self, the latest that left and the live ones")
+	dead := member(1)
+	dead.State = Dead
+	m.Receive(now, member(9), &SyncResponse{Members: []Member{dead}})
 	require.Len(t, m.Members(), 1+4+8)
 }
 
-// Instances hear the same updates in different orders. If the order decided,
+// Instances receive the same updates in different orders. If the order mattered,
 // their views would differ for ever.
 func TestSupersedesIsATotalOrder(t *testing.T) {
 	gen := rapid.Custom(func(t *rapid.T) Member {
@@ -300,11 +300,11 @@
 		centres := map[string]bool{}
 		for _, o := range owners {
 			centres[o.DataCentre] = true
-			require.NotEqual(t, "i004", o.Name, "the dead own nothing")
+			require.NotEqual(t, "i004", o.Name, "a dead member owns no key")
 		}
 		require.Len(t, centres, 3)
 		if home := owners[0].Name; home != "i002" {
-			require.Equal(t, home, Owners(moved, key, 1)[0].Name, "only the keys of the one that went move")
+			require.Equal(t, home, Owners(moved, key, 1)[0].Name, "only the keys of the removed member move")
 		}
 		homes[owners[0].Name]++
 	}
@@ -313,8 +313,8 @@
 	require.Empty(t, Owners(v, "k", 0))
 }
 
-// In a large cluster each instance probes a bounded number of members, and
-// each is probed by someone, or its death would go unnoticed.
+// In a large cluster each instance probes a bounded number of members, and each
+// is probed by some other, or its failure would not be detected.
 func TestRingsBoundTheProbes(t *testing.T) {
 	var members []Member
 	for i := range 440 {
@@ -331,8 +331,9 @@
 	require.Len(t, probed, 440)
 }
 
-// BenchmarkPeriod prints the processor time of one state machine for one
-// period at rest: ten ticks, a probe that is answered and one to answer.
+// BenchmarkPeriod prints the processor time of one state machine for one period
+// in a stable cluster: ten ticks, an outgoing probe with its Ack and an incoming
+// probe.
 func BenchmarkPeriod(b *testing.B) {
 	for _, n := range []int{8, 64, 440} {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -6,94 +6,97 @@
 )
 
 const (
-	// maxRelays bounds the probes made on behalf of others.
+	// maxRelays bounds the outstanding probes on behalf of others.
 	maxRelays = 256
-	// maxDoubts bounds the members of which two instances disagree and that
-	// wait to be asked.
-	maxDoubts = 64
+	// maxDisputed bounds the members on whose state two instances disagree and
+	// that wait to be probed.
+	maxDisputed = 64
 )
 
-// prober is the state of the probes.
-type prober struct {
+// probeState is the state of the failure detector's probes.
+type probeState struct {
 	seq uint64
-	// round holds the names still to be probed in this round.
-	round []string
-	next  time.Time
-	// target is the member under probe, empty when there is none.
+	// remaining holds the names still to be probed in this round.
+	remaining []string
+	nextProbe time.Time
+	// target is the member being probed, empty when there is none.
 	target    string
 	targetSeq uint64
-	// direct is when the direct probe counts as failed, zero once it did.
-	direct time.Time
-	relays map[uint64]relay
-	// doubts holds, by name, what others believe and we do not.
-	doubts map[string]Member
-	leaves map[uint64]struct{}
+	// directDeadline is when the direct probe counts as failed, zero once it has.
+	directDeadline time.Time
+	relays         map[uint64]relayedProbe
+	// disputed holds, by name, states of members on which another instance and
+	// this one disagree; see reconcile.
+	disputed map[string]Member
+	// leaveSeqs holds the sequence numbers of the departure announcements that
+	// were not acknowledged yet.
+	leaveSeqs map[uint64]struct{}
 }
 
-// relay is a probe made for another member.
-type relay struct {
-	to      string
-	seq     uint64
-	expires time.Time
+// relayedProbe is a probe on behalf of another member.
+type relayedProbe struct {
+	requester    string
+	requesterSeq uint64
+	expires      time.Time
 }
 
-func newProber() prober {
-	return prober{
-		relays: make(map[uint64]relay),
-		doubts: make(map[string]Member),
-		leaves: make(map[uint64]struct{}),
+func newProbeState() probeState {
+	return probeState{
+		relays:    make(map[uint64]relayedProbe),
+		disputed:  make(map[string]Member),
+		leaveSeqs: make(map[uint64]struct{}),
 	}
 }
 
 // nextSeq returns a new sequence number.
-func (p *prober) nextSeq() uint64 {
+func (p *probeState) nextSeq() uint64 {
 	p.seq++
 	return p.seq
 }
 
-// abandon gives up the outstanding probe without a verdict.
-func (p *prober) abandon(now time.Time) {
+// abandon cancels the outstanding probe without suspecting its target.
+func (p *probeState) abandon(now time.Time) {
 	p.target = ""
-	p.next = now
+	p.nextProbe = now
 }
 
-// tickProbe goes on with the outstanding probe or begins the next one.
+// tickProbe advances the outstanding probe or starts the next one.
 func (m *Membership) tickProbe(now time.Time) {
 	p := &m.probes
-	if p.target != "" && !p.direct.IsZero() && !now.Before(p.direct) {
-		p.direct = time.Time{}
+	if p.target != "" && !p.directDeadline.IsZero() && !now.Before(p.directDeadline) {
+		p.directDeadline = time.Time{}
 		m.probeOtherPaths()
 	}
-	if now.Before(p.next) {
+	if now.Before(p.nextProbe) {
 		return
 	}
 	if p.target != "" {
 		m.suspect(now, p.target)
 		p.target = ""
 	}
-	p.next = now.Add(m.cfg.Period)
+	p.nextProbe = now.Add(m.cfg.Period)
 	m.expireRelays(now)
-	if e := m.nextTarget(); e != nil {
+	if e := m.nextProbeTarget(); e != nil {
 		m.probe(now, e)
 	}
 }
 
-// probe sends a direct probe. Without an Ack by the end of the period, a live
-// member becomes suspect.
+// probe sends a direct probe. A live member that doesn't acknowledge by the end
+// of the period becomes suspect.
 func (m *Membership) probe(now time.Time, e *entry) {
 	p := &m.probes
 	seq := p.nextSeq()
 	if e.Live() {
 		p.target, p.targetSeq = e.Name, seq
-		p.direct = now.Add(m.cfg.ProbeTimeout)
+		p.directDeadline = now.Add(m.cfg.ProbeTimeout)
 	}
-	m.send(Send{To: e.Address, Message: m.ping(e, seq), Fresh: !e.Live()})
-	delete(p.doubts, e.Name)
+	m.send(Send{To: e.Address, Message: m.ping(e, seq), NewConnection: !e.Live()})
+	delete(p.disputed, e.Name)
 }
 
-// probeOtherPaths tries the target by a new connection and by other members.
-// The connection in use may have gone silent and the path from here may be
-// cut while the target is well; either of the two then still gets its Ack.
+// probeOtherPaths probes the target over a new connection and through other
+// members. While the target is healthy, the connection in use may be silent or
+// the path from here may be broken; one of the two then still gets an Ack.
 func (m *Membership) probeOtherPaths() {
 	p := &m.probes
 	e := m.table[p.target]
@@ -101,31 +104,31 @@
 		p.target = ""
 		return
 	}
-	m.send(Send{To: e.Address, Message: m.ping(e, p.targetSeq), Fresh: true})
-	for _, helper := range m.pick(m.cfg.IndirectProbes, e.Name) {
+	m.send(Send{To: e.Address, Message: m.ping(e, p.targetSeq), NewConnection: true})
+	for _, helper := range m.sampleLive(m.cfg.IndirectProbes, e.Name) {
 		req := &PingReq{Seq: p.targetSeq, Target: e.Name, Address: e.Address}
 		req.Updates = m.piggyback(helper.Name)
 		m.send(Send{To: helper.Address, Message: req})
 	}
 }
 
-// nextTarget returns the member to probe: one in doubt, or the next of the
-// round, nil if there is none.
-func (m *Membership) nextTarget() *entry {
+// nextProbeTarget returns the next member to probe: a disputed one first, then
+// the next of the round, nil if there is none.
+func (m *Membership) nextProbeTarget() *entry {
 	p := &m.probes
-	for _, name := range sortedKeys(p.doubts) {
+	for _, name := range sortedKeys(p.disputed) {
 		if e := m.table[name]; e != nil && e.State != Left {
 			return e
 		}
-		delete(p.doubts, name)
+		delete(p.disputed, name)
 	}
-	if len(p.round) == 0 {
-		p.round = names(Successors(m.view, m.cfg.Rings))
-		m.rng.Shuffle(len(p.round), func(i, j int) { p.round[i], p.round[j] = p.round[j], p.round[i] })
+	if len(p.remaining) == 0 {
+		p.remaining = names(Successors(m.view, m.cfg.Rings))
+		m.rng.Shuffle(len(p.remaining), func(i, j int) { p.remaining[i], p.remaining[j] = p.remaining[j], p.remaining[i] })
 	}
-	for len(p.round) > 0 {
-		e := m.table[p.round[0]]
-		p.round = p.round[1:]
+	for len(p.remaining) > 0 {
+		e := m.table[p.remaining[0]]
+		p.remaining = p.remaining[1:]
 		if e != nil && e.Live() {
 			return e
 		}
@@ -142,14 +145,14 @@
 	return out
 }
 
-// pick returns up to n random live members, alive ones before suspects and
-// spread over the data centres, because what cuts one path often cuts all
-// paths between two data centres.
-func (m *Membership) pick(n int, except string) []*entry {
+// sampleLive returns up to n random live members, alive ones before suspects and
+// from as many data centres as possible, because a fault on one path often
+// affects all paths between two data centres.
+func (m *Membership) sampleLive(n int, except string) []*entry {
 	list := m.view.others(except)
 	m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(a, b Member) int { return int(a.State) - int(b.State) })
-	var first, rest []*entry
+	var firstPerCentre, others []*entry
 	centres := make(map[string]struct{})
 	for _, x := range list {
 		e := m.table[x.Name]
@@ -157,29 +160,29 @@
 			continue
 		}
 		if _, seen := centres[x.DataCentre]; seen {
-			rest = append(rest, e)
+			others = append(others, e)
 			continue
 		}
 		centres[x.DataCentre] = struct{}{}
-		first = append(first, e)
+		firstPerCentre = append(firstPerCentre, e)
 	}
-	picked := append(first, rest...)
+	picked := append(firstPerCentre, others...)
 	return picked[:min(n, len(picked))]
 }
 
-// relay probes a member on behalf of another.
-func (m *Membership) relay(now time.Time, from Member, req *PingReq) {
+// relayProbe probes a member on behalf of another.
+func (m *Membership) relayProbe(now time.Time, from Member, req *PingReq) {
 	p := &m.probes
 	if len(p.relays) >= maxRelays || req.Target == m.self.Name {
 		return
 	}
 	seq := p.nextSeq()
-	p.relays[seq] = relay{to: from.Address, seq: req.Seq, expires: now.Add(m.cfg.Period)}
+	p.relays[seq] = relayedProbe{requester: from.Address, requesterSeq: req.Seq, expires: now.Add(m.cfg.Period)}
 	target := &entry{Member: Member{Name: req.Target, Address: req.Address}}
 	m.send(Send{To: req.Address, Message: m.ping(target, seq)})
 }
 
-// expireRelays drops the probes for others that got no answer.
+// expireRelays removes the probes on behalf of others that got no Ack in time.
 func (m *Membership) expireRelays(now time.Time) {
 	for seq, r := range m.probes.relays {
 		if !now.Before(r.expires) {
@@ -188,44 +191,45 @@
 	}
 }
 
-// acknowledged matches an Ack with what it answers.
-func (m *Membership) acknowledged(now time.Time, seq uint64) {
+// handleAck matches an Ack with the probe, departure announcement or relayed
+// probe that it responds to.
+func (m *Membership) handleAck(now time.Time, seq uint64) {
 	p := &m.probes
 	if p.target != "" && seq == p.targetSeq {
 		p.target = ""
 	}
-	if _, ok := p.leaves[seq]; ok {
-		delete(p.leaves, seq)
-		m.leftAcks++
+	if _, ok := p.leaveSeqs[seq]; ok {
+		delete(p.leaveSeqs, seq)
+		m.leaveAcks++
 	}
 	if r, ok := p.relays[seq]; ok {
 		delete(p.relays, seq)
 		if now.Before(r.expires) {
-			m.send(Send{To: r.to, Message: m.ack("", r.seq)})
+			m.send(Send{To: r.requester, Message: m.ack("", r.requesterSeq)})
 		}
 	}
 }
 
-// ping makes a Ping for a member.
+// ping returns a Ping for a member.
 func (m *Membership) ping(e *entry, seq uint64) *Ping {
 	return &Ping{Seq: seq, Digest: m.digest, Updates: m.piggyback(e.Name)}
 }
 
-// ack makes an Ack for a member.
+// ack returns an Ack for a member.
 func (m *Membership) ack(to string, seq uint64) *Ack {
 	return &Ack{Seq: seq, Digest: m.digest, Updates: m.piggyback(to)}
 }
 
-// tickDead tries one dead member at a low fixed rate. Two parts of a cluster
-// that lost each other hold each other dead and would otherwise stay apart
-// after the cut has healed.
-func (m *Membership) tickDead(now time.Time) {
-	if now.Before(m.nextDead) {
+// tickDeadProbe pings one dead member at a low fixed rate. The two sides of a
+// partition consider each other dead and would otherwise stay separate after the
+// partition has healed.
+func (m *Membership) tickDeadProbe(now time.Time) {
+	if now.Before(m.nextDeadProbe) {
 		return
 	}
-	m.nextDead = now.Add(m.cfg.DeadRetry)
+	m.nextDeadProbe = now.Add(m.cfg.DeadProbeInterval)
 	var dead []string
-	for _, name := range sortedKeys(m.gone) {
+	for _, name := range sortedKeys(m.deadOrLeft) {
 		if m.table[name].State == Dead {
 			dead = append(dead, name)
 		}
@@ -234,5 +238,5 @@
 		return
 	}
 	e := m.table[dead[m.rng.IntN(len(dead))]]
-	m.send(Send{To: e.Address, Message: m.ping(e, m.probes.nextSeq()), Fresh: true})
+	m.send(Send{To: e.Address, Message: m.ping(e, m.probes.nextSeq()), NewConnection: true})
 }
--- a/coordination/membership/sync.go
+++ b/coordination/membership/sync.go
@@ -6,93 +6,95 @@
 )
 
 const (
-	// maxCandidates bounds the seeds that wait to be contacted.
+	// maxCandidates bounds the seeds waiting to be contacted.
 	maxCandidates = 1024
-	// candidateTries is how often a seed is contacted before it is dropped
-	// until it is named again.
-	candidateTries = 3
-	// firstContacts is how many seeds are contacted at once.
-	firstContacts = 3
-	// settleFactor, in periods, is how long two digests may differ before it
-	// counts: updates on their way make them differ for a while.
-	settleFactor = 5
+	// maxCandidateAttempts is how often a seed is contacted before it is dropped
+	// until Seed is called with it again.
+	maxCandidateAttempts = 3
+	// initialContacts is how many seeds a call of Seed contacts at once.
+	initialContacts = 3
+	// digestSettlePeriods is how many periods two digests may differ before a
+	// full exchange starts: updates in flight make them differ for a while.
+	digestSettlePeriods = 5
 )
 
-// candidates are addresses that may be instances. They are no members until
-// they are heard of: a platform's list lags, and what it names may be long
-// gone.
-type candidates struct {
-	tries map[string]int
-	next  time.Time
-	leads leads
+// seedCandidates are addresses that may belong to instances. They are not members
+// until a message or an update shows that they are alive: a platform's list lags,
+// and its entries may be long outdated.
+type seedCandidates struct {
+	attempts    map[string]int
+	nextContact time.Time
+	priority    prioritySeeds
 }
 
 // syncState is the state of the full exchange.
 type syncState struct {
+	// joined is set once a full exchange has completed.
 	joined bool
-	// again is when the full exchange is next tried a second time, zero once it was
-	// done; trying says that it was asked for.
-	again  time.Time
-	trying bool
-	// differs is since when the digests differ, zero if they do not.
-	differs time.Time
-	next    time.Time
+	// repeatAt is when the repeated full exchange is next requested, zero once it has
+	// completed. repeatPending is set once it was requested.
+	repeatAt      time.Time
+	repeatPending bool
+	// differsSince is since when the digests differ, zero if they do not.
+	differsSince time.Time
+	nextRequest  time.Time
 }
 
-// Seed names possible instances, from the settings or the platform's list.
-// Only the address is needed.
+// Seed adds the addresses of possible instances, from the settings or the
+// platform's list, and contacts some of them. Only the address is required;
+// priority seeds are chosen among those with a capacity.
 func (m *Membership) Seed(now time.Time, seeds []Member) []Action {
 	c := &m.candidates
-	if c.tries == nil {
-		c.tries = make(map[string]int)
+	if c.attempts == nil {
+		c.attempts = make(map[string]int)
 	}
 	for _, s := range seeds {
 		_, known := m.byAddress[s.Address]
-		if s.Address == "" || s.Address == m.self.Address || known || len(c.tries) >= maxCandidates {
+		if s.Address == "" || s.Address == m.self.Address || known || len(c.attempts) >= maxCandidates {
 			continue
 		}
-		c.tries[s.Address] = 0
+		c.attempts[s.Address] = 0
 	}
 	if !m.leaving {
-		m.nameLeads(seeds)
-		m.contactLeads(now)
-		m.contact(firstContacts)
-		c.next = now.Add(m.cfg.Period)
+		m.choosePrioritySeeds(seeds)
+		m.contactPrioritySeeds(now)
+		m.contact(initialContacts)
+		c.nextContact = now.Add(m.cfg.Period)
 	}
 	return m.flush()
 }
 
-// tickCandidates contacts one seed a period.
+// tickCandidates contacts one seed per period.
 func (m *Membership) tickCandidates(now time.Time) {
-	if len(m.candidates.tries) == 0 || now.Before(m.candidates.next) {
+	if len(m.candidates.attempts) == 0 || now.Before(m.candidates.nextContact) {
 		return
 	}
-	m.candidates.next = now.Add(m.cfg.Period)
+	m.candidates.nextContact = now.Add(m.cfg.Period)
 	m.contact(1)
 }
 
-// contact sends to random seeds and drops those that have become members or
-// were tried often enough.
+// contact sends a message to up to n random seeds and drops those that have
+// become members or have used up their attempts.
 func (m *Membership) contact(n int) {
 	c := &m.candidates
-	addresses := sortedKeys(c.tries)
+	addresses := sortedKeys(c.attempts)
 	m.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	for _, address := range addresses {
-		if _, known := m.byAddress[address]; known || c.tries[address] >= candidateTries {
-			delete(c.tries, address)
+		if _, known := m.byAddress[address]; known || c.attempts[address] >= maxCandidateAttempts {
+			delete(c.attempts, address)
 			continue
 		}
 		if n == 0 {
 			return
 		}
 		n--
-		c.tries[address]++
-		m.send(Send{To: address, Message: m.contactMessage(), Fresh: c.tries[address] > 1})
+		c.attempts[address]++
+		m.send(Send{To: address, Message: m.contactMessage(), NewConnection: c.attempts[address] > 1})
 	}
 }
 
-// contactMessage asks for everything until this instance has joined, and then
-// only for a sign of life.
+// contactMessage returns a request for all members until this instance has
+// joined, and a Ping after that.
 func (m *Membership) contactMessage() Message {
 	if m.sync.joined {
 		return m.ping(&entry{}, m.probes.nextSeq())
@@ -100,48 +102,50 @@
 	return &SyncRequest{}
 }
 
-// tickSync keeps asking for the full exchange until it was done once, and does it once
-// more a period later.
+// tickSync requests the full exchange until it has completed once, and repeats it a
+// period later.
 //
-// The failure the second one guards against: an instance starts in the moment in which
-// another leaves, and the word goes round before any member knows the new one and
-// after its first exchange; it counts the other as live for seconds. A period later
-// the member asked knows.
+// The repetition covers an instance that starts at the moment in which another leaves:
+// the departure may be disseminated after the first exchange but before any member knows
+// the new instance, which would then count the other as live for seconds. A period later
+// the member that receives the request knows of the departure.
 func (m *Membership) tickSync(now time.Time) {
 	switch {
-	case !m.sync.joined && !now.Before(m.sync.next):
-		m.sync.next = now.Add(m.cfg.Period)
-	case m.sync.joined && !m.sync.again.IsZero() && !now.Before(m.sync.again):
-		m.sync.again, m.sync.trying = now.Add(m.cfg.Period), true
+	case !m.sync.joined && !now.Before(m.sync.nextRequest):
+		m.sync.nextRequest = now.Add(m.cfg.Period)
+	case m.sync.joined && !m.sync.repeatAt.IsZero() && !now.Before(m.sync.repeatAt):
+		m.sync.repeatAt, m.sync.repeatPending = now.Add(m.cfg.Period), true
 	default:
 		return
 	}
-	for _, e := range m.pick(1, "") {
+	for _, e := range m.sampleLive(1, "") {
 		m.send(Send{To: e.Address, Message: &SyncRequest{}})
 	}
 }
 
-// noteDigest compares the sets of live members. If they differ for longer than
-// updates take to arrive, the two exchange all they know: an update can die
-// out before it has reached everyone.
-func (m *Membership) noteDigest(now time.Time, from Member, digest uint64) {
+// compareDigest compares the sender's set of live members with this instance's.
+// If they differ for longer than updates take to arrive, a full exchange is
+// requested: an update may use up its transmissions before it has reached all
+// members.
+func (m *Membership) compareDigest(now time.Time, from Member, digest uint64) {
 	if digest == m.digest {
-		m.sync.differs = time.Time{}
+		m.sync.differsSince = time.Time{}
 		return
 	}
-	if m.sync.differs.IsZero() {
-		m.sync.differs = now
+	if m.sync.differsSince.IsZero() {
+		m.sync.differsSince = now
 	}
-	if m.leaving || now.Sub(m.sync.differs) < settleFactor*m.cfg.Period || now.Before(m.sync.next) {
+	if m.leaving || now.Sub(m.sync.differsSince) < digestSettlePeriods*m.cfg.Period || now.Before(m.sync.nextRequest) {
 		return
 	}
-	m.sync.next = now.Add(m.cfg.SyncEvery)
+	m.sync.nextRequest = now.Add(m.cfg.SyncInterval)
 	m.send(Send{To: from.Address, Reply: true, Message: &SyncRequest{}})
 }
 
-// page returns the members that follow a name. One that leaves adds itself to each.
-func (m *Membership) page(after string) *SyncAnswer {
-	members, size := m.known(), m.cfg.SyncPage
+// syncPage returns the page of members after a name. A leaving instance adds itself to
+// each page.
+func (m *Membership) syncPage(after string) *SyncResponse {
+	members, size := m.syncMembers(), m.cfg.SyncPage
 	if m.leaving {
 		size--
 	}
@@ -158,26 +162,27 @@
 		i++
 	}
 	end := min(i+size, len(members))
-	answer := &SyncAnswer{Members: slices.Clone(members[i:end])}
+	response := &SyncResponse{Members: slices.Clone(members[i:end])}
 	if end < len(members) {
-		answer.Next = members[end-1].Name
+		response.Next = members[end-1].Name
 	}
-	if m.leaving && !slices.Contains(answer.Members, m.self) {
-		answer.Members = append(answer.Members, m.self)
+	if m.leaving && !slices.Contains(response.Members, m.self) {
+		response.Members = append(response.Members, m.self)
 	}
-	return answer
+	return response
 }
 
-// known returns the members that are told of in a full exchange.
-func (m *Membership) known() []Member {
+// syncMembers returns the members that are sent in a full exchange: all known ones except
+// those of which only the departure is known.
+func (m *Membership) syncMembers() []Member {
 	return slices.DeleteFunc(slices.Clone(m.view.Members), func(x Member) bool {
 		e := m.table[x.Name]
-		return e != nil && e.hearsay
+		return e != nil && e.departureOnly
 	})
 }
 
-// applyPage takes a page over and asks for the next one.
-func (m *Membership) applyPage(now time.Time, from Member, a *SyncAnswer) {
+// applyPage applies a page of members and requests the next one.
+func (m *Membership) applyPage(now time.Time, from Member, a *SyncResponse) {
 	if len(a.Members) > m.cfg.SyncPage {
 		return
 	}
@@ -185,7 +190,7 @@
 		m.reconcile(now, u)
 	}
 	if a.Next == "" {
-		m.exchanged(now)
+		m.completeSync(now)
 		return
 	}
 	if m.leaving {
@@ -194,21 +199,21 @@
 	m.send(Send{To: from.Address, Reply: true, Message: &SyncRequest{After: a.Next}})
 }
 
-// exchanged notes that the last page of a full exchange has come.
-func (m *Membership) exchanged(now time.Time) {
+// completeSync records that the last page of a full exchange has arrived.
+func (m *Membership) completeSync(now time.Time) {
 	switch {
 	case !m.sync.joined:
-		m.sync.joined, m.sync.again = true, now.Add(m.cfg.Period)
-	case m.sync.trying:
-		m.sync.again, m.sync.trying = time.Time{}, false
+		m.sync.joined, m.sync.repeatAt = true, now.Add(m.cfg.Period)
+	case m.sync.repeatPending:
+		m.sync.repeatAt, m.sync.repeatPending = time.Time{}, false
 	}
 }
 
-// reconcile compares one member of a page with what is known here. Where the
-// two disagree on whether the same run lives, neither is believed: the member
-// is asked, and told what is said of it, so that it can refute. Otherwise the
-// first exchange after a partition would carry each side's verdict of death to
-// the members of the other side, who are well.
+// reconcile compares one member of a page with its known state. Where the two
+// disagree on whether the same run is alive, neither is accepted: the member is
+// probed, and the probe carries the claim of its death, so that it can refute it.
+// Otherwise the first exchange after a partition would make each side declare
+// dead the healthy members of the other side.
 func (m *Membership) reconcile(now time.Time, u Member) {
 	e := m.table[u.Name]
 	sameRun := e != nil && e.Incarnation == u.Incarnation
@@ -220,11 +225,11 @@
 		m.apply(now, u)
 		return
 	}
-	doubt := u
+	deadClaim := u
 	if e.State == Dead {
-		doubt = e.Member
+		deadClaim = e.Member
 	}
-	if len(m.probes.doubts) < maxDoubts {
-		m.probes.doubts[u.Name] = doubt
+	if len(m.probes.disputed) < maxDisputed {
+		m.probes.disputed[u.Name] = deadClaim
 	}
 }
--- a/coordination/membership/view.go
+++ b/coordination/membership/view.go
@@ -7,20 +7,20 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// View is an immutable picture of the cluster as one instance sees it.
+// View is an immutable snapshot of the cluster as one instance sees it.
 type View struct {
-	// Version rises with every change on this instance. Versions of different
-	// instances are not comparable.
+	// Version increases with every change on this instance. Versions of
+	// different instances are not comparable.
 	Version uint64
-	// Self is the name of the instance whose view it is.
+	// Self is the name of the instance that the view belongs to.
 	Self string
-	// Members are all known members in the order of their names, with the
-	// dead and those that left until they are forgotten.
+	// Members holds all known members sorted by name, including those that are
+	// dead or left until their retention ends.
 	Members []Member
 	live    []Member
 }
 
-// newView sorts members and takes them over.
+// newView returns a view of members. It sorts the slice and keeps it.
 func newView(version uint64, self string, members []Member) *View {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	v := &View{Version: version, Self: self, Members: members}
@@ -37,11 +37,11 @@
 	return newView(version, self, slices.Clone(members))
 }
 
-// Live returns the members that are alive or suspect, in the order of their
-// names. The caller does not change it.
+// Live returns the members that are alive or suspect, sorted by name. The caller
+// must not modify the slice.
 func (v *View) Live() []Member { return v.live }
 
-// Find returns the member of a name.
+// Find returns the member with a name.
 func (v *View) Find(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int {
 		return cmp.Compare(m.Name, name)
@@ -52,10 +52,10 @@
 	return v.Members[i], true
 }
 
-// Gone tells whether a run of an instance is known to be over: its member is
-// dead or has left, or a higher incarnation runs under its name. An unknown
-// name is not known to be over.
-func (v *View) Gone(name string, incarnation uint64) bool {
+// RunEnded reports whether a run of an instance is known to have ended: its
+// member is dead or has left, or a higher incarnation runs under its name. It
+// returns false for an unknown name.
+func (v *View) RunEnded(name string, incarnation uint64) bool {
 	m, ok := v.Find(name)
 	if !ok || m.Incarnation < incarnation {
 		return false
@@ -63,13 +63,13 @@
 	return m.Incarnation > incarnation || !m.Live()
 }
 
-// Owners returns the n live members responsible for a key, the first one being
-// its home. It is rendezvous hashing (D. Thaler and C. Ravishankar, "Using
+// Owners returns the n live members responsible for a key, its home first. It
+// uses rendezvous hashing (D. Thaler and C. Ravishankar, "Using
 // Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN 1998): when a
-// member goes, only its own keys move. Owners of one key are spread over the
-// data centres before a data centre gives a second one. Two instances whose
-// views differ may name different owners for a while: an owner is a hint and
-// never a lock.
+// member fails or leaves, only its own keys move. For one key, a data
+// centre provides a second owner only after each data centre has provided one.
+// Two instances whose views differ may return different owners for a while: an
+// owner is a hint, never a lock.
 func Owners(v *View, key string, n int) []Member {
 	if n <= 0 || len(v.live) == 0 {
 		return nil
@@ -80,10 +80,10 @@
 	for limit := 1; len(owners) < cap(owners); limit++ {
 		for i := range ranked {
 			m := ranked[i].member
-			if ranked[i].taken || perCentre[m.DataCentre] >= limit {
+			if ranked[i].chosen || perCentre[m.DataCentre] >= limit {
 				continue
 			}
-			ranked[i].taken = true
+			ranked[i].chosen = true
 			perCentre[m.DataCentre]++
 			owners = append(owners, *m)
 			if len(owners) == cap(owners) {
@@ -94,13 +94,14 @@
 	return owners
 }
 
+// rankedMember is a member with its score for a key.
 type rankedMember struct {
 	score  uint64
 	member *Member
-	taken  bool
+	chosen bool
 }
 
-// rank orders members by their score for a key, the highest first.
+// rank returns members sorted by their score for a key, the highest first.
 func rank(members []Member, key string) []rankedMember {
 	ranked := make([]rankedMember, len(members))
 	for i := range members {
--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -138,7 +138,7 @@
 	if !c.leaving {
 		return
 	}
-	if acked, told := c.members.LeaveAcked(); acked < told {
+	if acked, told := c.members.LeaveProgress(); acked < told {
 		return
 	}
 	select {
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -211,7 +211,7 @@
 	c.mu.Lock()
 	actions := step(c.members)
 	for _, a := range actions {
-		if changed, ok := a.(membership.Changed); ok {
+		if changed, ok := a.(membership.ViewChanged); ok {
 			c.publish(changed.View)
 		}
 	}
@@ -242,7 +242,7 @@
 		_ = from.Reply(s.Message)
 		return
 	}
-	c.node.Post(s.To, s.Message, s.Fresh)
+	c.node.Post(s.To, s.Message, s.NewConnection)
 }
 
 // reportSuperseded says that this instance is outdated.
@@ -316,7 +316,7 @@
 	c.membership(nil, func(m *membership.Membership) []membership.Action {
 		actions := m.Seed(now, seeds)
 		if err == nil {
-			m.Listed()
+			m.MarkSeedsComplete()
 		}
 		return actions
 	})
--- a/daemon/cluster/cluster_test.go
+++ b/daemon/cluster/cluster_test.go
@@ -26,7 +26,7 @@
 // delays.
 var fast = membership.Config{
 	Period: 200 * time.Millisecond, ProbeTimeout: 60 * time.Millisecond,
-	DeadRetry: 200 * time.Millisecond, SyncEvery: time.Second,
+	DeadProbeInterval: 200 * time.Millisecond, SyncInterval: time.Second,
 }
 
 type instance struct {
@@ -134,7 +134,7 @@
 	all = append(rest, again)
 	await(t, all, "the new run is seen", func(v *membership.View) bool {
 		m, _ := v.Find(killed.Name)
-		return len(v.Live()) == 8 && m.Incarnation == 2 && v.Gone(killed.Name, 1)
+		return len(v.Live()) == 8 && m.Incarnation == 2 && v.RunEnded(killed.Name, 1)
 	})
 	require.Equal(t, uint64(4), (<-again.recs).Revision, "the new run learns the records from peers")
 
--- a/protocol/peer/frame_test.go
+++ b/protocol/peer/frame_test.go
@@ -30,7 +30,7 @@
 		&membership.PingReq{Seq: 1, Target: "i2", Address: "a", Updates: updates},
 		&membership.Ack{Seq: 1, Digest: 2, Updates: updates},
 		&membership.SyncRequest{After: "i1"},
-		&membership.SyncAnswer{Members: updates, Next: "i2"},
+		&membership.SyncResponse{Members: updates, Next: "i2"},
 		&spread.Push{Records: []spread.Record{{Kind: "tiers", Name: "gold", Revision: 7, Deleted: true, Body: []byte{1}}}, Recovered: true},
 		&spread.Pull{Root: 1, Newest: 8, Bucket: -1, Leaves: []uint64{1, 1 << 63}},
 		&spread.PullAnswer{Same: true, Buckets: []uint64{3}},
--- a/protocol/peer/messages.go
+++ b/protocol/peer/messages.go
@@ -139,7 +139,7 @@
 	case TypeSyncRequest:
 		return new(membership.SyncRequest)
 	case TypeSyncAnswer:
-		return new(membership.SyncAnswer)
+		return new(membership.SyncResponse)
 	case TypePush:
 		return new(spread.Push)
 	case TypePull:
@@ -175,7 +175,7 @@
 		return TypeAck
 	case *membership.SyncRequest:
 		return TypeSyncRequest
-	case *membership.SyncAnswer:
+	case *membership.SyncResponse:
 		return TypeSyncAnswer
 	case *spread.Push:
 		return TypePush
--- a/protocol/peer/wire_test.go
+++ b/protocol/peer/wire_test.go
@@ -38,7 +38,7 @@
 		{"ping by way of another", &membership.PingReq{Seq: 11, Target: "target", Address: "at", Updates: updates}, "000000290b940ba6746172676574a261749198a66d656d626572a761646472657373a375726ca2646304050106"},
 		{"ack", &membership.Ack{Seq: 12, Digest: 13, Updates: updates}, "000000200c930c0d9198a66d656d626572a761646472657373a375726ca2646304050106"},
 		{"sync", &membership.SyncRequest{After: "after"}, "000000080d91a56166746572"},
-		{"sync's answer", &membership.SyncAnswer{Members: updates, Next: "next"}, "000000230e929198a66d656d626572a761646472657373a375726ca2646304050106a46e657874"},
+		{"sync's answer", &membership.SyncResponse{Members: updates, Next: "next"}, "000000230e929198a66d656d626572a761646472657373a375726ca2646304050106a46e657874"},
 		{"push", &spread.Push{Records: []spread.Record{
 			{Kind: "kind", Name: "name", Revision: 14, Deleted: true, Body: []byte{15}},
 		}, Recovered: true}, "0000001414929195a46b696e64a46e616d650ec3c4010fc3"},
