--- a/coordination/spread/loads.go
+++ b/coordination/spread/loads.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// loadOverhead bounds the encoded bytes of a LoadDigest besides its texts.
+// loadOverhead bounds the encoded bytes of a LoadDigest without its origin and
+// body.
 const loadOverhead = 32
 
 // loadTable keeps the latest digest of each origin.
 type loadTable struct {
 	self     string
-	byOrigin map[string]*load
+	byOrigin map[string]*loadEntry
 }
 
-// load is one origin's digest as it was received.
-type load struct {
+// loadEntry is the digest of one origin as it was received.
+type loadEntry struct {
 	LoadDigest
 	received time.Time
-	sent     int
+	// relays counts how often the digest was sent in a relayed batch.
+	relays int
 }
 
 func newLoadTable() loadTable {
-	return loadTable{byOrigin: make(map[string]*load)}
+	return loadTable{byOrigin: make(map[string]*loadEntry)}
 }
 
-// age is the time since the origin made the digest.
-func (l *load) age(now time.Time) time.Duration {
+// age returns the time since the origin produced the digest.
+func (l *loadEntry) age(now time.Time) time.Duration {
 	return time.Duration(l.AgeMillis)*time.Millisecond + now.Sub(l.received)
 }
 
-// put keeps a digest if it is newer than the held one and not too old.
+// put stores a digest if it is newer than the stored one and younger than
+// LoadTTL.
 func (t *loadTable) put(now time.Time, d LoadDigest, cfg *Config) {
-	if d.Origin == "" || d.Origin == t.self || len(d.Body) > cfg.MaxLoadBody {
+	if d.Origin == "" || d.Origin == t.self || len(d.Body) > cfg.MaxLoadBodyBytes {
 		return
 	}
 	if time.Duration(d.AgeMillis)*time.Millisecond >= cfg.LoadTTL {
@@ -46,16 +49,16 @@
 	if old != nil && !newer(d, old.LoadDigest) {
 		return
 	}
-	t.byOrigin[d.Origin] = &load{LoadDigest: d, received: now}
+	t.byOrigin[d.Origin] = &loadEntry{LoadDigest: d, received: now}
 }
 
-// newer orders the digests of one origin.
+// newer reports whether a is newer than b, a digest of the same origin.
 func newer(a, b LoadDigest) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq)) > 0
 }
 
-// expire drops digests that are too old to be of use. It also bounds the table
-// after instances have gone.
+// expire removes digests older than the TTL. This also frees the entries of
+// instances that failed or left.
 func (t *loadTable) expire(now time.Time, ttl time.Duration) {
 	for origin, l := range t.byOrigin {
 		if l.age(now) >= ttl {
@@ -65,24 +68,24 @@
 }
 
 // SetLoad replaces this instance's own digest.
-func (s *Spread) SetLoad(now time.Time, d LoadDigest) {
-	if len(d.Body) > s.cfg.MaxLoadBody {
+func (s *Gossip) SetLoad(now time.Time, d LoadDigest) {
+	if len(d.Body) > s.cfg.MaxLoadBodyBytes {
 		return
 	}
 	s.loads.self = d.Origin
-	s.loads.byOrigin[d.Origin] = &load{LoadDigest: d, received: now}
+	s.loads.byOrigin[d.Origin] = &loadEntry{LoadDigest: d, received: now}
 }
 
-// Load is a digest and its age.
+// Load is the load digest of one origin with its age.
 type Load struct {
 	Origin string
 	Age    time.Duration
 	Body   []byte
 }
 
-// Loads returns the digests of all origins, this instance's own included, in
-// the order of their names.
-func (s *Spread) Loads(now time.Time) []Load {
+// Loads returns the digests of all origins, including this instance's own,
+// sorted by origin.
+func (s *Gossip) Loads(now time.Time) []Load {
 	out := make([]Load, 0, len(s.loads.byOrigin))
 	for _, l := range s.loads.byOrigin {
 		if age := l.age(now); age < s.cfg.LoadTTL {
@@ -93,50 +96,50 @@
 	return out
 }
 
-// sendLoads sends load digests within the bound of bytes: this instance's own
-// to everyone while that fits, which is the freshest; else its own and those
-// of others to one peer, so that the bytes stay the same and the digests grow
-// older with the cluster's size.
-func (s *Spread) sendLoads(now time.Time, peers []string, size int) {
+// sendLoads sends load digests within MaxLoadBytes. If its own digest fits for
+// all other instances, each of them gets it, which gives the lowest age.
+// Otherwise one peer gets its own digest and those of others, so that the bytes
+// stay the same and the age of the digests grows with the cluster's size.
+func (s *Gossip) sendLoads(now time.Time, peers []string, size int) {
 	own := s.loads.byOrigin[s.loads.self]
-	everyone := len(peers) == size-1
-	if own != nil && everyone && own.size()*len(peers) <= s.cfg.LoadBytes {
+	fullMesh := len(peers) == size-1
+	if own != nil && fullMesh && own.sizeBound()*len(peers) <= s.cfg.MaxLoadBytes {
 		for _, to := range peers {
-			s.send(to, &Loads{Digests: []LoadDigest{own.aged(now)}})
+			s.send(to, &Loads{Digests: []LoadDigest{own.withCurrentAge(now)}})
 		}
 		return
 	}
-	if msg := s.relayed(now); len(msg.Digests) > 0 {
+	if msg := s.relayBatch(now); len(msg.Digests) > 0 {
 		s.send(peers[s.rng.IntN(len(peers))], msg)
 	}
 }
 
-// relayed returns this instance's own digest and those that were sent the
-// least, the youngest first.
-func (s *Spread) relayed(now time.Time) *Loads {
+// relayBatch returns this instance's own digest, then those that were relayed
+// least often, the youngest first.
+func (s *Gossip) relayBatch(now time.Time) *Loads {
 	msg := &Loads{}
-	room := s.cfg.LoadBytes
-	for _, l := range s.loads.bySent(now) {
-		room -= l.size()
-		if room < 0 {
+	capacity := s.cfg.MaxLoadBytes
+	for _, l := range s.loads.relayOrder(now) {
+		capacity -= l.sizeBound()
+		if capacity < 0 {
 			break
 		}
-		l.sent++
-		msg.Digests = append(msg.Digests, l.aged(now))
+		l.relays++
+		msg.Digests = append(msg.Digests, l.withCurrentAge(now))
 	}
 	return msg
 }
 
-// bySent returns the digests in the order in which they are to be relayed.
-func (t *loadTable) bySent(now time.Time) []*load {
-	list := make([]*load, 0, len(t.byOrigin))
+// relayOrder returns the digests in the order in which they are to be relayed.
+func (t *loadTable) relayOrder(now time.Time) []*loadEntry {
+	list := make([]*loadEntry, 0, len(t.byOrigin))
 	for _, l := range t.byOrigin {
 		list = append(list, l)
 	}
-	slices.SortFunc(list, func(a, b *load) int {
+	slices.SortFunc(list, func(a, b *loadEntry) int {
 		return cmp.Or(
 			compareBool(b.Origin == t.self, a.Origin == t.self),
-			cmp.Compare(a.sent, b.sent),
+			cmp.Compare(a.relays, b.relays),
 			cmp.Compare(a.age(now), b.age(now)),
 			cmp.Compare(a.Origin, b.Origin),
 		)
@@ -144,15 +147,15 @@
 	return list
 }
 
-// aged returns the digest with its present age.
-func (l *load) aged(now time.Time) LoadDigest {
+// withCurrentAge returns the digest with its age updated to now.
+func (l *loadEntry) withCurrentAge(now time.Time) LoadDigest {
 	d := l.LoadDigest
 	d.AgeMillis = uint32(l.age(now).Milliseconds())
 	return d
 }
 
-// size bounds the encoded bytes of the digest.
-func (l *load) size() int { return loadOverhead + len(l.Origin) + len(l.Body) }
+// sizeBound returns an upper bound of the encoded bytes of the digest.
+func (l *loadEntry) sizeBound() int { return loadOverhead + len(l.Origin) + len(l.Body) }
 
 // compareBool orders false before true.
 func compareBool(a, b bool) int {
--- a/coordination/spread/messages.go
+++ b/coordination/spread/messages.go
@@ -1,8 +1,8 @@
-// Package spread brings small versioned records to every instance and keeps
-// the latest load digest of each.
+// Package spread disseminates small versioned records to all instances by gossip
+// and keeps the latest load digest of each.
 //
-// Records travel as rumours, pushed a bounded number of times to a few peers,
-// and what a rumour missed is found by pull anti-entropy over a hash tree
+// Records are sent as rumours, pushed a bounded number of times to a few peers.
+// Instances that a rumour missed are repaired by pull anti-entropy over a hash tree
 // (A. Demers et al., "Epidemic Algorithms for Replicated Database
 // Maintenance", PODC 1987). Load digests are the latest value per origin and
 // expire. Bytes per second are bounded for each instance.
@@ -11,7 +11,7 @@
 // actions are returned. It is not safe for concurrent use.
 package spread
 
-// Record is one versioned configuration record.
+// Record is a versioned configuration record.
 type Record struct {
 	Kind     string
 	Name     string
@@ -20,63 +20,64 @@
 	Body     []byte
 }
 
-// LoadDigest is the load that one instance reports of itself.
+// LoadDigest is the load that an instance reports for itself.
 type LoadDigest struct {
 	Origin string
 	// Incarnation and Seq order the digests of one origin.
 	Incarnation uint64
 	Seq         uint64
-	// AgeMillis is the time since the origin made it, summed hop by hop so
-	// that no clocks are compared; the time on the wire is not in it.
+	// AgeMillis is the time since the origin produced the digest, summed over
+	// the hops so that no clocks are compared. It excludes the network delay.
 	AgeMillis uint32
 	Body      []byte
 }
 
-// Message is a message between two spread state machines.
+// Message is a message between two Gossip state machines.
 type Message interface{ spreadMessage() }
 
 // Push carries records to a peer.
 type Push struct {
 	Records []Record
-	// Recovered marks records sent in answer to a Pull. They are old news to
-	// most instances, so the receiver does not spread them as rumours.
+	// Recovered marks records that are sent in response to a Pull. Most
+	// instances have them already, so the receiver does not gossip them further.
 	Recovered bool
 }
 
-// Pull asks a peer for what differs. With Bucket below zero it compares the
+// Pull requests the records that differ. With a negative Bucket it compares the
 // roots; otherwise it carries the leaf sums of one bucket.
 type Pull struct {
 	Root uint64
-	// Newest is the highest revision that the sender holds.
-	Newest uint64
-	Bucket int
-	Leaves []uint64
+	// NewestRevision is the highest revision that the sender holds.
+	NewestRevision uint64
+	Bucket         int
+	Leaves         []uint64
 }
 
-// PullAnswer carries the bucket sums of a peer whose root differs.
-type PullAnswer struct {
-	Same    bool
+// PullResponse is the response to a comparison of roots. It carries the bucket
+// sums of the sender if the roots differ.
+type PullResponse struct {
+	InSync  bool
 	Buckets []uint64
 }
 
 // Loads carries load digests to a peer.
 type Loads struct{ Digests []LoadDigest }
 
-func (*Push) spreadMessage()       {}
-func (*Pull) spreadMessage()       {}
-func (*PullAnswer) spreadMessage() {}
-func (*Loads) spreadMessage()      {}
+func (*Push) spreadMessage()         {}
+func (*Pull) spreadMessage()         {}
+func (*PullResponse) spreadMessage() {}
+func (*Loads) spreadMessage()        {}
 
-// Action is what the driver has to do after a call.
+// Action is something that the driver must do after a call.
 type Action interface{ spreadAction() }
 
-// Send asks for one message to be sent to an address.
+// Send requests that a message be sent to an address.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Accepted says that a record is newer than what was held.
+// Accepted reports a record that is newer than the one held before.
 type Accepted struct{ Record Record }
 
 func (Send) spreadAction()     {}
--- a/coordination/spread/pull.go
+++ b/coordination/spread/pull.go
@@ -1,45 +1,45 @@
 package spread
 
-// sumSize is the encoded size of one sum, in bytes.
-const sumSize = 9
+// encodedSumBytes is the encoded size of one sum.
+const encodedSumBytes = 9
 
-// pullSize is the encoded size of a comparison of roots, in bytes.
-const pullSize = 24
+// encodedPullBytes is the encoded size of a comparison of roots.
+const encodedPullBytes = 24
 
-// comparison returns the message that compares roots.
-func (s *Spread) comparison() *Pull {
-	return &Pull{Root: s.source.Digest().Root, Newest: s.source.Newest(), Bucket: -1}
+// rootComparison returns the Pull that compares the roots.
+func (s *Gossip) rootComparison() *Pull {
+	return &Pull{Root: s.records.Digest().Root, NewestRevision: s.records.NewestRevision(), Bucket: -1}
 }
 
-// answerPull answers a comparison of roots or of leaves.
-func (s *Spread) answerPull(from string, p *Pull) {
+// handlePull responds to a comparison of roots or of the leaves of a bucket.
+func (s *Gossip) handlePull(from string, p *Pull) {
 	switch {
 	case p.Bucket >= Buckets:
 	case p.Bucket >= 0:
-		if len(p.Leaves) == LeavesPerBucket && s.recovery.open() {
-			s.recover(from, s.source.Delta(p.Bucket, p.Leaves, s.cfg.MaxPush))
+		if len(p.Leaves) == LeavesPerBucket && s.recovery.available() {
+			s.sendMissing(from, s.records.Delta(p.Bucket, p.Leaves, s.cfg.MaxPushBytes))
 		}
-	case s.source.Digest().Root == p.Root:
-		s.send(from, &PullAnswer{Same: true})
-	case s.recovery.open():
-		s.answerRoot(from, p.Newest)
+	case s.records.Digest().Root == p.Root:
+		s.send(from, &PullResponse{InSync: true})
+	case s.recovery.available():
+		s.handleRootMismatch(from, p.NewestRevision)
 	}
 }
 
-// answerRoot answers a peer whose root differs. Nearly always it has missed
-// the latest changes only, which the store's revisions tell at once; the sums
-// find the rest.
-func (s *Spread) answerRoot(from string, newest uint64) {
-	if newest > 0 && s.recover(from, s.source.Since(newest, s.cfg.MaxPush)) {
+// handleRootMismatch responds to a peer whose root differs. It has nearly always
+// missed only the latest changes, which its newest revision identifies without
+// further messages. The bucket sums find all other differences.
+func (s *Gossip) handleRootMismatch(from string, newest uint64) {
+	if newest > 0 && s.sendMissing(from, s.records.Since(newest, s.cfg.MaxPushBytes)) {
 		return
 	}
-	s.recovery.spend(Buckets * sumSize)
-	digest := s.source.Digest()
-	s.send(from, &PullAnswer{Buckets: digest.Buckets[:]})
+	s.recovery.spend(Buckets * encodedSumBytes)
+	digest := s.records.Digest()
+	s.send(from, &PullResponse{Buckets: digest.Buckets[:]})
 }
 
-// recover sends records that a peer has missed, false if there are none.
-func (s *Spread) recover(to string, records []Record) bool {
+// sendMissing sends records that a peer lacks. It returns false if there are none.
+func (s *Gossip) sendMissing(to string, records []Record) bool {
 	for _, r := range records {
 		s.recovery.spend(RecordSize(r))
 	}
@@ -49,23 +49,23 @@
 	return len(records) > 0
 }
 
-// compare asks for the buckets that differ, in a random order, as far as the
-// budget goes. A few late rumours make a few buckets differ; an instance that
-// has just started asks for all of them over some rounds.
-func (s *Spread) compare(from string, a *PullAnswer) {
-	if a.Same || len(a.Buckets) != Buckets {
+// handlePullResponse requests the buckets that differ, in random order, until the
+// budget is used up. A few delayed rumours make a few buckets differ; an instance
+// that has just started requests all of them over several comparisons.
+func (s *Gossip) handlePullResponse(from string, a *PullResponse) {
+	if a.InSync || len(a.Buckets) != Buckets {
 		return
 	}
-	own := s.source.Digest()
+	own := s.records.Digest()
 	for _, bucket := range s.rng.Perm(Buckets) {
 		if a.Buckets[bucket] == own.Buckets[bucket] {
 			continue
 		}
-		if !s.recovery.open() {
+		if !s.recovery.available() {
 			return
 		}
-		s.recovery.spend(LeavesPerBucket * sumSize)
-		leaves := s.source.Leaves(bucket)
+		s.recovery.spend(LeavesPerBucket * encodedSumBytes)
+		leaves := s.records.Leaves(bucket)
 		s.send(from, &Pull{Root: own.Root, Bucket: bucket, Leaves: leaves[:]})
 	}
 }
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -8,111 +8,111 @@
 	"time"
 )
 
-// Config holds the periods and bounds. Zero values take the defaults.
+// Config holds the intervals and limits. Zero values take the defaults.
 type Config struct {
-	// Period is the time between two rounds of rumours.
-	Period time.Duration
-	// Fanout is the number of peers told in one round.
+	// PushInterval is the time between two rounds of rumours.
+	PushInterval time.Duration
+	// Fanout is the number of peers that receive rumours in one round.
 	Fanout int
 	// ExtraCopies, added to the natural logarithm of the cluster's size, is
-	// how often an instance passes a record on.
+	// how many copies of a record an instance sends.
 	ExtraCopies int
 	// PushBytesPerSecond bounds rumours, on average.
 	PushBytesPerSecond int
-	// MaxPush bounds the records of one message, in bytes; a larger record
-	// goes alone.
-	MaxPush int
-	// PullEvery is the time between two comparisons with a random peer.
-	PullEvery time.Duration
-	// RecoveryBytesPerSecond bounds, on average, what is sent to find and to
-	// fill differences. It is not used while instances agree.
+	// MaxPushBytes bounds the records of one message; a larger record is sent
+	// alone.
+	MaxPushBytes int
+	// PullInterval is the time between two comparisons with a random peer.
+	PullInterval time.Duration
+	// RecoveryBytesPerSecond bounds, on average, what is sent to find and
+	// repair differences. Nothing of it is used while instances agree.
 	RecoveryBytesPerSecond int
-	// LoadEvery is the time between two times that load digests are sent.
-	LoadEvery time.Duration
-	// LoadBytes bounds the digests sent each time.
-	LoadBytes int
-	// LoadTTL is the age at which a digest is dropped.
+	// LoadInterval is the time between two transmissions of load digests.
+	LoadInterval time.Duration
+	// MaxLoadBytes bounds the digests that are sent per LoadInterval.
+	MaxLoadBytes int
+	// LoadTTL is the age at which a digest expires.
 	LoadTTL time.Duration
-	// MaxLoadBody bounds one digest's body, in bytes.
-	MaxLoadBody int
-	// MaxOrigins bounds the origins whose digests are kept.
+	// MaxLoadBodyBytes bounds the body of a digest.
+	MaxLoadBodyBytes int
+	// MaxOrigins bounds the origins whose digests are stored.
 	MaxOrigins int
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Period:                 100 * time.Millisecond,
+		PushInterval:           100 * time.Millisecond,
 		Fanout:                 2,
 		ExtraCopies:            2,
 		PushBytesPerSecond:     2000,
-		MaxPush:                16 << 10,
-		PullEvery:              500 * time.Millisecond,
+		MaxPushBytes:           16 << 10,
+		PullInterval:           500 * time.Millisecond,
 		RecoveryBytesPerSecond: 64 << 10,
-		LoadEvery:              time.Second,
-		LoadBytes:              600,
+		LoadInterval:           time.Second,
+		MaxLoadBytes:           600,
 		LoadTTL:                15 * time.Second,
-		MaxLoadBody:            128,
+		MaxLoadBodyBytes:       128,
 		MaxOrigins:             1024,
 	}
 }
 
-// withDefaults fills what is zero.
+// withDefaults returns the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
-	c.Period = cmp.Or(c.Period, d.Period)
+	c.PushInterval = cmp.Or(c.PushInterval, d.PushInterval)
 	c.Fanout = cmp.Or(c.Fanout, d.Fanout)
 	c.ExtraCopies = cmp.Or(c.ExtraCopies, d.ExtraCopies)
 	c.PushBytesPerSecond = cmp.Or(c.PushBytesPerSecond, d.PushBytesPerSecond)
-	c.MaxPush = cmp.Or(c.MaxPush, d.MaxPush)
-	c.PullEvery = cmp.Or(c.PullEvery, d.PullEvery)
+	c.MaxPushBytes = cmp.Or(c.MaxPushBytes, d.MaxPushBytes)
+	c.PullInterval = cmp.Or(c.PullInterval, d.PullInterval)
 	c.RecoveryBytesPerSecond = cmp.Or(c.RecoveryBytesPerSecond, d.RecoveryBytesPerSecond)
-	c.LoadEvery = cmp.Or(c.LoadEvery, d.LoadEvery)
-	c.LoadBytes = cmp.Or(c.LoadBytes, d.LoadBytes)
+	c.LoadInterval = cmp.Or(c.LoadInterval, d.LoadInterval)
+	c.MaxLoadBytes = cmp.Or(c.MaxLoadBytes, d.MaxLoadBytes)
 	c.LoadTTL = cmp.Or(c.LoadTTL, d.LoadTTL)
-	c.MaxLoadBody = cmp.Or(c.MaxLoadBody, d.MaxLoadBody)
+	c.MaxLoadBodyBytes = cmp.Or(c.MaxLoadBodyBytes, d.MaxLoadBodyBytes)
 	c.MaxOrigins = cmp.Or(c.MaxOrigins, d.MaxOrigins)
 	return c
 }
 
 const (
-	// maxRumours bounds the records that are being passed on; the others are
-	// found by comparison.
+	// maxRumours bounds the records that are being gossiped; records beyond it
+	// reach peers by comparison.
 	maxRumours = 1024
-	// burstSeconds is how many seconds' worth of a budget may be spent at once.
+	// burstSeconds is the burst of a budget, in seconds of its rate.
 	burstSeconds = 4
 )
 
-// Spread is the state machine of one instance.
-type Spread struct {
-	cfg      Config
-	rng      *rand.Rand
-	source   Source
-	rumours  map[recordKey]*rumour
-	order    uint64
-	push     budget
-	recovery budget
-	loads    loadTable
-	nextPush time.Time
-	nextPull time.Time
-	nextLoad time.Time
-	out      []Action
+// Gossip is the gossip state machine of one instance.
+type Gossip struct {
+	cfg       Config
+	rng       *rand.Rand
+	records   RecordSet
+	rumours   map[recordKey]*rumour
+	lastOrder uint64
+	push      budget
+	recovery  budget
+	loads     loadTable
+	nextPush  time.Time
+	nextPull  time.Time
+	nextLoad  time.Time
+	actions   []Action
 }
 
-// rumour is a record that is being passed on.
+// rumour is a record that is being gossiped, with the number of copies sent.
 type rumour struct {
 	record Record
 	copies int
 	order  uint64
 }
 
-// New returns the state machine of an instance that holds source.
-func New(cfg Config, source Source, rng *rand.Rand) *Spread {
+// New returns the state machine of an instance that holds the given records.
+func New(cfg Config, records RecordSet, rng *rand.Rand) *Gossip {
 	cfg = cfg.withDefaults()
-	return &Spread{
+	return &Gossip{
 		cfg:      cfg,
 		rng:      rng,
-		source:   source,
+		records:  records,
 		rumours:  make(map[recordKey]*rumour),
 		push:     budget{rate: float64(cfg.PushBytesPerSecond)},
 		recovery: budget{rate: float64(cfg.RecoveryBytesPerSecond)},
@@ -120,35 +120,37 @@
 	}
 }
 
-// Put takes over a record that this instance learned elsewhere, from the
-// store's watch for one, and spreads it. It returns an Accepted if it is news.
-func (s *Spread) Put(r Record) []Action {
+// Put adds a record that this instance received from another source, such as a
+// watch of the store, and gossips it. It returns an Accepted if the record is newer
+// than the one held.
+func (s *Gossip) Put(r Record) []Action {
 	s.accept(r, true)
 	return s.flush()
 }
 
-// Tick does what is due. Peers are the addresses of the neighbours, all others
-// in a small cluster; size is the number of live instances, this one included.
-func (s *Spread) Tick(now time.Time, peers []string, size int) []Action {
+// Tick runs the periodic work that is due. Peers are the addresses of the
+// neighbours, which are all others in a small cluster; size is the number of live
+// instances, including this one.
+func (s *Gossip) Tick(now time.Time, peers []string, size int) []Action {
 	s.push.refill(now)
 	s.recovery.refill(now)
 	s.loads.expire(now, s.cfg.LoadTTL)
 	if len(peers) == 0 {
 		return s.flush()
 	}
-	if due(now, &s.nextPush, s.cfg.Period) {
+	if due(now, &s.nextPush, s.cfg.PushInterval) {
 		s.pushRumours(peers, size)
 	}
-	if due(now, &s.nextPull, s.cfg.PullEvery) {
-		s.send(peers[s.rng.IntN(len(peers))], s.comparison())
+	if due(now, &s.nextPull, s.cfg.PullInterval) {
+		s.send(peers[s.rng.IntN(len(peers))], s.rootComparison())
 	}
-	if due(now, &s.nextLoad, s.cfg.LoadEvery) {
+	if due(now, &s.nextLoad, s.cfg.LoadInterval) {
 		s.sendLoads(now, peers, size)
 	}
 	return s.flush()
 }
 
-// due tells whether a periodic act is due and sets the time of the next.
+// due reports whether periodic work is due and, if so, schedules it again.
 func due(now time.Time, next *time.Time, every time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -157,8 +159,8 @@
 	return true
 }
 
-// Receive handles a message that came from an address.
-func (s *Spread) Receive(now time.Time, from string, msg Message) []Action {
+// Receive handles a message from an address.
+func (s *Gossip) Receive(now time.Time, from string, msg Message) []Action {
 	s.recovery.refill(now)
 	switch msg := msg.(type) {
 	case *Push:
@@ -166,9 +168,9 @@
 			s.accept(r, !msg.Recovered)
 		}
 	case *Pull:
-		s.answerPull(from, msg)
-	case *PullAnswer:
-		s.compare(from, msg)
+		s.handlePull(from, msg)
+	case *PullResponse:
+		s.handlePullResponse(from, msg)
 	case *Loads:
 		for _, d := range msg.Digests {
 			s.loads.put(now, d, &s.cfg)
@@ -177,34 +179,34 @@
 	return s.flush()
 }
 
-// accept takes a record over if it is news.
-func (s *Spread) accept(r Record, spread bool) {
-	if !s.source.Apply(r) {
+// accept stores a record if it is newer than the one held, and gossips it if
+// requested.
+func (s *Gossip) accept(r Record, gossip bool) {
+	if !s.records.Apply(r) {
 		return
 	}
-	s.out = append(s.out, Accepted{Record: r})
+	s.actions = append(s.actions, Accepted{Record: r})
 	key := recordKey{r.Kind, r.Name}
-	if !spread {
-		// The rumour of the older revision, if there is one, is obsolete.
+	if !gossip {
+		// A rumour of the older revision is obsolete.
 		delete(s.rumours, key)
 		return
 	}
 	if _, ok := s.rumours[key]; !ok && len(s.rumours) >= maxRumours {
 		return
 	}
-	s.order++
-	s.rumours[key] = &rumour{record: r, order: s.order}
+	s.lastOrder++
+	s.rumours[key] = &rumour{record: r, order: s.lastOrder}
 }
 
-// pushRumours tells a few random peers the records not yet passed on often
-// enough.
-func (s *Spread) pushRumours(peers []string, size int) {
+// pushRumours sends a few random peers the records that have copies left to send.
+func (s *Gossip) pushRumours(peers []string, size int) {
 	if len(s.rumours) == 0 {
 		return
 	}
 	copies := int(math.Ceil(math.Log(float64(size)))) + s.cfg.ExtraCopies
-	for _, to := range s.pick(peers, s.cfg.Fanout) {
-		if !s.push.open() {
+	for _, to := range s.samplePeers(peers, s.cfg.Fanout) {
+		if !s.push.available() {
 			return
 		}
 		if records := s.batch(copies); len(records) > 0 {
@@ -213,8 +215,9 @@
 	}
 }
 
-// batch returns the records for one message, the least often sent first.
-func (s *Spread) batch(copies int) []Record {
+// batch returns the records for one message, those with the fewest copies sent
+// first.
+func (s *Gossip) batch(copies int) []Record {
 	list := make([]*rumour, 0, len(s.rumours))
 	for _, r := range s.rumours {
 		list = append(list, r)
@@ -226,7 +229,7 @@
 	size := 0
 	for _, r := range list {
 		n := RecordSize(r.record)
-		if len(out) > 0 && size+n > s.cfg.MaxPush || !s.push.open() {
+		if len(out) > 0 && size+n > s.cfg.MaxPushBytes || !s.push.available() {
 			break
 		}
 		size += n
@@ -240,8 +243,8 @@
 	return out
 }
 
-// pick returns n different random peers.
-func (s *Spread) pick(peers []string, n int) []string {
+// samplePeers returns up to n distinct random peers.
+func (s *Gossip) samplePeers(peers []string, n int) []string {
 	n = min(n, len(peers))
 	chosen := make([]string, 0, n)
 	for len(chosen) < n {
@@ -254,26 +257,26 @@
 }
 
 // send adds a message to the actions.
-func (s *Spread) send(to string, m Message) {
-	s.out = append(s.out, Send{To: to, Message: m})
+func (s *Gossip) send(to string, m Message) {
+	s.actions = append(s.actions, Send{To: to, Message: m})
 }
 
-// flush returns the actions.
-func (s *Spread) flush() []Action {
-	out := s.out
-	s.out = nil
+// flush returns the pending actions.
+func (s *Gossip) flush() []Action {
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-// budget is a rate of bytes. One message may overdraw it, so that a record
-// larger than the burst can pass; the debt is waited off.
+// budget is a token bucket of bytes. One message may overdraw it, so that a record
+// larger than the burst can be sent; nothing more is sent until the debt is paid.
 type budget struct {
 	rate   float64
 	tokens float64
 	last   time.Time
 }
 
-// refill adds what the time since the last call allows.
+// refill adds the tokens earned since the last call, up to the burst.
 func (b *budget) refill(now time.Time) {
 	if b.last.IsZero() {
 		b.tokens = b.rate * burstSeconds
@@ -283,5 +286,5 @@
 	b.last = now
 }
 
-func (b *budget) open() bool  { return b.tokens > 0 }
-func (b *budget) spend(n int) { b.tokens -= float64(n) }
+func (b *budget) available() bool { return b.tokens > 0 }
+func (b *budget) spend(n int)     { b.tokens -= float64(n) }
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -13,28 +13,30 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// bench runs n state machines in virtual time; a message arrives in the next
-// round, or is lost.
-type bench struct {
+// simCluster runs n state machines in virtual time. A message arrives in the next
+// round or is lost.
+type simCluster struct {
 	now   time.Time
 	rng   *rand.Rand
 	loss  float64
-	nodes []*Spread
+	nodes []*Gossip
 	peers [][]string
 	index map[string]int
 	queue []delivery
-	// bytes is an estimate of what was sent, by kind of message.
-	rumour, idle, load int
-	down               map[int]bool
+	// recordBytes, comparisonBytes and loadBytes estimate what was sent, by kind
+	// of message.
+	recordBytes, comparisonBytes, loadBytes int
+	down                                    map[int]bool
 }
 
+// delivery is a message in flight.
 type delivery struct {
 	from, to int
 	msg      Message
 }
 
-func newBench(n int, loss float64, cfg Config) *bench {
-	b := &bench{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(7, uint64(n))), loss: loss, index: map[string]int{}, down: map[int]bool{}}
+func newSimCluster(n int, loss float64, cfg Config) *simCluster {
+	b := &simCluster{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(7, uint64(n))), loss: loss, index: map[string]int{}, down: map[int]bool{}}
 	members := make([]membership.Member, n)
 	for i := range members {
 		members[i] = membership.Member{Name: fmt.Sprint("i", i), Address: fmt.Sprint("a", i)}
@@ -52,7 +54,8 @@
 	return b
 }
 
-func (b *bench) do(from int, actions []Action) {
+// send queues the messages of the actions, except those that are lost.
+func (b *simCluster) send(from int, actions []Action) {
 	for _, a := range actions {
 		s, ok := a.(Send)
 		if !ok {
@@ -61,16 +64,16 @@
 		switch m := s.Message.(type) {
 		case *Push:
 			for _, r := range m.Records {
-				b.rumour += RecordSize(r)
+				b.recordBytes += RecordSize(r)
 			}
 		case *Loads:
 			for _, d := range m.Digests {
-				b.load += loadOverhead + len(d.Origin) + len(d.Body)
+				b.loadBytes += loadOverhead + len(d.Origin) + len(d.Body)
 			}
 		case *Pull:
-			b.idle += pullSize + sumSize*len(m.Leaves)
-		case *PullAnswer:
-			b.idle += 4 + sumSize*len(m.Buckets)
+			b.comparisonBytes += encodedPullBytes + encodedSumBytes*len(m.Leaves)
+		case *PullResponse:
+			b.comparisonBytes += 4 + encodedSumBytes*len(m.Buckets)
 		}
 		if to := b.index[s.To]; b.rng.Float64() >= b.loss && !b.down[to] && !b.down[from] {
 			b.queue = append(b.queue, delivery{from, to, s.Message})
@@ -78,32 +81,32 @@
 	}
 }
 
-// round delivers what is queued and lets a tenth of a second pass.
-func (b *bench) round() {
+// round advances the time by 100 ms, delivers the queued messages and calls Tick.
+func (b *simCluster) round() {
 	b.now = b.now.Add(100 * time.Millisecond)
 	queue := b.queue
 	b.queue = nil
 	for _, d := range queue {
-		b.do(d.to, b.nodes[d.to].Receive(b.now, fmt.Sprint("a", d.from), d.msg))
+		b.send(d.to, b.nodes[d.to].Receive(b.now, fmt.Sprint("a", d.from), d.msg))
 	}
 	for i, n := range b.nodes {
-		b.do(i, n.Tick(b.now, b.peers[i], len(b.nodes)))
+		b.send(i, n.Tick(b.now, b.peers[i], len(b.nodes)))
 	}
 }
 
-// holders counts the instances that hold a revision or a later one.
-func (b *bench) holders(name string, revision uint64) int {
+// holders returns the number of instances that hold a revision or a later one.
+func (b *simCluster) holders(name string, revision uint64) int {
 	count := 0
 	for _, n := range b.nodes {
-		if r, ok := n.source.(*Table).Get("k", name); ok && r.Revision >= revision {
+		if r, ok := n.records.(*Table).Get("k", name); ok && r.Revision >= revision {
 			count++
 		}
 	}
 	return count
 }
 
-// roundsToAll runs until everyone holds the record.
-func (b *bench) roundsToAll(name string, revision uint64, limit int) int {
+// roundsToAll returns the number of rounds until all instances hold the record.
+func (b *simCluster) roundsToAll(name string, revision uint64, limit int) int {
 	for r := range limit {
 		if b.holders(name, revision) == len(b.nodes) {
 			return r
@@ -119,13 +122,13 @@
 
 func TestFaults(t *testing.T) {
 	cases := []struct {
-		name, story string
-		run         func(t *testing.T, b *bench)
+		name, description string
+		run               func(t *testing.T, b *simCluster)
 	}{
-		{"old store", "The store answers from the past and the old record is put again. " +
-			"No instance may go back to it.",
-			func(t *testing.T, b *bench) {
-				b.do(0, b.nodes[0].Put(record("r", 9, 10)))
+		{"old store", "The store returns outdated data and an old record is put again. " +
+			"No instance may revert to it.",
+			func(t *testing.T, b *simCluster) {
+				b.send(0, b.nodes[0].Put(record("r", 9, 10)))
 				require.Less(t, b.roundsToAll("r", 9, 100), 100)
 				require.Empty(t, b.nodes[3].Put(record("r", 8, 20)))
 				for _, n := range b.nodes {
@@ -133,11 +136,11 @@
 				}
 				require.Equal(t, 8, b.holders("r", 9))
 			}},
-		{"missed", "An instance is cut off while a record is spread and comes back when all " +
-			"rumours have died. The comparison brings it the record.",
-			func(t *testing.T, b *bench) {
+		{"missed", "An instance is unreachable while a record is gossiped, until no rumour of it is left. " +
+			"The comparison of roots finds the record.",
+			func(t *testing.T, b *simCluster) {
 				b.down[5] = true
-				b.do(0, b.nodes[0].Put(record("r", 1, 10)))
+				b.send(0, b.nodes[0].Put(record("r", 1, 10)))
 				for range 100 {
 					b.round()
 				}
@@ -148,35 +151,35 @@
 				b.down = map[int]bool{}
 				require.Less(t, b.roundsToAll("r", 1, 100), 100)
 			}},
-		{"born in an outage", "An instance starts while the store is down. It gets all records " +
+		{"born in an outage", "An instance starts while the store is unavailable. It gets all records " +
 			"from its peers.",
-			func(t *testing.T, b *bench) {
+			func(t *testing.T, b *simCluster) {
 				for i := range 3000 {
 					for _, n := range b.nodes[1:] {
-						n.source.Apply(record(fmt.Sprint("r", i), 5, 100))
+						n.records.Apply(record(fmt.Sprint("r", i), 5, 100))
 					}
 				}
 				for range 300 {
 					b.round()
 				}
-				require.Equal(t, 3000, b.nodes[0].source.(*Table).Len())
+				require.Equal(t, 3000, b.nodes[0].records.(*Table).Len())
 			}},
-		{"deleted", "A record is deleted and an instance that was cut off still has it. " +
-			"The deletion wins.",
-			func(t *testing.T, b *bench) {
-				b.do(0, b.nodes[0].Put(record("r", 1, 10)))
+		{"deleted", "A record is deleted while an instance that holds it is unreachable. " +
+			"The deletion reaches it.",
+			func(t *testing.T, b *simCluster) {
+				b.send(0, b.nodes[0].Put(record("r", 1, 10)))
 				b.roundsToAll("r", 1, 100)
 				b.down[5] = true
-				b.do(0, b.nodes[0].Put(Record{Kind: "k", Name: "r", Revision: 2, Deleted: true}))
+				b.send(0, b.nodes[0].Put(Record{Kind: "k", Name: "r", Revision: 2, Deleted: true}))
 				for range 50 {
 					b.round()
 				}
 				b.down = map[int]bool{}
 				require.Less(t, b.roundsToAll("r", 2, 100), 100)
 			}},
-		{"load digests", "Instances report load and one dies. All have all digests soon, and the " +
-			"dead one's is dropped.",
-			func(t *testing.T, b *bench) {
+		{"load digests", "Instances report load and one fails. All hold all digests, and the " +
+			"digest of the failed one expires.",
+			func(t *testing.T, b *simCluster) {
 				report := func(rounds int) {
 					for range rounds {
 						for i, n := range b.nodes {
@@ -199,12 +202,12 @@
 			}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.run(t, newBench(8, 0.1, Config{})) })
+		t.Run(c.name, func(t *testing.T) { c.run(t, newSimCluster(8, 0.1, Config{})) })
 	}
 }
 
-// A digest waits at each instance that relays it. If it did not grow older
-// there, an old load would be taken for a present one and attract requests.
+// A digest is held for a time by each instance that relays it. If its age did not
+// include that time, an outdated load would look current and attract requests.
 func TestRelayedDigestsAge(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{}, NewTable(1), rand.New(rand.NewPCG(1, 1)))
@@ -221,28 +224,28 @@
 	require.Equal(t, uint32(6000), relayed[0].AgeMillis)
 }
 
-// A flood of changes must not raise the traffic of an instance above its
-// budgets, however many peers ask and push.
+// Many changes must not raise the traffic of an instance above its budgets,
+// regardless of how many peers pull and push.
 func TestBytesAreBounded(t *testing.T) {
 	cfg := Config{PushBytesPerSecond: 1000, RecoveryBytesPerSecond: 4000}.withDefaults()
-	b := newBench(8, 0, cfg)
+	b := newSimCluster(8, 0, cfg)
 	const seconds = 60
 	for i := range seconds * 10 {
-		b.do(i%8, b.nodes[i%8].Put(record(fmt.Sprint("r", i), 1, 500)))
+		b.send(i%8, b.nodes[i%8].Put(record(fmt.Sprint("r", i), 1, 500)))
 		b.round()
 	}
 	allowed := 8 * (seconds + burstSeconds) * (cfg.PushBytesPerSecond + cfg.RecoveryBytesPerSecond)
-	overdraw := 8 * 2 * cfg.MaxPush
-	require.Less(t, b.rumour, allowed+overdraw)
-	require.LessOrEqual(t, b.load, 8*seconds*cfg.LoadBytes)
-	require.LessOrEqual(t, b.idle, allowed)
+	overdraw := 8 * 2 * cfg.MaxPushBytes
+	require.Less(t, b.recordBytes, allowed+overdraw)
+	require.LessOrEqual(t, b.loadBytes, 8*seconds*cfg.MaxLoadBytes)
+	require.LessOrEqual(t, b.comparisonBytes, allowed)
 }
 
-// Whatever is applied in whatever order, the highest revision stays, sums match
-// a table built afresh, and tombstones are bounded.
+// Whatever the order of records, the table keeps the highest revisions, its sums
+// match those of a newly built table, and its tombstones are bounded.
 func TestTableOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		table, fresh := NewTable(3), NewTable(3)
+		table, rebuilt := NewTable(3), NewTable(3)
 		held := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(rt, "n") {
 			r := record(fmt.Sprint("r", rapid.IntRange(0, 9).Draw(rt, "name")), rapid.Uint64Range(1, 20).Draw(rt, "revision"), 1)
@@ -257,10 +260,10 @@
 		for name, revision := range held {
 			if r, ok := table.Get("k", name); ok {
 				require.Equal(rt, revision, r.Revision)
-				fresh.Apply(r)
+				rebuilt.Apply(r)
 			}
 		}
-		require.Equal(rt, fresh.Digest(), table.Digest())
+		require.Equal(rt, rebuilt.Digest(), table.Digest())
 	})
 }
 
@@ -273,12 +276,12 @@
 			b.Run(fmt.Sprintf("n=%d/loss=%g", n, loss), func(b *testing.B) {
 				const samples = 20
 				for b.Loop() {
-					s := newBench(n, loss, Config{})
+					s := newSimCluster(n, loss, Config{})
 					var rounds []int
 					total := 0
 					for i := range samples {
 						name := fmt.Sprint("r", i)
-						s.do(i%n, s.nodes[i%n].Put(record(name, 1, 300)))
+						s.send(i%n, s.nodes[i%n].Put(record(name, 1, 300)))
 						rounds = append(rounds, s.roundsToAll(name, 1, 1000))
 						for range 30 {
 							s.round()
@@ -289,8 +292,8 @@
 					seconds := float64(total) / 10
 					b.ReportMetric(float64(rounds[samples/2]), "rounds-p50")
 					b.ReportMetric(float64(rounds[samples-1]), "rounds-max")
-					b.ReportMetric(float64(s.rumour)/float64(n*samples), "B/node/record")
-					b.ReportMetric(float64(s.idle)/float64(n)/seconds, "compare-B/node/s")
+					b.ReportMetric(float64(s.recordBytes)/float64(n*samples), "B/node/record")
+					b.ReportMetric(float64(s.comparisonBytes)/float64(n)/seconds, "compare-B/node/s")
 				}
 			})
 		}
@@ -303,7 +306,7 @@
 	for _, n := range []int{8, 64, 440} {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
 			for b.Loop() {
-				s := newBench(n, 0, Config{})
+				s := newSimCluster(n, 0, Config{})
 				for range 300 {
 					for i, node := range s.nodes {
 						node.SetLoad(s.now, LoadDigest{Origin: fmt.Sprint("i", i), Incarnation: 1, Seq: uint64(s.now.UnixNano()), Body: make([]byte, 40)})
@@ -319,7 +322,7 @@
 				}
 				b.ReportMetric(100*float64(known)/float64(n*n), "known-%")
 				b.ReportMetric(age.Seconds()/float64(known), "mean-age-s")
-				b.ReportMetric(float64(s.load)/float64(n)/30, "B/node/s")
+				b.ReportMetric(float64(s.loadBytes)/float64(n)/30, "B/node/s")
 			}
 		})
 	}
--- a/coordination/spread/table.go
+++ b/coordination/spread/table.go
@@ -7,75 +7,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of the hash tree: a root, Buckets sums below it and LeavesPerBucket
-// sums below each of these.
+// Sizes of the hash tree: the root has Buckets children, and each of these has
+// LeavesPerBucket.
 const (
 	Buckets         = 64
 	LeavesPerBucket = 64
 )
 
-// MaxRecord bounds a record's body, in bytes, so that it fits a frame.
-const MaxRecord = 512 << 10
+// MaxRecordBytes bounds a record's body so that it fits into a frame.
+const MaxRecordBytes = 512 << 10
 
-// recentRecords is how many of the latest records Since knows.
+// recentRecords is how many of the latest records Since can return.
 const recentRecords = 64
 
-// recordOverhead bounds the encoded bytes of a Record besides its texts.
+// recordOverhead bounds the encoded bytes of a Record without its kind, name and
+// body.
 const recordOverhead = 24
 
-// Digest summarises a set of records.
+// Digest holds the root and the bucket sums of the hash tree over a set of
+// records.
 type Digest struct {
 	Root    uint64
 	Buckets [Buckets]uint64
 }
 
-// Source holds the records that are spread. Its contents only grow: for one
-// kind and name, a revision is never replaced by a lower one.
-type Source interface {
-	// Digest summarises all records.
+// RecordSet holds the records that are gossiped. Its revisions are monotonic: for
+// one kind and name, a revision is never replaced by a lower one.
+type RecordSet interface {
+	// Digest returns the digest of all records.
 	Digest() Digest
 	// Leaves returns the leaf sums of one bucket.
 	Leaves(bucket int) [LeavesPerBucket]uint64
 	// Delta returns the records in those leaves of a bucket whose sums differ
 	// from the given ones, up to about limit bytes.
 	Delta(bucket int, leaves []uint64, limit int) []Record
-	// Newest returns the highest revision held.
-	Newest() uint64
-	// Since returns recent records of a higher revision than the given one, up
-	// to about limit bytes. It need not know them all.
+	// NewestRevision returns the highest revision held.
+	NewestRevision() uint64
+	// Since returns recent records with a revision higher than the given one, up
+	// to about limit bytes. It may omit older ones.
 	Since(revision uint64, limit int) []Record
-	// Apply takes a record over and tells whether it was news.
+	// Apply stores a record if it is newer than the one held and reports
+	// whether it was.
 	Apply(r Record) bool
 }
 
+// recordKey identifies a record.
 type recordKey struct{ kind, name string }
 
-// Table is a Source in memory.
+// Table is a RecordSet in memory.
 type Table struct {
-	records       map[recordKey]Record
-	leaves        [Buckets][LeavesPerBucket]leaf
-	digest        Digest
-	tombstones    int
-	maxTombstones int
-	newest        uint64
-	// recent holds the keys of the latest records, the latest last.
+	records        map[recordKey]Record
+	leaves         [Buckets][LeavesPerBucket]leaf
+	digest         Digest
+	tombstones     int
+	maxTombstones  int
+	newestRevision uint64
+	// recent holds the keys of the latest records, in the order of their arrival.
 	recent []recordKey
-	// floor is the highest revision of a dropped tombstone.
-	floor uint64
+	// tombstoneFloor is the highest revision of a dropped tombstone. An unknown
+	// tombstone up to it is refused.
+	tombstoneFloor uint64
 }
 
+// leaf is a leaf of the hash tree: the sum and the keys of its records.
 type leaf struct {
 	sum  uint64
 	keys []recordKey
 }
 
 // NewTable returns an empty table that keeps at most maxTombstones deleted
-// records, those of the highest revisions.
+// records, those with the highest revisions.
 func NewTable(maxTombstones int) *Table {
 	return &Table{records: make(map[recordKey]Record), maxTombstones: maxTombstones}
 }
 
-// Len returns the number of records, deleted ones included.
+// Len returns the number of records, including deleted ones.
 func (t *Table) Len() int { return len(t.records) }
 
 // Get returns a record.
@@ -84,10 +90,10 @@
 	return r, ok
 }
 
-// Digest implements Source.
+// Digest implements RecordSet.
 func (t *Table) Digest() Digest { return t.digest }
 
-// Leaves implements Source.
+// Leaves implements RecordSet.
 func (t *Table) Leaves(bucket int) [LeavesPerBucket]uint64 {
 	var sums [LeavesPerBucket]uint64
 	for i := range sums {
@@ -96,7 +102,7 @@
 	return sums
 }
 
-// Delta implements Source.
+// Delta implements RecordSet.
 func (t *Table) Delta(bucket int, leaves []uint64, limit int) []Record {
 	var out []Record
 	for i := range t.leaves[bucket] {
@@ -116,10 +122,10 @@
 	return out
 }
 
-// Newest implements Source.
-func (t *Table) Newest() uint64 { return t.newest }
+// NewestRevision implements RecordSet.
+func (t *Table) NewestRevision() uint64 { return t.newestRevision }
 
-// Since implements Source.
+// Since implements RecordSet.
 func (t *Table) Since(revision uint64, limit int) []Record {
 	var out []Record
 	for i, key := range t.recent {
@@ -136,30 +142,30 @@
 	return out
 }
 
-// Apply implements Source. A revision that is not higher than the held one is
-// refused: the store and peers may answer from the past, and a configuration
-// never reverts.
+// Apply implements RecordSet. A revision that is not higher than the held one is
+// refused: the store and peers may return outdated records, and a configuration
+// must never revert.
 func (t *Table) Apply(r Record) bool {
 	key := recordKey{r.Kind, r.Name}
 	old, held := t.records[key]
 	if held && r.Revision <= old.Revision {
 		return false
 	}
-	if len(r.Body) > MaxRecord || (!held && r.Deleted && r.Revision <= t.floor) {
+	if len(r.Body) > MaxRecordBytes || (!held && r.Deleted && r.Revision <= t.tombstoneFloor) {
 		return false
 	}
 	if held {
-		t.count(old, -1)
-		t.toggle(key, old)
+		t.countTombstones(old, -1)
+		t.toggleSum(key, old)
 	}
 	t.records[key] = r
-	t.count(r, 1)
-	t.toggle(key, r)
+	t.countTombstones(r, 1)
+	t.toggleSum(key, r)
 	if !held {
 		l := t.leafOf(key)
 		l.keys = append(l.keys, key)
 	}
-	t.newest = max(t.newest, r.Revision)
+	t.newestRevision = max(t.newestRevision, r.Revision)
 	t.recent = append(t.recent, key)
 	if len(t.recent) > recentRecords {
 		t.recent = t.recent[1:]
@@ -168,30 +174,31 @@
 	return true
 }
 
-// count keeps the number of tombstones.
-func (t *Table) count(r Record, n int) {
+// countTombstones adds n to the number of tombstones if the record is one.
+func (t *Table) countTombstones(r Record, n int) {
 	if r.Deleted {
 		t.tombstones += n
 	}
 }
 
-// toggle adds a record to the sums, or takes it out again.
-func (t *Table) toggle(key recordKey, r Record) {
+// toggleSum adds a record to the sums, or removes it if it is included.
+func (t *Table) toggleSum(key recordKey, r Record) {
 	sum := recordSum(r)
-	bucket, _ := position(key)
+	bucket, _ := leafPosition(key)
 	t.leafOf(key).sum ^= sum
 	t.digest.Buckets[bucket] ^= sum
 	t.digest.Root ^= sum
 }
 
-// leafOf returns the leaf of a key.
+// leafOf returns the leaf that holds a key.
 func (t *Table) leafOf(key recordKey) *leaf {
-	bucket, l := position(key)
+	bucket, l := leafPosition(key)
 	return &t.leaves[bucket][l]
 }
 
-// dropTombstones drops the tombstone of the lowest revision beyond the bound.
-// All instances drop the same one, so that their digests agree.
+// dropTombstones removes the tombstones of the lowest revisions while there are
+// more than maxTombstones. All instances remove the same ones, so that their
+// digests agree.
 func (t *Table) dropTombstones() {
 	for t.tombstones > t.maxTombstones {
 		var oldest recordKey
@@ -202,15 +209,15 @@
 			}
 		}
 		t.remove(oldest)
-		t.floor = max(t.floor, revision)
+		t.tombstoneFloor = max(t.tombstoneFloor, revision)
 	}
 }
 
-// remove drops a record from the table.
+// remove deletes a record from the table.
 func (t *Table) remove(key recordKey) {
 	r := t.records[key]
-	t.count(r, -1)
-	t.toggle(key, r)
+	t.countTombstones(r, -1)
+	t.toggleSum(key, r)
 	delete(t.records, key)
 	l := t.leafOf(key)
 	for i := range l.keys {
@@ -221,24 +228,24 @@
 	}
 }
 
-// position returns the bucket and leaf of a key.
-func position(key recordKey) (bucket, leaf int) {
-	h := hashTexts(key.kind, key.name, nil)
+// leafPosition returns the bucket and leaf of a key.
+func leafPosition(key recordKey) (bucket, leaf int) {
+	h := hashStrings(key.kind, key.name, nil)
 	return int(h % Buckets), int(h / Buckets % LeavesPerBucket)
 }
 
-// recordSum hashes what identifies a record's version.
+// recordSum returns a hash of the kind, name, revision and deletion of a record.
 func recordSum(r Record) uint64 {
 	var tail [9]byte
 	binary.BigEndian.PutUint64(tail[:], r.Revision)
 	if r.Deleted {
 		tail[8] = 1
 	}
-	return hashTexts(r.Kind, r.Name, tail[:])
+	return hashStrings(r.Kind, r.Name, tail[:])
 }
 
-// hashTexts hashes two texts and a tail.
-func hashTexts(a, b string, tail []byte) uint64 {
+// hashStrings returns a hash of two strings and a tail.
+func hashStrings(a, b string, tail []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(a)
@@ -249,7 +256,7 @@
 	return d.Sum64()
 }
 
-// RecordSize bounds the bytes of a record on the wire.
+// RecordSize returns an upper bound of the encoded bytes of a record.
 func RecordSize(r Record) int {
 	return recordOverhead + len(r.Kind) + len(r.Name) + len(r.Body)
 }
--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -110,7 +110,7 @@
 // Put takes over a record learned from the store and spreads it. OnRecord is
 // told if it is news.
 func (c *Cluster) Put(r spread.Record) {
-	c.withSpread(nil, func(s *spread.Spread) []spread.Action { return s.Put(r) })
+	c.withSpread(nil, func(s *spread.Gossip) []spread.Action { return s.Put(r) })
 }
 
 // Stats returns the counts of the connections.
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -94,7 +94,7 @@
 	superseded sync.Once
 
 	spreadMu  sync.Mutex
-	spread    *spread.Spread
+	spread    *spread.Gossip
 	peers     []string
 	peersView *membership.View
 	loadSeq   uint64
@@ -168,7 +168,7 @@
 func (c *Cluster) tick(now time.Time) {
 	c.membership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
 	peers, size := c.spreadPeers()
-	c.withSpread(nil, func(s *spread.Spread) []spread.Action { return s.Tick(now, peers, size) })
+	c.withSpread(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
 }
 
 // spreadPeers returns the addresses that records and digests go to: the
@@ -199,7 +199,7 @@
 			return s.Receive(now, from.Member, m)
 		})
 	case spread.Message:
-		c.withSpread(&from, func(s *spread.Spread) []spread.Action {
+		c.withSpread(&from, func(s *spread.Gossip) []spread.Action {
 			return s.Receive(now, from.Address, m)
 		})
 	}
@@ -253,7 +253,7 @@
 
 // withSpread runs a step of the spread under its lock and does its actions
 // without it.
-func (c *Cluster) withSpread(from *peer.Peer, step func(*spread.Spread) []spread.Action) {
+func (c *Cluster) withSpread(from *peer.Peer, step func(*spread.Gossip) []spread.Action) {
 	c.spreadMu.Lock()
 	actions := step(c.spread)
 	c.spreadMu.Unlock()
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -37,13 +37,13 @@
 // hundreds. Among eight instances most would then be too old to count.
 func SpreadConfig() spread.Config {
 	c := spread.DefaultConfig()
-	c.LoadBytes = loadBytes
+	c.MaxLoadBytes = loadBytes
 	return c
 }
 
 // maxBody bounds the digest of an instance with the given name.
 func maxBody(name string) int {
-	return min(SpreadConfig().MaxLoadBody, loadBytes/directPeers-overhead-len(name))
+	return min(SpreadConfig().MaxLoadBodyBytes, loadBytes/directPeers-overhead-len(name))
 }
 
 // Cluster carries the digests; *cluster.Cluster is one.
--- a/daemon/load/load_test.go
+++ b/daemon/load/load_test.go
@@ -23,7 +23,7 @@
 }
 
 func (n *net) SendDigest(body []byte) {
-	if len(body) <= SpreadConfig().MaxLoadBody {
+	if len(body) <= SpreadConfig().MaxLoadBodyBytes {
 		n.sent = body
 	}
 }
@@ -79,7 +79,7 @@
 func TestEightInstancesHearOneAnother(t *testing.T) {
 	const n = 8
 	now := time.Unix(1000, 0)
-	nodes := map[string]*spread.Spread{}
+	nodes := map[string]*spread.Gossip{}
 	var names []string
 	for i := range n {
 		name := fmt.Sprintf("instance-%011d", i)
--- a/protocol/peer/messages.go
+++ b/protocol/peer/messages.go
@@ -145,7 +145,7 @@
 	case TypePull:
 		return new(spread.Pull)
 	case TypePullAnswer:
-		return new(spread.PullAnswer)
+		return new(spread.PullResponse)
 	case TypeLoads:
 		return new(spread.Loads)
 	case TypeAsk:
@@ -181,7 +181,7 @@
 		return TypePush
 	case *spread.Pull:
 		return TypePull
-	case *spread.PullAnswer:
+	case *spread.PullResponse:
 		return TypePullAnswer
 	case *spread.Loads:
 		return TypeLoads
--- a/protocol/peer/wire_test.go
+++ b/protocol/peer/wire_test.go
@@ -42,8 +42,8 @@
 		{"push", &spread.Push{Records: []spread.Record{
 			{Kind: "kind", Name: "name", Revision: 14, Deleted: true, Body: []byte{15}},
 		}, Recovered: true}, "0000001414929195a46b696e64a46e616d650ec3c4010fc3"},
-		{"pull", &spread.Pull{Root: 16, Newest: 17, Bucket: 18, Leaves: []uint64{19, 20}}, "000000081594101112921314"},
-		{"pull's answer", &spread.PullAnswer{Same: true, Buckets: []uint64{21, 22}}, "000000061692c3921516"},
+		{"pull", &spread.Pull{Root: 16, NewestRevision: 17, Bucket: 18, Leaves: []uint64{19, 20}}, "000000081594101112921314"},
+		{"pull's answer", &spread.PullResponse{InSync: true, Buckets: []uint64{21, 22}}, "000000061692c3921516"},
 		{"loads", &spread.Loads{Digests: []spread.LoadDigest{
 			{Origin: "origin", Incarnation: 23, Seq: 24, AgeMillis: 25, Body: []byte{26}},
 		}}, "0000001117919195a66f726967696e171819c4011a"},
--- a/testkit/capacity/exchange.go
+++ b/testkit/capacity/exchange.go
@@ -45,7 +45,7 @@
 
 func measureExchange(o Options) ([]Series, error) {
 	cost := Series{Quantity: "taking in peers' load digests", Unit: "ms/s", Size: "origin heard", Target: targetNodes, Budget: budgetCPU}
-	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", Size: "pool", Target: exchangePools, Budget: float64(load.SpreadConfig().MaxLoadBody)}
+	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", Size: "pool", Target: exchangePools, Budget: float64(load.SpreadConfig().MaxLoadBodyBytes)}
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		rig := newExchangeRig(n, exchangePools)
 		ns := o.nsPerOp(rig.round)
@@ -107,7 +107,7 @@
 	}
 	entries := table.Digest(now)
 	digest.Targets = entries[:min(len(entries), 8)]
-	body, err := loadwire.Encode(digest, load.SpreadConfig().MaxLoadBody)
+	body, err := loadwire.Encode(digest, load.SpreadConfig().MaxLoadBodyBytes)
 	if err != nil {
 		return nil
 	}
--- a/testkit/capacity/fleet.go
+++ b/testkit/capacity/fleet.go
@@ -42,7 +42,7 @@
 type fleetNode struct {
 	self    membership.Member
 	members *membership.Membership
-	spread  *spread.Spread
+	spread  *spread.Gossip
 	table   *spread.Table
 	view    *membership.View
 	peers   []string
