--- a/coordination/lease/capacity_test.go
+++ b/coordination/lease/capacity_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A holder whose renewals are all answered at once writes nothing for most of
-// the time. If the time of the next renewal is lost, it writes without a pause
-// and takes the store's writes from the claims.
-func TestHolderRenewsAtItsPace(t *testing.T) {
+// A holder whose renewals succeed immediately waits for RenewInterval between two
+// writes. Without that wait it would write continuously and use up the store's
+// write capacity that claims need.
+func TestHolderRenewsAtTheRenewInterval(t *testing.T) {
 	const length = time.Minute
 	now := time.Unix(1000, 0)
-	l := New("one", DefaultTerms)
+	l := New("one", DefaultTiming)
 	writes, revision := 0, uint64(0)
 	for end := now.Add(length); now.Before(end); {
 		switch a := l.Next(now).(type) {
 		case Read:
-			l.Absent(now)
+			l.ObservedAbsent(now)
 		case Write:
 			writes++
 			revision++
@@ -26,7 +26,7 @@
 		case Wait:
 			now = a.Until
 		}
-		require.LessOrEqual(t, writes, int(length/DefaultTerms.RenewEvery))
+		require.LessOrEqual(t, writes, int(length/DefaultTiming.RenewInterval))
 	}
 	_, held := l.Held(now.Add(-time.Second))
 	require.True(t, held)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,26 +1,26 @@
-// Package lease decides, without I/O, who may give orders to the targets of a
-// pool. A lease lies in the platform's store and changes hands by conditional
-// update only; each change raises its fencing number. The idea of fencing
-// numbers is that of M. Burrows, "The Chubby lock service for loosely-coupled
-// distributed systems" (OSDI 2006), section 2.4, where they are sequencers.
+// Package lease decides, without I/O, which instance may send orders to the
+// targets of a pool. A lease is stored in the platform's store and changes its
+// holder only by conditional update; each new holder raises its fencing number.
+// Fencing numbers follow the sequencers of M. Burrows, "The Chubby lock service
+// for loosely-coupled distributed systems" (OSDI 2006), section 2.4.
 package lease
 
 import "time"
 
-// Record is a lease as it stands in the store.
+// Record is a lease as it is stored.
 type Record struct {
-	// Holder is the holding incarnation; empty when the lease was given up with
-	// no order under way.
+	// Holder is the incarnation that holds the lease; empty if the lease was
+	// released with no order in progress.
 	Holder string `json:"holder"`
-	// Fencing grows by one with each new holder and never falls.
+	// Fencing increases with each new holder and never decreases.
 	Fencing uint64 `json:"fencing"`
-	// TermMS is how long the lease holds after a renewal, in milliseconds.
+	// TermMS is how long the lease is valid after a renewal, in milliseconds.
 	TermMS int64 `json:"term_ms"`
-	// Attempt numbers the holder's writes. No two are alike, so a holder that
-	// lost an answer knows exactly which of its writes it reads back.
+	// Attempt numbers the holder's writes. It differs for each write, so that a
+	// holder that missed a response can tell which of its writes it reads back.
 	Attempt uint64 `json:"attempt"`
-	// LongestOrderMS is how long the longest order of the holder may be under
-	// way, in milliseconds.
+	// LongestOrderMS bounds the duration of the holder's orders, in
+	// milliseconds.
 	LongestOrderMS int64 `json:"longest_order_ms"`
 }
 
@@ -30,36 +30,37 @@
 	return time.Duration(r.LongestOrderMS) * time.Millisecond
 }
 
-// Terms are the times of a lease.
-type Terms struct {
-	// Term is how long a lease holds after a renewal.
+// Timing holds the durations of a lease.
+type Timing struct {
+	// Term is how long a lease is valid after a renewal.
 	Term time.Duration
-	// RenewEvery is the time between renewals, at most a third of Term.
-	RenewEvery time.Duration
-	// Margin is taken off the holder's own term, for clocks that run at
-	// different rates.
+	// RenewInterval is the time between renewals, at most a third of Term.
+	RenewInterval time.Duration
+	// Margin is subtracted from the term on the holder's side, to allow for
+	// clocks that run at different rates.
 	Margin time.Duration
-	// LongestOrder bounds an order from its check to its end at the target.
+	// LongestOrder bounds the time from the lease check before an order to the
+	// end of the order at the target.
 	LongestOrder time.Duration
 }
 
-// DefaultTerms suit orders that load weights for some seconds.
-var DefaultTerms = Terms{
-	Term:         10 * time.Second,
-	RenewEvery:   3 * time.Second,
-	Margin:       time.Second,
-	LongestOrder: 30 * time.Second,
+// DefaultTiming is suitable for orders that load weights for some seconds.
+var DefaultTiming = Timing{
+	Term:          10 * time.Second,
+	RenewInterval: 3 * time.Second,
+	Margin:        time.Second,
+	LongestOrder:  30 * time.Second,
 }
 
-// Action is what the driver does next.
+// Action is the next step of the driver.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Read asks the store for the lease.
+	// Read requests the lease from the store.
 	Read struct{}
-	// Write writes the record if the lease is at the revision; revision 0
-	// creates it.
+	// Write stores the record if the stored lease has the revision; revision 0
+	// creates the lease.
 	Write struct {
 		Record   Record
 		Revision uint64
@@ -72,187 +73,195 @@
 func (Write) action() {}
 func (Wait) action()  {}
 
-// Lease is one instance's view of one lease. The times given to it come from
-// one clock that runs while the process is paused. It isn't safe for
-// concurrent use.
+// Lease is the state machine of one instance for one lease. The times passed to it
+// must come from a clock that keeps running while the process is paused. It is not
+// safe for concurrent use.
 type Lease struct {
-	self  string
-	terms Terms
-	// seen is the record last read, at revision, unchanged since seenSince.
-	seen      Record
-	revision  uint64
-	seenSince time.Time
-	known     bool
-	// asked is when the write under way was sent.
-	asked   time.Time
-	wanted  Record
-	attempt uint64
-	// floor is the highest fencing number that a target has seen.
-	floor   uint64
-	held    bool
-	expires time.Time
-	// clearAt is when no order of an earlier holder can be under way any more.
-	clearAt time.Time
-	next    time.Time
+	self   string
+	timing Timing
+	// observed is the record last read from or written to the store, and revision
+	// its revision. It has been observed unchanged since observedSince; a failed
+	// call restarts that time.
+	observed      Record
+	revision      uint64
+	observedSince time.Time
+	// upToDate is false if the lease must be read before the next write.
+	upToDate bool
+	// writeSentAt is when the write in progress was sent, zero if there is none.
+	writeSentAt time.Time
+	// lastWrite is the record of the last write that was sent.
+	lastWrite Record
+	attempt   uint64
+	// maxSeenFencing is the highest fencing number that a target has reported.
+	maxSeenFencing uint64
+	held           bool
+	expiresAt      time.Time
+	// safeWithoutFencingAt is when no order of an earlier holder can be in
+	// progress any more.
+	safeWithoutFencingAt time.Time
+	nextActionAt         time.Time
 }
 
-// New returns a lease that isn't held. self names the incarnation.
-func New(self string, terms Terms) *Lease { return &Lease{self: self, terms: terms} }
+// New returns a lease that is not held. self is the incarnation of this instance.
+func New(self string, timing Timing) *Lease { return &Lease{self: self, timing: timing} }
 
-// Next returns what to do at a time.
+// Next returns the action to perform now.
 func (l *Lease) Next(now time.Time) Action {
-	l.lapse(now)
-	if now.Before(l.next) {
-		return Wait{Until: l.next}
+	l.expireIfDue(now)
+	if now.Before(l.nextActionAt) {
+		return Wait{Until: l.nextActionAt}
 	}
-	if !l.known {
+	if !l.upToDate {
 		return Read{}
 	}
-	if !l.held && !l.free(now) {
+	if !l.held && !l.available(now) {
 		return Read{}
 	}
-	if l.seen.Holder == l.self && l.seen.Fencing >= l.floor {
+	if l.observed.Holder == l.self && l.observed.Fencing >= l.maxSeenFencing {
 		return l.write(now, l.renewal())
 	}
 	return l.write(now, l.acquisition())
 }
 
-// Absent tells that the store has no lease.
-func (l *Lease) Absent(now time.Time) {
+// ObservedAbsent reports that the store has no lease.
+func (l *Lease) ObservedAbsent(now time.Time) {
 	l.held = false
-	l.known, l.seen, l.revision, l.seenSince = true, Record{}, 0, now
-	l.next = now
+	l.upToDate, l.observed, l.revision, l.observedSince = true, Record{}, 0, now
+	l.nextActionAt = now
 }
 
-// Seen tells which record the store holds, after a read or a conflict.
+// Observed reports the record in the store, after a read or a conflict.
 //
-// Guard: the answer of a write can be lost after it has taken effect. When
-// exactly that write is read back, the lease counts from when it was sent, the
-// earliest time at which it can have taken effect. An earlier write of this
-// holder that took effect late doesn't count: observers may have seen it long
-// before the last one was sent.
-func (l *Lease) Seen(now time.Time, r Record, revision uint64) {
-	if !l.known || revision != l.revision {
-		l.seenSince = now
+// The response to a write can be lost after the write was applied. If exactly
+// that write is read back, the term starts when it was sent, the earliest time at
+// which it can have been applied. An earlier write of this holder that was applied
+// with a delay does not count: other instances may have observed it long before
+// the last one was sent.
+func (l *Lease) Observed(now time.Time, r Record, revision uint64) {
+	if !l.upToDate || revision != l.revision {
+		l.observedSince = now
 	}
-	mine := !l.asked.IsZero() && r == l.wanted
-	l.known, l.seen, l.revision = true, r, revision
-	l.next = now.Add(l.terms.RenewEvery)
-	if mine {
-		l.take()
+	ownWrite := !l.writeSentAt.IsZero() && r == l.lastWrite
+	l.upToDate, l.observed, l.revision = true, r, revision
+	l.nextActionAt = now.Add(l.timing.RenewInterval)
+	if ownWrite {
+		l.startTerm()
 		return
 	}
-	l.asked = time.Time{}
+	l.writeSentAt = time.Time{}
 	if r.Holder != l.self {
 		l.held = false
 	}
-	if l.held || l.free(now) {
-		l.next = now
+	if l.held || l.available(now) {
+		l.nextActionAt = now
 	}
 }
 
-// Written tells that the write under way has taken effect.
+// Written reports that the write in progress was applied.
 func (l *Lease) Written(now time.Time, revision uint64) {
-	l.seen, l.revision, l.seenSince = l.wanted, revision, now
-	l.next = l.asked.Add(l.terms.RenewEvery)
-	l.take()
+	l.observed, l.revision, l.observedSince = l.lastWrite, revision, now
+	l.nextActionAt = l.writeSentAt.Add(l.timing.RenewInterval)
+	l.startTerm()
 }
 
-// Failed tells that a call to the store got no answer. The lease is read again
-// before the next write; meanwhile a held lease runs out by itself.
-func (l *Lease) Failed(now time.Time) {
-	l.known = false
-	l.next = now.Add(l.terms.RenewEvery / 3)
+// CallFailed reports that a call to the store got no response. The lease is read
+// before the next write; a held lease stays held until it expires.
+func (l *Lease) CallFailed(now time.Time) {
+	l.upToDate = false
+	l.nextActionAt = now.Add(l.timing.RenewInterval / 3)
 }
 
-// Held tells whether an order that ends by the longest order time may be
-// given now, and under which fencing number. It is asked right before each
-// order.
+// Held reports whether an order that ends within LongestOrder may be sent now, and
+// under which fencing number. Call it immediately before each order.
 //
-// Guard: the holder was paused across its lapse and a successor holds the
-// lease. The clock ran meanwhile, so the check fails. What it can't prevent is
-// a pause between the check and the sending of the order: targets that check
-// the fencing number refuse that order, and for the others the successor
-// waits out the longest order, which bounds the order but not the pause.
+// If the holder was paused while its lease expired, a successor may hold the
+// lease. The clock kept running, so Held returns false. It cannot detect a pause
+// between the check and the sending of the order: targets that check the fencing
+// number refuse that order, and for the others the successor waits for the longest
+// order, which bounds the order but not the pause.
 func (l *Lease) Held(now time.Time) (uint64, bool) {
-	l.lapse(now)
+	l.expireIfDue(now)
 	if !l.held {
 		return 0, false
 	}
-	return l.wanted.Fencing, true
+	return l.lastWrite.Fencing, true
 }
 
-// Clear tells whether orders to targets that ignore the fencing number may be
-// given: the lease is held and the orders of earlier holders are over.
-func (l *Lease) Clear(now time.Time) bool {
+// SafeWithoutFencing reports whether orders may be sent to targets that ignore the
+// fencing number: the lease is held and the orders of earlier holders have ended.
+func (l *Lease) SafeWithoutFencing(now time.Time) bool {
 	_, held := l.Held(now)
-	return held && !now.Before(l.clearAt)
+	return held && !now.Before(l.safeWithoutFencingAt)
 }
 
-// ClearAt is when Clear turns true, if the lease stays held.
-func (l *Lease) ClearAt() time.Time { return l.clearAt }
+// SafeWithoutFencingAt returns when SafeWithoutFencing becomes true if the lease
+// stays held.
+func (l *Lease) SafeWithoutFencingAt() time.Time { return l.safeWithoutFencingAt }
 
-// Outranked gives the lease up at once, because a target has seen a higher
-// fencing number; number is 0 when it isn't known. The lease is read again: a
-// successor shows there. When none does (the lease was removed and began again
-// at 1), the next number taken is above the one that the target has seen.
-func (l *Lease) Outranked(now time.Time, number uint64) {
-	l.floor = max(l.floor, number)
-	l.held, l.known, l.asked, l.next = false, false, time.Time{}, now
+// Fenced gives up the lease immediately because a target has accepted a higher
+// fencing number; number is 0 if unknown. The lease is read again to find the
+// successor. If there is none, since the lease was deleted and its numbers started
+// again at 1, the next acquisition uses a number above the target's.
+func (l *Lease) Fenced(now time.Time, number uint64) {
+	l.maxSeenFencing = max(l.maxSeenFencing, number)
+	l.held, l.upToDate, l.writeSentAt, l.nextActionAt = false, false, time.Time{}, now
 }
 
-// Release returns the record that gives a held lease up, when no order is
-// under way. The lease counts as not held from now on.
+// Release returns the write that releases a held lease. It must only be called
+// while no order is in progress. The lease is no longer held after the call.
 func (l *Lease) Release(now time.Time) (Write, bool) {
 	if _, held := l.Held(now); !held {
 		return Write{}, false
 	}
-	r := l.seen
+	r := l.observed
 	r.Holder = ""
-	l.held, l.known, l.next = false, false, now.Add(l.terms.Term)
+	l.held, l.upToDate, l.nextActionAt = false, false, now.Add(l.timing.Term)
 	return Write{Record: r, Revision: l.revision}, true
 }
 
-// lapse gives up a lease whose time has run out.
-func (l *Lease) lapse(now time.Time) {
-	if l.held && !now.Before(l.expires) {
-		l.held, l.known, l.next = false, false, now
+// expireIfDue ends a held lease whose term has ended.
+func (l *Lease) expireIfDue(now time.Time) {
+	if l.held && !now.Before(l.expiresAt) {
+		l.held, l.upToDate, l.nextActionAt = false, false, now
 	}
 }
 
-// free tells whether the lease may be taken: it was given up, or it stood
-// unchanged in this observer's sight for its whole term. No clocks of two
-// instances are compared.
-func (l *Lease) free(now time.Time) bool {
-	if l.revision == 0 || l.seen.Holder == "" || l.seen.Holder == l.self {
+// available reports whether the lease may be acquired: it does not exist, was
+// released, has this incarnation as its holder, or was observed unchanged for its
+// whole term. Only this instance's clock is used, so clocks of two instances are
+// never compared.
+func (l *Lease) available(now time.Time) bool {
+	if l.revision == 0 || l.observed.Holder == "" || l.observed.Holder == l.self {
 		return true
 	}
-	return now.Sub(l.seenSince) >= l.seen.term()
+	return now.Sub(l.observedSince) >= l.observed.term()
 }
 
-// renewal prolongs this incarnation's own record under its fencing number.
+// renewal returns the record that renews this incarnation's lease with the same
+// fencing number.
 func (l *Lease) renewal() Record {
-	r := l.seen
+	r := l.observed
 	r.Attempt = l.nextAttempt()
 	return r
 }
 
-// acquisition replaces another holder's record.
+// acquisition returns the record that makes this incarnation the holder.
 //
-// Guard: the predecessor may have checked its lease right before it lapsed and
-// sent an order that runs for the longest order time. Towards targets that
-// ignore the fencing number that order would meet ours, so a successor waits
-// out the predecessor's term and longest order from its last sign of life.
+// The predecessor may have checked its lease just before it expired and then sent
+// an order that runs for LongestOrder. At a target that ignores the fencing number
+// it would overlap with orders of the new holder, which therefore waits for the
+// predecessor's term and longest order, measured from when the predecessor's last
+// write was observed.
 func (l *Lease) acquisition() Record {
-	if l.seen.Holder != "" {
-		l.clearAt = l.seenSince.Add(l.seen.term() + l.seen.longestOrder())
+	if l.observed.Holder != "" {
+		l.safeWithoutFencingAt = l.observedSince.Add(l.observed.term() + l.observed.longestOrder())
 	}
 	return Record{
 		Holder:         l.self,
-		Fencing:        max(l.seen.Fencing, l.floor) + 1,
-		TermMS:         l.terms.Term.Milliseconds(),
+		Fencing:        max(l.observed.Fencing, l.maxSeenFencing) + 1,
+		TermMS:         l.timing.Term.Milliseconds(),
 		Attempt:        l.nextAttempt(),
-		LongestOrderMS: l.terms.LongestOrder.Milliseconds(),
+		LongestOrderMS: l.timing.LongestOrder.Milliseconds(),
 	}
 }
 
@@ -261,14 +270,15 @@
 	return l.attempt
 }
 
+// write returns the write of a record and remembers when it was sent.
 func (l *Lease) write(now time.Time, r Record) Action {
-	l.asked, l.wanted = now, r
+	l.writeSentAt, l.lastWrite = now, r
 	return Write{Record: r, Revision: l.revision}
 }
 
-// take counts the wanted record as in force since its write was sent.
-func (l *Lease) take() {
+// startTerm marks the lease as held, with its term starting when the write was sent.
+func (l *Lease) startTerm() {
 	l.held = true
-	l.expires = l.asked.Add(l.terms.Term - l.terms.Margin)
-	l.asked = time.Time{}
+	l.expiresAt = l.writeSentAt.Add(l.timing.Term - l.timing.Margin)
+	l.writeSentAt = time.Time{}
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{
-	Term: 10 * time.Second, RenewEvery: 3 * time.Second, Margin: time.Second, LongestOrder: 30 * time.Second,
+var testTiming = Timing{
+	Term: 10 * time.Second, RenewInterval: 3 * time.Second, Margin: time.Second, LongestOrder: 30 * time.Second,
 }
 
-// fakeStore is a store with one lease and writes that take effect late.
+// fakeStore is a store with one lease and writes that are applied with a delay.
 type fakeStore struct {
 	record   Record
 	revision uint64
-	late     []Write
+	delayed  []Write
 }
 
 func (s *fakeStore) apply(w Write) bool {
@@ -28,9 +28,9 @@
 	return true
 }
 
-// exchange does the lease's next action. fault 1 loses the answer, 2 delays
-// the effect, 3 does nothing.
-func (s *fakeStore) exchange(l *Lease, now time.Time, fault int) {
+// step performs the lease's next action. Fault 1 loses the response, 2 delays the
+// write, 3 loses the request.
+func (s *fakeStore) step(l *Lease, now time.Time, fault int) {
 	switch a := l.Next(now).(type) {
 	case Write:
 		s.write(l, a, now, fault)
@@ -43,50 +43,50 @@
 	switch fault {
 	case 1:
 		s.apply(w)
-		l.Failed(now)
+		l.CallFailed(now)
 	case 2:
-		s.late = append(s.late, w)
-		l.Failed(now)
+		s.delayed = append(s.delayed, w)
+		l.CallFailed(now)
 	case 3:
-		l.Failed(now)
+		l.CallFailed(now)
 	default:
 		if s.apply(w) {
 			l.Written(now, s.revision)
 			return
 		}
-		l.Seen(now, s.record, s.revision)
+		l.Observed(now, s.record, s.revision)
 	}
 }
 
 func (s *fakeStore) read(l *Lease, now time.Time, fault int) {
 	switch {
 	case fault == 3:
-		l.Failed(now)
+		l.CallFailed(now)
 	case s.revision == 0:
-		l.Absent(now)
+		l.ObservedAbsent(now)
 	default:
-		l.Seen(now, s.record, s.revision)
+		l.Observed(now, s.record, s.revision)
 	}
 }
 
-// Story: several instances want to give orders; the store loses answers and
-// applies writes late, and instances pause for as long as it takes. Two holders
-// at one moment would load two versions on one target. The cause would be a
-// lease counted from a later time than observers count it.
+// Several instances compete for the lease while the store loses responses and
+// delays writes and instances pause. Two holders at the same time would load two
+// versions on one target. This happens if a holder measures its term from a later
+// time than the other instances do.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		store := &fakeStore{}
-		leases := []*Lease{New("a", terms), New("b", terms), New("c", terms)}
+		leases := []*Lease{New("a", testTiming), New("b", testTiming), New("c", testTiming)}
 		fencing, holderOf := uint64(0), map[uint64]int{}
 		for range rapid.IntRange(10, 150).Draw(t, "moves") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 100, 1000, 3000, 9500}).Draw(t, "ms")) * time.Millisecond)
-			if len(store.late) > 0 && rapid.Bool().Draw(t, "late") {
-				store.apply(store.late[0])
-				store.late = store.late[1:]
+			if len(store.delayed) > 0 && rapid.Bool().Draw(t, "late") {
+				store.apply(store.delayed[0])
+				store.delayed = store.delayed[1:]
 			}
 			i := rapid.IntRange(0, 2).Draw(t, "lease")
-			store.exchange(leases[i], now, rapid.IntRange(0, 4).Draw(t, "fault"))
+			store.step(leases[i], now, rapid.IntRange(0, 4).Draw(t, "fault"))
 			held := 0
 			for j, l := range leases {
 				number, ok := l.Held(now)
@@ -110,58 +110,58 @@
 	})
 }
 
-// Story: the holder is paused across its lapse. Its own check must fail when it
-// wakes, and the successor must wait out the orders that may be under way.
-func TestPauseAcrossLapse(t *testing.T) {
+// The holder is paused while its lease expires. Its own check must fail when it
+// resumes, and the successor must wait for orders that may still be in progress.
+func TestPauseAcrossExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store := &fakeStore{}
-	first, second := New("a", terms), New("b", terms)
-	store.exchange(first, now, 0)
-	store.exchange(first, now, 0)
+	first, second := New("a", testTiming), New("b", testTiming)
+	store.step(first, now, 0)
+	store.step(first, now, 0)
 	number, held := first.Held(now)
 	require.True(t, held)
 	require.Equal(t, uint64(1), number)
-	require.True(t, first.Clear(now), "nobody held the lease before")
+	require.True(t, first.SafeWithoutFencing(now), "nobody held the lease before")
 
-	store.exchange(second, now, 0)
-	taken := now.Add(terms.Term)
-	require.IsType(t, Read{}, second.Next(taken.Add(-time.Second)))
-	store.exchange(second, taken, 0)
-	number, held = second.Held(taken)
+	store.step(second, now, 0)
+	acquired := now.Add(testTiming.Term)
+	require.IsType(t, Read{}, second.Next(acquired.Add(-time.Second)))
+	store.step(second, acquired, 0)
+	number, held = second.Held(acquired)
 	require.True(t, held)
 	require.Equal(t, uint64(2), number)
-	_, held = first.Held(taken)
+	_, held = first.Held(acquired)
 	require.False(t, held)
 
-	require.False(t, second.Clear(taken))
-	clear := now.Add(terms.Term + terms.LongestOrder)
-	require.Equal(t, clear, second.ClearAt())
-	for at := taken; at.Before(clear); at = at.Add(terms.RenewEvery) {
-		store.exchange(second, at, 0)
-		require.False(t, second.Clear(at))
+	require.False(t, second.SafeWithoutFencing(acquired))
+	safe := now.Add(testTiming.Term + testTiming.LongestOrder)
+	require.Equal(t, safe, second.SafeWithoutFencingAt())
+	for at := acquired; at.Before(safe); at = at.Add(testTiming.RenewInterval) {
+		store.step(second, at, 0)
+		require.False(t, second.SafeWithoutFencing(at))
 	}
-	store.exchange(second, clear, 0)
-	require.True(t, second.Clear(clear))
+	store.step(second, safe, 0)
+	require.True(t, second.SafeWithoutFencing(safe))
 
-	release, ok := second.Release(clear)
+	release, ok := second.Release(safe)
 	require.True(t, ok)
 	require.True(t, store.apply(release))
-	third := New("c", terms)
-	store.exchange(third, clear, 0)
-	store.exchange(third, clear, 0)
-	number, _ = third.Held(clear)
+	third := New("c", testTiming)
+	store.step(third, safe, 0)
+	store.step(third, safe, 0)
+	number, _ = third.Held(safe)
 	require.Equal(t, uint64(3), number)
-	require.True(t, third.Clear(clear), "a lease given up needs no wait")
+	require.True(t, third.SafeWithoutFencing(safe), "no wait after a release")
 }
 
-// Story: an operator overwrites the lease by hand. The holder sees a foreign
-// holder and stops at once, without waiting for its own lapse.
+// An operator overwrites the lease manually. The holder observes another holder and
+// stops immediately, without waiting for its own lease to expire.
 func TestForeignHolderEndsTheLease(t *testing.T) {
 	now := time.Unix(1000, 0)
-	store, l := &fakeStore{}, New("a", terms)
-	store.exchange(l, now, 0)
-	store.exchange(l, now, 0)
-	l.Seen(now, Record{Holder: "x", Fencing: 9, TermMS: 10_000}, 9)
+	store, l := &fakeStore{}, New("a", testTiming)
+	store.step(l, now, 0)
+	store.step(l, now, 0)
+	l.Observed(now, Record{Holder: "x", Fencing: 9, TermMS: 10_000}, 9)
 	_, held := l.Held(now)
 	require.False(t, held)
 }
--- a/coordination/lease/wire_test.go
+++ b/coordination/lease/wire_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A renamed field changes what is read of a lease that another instance wrote: it
-// reads as free, and two instances order the same targets.
+// If a field were renamed in the stored form, an instance would read a lease that
+// another instance holds as released, and two instances would send orders to the
+// same targets.
 func TestBytesOfStoredLeases(t *testing.T) {
 	rows := []struct {
 		name   string
--- a/daemon/app/orders.go
+++ b/daemon/app/orders.go
@@ -19,7 +19,7 @@
 )
 
 func (a *App) buildOrders() {
-	terms := lease.DefaultTerms
+	terms := lease.DefaultTiming
 	terms.LongestOrder = a.settings.Orders.LongestOrder
 	a.orders = orders.NewGroup(orders.GroupOptions{
 		Keeper: orders.Options{
--- a/daemon/orders/group_test.go
+++ b/daemon/orders/group_test.go
@@ -130,7 +130,7 @@
 // long over a renewal. Were the renewal's answer given up, the lease couldn't be
 // given up any more, and the pool would have no holder for a term.
 func TestPlannedStopDuringARenewal(t *testing.T) {
-	for offset := time.Duration(0); offset < lease.DefaultTerms.RenewEvery; offset += 250 * time.Millisecond {
+	for offset := time.Duration(0); offset < lease.DefaultTiming.RenewInterval; offset += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			store, f := emulator.New(emulator.Options{}), newFleet(1)
 			var s atomic.Pointer[catalog.Snapshot]
--- a/daemon/orders/keeper.go
+++ b/daemon/orders/keeper.go
@@ -64,7 +64,7 @@
 	// pool's share of what the weight store's rate limit allows. It is asked
 	// once a round.
 	DownloadSlots func() int
-	Terms         lease.Terms
+	Terms         lease.Timing
 	// CheckEvery is the time between two comparisons with the targets.
 	CheckEvery time.Duration
 	// StoreTimeout bounds one call to the store.
@@ -166,8 +166,8 @@
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
-	if o.Terms == (lease.Terms{}) {
-		o.Terms = lease.DefaultTerms
+	if o.Terms == (lease.Timing{}) {
+		o.Terms = lease.DefaultTiming
 	}
 	if o.ChecksFencing == nil {
 		o.ChecksFencing = func() bool { return false }
--- a/daemon/orders/reconcile.go
+++ b/daemon/orders/reconcile.go
@@ -89,7 +89,7 @@
 	now := k.opts.Now()
 	number, held := k.lease.Held(now)
 	if held && load.Fencing > number {
-		k.lease.Outranked(now, load.Fencing)
+		k.lease.Fenced(now, load.Fencing)
 	}
 	return !held || load.Fencing > number
 }
@@ -126,7 +126,7 @@
 	switch {
 	case errors.Is(err, target.ErrFenced):
 		k.metrics.fenced.Inc(1)
-		k.lease.Outranked(k.opts.Now(), 0)
+		k.lease.Fenced(k.opts.Now(), 0)
 	case errors.As(err, &control) && control.Outcome == target.NotRun:
 	default:
 		// Guard: the answer was lost and the order may still be under way at
@@ -145,8 +145,8 @@
 	defer k.mu.Unlock()
 	now := k.opts.Now()
 	number, held := k.lease.Held(now)
-	if held && !checks && !k.lease.Clear(now) {
-		k.metrics.waiting.Update(k.lease.ClearAt().Sub(now).Seconds())
+	if held && !checks && !k.lease.SafeWithoutFencing(now) {
+		k.metrics.waiting.Update(k.lease.SafeWithoutFencingAt().Sub(now).Seconds())
 		return 0, false
 	}
 	k.metrics.waiting.Update(0)
--- a/daemon/orders/renew.go
+++ b/daemon/orders/renew.go
@@ -83,11 +83,11 @@
 	case err == nil:
 		k.seen(now, object)
 	case errors.Is(err, platform.ErrNotFound):
-		k.lease.Absent(now)
+		k.lease.ObservedAbsent(now)
 	case errors.As(err, &conflict) && conflict.Current != nil:
 		k.seen(now, conflict.Current)
 	default:
-		k.lease.Failed(now)
+		k.lease.CallFailed(now)
 	}
 }
 
@@ -97,10 +97,10 @@
 	var r lease.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
 		klog.ErrorS(err, "orders: lease can't be read", "pool", k.opts.Pool)
-		k.lease.Failed(now)
+		k.lease.CallFailed(now)
 		return
 	}
-	k.lease.Seen(now, r, object.Metadata.Revision)
+	k.lease.Observed(now, r, object.Metadata.Revision)
 }
 
 // release gives the lease up at a planned stop. Guard: while an order whose
--- a/daemon/orders/wire_test.go
+++ b/daemon/orders/wire_test.go
@@ -30,7 +30,7 @@
 			return err
 		}, `{"holder":"one","fencing":1,"term_ms":2,"attempt":3,"longest_order_ms":4}`},
 		{"orders", platformapi.KindOrders, func(ctx context.Context, k *Keeper) error {
-			k.lease.Absent(k.opts.Now())
+			k.lease.ObservedAbsent(k.opts.Now())
 			k.lease.Next(k.opts.Now())
 			k.lease.Written(k.opts.Now(), 5)
 			k.desired.Revision = 6
--- a/testkit/capacity/leases.go
+++ b/testkit/capacity/leases.go
@@ -34,7 +34,7 @@
 	store := &leaseStore{}
 	holders := make([]*lease.Lease, n)
 	for i := range holders {
-		holders[i] = lease.New(instanceName(i), lease.DefaultTerms)
+		holders[i] = lease.New(instanceName(i), lease.DefaultTiming)
 	}
 	for end := now.Add(2 * fleetLength); now.Before(end); now = now.Add(step) {
 		if now.Equal(end.Add(-fleetLength)) {
@@ -56,14 +56,14 @@
 		case lease.Read:
 			s.reads++
 			if s.revision == 0 {
-				l.Absent(now)
+				l.ObservedAbsent(now)
 				continue
 			}
-			l.Seen(now, s.record, s.revision)
+			l.Observed(now, s.record, s.revision)
 		case lease.Write:
 			s.writes++
 			if a.Revision != s.revision {
-				l.Seen(now, s.record, s.revision)
+				l.Observed(now, s.record, s.revision)
 				continue
 			}
 			s.record = a.Record
