--- a/coordination/lease/capacity_test.go
+++ b/coordination/lease/capacity_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A holder whose renewals are all answered at once writes nothing for most of
-// the time. If the time of the next renewal is lost, it writes without a pause
-// and takes the store's writes from the claims.
-func TestHolderRenewsAtItsPace(t *testing.T) {
+// A holder whose renewals succeed immediately waits for RenewInterval between two
+// writes. Without that wait it would write continuously and use up the store's
+// write capacity that claims need.
+func TestHolderRenewsAtTheRenewInterval(t *testing.T) {
 	const length = time.Minute
 	now := time.Unix(1000, 0)
 	l := New("one", DefaultTiming)
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -12,7 +12,7 @@
 	Term: 10 * time.Second, RenewInterval: 3 * time.Second, Margin: time.Second, LongestOrder: 30 * time.Second,
 }
 
-// fakeStore is a store with one lease and writes that take effect late.
+// fakeStore is a store with one lease and writes that are applied with a delay.
 type fakeStore struct {
 	record   Record
 	revision uint64
@@ -28,8 +28,8 @@
 	return true
 }
 
-// exchange does the lease's next action. fault 1 loses the answer, 2 delays
-// the effect, 3 does nothing.
+// step performs the lease's next action. Fault 1 loses the response, 2 delays the
+// write, 3 loses the request.
 func (s *fakeStore) step(l *Lease, now time.Time, fault int) {
 	switch a := l.Next(now).(type) {
 	case Write:
@@ -69,10 +69,10 @@
 	}
 }
 
-// Story: several instances want to give orders; the store loses answers and
-// applies writes late, and instances pause for as long as it takes. Two holders
-// at one moment would load two versions on one target. The cause would be a
-// lease counted from a later time than observers count it.
+// Several instances compete for the lease while the store loses responses and
+// delays writes and instances pause. Two holders at the same time would load two
+// versions on one target. This happens if a holder measures its term from a later
+// time than the other instances do.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -110,9 +110,9 @@
 	})
 }
 
-// Story: the holder is paused across its lapse. Its own check must fail when it
-// wakes, and the successor must wait out the orders that may be under way.
-func TestPauseAcrossLapse(t *testing.T) {
+// The holder is paused while its lease expires. Its own check must fail when it
+// resumes, and the successor must wait for orders that may still be in progress.
+func TestPauseAcrossExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store := &fakeStore{}
 	first, second := New("a", testTiming), New("b", testTiming)
@@ -124,38 +124,38 @@
 	require.True(t, first.SafeWithoutFencing(now), "nobody held the lease before")
 
 	store.step(second, now, 0)
-	taken := now.Add(testTiming.Term)
-	require.IsType(t, Read{}, second.Next(taken.Add(-time.Second)))
-	store.step(second, taken, 0)
-	number, held = second.Held(taken)
+	acquired := now.Add(testTiming.Term)
+	require.IsType(t, Read{}, second.Next(acquired.Add(-time.Second)))
+	store.step(second, acquired, 0)
+	number, held = second.Held(acquired)
 	require.True(t, held)
 	require.Equal(t, uint64(2), number)
-	_, held = first.Held(taken)
+	_, held = first.Held(acquired)
 	require.False(t, held)
 
-	require.False(t, second.SafeWithoutFencing(taken))
-	clear := now.Add(testTiming.Term + testTiming.LongestOrder)
-	require.Equal(t, clear, second.SafeWithoutFencingAt())
-	for at := taken; at.Before(clear); at = at.Add(testTiming.RenewInterval) {
+	require.False(t, second.SafeWithoutFencing(acquired))
+	safe := now.Add(testTiming.Term + testTiming.LongestOrder)
+	require.Equal(t, safe, second.SafeWithoutFencingAt())
+	for at := acquired; at.Before(safe); at = at.Add(testTiming.RenewInterval) {
 		store.step(second, at, 0)
 		require.False(t, second.SafeWithoutFencing(at))
 	}
-	store.step(second, clear, 0)
-	require.True(t, second.SafeWithoutFencing(clear))
+	store.step(second, safe, 0)
+	require.True(t, second.SafeWithoutFencing(safe))
 
-	release, ok := second.Release(clear)
+	release, ok := second.Release(safe)
 	require.True(t, ok)
 	require.True(t, store.apply(release))
 	third := New("c", testTiming)
-	store.step(third, clear, 0)
-	store.step(third, clear, 0)
-	number, _ = third.Held(clear)
+	store.step(third, safe, 0)
+	store.step(third, safe, 0)
+	number, _ = third.Held(safe)
 	require.Equal(t, uint64(3), number)
-	require.True(t, third.SafeWithoutFencing(clear), "a lease given up needs no wait")
+	require.True(t, third.SafeWithoutFencing(safe), "no wait after a release")
 }
 
-// Story: an operator overwrites the lease by hand. The holder sees a foreign
-// holder and stops at once, without waiting for its own lapse.
+// An operator overwrites the lease manually. The holder observes another holder and
+// stops immediately, without waiting for its own lease to expire.
 func TestForeignHolderEndsTheLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store, l := &fakeStore{}, New("a", testTiming)
--- a/coordination/membership/apply.go
+++ b/coordination/membership/apply.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// supersedes tells whether update u replaces what is known, k, of one name. It
-// is a total order, so that instances that hear the same updates in different
-// orders end with the same state.
+// supersedes reports whether update u replaces k, the known state of the same
+// name. It is a total order, so that instances that receive the same updates in
+// different orders converge to the same state.
 func supersedes(u, k Member) bool {
 	if u.Incarnation != k.Incarnation {
 		return u.Incarnation > k.Incarnation
@@ -22,8 +22,8 @@
 	return u.State > k.State
 }
 
-// applyAll applies the updates of a message, and has the answer put right what is
-// out of date in them.
+// applyAll applies the updates of a message and queues corrections for those
+// that are out of date, so that the response carries them.
 func (m *Membership) applyAll(now time.Time, updates []Member) {
 	for _, u := range updates {
 		m.processUpdate(now, u)
@@ -31,7 +31,8 @@
 	}
 }
 
-// apply takes an update over if it is news, and passes it on.
+// apply stores an update and queues it for gossip if it supersedes the known
+// state.
 func (m *Membership) apply(now time.Time, u Member) {
 	if u.Name == m.self.Name {
 		m.handleUpdateOfSelf(u)
@@ -52,27 +53,28 @@
 		return
 	}
 	if e != nil && u.State == Dead && e.State == Alive && u.Incarnation == e.Incarnation {
-		// Someone found it dead while here it is alive and was not even
-		// suspected. The other's path may be the broken one, so the member
-		// gets the time to refute before it is given up here.
+		// Another instance declared dead a member that is alive here and not
+		// even suspected. That instance's own path may be the broken one, so
+		// the member gets the suspicion timeout to refute.
 		u.State = Suspect
 	}
 	m.storeAndGossip(now, u)
 }
 
-// admits tells whether an unknown member is taken in. One that is gone is not,
-// or members forgotten here would come back from those who still keep them.
+// admits reports whether an unknown member is added to the table. One that is
+// dead or has left is not: otherwise members removed here would come back from
+// instances that still remember them.
 func (m *Membership) admits(u Member) bool {
 	return u.Live() && len(m.table)-len(m.deadOrLeft) < m.cfg.MaxMembers
 }
 
-// set stores a member's new state and queues it to be passed on.
+// storeAndGossip stores a member's new state and queues it for gossip.
 func (m *Membership) storeAndGossip(now time.Time, u Member) {
 	m.store(now, u)
 	m.updates.put(u)
 }
 
-// store stores a member's new state.
+// store replaces a member's state and updates the indexes over the table.
 func (m *Membership) store(now time.Time, u Member) {
 	old := m.table[u.Name]
 	if old != nil && m.byAddress[old.Address] == u.Name {
@@ -96,9 +98,9 @@
 	m.viewStale = true
 }
 
-// takeAddress settles that one address has one live member: a process that was
-// started anew under another name at the same address has replaced the older
-// one. It returns false if u is the older one.
+// claimAddress ensures that an address has a single live member: a process that
+// was restarted under another name at the same address replaces the older one,
+// which is marked dead. It returns false if u is the older one.
 func (m *Membership) claimAddress(now time.Time, u Member) bool {
 	if u.Address == m.self.Address {
 		return false
@@ -116,9 +118,9 @@
 	return true
 }
 
-// contradict answers what others say of this instance. A suspicion or a death
+// handleUpdateOfSelf handles an update about this instance. A suspicion or death
 // of this run is refuted by a higher refutation number; a higher incarnation
-// means that a later run has the name.
+// means that a later run uses the name.
 func (m *Membership) handleUpdateOfSelf(u Member) {
 	switch {
 	case u.Incarnation > m.self.Incarnation:
@@ -135,7 +137,7 @@
 	}
 }
 
-// suspect begins a suspicion.
+// suspect marks an alive member as suspect.
 func (m *Membership) suspect(now time.Time, name string) {
 	e := m.table[name]
 	if e == nil || e.State != Alive {
@@ -146,7 +148,8 @@
 	m.storeAndGossip(now, u)
 }
 
-// endSuspicions declares dead who did not refute in time.
+// expireSuspicions declares dead the suspects that did not refute within the
+// suspicion timeout.
 func (m *Membership) expireSuspicions(now time.Time) {
 	limit := m.suspicionTimeout()
 	for _, name := range sortedKeys(m.suspects) {
@@ -160,8 +163,8 @@
 	}
 }
 
-// forgetGone drops members that are dead or left after the retention, and the
-// oldest ones beyond the bound.
+// expireDeadOrLeft removes members that are dead or left after the retention,
+// and the oldest ones beyond MaxDeadOrLeft.
 func (m *Membership) expireDeadOrLeft(now time.Time) {
 	for name := range m.deadOrLeft {
 		if now.Sub(m.table[name].stateSince) >= m.cfg.Retention {
@@ -179,7 +182,7 @@
 	}
 }
 
-// forget drops a member that is gone.
+// remove deletes a member that is dead or left from the table.
 func (m *Membership) remove(name string) {
 	delete(m.deadOrLeft, name)
 	delete(m.table, name)
@@ -190,8 +193,8 @@
 	m.viewStale = true
 }
 
-// sortedKeys returns the keys of a map in order, so that one seed always gives
-// one course of events.
+// sortedKeys returns the keys of a map in order, so that a run is reproducible
+// from its random seed.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -5,48 +5,52 @@
 	"time"
 )
 
-// Config holds the periods and bounds. Zero values take the defaults.
+// Config holds the intervals and limits. Zero values take the defaults.
 type Config struct {
 	// Period is the time between two probes.
 	Period time.Duration
-	// ProbeTimeout is how long a direct probe waits before other paths are
-	// tried. It is shorter than Period.
+	// ProbeTimeout is how long a direct probe waits for an Ack before other
+	// paths are tried. It is shorter than Period.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of members asked to probe on our behalf.
+	// IndirectProbes is the number of members that are requested to probe on
+	// behalf of this instance.
 	IndirectProbes int
-	// Rings is the number of members that an instance probes in turn. A
-	// cluster with no more others is probed whole.
+	// Rings is the number of members that an instance probes in turn. An
+	// instance with no more than Rings other members probes all of them.
 	Rings int
 	// SuspicionPeriods, times the logarithm of the cluster's size, is how many
 	// periods a suspect has to refute.
 	SuspicionPeriods int
 	// RetransmitFactor, times the logarithm of the cluster's size, is how
-	// often an instance passes an update on.
+	// many times an instance sends an update.
 	RetransmitFactor int
 	// MaxUpdates and MaxUpdateBytes bound the updates on one message.
 	MaxUpdates     int
 	MaxUpdateBytes int
-	// DeadRetry is the time between two tries to reach a dead member.
+	// DeadProbeInterval is the time between two attempts to reach a dead member.
 	DeadProbeInterval time.Duration
-	// Retention is how long a member that is dead or left is remembered. It is
-	// longer than the partitions that should heal by themselves.
+	// Retention is how long a member that is dead or left stays in the table.
+	// It must exceed the duration of partitions that are to heal without the
+	// platform's list.
 	Retention time.Duration
-	// MaxGone bounds the remembered members that are dead or left.
+	// MaxDeadOrLeft bounds the members in the table that are dead or left.
 	MaxDeadOrLeft int
 	// MaxMembers bounds the members that are live.
 	MaxMembers int
-	// SyncEvery is the time between two full exchanges while the digests of
+	// SyncInterval is the time between two full exchanges while the digests of
 	// two instances differ.
 	SyncInterval time.Duration
-	// SyncPage bounds the members in one SyncAnswer.
+	// SyncPage bounds the members in one SyncResponse.
 	SyncPage int
-	// LeaveFanout is the number of members told directly of a departure.
+	// LeaveFanout is the number of members that a leaving instance notifies
+	// directly.
 	LeaveFanout int
-	// NewsFanout is the number of members to whom each that hears of a start or of a
-	// departure passes the word on at once.
+	// EagerFanout is the number of members to which an instance that learns of a
+	// start or departure forwards it immediately.
 	EagerFanout int
-	// NewsRate is how many such words an instance sends a second over time, NewsBurst
-	// how many at once. One has some 100 bytes, and all control traffic 2 KB/s.
+	// EagerRate is the average number of copies of such updates that an instance
+	// sends per second, EagerBurst the number it may send at once. A copy takes
+	// about 100 bytes; the budget of all control traffic is 2 KB/s.
 	EagerRate  int
 	EagerBurst int
 }
@@ -75,7 +79,7 @@
 	}
 }
 
-// withDefaults fills what is zero.
+// withDefaults returns the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	c.Period = cmp.Or(c.Period, d.Period)
--- a/coordination/membership/news.go
+++ b/coordination/membership/eager.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// hearOf applies one update, and notes it to be passed on at once if it is news of a
-// start or of a departure. One that joins learns of all others: that is no news.
+// processUpdate applies an update and queues it for eager dissemination if it reveals a
+// start or a departure. Members that this instance learns of while it joins aren't queued:
+// they did not start just now.
 func (m *Membership) processUpdate(now time.Time, u Member) {
 	before, known := m.lookup(u.Name)
 	m.apply(now, u)
@@ -18,7 +19,7 @@
 	}
 }
 
-// stateOf returns what is known of another member.
+// lookup returns the known state of another member.
 func (m *Membership) lookup(name string) (Member, bool) {
 	e := m.table[name]
 	if e == nil {
@@ -27,30 +28,31 @@
 	return e.Member, true
 }
 
-// passNewsOn tells a few members at once of the starts and departures heard of in this
-// step. Whoever knows them already passes nothing on, so each instance sends this once
-// for each of them. Starts leave half of the bound to departures.
+// pushEagerUpdates sends the starts and departures learned in this step to a few members
+// immediately. A receiver that knows them already forwards nothing, so each instance sends
+// each of them once. Starts may use only half of the burst; the rest is reserved for
+// departures.
 //
-// The failure it guards against: by probes alone the word takes a few periods, and until
-// then some ask the one that leaves for what others ask its successor for, or give a
-// duty to another than all others pick. It holds since those probed by rings reach all
-// members in a few steps; who is missed hears of it from its probes as before.
+// By probes alone an update takes a few periods. Until then some instances would send
+// requests to the leaving member while others send them to its successor, or would assign
+// a duty to a different instance than all others. The ring successors reach all members in
+// a few hops; a member that is missed learns of the update from its probes.
 func (m *Membership) pushEagerUpdates() {
 	if len(m.eagerUpdates) == 0 {
 		return
 	}
-	told := m.eagerUpdates[:min(len(m.eagerUpdates), m.cfg.MaxUpdates)]
+	batch := m.eagerUpdates[:min(len(m.eagerUpdates), m.cfg.MaxUpdates)]
 	m.eagerUpdates = nil
 	receivers := Successors(m.view, m.cfg.Rings)
 	m.rng.Shuffle(len(receivers), func(i, j int) { receivers[i], receivers[j] = receivers[j], receivers[i] })
-	n := min(len(receivers), m.cfg.EagerFanout, int(m.eagerTokens)/len(told))
-	m.eagerTokens -= float64(n * len(told))
+	n := min(len(receivers), m.cfg.EagerFanout, int(m.eagerTokens)/len(batch))
+	m.eagerTokens -= float64(n * len(batch))
 	for _, r := range receivers[:n] {
-		m.send(Send{To: r.Address, Message: &Ack{Digest: m.digest, Updates: told}})
+		m.send(Send{To: r.Address, Message: &Ack{Digest: m.digest, Updates: batch}})
 	}
 }
 
-// allowWords lets as many words be passed on as the time since the last tick allows.
+// refillEagerTokens adds the tokens earned since the last tick, up to the burst.
 func (m *Membership) refillEagerTokens(now time.Time) {
 	if m.lastTick.IsZero() {
 		return
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -17,13 +17,13 @@
 		}
 	}
 	cases := []struct {
-		name  string
-		story string
-		run   func(t *testing.T, b *simCluster)
+		name        string
+		description string
+		run         func(t *testing.T, b *simCluster)
 	}{
-		{"join", "Seven instances know one seed. Each learns all others.",
+		{"join", "Seven instances know one seed. Each learns of all others.",
 			func(t *testing.T, b *simCluster) { b.requireLive(memberNames(8)...) }},
-		{"crash", "A process dies. All others give it up, and remember it for the retention only.",
+		{"crash", "A process crashes. All others remove it from their live members and remember it only for the retention.",
 			func(t *testing.T, b *simCluster) {
 				delete(b.nodes, member(3).Address)
 				b.run(20 * time.Second)
@@ -31,8 +31,8 @@
 				b.run(20 * time.Minute)
 				require.Len(t, b.nodes[member(0).Address].Members(), 7)
 			}},
-		{"restart", "A process dies and is started anew at once at its address. " +
-			"Updates about the earlier run are still on their way; they must not take the new one out.",
+		{"restart", "A process crashes and is restarted at its address. " +
+			"Updates about the earlier run are still in flight; they must not remove the new run.",
 			func(t *testing.T, b *simCluster) {
 				delete(b.nodes, member(3).Address)
 				b.run(3 * time.Second)
@@ -47,7 +47,7 @@
 					require.True(t, m.View().RunEnded(again.Name, 1))
 				}
 			}},
-		{"replaced", "Another instance gets the address of one that died. " +
+		{"replaced", "Another instance gets the address of one that crashed. " +
 			"Calls to the old name must not reach the new process.",
 			func(t *testing.T, b *simCluster) {
 				next := member(3)
@@ -56,14 +56,14 @@
 				b.run(2 * time.Second)
 				b.requireLive(append(append(memberNames(3), memberNames(8)[4:]...), "other")...)
 			}},
-		{"leave", "An instance leaves. Others drop it within a second or two, and a platform's " +
-			"list that still names it does not bring this run back.",
+		{"leave", "An instance leaves. Others remove it from their live members within two seconds, and a " +
+			"platform's list that still contains it does not make this run live again.",
 			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(3).Address]
 				b.deliver(m, m.Leave(b.now))
-				acked, told := m.LeaveProgress()
-				require.Equal(t, told, acked)
-				require.Positive(t, told)
+				acked, notified := m.LeaveProgress()
+				require.Equal(t, notified, acked)
+				require.Positive(t, notified)
 				b.run(2 * time.Second)
 				delete(b.nodes, member(3).Address)
 				b.deliver(b.nodes[member(0).Address], b.nodes[member(0).Address].Seed(b.now, []Member{member(3)}))
@@ -73,8 +73,8 @@
 				b.run(10 * time.Second)
 				b.requireLive(append(memberNames(3), memberNames(8)[4:]...)...)
 			}},
-		{"cut path", "Two instances lose the path between each other, both are well. " +
-			"Either would call the other dead; the paths through others must prevent it.",
+		{"cut path", "The path between two healthy instances breaks. " +
+			"Each would declare the other dead; the indirect probes through others must prevent it.",
 			func(t *testing.T, b *simCluster) {
 				b.drop = cut(member(1), member(2))
 				b.run(2 * time.Minute)
@@ -82,8 +82,8 @@
 				require.Equal(t, Alive, b.worst[member(1).Name])
 				require.Equal(t, Alive, b.worst[member(2).Name])
 			}},
-		{"one way cut", "An instance is not heard by half of the others, but hears all. " +
-			"Those who can reach it keep it alive for everyone.",
+		{"one way cut", "Messages from an instance do not reach half of the others, but it receives from all. " +
+			"Those with a working path keep it alive for everyone.",
 			func(t *testing.T, b *simCluster) {
 				b.drop = func(from, to string, _ bool) bool {
 					return from == member(2).Address && to < member(4).Address
@@ -92,24 +92,24 @@
 				b.requireLive(memberNames(8)...)
 				require.Less(t, b.worst[member(2).Name], Dead)
 			}},
-		{"silent connections", "Every open connection of an instance goes silent while new ones " +
+		{"silent connections", "Every open connection of an instance becomes silent while new ones " +
 			"work. It must not even be suspected.",
 			func(t *testing.T, b *simCluster) {
-				b.drop = func(from, to string, fresh bool) bool { return !fresh && to == member(2).Address }
+				b.drop = func(from, to string, newConnection bool) bool { return !newConnection && to == member(2).Address }
 				b.run(time.Minute)
 				require.Equal(t, Alive, b.worst[member(2).Name])
 			}},
-		{"paused", "A process is stopped for less than the others' suspicion lasts, then runs on. " +
-			"To it all others were silent; it must accuse none of them.",
+		{"paused", "A process is paused for less than the others' suspicion timeout, then resumes. " +
+			"It received no Ack meanwhile; it must not suspect others for it.",
 			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(2).Address]
 				b.drop = func(_, to string, _ bool) bool { return to == m.self.Address }
 				for m.probes.target == "" {
 					b.run(100 * time.Millisecond)
 				}
-				accused := member(5)
-				accused.State = Suspect
-				m.Receive(b.now, member(0), &Ping{Updates: []Member{accused}})
+				suspect := member(5)
+				suspect.State = Suspect
+				m.Receive(b.now, member(0), &Ping{Updates: []Member{suspect}})
 				b.frozen[m.self.Address] = true
 				b.drop = func(string, string, bool) bool { return false }
 				b.run(6 * time.Second)
@@ -123,36 +123,36 @@
 				}
 				require.Less(t, b.worst[member(5).Name], Dead)
 			}},
-		{"false verdict", "One instance whose own paths are broken declares another dead and says so. " +
-			"Those to whom it is alive must let it refute.",
+		{"false verdict", "One instance whose own paths are broken declares another dead and reports it. " +
+			"Members that see it as alive must give it time to refute.",
 			func(t *testing.T, b *simCluster) {
-				verdict := member(3)
-				verdict.State = Dead
+				claim := member(3)
+				claim.State = Dead
 				m := b.nodes[member(1).Address]
-				b.deliver(m, m.Receive(b.now, member(2), &Ping{Updates: []Member{verdict}}))
+				b.deliver(m, m.Receive(b.now, member(2), &Ping{Updates: []Member{claim}}))
 				b.run(10 * time.Second)
-				require.Equal(t, Suspect, b.worst[verdict.Name])
+				require.Equal(t, Suspect, b.worst[claim.Name])
 				b.requireLive(memberNames(8)...)
 			}},
-		{"exchange after a cut", "The first full exchange after a cut carries the other side's verdicts " +
-			"of death about all of this side. Nobody may be accused for it; the dead are asked and refute.",
+		{"exchange after a cut", "The first full exchange after a partition declares all members of this side " +
+			"dead. No member may be suspected for it; the disputed members are probed and refute.",
 			func(t *testing.T, b *simCluster) {
-				var verdicts []Member
+				var claims []Member
 				for i := 2; i < 8; i++ {
 					v := member(i)
 					v.State = Dead
-					verdicts = append(verdicts, v)
+					claims = append(claims, v)
 				}
 				m := b.nodes[member(1).Address]
-				b.deliver(m, m.Receive(b.now, member(0), &SyncResponse{Members: verdicts}))
+				b.deliver(m, m.Receive(b.now, member(0), &SyncResponse{Members: claims}))
 				b.run(10 * time.Second)
-				for _, v := range verdicts {
+				for _, v := range claims {
 					require.Equal(t, Alive, b.worst[v.Name])
 					require.Equal(t, uint32(1), b.nodes[v.Address].self.Refutation)
 				}
 			}},
-		{"parted", "One data centre loses the others for ten minutes. Each side gives the other up. " +
-			"When the cut heals, all see all again, and the first exchange kills nobody.",
+		{"parted", "One data centre is partitioned from the others for ten minutes. Each side declares the other " +
+			"dead. After the partition all are live again, and the first exchange declares no member dead.",
 			func(t *testing.T, b *simCluster) {
 				side := func(a string) bool { return b.nodes[a].self.DataCentre == "dc0" }
 				b.drop = func(from, to string, _ bool) bool { return side(from) != side(to) }
@@ -163,12 +163,12 @@
 				b.worstInOwnCentre = map[string]State{}
 				b.run(time.Minute)
 				for name, state := range b.worstInOwnCentre {
-					require.Equal(t, Alive, state, "%s was accused in its own data centre", name)
+					require.Equal(t, Alive, state, "%s was suspected in its own data centre", name)
 				}
 				b.requireLive(memberNames(8)...)
 			}},
-		{"forgotten", "A cut outlasts the retention, so that both sides forgot each other. " +
-			"The platform's list brings them together.",
+		{"forgotten", "A partition outlasts the retention, so that both sides removed each other. " +
+			"The platform's list joins them again.",
 			func(t *testing.T, b *simCluster) {
 				alone := member(7).Address
 				b.drop = func(from, to string, _ bool) bool { return (from == alone) != (to == alone) }
@@ -179,7 +179,7 @@
 				b.run(time.Minute)
 				b.requireLive(memberNames(8)...)
 			}},
-		{"superseded", "Two processes run under one name. The earlier one is told.",
+		{"superseded", "Two processes run under one name. The earlier one is notified.",
 			func(t *testing.T, b *simCluster) {
 				m := b.nodes[member(2).Address]
 				later := member(2)
@@ -196,9 +196,9 @@
 	}
 }
 
-// Messages are lost, processes die and are started anew in any order. In the
-// end all that run must see just each other, nobody who runs may be held dead,
-// no message may exceed its bounds, and what is remembered is bounded.
+// Messages are lost and processes crash and restart in any order. In the end the
+// live members in every view must be exactly the running processes, no message
+// may exceed its limits, and the members that are dead or left are bounded.
 func TestConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{MaxDeadOrLeft: 4}.withDefaults()
@@ -240,8 +240,8 @@
 	})
 }
 
-// Instances come and go for days. What is remembered of those that are gone
-// must not grow, and must not come back from others who still remember them.
+// Instances start and stop for days. The members that are dead or left must stay
+// bounded, and must not come back from others that still remember them.
 func TestRememberedMembersAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := New(Config{MaxDeadOrLeft: 4, MaxMembers: 9}, member(0), rand.New(rand.NewPCG(1, 1)))
@@ -255,14 +255,14 @@
 		m.Tick(now)
 		now = now.Add(time.Millisecond)
 	}
-	require.Len(t, m.Members(), 1+4+8, "self, the latest gone and the live ones")
-	gone := member(1)
-	gone.State = Dead
-	m.Receive(now, member(9), &SyncResponse{Members: []Member{gone}})
+	require.Len(t, m.Members(), 1+4+8, "self, the latest that left and the live ones")
+	dead := member(1)
+	dead.State = Dead
+	m.Receive(now, member(9), &SyncResponse{Members: []Member{dead}})
 	require.Len(t, m.Members(), 1+4+8)
 }
 
-// Instances hear the same updates in different orders. If the order decided,
+// Instances receive the same updates in different orders. If the order mattered,
 // their views would differ for ever.
 func TestSupersedesIsATotalOrder(t *testing.T) {
 	gen := rapid.Custom(func(t *rapid.T) Member {
@@ -300,11 +300,11 @@
 		centres := map[string]bool{}
 		for _, o := range owners {
 			centres[o.DataCentre] = true
-			require.NotEqual(t, "i004", o.Name, "the dead own nothing")
+			require.NotEqual(t, "i004", o.Name, "a dead member owns no key")
 		}
 		require.Len(t, centres, 3)
 		if home := owners[0].Name; home != "i002" {
-			require.Equal(t, home, Owners(moved, key, 1)[0].Name, "only the keys of the one that went move")
+			require.Equal(t, home, Owners(moved, key, 1)[0].Name, "only the keys of the removed member move")
 		}
 		homes[owners[0].Name]++
 	}
@@ -313,8 +313,8 @@
 	require.Empty(t, Owners(v, "k", 0))
 }
 
-// In a large cluster each instance probes a bounded number of members, and
-// each is probed by someone, or its death would go unnoticed.
+// In a large cluster each instance probes a bounded number of members, and each
+// is probed by some other, or its failure would not be detected.
 func TestRingsBoundTheProbes(t *testing.T) {
 	var members []Member
 	for i := range 440 {
@@ -331,8 +331,9 @@
 	require.Len(t, probed, 440)
 }
 
-// BenchmarkPeriod prints the processor time of one state machine for one
-// period at rest: ten ticks, a probe that is answered and one to answer.
+// BenchmarkPeriod prints the processor time of one state machine for one period
+// in a stable cluster: ten ticks, an outgoing probe with its Ack and an incoming
+// probe.
 func BenchmarkPeriod(b *testing.B) {
 	for _, n := range []int{8, 64, 440} {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
--- a/coordination/membership/leads_test.go
+++ b/coordination/membership/priorityseeds_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listed are members of which the first few have most capacity.
+// seedList returns members of which the first few have the highest capacity.
 func seedList(n, large int) []Member {
 	list := make([]Member, n)
 	for i := range list {
@@ -21,9 +21,10 @@
 	return list
 }
 
-// TestFleetThatStartsTogetherKnowsItsLeads guards against duties that many instances take
-// for themselves, or give to different ones, in the first seconds after all were lost.
-func TestFleetThatStartsTogetherKnowsItsLeads(t *testing.T) {
+// After all instances failed and start together, each must know the priority seeds within
+// a few hundred milliseconds. Otherwise many would perform singleton duties themselves or
+// assign them to different instances.
+func TestSimultaneousStartLearnsPrioritySeeds(t *testing.T) {
 	const n, large = 90, 8
 	list := seedList(n, large)
 	b := newSimCluster(t, 0, DefaultConfig())
@@ -34,7 +35,7 @@
 		m := New(DefaultConfig(), list[i], rand.New(rand.NewPCG(uint64(i), 1)))
 		b.nodes[list[i].Address] = m
 		started = append(started, m)
-		require.True(t, m.Joining(b.now), "it has no list yet")
+		require.True(t, m.Joining(b.now), "no list received yet")
 		b.deliver(m, m.Seed(b.now, list))
 		m.MarkSeedsComplete()
 	}
@@ -46,33 +47,33 @@
 	}
 	for _, m := range started {
 		require.False(t, m.Joining(b.now), m.self.Name)
-		for _, lead := range list[:large] {
-			x, _ := m.View().Find(lead.Name)
-			require.True(t, x.Live() && x.Name != "", "%s doesn't know %s", m.self.Name, lead.Name)
+		for _, seed := range list[:large] {
+			x, _ := m.View().Find(seed.Name)
+			require.True(t, x.Live() && x.Name != "", "%s does not know %s", m.self.Name, seed.Name)
 		}
 	}
 }
 
-// TestJoiningEnds guards against an instance that waits for others which never come.
-func TestJoiningEnds(t *testing.T) {
+// An instance must not wait for ever for others that never start.
+func TestJoiningIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	start := func(had bool, seeds []Member) *Membership {
+	start := func(complete bool, seeds []Member) *Membership {
 		m := New(DefaultConfig(), seedList(1, 0)[0], rand.New(rand.NewPCG(1, 1)))
 		require.True(t, m.Joining(now))
 		m.Seed(now, seeds)
-		if had {
+		if complete {
 			m.MarkSeedsComplete()
 		}
 		return m
 	}
-	require.False(t, start(true, seedList(1, 0)).Joining(now), "it is alone")
-	require.False(t, start(true, nil).Joining(now), "it is alone, and its entry not there yet")
-	require.True(t, start(false, nil).Joining(now), "the list wasn't had")
+	require.False(t, start(true, seedList(1, 0)).Joining(now), "the only listed instance")
+	require.False(t, start(true, nil).Joining(now), "the only instance, not listed yet")
+	require.True(t, start(false, nil).Joining(now), "no list received")
 	require.False(t, start(false, nil).Joining(now.Add(joinTimeout)))
 	m := start(true, seedList(20, 9))
 	require.True(t, m.Joining(now))
 	for at := now; at.Before(now.Add(joinTimeout)); at = at.Add(50 * time.Millisecond) {
 		m.Tick(at)
 	}
-	require.False(t, m.Joining(now.Add(joinTimeout-time.Millisecond)), "none of them answers")
+	require.False(t, m.Joining(now.Add(joinTimeout-time.Millisecond)), "no priority seed responds")
 }
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -6,31 +6,34 @@
 )
 
 const (
-	// maxRelays bounds the probes made on behalf of others.
+	// maxRelays bounds the outstanding probes on behalf of others.
 	maxRelays = 256
-	// maxDoubts bounds the members of which two instances disagree and that
-	// wait to be asked.
+	// maxDisputed bounds the members on whose state two instances disagree and
+	// that wait to be probed.
 	maxDisputed = 64
 )
 
-// prober is the state of the probes.
+// probeState is the state of the failure detector's probes.
 type probeState struct {
 	seq uint64
-	// round holds the names still to be probed in this round.
+	// remaining holds the names still to be probed in this round.
 	remaining []string
 	nextProbe time.Time
-	// target is the member under probe, empty when there is none.
+	// target is the member being probed, empty when there is none.
 	target    string
 	targetSeq uint64
-	// direct is when the direct probe counts as failed, zero once it did.
+	// directDeadline is when the direct probe counts as failed, zero once it has.
 	directDeadline time.Time
 	relays         map[uint64]relayedProbe
-	// doubts holds, by name, what others believe and we do not.
-	disputed  map[string]Member
+	// disputed holds, by name, states of members on which another instance and
+	// this one disagree; see reconcile.
+	disputed map[string]Member
+	// leaveSeqs holds the sequence numbers of the departure announcements that
+	// were not acknowledged yet.
 	leaveSeqs map[uint64]struct{}
 }
 
-// relay is a probe made for another member.
+// relayedProbe is a probe on behalf of another member.
 type relayedProbe struct {
 	requester    string
 	requesterSeq uint64
@@ -51,13 +54,13 @@
 	return p.seq
 }
 
-// abandon gives up the outstanding probe without a verdict.
+// abandon cancels the outstanding probe without suspecting its target.
 func (p *probeState) abandon(now time.Time) {
 	p.target = ""
 	p.nextProbe = now
 }
 
-// tickProbe goes on with the outstanding probe or begins the next one.
+// tickProbe advances the outstanding probe or starts the next one.
 func (m *Membership) tickProbe(now time.Time) {
 	p := &m.probes
 	if p.target != "" && !p.directDeadline.IsZero() && !now.Before(p.directDeadline) {
@@ -78,8 +81,8 @@
 	}
 }
 
-// probe sends a direct probe. Without an Ack by the end of the period, a live
-// member becomes suspect.
+// probe sends a direct probe. A live member that doesn't acknowledge by the end
+// of the period becomes suspect.
 func (m *Membership) probe(now time.Time, e *entry) {
 	p := &m.probes
 	seq := p.nextSeq()
@@ -91,9 +94,9 @@
 	delete(p.disputed, e.Name)
 }
 
-// probeOtherPaths tries the target by a new connection and by other members.
-// The connection in use may have gone silent and the path from here may be
-// cut while the target is well; either of the two then still gets its Ack.
+// probeOtherPaths probes the target over a new connection and through other
+// members. While the target is healthy, the connection in use may be silent or
+// the path from here may be broken; one of the two then still gets an Ack.
 func (m *Membership) probeOtherPaths() {
 	p := &m.probes
 	e := m.table[p.target]
@@ -109,8 +112,8 @@
 	}
 }
 
-// nextTarget returns the member to probe: one in doubt, or the next of the
-// round, nil if there is none.
+// nextProbeTarget returns the next member to probe: a disputed one first, then
+// the next of the round, nil if there is none.
 func (m *Membership) nextProbeTarget() *entry {
 	p := &m.probes
 	for _, name := range sortedKeys(p.disputed) {
@@ -142,14 +145,14 @@
 	return out
 }
 
-// pick returns up to n random live members, alive ones before suspects and
-// spread over the data centres, because what cuts one path often cuts all
-// paths between two data centres.
+// sampleLive returns up to n random live members, alive ones before suspects and
+// from as many data centres as possible, because a fault on one path often
+// affects all paths between two data centres.
 func (m *Membership) sampleLive(n int, except string) []*entry {
 	list := m.view.others(except)
 	m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(a, b Member) int { return int(a.State) - int(b.State) })
-	var first, rest []*entry
+	var firstPerCentre, others []*entry
 	centres := make(map[string]struct{})
 	for _, x := range list {
 		e := m.table[x.Name]
@@ -157,17 +160,17 @@
 			continue
 		}
 		if _, seen := centres[x.DataCentre]; seen {
-			rest = append(rest, e)
+			others = append(others, e)
 			continue
 		}
 		centres[x.DataCentre] = struct{}{}
-		first = append(first, e)
+		firstPerCentre = append(firstPerCentre, e)
 	}
-	picked := append(first, rest...)
+	picked := append(firstPerCentre, others...)
 	return picked[:min(n, len(picked))]
 }
 
-// relay probes a member on behalf of another.
+// relayProbe probes a member on behalf of another.
 func (m *Membership) relayProbe(now time.Time, from Member, req *PingReq) {
 	p := &m.probes
 	if len(p.relays) >= maxRelays || req.Target == m.self.Name {
@@ -179,7 +182,7 @@
 	m.send(Send{To: req.Address, Message: m.ping(target, seq)})
 }
 
-// expireRelays drops the probes for others that got no answer.
+// expireRelays removes the probes on behalf of others that got no Ack in time.
 func (m *Membership) expireRelays(now time.Time) {
 	for seq, r := range m.probes.relays {
 		if !now.Before(r.expires) {
@@ -188,7 +191,8 @@
 	}
 }
 
-// acknowledged matches an Ack with what it answers.
+// handleAck matches an Ack with the probe, departure announcement or relayed
+// probe that it responds to.
 func (m *Membership) handleAck(now time.Time, seq uint64) {
 	p := &m.probes
 	if p.target != "" && seq == p.targetSeq {
@@ -206,19 +210,19 @@
 	}
 }
 
-// ping makes a Ping for a member.
+// ping returns a Ping for a member.
 func (m *Membership) ping(e *entry, seq uint64) *Ping {
 	return &Ping{Seq: seq, Digest: m.digest, Updates: m.piggyback(e.Name)}
 }
 
-// ack makes an Ack for a member.
+// ack returns an Ack for a member.
 func (m *Membership) ack(to string, seq uint64) *Ack {
 	return &Ack{Seq: seq, Digest: m.digest, Updates: m.piggyback(to)}
 }
 
-// tickDead tries one dead member at a low fixed rate. Two parts of a cluster
-// that lost each other hold each other dead and would otherwise stay apart
-// after the cut has healed.
+// tickDeadProbe pings one dead member at a low fixed rate. The two sides of a
+// partition consider each other dead and would otherwise stay separate after the
+// partition has healed.
 func (m *Membership) tickDeadProbe(now time.Time) {
 	if now.Before(m.nextDeadProbe) {
 		return
--- a/coordination/membership/rings.go
+++ b/coordination/membership/rings.go
@@ -6,17 +6,17 @@
 	"github.com/ivyhollow/ivyhollow/coordination/rendezvous"
 )
 
-// Successors returns whom this instance probes: the member that follows it on
-// each ring, or everyone in a cluster with no more others than rings. Each ring
-// orders all members by a hash of its own, so that each member also follows
-// one other on each ring: it is probed about once a period, and connections
-// stay bounded however many members there are.
+// Successors returns the members that this instance probes: the one that follows
+// it on each ring, or all other members if there are no more than rings. Each
+// ring orders all members by its own hash, so each member is also the successor
+// of one other on each ring: it is probed about once a period, and the number of
+// connections is bounded regardless of the cluster's size.
 func Successors(v *View, rings int) []Member {
 	return nearestOnRings(v, rings, func(own, other uint64) uint64 { return other - own })
 }
 
-// Neighbours returns the successors and those of whom this instance is a
-// successor. Two members whose views agree are neighbours of each other, and
+// Neighbours returns the successors and the members whose successor this
+// instance is. Two members whose views agree are neighbours of each other, and
 // have a connection already because one of them probes the other.
 func Neighbours(v *View, rings int) []Member {
 	if len(v.live) <= rings+1 {
@@ -36,7 +36,8 @@
 	return all
 }
 
-// onRings returns the nearest live member on each ring, without repeats.
+// nearestOnRings returns the nearest live member on each ring, without
+// duplicates.
 func nearestOnRings(v *View, rings int, distance func(own, other uint64) uint64) []Member {
 	if len(v.live) <= rings+1 {
 		return v.others("")
@@ -53,7 +54,7 @@
 	return out
 }
 
-// nearest returns the other live member at the least distance on a ring.
+// nearestOnRing returns the other live member at the smallest distance on a ring.
 func (v *View) nearestOnRing(ring string, distance func(own, other uint64) uint64) Member {
 	own := rendezvous.Score(v.Self, ring)
 	best, least := -1, uint64(0)
@@ -69,7 +70,7 @@
 	return v.live[best]
 }
 
-// others returns the live members but self and one more.
+// others returns the live members except self and the one named except.
 func (v *View) others(except string) []Member {
 	out := make([]Member, 0, len(v.live))
 	for _, m := range v.live {
--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/simcluster_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bench runs several state machines in virtual time. Messages arrive in the
-// step in which they are sent unless drop says otherwise.
+// simCluster runs several state machines in virtual time. A message arrives in
+// the step in which it is sent unless drop returns true for it.
 type simCluster struct {
 	t      require.TestingT
 	now    time.Time
 	nodes  map[string]*Membership
 	frozen map[string]bool
-	drop   func(from, to string, fresh bool) bool
-	// check looks at each message.
+	drop   func(from, to string, newConnection bool) bool
+	// onMessage is called for each message.
 	onMessage func(Message)
-	// watch looks at each new view.
+	// onView is called for each new view.
 	onView func(*View)
-	// accused holds the worst state of each member in any view, near the same
-	// in the views of its own data centre.
+	// worst holds the worst state of each member in any view, worstInOwnCentre
+	// that in the views of its own data centre.
 	worst, worstInOwnCentre map[string]State
 }
 
 const (
 	maxMembers = 16
-	// largest is the size of the largest cluster in a test.
+	// maxSimulated is the size of the largest simulated cluster.
 	maxSimulated = 96
 )
 
-// addresses are those of all members that a test can start.
+// addresses holds the addresses of all members that a test can start.
 var addresses = func() (list [maxSimulated]string) {
 	for i := range list {
 		list[i] = member(i).Address
@@ -39,6 +39,7 @@
 	return list
 }()
 
+// member returns the i-th member of a simulated cluster.
 func member(i int) Member {
 	return Member{
 		Name: fmt.Sprintf("i%03d", i), Address: fmt.Sprintf("10.0.0.%d:7", i),
@@ -57,7 +58,7 @@
 	return b
 }
 
-// start runs a process at a member's address and names it a seed.
+// start runs a process at a member's address with another member as its seed.
 func (b *simCluster) start(cfg Config, self, seed Member) *Membership {
 	m := New(cfg, self, rand.New(rand.NewPCG(self.Incarnation, uint64(len(self.Address)+len(b.nodes)))))
 	b.nodes[self.Address] = m
@@ -65,7 +66,8 @@
 	return m
 }
 
-// do delivers what the actions ask for, until nothing is left to deliver.
+// deliver performs the actions and those that result from them, until no message
+// is left.
 func (b *simCluster) deliver(from *Membership, actions []Action) {
 	for _, a := range actions {
 		if c, ok := a.(ViewChanged); ok {
@@ -94,7 +96,7 @@
 	}
 }
 
-// run lets time pass in steps of a tenth of a second.
+// run advances the time in steps of 100 ms.
 func (b *simCluster) run(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(100 * time.Millisecond)
@@ -106,13 +108,15 @@
 	}
 }
 
-// agree requires that every running process sees just these names as live.
+// requireLive requires that the live members in every running process's view are
+// exactly these names.
 func (b *simCluster) requireLive(want ...string) {
 	for _, m := range b.nodes {
 		require.ElementsMatch(b.t, want, names(m.view.live), "view of %s", m.self.Name)
 	}
 }
 
+// memberNames returns the names of the first n members.
 func memberNames(n int) []string {
 	out := make([]string, n)
 	for i := range out {
--- a/coordination/spread/loads.go
+++ b/coordination/spread/loads.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// loadOverhead bounds the encoded bytes of a LoadDigest besides its texts.
+// loadOverhead bounds the encoded bytes of a LoadDigest without its origin and
+// body.
 const loadOverhead = 32
 
 // loadTable keeps the latest digest of each origin.
@@ -15,23 +16,25 @@
 	byOrigin map[string]*loadEntry
 }
 
-// load is one origin's digest as it was received.
+// loadEntry is the digest of one origin as it was received.
 type loadEntry struct {
 	LoadDigest
 	received time.Time
-	relays   int
+	// relays counts how often the digest was sent in a relayed batch.
+	relays int
 }
 
 func newLoadTable() loadTable {
 	return loadTable{byOrigin: make(map[string]*loadEntry)}
 }
 
-// age is the time since the origin made the digest.
+// age returns the time since the origin produced the digest.
 func (l *loadEntry) age(now time.Time) time.Duration {
 	return time.Duration(l.AgeMillis)*time.Millisecond + now.Sub(l.received)
 }
 
-// put keeps a digest if it is newer than the held one and not too old.
+// put stores a digest if it is newer than the stored one and younger than
+// LoadTTL.
 func (t *loadTable) put(now time.Time, d LoadDigest, cfg *Config) {
 	if d.Origin == "" || d.Origin == t.self || len(d.Body) > cfg.MaxLoadBodyBytes {
 		return
@@ -49,13 +52,13 @@
 	t.byOrigin[d.Origin] = &loadEntry{LoadDigest: d, received: now}
 }
 
-// newer orders the digests of one origin.
+// newer reports whether a is newer than b, a digest of the same origin.
 func newer(a, b LoadDigest) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq)) > 0
 }
 
-// expire drops digests that are too old to be of use. It also bounds the table
-// after instances have gone.
+// expire removes digests older than the TTL. This also frees the entries of
+// instances that failed or left.
 func (t *loadTable) expire(now time.Time, ttl time.Duration) {
 	for origin, l := range t.byOrigin {
 		if l.age(now) >= ttl {
@@ -73,15 +76,15 @@
 	s.loads.byOrigin[d.Origin] = &loadEntry{LoadDigest: d, received: now}
 }
 
-// Load is a digest and its age.
+// Load is the load digest of one origin with its age.
 type Load struct {
 	Origin string
 	Age    time.Duration
 	Body   []byte
 }
 
-// Loads returns the digests of all origins, this instance's own included, in
-// the order of their names.
+// Loads returns the digests of all origins, including this instance's own,
+// sorted by origin.
 func (s *Gossip) Loads(now time.Time) []Load {
 	out := make([]Load, 0, len(s.loads.byOrigin))
 	for _, l := range s.loads.byOrigin {
@@ -93,14 +96,14 @@
 	return out
 }
 
-// sendLoads sends load digests within the bound of bytes: this instance's own
-// to everyone while that fits, which is the freshest; else its own and those
-// of others to one peer, so that the bytes stay the same and the digests grow
-// older with the cluster's size.
+// sendLoads sends load digests within MaxLoadBytes. If its own digest fits for
+// all other instances, each of them gets it, which gives the lowest age.
+// Otherwise one peer gets its own digest and those of others, so that the bytes
+// stay the same and the age of the digests grows with the cluster's size.
 func (s *Gossip) sendLoads(now time.Time, peers []string, size int) {
 	own := s.loads.byOrigin[s.loads.self]
-	everyone := len(peers) == size-1
-	if own != nil && everyone && own.sizeBound()*len(peers) <= s.cfg.MaxLoadBytes {
+	fullMesh := len(peers) == size-1
+	if own != nil && fullMesh && own.sizeBound()*len(peers) <= s.cfg.MaxLoadBytes {
 		for _, to := range peers {
 			s.send(to, &Loads{Digests: []LoadDigest{own.withCurrentAge(now)}})
 		}
@@ -111,14 +114,14 @@
 	}
 }
 
-// relayed returns this instance's own digest and those that were sent the
-// least, the youngest first.
+// relayBatch returns this instance's own digest, then those that were relayed
+// least often, the youngest first.
 func (s *Gossip) relayBatch(now time.Time) *Loads {
 	msg := &Loads{}
-	room := s.cfg.MaxLoadBytes
+	capacity := s.cfg.MaxLoadBytes
 	for _, l := range s.loads.relayOrder(now) {
-		room -= l.sizeBound()
-		if room < 0 {
+		capacity -= l.sizeBound()
+		if capacity < 0 {
 			break
 		}
 		l.relays++
@@ -127,7 +130,7 @@
 	return msg
 }
 
-// bySent returns the digests in the order in which they are to be relayed.
+// relayOrder returns the digests in the order in which they are to be relayed.
 func (t *loadTable) relayOrder(now time.Time) []*loadEntry {
 	list := make([]*loadEntry, 0, len(t.byOrigin))
 	for _, l := range t.byOrigin {
@@ -144,14 +147,14 @@
 	return list
 }
 
-// aged returns the digest with its present age.
+// withCurrentAge returns the digest with its age updated to now.
 func (l *loadEntry) withCurrentAge(now time.Time) LoadDigest {
 	d := l.LoadDigest
 	d.AgeMillis = uint32(l.age(now).Milliseconds())
 	return d
 }
 
-// size bounds the encoded bytes of the digest.
+// sizeBound returns an upper bound of the encoded bytes of the digest.
 func (l *loadEntry) sizeBound() int { return loadOverhead + len(l.Origin) + len(l.Body) }
 
 // compareBool orders false before true.
--- a/coordination/spread/pull.go
+++ b/coordination/spread/pull.go
@@ -1,17 +1,17 @@
 package spread
 
-// sumSize is the encoded size of one sum, in bytes.
+// encodedSumBytes is the encoded size of one sum.
 const encodedSumBytes = 9
 
-// pullSize is the encoded size of a comparison of roots, in bytes.
+// encodedPullBytes is the encoded size of a comparison of roots.
 const encodedPullBytes = 24
 
-// comparison returns the message that compares roots.
+// rootComparison returns the Pull that compares the roots.
 func (s *Gossip) rootComparison() *Pull {
 	return &Pull{Root: s.records.Digest().Root, NewestRevision: s.records.NewestRevision(), Bucket: -1}
 }
 
-// answerPull answers a comparison of roots or of leaves.
+// handlePull responds to a comparison of roots or of the leaves of a bucket.
 func (s *Gossip) handlePull(from string, p *Pull) {
 	switch {
 	case p.Bucket >= Buckets:
@@ -26,9 +26,9 @@
 	}
 }
 
-// answerRoot answers a peer whose root differs. Nearly always it has missed
-// the latest changes only, which the store's revisions tell at once; the sums
-// find the rest.
+// handleRootMismatch responds to a peer whose root differs. It has nearly always
+// missed only the latest changes, which its newest revision identifies without
+// further messages. The bucket sums find all other differences.
 func (s *Gossip) handleRootMismatch(from string, newest uint64) {
 	if newest > 0 && s.sendMissing(from, s.records.Since(newest, s.cfg.MaxPushBytes)) {
 		return
@@ -38,7 +38,7 @@
 	s.send(from, &PullResponse{Buckets: digest.Buckets[:]})
 }
 
-// recover sends records that a peer has missed, false if there are none.
+// sendMissing sends records that a peer lacks. It returns false if there are none.
 func (s *Gossip) sendMissing(to string, records []Record) bool {
 	for _, r := range records {
 		s.recovery.spend(RecordSize(r))
@@ -49,9 +49,9 @@
 	return len(records) > 0
 }
 
-// compare asks for the buckets that differ, in a random order, as far as the
-// budget goes. A few late rumours make a few buckets differ; an instance that
-// has just started asks for all of them over some rounds.
+// handlePullResponse requests the buckets that differ, in random order, until the
+// budget is used up. A few delayed rumours make a few buckets differ; an instance
+// that has just started requests all of them over several comparisons.
 func (s *Gossip) handlePullResponse(from string, a *PullResponse) {
 	if a.InSync || len(a.Buckets) != Buckets {
 		return
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// Config holds the periods and bounds. Zero values take the defaults.
+// Config holds the intervals and limits. Zero values take the defaults.
 type Config struct {
-	// Period is the time between two rounds of rumours.
+	// PushInterval is the time between two rounds of rumours.
 	PushInterval time.Duration
-	// Fanout is the number of peers told in one round.
+	// Fanout is the number of peers that receive rumours in one round.
 	Fanout int
 	// ExtraCopies, added to the natural logarithm of the cluster's size, is
-	// how often an instance passes a record on.
+	// how many copies of a record an instance sends.
 	ExtraCopies int
 	// PushBytesPerSecond bounds rumours, on average.
 	PushBytesPerSecond int
-	// MaxPush bounds the records of one message, in bytes; a larger record
-	// goes alone.
+	// MaxPushBytes bounds the records of one message; a larger record is sent
+	// alone.
 	MaxPushBytes int
-	// PullEvery is the time between two comparisons with a random peer.
+	// PullInterval is the time between two comparisons with a random peer.
 	PullInterval time.Duration
-	// RecoveryBytesPerSecond bounds, on average, what is sent to find and to
-	// fill differences. It is not used while instances agree.
+	// RecoveryBytesPerSecond bounds, on average, what is sent to find and
+	// repair differences. Nothing of it is used while instances agree.
 	RecoveryBytesPerSecond int
-	// LoadEvery is the time between two times that load digests are sent.
+	// LoadInterval is the time between two transmissions of load digests.
 	LoadInterval time.Duration
-	// LoadBytes bounds the digests sent each time.
+	// MaxLoadBytes bounds the digests that are sent per LoadInterval.
 	MaxLoadBytes int
-	// LoadTTL is the age at which a digest is dropped.
+	// LoadTTL is the age at which a digest expires.
 	LoadTTL time.Duration
-	// MaxLoadBody bounds one digest's body, in bytes.
+	// MaxLoadBodyBytes bounds the body of a digest.
 	MaxLoadBodyBytes int
-	// MaxOrigins bounds the origins whose digests are kept.
+	// MaxOrigins bounds the origins whose digests are stored.
 	MaxOrigins int
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// withDefaults fills what is zero.
+// withDefaults returns the configuration with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	c.PushInterval = cmp.Or(c.PushInterval, d.PushInterval)
@@ -76,14 +76,14 @@
 }
 
 const (
-	// maxRumours bounds the records that are being passed on; the others are
-	// found by comparison.
+	// maxRumours bounds the records that are being gossiped; records beyond it
+	// reach peers by comparison.
 	maxRumours = 1024
-	// burstSeconds is how many seconds' worth of a budget may be spent at once.
+	// burstSeconds is the burst of a budget, in seconds of its rate.
 	burstSeconds = 4
 )
 
-// Spread is the state machine of one instance.
+// Gossip is the gossip state machine of one instance.
 type Gossip struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -99,20 +99,20 @@
 	actions   []Action
 }
 
-// rumour is a record that is being passed on.
+// rumour is a record that is being gossiped, with the number of copies sent.
 type rumour struct {
 	record Record
 	copies int
 	order  uint64
 }
 
-// New returns the state machine of an instance that holds source.
-func New(cfg Config, source RecordSet, rng *rand.Rand) *Gossip {
+// New returns the state machine of an instance that holds the given records.
+func New(cfg Config, records RecordSet, rng *rand.Rand) *Gossip {
 	cfg = cfg.withDefaults()
 	return &Gossip{
 		cfg:      cfg,
 		rng:      rng,
-		records:  source,
+		records:  records,
 		rumours:  make(map[recordKey]*rumour),
 		push:     budget{rate: float64(cfg.PushBytesPerSecond)},
 		recovery: budget{rate: float64(cfg.RecoveryBytesPerSecond)},
@@ -120,15 +120,17 @@
 	}
 }
 
-// Put takes over a record that this instance learned elsewhere, from the
-// store's watch for one, and spreads it. It returns an Accepted if it is news.
+// Put adds a record that this instance received from another source, such as a
+// watch of the store, and gossips it. It returns an Accepted if the record is newer
+// than the one held.
 func (s *Gossip) Put(r Record) []Action {
 	s.accept(r, true)
 	return s.flush()
 }
 
-// Tick does what is due. Peers are the addresses of the neighbours, all others
-// in a small cluster; size is the number of live instances, this one included.
+// Tick runs the periodic work that is due. Peers are the addresses of the
+// neighbours, which are all others in a small cluster; size is the number of live
+// instances, including this one.
 func (s *Gossip) Tick(now time.Time, peers []string, size int) []Action {
 	s.push.refill(now)
 	s.recovery.refill(now)
@@ -148,7 +150,7 @@
 	return s.flush()
 }
 
-// due tells whether a periodic act is due and sets the time of the next.
+// due reports whether periodic work is due and, if so, schedules it again.
 func due(now time.Time, next *time.Time, every time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -157,7 +159,7 @@
 	return true
 }
 
-// Receive handles a message that came from an address.
+// Receive handles a message from an address.
 func (s *Gossip) Receive(now time.Time, from string, msg Message) []Action {
 	s.recovery.refill(now)
 	switch msg := msg.(type) {
@@ -177,15 +179,16 @@
 	return s.flush()
 }
 
-// accept takes a record over if it is news.
-func (s *Gossip) accept(r Record, spread bool) {
+// accept stores a record if it is newer than the one held, and gossips it if
+// requested.
+func (s *Gossip) accept(r Record, gossip bool) {
 	if !s.records.Apply(r) {
 		return
 	}
 	s.actions = append(s.actions, Accepted{Record: r})
 	key := recordKey{r.Kind, r.Name}
-	if !spread {
-		// The rumour of the older revision, if there is one, is obsolete.
+	if !gossip {
+		// A rumour of the older revision is obsolete.
 		delete(s.rumours, key)
 		return
 	}
@@ -196,8 +199,7 @@
 	s.rumours[key] = &rumour{record: r, order: s.lastOrder}
 }
 
-// pushRumours tells a few random peers the records not yet passed on often
-// enough.
+// pushRumours sends a few random peers the records that have copies left to send.
 func (s *Gossip) pushRumours(peers []string, size int) {
 	if len(s.rumours) == 0 {
 		return
@@ -213,7 +215,8 @@
 	}
 }
 
-// batch returns the records for one message, the least often sent first.
+// batch returns the records for one message, those with the fewest copies sent
+// first.
 func (s *Gossip) batch(copies int) []Record {
 	list := make([]*rumour, 0, len(s.rumours))
 	for _, r := range s.rumours {
@@ -240,7 +243,7 @@
 	return out
 }
 
-// pick returns n different random peers.
+// samplePeers returns up to n distinct random peers.
 func (s *Gossip) samplePeers(peers []string, n int) []string {
 	n = min(n, len(peers))
 	chosen := make([]string, 0, n)
@@ -258,22 +261,22 @@
 	s.actions = append(s.actions, Send{To: to, Message: m})
 }
 
-// flush returns the actions.
+// flush returns the pending actions.
 func (s *Gossip) flush() []Action {
 	out := s.actions
 	s.actions = nil
 	return out
 }
 
-// budget is a rate of bytes. One message may overdraw it, so that a record
-// larger than the burst can pass; the debt is waited off.
+// budget is a token bucket of bytes. One message may overdraw it, so that a record
+// larger than the burst can be sent; nothing more is sent until the debt is paid.
 type budget struct {
 	rate   float64
 	tokens float64
 	last   time.Time
 }
 
-// refill adds what the time since the last call allows.
+// refill adds the tokens earned since the last call, up to the burst.
 func (b *budget) refill(now time.Time) {
 	if b.last.IsZero() {
 		b.tokens = b.rate * burstSeconds
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -13,8 +13,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// bench runs n state machines in virtual time; a message arrives in the next
-// round, or is lost.
+// simCluster runs n state machines in virtual time. A message arrives in the next
+// round or is lost.
 type simCluster struct {
 	now   time.Time
 	rng   *rand.Rand
@@ -23,11 +23,13 @@
 	peers [][]string
 	index map[string]int
 	queue []delivery
-	// bytes is an estimate of what was sent, by kind of message.
+	// recordBytes, comparisonBytes and loadBytes estimate what was sent, by kind
+	// of message.
 	recordBytes, comparisonBytes, loadBytes int
 	down                                    map[int]bool
 }
 
+// delivery is a message in flight.
 type delivery struct {
 	from, to int
 	msg      Message
@@ -52,6 +54,7 @@
 	return b
 }
 
+// send queues the messages of the actions, except those that are lost.
 func (b *simCluster) send(from int, actions []Action) {
 	for _, a := range actions {
 		s, ok := a.(Send)
@@ -78,7 +81,7 @@
 	}
 }
 
-// round delivers what is queued and lets a tenth of a second pass.
+// round advances the time by 100 ms, delivers the queued messages and calls Tick.
 func (b *simCluster) round() {
 	b.now = b.now.Add(100 * time.Millisecond)
 	queue := b.queue
@@ -91,7 +94,7 @@
 	}
 }
 
-// holders counts the instances that hold a revision or a later one.
+// holders returns the number of instances that hold a revision or a later one.
 func (b *simCluster) holders(name string, revision uint64) int {
 	count := 0
 	for _, n := range b.nodes {
@@ -102,7 +105,7 @@
 	return count
 }
 
-// roundsToAll runs until everyone holds the record.
+// roundsToAll returns the number of rounds until all instances hold the record.
 func (b *simCluster) roundsToAll(name string, revision uint64, limit int) int {
 	for r := range limit {
 		if b.holders(name, revision) == len(b.nodes) {
@@ -119,11 +122,11 @@
 
 func TestFaults(t *testing.T) {
 	cases := []struct {
-		name, story string
-		run         func(t *testing.T, b *simCluster)
+		name, description string
+		run               func(t *testing.T, b *simCluster)
 	}{
-		{"old store", "The store answers from the past and the old record is put again. " +
-			"No instance may go back to it.",
+		{"old store", "The store returns outdated data and an old record is put again. " +
+			"No instance may revert to it.",
 			func(t *testing.T, b *simCluster) {
 				b.send(0, b.nodes[0].Put(record("r", 9, 10)))
 				require.Less(t, b.roundsToAll("r", 9, 100), 100)
@@ -133,8 +136,8 @@
 				}
 				require.Equal(t, 8, b.holders("r", 9))
 			}},
-		{"missed", "An instance is cut off while a record is spread and comes back when all " +
-			"rumours have died. The comparison brings it the record.",
+		{"missed", "An instance is unreachable while a record is gossiped, until no rumour of it is left. " +
+			"The comparison of roots finds the record.",
 			func(t *testing.T, b *simCluster) {
 				b.down[5] = true
 				b.send(0, b.nodes[0].Put(record("r", 1, 10)))
@@ -148,7 +151,7 @@
 				b.down = map[int]bool{}
 				require.Less(t, b.roundsToAll("r", 1, 100), 100)
 			}},
-		{"born in an outage", "An instance starts while the store is down. It gets all records " +
+		{"born in an outage", "An instance starts while the store is unavailable. It gets all records " +
 			"from its peers.",
 			func(t *testing.T, b *simCluster) {
 				for i := range 3000 {
@@ -161,8 +164,8 @@
 				}
 				require.Equal(t, 3000, b.nodes[0].records.(*Table).Len())
 			}},
-		{"deleted", "A record is deleted and an instance that was cut off still has it. " +
-			"The deletion wins.",
+		{"deleted", "A record is deleted while an instance that holds it is unreachable. " +
+			"The deletion reaches it.",
 			func(t *testing.T, b *simCluster) {
 				b.send(0, b.nodes[0].Put(record("r", 1, 10)))
 				b.roundsToAll("r", 1, 100)
@@ -174,8 +177,8 @@
 				b.down = map[int]bool{}
 				require.Less(t, b.roundsToAll("r", 2, 100), 100)
 			}},
-		{"load digests", "Instances report load and one dies. All have all digests soon, and the " +
-			"dead one's is dropped.",
+		{"load digests", "Instances report load and one fails. All hold all digests, and the " +
+			"digest of the failed one expires.",
 			func(t *testing.T, b *simCluster) {
 				report := func(rounds int) {
 					for range rounds {
@@ -203,8 +206,8 @@
 	}
 }
 
-// A digest waits at each instance that relays it. If it did not grow older
-// there, an old load would be taken for a present one and attract requests.
+// A digest is held for a time by each instance that relays it. If its age did not
+// include that time, an outdated load would look current and attract requests.
 func TestRelayedDigestsAge(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{}, NewTable(1), rand.New(rand.NewPCG(1, 1)))
@@ -221,8 +224,8 @@
 	require.Equal(t, uint32(6000), relayed[0].AgeMillis)
 }
 
-// A flood of changes must not raise the traffic of an instance above its
-// budgets, however many peers ask and push.
+// Many changes must not raise the traffic of an instance above its budgets,
+// regardless of how many peers pull and push.
 func TestBytesAreBounded(t *testing.T) {
 	cfg := Config{PushBytesPerSecond: 1000, RecoveryBytesPerSecond: 4000}.withDefaults()
 	b := newSimCluster(8, 0, cfg)
@@ -238,11 +241,11 @@
 	require.LessOrEqual(t, b.comparisonBytes, allowed)
 }
 
-// Whatever is applied in whatever order, the highest revision stays, sums match
-// a table built afresh, and tombstones are bounded.
+// Whatever the order of records, the table keeps the highest revisions, its sums
+// match those of a newly built table, and its tombstones are bounded.
 func TestTableOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		table, fresh := NewTable(3), NewTable(3)
+		table, rebuilt := NewTable(3), NewTable(3)
 		held := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(rt, "n") {
 			r := record(fmt.Sprint("r", rapid.IntRange(0, 9).Draw(rt, "name")), rapid.Uint64Range(1, 20).Draw(rt, "revision"), 1)
@@ -257,10 +260,10 @@
 		for name, revision := range held {
 			if r, ok := table.Get("k", name); ok {
 				require.Equal(rt, revision, r.Revision)
-				fresh.Apply(r)
+				rebuilt.Apply(r)
 			}
 		}
-		require.Equal(rt, fresh.Digest(), table.Digest())
+		require.Equal(rt, rebuilt.Digest(), table.Digest())
 	})
 }
 
