--- a/coordination/admission/simulation_test.go
+++ b/coordination/admission/simulation_test.go
@@ -60,7 +60,7 @@
 
 type instance struct {
 	gate       *tiers.Gate
-	peers      *tiers.Peers
+	peers      *tiers.PeerDigests
 	admission  map[int]*admission.Controller
 	times      *deadline.Times
 	dispatched map[uint64]*request
@@ -89,7 +89,7 @@
 	for range o.instances {
 		i := &instance{
 			gate:       tiers.NewGate(o.gate, o.slots),
-			peers:      tiers.NewPeers(time.Minute),
+			peers:      tiers.NewPeerDigests(time.Minute),
 			admission:  map[int]*admission.Controller{},
 			times:      deadline.NewTimes(deadline.Config{}),
 			dispatched: map[uint64]*request{},
@@ -126,7 +126,7 @@
 		for _, to := range s.instances {
 			if to != from && !s.ignoreDigests {
 				s.schedule(s.now.Add(s.digestDelay), func() {
-					to.peers.Heard(s.now, name, d)
+					to.peers.Add(s.now, name, d)
 				})
 			}
 		}
@@ -188,7 +188,7 @@
 		req.instance.admission[c.rank] = controller
 	}
 	p50, p95 := req.instance.times.Estimate(s.stageKey(c), c.serviceTime)
-	stage := deadline.RemainingStage{P50: p50, P95: p95, Wait: req.instance.gate.Wait(s.now, c.rank)}
+	stage := deadline.RemainingStage{P50: p50, P95: p95, Wait: req.instance.gate.EstimatedWait(s.now, c.rank)}
 	return controller.Decide(s.now, req.due, []deadline.RemainingStage{stage}, s.rng)
 }
 
--- a/coordination/config/set_test.go
+++ b/coordination/config/set_test.go
@@ -28,7 +28,7 @@
 		return &catalog.Tier{Name: name, Revision: revision, Deadline: millis(fields[0])}, nil
 	case catalog.RecordPipelines:
 		p := &catalog.Pipeline{Key: catalog.PipelineKey{Name: name, SchemaVersion: 1}, Revision: revision,
-			Stages: []catalog.Stage{{Name: "s", Pool: fields[0], Expected: millis(fields[1])}}, Deadlines: map[string]time.Duration{}}
+			Stages: []catalog.Stage{{Name: "s", Pool: fields[0], ExpectedDuration: millis(fields[1])}}, Deadlines: map[string]time.Duration{}}
 		for _, tier := range fields[2:] {
 			p.Deadlines[tier] = time.Hour
 		}
--- a/coordination/retry/attempts.go
+++ b/coordination/retry/attempts.go
@@ -10,7 +10,7 @@
 	// Repeatable stages may run more than once.
 	Repeatable bool
 	// Streams tells that tokens are delivered as they come.
-	Streams bool
+	Streaming bool
 	// Resumable streams go on behind the tokens that were delivered.
 	Resumable bool
 	// MaxAttempts bounds the attempts, the first included; at least 1.
@@ -18,12 +18,12 @@
 }
 
 // Result says how an attempt ended without a whole answer.
-type Result uint8
+type FailureKind uint8
 
 // The results of an attempt.
 const (
 	// NoConnection means that no byte found a connection to leave on.
-	NoConnection Result = iota + 1
+	NoConnection FailureKind = iota + 1
 	// Refused means that the target is known not to have started the stage.
 	Refused
 	// Failed means that the stage may have run.
@@ -34,22 +34,22 @@
 )
 
 // End is the end of an attempt that brought no whole answer.
-type End struct {
-	Result Result
+type Failure struct {
+	Kind FailureKind
 	// RetryAfter is when the target asks to come back; 0 when unknown.
 	RetryAfter time.Duration
 	// Delivered tells that some tokens of the stage were delivered.
-	Delivered bool
+	TokensDelivered bool
 }
 
 // Decision says what follows an attempt that brought no whole answer.
 type Decision struct {
 	// Again asks for one more attempt after Delay.
-	Again bool
+	Retry bool
 	Delay time.Duration
 	// Paid tells that the attempt is to be paid from the Budget of the pool;
 	// where that has no token, the stage ends with ReasonBudget.
-	Paid bool
+	UsesBudget bool
 	// Reason says why the stage ends.
 	Reason Reason
 }
@@ -59,10 +59,10 @@
 
 // The reasons to end a stage.
 const (
-	ReasonNotRepeatable Reason = "not_repeatable"
-	ReasonDelivered     Reason = "tokens_delivered"
-	ReasonAttempts      Reason = "attempts_used_up"
-	ReasonBudget        Reason = "retry_budget_used_up"
+	ReasonNotRepeatable   Reason = "not_repeatable"
+	ReasonTokensDelivered Reason = "tokens_delivered"
+	ReasonAttemptsUsedUp  Reason = "attempts_used_up"
+	ReasonBudgetUsedUp    Reason = "retry_budget_used_up"
 )
 
 // Attempts decides on the attempts of one stage. The caller serialises the
@@ -82,12 +82,12 @@
 }
 
 // Sent counts an attempt, hedges too, before it is sent.
-func (a *Attempts) Sent() { a.sent++ }
+func (a *Attempts) AddAttempt() { a.sent++ }
 
 // MayHedge tells whether a second attempt may run beside the one that was sent.
 // A stream is never hedged: the tokens of two runs must not mix.
 func (a *Attempts) MayHedge() bool {
-	return a.stage.Repeatable && !a.stage.Streams && a.sent < a.stage.MaxAttempts
+	return a.stage.Repeatable && !a.stage.Streaming && a.sent < a.stage.MaxAttempts
 }
 
 // Ended decides what follows when no attempt is open any more and the last one
@@ -100,17 +100,17 @@
 // time more. Attempts meet them until the budget is empty, and then most
 // requests fail though other targets are well. Such an attempt gave the pool no
 // work, so the next one multiplies no load; its number is bounded all the same.
-func (a *Attempts) Ended(now, latestStart time.Time, rng *rand.Rand, end End) Decision {
-	if end.Result == Preempted && a.stage.Repeatable && a.stage.Resumable {
+func (a *Attempts) AfterFailure(now, latestStart time.Time, rng *rand.Rand, end Failure) Decision {
+	if end.Kind == Preempted && a.stage.Repeatable && a.stage.Resumable {
 		a.sent--
-		return Decision{Again: true}
+		return Decision{Retry: true}
 	}
-	a.mayHaveRun = a.mayHaveRun || end.Result == Failed || end.Result == Preempted
-	if reason := a.over(end); reason != "" {
+	a.mayHaveRun = a.mayHaveRun || end.Kind == Failed || end.Kind == Preempted
+	if reason := a.stopReason(end); reason != "" {
 		return Decision{Reason: reason}
 	}
-	decision := Decision{Again: true, Paid: end.Result != NoConnection}
-	if end.Result == Refused {
+	decision := Decision{Retry: true, UsesBudget: end.Kind != NoConnection}
+	if end.Kind == Refused {
 		a.refusals++
 		decision.Delay = backoff(rng, a.refusals, latestStart.Sub(now), end.RetryAfter)
 	}
@@ -121,14 +121,14 @@
 // is sent again only while each attempt is known not to have started. Delivered
 // tokens forbid a fresh run: its text could differ, and the joined answer would
 // be of two runs; only a resumed stream is whole.
-func (a *Attempts) over(end End) Reason {
+func (a *Attempts) stopReason(end Failure) Reason {
 	switch {
 	case !a.stage.Repeatable && a.mayHaveRun:
 		return ReasonNotRepeatable
-	case end.Delivered && !a.stage.Resumable:
-		return ReasonDelivered
+	case end.TokensDelivered && !a.stage.Resumable:
+		return ReasonTokensDelivered
 	case a.sent >= a.stage.MaxAttempts:
-		return ReasonAttempts
+		return ReasonAttemptsUsedUp
 	}
 	return ""
 }
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -69,34 +69,34 @@
 
 // Succeeded tells that a stage was answered. It is told once a stage, however
 // many attempts there were.
-func (b *Budget) Succeeded(now time.Time) {
+func (b *Budget) AddSuccess(now time.Time) {
 	b.retry.earn(now, b.config.HalfLife, b.config.RetryRatio)
 	b.hedge.earn(now, b.config.HalfLife, b.config.HedgeRatio)
 }
 
 // TakeRetry pays for one retry, or tells that there is no token left.
-func (b *Budget) TakeRetry(now time.Time) bool {
-	return b.retry.take(now, b.config.HalfLife)
+func (b *Budget) SpendRetry(now time.Time) bool {
+	return b.retry.spend(now, b.config.HalfLife)
 }
 
 // TakeHedge pays for one hedge, or tells that there is no token left.
-func (b *Budget) TakeHedge(now time.Time) bool {
-	return b.hedge.take(now, b.config.HalfLife)
+func (b *Budget) SpendHedge(now time.Time) bool {
+	return b.hedge.spend(now, b.config.HalfLife)
 }
 
 type bucket struct {
-	tokens float64
-	last   time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 func (k *bucket) decay(now time.Time, halfLife time.Duration) {
-	if k.last.IsZero() {
-		k.last = now
+	if k.updatedAt.IsZero() {
+		k.updatedAt = now
 		return
 	}
-	if elapsed := now.Sub(k.last); elapsed > 0 {
+	if elapsed := now.Sub(k.updatedAt); elapsed > 0 {
 		k.tokens *= math.Exp2(-float64(elapsed) / float64(halfLife))
-		k.last = now
+		k.updatedAt = now
 	}
 }
 
@@ -105,7 +105,7 @@
 	k.tokens += tokens
 }
 
-func (k *bucket) take(now time.Time, halfLife time.Duration) bool {
+func (k *bucket) spend(now time.Time, halfLife time.Duration) bool {
 	k.decay(now, halfLife)
 	if k.tokens < 1 {
 		return false
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -11,11 +11,11 @@
 func ExampleBudget() {
 	now := time.Unix(0, 0)
 	budget := retry.NewBudget(retry.Config{})
-	fmt.Println(budget.TakeRetry(now), budget.TakeRetry(now), budget.TakeRetry(now))
+	fmt.Println(budget.SpendRetry(now), budget.SpendRetry(now), budget.SpendRetry(now))
 	for range 11 {
-		budget.Succeeded(now)
+		budget.AddSuccess(now)
 	}
-	fmt.Println(budget.TakeRetry(now), budget.TakeRetry(now))
+	fmt.Println(budget.SpendRetry(now), budget.SpendRetry(now))
 	// Output:
 	// true true false
 	// true false
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -28,16 +28,16 @@
 			for range rapid.IntRange(1, 400).Draw(t, "requests") {
 				now = now.Add(time.Duration(rng.Int64N(int64(gap))))
 				first++
-				if rng.Float64() < slow && b.TakeHedge(now) {
+				if rng.Float64() < slow && b.SpendHedge(now) {
 					extra++
 				}
 				failed := rng.Float64() < failures
-				for attempt := 1; failed && attempt < 3 && b.TakeRetry(now); attempt++ {
+				for attempt := 1; failed && attempt < 3 && b.SpendRetry(now); attempt++ {
 					extra++
 					failed = rng.Float64() < failures
 				}
 				if !failed {
-					b.Succeeded(now)
+					b.AddSuccess(now)
 				}
 			}
 		}
@@ -53,16 +53,16 @@
 		now, every := epoch, time.Second/time.Duration(rate)
 		for range 600 * rate {
 			now = now.Add(every)
-			b.Succeeded(now)
+			b.AddSuccess(now)
 		}
 		first, extra := 0, 0
 		for range 30 * rate {
 			now = now.Add(every)
 			first++
-			if b.TakeHedge(now) {
+			if b.SpendHedge(now) {
 				extra++
 			}
-			for attempt := 1; attempt < 3 && b.TakeRetry(now); attempt++ {
+			for attempt := 1; attempt < 3 && b.SpendRetry(now); attempt++ {
 				extra++
 			}
 		}
@@ -78,45 +78,45 @@
 	latest := epoch.Add(time.Second)
 	repeatable := Stage{Repeatable: true, MaxAttempts: 3}
 	once := Stage{MaxAttempts: 3}
-	resumable := Stage{Repeatable: true, Streams: true, Resumable: true, MaxAttempts: 3}
-	plain := Stage{Repeatable: true, Streams: true, MaxAttempts: 3}
+	resumable := Stage{Repeatable: true, Streaming: true, Resumable: true, MaxAttempts: 3}
+	plain := Stage{Repeatable: true, Streaming: true, MaxAttempts: 3}
 	single := Stage{Repeatable: true, MaxAttempts: 1}
-	failed, refused := End{Result: Failed}, End{Result: Refused}
-	alone, preempted := End{Result: NoConnection}, End{Result: Preempted, Delivered: true}
-	broken := End{Result: Failed, Delivered: true}
-	paid := Decision{Again: true, Paid: true}
+	failed, refused := Failure{Kind: Failed}, Failure{Kind: Refused}
+	alone, preempted := Failure{Kind: NoConnection}, Failure{Kind: Preempted, TokensDelivered: true}
+	broken := Failure{Kind: Failed, TokensDelivered: true}
+	paid := Decision{Retry: true, UsesBudget: true}
 	tests := map[string]struct {
 		stage Stage
-		ends  []End
+		ends  []Failure
 		want  Decision // without its delay
 	}{
-		"retry":                                {repeatable, []End{failed}, paid},
-		"retry of what was refused":            {once, []End{refused}, paid},
-		"retry without a connection is free":   {repeatable, []End{alone}, Decision{Again: true}},
-		"once, no connection":                  {once, []End{alone, alone}, Decision{Again: true}},
-		"never twice what may run once":        {once, []End{failed}, Decision{Reason: ReasonNotRepeatable}},
-		"once, refused and then failed":        {once, []End{refused, failed}, Decision{Reason: ReasonNotRepeatable}},
-		"once, a refusal does not undo a run":  {once, []End{failed, refused}, Decision{Reason: ReasonNotRepeatable}},
-		"attempts used up":                     {repeatable, []End{failed, failed, failed}, Decision{Reason: ReasonAttempts}},
-		"attempts used up by refusals":         {once, []End{refused, refused, refused}, Decision{Reason: ReasonAttempts}},
-		"attempts used up without connections": {once, []End{alone, alone, alone}, Decision{Reason: ReasonAttempts}},
-		"a single attempt":                     {single, []End{failed}, Decision{Reason: ReasonAttempts}},
-		"at least one attempt":                 {Stage{Repeatable: true}, []End{failed}, Decision{Reason: ReasonAttempts}},
-		"a broken stream resumes":              {resumable, []End{broken}, paid},
-		"a broken stream never starts afresh":  {plain, []End{broken}, Decision{Reason: ReasonDelivered}},
-		"nor after a refusal":                  {plain, []End{{Result: Refused, Delivered: true}}, Decision{Reason: ReasonDelivered}},
-		"a stream that brought no token yet":   {plain, []End{failed}, paid},
-		"preempted":                            {resumable, []End{preempted}, Decision{Again: true}},
-		"a preemption is no attempt":           {resumable, []End{preempted, failed, preempted, failed}, paid},
-		"once, preempted by mistake":           {once, []End{{Result: Preempted}}, Decision{Reason: ReasonNotRepeatable}},
-		"preempted, then used up":              {resumable, []End{preempted, failed, failed, failed}, Decision{Reason: ReasonAttempts}},
+		"retry":                                {repeatable, []Failure{failed}, paid},
+		"retry of what was refused":            {once, []Failure{refused}, paid},
+		"retry without a connection is free":   {repeatable, []Failure{alone}, Decision{Retry: true}},
+		"once, no connection":                  {once, []Failure{alone, alone}, Decision{Retry: true}},
+		"never twice what may run once":        {once, []Failure{failed}, Decision{Reason: ReasonNotRepeatable}},
+		"once, refused and then failed":        {once, []Failure{refused, failed}, Decision{Reason: ReasonNotRepeatable}},
+		"once, a refusal does not undo a run":  {once, []Failure{failed, refused}, Decision{Reason: ReasonNotRepeatable}},
+		"attempts used up":                     {repeatable, []Failure{failed, failed, failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"attempts used up by refusals":         {once, []Failure{refused, refused, refused}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"attempts used up without connections": {once, []Failure{alone, alone, alone}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"a single attempt":                     {single, []Failure{failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"at least one attempt":                 {Stage{Repeatable: true}, []Failure{failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"a broken stream resumes":              {resumable, []Failure{broken}, paid},
+		"a broken stream never starts afresh":  {plain, []Failure{broken}, Decision{Reason: ReasonTokensDelivered}},
+		"nor after a refusal":                  {plain, []Failure{{Kind: Refused, TokensDelivered: true}}, Decision{Reason: ReasonTokensDelivered}},
+		"a stream that brought no token yet":   {plain, []Failure{failed}, paid},
+		"preempted":                            {resumable, []Failure{preempted}, Decision{Retry: true}},
+		"a preemption is no attempt":           {resumable, []Failure{preempted, failed, preempted, failed}, paid},
+		"once, preempted by mistake":           {once, []Failure{{Kind: Preempted}}, Decision{Reason: ReasonNotRepeatable}},
+		"preempted, then used up":              {resumable, []Failure{preempted, failed, failed, failed}, Decision{Reason: ReasonAttemptsUsedUp}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			a, got := NewAttempts(tt.stage), Decision{}
 			for _, end := range tt.ends {
-				a.Sent()
-				got = a.Ended(epoch, latest, newRand(), end)
+				a.AddAttempt()
+				got = a.AfterFailure(epoch, latest, newRand(), end)
 			}
 			got.Delay = 0
 			require.Equal(t, tt.want, got)
@@ -130,7 +130,7 @@
 func TestBackoffAfterRefusal(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
-		result           Result
+		result           FailureKind
 		refusals         int
 		room, retryAfter time.Duration
 		ceiling          time.Duration
@@ -154,10 +154,10 @@
 				a := NewAttempts(Stage{Repeatable: true, MaxAttempts: 100})
 				var got Decision
 				for range tt.refusals {
-					a.Sent()
-					got = a.Ended(epoch, epoch.Add(tt.room), rng, End{Result: tt.result, RetryAfter: tt.retryAfter})
+					a.AddAttempt()
+					got = a.AfterFailure(epoch, epoch.Add(tt.room), rng, Failure{Kind: tt.result, RetryAfter: tt.retryAfter})
 				}
-				require.True(t, got.Again)
+				require.True(t, got.Retry)
 				require.GreaterOrEqual(t, got.Delay, time.Duration(0))
 				longest, differ[got.Delay] = max(longest, got.Delay), true
 			}
@@ -172,14 +172,14 @@
 // that it did not start; it is never sent beside itself.
 func TestRaceOfWhatMayRunOnce(t *testing.T) {
 	a, latest := NewAttempts(Stage{MaxAttempts: 3}), epoch.Add(time.Second)
-	a.Sent()
+	a.AddAttempt()
 	require.False(t, a.MayHedge())
-	again := a.Ended(epoch, latest, newRand(), End{Result: Refused})
-	require.True(t, again.Again && again.Paid)
+	again := a.AfterFailure(epoch, latest, newRand(), Failure{Kind: Refused})
+	require.True(t, again.Retry && again.UsesBudget)
 	require.LessOrEqual(t, again.Delay, backoffMax)
-	a.Sent()
+	a.AddAttempt()
 	require.False(t, a.MayHedge())
-	require.Equal(t, Decision{Reason: ReasonNotRepeatable}, a.Ended(epoch, latest, newRand(), End{Result: Failed}))
+	require.Equal(t, Decision{Reason: ReasonNotRepeatable}, a.AfterFailure(epoch, latest, newRand(), Failure{Kind: Failed}))
 }
 
 // Whatever happens in whatever order: never more attempts than allowed, nothing
@@ -189,36 +189,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		stage := Stage{
 			Repeatable:  rapid.Bool().Draw(t, "repeatable"),
-			Streams:     rapid.Bool().Draw(t, "streams"),
+			Streaming:   rapid.Bool().Draw(t, "streams"),
 			Resumable:   rapid.Bool().Draw(t, "resumable"),
 			MaxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
 		}
 		a, rng := NewAttempts(stage), newRand()
 		sent, mayHaveRun := 0, false
 		for again := true; again; {
-			a.Sent()
+			a.AddAttempt()
 			sent++
 			if a.MayHedge() && rapid.Bool().Draw(t, "hedge") {
-				require.True(t, stage.Repeatable && !stage.Streams)
-				a.Sent()
+				require.True(t, stage.Repeatable && !stage.Streaming)
+				a.AddAttempt()
 				sent++
 			}
 			require.LessOrEqual(t, sent, stage.MaxAttempts)
-			end := End{
-				Result:     Result(rapid.IntRange(1, 3).Draw(t, "result")),
-				RetryAfter: time.Duration(rapid.IntRange(0, 300).Draw(t, "retry after ms")) * time.Millisecond,
-				Delivered:  stage.Streams && rapid.Bool().Draw(t, "delivered"),
+			end := Failure{
+				Kind:            FailureKind(rapid.IntRange(1, 3).Draw(t, "result")),
+				RetryAfter:      time.Duration(rapid.IntRange(0, 300).Draw(t, "retry after ms")) * time.Millisecond,
+				TokensDelivered: stage.Streaming && rapid.Bool().Draw(t, "delivered"),
 			}
 			room := time.Duration(rapid.IntRange(-100, 500).Draw(t, "room ms")) * time.Millisecond
-			mayHaveRun = mayHaveRun || end.Result == Failed
-			got := a.Ended(epoch, epoch.Add(room), rng, end)
-			again = got.Again
+			mayHaveRun = mayHaveRun || end.Kind == Failed
+			got := a.AfterFailure(epoch, epoch.Add(room), rng, end)
+			again = got.Retry
 			require.Equal(t, again, got.Reason == "")
-			require.Equal(t, again && end.Result != NoConnection, got.Paid)
+			require.Equal(t, again && end.Kind != NoConnection, got.UsesBudget)
 			require.LessOrEqual(t, got.Delay, max(room, 0))
 			if again {
 				require.True(t, stage.Repeatable || !mayHaveRun, "sent again although it may have run")
-				require.True(t, stage.Resumable || !end.Delivered, "two texts")
+				require.True(t, stage.Resumable || !end.TokensDelivered, "two texts")
 			}
 		}
 	})
@@ -228,20 +228,20 @@
 // nobody.
 func TestHedge(t *testing.T) {
 	const ms = time.Millisecond
-	require.Equal(t, 50*ms, HedgeAfter(50*ms, time.Second, true), "the slowest of twenty")
-	require.Equal(t, 200*ms, HedgeAfter(50*ms, time.Second, false), "a rescue only")
-	require.Equal(t, 40*ms, HedgeAfter(50*ms, 80*ms, true), "half is kept")
-	require.Zero(t, HedgeAfter(50*ms, -ms, true))
+	require.Equal(t, 50*ms, HedgeDelay(50*ms, time.Second, true), "the slowest of twenty")
+	require.Equal(t, 200*ms, HedgeDelay(50*ms, time.Second, false), "a rescue only")
+	require.Equal(t, 40*ms, HedgeDelay(50*ms, 80*ms, true), "half is kept")
+	require.Zero(t, HedgeDelay(50*ms, -ms, true))
 	for stage, want := range map[Stage]bool{
-		{Repeatable: true, MaxAttempts: 2}:                                 true,
-		{Repeatable: true, MaxAttempts: 1}:                                 false,
-		{MaxAttempts: 2}:                                                   false,
-		{Repeatable: true, Streams: true, Resumable: true, MaxAttempts: 2}: false,
+		{Repeatable: true, MaxAttempts: 2}: true,
+		{Repeatable: true, MaxAttempts: 1}: false,
+		{MaxAttempts: 2}:                   false,
+		{Repeatable: true, Streaming: true, Resumable: true, MaxAttempts: 2}: false,
 	} {
 		a := NewAttempts(stage)
-		a.Sent()
+		a.AddAttempt()
 		require.Equal(t, want, a.MayHedge(), "%+v", stage)
-		a.Sent()
+		a.AddAttempt()
 		require.False(t, a.MayHedge(), "one hedge at most of two attempts")
 	}
 }
@@ -252,8 +252,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		a := NewAttempts(stage)
-		a.Sent()
-		a.Ended(epoch, latest, rng, End{Result: Refused})
+		a.AddAttempt()
+		a.AfterFailure(epoch, latest, rng, Failure{Kind: Refused})
 	}
 }
 
@@ -262,7 +262,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		budget.Succeeded(now)
-		budget.TakeRetry(now)
+		budget.AddSuccess(now)
+		budget.SpendRetry(now)
 	}
 }
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -84,7 +84,7 @@
 	if e != nil && revision < e.revision {
 		return false
 	}
-	if t.Started < r.lastStart[t.Name] {
+	if t.StartedMillis < r.lastStart[t.Name] {
 		return false
 	}
 	r.recordStart(t)
@@ -102,7 +102,7 @@
 
 // recordStart records the latest start of a name.
 func (r *Roster) recordStart(t routes.Target) {
-	if t.Started == 0 {
+	if t.StartedMillis == 0 {
 		return
 	}
 	if _, known := r.lastStart[t.Name]; !known {
@@ -112,7 +112,7 @@
 		}
 		r.startOrder = append(r.startOrder, t.Name)
 	}
-	r.lastStart[t.Name] = t.Started
+	r.lastStart[t.Name] = t.StartedMillis
 }
 
 // KnowsStart reports whether an entry of the name has had a start. If so, an entry without
--- a/coordination/tiers/demand.go
+++ b/coordination/tiers/demand.go
@@ -7,52 +7,52 @@
 
 // meter follows the number of requests of one rank, dispatched and queued, by
 // an exponential mean.
-type meter struct {
-	mean    float64
-	current int
-	last    time.Time
+type demandAverage struct {
+	mean      float64
+	current   int
+	updatedAt time.Time
 }
 
-func (m *meter) advance(now time.Time, window time.Duration) {
-	if m.last.IsZero() {
-		m.last = now
+func (m *demandAverage) advance(now time.Time, window time.Duration) {
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 		m.mean = float64(m.current)
 		return
 	}
-	elapsed := now.Sub(m.last)
+	elapsed := now.Sub(m.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
 	keep := math.Exp(-float64(elapsed) / float64(window))
 	m.mean = m.mean*keep + float64(m.current)*(1-keep)
-	m.last = now
+	m.updatedAt = now
 }
 
-func (m *meter) add(now time.Time, window time.Duration, n int) {
+func (m *demandAverage) add(now time.Time, window time.Duration, n int) {
 	m.advance(now, window)
 	m.current += n
 }
 
 // holding follows the mean time, in seconds, that a request holds a slot.
-type holding struct {
+type slotHoldTime struct {
 	mean float64
 }
 
 // holdingWeight is the weight of one request in the mean.
-const holdingWeight = 0.05
+const holdTimeWeight = 0.05
 
-func (h *holding) add(d time.Duration) {
+func (h *slotHoldTime) add(d time.Duration) {
 	if h.mean == 0 {
 		h.mean = d.Seconds()
 		return
 	}
-	h.mean += holdingWeight * (d.Seconds() - h.mean)
+	h.mean += holdTimeWeight * (d.Seconds() - h.mean)
 }
 
 // drainRate is how many of the given requests finish a second, by Little's law.
 // Counting them as they finish would need a window longer than the requests
 // run, and would take an idle gate for one at a standstill.
-func (h *holding) drainRate(inFlight float64) float64 {
+func (h *slotHoldTime) completionRate(inFlight float64) float64 {
 	if h.mean == 0 {
 		return math.Inf(1)
 	}
@@ -61,7 +61,7 @@
 
 // limits are how many requests of the ranks up to and including r this
 // instance may have in flight, for each r.
-type limits [MaxRanks]float64
+type rankLimits [MaxRanks]float64
 
 // demand is what the instances want, by rank.
 type demand struct {
@@ -78,8 +78,8 @@
 // exceed its part by a burst, which keeps the slots busy and delays nobody
 // above. Otherwise only the highest rank that is wanted may. An instance that is
 // alone knows all there is to know and has no need to exceed anything.
-func divide(capacity float64, d demand, ordered bool) limits {
-	var out limits
+func divideCapacity(capacity float64, d demand, ordered bool) rankLimits {
+	var out rankLimits
 	left := capacity
 	mine, above := 0.0, 0.0
 	for r := range out {
--- a/coordination/tiers/gate.go
+++ b/coordination/tiers/gate.go
@@ -7,41 +7,41 @@
 
 // Defaults of Config.
 const (
-	DefaultQueue         = 256
-	DefaultWindow        = 300 * time.Millisecond
-	DefaultMinRun        = 500 * time.Millisecond
-	DefaultMaxPreemption = 2
+	DefaultMaxQueued      = 256
+	DefaultDemandWindow   = 300 * time.Millisecond
+	DefaultMinRunTime     = 500 * time.Millisecond
+	DefaultMaxPreemptions = 2
 )
 
 // Config sets a pool's gate. Zero values take the defaults.
 type Config struct {
 	// Queue bounds the number of queued items over all ranks.
-	Queue int
+	MaxQueued int
 	// Window is the time over which demand is averaged.
-	Window time.Duration
+	DemandWindow time.Duration
 	// Ordered tells that the targets run the most urgent first, by the
 	// priority that is passed to them, as model engines do.
-	Ordered bool
+	PriorityScheduling bool
 	// Preempt allows resumable work to be cancelled for a higher rank.
 	Preempt bool
 	// MinRun is the least time that work runs before it may be cancelled.
-	MinRun time.Duration
+	MinRunTime time.Duration
 	// MaxPreemptions bounds how often one work is cancelled.
 	MaxPreemptions int
 }
 
 func (c Config) withDefaults() Config {
-	if c.Queue <= 0 {
-		c.Queue = DefaultQueue
+	if c.MaxQueued <= 0 {
+		c.MaxQueued = DefaultMaxQueued
 	}
-	if c.Window <= 0 {
-		c.Window = DefaultWindow
+	if c.DemandWindow <= 0 {
+		c.DemandWindow = DefaultDemandWindow
 	}
-	if c.MinRun <= 0 {
-		c.MinRun = DefaultMinRun
+	if c.MinRunTime <= 0 {
+		c.MinRunTime = DefaultMinRunTime
 	}
 	if c.MaxPreemptions <= 0 {
-		c.MaxPreemptions = DefaultMaxPreemption
+		c.MaxPreemptions = DefaultMaxPreemptions
 	}
 	return c
 }
@@ -49,7 +49,7 @@
 // running is an item that was dispatched and has not finished.
 type running struct {
 	Item
-	since      time.Time
+	startedAt  time.Time
 	preempting bool
 }
 
@@ -59,14 +59,14 @@
 	capacity int
 	peers    PeerLoad
 	// told and toldBefore are the digests that the peers got last.
-	told, toldBefore Digest
-	queues           [MaxRanks]rankQueue
-	waiting          map[uint64]*queued
-	running          map[uint64]*running
-	inFlight         [MaxRanks]int
-	meters           [MaxRanks]meter
-	held             holding
-	seq              uint64
+	lastDigest, previousDigest Digest
+	queues                     [MaxRanks]rankQueue
+	waiting                    map[uint64]*queued
+	running                    map[uint64]*running
+	inFlight                   [MaxRanks]int
+	demandAverages             [MaxRanks]demandAverage
+	holdTime                   slotHoldTime
+	seq                        uint64
 }
 
 // NewGate makes a gate for a pool whose targets have capacity slots in all.
@@ -85,8 +85,8 @@
 func (g *Gate) Enqueue(now time.Time, item Item) []Action {
 	item.Rank = clampRank(item.Rank)
 	var out []Action
-	if len(g.waiting) >= g.config.Queue {
-		victim := g.displaceable(item.Rank)
+	if len(g.waiting) >= g.config.MaxQueued {
+		victim := g.displacementVictim(item.Rank)
 		if victim == nil {
 			return []Action{g.refusal(now, item, ReasonQueueFull)}
 		}
@@ -94,10 +94,10 @@
 		out = append(out, g.refusal(now, victim.Item, ReasonDisplaced))
 	}
 	g.seq++
-	it := &queued{Item: item, seq: g.seq, since: now}
+	it := &queued{Item: item, seq: g.seq, enqueuedAt: now}
 	heap.Push(&g.queues[item.Rank], it)
 	g.waiting[item.ID] = it
-	g.meters[item.Rank].add(now, g.config.Window, 1)
+	g.demandAverages[item.Rank].add(now, g.config.DemandWindow, 1)
 	return g.dispatch(now, out)
 }
 
@@ -110,8 +110,8 @@
 	}
 	delete(g.running, id)
 	g.inFlight[r.Rank]--
-	g.meters[r.Rank].add(now, g.config.Window, -1)
-	g.held.add(now.Sub(r.since))
+	g.demandAverages[r.Rank].add(now, g.config.DemandWindow, -1)
+	g.holdTime.add(now.Sub(r.startedAt))
 	return g.dispatch(now, nil)
 }
 
@@ -150,19 +150,19 @@
 func (g *Gate) Digest(now time.Time) Digest {
 	var d Digest
 	for r := range d.Ranks {
-		g.meters[r].advance(now, g.config.Window)
+		g.demandAverages[r].advance(now, g.config.DemandWindow)
 		d.Ranks[r].InFlight = float32(g.inFlight[r])
-		d.Ranks[r].Demand = float32(g.meters[r].mean)
+		d.Ranks[r].Demand = float32(g.demandAverages[r].mean)
 	}
-	g.toldBefore, g.told = g.told, d
+	g.previousDigest, g.lastDigest = g.lastDigest, d
 	return d
 }
 
 // Stats returns a reading for metrics.
 func (g *Gate) Stats() Stats {
-	s := Stats{Capacity: g.capacity, InFlight: g.inFlight, Total: g.totalInFlight()}
+	s := Stats{Capacity: g.capacity, InFlight: g.inFlight, TotalInFlight: g.totalInFlight()}
 	if len(g.running) > 0 {
-		s.Rate = g.held.drainRate(float64(len(g.running)))
+		s.CompletionRate = g.holdTime.completionRate(float64(len(g.running)))
 	}
 	for r := range s.Queued {
 		s.Queued[r] = len(g.queues[r])
@@ -173,7 +173,7 @@
 // Wait is how long an item of the rank that came now would queue: the work of
 // the same and higher ranks that is queued, over the rate at which the work of
 // these ranks that holds slots finishes.
-func (g *Gate) Wait(_ time.Time, rank int) time.Duration {
+func (g *Gate) EstimatedWait(_ time.Time, rank int) time.Duration {
 	queued, inFlight := 0, 0
 	for r := 0; r <= clampRank(rank); r++ {
 		queued += len(g.queues[r])
@@ -182,7 +182,7 @@
 	if queued == 0 {
 		return 0
 	}
-	rate := g.held.drainRate(float64(max(inFlight, 1)))
+	rate := g.holdTime.completionRate(float64(max(inFlight, 1)))
 	return time.Duration(float64(queued) / rate * float64(time.Second))
 }
 
@@ -193,7 +193,7 @@
 )
 
 func (g *Gate) refusal(now time.Time, item Item, reason Reason) Action {
-	wait := g.Wait(now, item.Rank)
+	wait := g.EstimatedWait(now, item.Rank)
 	return Action{
 		Kind:       Refuse,
 		ID:         item.ID,
@@ -204,9 +204,9 @@
 
 // displaceable returns the newest item of the lowest queued rank, if that is
 // below rank.
-func (g *Gate) displaceable(rank int) *queued {
+func (g *Gate) displacementVictim(rank int) *queued {
 	for r := MaxRanks - 1; r > rank; r-- {
-		if it := g.queues[r].newest(); it != nil {
+		if it := g.queues[r].latestArrival(); it != nil {
 			return it
 		}
 	}
@@ -216,5 +216,5 @@
 func (g *Gate) dequeue(now time.Time, it *queued) {
 	g.queues[it.Rank].remove(it)
 	delete(g.waiting, it.ID)
-	g.meters[it.Rank].add(now, g.config.Window, -1)
+	g.demandAverages[it.Rank].add(now, g.config.DemandWindow, -1)
 }
--- a/coordination/tiers/queue.go
+++ b/coordination/tiers/queue.go
@@ -8,10 +8,10 @@
 // queued is an item in a rank's queue.
 type queued struct {
 	Item
-	seq   uint64
-	since time.Time
+	seq        uint64
+	enqueuedAt time.Time
 	// index is the place in the heap.
-	index int
+	heapIndex int
 }
 
 // rankQueue is a heap of the items of one rank, the earliest latest start
@@ -29,12 +29,12 @@
 
 func (q rankQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 func (q *rankQueue) Push(x any) {
 	it := x.(*queued)
-	it.index = len(*q)
+	it.heapIndex = len(*q)
 	*q = append(*q, it)
 }
 
@@ -56,7 +56,7 @@
 }
 
 // newest returns the item that arrived last, or nil.
-func (q rankQueue) newest() *queued {
+func (q rankQueue) latestArrival() *queued {
 	var out *queued
 	for _, it := range q {
 		if out == nil || it.seq > out.seq {
@@ -67,5 +67,5 @@
 }
 
 func (q *rankQueue) remove(it *queued) {
-	heap.Remove(q, it.index)
+	heap.Remove(q, it.heapIndex)
 }
--- a/coordination/tiers/tiers_test.go
+++ b/coordination/tiers/tiers_test.go
@@ -22,7 +22,7 @@
 func TestGateKeepsOrderAndAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 5).Draw(t, "capacity")
-		g := NewGate(Config{Queue: 6, Preempt: rapid.Bool().Draw(t, "preempt"), MinRun: 1}, capacity)
+		g := NewGate(Config{MaxQueued: 6, Preempt: rapid.Bool().Draw(t, "preempt"), MinRunTime: 1}, capacity)
 		now := epoch
 		const waiting, running, ended = 1, 2, 3
 		state := map[uint64]int{}
@@ -135,17 +135,17 @@
 			g.Enqueue(epoch, short(2, 1, time.Second))
 			return g.Tick(at(time.Second + 1))
 		}, want: []Action{{Kind: Refuse, ID: 2, Reason: ReasonTooLate, RetryAfter: minRetryAfter}}},
-		"full of its own rank": {config: Config{Queue: 1}, run: func(g *Gate) []Action {
+		"full of its own rank": {config: Config{MaxQueued: 1}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 1))
 			g.Enqueue(epoch, item(2, 1))
 			return g.Enqueue(epoch, item(3, 1))
 		}, want: []Action{{Kind: Refuse, ID: 3, Reason: ReasonQueueFull, RetryAfter: minRetryAfter}}},
-		"a lower rank makes room": {config: Config{Queue: 1}, run: func(g *Gate) []Action {
+		"a lower rank makes room": {config: Config{MaxQueued: 1}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 0))
 			g.Enqueue(epoch, item(2, 1))
 			return g.Enqueue(epoch, item(3, 0))
 		}, want: []Action{{Kind: Refuse, ID: 2, Reason: ReasonDisplaced, RetryAfter: minRetryAfter}}},
-		"the time to come back follows the drain": {config: Config{Queue: 3}, run: func(g *Gate) []Action {
+		"the time to come back follows the drain": {config: Config{MaxQueued: 3}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 0))
 			g.Finished(at(2*time.Second), 1)
 			for id := uint64(2); id < 6; id++ {
@@ -182,7 +182,7 @@
 		"the lowest rank, newest":     {[]Item{resumable(1, 1, 0), resumable(2, 2, 0), resumable(3, 2, 0)}, urgent, 3},
 		"what may be resumed":         {[]Item{resumable(1, 1, 0), item(2, 2), item(3, 2)}, urgent, 1},
 		"not one of its own rank":     {[]Item{resumable(1, 0, 0), resumable(2, 0, 0), resumable(3, 0, 0)}, urgent, 0},
-		"not the same one for ever":   {[]Item{resumable(1, 2, DefaultMaxPreemption), item(2, 2), item(3, 2)}, urgent, 0},
+		"not the same one for ever":   {[]Item{resumable(1, 2, DefaultMaxPreemptions), item(2, 2), item(3, 2)}, urgent, 0},
 		"not when there is time left": {[]Item{resumable(1, 1, 0), resumable(2, 2, 0), resumable(3, 2, 0)}, item(99, 0), 0},
 	}
 	for name, tt := range tests {
@@ -255,11 +255,11 @@
 		}
 		ordered := rapid.Bool().Draw(t, "ordered")
 		for i := range wants {
-			l := divide(capacity, demand{float64(n), wants[i], total}, ordered)
+			l := divideCapacity(capacity, demand{float64(n), wants[i], total}, ordered)
 			own := 0.0
 			for r := range fits {
 				own += wants[i][r]
-				require.GreaterOrEqual(t, l[r], own-slack, "what fits is granted whole")
+				require.GreaterOrEqual(t, l[r], own-roundingSlack, "what fits is granted whole")
 			}
 			all += l[MaxRanks-1]
 		}
@@ -272,24 +272,24 @@
 func TestPlace(t *testing.T) {
 	ranks := []int{30, 10, 20, 10}
 	for rank, want := range map[int]int{10: 0, 20: 1, 30: 2, 99: 3} {
-		require.Equal(t, want, Place(ranks, rank), "rank %d", rank)
+		require.Equal(t, want, RankIndex(ranks, rank), "rank %d", rank)
 	}
-	require.Equal(t, MaxRanks-1, Place([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 9))
+	require.Equal(t, MaxRanks-1, RankIndex([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 9))
 }
 
 func TestPeers(t *testing.T) {
 	var d Digest
 	d.Ranks[1] = RankLoad{InFlight: 2, Demand: 3}
-	p := NewPeers(time.Second)
-	p.Heard(epoch, "a", d)
-	p.Heard(at(500*time.Millisecond), "b", d)
+	p := NewPeerDigests(time.Second)
+	p.Add(epoch, "a", d)
+	p.Add(at(500*time.Millisecond), "b", d)
 	require.Equal(t, RankLoad{InFlight: 4, Demand: 6}, p.Load(at(time.Second), 5).Ranks[1])
-	require.Equal(t, 1, p.Load(at(1200*time.Millisecond), 5).Heard, "what is old no longer counts")
+	require.Equal(t, 1, p.Load(at(1200*time.Millisecond), 5).Reporting, "what is old no longer counts")
 	require.Equal(t, PeerLoad{Instances: 5}, p.Load(at(1501*time.Millisecond), 5))
 	for n := range 10 * maxPeers {
-		p.Heard(epoch, string(rune('a'+n)), d)
+		p.Add(epoch, string(rune('a'+n)), d)
 	}
-	require.Len(t, p.seen, maxPeers)
+	require.Len(t, p.received, maxPeers)
 }
 
 // A part of the network is cut off: each side must not take the other side's
@@ -312,7 +312,7 @@
 	}
 	require.Equal(t, 48, dispatched(PeerLoad{Instances: 1}))
 	require.InDelta(t, 48.0/8, float64(dispatched(PeerLoad{Instances: 8})), 7, "its part and one burst")
-	require.Greater(t, dispatched(PeerLoad{Instances: 8, Heard: 7}), 40, "peers that are heard want nothing")
+	require.Greater(t, dispatched(PeerLoad{Instances: 8, Reporting: 7}), 40, "peers that are heard want nothing")
 }
 
 func BenchmarkGate(b *testing.B) {
--- a/coordination/tiers/types.go
+++ b/coordination/tiers/types.go
@@ -81,8 +81,8 @@
 	// Instances is the number of live instances, this one included.
 	Instances int
 	// Heard is the number of peers whose digests are in the sum.
-	Heard int
-	Ranks [MaxRanks]RankLoad
+	Reporting int
+	Ranks     [MaxRanks]RankLoad
 }
 
 // Stats is a reading of the gate, for metrics.
@@ -91,15 +91,15 @@
 	Capacity         int
 	// Total is the number of requests that all instances are thought to have
 	// in flight.
-	Total float64
+	TotalInFlight float64
 	// Rate is the number of requests finished a second.
-	Rate float64
+	CompletionRate float64
 }
 
 // Place returns the position of a tier's rank among the ranks in force, which is
 // the rank that a gate takes. Records may have ranks such as 10, 20 and 30:
 // taken as they are, all would share the last place and no order be kept.
-func Place(inForce []int, rank int) int {
+func RankIndex(inForce []int, rank int) int {
 	above := make(map[int]bool)
 	for _, r := range inForce {
 		if r < rank {
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -39,7 +39,7 @@
 
 func (r *run) estimate(i int) deadline.RemainingStage {
 	stage := &r.job.Pipeline.Stages[i]
-	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.Expected)
+	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.ExpectedDuration)
 	wait := r.opts.Gate.Wait(stage.Pool, r.rank)
 	return deadline.RemainingStage{Stage: i, After: stage.After, P50: p50, P95: p95, Wait: wait}
 }
@@ -58,7 +58,7 @@
 	if len(ranks) == 0 {
 		return t.Rank
 	}
-	return tiers.Place(ranks, t.Rank)
+	return tiers.RankIndex(ranks, t.Rank)
 }
 
 // attainmentFirst tells whether the stage's pool weighs answers in time more
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -30,8 +30,8 @@
 const maxParallel = 2
 
 func (s *stageRun) hedgeAfter() time.Duration {
-	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.Expected)
-	return retry.HedgeAfter(p95, s.left(), s.attainmentFirst(s.stage.Pool))
+	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.ExpectedDuration)
+	return retry.HedgeDelay(p95, s.left(), s.attainmentFirst(s.stage.Pool))
 }
 
 // race waits for the first whole answer among the attempt and its hedge.
--- a/daemon/execute/rig_test.go
+++ b/daemon/execute/rig_test.go
@@ -51,7 +51,7 @@
 	}
 	table.SetTargets(time.Now(), routing.Pool{Name: rigPool, Objective: objective, EjectionFloor: 1}, listed)
 	gates := gate.NewGroup(gate.GroupConfig{
-		Tiers: tiers.Config{Preempt: true, MinRun: time.Nanosecond}, FillOrdered: 1, FillPlain: 1,
+		Tiers: tiers.Config{Preempt: true, MinRunTime: time.Nanosecond}, FillOrdered: 1, FillPlain: 1,
 	}, time.Now)
 	gates.SetCapacity(rigPool, 8, kind == catalog.KindEngine)
 	client := target.New(target.Options{EventGap: 200 * time.Millisecond})
@@ -80,7 +80,7 @@
 	return &catalog.Pipeline{
 		Key: catalog.PipelineKey{Name: "p", SchemaVersion: 1},
 		Stages: []catalog.Stage{{
-			Name: "s", Pool: rigPool, Expected: 20 * time.Millisecond,
+			Name: "s", Pool: rigPool, ExpectedDuration: 20 * time.Millisecond,
 			Repeatable: repeatable, Resumable: resumable, MaxTokens: tokens,
 		}},
 	}
--- a/daemon/serve/submit.go
+++ b/daemon/serve/submit.go
@@ -84,7 +84,7 @@
 		Tier:          c.tier.Name,
 		Stages:        stageNames(c.pipeline),
 		Deadline:      total,
-		Begun:         began,
+		StartedAt:     began,
 	})
 	if c.idempotencyKey == "" {
 		return s.executeOnce(r.Context(), a, deadline, nil)
@@ -145,7 +145,7 @@
 	p := asProblem(errPanicked)
 	p.RequestID = a.id
 	s.keepFailure(ctx, ticket, p, false)
-	a.finish(requests.Failed, requests.OutcomeUnknown)
+	a.finish(requests.StateFailed, requests.OutcomeUnknown)
 	body, _ := json.Marshal(p) // strings and numbers only: it can't fail
 	s.joins.ended(a.id, p.Status, callerapi.MediaProblem, body)
 }
@@ -206,7 +206,7 @@
 	for _, t := range c.snapshot.Tiers {
 		ranks = append(ranks, t.Rank)
 	}
-	return 1 / float64(1+tiers.Place(ranks, c.tier.Rank))
+	return 1 / float64(1+tiers.RankIndex(ranks, c.tier.Rank))
 }
 
 // claimUnknown answers a request of whose first run nothing is known. What may
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -102,11 +102,11 @@
 	}
 }
 
-func shape(b *routes.Batch) gather.ServiceConfig {
+func shape(b *routes.BatchConfig) gather.ServiceConfig {
 	return gather.ServiceConfig{
 		Slots: b.Slots, MaxPieces: b.MaxPieces,
 		CallTime: b.CallTime, PieceTime: b.PieceTime,
-		ResultCapacity: b.ResultBytes, ResultTTL: b.KeepFor,
+		ResultCapacity: b.ResultCapacity, ResultTTL: b.ResultTTL,
 	}
 }
 
--- a/state/catalog/accounts.go
+++ b/state/catalog/accounts.go
@@ -11,16 +11,16 @@
 
 // accountShards is how many maps an account table is spread over. A change of
 // one account copies one map of each index and no other.
-const accountShards = 256
+const accountShardCount = 256
 
 // AccountTable is an immutable set of accounts with two indexes, by name and
 // by key hash. The zero value is empty. Change it through Edit.
 type AccountTable struct {
-	byName *[accountShards]map[string]*Account
-	byKey  *[accountShards]map[[32]byte]*Account
+	byName *[accountShardCount]map[string]*Account
+	byKey  *[accountShardCount]map[[32]byte]*Account
 	// rivals holds the accounts that name a key which another one holds.
-	rivals map[[32]byte][]*Account
-	count  int
+	keyContenders map[[32]byte][]*Account
+	count         int
 }
 
 // NewAccountTable builds a table. Of two accounts with one name the later wins.
@@ -72,10 +72,10 @@
 // Edit starts a change; the table itself stays as it is.
 func (t AccountTable) Edit() *AccountEditor {
 	e := &AccountEditor{
-		byName: new([accountShards]map[string]*Account),
-		byKey:  new([accountShards]map[[32]byte]*Account),
-		rivals: t.rivals,
-		count:  t.count,
+		byName:        new([accountShardCount]map[string]*Account),
+		byKey:         new([accountShardCount]map[[32]byte]*Account),
+		keyContenders: t.keyContenders,
+		count:         t.count,
 	}
 	if t.byName != nil {
 		*e.byName = *t.byName
@@ -87,12 +87,12 @@
 // AccountEditor changes a copy of an account table. It copies each shard on
 // its first change. It is for one goroutine, and spent once Table is called.
 type AccountEditor struct {
-	byName     *[accountShards]map[string]*Account
-	byKey      *[accountShards]map[[32]byte]*Account
-	rivals     map[[32]byte][]*Account
-	ownedNames [accountShards]bool
-	ownedKeys  [accountShards]bool
-	count      int
+	byName           *[accountShardCount]map[string]*Account
+	byKey            *[accountShardCount]map[[32]byte]*Account
+	keyContenders    map[[32]byte][]*Account
+	copiedNameShards [accountShardCount]bool
+	copiedKeyShards  [accountShardCount]bool
+	count            int
 }
 
 // ByKey finds the account that a key belongs to at this point of the change.
@@ -106,7 +106,7 @@
 // learned of the accounts in different orders must find the same one.
 func (e *AccountEditor) Put(a *Account) {
 	e.Delete(a.Name)
-	e.names(a.Name)[a.Name] = a
+	e.writableNames(a.Name)[a.Name] = a
 	for _, hash := range a.KeyHashes {
 		e.addKey(hash, a)
 	}
@@ -119,9 +119,9 @@
 	if !ok {
 		return
 	}
-	delete(e.names(name), name)
+	delete(e.writableNames(name), name)
 	for _, hash := range old.KeyHashes {
-		e.dropKey(hash, old)
+		e.removeKey(hash, old)
 	}
 	e.count--
 }
@@ -129,41 +129,41 @@
 func (e *AccountEditor) addKey(hash [32]byte, a *Account) {
 	holder, taken := e.ByKey(hash)
 	if !taken {
-		e.keys(hash)[hash] = a
+		e.writableKeys(hash)[hash] = a
 		return
 	}
-	e.setRivals(hash, append(slices.Clone(e.rivals[hash]), holder, a))
-	e.promote(hash)
+	e.setContenders(hash, append(slices.Clone(e.keyContenders[hash]), holder, a))
+	e.promoteContender(hash)
 }
 
-func (e *AccountEditor) dropKey(hash [32]byte, a *Account) {
+func (e *AccountEditor) removeKey(hash [32]byte, a *Account) {
 	holder, _ := e.ByKey(hash)
 	if holder == a {
-		delete(e.keys(hash), hash)
-		e.promote(hash)
+		delete(e.writableKeys(hash), hash)
+		e.promoteContender(hash)
 		return
 	}
-	e.setRivals(hash, without(e.rivals[hash], a))
+	e.setContenders(hash, without(e.keyContenders[hash], a))
 }
 
 // promote gives a key to the first of its rivals.
-func (e *AccountEditor) promote(hash [32]byte) {
-	rivals := e.rivals[hash]
+func (e *AccountEditor) promoteContender(hash [32]byte) {
+	rivals := e.keyContenders[hash]
 	if len(rivals) == 0 {
 		return
 	}
 	first := slices.MinFunc(rivals, func(a, b *Account) int { return strings.Compare(a.Name, b.Name) })
-	e.keys(hash)[hash] = first
-	e.setRivals(hash, without(rivals, first))
+	e.writableKeys(hash)[hash] = first
+	e.setContenders(hash, without(rivals, first))
 }
 
 // setRivals replaces the rivals for a key. It copies the whole map, which is
 // empty but for races of operators.
-func (e *AccountEditor) setRivals(hash [32]byte, rivals []*Account) {
-	e.rivals = cloneOrMake(e.rivals)
-	e.rivals[hash] = rivals
+func (e *AccountEditor) setContenders(hash [32]byte, rivals []*Account) {
+	e.keyContenders = cloneOrMake(e.keyContenders)
+	e.keyContenders[hash] = rivals
 	if len(rivals) == 0 {
-		delete(e.rivals, hash)
+		delete(e.keyContenders, hash)
 	}
 }
 
@@ -173,22 +173,22 @@
 
 // Table returns the changed table.
 func (e *AccountEditor) Table() AccountTable {
-	return AccountTable{byName: e.byName, byKey: e.byKey, rivals: e.rivals, count: e.count}
+	return AccountTable{byName: e.byName, byKey: e.byKey, keyContenders: e.keyContenders, count: e.count}
 }
 
-func (e *AccountEditor) names(name string) map[string]*Account {
+func (e *AccountEditor) writableNames(name string) map[string]*Account {
 	i := nameShard(name)
-	if !e.ownedNames[i] {
-		e.ownedNames[i] = true
+	if !e.copiedNameShards[i] {
+		e.copiedNameShards[i] = true
 		e.byName[i] = cloneOrMake(e.byName[i])
 	}
 	return e.byName[i]
 }
 
-func (e *AccountEditor) keys(hash [32]byte) map[[32]byte]*Account {
+func (e *AccountEditor) writableKeys(hash [32]byte) map[[32]byte]*Account {
 	i := keyShard(hash)
-	if !e.ownedKeys[i] {
-		e.ownedKeys[i] = true
+	if !e.copiedKeyShards[i] {
+		e.copiedKeyShards[i] = true
 		e.byKey[i] = cloneOrMake(e.byKey[i])
 	}
 	return e.byKey[i]
@@ -201,6 +201,6 @@
 	return maps.Clone(m)
 }
 
-func nameShard(name string) int { return int(xxhash.Sum64String(name) % accountShards) }
+func nameShard(name string) int { return int(xxhash.Sum64String(name) % accountShardCount) }
 
 func keyShard(hash [32]byte) int { return int(hash[0]) }
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -67,8 +67,8 @@
 	After []int
 	// Expected is the operator's estimate of the stage time, used until the
 	// time is learned.
-	Expected   time.Duration
-	Repeatable bool
+	ExpectedDuration time.Duration
+	Repeatable       bool
 	// Resumable streams may go on at another target from a token offset.
 	Resumable bool
 	// Model and Adapter constrain the engine; empty for other kinds of pool.
@@ -120,12 +120,12 @@
 	EjectionFloor float64
 	// Desired is what the targets shall have; nil when the operators leave
 	// that to others. Like the pool it is never changed once published.
-	Desired *Desired
+	Desired *DesiredState
 }
 
 // Desired is what each target of a pool shall have. What it doesn't name is
 // left as it is.
-type Desired struct {
+type DesiredState struct {
 	Models   []string
 	Adapters []string
 	// Version and Role are empty when any will do.
@@ -139,9 +139,9 @@
 	Revision  uint64
 	Pipelines map[PipelineKey]*Pipeline
 	// Versions lists the schema versions of a pipeline in rising order.
-	Versions map[string][]int
-	Tiers    map[string]*Tier
-	Pools    map[string]*Pool
+	SchemaVersions map[string][]int
+	Tiers          map[string]*Tier
+	Pools          map[string]*Pool
 	// Accounts is shared in most of its parts between one snapshot and the
 	// next, because there are far more accounts than other records.
 	Accounts AccountTable
@@ -178,7 +178,7 @@
 // changes what an unchanged caller sees.
 func (s *Snapshot) Pipeline(name string, schemaVersion int) (*Pipeline, bool) {
 	if schemaVersion == 0 {
-		versions := s.Versions[name]
+		versions := s.SchemaVersions[name]
 		if len(versions) == 0 {
 			return nil, false
 		}
--- a/state/catalog/item.go
+++ b/state/catalog/item.go
@@ -35,7 +35,7 @@
 		for _, before := range stage.After {
 			start = max(start, ends[before])
 		}
-		ends[i] = start + stage.Expected
+		ends[i] = start + stage.ExpectedDuration
 		longest = max(longest, ends[i])
 	}
 	return longest
--- a/state/requests/bench_test.go
+++ b/state/requests/bench_test.go
@@ -27,7 +27,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					one(tab, ids[next.Add(1)%uint64(len(ids))])
+					runFourStages(tab, ids[next.Add(1)%uint64(len(ids))])
 				}
 			})
 			b.StopTimer()
@@ -38,13 +38,13 @@
 	}
 }
 
-func one(tab *Table, id string) {
+func runFourStages(tab *Table, id string) {
 	ref := tab.Begin(info(id, 0))
 	for stage := range stages {
 		n := tab.StartAttempt(ref, AttemptStart{Stage: stage, ID: "a", Target: "t", At: at(1)})
 		tab.EndAttempt(ref, n, AttemptEnd{Result: ResultOK, Work: 1, At: at(2)})
 	}
-	tab.Finish(ref, End{State: Answered, Outcome: OutcomeRan, At: at(3)})
+	tab.Finish(ref, End{State: StateAnswered, Outcome: OutcomeRan, At: at(3)})
 }
 
 // BenchmarkDigestOfNewAccounts measures the worst case of the sums: every
@@ -54,7 +54,7 @@
 	for i := range accounts {
 		accounts[i] = strconv.Itoa(i)
 	}
-	d := newDigests(defaultAccounts / maxStripes)
+	d := newAggregates(defaultAccounts / maxStripes)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/state/requests/digests.go
+++ b/state/requests/digests.go
@@ -70,32 +70,32 @@
 // many, the half with the smallest counts goes into its groups' rest, so totals
 // stay exact while the busiest accounts stay apart. Dropping small counts at
 // intervals follows lossy counting (Manku and Motwani, VLDB 2002).
-type digests struct {
-	mu          sync.Mutex
-	maxAccounts int
-	accounts    map[Key]*Counters
-	rest        map[Key]*Counters
+type aggregates struct {
+	mu            sync.Mutex
+	maxAccounts   int
+	byAccount     map[Key]*Counters
+	otherAccounts map[Key]*Counters
 	// tiers counts since the start; a drain leaves it.
-	tiers map[string]Attainment
+	byTier map[string]Attainment
 }
 
-func newDigests(maxAccounts int) *digests {
-	return &digests{
-		maxAccounts: maxAccounts,
-		accounts:    map[Key]*Counters{},
-		rest:        map[Key]*Counters{},
-		tiers:       map[string]Attainment{},
+func newAggregates(maxAccounts int) *aggregates {
+	return &aggregates{
+		maxAccounts:   maxAccounts,
+		byAccount:     map[Key]*Counters{},
+		otherAccounts: map[Key]*Counters{},
+		byTier:        map[string]Attainment{},
 	}
 }
 
 // key is the key of a stage's attempts.
-func (r *record) key(stage int) Key {
+func (r *record) attemptKey(stage int) Key {
 	return Key{Pipeline: r.info.Pipeline, Stage: r.info.Stages[stage], Tier: r.info.Tier, Account: r.info.Account}
 }
 
 // cost is the work of an attempt. A target that reports none, for instance
 // because its answer was lost, may have worked all the time.
-func (a *Attempt) cost() time.Duration {
+func (a *Attempt) chargedWork() time.Duration {
 	if a.Work > 0 || a.Result == ResultNotRun {
 		return a.Work
 	}
@@ -103,14 +103,14 @@
 }
 
 func (r *record) attained() bool {
-	return r.state == Answered && r.elapsed <= r.info.Deadline
+	return r.state == StateAnswered && r.elapsed <= r.info.Deadline
 }
 
 func attemptCounters(a *Attempt, r *record) Counters {
 	c := Counters{
 		Count:         1,
 		Elapsed:       a.Elapsed,
-		Work:          a.cost(),
+		Work:          a.chargedWork(),
 		Tokens:        uint64(max(a.Tokens, 0)),
 		PrefillTokens: uint64(max(a.PrefillTokens, 0)),
 	}
@@ -118,14 +118,14 @@
 		c.Attained = 1
 	}
 	// Once the request has ended, an answer serves only if that was in time.
-	useless := r.state != Running && !r.attained()
+	useless := r.state != StateRunning && !r.attained()
 	if a.Result != ResultOK || useless {
-		c.Wasted = a.cost()
+		c.Wasted = a.chargedWork()
 	}
 	return c
 }
 
-func (d *digests) add(k Key, c Counters) {
+func (d *aggregates) add(k Key, c Counters) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.addLocked(k, c)
@@ -133,7 +133,7 @@
 
 // addRequest adds a request that ended, and counts the work of its used
 // answers as wasted if it wasn't answered in time.
-func (d *digests) addRequest(r *record) {
+func (d *aggregates) addRequest(r *record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	whole := Counters{Count: 1, Elapsed: r.elapsed}
@@ -143,7 +143,7 @@
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.Result == ResultOK && !r.attained() {
-			d.addLocked(r.key(a.Stage), Counters{Wasted: a.cost()})
+			d.addLocked(r.attemptKey(a.Stage), Counters{Wasted: a.chargedWork()})
 		}
 	}
 	k := Key{Pipeline: r.info.Pipeline, Tier: r.info.Tier, Account: r.info.Account}
@@ -151,63 +151,63 @@
 	d.addTier(r.info.Tier, whole)
 }
 
-func (d *digests) addTier(tier string, c Counters) {
-	own, ok := d.tiers[tier]
-	if !ok && len(d.tiers) >= maxTiers {
+func (d *aggregates) addTier(tier string, c Counters) {
+	own, ok := d.byTier[tier]
+	if !ok && len(d.byTier) >= maxTiers {
 		tier = OtherTier
-		own = d.tiers[tier]
+		own = d.byTier[tier]
 	}
 	own.Ended += c.Count
 	own.Attained += c.Attained
-	d.tiers[tier] = own
+	d.byTier[tier] = own
 }
 
-func (d *digests) addLocked(k Key, c Counters) {
+func (d *aggregates) addLocked(k Key, c Counters) {
 	if k.Account == "" {
-		d.addRest(k, c)
+		d.addOtherAccounts(k, c)
 		return
 	}
-	sum, ok := d.accounts[k]
+	sum, ok := d.byAccount[k]
 	if !ok {
-		if len(d.accounts) >= d.maxAccounts {
-			d.prune()
+		if len(d.byAccount) >= d.maxAccounts {
+			d.pruneAccounts()
 		}
 		sum = &Counters{}
-		d.accounts[k] = sum
+		d.byAccount[k] = sum
 	}
 	sum.Add(c)
 }
 
-func (d *digests) addRest(k Key, c Counters) {
+func (d *aggregates) addOtherAccounts(k Key, c Counters) {
 	k.Account = ""
-	sum, ok := d.rest[k]
+	sum, ok := d.otherAccounts[k]
 	if !ok {
-		if len(d.rest) >= maxGroups {
+		if len(d.otherAccounts) >= maxGroups {
 			k = Key{Pipeline: OtherPipeline}
 		}
-		sum = d.rest[k]
+		sum = d.otherAccounts[k]
 	}
 	if sum == nil {
 		sum = &Counters{}
-		d.rest[k] = sum
+		d.otherAccounts[k] = sum
 	}
 	sum.Add(c)
 }
 
 // prune moves the smaller half of the accounts' sums into the rest. It costs a
 // sort, once for half of maxAccounts new keys.
-func (d *digests) prune() {
-	keys := slices.SortedFunc(maps.Keys(d.accounts), func(a, b Key) int {
-		return byCount(a, b, d.accounts)
+func (d *aggregates) pruneAccounts() {
+	keys := slices.SortedFunc(maps.Keys(d.byAccount), func(a, b Key) int {
+		return compareByCount(a, b, d.byAccount)
 	})
 	for _, k := range keys[len(keys)/2:] {
-		d.addRest(k, *d.accounts[k])
-		delete(d.accounts, k)
+		d.addOtherAccounts(k, *d.byAccount[k])
+		delete(d.byAccount, k)
 	}
 }
 
 // byCount orders keys by falling count, and by name where counts are equal.
-func byCount(a, b Key, sums map[Key]*Counters) int {
+func compareByCount(a, b Key, sums map[Key]*Counters) int {
 	return cmp.Or(cmp.Compare(sums[b].Count, sums[a].Count), compareKeys(a, b))
 }
 
--- a/state/requests/list.go
+++ b/state/requests/list.go
@@ -2,13 +2,13 @@
 
 // list is a queue of a shard's slots, linked through the records, so that any
 // slot leaves it in constant time and without allocation.
-type list struct{ head, tail int32 }
+type slotList struct{ head, tail int32 }
 
-func newList() list { return list{head: none, tail: none} }
+func newSlotList() slotList { return slotList{head: noSlot, tail: noSlot} }
 
-func (l *list) push(slots []record, i int32) {
-	slots[i].prev, slots[i].next = l.tail, none
-	if l.tail == none {
+func (l *slotList) pushBack(slots []record, i int32) {
+	slots[i].prev, slots[i].next = l.tail, noSlot
+	if l.tail == noSlot {
 		l.head = i
 	} else {
 		slots[l.tail].next = i
@@ -16,17 +16,17 @@
 	l.tail = i
 }
 
-func (l *list) remove(slots []record, i int32) {
+func (l *slotList) remove(slots []record, i int32) {
 	prev, next := slots[i].prev, slots[i].next
-	if prev == none {
+	if prev == noSlot {
 		l.head = next
 	} else {
 		slots[prev].next = next
 	}
-	if next == none {
+	if next == noSlot {
 		l.tail = prev
 	} else {
 		slots[next].prev = prev
 	}
-	slots[i].prev, slots[i].next = none, none
+	slots[i].prev, slots[i].next = noSlot, noSlot
 }
--- a/state/requests/record.go
+++ b/state/requests/record.go
@@ -12,9 +12,9 @@
 	maxAttempts = 32
 	// keptAttempts is the room for attempts that a free slot keeps for its next
 	// request, so that a common request allocates none.
-	keptAttempts = 8
+	preallocatedAttempts = 8
 	// maxErrorText bounds the error text of an attempt, in bytes.
-	maxErrorText = 160
+	maxErrorBytes = 160
 	// indexBytes is the estimated cost of a request in the shard's index.
 	indexBytes = 48
 
@@ -23,7 +23,7 @@
 )
 
 // none is the end of a list of slots.
-const none = int32(-1)
+const noSlot = int32(-1)
 
 // record is one slot of a shard: a request, or free for one.
 type record struct {
@@ -32,7 +32,7 @@
 	state      State
 	outcome    Outcome
 	elapsed    time.Duration
-	ended      time.Time
+	endedAt    time.Time
 	attempts   []Attempt
 	unrecorded int
 	// bytes is the memory of the record's own strings and attempts.
@@ -52,14 +52,14 @@
 		Unrecorded: r.unrecorded,
 	}
 	copy(s.Attempts, r.attempts)
-	sinceBegin := now.Sub(r.info.Begun)
-	if r.state == Running {
+	sinceBegin := now.Sub(r.info.StartedAt)
+	if r.state == StateRunning {
 		s.Elapsed = sinceBegin
 	}
 	for i := range s.Attempts {
 		a := &s.Attempts[i]
 		if a.Result == ResultRunning {
-			a.Elapsed = sinceBegin - a.Started
+			a.Elapsed = sinceBegin - a.StartOffset
 		}
 	}
 	return s
@@ -69,17 +69,17 @@
 func (r *record) reset() {
 	kept := r.attempts[:0]
 	clear(r.attempts)
-	if cap(kept) > keptAttempts {
+	if cap(kept) > preallocatedAttempts {
 		kept = nil
 	}
-	*r = record{generation: r.generation, attempts: kept, prev: none, next: none}
+	*r = record{generation: r.generation, attempts: kept, prev: noSlot, next: noSlot}
 }
 
 // shortText cuts a text. A cut text is copied, or it would keep all of the
 // long one in memory.
-func shortText(text string) string {
-	if len(text) <= maxErrorText {
+func truncateError(text string) string {
+	if len(text) <= maxErrorBytes {
 		return text
 	}
-	return strings.Clone(text[:maxErrorText])
+	return strings.Clone(text[:maxErrorBytes])
 }
--- a/state/requests/requests_test.go
+++ b/state/requests/requests_test.go
@@ -21,16 +21,16 @@
 func info(id string, begun time.Duration) Info {
 	return Info{
 		ID: id, Pipeline: "permits", SchemaVersion: 2, Account: "wards", Tier: "gold",
-		Stages: stages, Deadline: time.Second, Begun: at(begun),
+		Stages: stages, Deadline: time.Second, StartedAt: at(begun),
 	}
 }
 
 // known lists the requests that are found, with a + after those that ended.
-func known(t *Table, now time.Duration, ids ...string) string {
+func knownIDs(t *Table, now time.Duration, ids ...string) string {
 	var found []string
 	for _, id := range ids {
 		s, ok := t.Get(id, at(now))
-		if ok && s.State != Running {
+		if ok && s.State != StateRunning {
 			id += "+"
 		}
 		if ok {
@@ -49,27 +49,27 @@
 
 	got, ok := tab.Get("r1", at(100))
 	require.True(t, ok)
-	want := Status{Info: info("r1", 0), State: Running, Elapsed: 100, Attempts: []Attempt{
-		{Stage: 3, ID: "a1", Target: "engine-1", Result: ResultRunning, Started: 10, Elapsed: 90},
-		{Stage: 3, ID: "a2", Target: "engine-2", Result: ResultOK, Started: 30, Elapsed: 50, Work: 40, Tokens: 5, PrefillTokens: 7},
+	want := Status{Info: info("r1", 0), State: StateRunning, Elapsed: 100, Attempts: []Attempt{
+		{Stage: 3, ID: "a1", Target: "engine-1", Result: ResultRunning, StartOffset: 10, Elapsed: 90},
+		{Stage: 3, ID: "a2", Target: "engine-2", Result: ResultOK, StartOffset: 30, Elapsed: 50, Work: 40, Tokens: 5, PrefillTokens: 7},
 	}}
 	require.Equal(t, want, got)
 
-	tab.Finish(ref, End{State: Answered, Outcome: OutcomeRan, At: at(120)})
-	tab.Finish(ref, End{State: Failed, Outcome: OutcomeUnknown, At: at(130)})
+	tab.Finish(ref, End{State: StateAnswered, Outcome: OutcomeRan, At: at(120)})
+	tab.Finish(ref, End{State: StateFailed, Outcome: OutcomeUnknown, At: at(130)})
 	tab.EndAttempt(ref, first, AttemptEnd{Result: ResultLate, Error: strings.Repeat("e", 500), At: at(200)})
 	tab.EndAttempt(ref, first, AttemptEnd{Result: ResultOK, At: at(300)})
 	got, _ = tab.Get("r1", at(400))
-	require.Equal(t, Answered, got.State)
+	require.Equal(t, StateAnswered, got.State)
 	require.Equal(t, OutcomeRan, got.Outcome)
 	require.Equal(t, time.Duration(120), got.Elapsed)
 	require.Equal(t, ResultLate, got.Attempts[0].Result)
 	require.Equal(t, time.Duration(190), got.Attempts[0].Elapsed)
-	require.Len(t, got.Attempts[0].Error, maxErrorText)
+	require.Len(t, got.Attempts[0].Error, maxErrorBytes)
 }
 
 func TestNames(t *testing.T) {
-	require.Equal(t, "running answered failed invalid", fmt.Sprint(Running, Answered, Failed, State(9)))
+	require.Equal(t, "running answered failed invalid", fmt.Sprint(StateRunning, StateAnswered, StateFailed, State(9)))
 	require.Equal(t, " not_run ran unknown", fmt.Sprintf("%v %v %v %v", OutcomeNone, OutcomeNotRun, OutcomeRan, OutcomeUnknown))
 	require.Equal(t, "running ok not_run failed late cancelled",
 		fmt.Sprint(ResultRunning, ResultOK, ResultNotRun, ResultFailed, ResultLate, ResultCancelled))
@@ -80,7 +80,7 @@
 // first; a running one never does, or an operator would look for it in vain.
 func TestBounds(t *testing.T) {
 	begin := func(tab *Table, id string, d time.Duration) Ref { return tab.Begin(info(id, d)) }
-	finish := func(tab *Table, ref Ref, d time.Duration) { tab.Finish(ref, End{State: Answered, At: at(d)}) }
+	finish := func(tab *Table, ref Ref, d time.Duration) { tab.Finish(ref, End{State: StateAnswered, At: at(d)}) }
 	cases := map[string]struct {
 		options Options
 		run     func(*Table)
@@ -111,7 +111,7 @@
 			begin(tab, "r1", 0)
 			begin(tab, "r2", time.Second+time.Minute)
 		}, time.Second + time.Minute, "r2"},
-		"bytes push out finished ones": {Options{MaxRequests: 8, MaxBytes: 2*(recordBytes+keptAttempts*attemptBytes) + 8}, func(tab *Table) {
+		"bytes push out finished ones": {Options{MaxRequests: 8, MaxBytes: 2*(recordBytes+preallocatedAttempts*attemptBytes) + 8}, func(tab *Table) {
 			for d, id := range []string{"r1", "r2"} {
 				ref := begin(tab, id, time.Duration(d))
 				tab.StartAttempt(ref, AttemptStart{At: at(2)})
@@ -119,13 +119,13 @@
 			}
 			begin(tab, "r3", 4)
 		}, 5, "r2+ r3"},
-		"a late answer does not push its own request out": {Options{MaxRequests: 8, MaxBytes: recordBytes + keptAttempts*attemptBytes + 8}, func(tab *Table) {
+		"a late answer does not push its own request out": {Options{MaxRequests: 8, MaxBytes: recordBytes + preallocatedAttempts*attemptBytes + 8}, func(tab *Table) {
 			ref := begin(tab, "r1", 0)
 			n := tab.StartAttempt(ref, AttemptStart{At: at(1)})
 			finish(tab, ref, 2)
 			tab.EndAttempt(ref, n, AttemptEnd{Result: ResultLate, Error: strings.Repeat("e", 100), At: at(3)})
 		}, 5, "r1+"},
-		"bytes of running ones refuse": {Options{MaxRequests: 8, MaxBytes: recordBytes + keptAttempts*attemptBytes + 8}, func(tab *Table) {
+		"bytes of running ones refuse": {Options{MaxRequests: 8, MaxBytes: recordBytes + preallocatedAttempts*attemptBytes + 8}, func(tab *Table) {
 			ref := begin(tab, "r1", 0)
 			tab.StartAttempt(ref, AttemptStart{ID: "a", At: at(1)})
 			begin(tab, "r2", 2)
@@ -136,7 +136,7 @@
 			c.options.Retention = time.Minute
 			tab := New(c.options)
 			c.run(tab)
-			require.Equal(t, c.want, known(tab, c.now, "r1", "r2", "r3"))
+			require.Equal(t, c.want, knownIDs(tab, c.now, "r1", "r2", "r3"))
 		})
 	}
 }
@@ -148,14 +148,14 @@
 	tab := New(Options{MaxRequests: 1, Retention: time.Minute})
 	old := tab.Begin(info("r1", 0))
 	tab.StartAttempt(old, AttemptStart{ID: "a1", At: at(1)})
-	tab.Finish(old, End{State: Answered, At: at(2)})
+	tab.Finish(old, End{State: StateAnswered, At: at(2)})
 	current := tab.Begin(info("r2", 3))
 	now := tab.StartAttempt(current, AttemptStart{ID: "b1", At: at(4)})
 	before, _ := tab.Get("r2", at(5))
 
 	require.Equal(t, NoAttempt, tab.StartAttempt(old, AttemptStart{ID: "a2", At: at(5)}))
 	tab.EndAttempt(old, now, AttemptEnd{Result: ResultFailed, At: at(5)})
-	tab.Finish(old, End{State: Failed, At: at(5)})
+	tab.Finish(old, End{State: StateFailed, At: at(5)})
 	after, _ := tab.Get("r2", at(5))
 	require.Equal(t, before, after)
 }
@@ -175,15 +175,15 @@
 }
 
 // finished runs one request of one stage with the given result.
-func finished(tab *Table, id, account string, result Result, took time.Duration) {
+func runOneAttempt(tab *Table, id, account string, result Result, took time.Duration) {
 	i := info(id, 0)
 	i.Account = account
 	ref := tab.Begin(i)
 	n := tab.StartAttempt(ref, AttemptStart{Stage: 3, ID: "a", At: at(0)})
 	tab.EndAttempt(ref, n, AttemptEnd{Result: result, Work: took / 2, Tokens: 1, PrefillTokens: 2, At: at(took)})
-	state := Answered
+	state := StateAnswered
 	if result != ResultOK {
-		state = Failed
+		state = StateFailed
 	}
 	tab.Finish(ref, End{State: state, At: at(took)})
 }
@@ -208,7 +208,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := New(Options{MaxRequests: 8, Retention: time.Minute})
-			finished(tab, "r1", "wards", c.result, c.took)
+			runOneAttempt(tab, "r1", "wards", c.result, c.took)
 			want := []Row{
 				{Key{"permits", "", "gold", "wards"}, c.whole},
 				{Key{"permits", "generate", "gold", "wards"}, c.stage},
@@ -238,7 +238,7 @@
 			tab := New(Options{MaxRequests: 8, Retention: time.Minute})
 			ref := tab.Begin(info("r1", 0))
 			n := tab.StartAttempt(ref, AttemptStart{Stage: 3, ID: "a", At: at(0)})
-			tab.Finish(ref, End{State: Answered, At: at(c.answered)})
+			tab.Finish(ref, End{State: StateAnswered, At: at(c.answered)})
 			tab.EndAttempt(ref, n, c.end)
 			rows := tab.Drain(SummaryLimits{Groups: 8, Accounts: 8}).Rows
 			require.Equal(t, "generate", rows[1].Stage)
@@ -253,7 +253,7 @@
 	tab := New(Options{MaxRequests: 1000, Retention: time.Minute})
 	for i := range 20 {
 		for n := range i + 1 {
-			finished(tab, fmt.Sprintf("r-%d-%d", i, n), fmt.Sprintf("account-%02d", i), ResultNotRun, 1)
+			runOneAttempt(tab, fmt.Sprintf("r-%d-%d", i, n), fmt.Sprintf("account-%02d", i), ResultNotRun, 1)
 		}
 	}
 	rows := tab.Drain(SummaryLimits{Groups: 1, Accounts: 2}).Rows
@@ -277,8 +277,8 @@
 	tab := New(Options{MaxRequests: 8, Retention: time.Minute, MaxAccounts: 16})
 	const rounds = 400
 	for i := range rounds {
-		finished(tab, "small", fmt.Sprint("small-", i), ResultOK, 1)
-		finished(tab, "big", "big", ResultOK, 1)
+		runOneAttempt(tab, "small", fmt.Sprint("small-", i), ResultOK, 1)
+		runOneAttempt(tab, "big", "big", ResultOK, 1)
 		tab.Expire(at(time.Hour))
 	}
 	rows := tab.Drain(SummaryLimits{Groups: 8, Accounts: 1}).Rows
@@ -297,13 +297,13 @@
 		i.Tier = tier
 		tab.Finish(tab.Begin(i), End{State: state, At: at(after)})
 	}
-	end("in time", "gold", Answered, time.Second)
-	end("late", "gold", Answered, time.Second+1)
-	end("failed", "gold", Failed, 0)
+	end("in time", "gold", StateAnswered, time.Second)
+	end("late", "gold", StateAnswered, time.Second+1)
+	end("failed", "gold", StateFailed, 0)
 	tab.Drain(SummaryLimits{Groups: 1})
 	require.Equal(t, map[string]Attainment{"gold": {Ended: 3, Attained: 1}}, tab.Attainment())
 	for i := range 2 * maxTiers {
-		end(fmt.Sprint(i), fmt.Sprintf("tier-%d", i), Answered, 0)
+		end(fmt.Sprint(i), fmt.Sprintf("tier-%d", i), StateAnswered, 0)
 	}
 	got := tab.Attainment()
 	require.Len(t, got, maxTiers+1)
@@ -315,9 +315,9 @@
 func TestRestoreAfterAFailedWrite(t *testing.T) {
 	tab := New(Options{MaxRequests: 8, Retention: time.Minute})
 	limits := SummaryLimits{Groups: 8, Accounts: 8}
-	finished(tab, "r1", "wards", ResultOK, 1)
+	runOneAttempt(tab, "r1", "wards", ResultOK, 1)
 	first := tab.Drain(limits)
-	finished(tab, "r2", "wards", ResultOK, 1)
+	runOneAttempt(tab, "r2", "wards", ResultOK, 1)
 	tab.Restore(first)
 	rows := tab.Drain(limits).Rows
 	require.Len(t, rows, 2)
@@ -356,14 +356,14 @@
 				r.attempts = append(r.attempts, n)
 			case 1:
 				if len(r.attempts) > 0 {
-					before := tab.live(r.ref, r.attempts[0])
+					before := tab.attemptRunning(r.ref, r.attempts[0])
 					tab.EndAttempt(r.ref, r.attempts[0], AttemptEnd{Result: ResultOK, Error: "error", At: at(now)})
 					if before {
 						ended++
 					}
 				}
 			case 2:
-				tab.Finish(r.ref, End{State: Answered, At: at(now)})
+				tab.Finish(r.ref, End{State: StateAnswered, At: at(now)})
 			case 3:
 				tab.Expire(at(now))
 			}
@@ -391,7 +391,7 @@
 }
 
 // live tells whether an attempt is recorded and runs.
-func (t *Table) live(ref Ref, attempt int) bool {
+func (t *Table) attemptRunning(ref Ref, attempt int) bool {
 	r := t.shards[ref.shard].find(ref)
 	return r != nil && attempt >= 0 && r.attempts[attempt].Result == ResultRunning
 }
@@ -406,7 +406,7 @@
 		wg.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("%d-%d", w, i)
-				finished(tab, id, id, ResultOK, 1)
+				runOneAttempt(tab, id, id, ResultOK, 1)
 				tab.Get(id, at(1))
 				tab.Stats()
 				if i%50 == 0 {
--- a/state/requests/summary.go
+++ b/state/requests/summary.go
@@ -30,13 +30,13 @@
 // Drain returns the sums since the drain before and starts new ones.
 func (t *Table) Drain(limits SummaryLimits) Summary {
 	groups := groups{}
-	for _, d := range t.digests {
+	for _, d := range t.stripes {
 		accounts, rest := d.swap()
-		groups.add(accounts, rest)
+		groups.addStripe(accounts, rest)
 	}
 	sums := groups.totals()
 	keys := slices.SortedFunc(maps.Keys(groups), func(a, b Key) int {
-		return byCount(a, b, sums)
+		return compareByCount(a, b, sums)
 	})
 	var rows []Row
 	var others Counters
@@ -59,31 +59,31 @@
 func (t *Table) Restore(s Summary) {
 	// One stripe takes them all: a drain adds the stripes up again.
 	for _, row := range s.Rows {
-		t.digests[0].add(row.Key, row.Counters)
+		t.stripes[0].add(row.Key, row.Counters)
 	}
 }
 
-func (d *digests) swap() (accounts, rest map[Key]*Counters) {
+func (d *aggregates) swap() (accounts, rest map[Key]*Counters) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	accounts, rest = d.accounts, d.rest
-	d.accounts = make(map[Key]*Counters, len(accounts))
-	d.rest = make(map[Key]*Counters, len(rest))
+	accounts, rest = d.byAccount, d.otherAccounts
+	d.byAccount = make(map[Key]*Counters, len(accounts))
+	d.otherAccounts = make(map[Key]*Counters, len(rest))
 	return accounts, rest
 }
 
 // group is one combination of pipeline, stage and tier.
 type group struct {
-	total    Counters
-	rest     Counters
-	accounts map[Key]*Counters
+	total         Counters
+	otherAccounts Counters
+	accounts      map[Key]*Counters
 }
 
 // groups holds the sums of all stripes by key without account.
 type groups map[Key]*group
 
 // of returns the group of a key, new if need be.
-func (gs groups) of(k Key) *group {
+func (gs groups) get(k Key) *group {
 	k.Account = ""
 	g, ok := gs[k]
 	if !ok {
@@ -94,9 +94,9 @@
 }
 
 // add takes the sums of one stripe over.
-func (gs groups) add(accounts, rest map[Key]*Counters) {
+func (gs groups) addStripe(accounts, rest map[Key]*Counters) {
 	for k, c := range accounts {
-		g := gs.of(k)
+		g := gs.get(k)
 		g.total.Add(*c)
 		if sum, ok := g.accounts[k]; ok {
 			sum.Add(*c)
@@ -105,9 +105,9 @@
 		g.accounts[k] = c
 	}
 	for k, c := range rest {
-		g := gs.of(k)
+		g := gs.get(k)
 		g.total.Add(*c)
-		g.rest.Add(*c)
+		g.otherAccounts.Add(*c)
 	}
 }
 
@@ -122,14 +122,14 @@
 // rows lists the busiest accounts of a group and sums up the others.
 func (g *group) rows(k Key, accounts int) []Row {
 	keys := slices.SortedFunc(maps.Keys(g.accounts), func(a, b Key) int {
-		return byCount(a, b, g.accounts)
+		return compareByCount(a, b, g.accounts)
 	})
 	listed := min(accounts, len(keys))
 	rows := make([]Row, 0, listed+1)
 	for _, key := range keys[:listed] {
 		rows = append(rows, Row{key, *g.accounts[key]})
 	}
-	rest := g.rest
+	rest := g.otherAccounts
 	for _, key := range keys[listed:] {
 		rest.Add(*g.accounts[key])
 	}
--- a/state/requests/table.go
+++ b/state/requests/table.go
@@ -38,7 +38,7 @@
 	seed   maphash.Seed
 	// digests are striped by the request's shard and not by account: one busy
 	// account would otherwise keep all cores at one lock.
-	digests []*digests
+	stripes []*aggregates
 }
 
 // defaultBytesPerRequest fits a request of four stages with their attempts.
@@ -57,15 +57,15 @@
 	t := &Table{
 		shards:  make([]shard, n),
 		seed:    maphash.MakeSeed(),
-		digests: make([]*digests, min(n, maxStripes)),
+		stripes: make([]*aggregates, min(n, maxStripes)),
 	}
-	for i := range t.digests {
-		t.digests[i] = newDigests(o.MaxAccounts / len(t.digests))
+	for i := range t.stripes {
+		t.stripes[i] = newAggregates(o.MaxAccounts / len(t.stripes))
 	}
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.index = map[string]int32{}
-		s.free, s.running, s.finished = newList(), newList(), newList()
+		s.free, s.running, s.finished = newSlotList(), newSlotList(), newSlotList()
 		s.maxRequests = (o.MaxRequests + n - 1) / n
 		s.maxBytes = o.MaxBytes / int64(n)
 		s.retention = o.Retention
@@ -84,8 +84,8 @@
 	return uint32(maphash.String(t.seed, id)) & uint32(len(t.shards)-1)
 }
 
-func (t *Table) stripe(ref Ref) *digests {
-	return t.digests[int(ref.shard)%len(t.digests)]
+func (t *Table) stripeOf(ref Ref) *aggregates {
+	return t.stripes[int(ref.shard)%len(t.stripes)]
 }
 
 // Begin records a request. The reference is the zero Ref when the id is in use
@@ -94,7 +94,7 @@
 func (t *Table) Begin(info Info) Ref {
 	i := t.shardOf(info.ID)
 	slot, generation := t.shards[i].begin(info)
-	if slot == none {
+	if slot == noSlot {
 		return Ref{}
 	}
 	return Ref{shard: i, slot: slot, generation: generation}
@@ -127,35 +127,35 @@
 		return
 	}
 	a.Result = e.Result
-	a.Elapsed = e.At.Sub(r.info.Begun) - a.Started
+	a.Elapsed = e.At.Sub(r.info.StartedAt) - a.StartOffset
 	a.Work = e.Work
 	a.Tokens = e.Tokens
 	a.PrefillTokens = e.PrefillTokens
-	text := shortText(e.Error)
-	if s.reserveFor(ref.slot, int64(len(text))) {
+	text := truncateError(e.Error)
+	if s.reserveBytesKeeping(ref.slot, int64(len(text))) {
 		a.Error = text
 		s.charge(r, int64(len(text)))
 	}
-	t.stripe(ref).add(r.key(a.Stage), attemptCounters(a, r))
+	t.stripeOf(ref).add(r.attemptKey(a.Stage), attemptCounters(a, r))
 }
 
 // Finish records the end of a request. The first end stands.
 func (t *Table) Finish(ref Ref, e End) {
-	if !ref.Recorded() || e.State == Running {
+	if !ref.Recorded() || e.State == StateRunning {
 		return
 	}
 	s := &t.shards[ref.shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.find(ref)
-	if r == nil || r.state != Running {
+	if r == nil || r.state != StateRunning {
 		return
 	}
-	r.state, r.outcome, r.ended = e.State, e.Outcome, e.At
-	r.elapsed = e.At.Sub(r.info.Begun)
+	r.state, r.outcome, r.endedAt = e.State, e.Outcome, e.At
+	r.elapsed = e.At.Sub(r.info.StartedAt)
 	s.running.remove(s.slots, ref.slot)
-	s.finished.push(s.slots, ref.slot)
-	t.stripe(ref).addRequest(r)
+	s.finished.pushBack(s.slots, ref.slot)
+	t.stripeOf(ref).addRequest(r)
 }
 
 // Get copies the status of a request. It is false when the request is not
@@ -186,9 +186,9 @@
 // many of them were answered within their deadline.
 func (t *Table) Attainment() map[string]Attainment {
 	sum := make(map[string]Attainment)
-	for _, d := range t.digests {
+	for _, d := range t.stripes {
 		d.mu.Lock()
-		for tier, own := range d.tiers {
+		for tier, own := range d.byTier {
 			total := sum[tier]
 			total.Ended += own.Ended
 			total.Attained += own.Attained
--- a/state/requests/types.go
+++ b/state/requests/types.go
@@ -11,9 +11,9 @@
 
 // The states of a request.
 const (
-	Running State = iota
-	Answered
-	Failed
+	StateRunning State = iota
+	StateAnswered
+	StateFailed
 )
 
 var stateNames = [...]string{"running", "answered", "failed"}
@@ -76,8 +76,8 @@
 	// Stages are the names of the pipeline's stages, by stage index.
 	Stages []string
 	// Deadline is end to end, from Begun.
-	Deadline time.Duration
-	Begun    time.Time
+	Deadline  time.Duration
+	StartedAt time.Time
 }
 
 // AttemptStart describes an attempt that is about to be sent.
@@ -127,7 +127,7 @@
 	Target string
 	Result Result
 	// Started is the time from the begin of the request.
-	Started time.Duration
+	StartOffset time.Duration
 	// Elapsed is the time to the end, or to now while the attempt runs.
 	Elapsed       time.Duration
 	Work          time.Duration
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -12,15 +12,15 @@
 )
 
 // Repeat says what may be repeated of a route's requests.
-type Repeat uint8
+type RouteKind uint8
 
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repeat = iota
+	KindIdempotent RouteKind = iota
 	// NonIdempotent requests run once at most.
-	NonIdempotent
+	KindNonIdempotent
 	// Streaming requests run once at most unless the route is resumable.
-	Streaming
+	KindStreaming
 )
 
 // Table is one version of the configuration.
@@ -34,17 +34,17 @@
 	Limits   Limits
 	// NeedsKeys tells that the version has client accounts: requests of routes
 	// that aren't anonymous carry the key of one.
-	NeedsKeys bool
+	RequiresKeys bool
 
-	byHost   map[string][]*Route
-	accounts map[[sha256.Size]byte]*Account
+	byHost            map[string][]*Route
+	accountsByKeyHash map[[sha256.Size]byte]*Account
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
 	// HeaderBytes and BodyBytes are sizes in bytes; 0 is no bound.
-	HeaderBytes int64
-	BodyBytes   int64
+	MaxHeaderBytes int64
+	MaxBodyBytes   int64
 }
 
 // Route maps requests of a host and a path prefix to a service.
@@ -52,19 +52,19 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Kind   RouteKind
 	// Timeout is the longest time that a caller may be kept waiting.
 	Timeout time.Duration
 	// Objective is the latency within which an answer is on time; for streams
 	// it holds for the first event.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// MaxPause is the longest pause between two events of a stream that is
 	// still on time.
-	MaxPause time.Duration
+	MaxEventGap time.Duration
 	// Priority is the rank; 0 is the most urgent.
 	Priority int
 	// Split lists the services that share the route's requests by weight.
-	Split []WeightedService
+	TrafficSplit []WeightedService
 	// MaxAttempts is the number of targets that one request may be sent to.
 	MaxAttempts int
 	// Stages are the work that precedes the request's own, in the order in
@@ -74,14 +74,14 @@
 	Anonymous bool
 	// PromptRoute tells that requests carry prompts whose prefixes targets
 	// cache.
-	PromptRoute bool
+	PrefixCaching bool
 	// Resumable streams may go on at another target after the last whole event.
 	Resumable bool
 }
 
 // MayRepeat tells whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.Repeat == Idempotent || (r.Repeat == Streaming && r.Resumable)
+func (r *Route) Repeatable() bool {
+	return r.Kind == KindIdempotent || (r.Kind == KindStreaming && r.Resumable)
 }
 
 // WeightedService is one service's share of a route.
@@ -125,12 +125,12 @@
 	// configuration doesn't say.
 	CacheTokens int
 	// Batch is set for services that take pieces of stages in batches.
-	Batch *Batch
+	Batch *BatchConfig
 }
 
 // Batch describes how one target of a stage service works. All values are for
 // one target.
-type Batch struct {
+type BatchConfig struct {
 	// Slots is the number of calls in progress, Queue of those that may wait.
 	Slots, Queue int
 	// MaxPieces bounds the pieces of one call.
@@ -138,9 +138,9 @@
 	// CallTime is what each call takes, PieceTime what each piece adds.
 	CallTime, PieceTime time.Duration
 	// ResultBytes is the room for results that are kept.
-	ResultBytes int64
+	ResultCapacity int64
 	// KeepFor is how long a result is kept that nobody frees.
-	KeepFor time.Duration
+	ResultTTL time.Duration
 }
 
 // Account is a client account.
@@ -160,9 +160,9 @@
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	t.accounts = make(map[[sha256.Size]byte]*Account, len(keys))
+	t.accountsByKeyHash = make(map[[sha256.Size]byte]*Account, len(keys))
 	for key, account := range keys {
-		t.accounts[sha256.Sum256([]byte(key))] = account
+		t.accountsByKeyHash[sha256.Sum256([]byte(key))] = account
 	}
 	return &t
 }
@@ -178,8 +178,8 @@
 }
 
 // Account returns the client account that holds a key.
-func (t *Table) Account(key string) (*Account, bool) {
-	a, ok := t.accounts[sha256.Sum256([]byte(key))]
+func (t *Table) AccountByKey(key string) (*Account, bool) {
+	a, ok := t.accountsByKeyHash[sha256.Sum256([]byte(key))]
 	return a, ok
 }
 
--- a/state/shard/map.go
+++ b/state/shard/map.go
@@ -9,7 +9,7 @@
 )
 
 // none marks the end of a shard's list of entries.
-const none = int32(-1)
+const noEntry = int32(-1)
 
 // Map is a bounded map. When a shard is full, the entry that was written
 // longest ago makes room for a new one.
@@ -43,7 +43,7 @@
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.index = make(map[K]int32)
-		s.newest, s.oldest = none, none
+		s.newest, s.oldest = noEntry, noEntry
 		s.capacity = perShard
 	}
 	return m
@@ -78,7 +78,7 @@
 	if ok {
 		s.unlink(i)
 	} else {
-		i = s.allocate(key)
+		i = s.allocateEntry(key)
 	}
 	s.linkNewest(i)
 	change(&s.entries[i].value, ok)
@@ -104,7 +104,7 @@
 	defer s.mu.Unlock()
 	i, ok := s.index[key]
 	if ok {
-		s.remove(i)
+		s.removeEntry(i)
 	}
 	return ok
 }
@@ -132,11 +132,11 @@
 func (s *mapShard[K, V]) deleteFunc(drop func(K, *V) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := s.oldest; i != none; {
+	for i := s.oldest; i != noEntry; {
 		e := &s.entries[i]
 		next := e.newer
 		if drop(e.key, &e.value) {
-			s.remove(i)
+			s.removeEntry(i)
 		}
 		i = next
 	}
@@ -144,9 +144,9 @@
 
 // allocate returns an unlinked entry for a new key, taking the oldest one when
 // the shard is full.
-func (s *mapShard[K, V]) allocate(key K) int32 {
+func (s *mapShard[K, V]) allocateEntry(key K) int32 {
 	if len(s.index) >= s.capacity {
-		s.remove(s.oldest)
+		s.removeEntry(s.oldest)
 	}
 	var i int32
 	if n := len(s.free); n > 0 {
@@ -161,7 +161,7 @@
 	return i
 }
 
-func (s *mapShard[K, V]) remove(i int32) {
+func (s *mapShard[K, V]) removeEntry(i int32) {
 	s.unlink(i)
 	delete(s.index, s.entries[i].key)
 	s.entries[i] = mapEntry[K, V]{}
@@ -170,12 +170,12 @@
 
 func (s *mapShard[K, V]) unlink(i int32) {
 	e := &s.entries[i]
-	if e.newer != none {
+	if e.newer != noEntry {
 		s.entries[e.newer].older = e.older
 	} else {
 		s.newest = e.older
 	}
-	if e.older != none {
+	if e.older != noEntry {
 		s.entries[e.older].newer = e.newer
 	} else {
 		s.oldest = e.newer
@@ -184,8 +184,8 @@
 
 func (s *mapShard[K, V]) linkNewest(i int32) {
 	e := &s.entries[i]
-	e.newer, e.older = none, s.newest
-	if s.newest != none {
+	e.newer, e.older = noEntry, s.newest
+	if s.newest != noEntry {
 		s.entries[s.newest].newer = i
 	} else {
 		s.oldest = i
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -46,7 +46,7 @@
 // gate is the queue before a pool.
 type gate struct {
 	*tiers.Gate
-	peers  *tiers.Peers
+	peers  *tiers.PeerDigests
 	queued map[uint64]*gateItem
 	// slots and inFlight are of all instances, as the digests told last.
 	slots    int
@@ -76,10 +76,10 @@
 	}
 	for _, stage := range s.Stages {
 		m.budgets[stage.Pool] = retry.NewBudget(retry.Config{})
-		config := tiers.Config{Ordered: stage.Kind == catalog.KindEngine}
+		config := tiers.Config{PriorityScheduling: stage.Kind == catalog.KindEngine}
 		m.gates[stage.Pool] = &gate{
 			Gate:   tiers.NewGate(config, m.capacity(&stage, stage.Targets*stage.Slots)),
-			peers:  tiers.NewPeers(gateTTL),
+			peers:  tiers.NewPeerDigests(gateTTL),
 			queued: map[uint64]*gateItem{},
 		}
 	}
@@ -112,7 +112,7 @@
 			rem.After = []int{list[len(list)-1].Stage}
 		}
 		if m.parts.Gate {
-			rem.Wait = m.gates[stage.Pool].Wait(now, r.Tier)
+			rem.Wait = m.gates[stage.Pool].EstimatedWait(now, r.Tier)
 		}
 		list = append(list, rem)
 	}
@@ -192,7 +192,7 @@
 	if s.Left < p50 {
 		return false
 	}
-	return !m.parts.Budget || m.budgets[s.Spec().Pool].TakeRetry(now)
+	return !m.parts.Budget || m.budgets[s.Spec().Pool].SpendRetry(now)
 }
 
 // HedgeAfter implements Control. The cost objective does not hedge.
@@ -210,7 +210,7 @@
 		return false
 	}
 	p50, _ := m.times.Estimate(m.key(s.Stage), s.Spec().mean())
-	return s.Left >= p50 && m.budgets[s.Spec().Pool].TakeHedge(now)
+	return s.Left >= p50 && m.budgets[s.Spec().Pool].SpendHedge(now)
 }
 
 // AttemptDone implements Control.
@@ -219,7 +219,7 @@
 		return
 	}
 	m.times.Observe(now, m.key(s.Stage), s.Spec().mean(), result.Latency)
-	m.budgets[s.Spec().Pool].Succeeded(now)
+	m.budgets[s.Spec().Pool].AddSuccess(now)
 }
 
 // RequestDone implements Control.
@@ -264,7 +264,7 @@
 func (m *managed) PeerDigest(now time.Time, origin string, digest any) {
 	m.heard[origin] = now
 	for pool, d := range digest.(map[string]tiers.Digest) {
-		m.gates[pool].peers.Heard(now, origin, d)
+		m.gates[pool].peers.Add(now, origin, d)
 	}
 }
 
