--- a/coordination/admission/overload_test.go
+++ b/coordination/admission/overload_test.go
@@ -15,7 +15,7 @@
 	return options{
 		instances: 8, slots: 48,
 		digestEvery: 200 * time.Millisecond, digestDelay: 50 * time.Millisecond,
-		gate:           tiers.Config{Ordered: ordered},
+		gate:           tiers.Config{PriorityScheduling: ordered},
 		ignorePriority: !ordered,
 	}
 }
--- a/coordination/admission/simulation_test.go
+++ b/coordination/admission/simulation_test.go
@@ -60,7 +60,7 @@
 
 type instance struct {
 	gate       *tiers.Gate
-	peers      *tiers.Peers
+	peers      *tiers.PeerDigests
 	admission  map[int]*admission.Controller
 	times      *deadline.Times
 	dispatched map[uint64]*work
@@ -89,7 +89,7 @@
 	for range o.instances {
 		i := &instance{
 			gate:       tiers.NewGate(o.gate, o.slots),
-			peers:      tiers.NewPeers(time.Minute),
+			peers:      tiers.NewPeerDigests(time.Minute),
 			admission:  map[int]*admission.Controller{},
 			times:      deadline.NewTimes(deadline.Config{}),
 			dispatched: map[uint64]*work{},
@@ -126,7 +126,7 @@
 		for _, to := range s.instances {
 			if to != from && !s.deaf {
 				s.at(s.now.Add(s.digestDelay), func() {
-					to.peers.Heard(s.now, name, d)
+					to.peers.Add(s.now, name, d)
 				})
 			}
 		}
@@ -188,7 +188,7 @@
 		w.at.admission[c.rank] = control
 	}
 	p50, p95 := w.at.times.Estimate(s.key(c), c.service)
-	stage := deadline.Remaining{P50: p50, P95: p95, Wait: w.at.gate.Wait(s.now, c.rank)}
+	stage := deadline.Remaining{P50: p50, P95: p95, Wait: w.at.gate.EstimatedWait(s.now, c.rank)}
 	return control.Decide(s.now, w.due, []deadline.Remaining{stage}, s.rng)
 }
 
--- a/coordination/tiers/demand.go
+++ b/coordination/tiers/demand.go
@@ -5,114 +5,116 @@
 	"time"
 )
 
-// meter follows the number of requests of one rank, dispatched and queued, by
-// an exponential mean.
-type meter struct {
-	mean    float64
-	current int
-	last    time.Time
+// demandAverage is the exponential moving average of the number of requests of
+// one rank, dispatched and queued.
+type demandAverage struct {
+	mean      float64
+	current   int
+	updatedAt time.Time
 }
 
-func (m *meter) advance(now time.Time, window time.Duration) {
-	if m.last.IsZero() {
-		m.last = now
+func (m *demandAverage) advance(now time.Time, window time.Duration) {
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 		m.mean = float64(m.current)
 		return
 	}
-	elapsed := now.Sub(m.last)
+	elapsed := now.Sub(m.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
 	keep := math.Exp(-float64(elapsed) / float64(window))
 	m.mean = m.mean*keep + float64(m.current)*(1-keep)
-	m.last = now
+	m.updatedAt = now
 }
 
-func (m *meter) add(now time.Time, window time.Duration, n int) {
+func (m *demandAverage) add(now time.Time, window time.Duration, n int) {
 	m.advance(now, window)
 	m.current += n
 }
 
-// holding follows the mean time, in seconds, that a request holds a slot.
-type holding struct {
+// slotHoldTime is the exponential moving average of the time, in seconds, that
+// a request holds a slot.
+type slotHoldTime struct {
 	mean float64
 }
 
-// holdingWeight is the weight of one request in the mean.
-const holdingWeight = 0.05
+// holdTimeWeight is the weight of one request in the average.
+const holdTimeWeight = 0.05
 
-func (h *holding) add(d time.Duration) {
+func (h *slotHoldTime) add(d time.Duration) {
 	if h.mean == 0 {
 		h.mean = d.Seconds()
 		return
 	}
-	h.mean += holdingWeight * (d.Seconds() - h.mean)
+	h.mean += holdTimeWeight * (d.Seconds() - h.mean)
 }
 
-// drainRate is how many of the given requests finish a second, by Little's law.
-// Counting them as they finish would need a window longer than the requests
-// run, and would take an idle gate for one at a standstill.
-func (h *holding) drainRate(inFlight float64) float64 {
+// completionRate returns how many of the given requests finish per second, by
+// Little's law. Counting completions instead would need a window longer than
+// the requests run, and could not tell an idle gate from a stalled one.
+func (h *slotHoldTime) completionRate(inFlight float64) float64 {
 	if h.mean == 0 {
 		return math.Inf(1)
 	}
 	return inFlight / h.mean
 }
 
-// limits are how many requests of the ranks up to and including r this
-// instance may have in flight, for each r.
-type limits [MaxRanks]float64
+// rankLimits holds, for each rank r, how many requests of the ranks up to and
+// including r this instance may have in flight.
+type rankLimits [MaxRanks]float64
 
-// demand is what the instances want, by rank.
+// demand is the number of requests of the instances, dispatched and queued, by
+// rank.
 type demand struct {
 	instances  float64
 	own, total [MaxRanks]float64
 }
 
-// divide splits a capacity among the ranks, the highest first, and within a
-// rank among the instances in proportion to what they want. Every instance does
-// the same sum on nearly the same figures, so that the parts add up to the
-// capacity without a word between them, however late the digests are.
+// divideCapacity divides a capacity among the ranks, the highest first, and
+// within a rank among the instances in proportion to their demand. Every
+// instance computes this from nearly the same figures, so the shares add up to
+// the capacity without coordination, however late the digests are.
 //
-// ordered tells that the targets run the most urgent first. Then every rank may
-// exceed its part by a burst, which keeps the slots busy and delays nobody
-// above. Otherwise only the highest rank that is wanted may. An instance that is
-// alone knows all there is to know and has no need to exceed anything.
-func divide(capacity float64, d demand, ordered bool) limits {
-	var out limits
-	left := capacity
-	mine, above := 0.0, 0.0
+// ordered means that the targets run the most urgent requests first. Then every
+// rank may exceed its share by a burst, which keeps the slots busy and does not
+// delay higher ranks. Otherwise only the highest rank with demand may. A single
+// instance has exact figures and does not exceed its share.
+func divideCapacity(capacity float64, d demand, ordered bool) rankLimits {
+	var out rankLimits
+	remaining := capacity
+	ownAbove, totalAbove := 0.0, 0.0
 	for r := range out {
-		own, want := d.own[r], d.total[r]
-		if want > left {
-			own = left * own / want
-			out[r] = mine + own
-			if d.instances > 1 && (ordered || above == 0) {
-				out[r] += min(burst(own), left)
+		own, total := d.own[r], d.total[r]
+		if total > remaining {
+			own = remaining * own / total
+			out[r] = ownAbove + own
+			if d.instances > 1 && (ordered || totalAbove == 0) {
+				out[r] += min(burst(own), remaining)
 			}
-			left = 0
+			remaining = 0
 		} else {
-			out[r] = mine + own + headroom(left-want, own, d.instances)
-			left -= want
+			out[r] = ownAbove + own + headroom(remaining-total, own, d.instances)
+			remaining -= total
 		}
-		above += want
-		mine += own
+		totalAbove += total
+		ownAbove += own
 	}
 	return out
 }
 
-// headroom is what an instance may dispatch beyond what its peers know it to
-// want, out of the spare capacity: its even part, or one burst. More would let
-// all instances fill the same spare slots at the start of a flood, before they
-// hear of one another.
+// headroom returns how much of the spare capacity an instance may use beyond
+// the demand that its peers know of: an equal share or one burst, whichever is
+// greater. With more, all instances would fill the same spare slots at the
+// start of a load spike, before their digests reach one another.
 func headroom(spare, own, instances float64) float64 {
 	return max(spare/instances, min(spare, burst(own)))
 }
 
-// burst is how far arrivals exceed their mean by chance, after Poisson.
+// burst returns how far Poisson arrivals exceed their mean by chance.
 func burst(mean float64) float64 {
 	return 1 + burstDeviations*math.Sqrt(mean)
 }
 
-// burstDeviations is how many standard deviations a burst is taken to be.
+// burstDeviations is the size of a burst in standard deviations.
 const burstDeviations = 2
--- a/coordination/tiers/dispatch.go
+++ b/coordination/tiers/dispatch.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// dispatch appends the actions that are due to out: refusals of what waited
-// past the point of use, then dispatches in order of rank.
+// dispatch appends the actions that are due to out: refusals of items past
+// their LatestStart, then dispatches in order of rank.
 func (g *Gate) dispatch(now time.Time, out []Action) []Action {
-	out = g.expire(now, out)
+	out = g.refuseExpired(now, out)
 	if len(g.waiting) == 0 {
 		return out
 	}
-	limit := g.limits()
+	limit := g.inFlightLimits()
 	upTo := 0
 	for r := range g.queues {
 		upTo += g.inFlight[r]
-		for len(g.queues[r]) > 0 && float64(upTo)+1 <= limit[r]+slack {
-			out = append(out, g.place(now, r)...)
+		for len(g.queues[r]) > 0 && float64(upTo)+1 <= limit[r]+roundingSlack {
+			out = append(out, g.dispatchFirst(now, r)...)
 			upTo++
 		}
 	}
 	return out
 }
 
-// slack keeps rounding from withholding the last slot.
-const slack = 1e-6
+// roundingSlack prevents rounding errors from withholding the last slot.
+const roundingSlack = 1e-6
 
-// place starts the first item of a rank, cancelling lower work for it where
-// that is called for. Where lower ranks hold all slots the item starts even so:
-// the lower ranks start nothing until the surplus is gone, and until then the
-// targets' own queues hold it, in order of the priority passed to them. Holding
-// it back here by the peers' reported work in flight was tried and stalls short
-// stages: the reports are older than the work, so all instances wait on one
-// another while the targets idle.
-func (g *Gate) place(now time.Time, rank int) []Action {
+// dispatchFirst dispatches the first item of a rank and preempts an item of a
+// lower rank if one has to make way. The item is dispatched even if lower ranks
+// hold all slots: they dispatch nothing until the excess has drained, and until
+// then the targets queue the item by the priority passed to them. Delaying it
+// here by the in-flight figures of the peers stalls short stages: those figures
+// are older than the work, so all instances wait for one another while the
+// targets idle.
+func (g *Gate) dispatchFirst(now time.Time, rank int) []Action {
 	var out []Action
-	if victim := g.victim(now, rank); victim != nil {
+	if victim := g.preemptionVictim(now, rank); victim != nil {
 		victim.preempting = true
 		out = append(out, Action{Kind: Preempt, ID: victim.ID})
 	}
 	it := g.queues[rank].first()
 	g.dequeue(now, it)
-	g.running[it.ID] = &running{Item: it.Item, since: now}
+	g.running[it.ID] = &running{Item: it.Item, startedAt: now}
 	g.inFlight[rank]++
-	g.meters[rank].add(now, g.config.Window, 1)
+	g.demandAverages[rank].add(now, g.config.DemandWindow, 1)
 	return append(out, Action{Kind: Dispatch, ID: it.ID})
 }
 
-func (g *Gate) expire(now time.Time, out []Action) []Action {
+func (g *Gate) refuseExpired(now time.Time, out []Action) []Action {
 	for r := range g.queues {
 		for {
 			it := g.queues[r].first()
@@ -62,29 +62,31 @@
 	return out
 }
 
-// limits computes what this instance may have in flight. It goes by what this
-// instance told its peers, not by what it wants now, and by the lesser of the
-// last two words: the peers' words are a period old as well, and an instance
-// that counts its own part of a flood before the peers' parts takes all slots.
-// A peer whose digest is missing is taken to want what we want:
-// it shares the targets whether we hear it or not, and taking it for idle would
-// let each side of a parted network fill the targets alone.
-func (g *Gate) limits() limits {
+// inFlightLimits computes how many requests this instance may have in flight.
+// It uses the demand that this instance last reported to its peers, not its
+// current one, and the lesser of the last two reports: the peers' digests are an
+// interval old too, and an instance that counted its own share of a load spike
+// before the shares of its peers would take all slots. A peer without a digest is
+// assumed to have the same demand as this instance: it uses the targets even if
+// it is unreachable, and assuming it idle would let each side of a network
+// partition fill the targets alone.
+func (g *Gate) inFlightLimits() rankLimits {
 	d := demand{instances: float64(g.peers.Instances)}
-	unheard := float64(max(g.peers.Instances-1-g.peers.Heard, 0))
+	notReporting := float64(max(g.peers.Instances-1-g.peers.Reporting, 0))
 	for r := range d.own {
-		d.own[r] = float64(min(g.told.Ranks[r].Demand, g.toldBefore.Ranks[r].Demand))
+		d.own[r] = float64(min(g.lastDigest.Ranks[r].Demand, g.previousDigest.Ranks[r].Demand))
 		if g.peers.Instances == 1 {
-			d.own[r] = float64(g.meters[r].current)
+			d.own[r] = float64(g.demandAverages[r].current)
 		}
-		d.total[r] = d.own[r]*(1+unheard) + float64(g.peers.Ranks[r].Demand)
+		d.total[r] = d.own[r]*(1+notReporting) + float64(g.peers.Ranks[r].Demand)
 	}
-	return g.atLeastOne(divide(float64(g.capacity), d, g.config.Ordered))
+	return g.atLeastOne(divideCapacity(float64(g.capacity), d, g.config.PriorityScheduling))
 }
 
-// atLeastOne lets every instance have one request of the highest queued rank in
-// flight: with fewer slots than instances, every part would round to none.
-func (g *Gate) atLeastOne(l limits) limits {
+// atLeastOne raises the limits so that this instance may dispatch one request of
+// its highest queued rank if nothing of that rank or above is in flight: with
+// fewer slots than instances, every share would round down to zero.
+func (g *Gate) atLeastOne(l rankLimits) rankLimits {
 	if g.capacity == 0 {
 		return l
 	}
@@ -100,7 +102,8 @@
 	return l
 }
 
-// totalInFlight is what all instances are thought to have in flight.
+// totalInFlight estimates the number of requests that all instances have in
+// flight.
 func (g *Gate) totalInFlight() float64 {
 	total := float64(len(g.running))
 	for r := range g.peers.Ranks {
@@ -109,30 +112,31 @@
 	return total
 }
 
-// victim picks the running work that is cancelled so that the first item of
-// rank can start, or nil when the targets have room or will have it soon
-// enough: a cancelled generation pays for its prompt twice. It takes the lowest
-// rank and, within it, what began last and so loses least.
-func (g *Gate) victim(now time.Time, rank int) *running {
+// preemptionVictim returns the running item to cancel so that the first item of
+// rank can start. It returns nil if the targets have a free slot or will have
+// one soon enough, since a cancelled generation processes its prompt twice. The
+// victim is of the lowest rank and, within it, the one that started last and so
+// loses the least work.
+func (g *Gate) preemptionVictim(now time.Time, rank int) *running {
 	over := g.totalInFlight() + 1 - float64(g.capacity)
-	if !g.config.Preempt || over <= 0 || g.freesInTime(now, rank, over) {
+	if !g.config.Preempt || over <= 0 || g.slotFreesInTime(now, rank, over) {
 		return nil
 	}
 	var out *running
 	for _, r := range g.running {
-		if r.Rank > rank && g.preemptible(now, r) && (out == nil || costsLess(r, out)) {
+		if r.Rank > rank && g.preemptible(now, r) && (out == nil || cheaperToPreempt(r, out)) {
 			out = r
 		}
 	}
 	return out
 }
 
-func costsLess(a, b *running) bool {
+func cheaperToPreempt(a, b *running) bool {
 	if a.Rank != b.Rank {
 		return a.Rank > b.Rank
 	}
-	if !a.since.Equal(b.since) {
-		return a.since.After(b.since)
+	if !a.startedAt.Equal(b.startedAt) {
+		return a.startedAt.After(b.startedAt)
 	}
 	return a.ID < b.ID
 }
@@ -141,15 +145,15 @@
 	return r.Resumable &&
 		!r.preempting &&
 		r.Preemptions < g.config.MaxPreemptions &&
-		now.Sub(r.since) >= g.config.MinRun
+		now.Sub(r.startedAt) >= g.config.MinRunTime
 }
 
-// safety is how many times over a slot must come free within an item's slack
-// before nothing is cancelled for it.
-const safety = 4
+// slotFreeSafetyFactor is how many times the expected wait for a free slot must
+// fit into the time to an item's LatestStart for preemption to be unnecessary.
+const slotFreeSafetyFactor = 4
 
-func (g *Gate) freesInTime(now time.Time, rank int, over float64) bool {
-	wait := over / g.held.drainRate(g.totalInFlight())
-	left := g.queues[rank].first().LatestStart.Sub(now)
-	return wait*safety <= left.Seconds()
+func (g *Gate) slotFreesInTime(now time.Time, rank int, over float64) bool {
+	wait := over / g.holdTime.completionRate(g.totalInFlight())
+	timeToStart := g.queues[rank].first().LatestStart.Sub(now)
+	return wait*slotFreeSafetyFactor <= timeToStart.Seconds()
 }
--- a/coordination/tiers/example_test.go
+++ b/coordination/tiers/example_test.go
@@ -7,9 +7,9 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// A pool of one slot: the second request waits. A later one of a higher tier
-// starts at once, and the targets' own queue holds it for the moment; the lower
-// tier starts nothing until there is room again.
+// In a pool of one slot the second request waits. A later request of a higher
+// tier is dispatched at once and waits in the target's own queue; the lower tier
+// dispatches nothing until a slot is free again.
 func ExampleGate() {
 	now := time.Unix(0, 0)
 	due := now.Add(time.Minute)
--- a/coordination/tiers/gate.go
+++ b/coordination/tiers/gate.go
@@ -7,41 +7,41 @@
 
 // Defaults of Config.
 const (
-	DefaultQueue         = 256
-	DefaultWindow        = 300 * time.Millisecond
-	DefaultMinRun        = 500 * time.Millisecond
-	DefaultMaxPreemption = 2
+	DefaultMaxQueued      = 256
+	DefaultDemandWindow   = 300 * time.Millisecond
+	DefaultMinRunTime     = 500 * time.Millisecond
+	DefaultMaxPreemptions = 2
 )
 
-// Config sets a pool's gate. Zero values take the defaults.
+// Config configures the gate of a pool. Zero values select the defaults.
 type Config struct {
-	// Queue bounds the number of queued items over all ranks.
-	Queue int
-	// Window is the time over which demand is averaged.
-	Window time.Duration
-	// Ordered tells that the targets run the most urgent first, by the
-	// priority that is passed to them, as model engines do.
-	Ordered bool
+	// MaxQueued bounds the number of queued items over all ranks.
+	MaxQueued int
+	// DemandWindow is the time constant of the moving average of demand.
+	DemandWindow time.Duration
+	// PriorityScheduling means that the targets run the most urgent requests
+	// first, by the priority that is passed to them, as model engines do.
+	PriorityScheduling bool
 	// Preempt allows resumable work to be cancelled for a higher rank.
 	Preempt bool
-	// MinRun is the least time that work runs before it may be cancelled.
-	MinRun time.Duration
-	// MaxPreemptions bounds how often one work is cancelled.
+	// MinRunTime is the least time that an item runs before it may be preempted.
+	MinRunTime time.Duration
+	// MaxPreemptions bounds how often one item is preempted.
 	MaxPreemptions int
 }
 
 func (c Config) withDefaults() Config {
-	if c.Queue <= 0 {
-		c.Queue = DefaultQueue
+	if c.MaxQueued <= 0 {
+		c.MaxQueued = DefaultMaxQueued
 	}
-	if c.Window <= 0 {
-		c.Window = DefaultWindow
+	if c.DemandWindow <= 0 {
+		c.DemandWindow = DefaultDemandWindow
 	}
-	if c.MinRun <= 0 {
-		c.MinRun = DefaultMinRun
+	if c.MinRunTime <= 0 {
+		c.MinRunTime = DefaultMinRunTime
 	}
 	if c.MaxPreemptions <= 0 {
-		c.MaxPreemptions = DefaultMaxPreemption
+		c.MaxPreemptions = DefaultMaxPreemptions
 	}
 	return c
 }
@@ -49,27 +49,28 @@
 // running is an item that was dispatched and has not finished.
 type running struct {
 	Item
-	since      time.Time
+	startedAt  time.Time
 	preempting bool
 }
 
-// Gate is one instance's queue and admission to the targets of one pool.
+// Gate queues the items of one instance for the targets of one pool and decides
+// when they are dispatched.
 type Gate struct {
 	config   Config
 	capacity int
 	peers    PeerLoad
-	// told and toldBefore are the digests that the peers got last.
-	told, toldBefore Digest
-	queues           [MaxRanks]rankQueue
-	waiting          map[uint64]*queued
-	running          map[uint64]*running
-	inFlight         [MaxRanks]int
-	meters           [MaxRanks]meter
-	held             holding
-	seq              uint64
-}
-
-// NewGate makes a gate for a pool whose targets have capacity slots in all.
+	// lastDigest and previousDigest are the last two digests returned by Digest.
+	lastDigest, previousDigest Digest
+	queues                     [MaxRanks]rankQueue
+	waiting                    map[uint64]*queued
+	running                    map[uint64]*running
+	inFlight                   [MaxRanks]int
+	demandAverages             [MaxRanks]demandAverage
+	holdTime                   slotHoldTime
+	seq                        uint64
+}
+
+// NewGate returns a gate for a pool whose targets have capacity slots in total.
 func NewGate(c Config, capacity int) *Gate {
 	return &Gate{
 		config:   c.withDefaults(),
@@ -80,13 +81,13 @@
 	}
 }
 
-// Enqueue takes an item in, or refuses it when the queue is full of work that
-// is as urgent.
+// Enqueue queues an item. If the queue is full, it refuses the newest item of the
+// lowest queued rank that is below the item's, or else the item itself.
 func (g *Gate) Enqueue(now time.Time, item Item) []Action {
 	item.Rank = clampRank(item.Rank)
 	var out []Action
-	if len(g.waiting) >= g.config.Queue {
-		victim := g.displaceable(item.Rank)
+	if len(g.waiting) >= g.config.MaxQueued {
+		victim := g.displacementVictim(item.Rank)
 		if victim == nil {
 			return []Action{g.refusal(now, item, ReasonQueueFull)}
 		}
@@ -94,15 +95,15 @@
 		out = append(out, g.refusal(now, victim.Item, ReasonDisplaced))
 	}
 	g.seq++
-	it := &queued{Item: item, seq: g.seq, since: now}
+	it := &queued{Item: item, seq: g.seq, enqueuedAt: now}
 	heap.Push(&g.queues[item.Rank], it)
 	g.waiting[item.ID] = it
-	g.meters[item.Rank].add(now, g.config.Window, 1)
+	g.demandAverages[item.Rank].add(now, g.config.DemandWindow, 1)
 	return g.dispatch(now, out)
 }
 
-// Finished tells that an item that was dispatched no longer holds its slot:
-// answered, failed, cancelled or preempted.
+// Finished frees the slot of a dispatched item that completed, failed, was
+// cancelled or was preempted.
 func (g *Gate) Finished(now time.Time, id uint64) []Action {
 	r, ok := g.running[id]
 	if !ok {
@@ -110,13 +111,13 @@
 	}
 	delete(g.running, id)
 	g.inFlight[r.Rank]--
-	g.meters[r.Rank].add(now, g.config.Window, -1)
-	g.held.add(now.Sub(r.since))
+	g.demandAverages[r.Rank].add(now, g.config.DemandWindow, -1)
+	g.holdTime.add(now.Sub(r.startedAt))
 	return g.dispatch(now, nil)
 }
 
-// Abandon takes an item whose caller gave up out of the queue. An item that was
-// dispatched is left alone: it ends by Finished.
+// Abandon removes a queued item whose caller gave up. It ignores an item that
+// was dispatched, which ends by Finished.
 func (g *Gate) Abandon(now time.Time, id uint64) []Action {
 	it, ok := g.waiting[id]
 	if !ok {
@@ -126,43 +127,44 @@
 	return g.dispatch(now, nil)
 }
 
-// Tick refuses what waited past the point of use and dispatches what may start
-// since the peers' load or the time changed. Call it some ten times a second.
+// Tick refuses the items past their LatestStart and dispatches those that may
+// start because the peers' load or the time changed. Call it about ten times a
+// second.
 func (g *Gate) Tick(now time.Time) []Action {
 	return g.dispatch(now, nil)
 }
 
-// SetCapacity tells how many slots the pool's routable targets have in all.
+// SetCapacity sets the total number of slots of the pool's routable targets.
 func (g *Gate) SetCapacity(now time.Time, slots int) []Action {
 	g.capacity = max(slots, 0)
 	return g.dispatch(now, nil)
 }
 
-// SetPeers tells what the peers' newest digests add up to.
+// SetPeers sets the sum of the peers' latest digests.
 func (g *Gate) SetPeers(now time.Time, load PeerLoad) []Action {
 	load.Instances = max(load.Instances, 1)
 	g.peers = load
 	return g.dispatch(now, nil)
 }
 
-// Digest returns what the peers have to know of this instance. It is to be sent
-// to them, since the gate keeps to what it says.
+// Digest returns the load of this instance for its peers. The caller must send
+// it to them, since the gate computes its limits from the digests it returned.
 func (g *Gate) Digest(now time.Time) Digest {
 	var d Digest
 	for r := range d.Ranks {
-		g.meters[r].advance(now, g.config.Window)
+		g.demandAverages[r].advance(now, g.config.DemandWindow)
 		d.Ranks[r].InFlight = float32(g.inFlight[r])
-		d.Ranks[r].Demand = float32(g.meters[r].mean)
+		d.Ranks[r].Demand = float32(g.demandAverages[r].mean)
 	}
-	g.toldBefore, g.told = g.told, d
+	g.previousDigest, g.lastDigest = g.lastDigest, d
 	return d
 }
 
-// Stats returns a reading for metrics.
+// Stats returns the figures that are exported as metrics.
 func (g *Gate) Stats() Stats {
-	s := Stats{Capacity: g.capacity, InFlight: g.inFlight, Total: g.totalInFlight()}
+	s := Stats{Capacity: g.capacity, InFlight: g.inFlight, TotalInFlight: g.totalInFlight()}
 	if len(g.running) > 0 {
-		s.Rate = g.held.drainRate(float64(len(g.running)))
+		s.CompletionRate = g.holdTime.completionRate(float64(len(g.running)))
 	}
 	for r := range s.Queued {
 		s.Queued[r] = len(g.queues[r])
@@ -170,10 +172,10 @@
 	return s
 }
 
-// Wait is how long an item of the rank that came now would queue: the work of
-// the same and higher ranks that is queued, over the rate at which the work of
-// these ranks that holds slots finishes.
-func (g *Gate) Wait(_ time.Time, rank int) time.Duration {
+// EstimatedWait returns how long an item of the rank would be queued if it
+// arrived now: the number of queued items of the same and higher ranks, divided
+// by the completion rate of the dispatched items of these ranks.
+func (g *Gate) EstimatedWait(_ time.Time, rank int) time.Duration {
 	queued, inFlight := 0, 0
 	for r := 0; r <= clampRank(rank); r++ {
 		queued += len(g.queues[r])
@@ -182,18 +184,18 @@
 	if queued == 0 {
 		return 0
 	}
-	rate := g.held.drainRate(float64(max(inFlight, 1)))
+	rate := g.holdTime.completionRate(float64(max(inFlight, 1)))
 	return time.Duration(float64(queued) / rate * float64(time.Second))
 }
 
-// Bounds of a time to come back.
+// Bounds of Action.RetryAfter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
 func (g *Gate) refusal(now time.Time, item Item, reason Reason) Action {
-	wait := g.Wait(now, item.Rank)
+	wait := g.EstimatedWait(now, item.Rank)
 	return Action{
 		Kind:       Refuse,
 		ID:         item.ID,
@@ -202,11 +204,11 @@
 	}
 }
 
-// displaceable returns the newest item of the lowest queued rank, if that is
-// below rank.
-func (g *Gate) displaceable(rank int) *queued {
+// displacementVictim returns the newest item of the lowest queued rank if that
+// rank is below the given one, or nil.
+func (g *Gate) displacementVictim(rank int) *queued {
 	for r := MaxRanks - 1; r > rank; r-- {
-		if it := g.queues[r].newest(); it != nil {
+		if it := g.queues[r].latestArrival(); it != nil {
 			return it
 		}
 	}
@@ -216,5 +218,5 @@
 func (g *Gate) dequeue(now time.Time, it *queued) {
 	g.queues[it.Rank].remove(it)
 	delete(g.waiting, it.ID)
-	g.meters[it.Rank].add(now, g.config.Window, -1)
+	g.demandAverages[it.Rank].add(now, g.config.DemandWindow, -1)
 }
--- a/coordination/tiers/peers.go
+++ b/coordination/tiers/peers.go
@@ -6,44 +6,47 @@
 	"time"
 )
 
-// maxPeers bounds the digests that are kept; an instance hears of few peers.
+// maxPeers bounds the digests that are kept; an instance receives the digests
+// of few peers.
 const maxPeers = 64
 
-// Peers keeps the newest digests of the peers for one pool.
-type Peers struct {
-	ttl  time.Duration
-	seen map[string]heard
+// PeerDigests holds the latest digest of each peer for one pool.
+type PeerDigests struct {
+	ttl      time.Duration
+	received map[string]receivedDigest
 }
 
-type heard struct {
-	digest Digest
-	at     time.Time
+type receivedDigest struct {
+	digest     Digest
+	receivedAt time.Time
 }
 
-// NewPeers makes an empty table whose digests count for ttl.
-func NewPeers(ttl time.Duration) *Peers {
-	return &Peers{ttl: ttl, seen: make(map[string]heard)}
+// NewPeerDigests returns an empty table whose digests expire after ttl.
+func NewPeerDigests(ttl time.Duration) *PeerDigests {
+	return &PeerDigests{ttl: ttl, received: make(map[string]receivedDigest)}
 }
 
-// Heard takes in a peer's digest.
-func (p *Peers) Heard(now time.Time, peer string, d Digest) {
-	if _, known := p.seen[peer]; !known && len(p.seen) >= maxPeers {
+// Add replaces a peer's digest. A digest of a new peer is dropped while the
+// table is full.
+func (p *PeerDigests) Add(now time.Time, peer string, d Digest) {
+	if _, known := p.received[peer]; !known && len(p.received) >= maxPeers {
 		p.expire(now)
-		if len(p.seen) >= maxPeers {
+		if len(p.received) >= maxPeers {
 			return
 		}
 	}
-	p.seen[peer] = heard{digest: d, at: now}
+	p.received[peer] = receivedDigest{digest: d, receivedAt: now}
 }
 
-// Load adds up the digests that count, for instances live instances in all.
-func (p *Peers) Load(now time.Time, instances int) PeerLoad {
+// Load returns the sum of the unexpired digests. instances is the number of
+// live instances, this one included.
+func (p *PeerDigests) Load(now time.Time, instances int) PeerLoad {
 	p.expire(now)
-	out := PeerLoad{Instances: max(instances, len(p.seen)+1), Heard: len(p.seen)}
-	// In a fixed order: sums of floats depend on it, and the same events have
-	// to lead to the same decisions.
-	for _, name := range slices.Sorted(maps.Keys(p.seen)) {
-		h := p.seen[name]
+	out := PeerLoad{Instances: max(instances, len(p.received)+1), Reporting: len(p.received)}
+	// The order is fixed because sums of floats depend on it, and the same
+	// events have to lead to the same decisions.
+	for _, name := range slices.Sorted(maps.Keys(p.received)) {
+		h := p.received[name]
 		for r := range out.Ranks {
 			out.Ranks[r].InFlight += h.digest.Ranks[r].InFlight
 			out.Ranks[r].Demand += h.digest.Ranks[r].Demand
@@ -52,10 +55,10 @@
 	return out
 }
 
-func (p *Peers) expire(now time.Time) {
-	for name, h := range p.seen {
-		if now.Sub(h.at) > p.ttl {
-			delete(p.seen, name)
+func (p *PeerDigests) expire(now time.Time) {
+	for name, h := range p.received {
+		if now.Sub(h.receivedAt) > p.ttl {
+			delete(p.received, name)
 		}
 	}
 }
--- a/coordination/tiers/queue.go
+++ b/coordination/tiers/queue.go
@@ -8,14 +8,14 @@
 // queued is an item in a rank's queue.
 type queued struct {
 	Item
-	seq   uint64
-	since time.Time
-	// index is the place in the heap.
-	index int
+	seq        uint64
+	enqueuedAt time.Time
+	// heapIndex is the item's position in its rankQueue.
+	heapIndex int
 }
 
-// rankQueue is a heap of the items of one rank, the earliest latest start
-// first, and in order of arrival among equals.
+// rankQueue is a heap of the items of one rank, ordered by LatestStart and then
+// by arrival.
 type rankQueue []*queued
 
 func (q rankQueue) Len() int { return len(q) }
@@ -29,12 +29,12 @@
 
 func (q rankQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 func (q *rankQueue) Push(x any) {
 	it := x.(*queued)
-	it.index = len(*q)
+	it.heapIndex = len(*q)
 	*q = append(*q, it)
 }
 
@@ -55,8 +55,8 @@
 	return q[0]
 }
 
-// newest returns the item that arrived last, or nil.
-func (q rankQueue) newest() *queued {
+// latestArrival returns the item that arrived last, or nil.
+func (q rankQueue) latestArrival() *queued {
 	var out *queued
 	for _, it := range q {
 		if out == nil || it.seq > out.seq {
@@ -67,5 +67,5 @@
 }
 
 func (q *rankQueue) remove(it *queued) {
-	heap.Remove(q, it.index)
+	heap.Remove(q, it.heapIndex)
 }
--- a/coordination/tiers/tiers_test.go
+++ b/coordination/tiers/tiers_test.go
@@ -17,12 +17,13 @@
 	return Item{ID: id, Rank: rank, LatestStart: at(time.Hour)}
 }
 
-// Callers see a lost request when its item ends with no action, a doubled one
-// when it is dispatched twice, and starvation when a lower rank goes first.
-func TestGateKeepsOrderAndAccounts(t *testing.T) {
+// An item that ends without an action would lose a request, one dispatched twice
+// would run it twice, and a lower rank dispatched first would starve a higher
+// one. This holds for any sequence of events.
+func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 5).Draw(t, "capacity")
-		g := NewGate(Config{Queue: 6, Preempt: rapid.Bool().Draw(t, "preempt"), MinRun: 1}, capacity)
+		g := NewGate(Config{MaxQueued: 6, Preempt: rapid.Bool().Draw(t, "preempt"), MinRunTime: 1}, capacity)
 		now := epoch
 		const waiting, running, ended = 1, 2, 3
 		state := map[uint64]int{}
@@ -67,7 +68,7 @@
 				if id, ok := pick(running); ok {
 					state[id] = ended
 					apply(g.Finished(now, id))
-					apply(g.Finished(now, id)) // a second word changes nothing
+					apply(g.Finished(now, id)) // a repeated call has no effect
 				}
 			case 4:
 				if id, ok := pick(waiting); ok {
@@ -130,22 +131,22 @@
 			g.Enqueue(epoch, item(3, 1))
 			return g.Finished(epoch, 1)
 		}, want: []Action{{Kind: Dispatch, ID: 2}}},
-		"past the point of use": {run: func(g *Gate) []Action {
+		"past the latest start": {run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 0))
 			g.Enqueue(epoch, short(2, 1, time.Second))
 			return g.Tick(at(time.Second + 1))
 		}, want: []Action{{Kind: Refuse, ID: 2, Reason: ReasonTooLate, RetryAfter: minRetryAfter}}},
-		"full of its own rank": {config: Config{Queue: 1}, run: func(g *Gate) []Action {
+		"full of its own rank": {config: Config{MaxQueued: 1}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 1))
 			g.Enqueue(epoch, item(2, 1))
 			return g.Enqueue(epoch, item(3, 1))
 		}, want: []Action{{Kind: Refuse, ID: 3, Reason: ReasonQueueFull, RetryAfter: minRetryAfter}}},
-		"a lower rank makes room": {config: Config{Queue: 1}, run: func(g *Gate) []Action {
+		"a lower rank is displaced": {config: Config{MaxQueued: 1}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 0))
 			g.Enqueue(epoch, item(2, 1))
 			return g.Enqueue(epoch, item(3, 0))
 		}, want: []Action{{Kind: Refuse, ID: 2, Reason: ReasonDisplaced, RetryAfter: minRetryAfter}}},
-		"the time to come back follows the drain": {config: Config{Queue: 3}, run: func(g *Gate) []Action {
+		"RetryAfter follows the completion rate": {config: Config{MaxQueued: 3}, run: func(g *Gate) []Action {
 			g.Enqueue(epoch, item(1, 0))
 			g.Finished(at(2*time.Second), 1)
 			for id := uint64(2); id < 6; id++ {
@@ -164,9 +165,10 @@
 	}
 }
 
-// Generations of lower tiers run for many seconds; work of the highest tier
-// that cannot wait for them is late unless one of them is cancelled. Cancelling
-// the wrong one, or one that ends soon by itself, pays for prompts twice.
+// Generations of lower tiers run for many seconds, and an item of the highest
+// tier that cannot wait for them misses its deadline unless one of them is
+// preempted. Preempting the wrong one, or one although a slot frees in time,
+// processes prompts twice for nothing.
 func TestPreemptionPicksTheCheapest(t *testing.T) {
 	resumable := func(id uint64, rank, preemptions int) Item {
 		i := item(id, rank)
@@ -182,7 +184,7 @@
 		"the lowest rank, newest":     {[]Item{resumable(1, 1, 0), resumable(2, 2, 0), resumable(3, 2, 0)}, urgent, 3},
 		"what may be resumed":         {[]Item{resumable(1, 1, 0), item(2, 2), item(3, 2)}, urgent, 1},
 		"not one of its own rank":     {[]Item{resumable(1, 0, 0), resumable(2, 0, 0), resumable(3, 0, 0)}, urgent, 0},
-		"not the same one for ever":   {[]Item{resumable(1, 2, DefaultMaxPreemption), item(2, 2), item(3, 2)}, urgent, 0},
+		"not the same one for ever":   {[]Item{resumable(1, 2, DefaultMaxPreemptions), item(2, 2), item(3, 2)}, urgent, 0},
 		"not when there is time left": {[]Item{resumable(1, 1, 0), resumable(2, 2, 0), resumable(3, 2, 0)}, item(99, 0), 0},
 	}
 	for name, tt := range tests {
@@ -193,7 +195,7 @@
 			for n, it := range tt.running {
 				g.Enqueue(at(9*time.Second+time.Duration(n)), it)
 			}
-			// The peers want little, so that this instance may go on.
+			// The peers have little demand, so this instance may dispatch.
 			g.SetPeers(at(9*time.Second), PeerLoad{Instances: 1})
 			g.capacity = 4
 			g.peers.Ranks[3].InFlight = 1
@@ -208,7 +210,7 @@
 	}
 }
 
-func TestPreemptionTakesEachOnce(t *testing.T) {
+func TestPreemptionVictimsAreDistinct(t *testing.T) {
 	g := NewGate(Config{Preempt: true}, 2)
 	g.Enqueue(epoch, item(50, 0))
 	g.Finished(at(8*time.Second), 50)
@@ -232,7 +234,8 @@
 	require.Equal(t, []Action{{Kind: Dispatch, ID: 1}}, g.SetCapacity(epoch, 1))
 }
 
-// Instances that divide the targets by different figures fill them twice over.
+// Instances whose shares add up to more than the capacity would overload the
+// targets.
 func TestDivideNeverExceedsCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 10).Draw(t, "instances")
@@ -255,46 +258,46 @@
 		}
 		ordered := rapid.Bool().Draw(t, "ordered")
 		for i := range wants {
-			l := divide(capacity, demand{float64(n), wants[i], total}, ordered)
+			l := divideCapacity(capacity, demand{float64(n), wants[i], total}, ordered)
 			own := 0.0
 			for r := range fits {
 				own += wants[i][r]
-				require.GreaterOrEqual(t, l[r], own-slack, "what fits is granted whole")
+				require.GreaterOrEqual(t, l[r], own-roundingSlack, "demand that fits is granted in full")
 			}
 			all += l[MaxRanks-1]
 		}
 		if fits < MaxRanks {
-			require.InDelta(t, capacity, all, 1e-6, "what does not fit is divided without rest")
+			require.InDelta(t, capacity, all, 1e-6, "demand that does not fit gets all of the capacity")
 		}
 	})
 }
 
-func TestPlace(t *testing.T) {
+func TestRankIndex(t *testing.T) {
 	ranks := []int{30, 10, 20, 10}
 	for rank, want := range map[int]int{10: 0, 20: 1, 30: 2, 99: 3} {
-		require.Equal(t, want, Place(ranks, rank), "rank %d", rank)
+		require.Equal(t, want, RankIndex(ranks, rank), "rank %d", rank)
 	}
-	require.Equal(t, MaxRanks-1, Place([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 9))
+	require.Equal(t, MaxRanks-1, RankIndex([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 9))
 }
 
-func TestPeers(t *testing.T) {
+func TestPeerDigests(t *testing.T) {
 	var d Digest
 	d.Ranks[1] = RankLoad{InFlight: 2, Demand: 3}
-	p := NewPeers(time.Second)
-	p.Heard(epoch, "a", d)
-	p.Heard(at(500*time.Millisecond), "b", d)
+	p := NewPeerDigests(time.Second)
+	p.Add(epoch, "a", d)
+	p.Add(at(500*time.Millisecond), "b", d)
 	require.Equal(t, RankLoad{InFlight: 4, Demand: 6}, p.Load(at(time.Second), 5).Ranks[1])
-	require.Equal(t, 1, p.Load(at(1200*time.Millisecond), 5).Heard, "what is old no longer counts")
+	require.Equal(t, 1, p.Load(at(1200*time.Millisecond), 5).Reporting, "an expired digest is not in the sum")
 	require.Equal(t, PeerLoad{Instances: 5}, p.Load(at(1501*time.Millisecond), 5))
 	for n := range 10 * maxPeers {
-		p.Heard(epoch, string(rune('a'+n)), d)
+		p.Add(epoch, string(rune('a'+n)), d)
 	}
-	require.Len(t, p.seen, maxPeers)
+	require.Len(t, p.received, maxPeers)
 }
 
-// A part of the network is cut off: each side must not take the other side's
-// part of the targets, which the other side still uses.
-func TestUnheardPeersKeepTheirPart(t *testing.T) {
+// In a network partition, neither side may take the other side's share of the
+// targets, which the other side still uses.
+func TestUnreachablePeersKeepTheirShare(t *testing.T) {
 	dispatched := func(load PeerLoad) (n int) {
 		g := NewGate(Config{}, 48)
 		for range 2 {
@@ -311,8 +314,8 @@
 		return g.inFlight[1]
 	}
 	require.Equal(t, 48, dispatched(PeerLoad{Instances: 1}))
-	require.InDelta(t, 48.0/8, float64(dispatched(PeerLoad{Instances: 8})), 7, "its part and one burst")
-	require.Greater(t, dispatched(PeerLoad{Instances: 8, Heard: 7}), 40, "peers that are heard want nothing")
+	require.InDelta(t, 48.0/8, float64(dispatched(PeerLoad{Instances: 8})), 7, "its share and one burst")
+	require.Greater(t, dispatched(PeerLoad{Instances: 8, Reporting: 7}), 40, "reporting peers without demand leave their share")
 }
 
 func BenchmarkGate(b *testing.B) {
--- a/coordination/tiers/types.go
+++ b/coordination/tiers/types.go
@@ -1,69 +1,72 @@
 // Package tiers decides which queued work of a pool an instance dispatches
-// next. Between tiers order is strict by rank, also across instances, and
-// capacity that the higher ranks do not need flows down to the lower ones. It
-// is a state machine: time and events go in, typed actions come out. The caller
-// serialises the calls.
+// next. Priority between tiers is strict by rank, also across instances, and
+// capacity that the higher ranks do not need is available to the lower ones.
+// The package is a state machine: it receives events with their time and
+// returns actions. The caller serialises the calls.
 package tiers
 
 import "time"
 
-// MaxRanks is the number of ranks kept apart, so that digests have a fixed
-// size; ranks from MaxRanks-1 on share the last place.
+// MaxRanks is the number of distinct ranks; it is fixed so that digests have a
+// fixed size. Ranks from MaxRanks-1 on are treated as one.
 const MaxRanks = 8
 
-// Item is one stage of one request that wants a slot of the pool.
+// Item is one stage of one request that needs a slot of the pool.
 type Item struct {
 	// ID is unique within the gate.
 	ID uint64
-	// Rank is the place of the tier, made by Place; 0 is the highest.
+	// Rank is the priority of the tier as RankIndex returns it; 0 is the highest.
 	Rank int
-	// LatestStart is the last moment at which starting is of use. Items of one
-	// rank are dispatched in order of LatestStart, then of arrival.
+	// LatestStart is the last moment at which the item can start and still meet
+	// its deadline. Items of one rank are dispatched in order of LatestStart,
+	// then of arrival.
 	LatestStart time.Time
 	// Resumable work may be cancelled and resumed for a higher tier.
 	Resumable bool
-	// Preemptions counts how often this work was cancelled for a higher tier.
+	// Preemptions counts how often this item was cancelled for a higher tier.
 	Preemptions int
 }
 
-// ActionKind says what the caller has to do.
+// ActionKind is the type of an Action.
 type ActionKind uint8
 
 // The kinds of action.
 const (
 	// Dispatch starts the item.
 	Dispatch ActionKind = iota + 1
-	// Refuse answers the item as not run.
+	// Refuse ends the item without running it.
 	Refuse
-	// Preempt cancels the running item, which is to be enqueued again for the
-	// rest of its work, and reported as finished once it is cancelled.
+	// Preempt cancels the running item. The caller calls Finished once it is
+	// cancelled and enqueues it again for its remaining work.
 	Preempt
 )
 
-// Reason says why an item was refused.
+// Reason is the reason why an item was refused.
 type Reason string
 
 // The reasons of a refusal.
 const (
-	// ReasonQueueFull means that the queue is full of work of the same or a
+	// ReasonQueueFull means that the queue is full of items of the same or a
 	// higher rank.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonDisplaced means that work of a higher rank took the place.
+	// ReasonDisplaced means that an item of a higher rank took its place in the
+	// full queue.
 	ReasonDisplaced Reason = "displaced"
-	// ReasonTooLate means that the item waited past the point of use.
+	// ReasonTooLate means that the item was queued past its LatestStart.
 	ReasonTooLate Reason = "too_late"
 )
 
-// Action is one thing the caller has to do.
+// Action is an instruction to the caller.
 type Action struct {
 	Kind ActionKind
 	ID   uint64
-	// RetryAfter is when to come back after a refusal.
+	// RetryAfter is the delay after which a refused caller may retry.
 	RetryAfter time.Duration
 	Reason     Reason
 }
 
-// Digest is what one instance tells its peers about a pool. Its size is fixed.
+// Digest is the load of one instance at a pool, as sent to its peers. Its size
+// is fixed.
 type Digest struct {
 	Ranks [MaxRanks]RankLoad
 }
@@ -72,7 +75,7 @@
 type RankLoad struct {
 	// InFlight is the number of dispatched requests.
 	InFlight float32 `msgpack:"f"`
-	// Demand is the recent mean of dispatched and queued requests.
+	// Demand is the moving average of dispatched and queued requests.
 	Demand float32 `msgpack:"d"`
 }
 
@@ -80,26 +83,26 @@
 type PeerLoad struct {
 	// Instances is the number of live instances, this one included.
 	Instances int
-	// Heard is the number of peers whose digests are in the sum.
-	Heard int
-	Ranks [MaxRanks]RankLoad
+	// Reporting is the number of peers whose digests are in the sum.
+	Reporting int
+	Ranks     [MaxRanks]RankLoad
 }
 
-// Stats is a reading of the gate, for metrics.
+// Stats holds the figures of a gate that are exported as metrics.
 type Stats struct {
 	Queued, InFlight [MaxRanks]int
 	Capacity         int
-	// Total is the number of requests that all instances are thought to have
-	// in flight.
-	Total float64
-	// Rate is the number of requests finished a second.
-	Rate float64
+	// TotalInFlight estimates the number of requests that all instances have in
+	// flight.
+	TotalInFlight float64
+	// CompletionRate is the number of requests finished per second.
+	CompletionRate float64
 }
 
-// Place returns the position of a tier's rank among the ranks in force, which is
-// the rank that a gate takes. Records may have ranks such as 10, 20 and 30:
-// taken as they are, all would share the last place and no order be kept.
-func Place(inForce []int, rank int) int {
+// RankIndex returns the position of a tier's rank among the ranks in force,
+// which is the Rank of an Item. Tier records may use ranks such as 10, 20 and
+// 30: used directly, all of them would exceed MaxRanks and be treated as one.
+func RankIndex(inForce []int, rank int) int {
 	above := make(map[int]bool)
 	for _, r := range inForce {
 		if r < rank {
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -58,7 +58,7 @@
 	if len(ranks) == 0 {
 		return t.Rank
 	}
-	return tiers.Place(ranks, t.Rank)
+	return tiers.RankIndex(ranks, t.Rank)
 }
 
 // attainmentFirst tells whether the stage's pool weighs answers in time more
--- a/daemon/gate/gate.go
+++ b/daemon/gate/gate.go
@@ -135,7 +135,7 @@
 func (g *Gate) Wait(rank int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.machine.Wait(g.clock(), rank)
+	return g.machine.EstimatedWait(g.clock(), rank)
 }
 
 // Stats returns a reading for metrics.
--- a/daemon/gate/gate_test.go
+++ b/daemon/gate/gate_test.go
@@ -130,7 +130,7 @@
 // and after some such moments none.
 func TestNoSlotIsLost(t *testing.T) {
 	const slots, callers, rounds = 3, 16, 300
-	g := New("engines", tiers.Config{Queue: 8}, slots, time.Now)
+	g := New("engines", tiers.Config{MaxQueued: 8}, slots, time.Now)
 	var inside atomic.Int64
 	var over atomic.Bool
 	var wg sync.WaitGroup
--- a/daemon/gate/group.go
+++ b/daemon/gate/group.go
@@ -88,7 +88,7 @@
 		return own // added since
 	}
 	c := g.config.Tiers
-	c.Ordered = ordered
+	c.PriorityScheduling = ordered
 	own := New(pool, c, 0, g.clock)
 	g.gates[pool] = own
 	return own
@@ -109,7 +109,7 @@
 // than it saves.
 func (g *Group) TryEnter(pool string, r Request) (*Grant, bool) {
 	own := g.find(pool)
-	if own == nil || own.Stats().Total >= g.config.HedgeBelow*float64(own.slots.Load()) {
+	if own == nil || own.Stats().TotalInFlight >= g.config.HedgeBelow*float64(own.slots.Load()) {
 		return nil, false
 	}
 	return own.TryAcquire(r)
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -66,7 +66,7 @@
 	gates   *gate.Group
 	// instances counts the live instances.
 	instances func() int
-	peers     map[string]*tiers.Peers
+	peers     map[string]*tiers.PeerDigests
 	// taken holds the body of each origin's digest that was taken in last.
 	taken map[string][]byte
 }
@@ -79,7 +79,7 @@
 		router:    r,
 		gates:     g,
 		instances: instances,
-		peers:     make(map[string]*tiers.Peers),
+		peers:     make(map[string]*tiers.PeerDigests),
 		taken:     make(map[string][]byte),
 	}
 }
@@ -149,15 +149,15 @@
 	e.router.PeerDigest(made, l.Origin, digest.Targets)
 	e.gates.Each(func(pool string, _ *gate.Gate) {
 		if load, told := digest.Pool(pool); told {
-			e.pool(pool).Heard(made, l.Origin, load)
+			e.pool(pool).Add(made, l.Origin, load)
 		}
 	})
 }
 
-func (e *Exchange) pool(name string) *tiers.Peers {
+func (e *Exchange) pool(name string) *tiers.PeerDigests {
 	p, ok := e.peers[name]
 	if !ok {
-		p = tiers.NewPeers(digestTTL)
+		p = tiers.NewPeerDigests(digestTTL)
 		e.peers[name] = p
 	}
 	return p
--- a/daemon/serve/submit.go
+++ b/daemon/serve/submit.go
@@ -206,7 +206,7 @@
 	for _, t := range c.snapshot.Tiers {
 		ranks = append(ranks, t.Rank)
 	}
-	return 1 / float64(1+tiers.Place(ranks, c.tier.Rank))
+	return 1 / float64(1+tiers.RankIndex(ranks, c.tier.Rank))
 }
 
 // claimUnknown answers a request of whose first run nothing is known. What may
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -46,7 +46,7 @@
 // gate is the queue before a pool.
 type gate struct {
 	*tiers.Gate
-	peers  *tiers.Peers
+	peers  *tiers.PeerDigests
 	queued map[uint64]*gateItem
 	// slots and inFlight are of all instances, as the digests told last.
 	slots    int
@@ -76,10 +76,10 @@
 	}
 	for _, stage := range s.Stages {
 		m.budgets[stage.Pool] = retry.NewBudget(retry.Config{})
-		config := tiers.Config{Ordered: stage.Kind == catalog.KindEngine}
+		config := tiers.Config{PriorityScheduling: stage.Kind == catalog.KindEngine}
 		m.gates[stage.Pool] = &gate{
 			Gate:   tiers.NewGate(config, m.capacity(&stage, stage.Targets*stage.Slots)),
-			peers:  tiers.NewPeers(gateTTL),
+			peers:  tiers.NewPeerDigests(gateTTL),
 			queued: map[uint64]*gateItem{},
 		}
 	}
@@ -112,7 +112,7 @@
 			rem.After = []int{list[len(list)-1].Stage}
 		}
 		if m.parts.Gate {
-			rem.Wait = m.gates[stage.Pool].Wait(now, r.Tier)
+			rem.Wait = m.gates[stage.Pool].EstimatedWait(now, r.Tier)
 		}
 		list = append(list, rem)
 	}
@@ -264,7 +264,7 @@
 func (m *managed) PeerDigest(now time.Time, origin string, digest any) {
 	m.heard[origin] = now
 	for pool, d := range digest.(map[string]tiers.Digest) {
-		m.gates[pool].peers.Heard(now, origin, d)
+		m.gates[pool].peers.Add(now, origin, d)
 	}
 }
 
