--- a/coordination/retry/attempts.go
+++ b/coordination/retry/attempts.go
@@ -5,147 +5,148 @@
 	"time"
 )
 
-// Stage is what the decisions have to know of a stage.
+// Stage holds the properties of a stage that retry decisions depend on.
 type Stage struct {
 	// Repeatable stages may run more than once.
 	Repeatable bool
-	// Streams tells that tokens are delivered as they come.
-	Streams bool
-	// Resumable streams go on behind the tokens that were delivered.
+	// Streaming stages deliver their tokens while they run.
+	Streaming bool
+	// Resumable streams continue after the tokens that were delivered.
 	Resumable bool
-	// MaxAttempts bounds the attempts, the first included; at least 1.
+	// MaxAttempts bounds the attempts, including the first; it is at least 1.
 	MaxAttempts int
 }
 
-// Result says how an attempt ended without a whole answer.
-type Result uint8
+// FailureKind is how an attempt ended without a complete response.
+type FailureKind uint8
 
-// The results of an attempt.
+// The kinds of failure.
 const (
-	// NoConnection means that no byte found a connection to leave on.
-	NoConnection Result = iota + 1
+	// NoConnection means that there was no connection and no byte was sent.
+	NoConnection FailureKind = iota + 1
 	// Refused means that the target is known not to have started the stage.
 	Refused
 	// Failed means that the stage may have run.
 	Failed
-	// Preempted means that a higher tier took the slot. Of a stage that can't
-	// be resumed it counts as Failed.
+	// Preempted means that the attempt was cancelled for a higher tier. For a
+	// stage that can't be resumed it counts as Failed.
 	Preempted
 )
 
-// End is the end of an attempt that brought no whole answer.
-type End struct {
-	Result Result
-	// RetryAfter is when the target asks to come back; 0 when unknown.
+// Failure describes an attempt that ended without a complete response.
+type Failure struct {
+	Kind FailureKind
+	// RetryAfter is the delay that the target asks for; 0 if it is unknown.
 	RetryAfter time.Duration
-	// Delivered tells that some tokens of the stage were delivered.
-	Delivered bool
+	// TokensDelivered means that some tokens of the stage were delivered.
+	TokensDelivered bool
 }
 
-// Decision says what follows an attempt that brought no whole answer.
+// Decision is what to do after an attempt failed.
 type Decision struct {
-	// Again asks for one more attempt after Delay.
-	Again bool
+	// Retry means that another attempt follows after Delay.
+	Retry bool
 	Delay time.Duration
-	// Paid tells that the attempt is to be paid from the Budget of the pool;
-	// where that has no token, the stage ends with ReasonBudget.
-	Paid bool
-	// Reason says why the stage ends.
+	// UsesBudget means that the attempt costs a token of the pool's Budget; if
+	// there is none, the stage ends with ReasonBudgetUsedUp.
+	UsesBudget bool
+	// Reason is why the stage is not retried; empty if it is.
 	Reason Reason
 }
 
-// Reason says why a stage is not sent once more.
+// Reason is why a stage is not retried.
 type Reason string
 
-// The reasons to end a stage.
+// The reasons not to retry a stage.
 const (
-	ReasonNotRepeatable Reason = "not_repeatable"
-	ReasonDelivered     Reason = "tokens_delivered"
-	ReasonAttempts      Reason = "attempts_used_up"
-	ReasonBudget        Reason = "retry_budget_used_up"
+	ReasonNotRepeatable   Reason = "not_repeatable"
+	ReasonTokensDelivered Reason = "tokens_delivered"
+	ReasonAttemptsUsedUp  Reason = "attempts_used_up"
+	ReasonBudgetUsedUp    Reason = "retry_budget_used_up"
 )
 
-// Attempts decides on the attempts of one stage. The caller serialises the
-// calls.
+// Attempts tracks the attempts of one stage and decides on retries and hedges.
+// The caller serialises the calls.
 type Attempts struct {
 	stage    Stage
 	sent     int
 	refusals int
-	// mayHaveRun is set once an attempt ended without a word on whether it ran.
+	// mayHaveRun is set once an attempt ended and it is unknown whether it ran.
 	mayHaveRun bool
 }
 
-// NewAttempts makes the decisions of a stage that was not sent yet.
+// NewAttempts returns the state of a stage without attempts.
 func NewAttempts(stage Stage) *Attempts {
 	stage.MaxAttempts = max(stage.MaxAttempts, 1)
 	return &Attempts{stage: stage}
 }
 
-// Sent counts an attempt, hedges too, before it is sent.
-func (a *Attempts) Sent() { a.sent++ }
+// AddAttempt counts an attempt. Call it before each attempt is sent, including
+// hedges.
+func (a *Attempts) AddAttempt() { a.sent++ }
 
-// MayHedge tells whether a second attempt may run beside the one that was sent.
-// A stream is never hedged: the tokens of two runs must not mix.
+// MayHedge reports whether a second attempt may run beside the one in flight. A
+// stream is never hedged, because the tokens of two runs must not be mixed.
 func (a *Attempts) MayHedge() bool {
-	return a.stage.Repeatable && !a.stage.Streams && a.sent < a.stage.MaxAttempts
+	return a.stage.Repeatable && !a.stage.Streaming && a.sent < a.stage.MaxAttempts
 }
 
-// Ended decides what follows when no attempt is open any more and the last one
-// brought no whole answer. latestStart is the last moment at which an attempt is
-// of use.
+// AfterFailure decides whether to retry once no attempt is in flight and the
+// last one failed. latestStart is the last moment at which an attempt can start
+// and still meet the deadline.
 //
-// A preempted attempt is none of the stage's own: it costs no attempt and no
-// token. Nor does one without a connection cost a token. The failure: several
-// targets of a pool are killed at once and stand in the platform's list for some
-// time more. Attempts meet them until the budget is empty, and then most
-// requests fail though other targets are well. Such an attempt gave the pool no
-// work, so the next one multiplies no load; its number is bounded all the same.
-func (a *Attempts) Ended(now, latestStart time.Time, rng *rand.Rand, end End) Decision {
-	if end.Result == Preempted && a.stage.Repeatable && a.stage.Resumable {
+// A preempted attempt counts neither as an attempt nor against the budget. An
+// attempt without a connection does not cost a token either: when several
+// targets of a pool are killed at once, the platform lists them for some time
+// more, and attempts at them would empty the budget, so that most requests would
+// fail although other targets are healthy. Such an attempt caused the pool no
+// work, so its retry does not multiply the load. It still counts as an attempt.
+func (a *Attempts) AfterFailure(now, latestStart time.Time, rng *rand.Rand, end Failure) Decision {
+	if end.Kind == Preempted && a.stage.Repeatable && a.stage.Resumable {
 		a.sent--
-		return Decision{Again: true}
+		return Decision{Retry: true}
 	}
-	a.mayHaveRun = a.mayHaveRun || end.Result == Failed || end.Result == Preempted
-	if reason := a.over(end); reason != "" {
+	a.mayHaveRun = a.mayHaveRun || end.Kind == Failed || end.Kind == Preempted
+	if reason := a.stopReason(end); reason != "" {
 		return Decision{Reason: reason}
 	}
-	decision := Decision{Again: true, Paid: end.Result != NoConnection}
-	if end.Result == Refused {
+	decision := Decision{Retry: true, UsesBudget: end.Kind != NoConnection}
+	if end.Kind == Refused {
 		a.refusals++
 		decision.Delay = backoff(rng, a.refusals, latestStart.Sub(now), end.RetryAfter)
 	}
 	return decision
 }
 
-// over returns the reason to end the stage, or none. What may not be repeated
-// is sent again only while each attempt is known not to have started. Delivered
-// tokens forbid a fresh run: its text could differ, and the joined answer would
-// be of two runs; only a resumed stream is whole.
-func (a *Attempts) over(end End) Reason {
+// stopReason returns the reason not to retry the stage, or an empty one. A stage
+// that is not repeatable is retried only while each attempt is known not to have
+// started. After tokens were delivered, only a resumed stream may continue: the
+// text of a new run could differ, and the response would mix two runs.
+func (a *Attempts) stopReason(end Failure) Reason {
 	switch {
 	case !a.stage.Repeatable && a.mayHaveRun:
 		return ReasonNotRepeatable
-	case end.Delivered && !a.stage.Resumable:
-		return ReasonDelivered
+	case end.TokensDelivered && !a.stage.Resumable:
+		return ReasonTokensDelivered
 	case a.sent >= a.stage.MaxAttempts:
-		return ReasonAttempts
+		return ReasonAttemptsUsedUp
 	}
 	return ""
 }
 
-// Bounds of the wait after a refusal.
+// Bounds of the backoff after a refusal.
 const (
 	backoffBase = 5 * time.Millisecond
 	backoffMax  = 200 * time.Millisecond
 )
 
-// backoff is how long to wait after a refusal: a pool that is full for a moment
-// would else use up all attempts within that moment. It doubles with each
-// refusal, with full jitter, so that stages that were refused together do not
-// come back together. It is at most what the target asks for, and half of the
-// time to the latest start: the other half is kept for the queue.
-func backoff(rng *rand.Rand, refusals int, room, retryAfter time.Duration) time.Duration {
-	ceiling := min(backoffBase<<min(refusals, 10), backoffMax, max(room, 0)/2)
+// backoff returns the delay after a refusal; without it a pool that is briefly
+// full would use up all attempts at once. The delay is exponential with full
+// jitter, so that stages that were refused together are not retried together. It
+// is at most what the target asks for and at most half of the time to the latest
+// start; the other half is left for queueing.
+func backoff(rng *rand.Rand, refusals int, timeToStart, retryAfter time.Duration) time.Duration {
+	ceiling := min(backoffBase<<min(refusals, 10), backoffMax, max(timeToStart, 0)/2)
 	if retryAfter > 0 {
 		ceiling = min(ceiling, retryAfter)
 	}
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -1,6 +1,6 @@
-// Package retry decides when a stage is sent again or hedged. Extra attempts
-// are paid from a budget that is a share of recent successes, so that a fault
-// which fails everything is not made worse by them.
+// Package retry decides when a stage is retried or hedged. Extra attempts cost
+// tokens of a budget that grows with recent successes, so that they do not
+// aggravate a fault that fails all requests.
 package retry
 
 import (
@@ -16,12 +16,12 @@
 	DefaultReserve    = 2.0
 )
 
-// Config sets a budget. Zero values take the defaults.
+// Config configures a budget. Zero values select the defaults.
 type Config struct {
-	// RetryRatio and HedgeRatio are the tokens that one success earns. Their
-	// sum bounds the extra attempts, as a share of the first ones.
+	// RetryRatio and HedgeRatio are the tokens that one success adds. Their sum
+	// bounds the extra attempts, as a share of the first attempts.
 	RetryRatio, HedgeRatio float64
-	// HalfLife is the time in which unspent tokens lose half their number.
+	// HalfLife is the time in which half of the unspent tokens expire.
 	HalfLife time.Duration
 	// Reserve is the number of tokens a new budget holds.
 	Reserve float64
@@ -43,21 +43,21 @@
 	return c
 }
 
-// Budget pays for the extra attempts at one pool. Retries and hedges are paid
-// apart, so that hedges against slowness never take what failures need. The
-// caller serialises the calls.
+// Budget limits the extra attempts at one pool. Retries and hedges have separate
+// tokens, so that hedges against slow attempts never use up what retries need.
+// The caller serialises the calls.
 //
-// One success earns a fixed part of a token and one extra attempt costs a whole
-// one, so over any time the extra attempts are at most the ratio times the
-// successes, plus the reserve. Unspent tokens fade: what a good hour earned
-// cannot be spent at once in a brown-out, in which nothing is earned.
+// A success adds a fraction of a token and an extra attempt costs a whole one,
+// so over any time the extra attempts are at most the ratio times the successes,
+// plus the reserve. Unspent tokens decay: the tokens of a good hour cannot be
+// spent at once in a brown-out, which adds none.
 type Budget struct {
 	config Config
 	retry  bucket
 	hedge  bucket
 }
 
-// NewBudget makes a budget that holds its reserve.
+// NewBudget returns a budget that holds its reserve.
 func NewBudget(c Config) *Budget {
 	c = c.withDefaults()
 	return &Budget{
@@ -67,36 +67,37 @@
 	}
 }
 
-// Succeeded tells that a stage was answered. It is told once a stage, however
-// many attempts there were.
-func (b *Budget) Succeeded(now time.Time) {
+// AddSuccess counts a stage that completed. Call it once per stage, however many
+// attempts there were.
+func (b *Budget) AddSuccess(now time.Time) {
 	b.retry.earn(now, b.config.HalfLife, b.config.RetryRatio)
 	b.hedge.earn(now, b.config.HalfLife, b.config.HedgeRatio)
 }
 
-// TakeRetry pays for one retry, or tells that there is no token left.
-func (b *Budget) TakeRetry(now time.Time) bool {
-	return b.retry.take(now, b.config.HalfLife)
+// SpendRetry spends the token of one retry and reports whether there was one.
+func (b *Budget) SpendRetry(now time.Time) bool {
+	return b.retry.spend(now, b.config.HalfLife)
 }
 
-// TakeHedge pays for one hedge, or tells that there is no token left.
-func (b *Budget) TakeHedge(now time.Time) bool {
-	return b.hedge.take(now, b.config.HalfLife)
+// SpendHedge spends the token of one hedge and reports whether there was one.
+func (b *Budget) SpendHedge(now time.Time) bool {
+	return b.hedge.spend(now, b.config.HalfLife)
 }
 
+// bucket holds tokens that decay exponentially.
 type bucket struct {
-	tokens float64
-	last   time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 func (k *bucket) decay(now time.Time, halfLife time.Duration) {
-	if k.last.IsZero() {
-		k.last = now
+	if k.updatedAt.IsZero() {
+		k.updatedAt = now
 		return
 	}
-	if elapsed := now.Sub(k.last); elapsed > 0 {
+	if elapsed := now.Sub(k.updatedAt); elapsed > 0 {
 		k.tokens *= math.Exp2(-float64(elapsed) / float64(halfLife))
-		k.last = now
+		k.updatedAt = now
 	}
 }
 
@@ -105,7 +106,7 @@
 	k.tokens += tokens
 }
 
-func (k *bucket) take(now time.Time, halfLife time.Duration) bool {
+func (k *bucket) spend(now time.Time, halfLife time.Duration) bool {
 	k.decay(now, halfLife)
 	if k.tokens < 1 {
 		return false
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -7,15 +7,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/retry"
 )
 
-// A new budget pays for two retries; after that, ten answers earn one.
+// A new budget allows two retries; after that, ten successes add one.
 func ExampleBudget() {
 	now := time.Unix(0, 0)
 	budget := retry.NewBudget(retry.Config{})
-	fmt.Println(budget.TakeRetry(now), budget.TakeRetry(now), budget.TakeRetry(now))
+	fmt.Println(budget.SpendRetry(now), budget.SpendRetry(now), budget.SpendRetry(now))
 	for range 11 {
-		budget.Succeeded(now)
+		budget.AddSuccess(now)
 	}
-	fmt.Println(budget.TakeRetry(now), budget.TakeRetry(now))
+	fmt.Println(budget.SpendRetry(now), budget.SpendRetry(now))
 	// Output:
 	// true true false
 	// true false
--- a/coordination/retry/hedge.go
+++ b/coordination/retry/hedge.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// rescueFactor is how many times its usual 95th percentile an attempt may take
-// in a pool that weighs cost first before a second one is started.
-const rescueFactor = 4
+// costHedgeFactor is how many times its 95th percentile an attempt may take in a
+// pool with the cost objective before it is hedged.
+const costHedgeFactor = 4
 
-// HedgeAfter is how long the first attempt is left alone. A pool that weighs
-// attainment first hedges the slowest of twenty; one that weighs cost first
-// only rescues: a target that went silent would else hold the request until its
-// deadline. Half of left, the time to the deadline, is always kept for the
-// second attempt.
+// HedgeDelay returns how long the first attempt runs before it is hedged. A pool
+// with the attainment objective hedges the slowest attempt in twenty. One with
+// the cost objective hedges only attempts that appear stuck: an unresponsive
+// target would otherwise hold the request until its deadline. Half of remaining,
+// the time to the deadline, is always left for the second attempt.
 //
-// The tail a hedge cuts is that of Dean and Barroso, "The Tail at Scale" (2013).
-func HedgeAfter(p95, left time.Duration, attainmentFirst bool) time.Duration {
+// For hedging against tail latency see Dean and Barroso, "The Tail at Scale"
+// (2013).
+func HedgeDelay(p95, remaining time.Duration, attainmentFirst bool) time.Duration {
 	if !attainmentFirst {
-		p95 *= rescueFactor
+		p95 *= costHedgeFactor
 	}
-	return max(min(p95, left/2), 0)
+	return max(min(p95, remaining/2), 0)
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -13,9 +13,9 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Everything fails at once, and with every stage sent up to three times the
-// targets get three times the load just when they can bear least. However the
-// success rate moves, the extra attempts stay a share of the first ones.
+// If everything fails and every stage is sent up to three times, the targets get
+// three times the load when they can handle it least. For any success rate, the
+// extra attempts stay within their share of the first attempts.
 func TestBudgetBoundsAmplification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(Config{})
@@ -28,16 +28,16 @@
 			for range rapid.IntRange(1, 400).Draw(t, "requests") {
 				now = now.Add(time.Duration(rng.Int64N(int64(gap))))
 				first++
-				if rng.Float64() < slow && b.TakeHedge(now) {
+				if rng.Float64() < slow && b.SpendHedge(now) {
 					extra++
 				}
 				failed := rng.Float64() < failures
-				for attempt := 1; failed && attempt < 3 && b.TakeRetry(now); attempt++ {
+				for attempt := 1; failed && attempt < 3 && b.SpendRetry(now); attempt++ {
 					extra++
 					failed = rng.Float64() < failures
 				}
 				if !failed {
-					b.Succeeded(now)
+					b.AddSuccess(now)
 				}
 			}
 		}
@@ -45,24 +45,24 @@
 	})
 }
 
-// A long good time earns many tokens; spent all at once in a brown-out they
-// would be a wave of retries.
-func TestBrownOut(t *testing.T) {
+// The tokens of a long period of successes, all spent in a brown-out, would
+// cause a retry storm.
+func TestBudgetInBrownOut(t *testing.T) {
 	for _, rate := range []int{1, 10, 100, 1000} {
 		b := NewBudget(Config{})
 		now, every := epoch, time.Second/time.Duration(rate)
 		for range 600 * rate {
 			now = now.Add(every)
-			b.Succeeded(now)
+			b.AddSuccess(now)
 		}
 		first, extra := 0, 0
 		for range 30 * rate {
 			now = now.Add(every)
 			first++
-			if b.TakeHedge(now) {
+			if b.SpendHedge(now) {
 				extra++
 			}
-			for attempt := 1; attempt < 3 && b.TakeRetry(now); attempt++ {
+			for attempt := 1; attempt < 3 && b.SpendRetry(now); attempt++ {
 				extra++
 			}
 		}
@@ -72,51 +72,51 @@
 	}
 }
 
-// A work order is sent on after a failure in some state: sent again after it may
-// have run, two crews come; given up after a mere refusal, none comes.
+// A work order that is retried after it may have run sends two crews; one that is
+// not retried after a mere refusal sends none.
 func TestAttempts(t *testing.T) {
 	latest := epoch.Add(time.Second)
 	repeatable := Stage{Repeatable: true, MaxAttempts: 3}
 	once := Stage{MaxAttempts: 3}
-	resumable := Stage{Repeatable: true, Streams: true, Resumable: true, MaxAttempts: 3}
-	plain := Stage{Repeatable: true, Streams: true, MaxAttempts: 3}
+	resumable := Stage{Repeatable: true, Streaming: true, Resumable: true, MaxAttempts: 3}
+	plain := Stage{Repeatable: true, Streaming: true, MaxAttempts: 3}
 	single := Stage{Repeatable: true, MaxAttempts: 1}
-	failed, refused := End{Result: Failed}, End{Result: Refused}
-	alone, preempted := End{Result: NoConnection}, End{Result: Preempted, Delivered: true}
-	broken := End{Result: Failed, Delivered: true}
-	paid := Decision{Again: true, Paid: true}
+	failed, refused := Failure{Kind: Failed}, Failure{Kind: Refused}
+	alone, preempted := Failure{Kind: NoConnection}, Failure{Kind: Preempted, TokensDelivered: true}
+	broken := Failure{Kind: Failed, TokensDelivered: true}
+	paid := Decision{Retry: true, UsesBudget: true}
 	tests := map[string]struct {
 		stage Stage
-		ends  []End
+		ends  []Failure
 		want  Decision // without its delay
 	}{
-		"retry":                                {repeatable, []End{failed}, paid},
-		"retry of what was refused":            {once, []End{refused}, paid},
-		"retry without a connection is free":   {repeatable, []End{alone}, Decision{Again: true}},
-		"once, no connection":                  {once, []End{alone, alone}, Decision{Again: true}},
-		"never twice what may run once":        {once, []End{failed}, Decision{Reason: ReasonNotRepeatable}},
-		"once, refused and then failed":        {once, []End{refused, failed}, Decision{Reason: ReasonNotRepeatable}},
-		"once, a refusal does not undo a run":  {once, []End{failed, refused}, Decision{Reason: ReasonNotRepeatable}},
-		"attempts used up":                     {repeatable, []End{failed, failed, failed}, Decision{Reason: ReasonAttempts}},
-		"attempts used up by refusals":         {once, []End{refused, refused, refused}, Decision{Reason: ReasonAttempts}},
-		"attempts used up without connections": {once, []End{alone, alone, alone}, Decision{Reason: ReasonAttempts}},
-		"a single attempt":                     {single, []End{failed}, Decision{Reason: ReasonAttempts}},
-		"at least one attempt":                 {Stage{Repeatable: true}, []End{failed}, Decision{Reason: ReasonAttempts}},
-		"a broken stream resumes":              {resumable, []End{broken}, paid},
-		"a broken stream never starts afresh":  {plain, []End{broken}, Decision{Reason: ReasonDelivered}},
-		"nor after a refusal":                  {plain, []End{{Result: Refused, Delivered: true}}, Decision{Reason: ReasonDelivered}},
-		"a stream that brought no token yet":   {plain, []End{failed}, paid},
-		"preempted":                            {resumable, []End{preempted}, Decision{Again: true}},
-		"a preemption is no attempt":           {resumable, []End{preempted, failed, preempted, failed}, paid},
-		"once, preempted by mistake":           {once, []End{{Result: Preempted}}, Decision{Reason: ReasonNotRepeatable}},
-		"preempted, then used up":              {resumable, []End{preempted, failed, failed, failed}, Decision{Reason: ReasonAttempts}},
+		"retry":                                {repeatable, []Failure{failed}, paid},
+		"retry after a refusal":                {once, []Failure{refused}, paid},
+		"retry without a connection is free":   {repeatable, []Failure{alone}, Decision{Retry: true}},
+		"once, no connection":                  {once, []Failure{alone, alone}, Decision{Retry: true}},
+		"not repeatable, failed":               {once, []Failure{failed}, Decision{Reason: ReasonNotRepeatable}},
+		"once, refused and then failed":        {once, []Failure{refused, failed}, Decision{Reason: ReasonNotRepeatable}},
+		"once, a refusal does not undo a run":  {once, []Failure{failed, refused}, Decision{Reason: ReasonNotRepeatable}},
+		"attempts used up":                     {repeatable, []Failure{failed, failed, failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"attempts used up by refusals":         {once, []Failure{refused, refused, refused}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"attempts used up without connections": {once, []Failure{alone, alone, alone}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"a single attempt":                     {single, []Failure{failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"at least one attempt":                 {Stage{Repeatable: true}, []Failure{failed}, Decision{Reason: ReasonAttemptsUsedUp}},
+		"a broken stream resumes":              {resumable, []Failure{broken}, paid},
+		"a broken stream never restarts":       {plain, []Failure{broken}, Decision{Reason: ReasonTokensDelivered}},
+		"a refused stream never restarts":      {plain, []Failure{{Kind: Refused, TokensDelivered: true}}, Decision{Reason: ReasonTokensDelivered}},
+		"a stream without tokens yet":          {plain, []Failure{failed}, paid},
+		"preempted":                            {resumable, []Failure{preempted}, Decision{Retry: true}},
+		"a preemption is no attempt":           {resumable, []Failure{preempted, failed, preempted, failed}, paid},
+		"once, preempted by mistake":           {once, []Failure{{Kind: Preempted}}, Decision{Reason: ReasonNotRepeatable}},
+		"preempted, then used up":              {resumable, []Failure{preempted, failed, failed, failed}, Decision{Reason: ReasonAttemptsUsedUp}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			a, got := NewAttempts(tt.stage), Decision{}
 			for _, end := range tt.ends {
-				a.Sent()
-				got = a.Ended(epoch, latest, newRand(), end)
+				a.AddAttempt()
+				got = a.AfterFailure(epoch, latest, newRand(), end)
 			}
 			got.Delay = 0
 			require.Equal(t, tt.want, got)
@@ -124,28 +124,29 @@
 	}
 }
 
-// Every target of a pool is full for a moment. Sent on at once, a request uses up
-// its attempts within that moment; sent on after a fixed wait, the requests that
-// were refused together come back together; waiting too long is too late.
+// All targets of a pool are briefly full. Without a delay, a request would use up
+// its attempts at once; with a fixed delay, requests that were refused together
+// would be retried together; with too long a delay they would miss their
+// deadline.
 func TestBackoffAfterRefusal(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
-		result           Result
+		result           FailureKind
 		refusals         int
-		room, retryAfter time.Duration
+		left, retryAfter time.Duration
 		ceiling          time.Duration
 	}{
-		"first refusal":              {Refused, 1, second, 0, 10 * time.Millisecond},
-		"doubles":                    {Refused, 3, second, 0, 40 * time.Millisecond},
-		"is bounded":                 {Refused, 90, second, 0, backoffMax},
-		"the target asks for less":   {Refused, 3, second, 7 * time.Millisecond, 7 * time.Millisecond},
-		"the target asks for more":   {Refused, 1, second, time.Hour, 10 * time.Millisecond},
-		"half of what is left":       {Refused, 90, 30 * time.Millisecond, 0, 15 * time.Millisecond},
-		"nothing is left":            {Refused, 3, 0, 0, 0},
-		"too late":                   {Refused, 3, -second, second, 0},
-		"after a failure at once":    {Failed, 3, second, 0, 0},
-		"without a connection, too":  {NoConnection, 3, second, 0, 0},
-		"preempted, the gate queues": {Preempted, 3, second, 0, 0},
+		"first refusal":            {Refused, 1, second, 0, 10 * time.Millisecond},
+		"doubles":                  {Refused, 3, second, 0, 40 * time.Millisecond},
+		"is bounded":               {Refused, 90, second, 0, backoffMax},
+		"the target asks for less": {Refused, 3, second, 7 * time.Millisecond, 7 * time.Millisecond},
+		"the target asks for more": {Refused, 1, second, time.Hour, 10 * time.Millisecond},
+		"half of the time left":    {Refused, 90, 30 * time.Millisecond, 0, 15 * time.Millisecond},
+		"no time is left":          {Refused, 3, 0, 0, 0},
+		"past the latest start":    {Refused, 3, -second, second, 0},
+		"no delay after a failure": {Failed, 3, second, 0, 0},
+		"nor without a connection": {NoConnection, 3, second, 0, 0},
+		"nor after a preemption":   {Preempted, 3, second, 0, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -154,10 +155,10 @@
 				a := NewAttempts(Stage{Repeatable: true, MaxAttempts: 100})
 				var got Decision
 				for range tt.refusals {
-					a.Sent()
-					got = a.Ended(epoch, epoch.Add(tt.room), rng, End{Result: tt.result, RetryAfter: tt.retryAfter})
+					a.AddAttempt()
+					got = a.AfterFailure(epoch, epoch.Add(tt.left), rng, Failure{Kind: tt.result, RetryAfter: tt.retryAfter})
 				}
-				require.True(t, got.Again)
+				require.True(t, got.Retry)
 				require.GreaterOrEqual(t, got.Delay, time.Duration(0))
 				longest, differ[got.Delay] = max(longest, got.Delay), true
 			}
@@ -168,80 +169,80 @@
 	}
 }
 
-// A work order that may run once is sent again only when the target vouches
-// that it did not start; it is never sent beside itself.
-func TestRaceOfWhatMayRunOnce(t *testing.T) {
+// A work order that may run only once is retried only if the target reports that
+// it did not start, and is never hedged.
+func TestNonRepeatableStageIsNotHedged(t *testing.T) {
 	a, latest := NewAttempts(Stage{MaxAttempts: 3}), epoch.Add(time.Second)
-	a.Sent()
+	a.AddAttempt()
 	require.False(t, a.MayHedge())
-	again := a.Ended(epoch, latest, newRand(), End{Result: Refused})
-	require.True(t, again.Again && again.Paid)
+	again := a.AfterFailure(epoch, latest, newRand(), Failure{Kind: Refused})
+	require.True(t, again.Retry && again.UsesBudget)
 	require.LessOrEqual(t, again.Delay, backoffMax)
-	a.Sent()
+	a.AddAttempt()
 	require.False(t, a.MayHedge())
-	require.Equal(t, Decision{Reason: ReasonNotRepeatable}, a.Ended(epoch, latest, newRand(), End{Result: Failed}))
+	require.Equal(t, Decision{Reason: ReasonNotRepeatable}, a.AfterFailure(epoch, latest, newRand(), Failure{Kind: Failed}))
 }
 
-// Whatever happens in whatever order: never more attempts than allowed, nothing
-// twice that may run once, no second text behind delivered tokens, no attempt
-// without a token that would give a pool more work, no wait beyond what is left.
+// For any sequence of events: no more attempts than allowed, no second run of a
+// stage that may run once, no restart after delivered tokens, no attempt without
+// a token that would give a pool more work, no delay beyond the time left.
 func TestAttemptsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stage := Stage{
 			Repeatable:  rapid.Bool().Draw(t, "repeatable"),
-			Streams:     rapid.Bool().Draw(t, "streams"),
+			Streaming:   rapid.Bool().Draw(t, "streams"),
 			Resumable:   rapid.Bool().Draw(t, "resumable"),
 			MaxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
 		}
 		a, rng := NewAttempts(stage), newRand()
 		sent, mayHaveRun := 0, false
 		for again := true; again; {
-			a.Sent()
+			a.AddAttempt()
 			sent++
 			if a.MayHedge() && rapid.Bool().Draw(t, "hedge") {
-				require.True(t, stage.Repeatable && !stage.Streams)
-				a.Sent()
+				require.True(t, stage.Repeatable && !stage.Streaming)
+				a.AddAttempt()
 				sent++
 			}
 			require.LessOrEqual(t, sent, stage.MaxAttempts)
-			end := End{
-				Result:     Result(rapid.IntRange(1, 3).Draw(t, "result")),
-				RetryAfter: time.Duration(rapid.IntRange(0, 300).Draw(t, "retry after ms")) * time.Millisecond,
-				Delivered:  stage.Streams && rapid.Bool().Draw(t, "delivered"),
+			end := Failure{
+				Kind:            FailureKind(rapid.IntRange(1, 3).Draw(t, "result")),
+				RetryAfter:      time.Duration(rapid.IntRange(0, 300).Draw(t, "retry after ms")) * time.Millisecond,
+				TokensDelivered: stage.Streaming && rapid.Bool().Draw(t, "delivered"),
 			}
-			room := time.Duration(rapid.IntRange(-100, 500).Draw(t, "room ms")) * time.Millisecond
-			mayHaveRun = mayHaveRun || end.Result == Failed
-			got := a.Ended(epoch, epoch.Add(room), rng, end)
-			again = got.Again
+			left := time.Duration(rapid.IntRange(-100, 500).Draw(t, "room ms")) * time.Millisecond
+			mayHaveRun = mayHaveRun || end.Kind == Failed
+			got := a.AfterFailure(epoch, epoch.Add(left), rng, end)
+			again = got.Retry
 			require.Equal(t, again, got.Reason == "")
-			require.Equal(t, again && end.Result != NoConnection, got.Paid)
-			require.LessOrEqual(t, got.Delay, max(room, 0))
+			require.Equal(t, again && end.Kind != NoConnection, got.UsesBudget)
+			require.LessOrEqual(t, got.Delay, max(left, 0))
 			if again {
-				require.True(t, stage.Repeatable || !mayHaveRun, "sent again although it may have run")
-				require.True(t, stage.Resumable || !end.Delivered, "two texts")
+				require.True(t, stage.Repeatable || !mayHaveRun, "retried although it may have run")
+				require.True(t, stage.Resumable || !end.TokensDelivered, "restarted after delivered tokens")
 			}
 		}
 	})
 }
 
-// A hedge beside each request doubles the load; one that comes too late saves
-// nobody.
+// A hedge of each request would double the load; one that starts too late would
+// not meet the deadline.
 func TestHedge(t *testing.T) {
 	const ms = time.Millisecond
-	require.Equal(t, 50*ms, HedgeAfter(50*ms, time.Second, true), "the slowest of twenty")
-	require.Equal(t, 200*ms, HedgeAfter(50*ms, time.Second, false), "a rescue only")
-	require.Equal(t, 40*ms, HedgeAfter(50*ms, 80*ms, true), "half is kept")
-	require.Zero(t, HedgeAfter(50*ms, -ms, true))
+	require.Equal(t, 50*ms, HedgeDelay(50*ms, time.Second, true), "the slowest of twenty")
+	require.Equal(t, 200*ms, HedgeDelay(50*ms, time.Second, false), "only when it appears stuck")
+	require.Equal(t, 40*ms, HedgeDelay(50*ms, 80*ms, true), "half is left for the hedge")
+	require.Zero(t, HedgeDelay(50*ms, -ms, true))
 	for stage, want := range map[Stage]bool{
-		{Repeatable: true, MaxAttempts: 2}:                                 true,
-		{Repeatable: true, MaxAttempts: 1}:                                 false,
-		{MaxAttempts: 2}:                                                   false,
-		{Repeatable: true, Streams: true, Resumable: true, MaxAttempts: 2}: false,
+		{Repeatable: true, MaxAttempts: 2}: true,
+		{Repeatable: true, MaxAttempts: 1}: false,
+		{MaxAttempts: 2}:                   false,
+		{Repeatable: true, Streaming: true, Resumable: true, MaxAttempts: 2}: false,
 	} {
 		a := NewAttempts(stage)
-		a.Sent()
+		a.AddAttempt()
 		require.Equal(t, want, a.MayHedge(), "%+v", stage)
-		a.Sent()
+		a.AddAttempt()
 		require.False(t, a.MayHedge(), "one hedge at most of two attempts")
 	}
 }
@@ -252,8 +253,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		a := NewAttempts(stage)
-		a.Sent()
-		a.Ended(epoch, latest, rng, End{Result: Refused})
+		a.AddAttempt()
+		a.AfterFailure(epoch, latest, rng, Failure{Kind: Refused})
 	}
 }
 
@@ -262,7 +263,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		budget.Succeeded(now)
-		budget.TakeRetry(now)
+		budget.AddSuccess(now)
+		budget.SpendRetry(now)
 	}
 }
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -31,7 +31,7 @@
 
 func (s *stageRun) hedgeAfter() time.Duration {
 	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.Expected)
-	return retry.HedgeAfter(p95, s.left(), s.attainmentFirst(s.stage.Pool))
+	return retry.HedgeDelay(p95, s.left(), s.attainmentFirst(s.stage.Pool))
 }
 
 // race waits for the first whole answer among the attempt and its hedge.
--- a/daemon/execute/retry.go
+++ b/daemon/execute/retry.go
@@ -18,16 +18,16 @@
 		return s.unfinished(ctx, result.peer, ctx.Err())
 	}
 	now := s.opts.Now()
-	decision := s.attempts.Ended(now, s.share(now, s.index).LatestStart, s.rng, retry.End{
-		Result:     retryResult(result),
-		RetryAfter: result.retryAfter,
-		Delivered:  s.offset > 0,
+	decision := s.attempts.AfterFailure(now, s.share(now, s.index).LatestStart, s.rng, retry.Failure{
+		Kind:            retryResult(result),
+		RetryAfter:      result.retryAfter,
+		TokensDelivered: s.offset > 0,
 	})
-	if !decision.Again {
+	if !decision.Retry {
 		return s.targetFailure(result, decision.Reason)
 	}
-	if decision.Paid && !s.opts.Budgets.Retry(now, s.stage.Pool) {
-		return s.targetFailure(result, retry.ReasonBudget)
+	if decision.UsesBudget && !s.opts.Budgets.Retry(now, s.stage.Pool) {
+		return s.targetFailure(result, retry.ReasonBudgetUsedUp)
 	}
 	if err := wait(ctx, decision.Delay); err != nil {
 		return s.unfinished(ctx, result.peer, err)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func retryResult(result attemptResult) retry.Result {
+func retryResult(result attemptResult) retry.FailureKind {
 	switch {
 	case result.preempted:
 		return retry.Preempted
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -198,9 +198,9 @@
 		"a failure is followed at once":          {steps: []step{{err: lost}, {}}, within: []time.Duration{0, 0}},
 		"a refusal after a back-off":             {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
 		"no longer than the target asks":         {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
-		"no retry without a token":               {empty: true, steps: []step{{err: lost}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudget)},
+		"no retry without a token":               {empty: true, steps: []step{{err: lost}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
 		"no connection needs no token":           {empty: true, once: true, steps: []step{{err: unconnected}, {err: unconnected}, {}}, within: []time.Duration{0, 0, 0}},
-		"full everywhere":                        {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttempts)},
+		"full everywhere":                        {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttemptsUsedUp)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/daemon/execute/stage.go
+++ b/daemon/execute/stage.go
@@ -48,7 +48,7 @@
 	}
 	s.attempts = retry.NewAttempts(retry.Stage{
 		Repeatable:  s.stage.Repeatable,
-		Streams:     s.streams(),
+		Streaming:   s.streams(),
 		Resumable:   s.stage.Resumable,
 		MaxAttempts: s.maxAttempts(),
 	})
@@ -213,7 +213,7 @@
 
 // nextAttempt makes the id of the next attempt; it is unique to the request.
 func (s *stageRun) nextAttempt() string {
-	s.attempts.Sent()
+	s.attempts.AddAttempt()
 	s.serial++
 	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.serial)
 }
--- a/daemon/retrybudget/retrybudget.go
+++ b/daemon/retrybudget/retrybudget.go
@@ -60,7 +60,7 @@
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.retries.note(p.budget.TakeRetry(now))
+	return b.retries.note(p.budget.SpendRetry(now))
 }
 
 // Hedge pays for one attempt beside the first, or tells that it can't.
@@ -68,7 +68,7 @@
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.hedges.note(p.budget.TakeHedge(now))
+	return b.hedges.note(p.budget.SpendHedge(now))
 }
 
 // Succeeded tells that a stage was answered whole, which earns extra attempts.
@@ -77,7 +77,7 @@
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Succeeded(now)
+	p.budget.AddSuccess(now)
 }
 
 func (b *Budgets) pool(name string) *pool {
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -192,7 +192,7 @@
 	if s.Left < p50 {
 		return false
 	}
-	return !m.parts.Budget || m.budgets[s.Spec().Pool].TakeRetry(now)
+	return !m.parts.Budget || m.budgets[s.Spec().Pool].SpendRetry(now)
 }
 
 // HedgeAfter implements Control. The cost objective does not hedge.
@@ -210,7 +210,7 @@
 		return false
 	}
 	p50, _ := m.times.Estimate(m.key(s.Stage), s.Spec().mean())
-	return s.Left >= p50 && m.budgets[s.Spec().Pool].TakeHedge(now)
+	return s.Left >= p50 && m.budgets[s.Spec().Pool].SpendHedge(now)
 }
 
 // AttemptDone implements Control.
@@ -219,7 +219,7 @@
 		return
 	}
 	m.times.Observe(now, m.key(s.Stage), s.Spec().mean(), result.Latency)
-	m.budgets[s.Spec().Pool].Succeeded(now)
+	m.budgets[s.Spec().Pool].AddSuccess(now)
 }
 
 // RequestDone implements Control.
