--- a/daemon/metrics/bench_test.go
+++ b/daemon/metrics/bench_test.go
@@ -37,8 +37,8 @@
 	}
 	status := requests.New(requests.Options{MaxRequests: 20_000, Retention: time.Minute})
 	for i := range 10_000 {
-		info := requests.Info{ID: fmt.Sprint(i), Tier: fmt.Sprint(i % 3), Deadline: time.Minute, Begun: now}
-		status.Finish(status.Begin(info), requests.End{State: requests.Answered, At: now})
+		info := requests.Info{ID: fmt.Sprint(i), Tier: fmt.Sprint(i % 3), Deadline: time.Minute, StartedAt: now}
+		status.Finish(status.Begin(info), requests.End{State: requests.StateAnswered, At: now})
 	}
 	s := New(Options{
 		Calls:  platform.NewBudget(platform.BudgetOptions{}),
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -50,8 +50,8 @@
 	_, ok := gates.TryEnter("a", gate.Request{Rank: 2, LatestStart: now.Add(time.Minute)})
 	require.True(t, ok)
 	status := requests.New(requests.Options{MaxRequests: 4, Retention: time.Minute})
-	status.Finish(status.Begin(requests.Info{ID: "r", Tier: "gold", Deadline: time.Second, Begun: now}),
-		requests.End{State: requests.Failed, At: now})
+	status.Finish(status.Begin(requests.Info{ID: "r", Tier: "gold", Deadline: time.Second, StartedAt: now}),
+		requests.End{State: requests.StateFailed, At: now})
 	extra := retrybudget.New(retry.Config{})
 	for range 5 {
 		extra.Hedge(now, "p")
--- a/daemon/report/report_test.go
+++ b/daemon/report/report_test.go
@@ -37,8 +37,8 @@
 
 // serve ends one request in time.
 func (r *rig) serve(id string) {
-	ref := r.status.Begin(requests.Info{ID: id, Pipeline: "dossier", Tier: "gold", Account: "wards", Deadline: time.Second, Begun: epoch})
-	r.status.Finish(ref, requests.End{State: requests.Answered, At: epoch.Add(time.Millisecond)})
+	ref := r.status.Begin(requests.Info{ID: id, Pipeline: "dossier", Tier: "gold", Account: "wards", Deadline: time.Second, StartedAt: epoch})
+	r.status.Finish(ref, requests.End{State: requests.StateAnswered, At: epoch.Add(time.Millisecond)})
 }
 
 // after passes time and writes a report.
--- a/daemon/serve/answer.go
+++ b/daemon/serve/answer.go
@@ -67,7 +67,7 @@
 
 // answer writes the whole answer.
 func (a *answerer) answer(body []byte) *callerapi.Problem {
-	a.finish(requests.Answered, requests.OutcomeRan)
+	a.finish(requests.StateAnswered, requests.OutcomeRan)
 	a.server.joins.ended(a.id, http.StatusOK, callerapi.MediaJSON, body)
 	if a.call.stream {
 		_ = a.event(sse.Event{Name: callerapi.EventDone, Data: string(body)})
@@ -82,7 +82,7 @@
 	if p.RequestID == "" {
 		p.RequestID = a.id
 	}
-	a.finish(requests.Failed, statusOutcome(p.Outcome))
+	a.finish(requests.StateFailed, statusOutcome(p.Outcome))
 	body, _ := json.Marshal(p) // strings and numbers only: it can't fail
 	a.server.joins.ended(a.id, p.Status, callerapi.MediaProblem, body)
 	if !a.started {
--- a/daemon/serve/submit.go
+++ b/daemon/serve/submit.go
@@ -84,7 +84,7 @@
 		Tier:          c.tier.Name,
 		Stages:        stageNames(c.pipeline),
 		Deadline:      total,
-		Begun:         began,
+		StartedAt:     began,
 	})
 	if c.idempotencyKey == "" {
 		return s.executeOnce(r.Context(), a, deadline, nil)
@@ -145,7 +145,7 @@
 	p := asProblem(errPanicked)
 	p.RequestID = a.id
 	s.keepFailure(ctx, ticket, p, false)
-	a.finish(requests.Failed, requests.OutcomeUnknown)
+	a.finish(requests.StateFailed, requests.OutcomeUnknown)
 	body, _ := json.Marshal(p) // strings and numbers only: it can't fail
 	s.joins.ended(a.id, p.Status, callerapi.MediaProblem, body)
 }
--- a/daemon/serve/submit_test.go
+++ b/daemon/serve/submit_test.go
@@ -191,7 +191,7 @@
 		id := w.Header().Get(callerapi.HeaderRequestID)
 		status, ok := r.opts.Status.Get(id, time.Now())
 		require.True(t, ok)
-		require.Equal(t, stopped, status.State == requests.Failed)
+		require.Equal(t, stopped, status.State == requests.StateFailed)
 		if !stopped {
 			require.Equal(t, "out", r.ask(t, a).output)
 			require.EqualValues(t, 1, r.runs.Load())
--- a/daemon/serve/wire_test.go
+++ b/daemon/serve/wire_test.go
@@ -29,11 +29,11 @@
 	return &requests.Status{
 		Info: requests.Info{
 			ID: "r", Pipeline: "p", SchemaVersion: 1, Account: "a", Tier: "t", Stages: []string{"s", "unused"},
-			Deadline: 2 * time.Millisecond, Begun: time.Unix(3, 0),
+			Deadline: 2 * time.Millisecond, StartedAt: time.Unix(3, 0),
 		},
-		State: requests.Running, Outcome: requests.OutcomeRan, Elapsed: 4 * time.Millisecond,
+		State: requests.StateRunning, Outcome: requests.OutcomeRan, Elapsed: 4 * time.Millisecond,
 		Attempts: []requests.Attempt{{
-			Stage: 0, ID: "x", Target: "target", Result: requests.ResultOK, Started: 5 * time.Millisecond,
+			Stage: 0, ID: "x", Target: "target", Result: requests.ResultOK, StartOffset: 5 * time.Millisecond,
 			Elapsed: 6 * time.Millisecond, Work: 7 * time.Millisecond, Tokens: 8, PrefillTokens: 9, Error: "error",
 		}},
 		Unrecorded: 10,
@@ -113,7 +113,7 @@
 			typeUnauthenticated, typeBadRequest, typeNotFound, typeTooLarge, typeKeyRequired, typeKeyReused, typeBudget,
 			typeOverload, typeCrashes, typeStore, typeDeadline, typeTarget, typeOutcomeUnknown, typeStarting, typeNotKept,
 		}, `["unauthenticated","bad-request","not-found","too-large","idempotency-key-required","idempotency-key-reused","budget-exhausted","overload","crashes-targets","store-unavailable","deadline","target-failed","outcome-unknown","starting","answer-not-kept"]`},
-		{"states", []string{requests.Running.String(), requests.Answered.String(), requests.Failed.String()}, `["running","answered","failed"]`},
+		{"states", []string{requests.StateRunning.String(), requests.StateAnswered.String(), requests.StateFailed.String()}, `["running","answered","failed"]`},
 		{"running", stateRunning, `"running"`},
 		{"outcomes", []string{
 			requests.OutcomeNone.String(), requests.OutcomeNotRun.String(), requests.OutcomeRan.String(),
--- a/state/requests/bench_test.go
+++ b/state/requests/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkRequest measures the records of one request of four stages while
-// others are in flight.
+// BenchmarkRequest measures recording one request of four stages while others
+// are in flight.
 func BenchmarkRequest(b *testing.B) {
 	for _, inFlight := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("in_flight=%d", inFlight), func(b *testing.B) {
@@ -27,7 +27,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					one(tab, ids[next.Add(1)%uint64(len(ids))])
+					runFourStages(tab, ids[next.Add(1)%uint64(len(ids))])
 				}
 			})
 			b.StopTimer()
@@ -38,23 +38,23 @@
 	}
 }
 
-func one(tab *Table, id string) {
+func runFourStages(tab *Table, id string) {
 	ref := tab.Begin(info(id, 0))
 	for stage := range stages {
 		n := tab.StartAttempt(ref, AttemptStart{Stage: stage, ID: "a", Target: "t", At: at(1)})
 		tab.EndAttempt(ref, n, AttemptEnd{Result: ResultOK, Work: 1, At: at(2)})
 	}
-	tab.Finish(ref, End{State: Answered, Outcome: OutcomeRan, At: at(3)})
+	tab.Finish(ref, End{State: StateAnswered, Outcome: OutcomeRan, At: at(3)})
 }
 
-// BenchmarkDigestOfNewAccounts measures the worst case of the sums: every
-// attempt is of another account, so the pruning is paid in full.
+// BenchmarkDigestOfNewAccounts measures the worst case of the aggregates: every
+// attempt is of a new account, so pruning is as frequent as possible.
 func BenchmarkDigestOfNewAccounts(b *testing.B) {
 	accounts := make([]string, 16*defaultAccounts)
 	for i := range accounts {
 		accounts[i] = strconv.Itoa(i)
 	}
-	d := newDigests(defaultAccounts / maxStripes)
+	d := newAggregates(defaultAccounts / maxStripes)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
--- a/state/requests/record.go
+++ b/state/requests/record.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// maxAttempts bounds the attempts kept of one request; retries and hedges
-	// have budgets far below it.
+	// maxAttempts bounds the attempts kept of one request; the budgets of retries
+	// and hedges are far below it.
 	maxAttempts = 32
-	// keptAttempts is the room for attempts that a free slot keeps for its next
-	// request, so that a common request allocates none.
-	keptAttempts = 8
-	// maxErrorText bounds the error text of an attempt, in bytes.
-	maxErrorText = 160
-	// indexBytes is the estimated cost of a request in the shard's index.
+	// preallocatedAttempts is the capacity for attempts that a free slot retains
+	// for its next request, so that a typical request allocates none.
+	preallocatedAttempts = 8
+	// maxErrorBytes bounds the error text of an attempt.
+	maxErrorBytes = 160
+	// indexBytes is the estimated memory of a request in the shard's index.
 	indexBytes = 48
 
 	recordBytes  = int64(unsafe.Sizeof(record{})) + indexBytes
 	attemptBytes = int64(unsafe.Sizeof(Attempt{}))
 )
 
-// none is the end of a list of slots.
-const none = int32(-1)
+// noSlot marks the end of a slotList and the absence of a slot.
+const noSlot = int32(-1)
 
-// record is one slot of a shard: a request, or free for one.
+// record is one slot of a shard. It holds a request or is free.
 type record struct {
 	info       Info
 	generation uint64
 	state      State
 	outcome    Outcome
 	elapsed    time.Duration
-	ended      time.Time
+	endedAt    time.Time
 	attempts   []Attempt
 	unrecorded int
-	// bytes is the memory of the record's own strings and attempts.
+	// bytes is the memory charged to the record, its strings and its attempts.
 	bytes int64
-	// prev and next link the slot into one of the shard's lists.
+	// prev and next are the neighbours in one of the shard's lists.
 	prev, next int32
 }
 
-// status copies the record, with the times of what still runs up to now.
+// status returns a copy of the record in which the elapsed times of running
+// requests and attempts are computed up to now.
 func (r *record) status(now time.Time) Status {
 	s := Status{
 		Info:       r.info,
@@ -52,34 +53,35 @@
 		Unrecorded: r.unrecorded,
 	}
 	copy(s.Attempts, r.attempts)
-	sinceBegin := now.Sub(r.info.Begun)
-	if r.state == Running {
-		s.Elapsed = sinceBegin
+	sinceStart := now.Sub(r.info.StartedAt)
+	if r.state == StateRunning {
+		s.Elapsed = sinceStart
 	}
 	for i := range s.Attempts {
 		a := &s.Attempts[i]
 		if a.Result == ResultRunning {
-			a.Elapsed = sinceBegin - a.Started
+			a.Elapsed = sinceStart - a.StartOffset
 		}
 	}
 	return s
 }
 
-// reset empties the record and keeps its room for attempts.
+// reset empties the record and retains its generation and its capacity for
+// attempts, unless that exceeds preallocatedAttempts.
 func (r *record) reset() {
 	kept := r.attempts[:0]
 	clear(r.attempts)
-	if cap(kept) > keptAttempts {
+	if cap(kept) > preallocatedAttempts {
 		kept = nil
 	}
-	*r = record{generation: r.generation, attempts: kept, prev: none, next: none}
+	*r = record{generation: r.generation, attempts: kept, prev: noSlot, next: noSlot}
 }
 
-// shortText cuts a text. A cut text is copied, or it would keep all of the
-// long one in memory.
-func shortText(text string) string {
-	if len(text) <= maxErrorText {
+// truncateError limits an error text to maxErrorBytes. A truncated text is
+// copied; a substring would keep the whole text in memory.
+func truncateError(text string) string {
+	if len(text) <= maxErrorBytes {
 		return text
 	}
-	return strings.Clone(text[:maxErrorText])
+	return strings.Clone(text[:maxErrorBytes])
 }
--- a/state/requests/requests_test.go
+++ b/state/requests/requests_test.go
@@ -21,16 +21,17 @@
 func info(id string, begun time.Duration) Info {
 	return Info{
 		ID: id, Pipeline: "permits", SchemaVersion: 2, Account: "wards", Tier: "gold",
-		Stages: stages, Deadline: time.Second, Begun: at(begun),
+		Stages: stages, Deadline: time.Second, StartedAt: at(begun),
 	}
 }
 
-// known lists the requests that are found, with a + after those that ended.
-func known(t *Table, now time.Duration, ids ...string) string {
+// knownIDs lists the ids that the table has a status of, with a + after those
+// that ended.
+func knownIDs(t *Table, now time.Duration, ids ...string) string {
 	var found []string
 	for _, id := range ids {
 		s, ok := t.Get(id, at(now))
-		if ok && s.State != Running {
+		if ok && s.State != StateRunning {
 			id += "+"
 		}
 		if ok {
@@ -49,69 +50,70 @@
 
 	got, ok := tab.Get("r1", at(100))
 	require.True(t, ok)
-	want := Status{Info: info("r1", 0), State: Running, Elapsed: 100, Attempts: []Attempt{
-		{Stage: 3, ID: "a1", Target: "engine-1", Result: ResultRunning, Started: 10, Elapsed: 90},
-		{Stage: 3, ID: "a2", Target: "engine-2", Result: ResultOK, Started: 30, Elapsed: 50, Work: 40, Tokens: 5, PrefillTokens: 7},
+	want := Status{Info: info("r1", 0), State: StateRunning, Elapsed: 100, Attempts: []Attempt{
+		{Stage: 3, ID: "a1", Target: "engine-1", Result: ResultRunning, StartOffset: 10, Elapsed: 90},
+		{Stage: 3, ID: "a2", Target: "engine-2", Result: ResultOK, StartOffset: 30, Elapsed: 50, Work: 40, Tokens: 5, PrefillTokens: 7},
 	}}
 	require.Equal(t, want, got)
 
-	tab.Finish(ref, End{State: Answered, Outcome: OutcomeRan, At: at(120)})
-	tab.Finish(ref, End{State: Failed, Outcome: OutcomeUnknown, At: at(130)})
+	tab.Finish(ref, End{State: StateAnswered, Outcome: OutcomeRan, At: at(120)})
+	tab.Finish(ref, End{State: StateFailed, Outcome: OutcomeUnknown, At: at(130)})
 	tab.EndAttempt(ref, first, AttemptEnd{Result: ResultLate, Error: strings.Repeat("e", 500), At: at(200)})
 	tab.EndAttempt(ref, first, AttemptEnd{Result: ResultOK, At: at(300)})
 	got, _ = tab.Get("r1", at(400))
-	require.Equal(t, Answered, got.State)
+	require.Equal(t, StateAnswered, got.State)
 	require.Equal(t, OutcomeRan, got.Outcome)
 	require.Equal(t, time.Duration(120), got.Elapsed)
 	require.Equal(t, ResultLate, got.Attempts[0].Result)
 	require.Equal(t, time.Duration(190), got.Attempts[0].Elapsed)
-	require.Len(t, got.Attempts[0].Error, maxErrorText)
+	require.Len(t, got.Attempts[0].Error, maxErrorBytes)
 }
 
-func TestNames(t *testing.T) {
-	require.Equal(t, "running answered failed invalid", fmt.Sprint(Running, Answered, Failed, State(9)))
+func TestEnumTexts(t *testing.T) {
+	require.Equal(t, "running answered failed invalid", fmt.Sprint(StateRunning, StateAnswered, StateFailed, State(9)))
 	require.Equal(t, " not_run ran unknown", fmt.Sprintf("%v %v %v %v", OutcomeNone, OutcomeNotRun, OutcomeRan, OutcomeUnknown))
 	require.Equal(t, "running ok not_run failed late cancelled",
 		fmt.Sprint(ResultRunning, ResultOK, ResultNotRun, ResultFailed, ResultLate, ResultCancelled))
 }
 
-// A burst of requests, one whose end is never told, or long errors would grow the
-// table until the instance is killed. Finished requests give way, the first one
-// first; a running one never does, or an operator would look for it in vain.
+// A burst of requests, requests that are never finished, or long error texts
+// would otherwise grow the table until the process runs out of memory. The
+// request that finished first is evicted first. A running one never is, since an
+// operator may look for its status.
 func TestBounds(t *testing.T) {
 	begin := func(tab *Table, id string, d time.Duration) Ref { return tab.Begin(info(id, d)) }
-	finish := func(tab *Table, ref Ref, d time.Duration) { tab.Finish(ref, End{State: Answered, At: at(d)}) }
+	finish := func(tab *Table, ref Ref, d time.Duration) { tab.Finish(ref, End{State: StateAnswered, At: at(d)}) }
 	cases := map[string]struct {
 		options Options
 		run     func(*Table)
 		now     time.Duration
 		want    string
 	}{
-		"the first finished goes first": {Options{MaxRequests: 2}, func(tab *Table) {
+		"the first finished is evicted first": {Options{MaxRequests: 2}, func(tab *Table) {
 			r1, r2 := begin(tab, "r1", 0), begin(tab, "r2", 1)
 			finish(tab, r2, 2)
 			finish(tab, r1, 3)
 			begin(tab, "r3", 4)
 		}, 4, "r1+ r3"},
-		"a running one is never pushed out": {Options{MaxRequests: 2}, func(tab *Table) {
+		"a running one is never evicted": {Options{MaxRequests: 2}, func(tab *Table) {
 			begin(tab, "r1", 0)
 			begin(tab, "r2", 1)
 			finish(tab, begin(tab, "r3", 2), 3)
 		}, 4, "r1 r2"},
-		"an id in use is not taken over": {Options{MaxRequests: 4}, func(tab *Table) {
+		"an id in use is not reused": {Options{MaxRequests: 4}, func(tab *Table) {
 			begin(tab, "r1", 0)
 			finish(tab, begin(tab, "r1", 1), 1)
 			begin(tab, "r2", 2)
 		}, 3, "r1 r2"},
-		"retention ends what finished": {Options{MaxRequests: 4}, func(tab *Table) {
+		"a finished one expires": {Options{MaxRequests: 4}, func(tab *Table) {
 			finish(tab, begin(tab, "r1", 0), time.Second)
 			begin(tab, "r2", time.Second)
 		}, time.Second + time.Minute, "r2"},
-		"a finish that never comes ends too": {Options{MaxRequests: 1}, func(tab *Table) {
+		"one that is never finished expires": {Options{MaxRequests: 1}, func(tab *Table) {
 			begin(tab, "r1", 0)
 			begin(tab, "r2", time.Second+time.Minute)
 		}, time.Second + time.Minute, "r2"},
-		"bytes push out finished ones": {Options{MaxRequests: 8, MaxBytes: 2*(recordBytes+keptAttempts*attemptBytes) + 8}, func(tab *Table) {
+		"the bound of bytes evicts finished ones": {Options{MaxRequests: 8, MaxBytes: 2*(recordBytes+preallocatedAttempts*attemptBytes) + 8}, func(tab *Table) {
 			for d, id := range []string{"r1", "r2"} {
 				ref := begin(tab, id, time.Duration(d))
 				tab.StartAttempt(ref, AttemptStart{At: at(2)})
@@ -119,13 +121,13 @@
 			}
 			begin(tab, "r3", 4)
 		}, 5, "r2+ r3"},
-		"a late answer does not push its own request out": {Options{MaxRequests: 8, MaxBytes: recordBytes + keptAttempts*attemptBytes + 8}, func(tab *Table) {
+		"a late response does not evict its own request": {Options{MaxRequests: 8, MaxBytes: recordBytes + preallocatedAttempts*attemptBytes + 8}, func(tab *Table) {
 			ref := begin(tab, "r1", 0)
 			n := tab.StartAttempt(ref, AttemptStart{At: at(1)})
 			finish(tab, ref, 2)
 			tab.EndAttempt(ref, n, AttemptEnd{Result: ResultLate, Error: strings.Repeat("e", 100), At: at(3)})
 		}, 5, "r1+"},
-		"bytes of running ones refuse": {Options{MaxRequests: 8, MaxBytes: recordBytes + keptAttempts*attemptBytes + 8}, func(tab *Table) {
+		"running ones up to the bound of bytes": {Options{MaxRequests: 8, MaxBytes: recordBytes + preallocatedAttempts*attemptBytes + 8}, func(tab *Table) {
 			ref := begin(tab, "r1", 0)
 			tab.StartAttempt(ref, AttemptStart{ID: "a", At: at(1)})
 			begin(tab, "r2", 2)
@@ -136,32 +138,32 @@
 			c.options.Retention = time.Minute
 			tab := New(c.options)
 			c.run(tab)
-			require.Equal(t, c.want, known(tab, c.now, "r1", "r2", "r3"))
+			require.Equal(t, c.want, knownIDs(tab, c.now, "r1", "r2", "r3"))
 		})
 	}
 }
 
-// An operator asks for a request and sees the attempts of another one: the
-// record was pushed out, its slot went to a new request, and the old request's
-// late answer was written through the reference that it still held.
-func TestStaleReferenceChangesNothing(t *testing.T) {
+// An operator would see attempts of another request in a status if a request
+// that was evicted recorded a late response through its Ref after its slot was
+// reused.
+func TestStaleRefIsIgnored(t *testing.T) {
 	tab := New(Options{MaxRequests: 1, Retention: time.Minute})
 	old := tab.Begin(info("r1", 0))
 	tab.StartAttempt(old, AttemptStart{ID: "a1", At: at(1)})
-	tab.Finish(old, End{State: Answered, At: at(2)})
+	tab.Finish(old, End{State: StateAnswered, At: at(2)})
 	current := tab.Begin(info("r2", 3))
 	now := tab.StartAttempt(current, AttemptStart{ID: "b1", At: at(4)})
 	before, _ := tab.Get("r2", at(5))
 
 	require.Equal(t, NoAttempt, tab.StartAttempt(old, AttemptStart{ID: "a2", At: at(5)}))
 	tab.EndAttempt(old, now, AttemptEnd{Result: ResultFailed, At: at(5)})
-	tab.Finish(old, End{State: Failed, At: at(5)})
+	tab.Finish(old, End{State: StateFailed, At: at(5)})
 	after, _ := tab.Get("r2", at(5))
 	require.Equal(t, before, after)
 }
 
-// A stage is retried far beyond its budgets by a fault. Its attempts must not fill
-// the table, and the status must say that some are missing.
+// A stage that a fault retries far beyond its budgets must not fill the table with
+// attempts, and its status must report that some are missing.
 func TestAttemptsBounded(t *testing.T) {
 	tab := New(Options{MaxRequests: 2, MaxBytes: 1 << 20, Retention: time.Minute})
 	ref := tab.Begin(info("r1", 0))
@@ -174,26 +176,27 @@
 	require.Equal(t, 2, got.Unrecorded)
 }
 
-// finished runs one request of one stage with the given result.
-func finished(tab *Table, id, account string, result Result, took time.Duration) {
+// runOneAttempt records a request with one attempt that ends with the given
+// result.
+func runOneAttempt(tab *Table, id, account string, result Result, elapsed time.Duration) {
 	i := info(id, 0)
 	i.Account = account
 	ref := tab.Begin(i)
 	n := tab.StartAttempt(ref, AttemptStart{Stage: 3, ID: "a", At: at(0)})
-	tab.EndAttempt(ref, n, AttemptEnd{Result: result, Work: took / 2, Tokens: 1, PrefillTokens: 2, At: at(took)})
-	state := Answered
+	tab.EndAttempt(ref, n, AttemptEnd{Result: result, Work: elapsed / 2, Tokens: 1, PrefillTokens: 2, At: at(elapsed)})
+	state := StateAnswered
 	if result != ResultOK {
-		state = Failed
+		state = StateFailed
 	}
-	tab.Finish(ref, End{State: state, At: at(took)})
+	tab.Finish(ref, End{State: state, At: at(elapsed)})
 }
 
-func TestDigestCounts(t *testing.T) {
+func TestCountersOfOneRequest(t *testing.T) {
 	cases := map[string]struct {
-		result Result
-		took   time.Duration
-		stage  Counters
-		whole  Counters
+		result  Result
+		elapsed time.Duration
+		stage   Counters
+		whole   Counters
 	}{
 		"in time": {ResultOK, 400 * time.Millisecond,
 			Counters{1, 1, 400 * time.Millisecond, 200 * time.Millisecond, 0, 1, 2},
@@ -208,7 +211,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tab := New(Options{MaxRequests: 8, Retention: time.Minute})
-			finished(tab, "r1", "wards", c.result, c.took)
+			runOneAttempt(tab, "r1", "wards", c.result, c.elapsed)
 			want := []Row{
 				{Key{"permits", "", "gold", "wards"}, c.whole},
 				{Key{"permits", "generate", "gold", "wards"}, c.stage},
@@ -219,15 +222,15 @@
 	}
 }
 
-// The answer of a hedge that lost comes after the request was answered. Its
-// work is a cost that no answer shows, and must be in the sums all the same.
-func TestWorkAfterTheEndIsCounted(t *testing.T) {
+// The response of an unused hedge may arrive after the request was answered. Its
+// work must still be counted.
+func TestWorkAfterRequestEndIsCounted(t *testing.T) {
 	cases := map[string]struct {
 		answered time.Duration
 		end      AttemptEnd
 		want     time.Duration
 	}{
-		"late answer":             {1, AttemptEnd{Result: ResultLate, Work: 30, At: at(50)}, 30},
+		"late response":           {1, AttemptEnd{Result: ResultLate, Work: 30, At: at(50)}, 30},
 		"cancelled, no report":    {1, AttemptEnd{Result: ResultCancelled, At: at(50)}, 50},
 		"never started":           {1, AttemptEnd{Result: ResultNotRun, At: at(50)}, 0},
 		"used past the deadline":  {2 * time.Second, AttemptEnd{Result: ResultOK, Work: 30, At: at(50)}, 30},
@@ -238,7 +241,7 @@
 			tab := New(Options{MaxRequests: 8, Retention: time.Minute})
 			ref := tab.Begin(info("r1", 0))
 			n := tab.StartAttempt(ref, AttemptStart{Stage: 3, ID: "a", At: at(0)})
-			tab.Finish(ref, End{State: Answered, At: at(c.answered)})
+			tab.Finish(ref, End{State: StateAnswered, At: at(c.answered)})
 			tab.EndAttempt(ref, n, c.end)
 			rows := tab.Drain(SummaryLimits{Groups: 8, Accounts: 8}).Rows
 			require.Equal(t, "generate", rows[1].Stage)
@@ -247,13 +250,14 @@
 	}
 }
 
-// Thousands of accounts would make a summary that the store refuses, and the
-// operators would read nothing at all. What has no row of its own stays in sums.
-func TestSummaryIsOfFixedSize(t *testing.T) {
+// With thousands of accounts an unbounded summary would be too large for the
+// store, and operators would get no report at all. Counters without a row of
+// their own are included in the totals.
+func TestSummaryIsBounded(t *testing.T) {
 	tab := New(Options{MaxRequests: 1000, Retention: time.Minute})
 	for i := range 20 {
 		for n := range i + 1 {
-			finished(tab, fmt.Sprintf("r-%d-%d", i, n), fmt.Sprintf("account-%02d", i), ResultNotRun, 1)
+			runOneAttempt(tab, fmt.Sprintf("r-%d-%d", i, n), fmt.Sprintf("account-%02d", i), ResultNotRun, 1)
 		}
 	}
 	rows := tab.Drain(SummaryLimits{Groups: 1, Accounts: 2}).Rows
@@ -270,15 +274,15 @@
 	}, got)
 }
 
-// Operators charge work by account. Were small accounts dropped when there are
-// too many, the totals would not add up; were busy ones, the list would name
-// the wrong accounts.
-func TestManyAccountsKeepTotalsAndTheBusiest(t *testing.T) {
+// Operators bill work by account. If small accounts were dropped when there are
+// too many, the totals would not add up; if busy ones were, the wrong accounts
+// would be listed.
+func TestPruningKeepsTotalsAndBusiestAccounts(t *testing.T) {
 	tab := New(Options{MaxRequests: 8, Retention: time.Minute, MaxAccounts: 16})
 	const rounds = 400
 	for i := range rounds {
-		finished(tab, "small", fmt.Sprint("small-", i), ResultOK, 1)
-		finished(tab, "big", "big", ResultOK, 1)
+		runOneAttempt(tab, "small", fmt.Sprint("small-", i), ResultOK, 1)
+		runOneAttempt(tab, "big", "big", ResultOK, 1)
 		tab.Expire(at(time.Hour))
 	}
 	rows := tab.Drain(SummaryLimits{Groups: 8, Accounts: 1}).Rows
@@ -287,9 +291,9 @@
 	require.Equal(t, uint64(rounds), rows[0].Count)
 }
 
-// An operator reads the attainment of each tier since the start. A report that
-// is written to the store must not take it back to zero, and a tool that renames
-// tiers for ever must not fill the memory.
+// Operators read the attainment of each tier since the process started. Writing a
+// report to the store must not reset it, and a tool that keeps renaming tiers
+// must not exhaust the memory.
 func TestAttainmentByTier(t *testing.T) {
 	tab := New(Options{MaxRequests: 64, Retention: time.Minute})
 	end := func(id, tier string, state State, after time.Duration) {
@@ -297,36 +301,36 @@
 		i.Tier = tier
 		tab.Finish(tab.Begin(i), End{State: state, At: at(after)})
 	}
-	end("in time", "gold", Answered, time.Second)
-	end("late", "gold", Answered, time.Second+1)
-	end("failed", "gold", Failed, 0)
+	end("in time", "gold", StateAnswered, time.Second)
+	end("late", "gold", StateAnswered, time.Second+1)
+	end("failed", "gold", StateFailed, 0)
 	tab.Drain(SummaryLimits{Groups: 1})
 	require.Equal(t, map[string]Attainment{"gold": {Ended: 3, Attained: 1}}, tab.Attainment())
 	for i := range 2 * maxTiers {
-		end(fmt.Sprint(i), fmt.Sprintf("tier-%d", i), Answered, 0)
+		end(fmt.Sprint(i), fmt.Sprintf("tier-%d", i), StateAnswered, 0)
 	}
 	got := tab.Attainment()
 	require.Len(t, got, maxTiers+1)
 	require.Equal(t, Attainment{Ended: maxTiers + 1, Attained: maxTiers + 1}, got[OtherTier])
 }
 
-// The store is down when a summary is to be written: what it held must be in the
-// next one, once.
-func TestRestoreAfterAFailedWrite(t *testing.T) {
+// The counters of a summary that could not be written because the store is down
+// must be in the next one, exactly once.
+func TestRestoreAfterFailedWrite(t *testing.T) {
 	tab := New(Options{MaxRequests: 8, Retention: time.Minute})
 	limits := SummaryLimits{Groups: 8, Accounts: 8}
-	finished(tab, "r1", "wards", ResultOK, 1)
+	runOneAttempt(tab, "r1", "wards", ResultOK, 1)
 	first := tab.Drain(limits)
-	finished(tab, "r2", "wards", ResultOK, 1)
+	runOneAttempt(tab, "r2", "wards", ResultOK, 1)
 	tab.Restore(first)
 	rows := tab.Drain(limits).Rows
 	require.Len(t, rows, 2)
 	require.Equal(t, uint64(2), rows[0].Attained)
 }
 
-// Whatever the order of events, the bounds hold, no record is reached by
-// another's reference, and every ended attempt is in the sums exactly once.
-func TestAnyOrderOfEvents(t *testing.T) {
+// For any sequence of events, the bounds hold, no Ref reaches the record of
+// another request, and every attempt that ended is counted exactly once.
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{MaxRequests: rapid.IntRange(1, 6).Draw(t, "max"), MaxBytes: 6000, Retention: 20, MaxAccounts: 3}
 		tab := New(o)
@@ -356,14 +360,14 @@
 				r.attempts = append(r.attempts, n)
 			case 1:
 				if len(r.attempts) > 0 {
-					before := tab.live(r.ref, r.attempts[0])
+					before := tab.attemptRunning(r.ref, r.attempts[0])
 					tab.EndAttempt(r.ref, r.attempts[0], AttemptEnd{Result: ResultOK, Error: "error", At: at(now)})
 					if before {
 						ended++
 					}
 				}
 			case 2:
-				tab.Finish(r.ref, End{State: Answered, At: at(now)})
+				tab.Finish(r.ref, End{State: StateAnswered, At: at(now)})
 			case 3:
 				tab.Expire(at(now))
 			}
@@ -390,14 +394,15 @@
 	})
 }
 
-// live tells whether an attempt is recorded and runs.
-func (t *Table) live(ref Ref, attempt int) bool {
+// attemptRunning reports whether an attempt is recorded and running.
+func (t *Table) attemptRunning(ref Ref, attempt int) bool {
 	r := t.shards[ref.shard].find(ref)
 	return r != nil && attempt >= 0 && r.attempts[attempt].Result == ResultRunning
 }
 
-// Requests end on many cores while a summary is drained and, as its write fails,
-// restored. One that is counted twice or not at all shows as a wrong bill.
+// Requests end on many cores while a summary is drained and restored after a
+// failed write. A request that is counted twice or not at all would be billed
+// wrongly.
 func TestConcurrentUse(t *testing.T) {
 	tab := New(Options{MaxRequests: 256, Retention: time.Minute})
 	const workers, each = 8, 200
@@ -406,7 +411,7 @@
 		wg.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("%d-%d", w, i)
-				finished(tab, id, id, ResultOK, 1)
+				runOneAttempt(tab, id, id, ResultOK, 1)
 				tab.Get(id, at(1))
 				tab.Stats()
 				if i%50 == 0 {
--- a/state/requests/shard.go
+++ b/state/requests/shard.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// expiryBatch bounds the old requests that one Begin removes. It is more than
-// the one that Begin adds, so expiry keeps up and no Begin pays for a backlog.
+// expiryBatch bounds the expired requests that one Begin removes. It is greater
+// than the one request that Begin adds, so expiry keeps up without a long pause
+// in any single Begin.
 const expiryBatch = 4
 
-// shard is a part of the table with its own lock and its own share of the bounds.
+// shard is a part of the table with its own lock and its share of the bounds.
 type shard struct {
 	mu          sync.Mutex
 	slots       []record
 	index       map[string]int32
-	free        list
-	running     list // in order of Begin
-	finished    list // in order of Finish
+	free        slotList
+	running     slotList // in order of Begin
+	finished    slotList // in order of Finish
 	maxRequests int
 	maxBytes    int64
 	retention   time.Duration
@@ -28,11 +29,11 @@
 func (s *shard) begin(info Info) (slot int32, generation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(info.Begun, expiryBatch)
-	slot = s.take(info.ID)
-	if slot == none {
+	s.expire(info.StartedAt, expiryBatch)
+	slot = s.allocateSlot(info.ID)
+	if slot == noSlot {
 		s.unrecorded++
-		return none, 0
+		return noSlot, 0
 	}
 	r := &s.slots[slot]
 	r.info = info
@@ -40,33 +41,34 @@
 	r.bytes = recordBytes + int64(len(info.ID)) + int64(cap(r.attempts))*attemptBytes
 	s.bytes += r.bytes
 	s.index[info.ID] = slot
-	s.running.push(s.slots, slot)
+	s.running.pushBack(s.slots, slot)
 	return slot, r.generation
 }
 
-// take finds a free slot: one of the free list, a new one, or the one of the
-// oldest finished request. Running requests are never pushed out; when they
-// fill the shard, or the id is taken, there is none.
-func (s *shard) take(id string) int32 {
-	if _, taken := s.index[id]; taken {
-		return none
+// allocateSlot returns a slot from the free list, a new one, or that of the
+// oldest finished request. Running requests are never evicted: if they fill the
+// shard, or if the id is in use, it returns noSlot.
+func (s *shard) allocateSlot(id string) int32 {
+	if _, inUse := s.index[id]; inUse {
+		return noSlot
 	}
-	if !s.reserve(recordBytes + int64(len(id)) + keptAttempts*attemptBytes) {
-		return none
+	if !s.reserveBytes(recordBytes + int64(len(id)) + preallocatedAttempts*attemptBytes) {
+		return noSlot
 	}
-	if s.free.head == none && len(s.slots) >= s.maxRequests && !s.evictOldest() {
-		return none
+	if s.free.head == noSlot && len(s.slots) >= s.maxRequests && !s.evictOldest() {
+		return noSlot
 	}
-	if slot := s.free.head; slot != none {
+	if slot := s.free.head; slot != noSlot {
 		s.free.remove(s.slots, slot)
 		return slot
 	}
-	s.slots = append(s.slots, record{prev: none, next: none})
+	s.slots = append(s.slots, record{prev: noSlot, next: noSlot})
 	return int32(len(s.slots) - 1)
 }
 
-// reserve makes room for n more bytes by removing finished requests.
-func (s *shard) reserve(n int64) bool {
+// reserveBytes evicts finished requests until n more bytes fit. It reports
+// whether they do.
+func (s *shard) reserveBytes(n int64) bool {
 	for s.bytes+n > s.maxBytes {
 		if !s.evictOldest() {
 			return false
@@ -75,58 +77,59 @@
 	return true
 }
 
-// evictOldest removes the request that finished first.
+// evictOldest removes the request that finished first and reports whether there
+// was one.
 func (s *shard) evictOldest() bool {
 	slot := s.finished.head
-	if slot == none {
+	if slot == noSlot {
 		return false
 	}
 	s.finished.remove(s.slots, slot)
-	s.release(slot)
+	s.freeSlot(slot)
 	return true
 }
 
-// release frees a slot that is in no list.
-func (s *shard) release(slot int32) {
+// freeSlot empties a slot that is in no list and adds it to the free list.
+func (s *shard) freeSlot(slot int32) {
 	r := &s.slots[slot]
 	delete(s.index, r.info.ID)
 	s.bytes -= r.bytes
 	r.reset()
-	s.free.push(s.slots, slot)
+	s.free.pushBack(s.slots, slot)
 }
 
-// expire removes at most limit requests of each kind: finished ones past their
-// retention, and running ones as long past their deadline. The second guards
-// against a request whose Finish is never called: such records would fill the
-// table, which shows as status that is missing for new requests.
+// expire removes at most limit finished requests past their retention and at
+// most limit running ones that exceed their deadline by the retention. The
+// latter prevents requests whose Finish is never called from filling the table,
+// which would leave new requests without a status.
 func (s *shard) expire(now time.Time, limit int) {
 	for range limit {
 		slot := s.finished.head
-		if slot == none || !s.expired(slot, now) {
+		if slot == noSlot || !s.expired(slot, now) {
 			break
 		}
 		s.evictOldest()
 	}
 	for range limit {
 		slot := s.running.head
-		if slot == none || !s.expired(slot, now) {
+		if slot == noSlot || !s.expired(slot, now) {
 			break
 		}
 		s.running.remove(s.slots, slot)
-		s.release(slot)
+		s.freeSlot(slot)
 	}
 }
 
 func (s *shard) expired(slot int32, now time.Time) bool {
 	r := &s.slots[slot]
-	if r.state == Running {
-		return now.Sub(r.info.Begun) >= r.info.Deadline+s.retention
+	if r.state == StateRunning {
+		return now.Sub(r.info.StartedAt) >= r.info.Deadline+s.retention
 	}
-	return now.Sub(r.ended) >= s.retention
+	return now.Sub(r.endedAt) >= s.retention
 }
 
-// find returns the record of a reference, or nil when its slot has gone to
-// another request since.
+// find returns the record of a reference, or nil if its slot was freed or reused
+// for another request.
 func (s *shard) find(ref Ref) *record {
 	if int(ref.slot) >= len(s.slots) {
 		return nil
@@ -152,25 +155,25 @@
 	}
 	n := int64(len(a.ID) + len(a.Target))
 	if len(r.attempts) == cap(r.attempts) {
-		n += int64(nextCap(cap(r.attempts))-cap(r.attempts)) * attemptBytes
+		n += int64(nextAttemptCapacity(cap(r.attempts))-cap(r.attempts)) * attemptBytes
 	}
-	// The record itself may not be pushed out here: the others make room.
-	if !s.reserveFor(ref.slot, n) {
+	// The record itself must not be evicted.
+	if !s.reserveBytesKeeping(ref.slot, n) {
 		r.unrecorded++
 		return NoAttempt
 	}
 	s.charge(r, n)
-	r.attempts = append(grown(r.attempts), Attempt{
-		Stage:   a.Stage,
-		ID:      a.ID,
-		Target:  a.Target,
-		Started: a.At.Sub(r.info.Begun),
+	r.attempts = append(growAttempts(r.attempts), Attempt{
+		Stage:       a.Stage,
+		ID:          a.ID,
+		Target:      a.Target,
+		StartOffset: a.At.Sub(r.info.StartedAt),
 	})
 	return len(r.attempts) - 1
 }
 
-// reserveFor is reserve, but stops before it would remove the slot itself.
-func (s *shard) reserveFor(slot int32, n int64) bool {
+// reserveBytesKeeping is reserveBytes that never evicts the given slot.
+func (s *shard) reserveBytesKeeping(slot int32, n int64) bool {
 	for s.bytes+n > s.maxBytes {
 		if s.finished.head == slot || !s.evictOldest() {
 			return false
@@ -179,25 +182,26 @@
 	return true
 }
 
+// charge adds n bytes to the memory accounted to a record.
 func (s *shard) charge(r *record, n int64) {
 	r.bytes += n
 	s.bytes += n
 }
 
-// grown returns the attempts with room for one more. append's own growth
-// would exceed what was charged.
-func grown(attempts []Attempt) []Attempt {
+// growAttempts returns the attempts with capacity for one more. Growth by append
+// would exceed the bytes that were charged.
+func growAttempts(attempts []Attempt) []Attempt {
 	if len(attempts) < cap(attempts) {
 		return attempts
 	}
-	bigger := make([]Attempt, len(attempts), nextCap(cap(attempts)))
+	bigger := make([]Attempt, len(attempts), nextAttemptCapacity(cap(attempts)))
 	copy(bigger, attempts)
 	return bigger
 }
 
-func nextCap(c int) int {
+func nextAttemptCapacity(c int) int {
 	if c == 0 {
-		return keptAttempts
+		return preallocatedAttempts
 	}
 	return min(2*c, maxAttempts)
 }
--- a/state/requests/summary.go
+++ b/state/requests/summary.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Row is one sum of a Summary.
+// Row is one row of a Summary.
 type Row struct {
 	Key
 	Counters
 }
 
-// Summary holds the sums since the drain before. Its size is bounded by the
+// Summary holds the counters since the previous drain. Its size is bounded by
 // SummaryLimits, however many accounts and pipelines there are.
 type Summary struct {
-	// Rows are in the order of their keys. An empty Account sums up the
-	// accounts that have no row, and OtherPipeline the groups that have none.
+	// Rows are sorted by key. The row with an empty Account holds the accounts
+	// without a row, and that of OtherPipeline the groups without one.
 	Rows []Row
 }
 
@@ -23,20 +23,20 @@
 type SummaryLimits struct {
 	// Groups is the number of combinations of pipeline, stage and tier.
 	Groups int
-	// Accounts is the number of accounts listed apart in each.
+	// Accounts is the number of accounts listed separately in each group.
 	Accounts int
 }
 
-// Drain returns the sums since the drain before and starts new ones.
+// Drain returns the counters since the previous drain and resets them.
 func (t *Table) Drain(limits SummaryLimits) Summary {
 	groups := groups{}
-	for _, d := range t.digests {
-		accounts, rest := d.swap()
-		groups.add(accounts, rest)
+	for _, agg := range t.stripes {
+		accounts, others := agg.swap()
+		groups.addStripe(accounts, others)
 	}
 	sums := groups.totals()
 	keys := slices.SortedFunc(maps.Keys(groups), func(a, b Key) int {
-		return byCount(a, b, sums)
+		return compareByCount(a, b, sums)
 	})
 	var rows []Row
 	var others Counters
@@ -54,36 +54,37 @@
 	return Summary{Rows: rows}
 }
 
-// Restore adds the sums of a drain back, for a summary that could not be
-// written, so that the next one holds them.
+// Restore adds the counters of a summary that could not be written back, so that
+// the next one includes them.
 func (t *Table) Restore(s Summary) {
-	// One stripe takes them all: a drain adds the stripes up again.
+	// The choice of the stripe does not matter: Drain sums over all of them.
 	for _, row := range s.Rows {
-		t.digests[0].add(row.Key, row.Counters)
+		t.stripes[0].add(row.Key, row.Counters)
 	}
 }
 
-func (d *digests) swap() (accounts, rest map[Key]*Counters) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	accounts, rest = d.accounts, d.rest
-	d.accounts = make(map[Key]*Counters, len(accounts))
-	d.rest = make(map[Key]*Counters, len(rest))
-	return accounts, rest
+// swap returns the counters and replaces them by empty ones.
+func (agg *aggregates) swap() (accounts, others map[Key]*Counters) {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	accounts, others = agg.byAccount, agg.otherAccounts
+	agg.byAccount = make(map[Key]*Counters, len(accounts))
+	agg.otherAccounts = make(map[Key]*Counters, len(others))
+	return accounts, others
 }
 
 // group is one combination of pipeline, stage and tier.
 type group struct {
-	total    Counters
-	rest     Counters
-	accounts map[Key]*Counters
+	total         Counters
+	otherAccounts Counters
+	accounts      map[Key]*Counters
 }
 
-// groups holds the sums of all stripes by key without account.
+// groups holds the counters of all stripes by key without account.
 type groups map[Key]*group
 
-// of returns the group of a key, new if need be.
-func (gs groups) of(k Key) *group {
+// get returns the group of a key and creates it if it is missing.
+func (gs groups) get(k Key) *group {
 	k.Account = ""
 	g, ok := gs[k]
 	if !ok {
@@ -93,10 +94,10 @@
 	return g
 }
 
-// add takes the sums of one stripe over.
-func (gs groups) add(accounts, rest map[Key]*Counters) {
+// addStripe adds the counters of one stripe. It keeps the pointers in accounts.
+func (gs groups) addStripe(accounts, others map[Key]*Counters) {
 	for k, c := range accounts {
-		g := gs.of(k)
+		g := gs.get(k)
 		g.total.Add(*c)
 		if sum, ok := g.accounts[k]; ok {
 			sum.Add(*c)
@@ -104,10 +105,10 @@
 		}
 		g.accounts[k] = c
 	}
-	for k, c := range rest {
-		g := gs.of(k)
+	for k, c := range others {
+		g := gs.get(k)
 		g.total.Add(*c)
-		g.rest.Add(*c)
+		g.otherAccounts.Add(*c)
 	}
 }
 
@@ -119,22 +120,23 @@
 	return sums
 }
 
-// rows lists the busiest accounts of a group and sums up the others.
+// rows returns one row for each of the busiest accounts of a group and one for
+// all others.
 func (g *group) rows(k Key, accounts int) []Row {
 	keys := slices.SortedFunc(maps.Keys(g.accounts), func(a, b Key) int {
-		return byCount(a, b, g.accounts)
+		return compareByCount(a, b, g.accounts)
 	})
 	listed := min(accounts, len(keys))
 	rows := make([]Row, 0, listed+1)
 	for _, key := range keys[:listed] {
 		rows = append(rows, Row{key, *g.accounts[key]})
 	}
-	rest := g.rest
+	others := g.otherAccounts
 	for _, key := range keys[listed:] {
-		rest.Add(*g.accounts[key])
+		others.Add(*g.accounts[key])
 	}
-	if rest != (Counters{}) {
-		rows = append(rows, Row{k, rest})
+	if others != (Counters{}) {
+		rows = append(rows, Row{k, others})
 	}
 	return rows
 }
--- a/state/requests/table.go
+++ b/state/requests/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// NoAttempt is the number of an attempt that is not recorded; EndAttempt takes
+// NoAttempt is the number of an attempt that is not recorded; EndAttempt accepts
 // it and does nothing.
 const NoAttempt = -1
 
@@ -19,32 +19,33 @@
 
 // Options bounds a Table.
 type Options struct {
-	// MaxRequests is the greatest number of requests kept, running ones included.
+	// MaxRequests bounds the number of requests kept, including running ones.
 	MaxRequests int
-	// MaxBytes bounds the memory of the requests kept; 0 allows 2 KiB a request.
-	// Slots that were emptied keep at most as much again for the next requests.
+	// MaxBytes bounds the memory of the requests kept; 0 allows 2 KiB per request.
+	// Free slots retain at most the same amount again for the next requests.
 	MaxBytes int64
-	// Retention is how long a finished request is kept at most.
+	// Retention is the maximum time for which a finished request is kept.
 	Retention time.Duration
-	// MaxAccounts bounds the sums that are kept by client account between two
-	// drains; 0 is 4096. Beyond it the least busy ones are summed together.
+	// MaxAccounts bounds the counters that are kept per client account between
+	// two drains; 0 means 4096. Beyond it the least busy accounts are combined.
 	MaxAccounts int
 }
 
-// Table holds the status of requests in shards by request id. Locks are taken
-// in the order shard, digests; neither is held for more than memory work.
+// Table holds the status of requests, sharded by request id. Locks are acquired
+// in the order shard, aggregates; neither is held during I/O.
 type Table struct {
 	shards []shard
 	seed   maphash.Seed
-	// digests are striped by the request's shard and not by account: one busy
-	// account would otherwise keep all cores at one lock.
-	digests []*digests
+	// stripes are selected by the request's shard and not by its account: with
+	// one busy account all cores would otherwise contend for one lock.
+	stripes []*aggregates
 }
 
-// defaultBytesPerRequest fits a request of four stages with their attempts.
+// defaultBytesPerRequest is enough for a request of four stages with their
+// attempts.
 const defaultBytesPerRequest = 2 << 10
 
-// New makes an empty table.
+// New returns an empty table.
 func New(o Options) *Table {
 	o.MaxRequests = max(o.MaxRequests, 1)
 	if o.MaxBytes <= 0 {
@@ -57,15 +58,15 @@
 	t := &Table{
 		shards:  make([]shard, n),
 		seed:    maphash.MakeSeed(),
-		digests: make([]*digests, min(n, maxStripes)),
+		stripes: make([]*aggregates, min(n, maxStripes)),
 	}
-	for i := range t.digests {
-		t.digests[i] = newDigests(o.MaxAccounts / len(t.digests))
+	for i := range t.stripes {
+		t.stripes[i] = newAggregates(o.MaxAccounts / len(t.stripes))
 	}
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.index = map[string]int32{}
-		s.free, s.running, s.finished = newList(), newList(), newList()
+		s.free, s.running, s.finished = newSlotList(), newSlotList(), newSlotList()
 		s.maxRequests = (o.MaxRequests + n - 1) / n
 		s.maxBytes = o.MaxBytes / int64(n)
 		s.retention = o.Retention
@@ -73,8 +74,8 @@
 	return t
 }
 
-// shardCount gives each shard room enough that chance does not fill one while
-// others are empty.
+// shardCount returns a number of shards so small that uneven hashing does not
+// fill one shard while others are empty.
 func shardCount(requests int) int {
 	n := min(max(requests/requestsPerShard, 1), maxShards)
 	return 1 << (bits.Len(uint(n)) - 1)
@@ -84,17 +85,16 @@
 	return uint32(maphash.String(t.seed, id)) & uint32(len(t.shards)-1)
 }
 
-func (t *Table) stripe(ref Ref) *digests {
-	return t.digests[int(ref.shard)%len(t.digests)]
+func (t *Table) stripeOf(ref Ref) *aggregates {
+	return t.stripes[int(ref.shard)%len(t.stripes)]
 }
 
-// Begin records a request. The reference is the zero Ref when the id is in use
-// or running requests fill the table; the request is then served without a
-// status of its own.
+// Begin records a request. It returns the zero Ref if the id is in use or running
+// requests fill the table; the request is then served without a status.
 func (t *Table) Begin(info Info) Ref {
 	i := t.shardOf(info.ID)
 	slot, generation := t.shards[i].begin(info)
-	if slot == none {
+	if slot == noSlot {
 		return Ref{}
 	}
 	return Ref{shard: i, slot: slot, generation: generation}
@@ -108,9 +108,9 @@
 	return t.shards[ref.shard].addAttempt(ref, a)
 }
 
-// EndAttempt records how an attempt ended, also after the end of its request:
-// the answer of a hedge that lost still counts as work. The first end of an
-// attempt stands.
+// EndAttempt records how an attempt ended, also after the end of its request,
+// since the work of a hedge whose response was not used still counts. Only the
+// first call for an attempt has an effect.
 func (t *Table) EndAttempt(ref Ref, attempt int, e AttemptEnd) {
 	if !ref.Recorded() {
 		return
@@ -127,39 +127,39 @@
 		return
 	}
 	a.Result = e.Result
-	a.Elapsed = e.At.Sub(r.info.Begun) - a.Started
+	a.Elapsed = e.At.Sub(r.info.StartedAt) - a.StartOffset
 	a.Work = e.Work
 	a.Tokens = e.Tokens
 	a.PrefillTokens = e.PrefillTokens
-	text := shortText(e.Error)
-	if s.reserveFor(ref.slot, int64(len(text))) {
+	text := truncateError(e.Error)
+	if s.reserveBytesKeeping(ref.slot, int64(len(text))) {
 		a.Error = text
 		s.charge(r, int64(len(text)))
 	}
-	t.stripe(ref).add(r.key(a.Stage), attemptCounters(a, r))
+	t.stripeOf(ref).add(r.attemptKey(a.Stage), attemptCounters(a, r))
 }
 
-// Finish records the end of a request. The first end stands.
+// Finish records the end of a request. Only the first call has an effect.
 func (t *Table) Finish(ref Ref, e End) {
-	if !ref.Recorded() || e.State == Running {
+	if !ref.Recorded() || e.State == StateRunning {
 		return
 	}
 	s := &t.shards[ref.shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.find(ref)
-	if r == nil || r.state != Running {
+	if r == nil || r.state != StateRunning {
 		return
 	}
-	r.state, r.outcome, r.ended = e.State, e.Outcome, e.At
-	r.elapsed = e.At.Sub(r.info.Begun)
+	r.state, r.outcome, r.endedAt = e.State, e.Outcome, e.At
+	r.elapsed = e.At.Sub(r.info.StartedAt)
 	s.running.remove(s.slots, ref.slot)
-	s.finished.push(s.slots, ref.slot)
-	t.stripe(ref).addRequest(r)
+	s.finished.pushBack(s.slots, ref.slot)
+	t.stripeOf(ref).addRequest(r)
 }
 
-// Get copies the status of a request. It is false when the request is not
-// known, or is past its retention.
+// Get returns a copy of the status of a request. It returns false if the request
+// is unknown or past its retention.
 func (t *Table) Get(id string, now time.Time) (Status, bool) {
 	s := &t.shards[t.shardOf(id)]
 	s.mu.Lock()
@@ -171,8 +171,8 @@
 	return s.slots[slot].status(now), true
 }
 
-// Expire removes what is past its retention, for an instance without requests
-// whose Begin would do it.
+// Expire removes the requests past their retention. Begin does so too, but only
+// on an instance that receives requests.
 func (t *Table) Expire(now time.Time) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -182,34 +182,36 @@
 	}
 }
 
-// Attainment returns, by tier, how many requests ended since the start and how
-// many of them were answered within their deadline.
+// Attainment returns, by tier, how many requests ended since the process started
+// and how many of them were answered within their deadline.
 func (t *Table) Attainment() map[string]Attainment {
 	sum := make(map[string]Attainment)
-	for _, d := range t.digests {
-		d.mu.Lock()
-		for tier, own := range d.tiers {
+	for _, agg := range t.stripes {
+		agg.mu.Lock()
+		for tier, own := range agg.byTier {
 			total := sum[tier]
 			total.Ended += own.Ended
 			total.Attained += own.Attained
 			sum[tier] = total
 		}
-		d.mu.Unlock()
+		agg.mu.Unlock()
 	}
 	return sum
 }
 
-// Stats is the size of a table.
+// Stats describes the size of a table.
 type Stats struct {
 	// Requests counts the records, running and finished.
 	Requests int
 	// Bytes is the memory charged to them.
 	Bytes int64
-	// Unrecorded counts the requests that found no room since the start.
+	// Unrecorded counts the requests since the process started that could not be
+	// recorded.
 	Unrecorded uint64
 }
 
-// Stats sums up the shards, one after the other.
+// Stats returns the sum over the shards. It locks them one at a time, so the
+// figures of different shards are of slightly different times.
 func (t *Table) Stats() Stats {
 	var sum Stats
 	for i := range t.shards {
--- a/state/requests/types.go
+++ b/state/requests/types.go
@@ -1,19 +1,19 @@
-// Package requests keeps the status of an instance's requests in memory, and
-// sums up how they fared. Both are bounded in number and in bytes: the newest
-// finished requests push out the oldest, and the sums keep the busiest client
-// accounts by name and the others together.
+// Package requests keeps the status of an instance's requests in memory and
+// aggregates their counters. Both are bounded in number and in bytes: new
+// requests evict the oldest finished ones, and counters are kept separately for
+// the busiest client accounts and together for the others.
 package requests
 
 import "time"
 
-// State is how far a request or the instance's work on it is.
+// State is the state of a request at this instance.
 type State uint8
 
 // The states of a request.
 const (
-	Running State = iota
-	Answered
-	Failed
+	StateRunning State = iota
+	StateAnswered
+	StateFailed
 )
 
 var stateNames = [...]string{"running", "answered", "failed"}
@@ -21,10 +21,10 @@
 // String implements fmt.Stringer with the name that callers see.
 func (s State) String() string { return nameOf(stateNames[:], uint8(s)) }
 
-// Outcome says what became of the work behind a request.
+// Outcome is whether a request was run.
 type Outcome uint8
 
-// The outcomes of a request; a running one has none.
+// The outcomes of a request; a running one has OutcomeNone.
 const (
 	OutcomeNone Outcome = iota
 	OutcomeNotRun
@@ -43,12 +43,12 @@
 // The results of an attempt.
 const (
 	ResultRunning Result = iota
-	// ResultOK is the answer that the request used.
+	// ResultOK is a complete response that the request used.
 	ResultOK
 	// ResultNotRun is a refusal before any work.
 	ResultNotRun
 	ResultFailed
-	// ResultLate is a whole answer that came after another was used.
+	// ResultLate is a complete response that arrived after another one was used.
 	ResultLate
 	ResultCancelled
 )
@@ -65,8 +65,8 @@
 	return names[i]
 }
 
-// Info is what is known of a request when it begins. Its strings and slice are
-// kept, not copied: they come from the accepted configuration.
+// Info describes a request at its start. Its strings and slice are kept and not
+// copied: they come from the accepted configuration.
 type Info struct {
 	ID            string
 	Pipeline      string
@@ -75,9 +75,9 @@
 	Tier          string
 	// Stages are the names of the pipeline's stages, by stage index.
 	Stages []string
-	// Deadline is end to end, from Begun.
-	Deadline time.Duration
-	Begun    time.Time
+	// Deadline is the end-to-end time limit, from StartedAt.
+	Deadline  time.Duration
+	StartedAt time.Time
 }
 
 // AttemptStart describes an attempt that is about to be sent.
@@ -92,11 +92,11 @@
 // AttemptEnd describes how an attempt ended.
 type AttemptEnd struct {
 	Result Result
-	// Work is the time that the target reports to have worked; 0 is not reported.
+	// Work is the processing time that the target reports; 0 if it reports none.
 	Work          time.Duration
 	Tokens        int
 	PrefillTokens int
-	// Error is a short text without request content; it is cut at 160 bytes.
+	// Error is a short text without request content; it is truncated to 160 bytes.
 	Error string
 	At    time.Time
 }
@@ -108,27 +108,31 @@
 	At      time.Time
 }
 
-// Status is a copy of what is known of a request.
+// Status is a copy of the record of a request.
 type Status struct {
 	Info
 	State   State
 	Outcome Outcome
-	// Elapsed is the time to the end, or to now while the request runs.
+	// Elapsed is the time from the start to the end, or to now while the request
+	// runs.
 	Elapsed  time.Duration
 	Attempts []Attempt
-	// Unrecorded counts attempts beyond the bound of a request or the table.
+	// Unrecorded counts the attempts that exceeded the bounds of a request or of
+	// the table.
 	Unrecorded int
 }
 
-// Attempt is a copy of what is known of one attempt.
+// Attempt is the record of one attempt.
 type Attempt struct {
 	Stage  int
 	ID     string
 	Target string
 	Result Result
-	// Started is the time from the begin of the request.
-	Started time.Duration
-	// Elapsed is the time to the end, or to now while the attempt runs.
+	// StartOffset is the time from the start of the request to that of the
+	// attempt.
+	StartOffset time.Duration
+	// Elapsed is the time from the attempt's start to its end, or to now while it
+	// runs.
 	Elapsed       time.Duration
 	Work          time.Duration
 	Tokens        int
@@ -136,13 +140,13 @@
 	Error         string
 }
 
-// Ref finds a recorded request without a search. The zero Ref stands for a
-// request that is not recorded: every method takes it and does nothing.
+// Ref refers to the record of a request without a lookup. The zero Ref stands
+// for a request that is not recorded; every method accepts it and does nothing.
 type Ref struct {
 	shard      uint32
 	slot       int32
 	generation uint64
 }
 
-// Recorded tells whether the request was recorded at its begin.
+// Recorded reports whether the request was recorded at its start.
 func (r Ref) Recorded() bool { return r.generation != 0 }
--- a/testkit/capacity/requests.go
+++ b/testkit/capacity/requests.go
@@ -58,7 +58,7 @@
 func recordRequest(table *requests.Table, id string, now time.Time, finish bool) {
 	ref := table.Begin(requests.Info{
 		ID: id, Pipeline: "dossier", SchemaVersion: 1, Account: "account-1", Tier: "gold",
-		Stages: stageNames, Deadline: 12 * time.Second, Begun: now,
+		Stages: stageNames, Deadline: 12 * time.Second, StartedAt: now,
 	})
 	for stage := range stageNames {
 		attempt := table.StartAttempt(ref, requests.AttemptStart{Stage: stage, ID: id + "-a", Target: "engines-00001", At: now})
@@ -67,7 +67,7 @@
 		}
 	}
 	if finish {
-		table.Finish(ref, requests.End{State: requests.Answered, Outcome: requests.OutcomeRan, At: now})
+		table.Finish(ref, requests.End{State: requests.StateAnswered, Outcome: requests.OutcomeRan, At: now})
 	}
 }
 
