--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -82,7 +82,7 @@
 	if e != nil && revision < e.revision {
 		return false
 	}
-	if t.Started < r.started[t.Name] {
+	if t.StartedMillis < r.started[t.Name] {
 		return false
 	}
 	r.noteStart(t)
@@ -100,7 +100,7 @@
 
 // noteStart remembers the latest start of a name.
 func (r *Roster) noteStart(t routes.Target) {
-	if t.Started == 0 {
+	if t.StartedMillis == 0 {
 		return
 	}
 	if _, known := r.started[t.Name]; !known {
@@ -110,7 +110,7 @@
 		}
 		r.startedList = append(r.startedList, t.Name)
 	}
-	r.started[t.Name] = t.Started
+	r.started[t.Name] = t.StartedMillis
 }
 
 // TellsStart tells whether an entry of the name has told a start: one without is
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -21,7 +21,7 @@
 // startedAt is a target that tells its start.
 func startedAt(name string, started int64) routes.Target {
 	t := target(name)
-	t.Started = started
+	t.StartedMillis = started
 	return t
 }
 
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -55,7 +55,7 @@
 // from another writer than the target.
 func (f *Follower) decodeTarget(name string, spec []byte) (routes.Target, error) {
 	t, err := f.options.Source.DecodeTarget(name, spec)
-	if err != nil || t.Started != 0 {
+	if err != nil || t.StartedMillis != 0 {
 		return t, err
 	}
 	f.mu.Lock()
--- a/daemon/follow/targets_test.go
+++ b/daemon/follow/targets_test.go
@@ -38,7 +38,7 @@
 			if err != nil || (state != "ready" && state != "leaving") {
 				return routes.Target{}, errors.Newf("entry of target %q: no spec", name)
 			}
-			return routes.Target{Name: name, Started: n, Service: "s", Leaving: state == "leaving"}, nil
+			return routes.Target{Name: name, StartedMillis: n, Service: "s", Leaving: state == "leaving"}, nil
 		}},
 		Spread: func(r spread.Record) { h.spread = append(h.spread, r) },
 		OnChange: func(_ time.Time, _ *routes.Table, usable map[string][]routes.Target) {
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -171,7 +171,7 @@
 // begins anew. Where streams aren't resumed, what a caller says of that is for the target
 // alone.
 func (q *request) behind() string {
-	if !q.route.MayRepeat() {
+	if !q.route.Repeatable() {
 		return ""
 	}
 	return q.lastID()
--- a/daemon/relay/answer_test.go
+++ b/daemon/relay/answer_test.go
@@ -32,7 +32,7 @@
 	w := httptest.NewRecorder()
 	q := &request{
 		relay: New(Options{Dialect: dialect{}, Scope: tally.NoopScope}), w: w, r: httptest.NewRequest(http.MethodGet, "http://example.com/", nil),
-		route: &routes.Route{Repeat: routes.Idempotent, MaxAttempts: 2}, arrived: time.Now(),
+		route: &routes.Route{Kind: routes.KindIdempotent, MaxAttempts: 2}, arrived: time.Now(),
 	}
 	silence := time.NewTimer(time.Hour)
 	_, err = q.passOn(t.Context(), reply, silence)
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -88,7 +88,7 @@
 	query := routing.Query{
 		Pool: q.service, Model: q.call.Model, Exclude: q.excluded, Rank: q.priority, Prefer: q.engine,
 	}
-	if q.route.PromptRoute {
+	if q.route.PrefixCaching {
 		query.Home = subject(q.call.Prefix)
 		query.HomeShares = q.inputShares()
 	}
@@ -194,7 +194,7 @@
 	if q.headerSent {
 		from = now
 	}
-	wait := max(abandonLeast, abandonObjectives*q.route.Objective, abandonPauses*q.route.MaxPause)
+	wait := max(abandonLeast, abandonObjectives*q.route.LatencyObjective, abandonPauses*q.route.MaxEventGap)
 	if due := from.Add(wait - answerMargin); due.Before(q.deadline) {
 		return due
 	}
@@ -269,7 +269,7 @@
 		return false, err
 	case q.notResumable:
 		return false, err
-	case !f.notRun && (!q.route.MayRepeat() || q.sent >= q.route.MaxAttempts):
+	case !f.notRun && (!q.route.Repeatable() || q.sent >= q.route.MaxAttempts):
 		return false, err
 	case !f.unreached && !q.payResend():
 		// The budget bounds what targets get beyond their share; an attempt that
@@ -312,7 +312,7 @@
 	})
 	defer silence.Stop()
 	options := forward.Options{Process: t.Incarnation, Belongs: q.belongs, KeepIdle: q.keepIdle}
-	if !q.route.MayRepeat() {
+	if !q.route.Repeatable() {
 		options.MaxIdle = forward.FreshIdle
 	}
 	reply, err := q.relay.options.Client.Do(ctx, t.Address, q.outgoing(t), options)
@@ -350,16 +350,16 @@
 	if q.streams() {
 		return min(silentFirst, left/2)
 	}
-	return min(time.Duration(hedgeShare*float64(q.route.Objective)), left/2)
+	return min(time.Duration(hedgeShare*float64(q.route.LatencyObjective)), left/2)
 }
 
 // mayBetter tells whether another target may be asked if this one doesn't answer
 // well.
 func (q *request) mayBetter() bool {
-	return q.route.MayRepeat() && !q.notResumable && q.sent+1 < q.route.MaxAttempts
+	return q.route.Repeatable() && !q.notResumable && q.sent+1 < q.route.MaxAttempts
 }
 
-func (q *request) streams() bool { return q.route.MaxPause > 0 }
+func (q *request) streams() bool { return q.route.MaxEventGap > 0 }
 
 // failed tells what an attempt without a reply means.
 func (q *request) failed(ctx context.Context, err error) (routing.Outcome, error) {
@@ -387,7 +387,7 @@
 		Target:      t.Name,
 		Account:     q.account,
 		Priority:    q.priority,
-		Prompt:      q.route.PromptRoute,
+		Prompt:      q.route.PrefixCaching,
 		Inputs:      q.handles,
 		ResumeAfter: q.lastID(),
 	})
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -256,7 +256,7 @@
 		q.refuse("stopping", minRetryAfter)
 		return false
 	}
-	return q.readBody(table.Limits.BodyBytes)
+	return q.readBody(table.Limits.MaxBodyBytes)
 }
 
 // idInUse denies a request under the id of another one that is in progress.
@@ -276,10 +276,10 @@
 		return http.StatusNotFound
 	}
 	q.route, q.priority, q.account = route, route.Priority, ""
-	if !table.NeedsKeys || route.Anonymous {
+	if !table.RequiresKeys || route.Anonymous {
 		return 0
 	}
-	account, ok := table.Account(q.call.Key)
+	account, ok := table.AccountByKey(q.call.Key)
 	if !ok {
 		return http.StatusUnauthorized
 	}
@@ -310,7 +310,7 @@
 		timeout = min(timeout, wait-min(answerMargin, wait/10))
 	}
 	q.deadline = q.arrived.Add(timeout)
-	q.objective = q.arrived.Add(q.route.Objective)
+	q.objective = q.arrived.Add(q.route.LatencyObjective)
 }
 
 // readBody takes the whole body in, so that it can be sent again where that is
@@ -368,7 +368,7 @@
 
 // run serves the request to its one final answer.
 func (q *request) run(ctx context.Context) {
-	q.service = pickService(q.route.Split)
+	q.service = pickService(q.route.TrafficSplit)
 	for {
 		again, err := q.attempt(ctx)
 		if !again {
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -30,7 +30,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			q := &request{route: &routes.Route{Objective: c.objective, MaxPause: c.pause}, arrived: began, deadline: began.Add(c.deadline)}
+			q := &request{route: &routes.Route{LatencyObjective: c.objective, MaxEventGap: c.pause}, arrived: began, deadline: began.Add(c.deadline)}
 			require.Equal(t, began.Add(c.due-answerMargin), q.nextEventDue(began))
 		})
 	}
@@ -60,7 +60,7 @@
 // next event from then on; counted from the request's arrival, the stages that run
 // again would have half a second, and be refused.
 func TestResumedStreamHasTimeForItsStages(t *testing.T) {
-	route := &routes.Route{Objective: 1400 * time.Millisecond, MaxPause: 300 * time.Millisecond}
+	route := &routes.Route{LatencyObjective: 1400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond}
 	q := &request{route: route, arrived: began, deadline: began.Add(20 * time.Second)}
 	broke := began.Add(5 * time.Second)
 	require.Equal(t, began.Add(5600*time.Millisecond-answerMargin), q.nextEventDue(broke))
@@ -71,7 +71,7 @@
 // A caller says that its prompt has more tokens than any engine holds, or fewer than
 // none. Taken at its word its length overflows, and an engine counts as idle for it.
 func TestLengthOfAPromptIsBounded(t *testing.T) {
-	q := request{route: &routes.Route{PromptRoute: true}, service: "engines", call: exchange.Call{
+	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.Call{
 		PromptTokens: math.MaxInt, Prefix: []routing.PrefixPart{{ID: "a", Tokens: math.MinInt}},
 	}}
 	p := q.prompt()
@@ -84,7 +84,7 @@
 // TestStreamThatCannotGoOnMayPause guards against the end of a stream by our own bound of its
 // silence, though no other target can go on with it.
 func TestStreamThatCannotGoOnMayPause(t *testing.T) {
-	q := &request{route: &routes.Route{MaxPause: 300 * time.Millisecond, Repeat: routes.Streaming, Resumable: true, MaxAttempts: 2}}
+	q := &request{route: &routes.Route{MaxEventGap: 300 * time.Millisecond, Kind: routes.KindStreaming, Resumable: true, MaxAttempts: 2}}
 	require.Equal(t, silentGap, q.gapBound())
 	q.notResumable = true
 	require.Equal(t, unbounded, q.gapBound())
--- a/daemon/relay/results.go
+++ b/daemon/relay/results.go
@@ -8,7 +8,7 @@
 
 // prompt is what an engine is to read of the request.
 func (q *request) prompt() placing.Prompt {
-	if !q.route.PromptRoute {
+	if !q.route.PrefixCaching {
 		return placing.Prompt{}
 	}
 	p := placing.Prompt{Pool: q.service, Tokens: boundTokens(q.call.PromptTokens), Exclude: q.excluded}
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -44,7 +44,7 @@
 func TestStopEndsTheWaitForAConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := &routes.Route{Name: "r", Host: "example.com", Prefix: "/"}
-		table := routes.Build(routes.Table{NeedsKeys: true}, []*routes.Route{route}, nil)
+		table := routes.Build(routes.Table{RequiresKeys: true}, []*routes.Route{route}, nil)
 		asked := make(chan struct{})
 		s := New(Options{
 			Dialect: dialect{}, Scope: tally.NoopScope,
@@ -104,9 +104,9 @@
 // stagedRelay is a relay with one target and one route of one stage.
 func stagedRelay(m Maker) *Relay {
 	route := &routes.Route{
-		Name: "r", Host: "example.com", Prefix: "/", Objective: 5 * time.Second, MaxPause: time.Second,
+		Name: "r", Host: "example.com", Prefix: "/", LatencyObjective: 5 * time.Second, MaxEventGap: time.Second,
 		Timeout: 20 * time.Second, Stages: []routes.Stage{{Service: "stage"}},
-		Split: []routes.WeightedService{{Service: "engine", Weight: 1}},
+		TrafficSplit: []routes.WeightedService{{Service: "engine", Weight: 1}},
 	}
 	table := routes.Build(routes.Table{}, []*routes.Route{route}, nil)
 	router := routing.New(routing.Config{})
@@ -170,7 +170,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := stagedRelay(&maker{})
 		route, _ := s.options.Table().Match("example.com", "/")
-		route.Stages, route.MaxPause = nil, 0
+		route.Stages, route.MaxEventGap = nil, 0
 		body, rest := io.Pipe()
 		w := httptest.NewRecorder()
 		answered := make(chan struct{})
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := stagedRelay(&maker{})
 		route, _ := s.options.Table().Match("example.com", "/")
-		route.Repeat, route.MaxAttempts = routes.Idempotent, 2
+		route.Kind, route.MaxAttempts = routes.KindIdempotent, 2
 		s.Drain(time.Now(), time.Now().Add(time.Second))
 		time.Sleep(900 * time.Millisecond) // virtual: the last moment to send passes
 		w := httptest.NewRecorder()
--- a/daemon/stages/moving_test.go
+++ b/daemon/stages/moving_test.go
@@ -101,8 +101,8 @@
 		s := startStages(t, c)
 		d := &stubDialect{}
 		s.owner.dialect, s.owner.follower = d, stubFollower{}
-		table := &routes.Table{Services: map[string]*routes.Service{"stage": {Name: "stage", Batch: &routes.Batch{
-			Slots: 1, MaxPieces: 8, CallTime: time.Second, PieceTime: time.Millisecond, ResultBytes: 1 << 20, KeepFor: time.Minute,
+		table := &routes.Table{Services: map[string]*routes.Service{"stage": {Name: "stage", Batch: &routes.BatchConfig{
+			Slots: 1, MaxPieces: 8, CallTime: time.Second, PieceTime: time.Millisecond, ResultCapacity: 1 << 20, ResultTTL: time.Minute,
 		}}}}
 		usable := map[string][]routes.Target{"stage": {{Name: "t", Address: "at-t", DataCentre: "x"}}}
 		s.SetTargets(time.Now(), table, usable)
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -102,11 +102,11 @@
 	}
 }
 
-func shape(b *routes.Batch) gather.Shape {
+func shape(b *routes.BatchConfig) gather.Shape {
 	return gather.Shape{
 		Slots: b.Slots, MaxPieces: b.MaxPieces,
 		CallTime: b.CallTime, PieceTime: b.PieceTime,
-		ResultBytes: b.ResultBytes, KeepFor: b.KeepFor,
+		ResultBytes: b.ResultCapacity, KeepFor: b.ResultTTL,
 	}
 }
 
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -1,7 +1,7 @@
 // Package routes holds one accepted version of the routing configuration as an
-// immutable table: which service a request goes to, what may be repeated, which
-// client account a key belongs to. Readers share a table without a lock; a new
-// version is a new table.
+// immutable table: which service a request is sent to, whether it may be
+// repeated, and which client account a key belongs to. Readers share a table
+// without a lock; a new version is a new table.
 package routes
 
 import (
@@ -11,96 +11,99 @@
 	"time"
 )
 
-// Repeat says what may be repeated of a route's requests.
-type Repeat uint8
+// RouteKind is the kind of a route's requests. It decides whether they may be
+// repeated.
+type RouteKind uint8
 
 const (
-	// Idempotent requests may run more than once.
-	Idempotent Repeat = iota
-	// NonIdempotent requests run once at most.
-	NonIdempotent
-	// Streaming requests run once at most unless the route is resumable.
-	Streaming
+	// KindIdempotent requests may run more than once.
+	KindIdempotent RouteKind = iota
+	// KindNonIdempotent requests run at most once.
+	KindNonIdempotent
+	// KindStreaming requests run at most once unless the route is resumable.
+	KindStreaming
 )
 
 // Table is one version of the configuration.
 type Table struct {
-	// Version is the operator's number. It rises in uneven steps.
+	// Version is the operator's version number. It increases, but not always by
+	// one.
 	Version int64
-	// Revision is the store's revision of the version: the order in which
-	// versions came into force.
+	// Revision is the store's revision of the version. It orders the versions as
+	// they came into force.
 	Revision uint64
 	Services map[string]*Service
 	Limits   Limits
-	// NeedsKeys tells that the version has client accounts: requests of routes
-	// that aren't anonymous carry the key of one.
-	NeedsKeys bool
+	// RequiresKeys means that the version has client accounts, and that requests
+	// must carry the key of one unless their route is anonymous.
+	RequiresKeys bool
 
-	byHost   map[string][]*Route
-	accounts map[[sha256.Size]byte]*Account
+	byHost            map[string][]*Route
+	accountsByKeyHash map[[sha256.Size]byte]*Account
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size of a request.
 type Limits struct {
-	// HeaderBytes and BodyBytes are sizes in bytes; 0 is no bound.
-	HeaderBytes int64
-	BodyBytes   int64
+	// MaxHeaderBytes and MaxBodyBytes are in bytes; 0 means no limit.
+	MaxHeaderBytes int64
+	MaxBodyBytes   int64
 }
 
-// Route maps requests of a host and a path prefix to a service.
+// Route maps the requests of a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
-	// Timeout is the longest time that a caller may be kept waiting.
+	Kind   RouteKind
+	// Timeout bounds the time that a caller waits for the response.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is on time; for streams
-	// it holds for the first event.
-	Objective time.Duration
-	// MaxPause is the longest pause between two events of a stream that is
-	// still on time.
-	MaxPause time.Duration
-	// Priority is the rank; 0 is the most urgent.
+	// LatencyObjective is the latency within which a response meets its
+	// objective; for a stream, that of the first event.
+	LatencyObjective time.Duration
+	// MaxEventGap is the longest time between two events of a stream that meets
+	// its objective.
+	MaxEventGap time.Duration
+	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int
-	// Split lists the services that share the route's requests by weight.
-	Split []WeightedService
-	// MaxAttempts is the number of targets that one request may be sent to.
+	// TrafficSplit lists the services that share the route's requests by weight.
+	TrafficSplit []WeightedService
+	// MaxAttempts bounds the number of targets that one request is sent to.
 	MaxAttempts int
-	// Stages are the work that precedes the request's own, in the order in
-	// which results depend on one another.
+	// Stages run before the request's own target. A stage depends only on stages
+	// before it.
 	Stages []Stage
-	// Anonymous routes need no key.
+	// Anonymous routes require no key.
 	Anonymous bool
-	// PromptRoute tells that requests carry prompts whose prefixes targets
+	// PrefixCaching means that requests carry prompts whose prefixes the targets
 	// cache.
-	PromptRoute bool
-	// Resumable streams may go on at another target after the last whole event.
+	PrefixCaching bool
+	// Resumable streams may continue at another target after the last complete
+	// event.
 	Resumable bool
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.Repeat == Idempotent || (r.Repeat == Streaming && r.Resumable)
+// Repeatable reports whether a request of the route may run more than once.
+func (r *Route) Repeatable() bool {
+	return r.Kind == KindIdempotent || (r.Kind == KindStreaming && r.Resumable)
 }
 
-// WeightedService is one service's share of a route.
+// WeightedService is the share of a route's requests that a service receives.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Stage is one step of a pipeline before the request's own target.
+// Stage is a stage of a pipeline that runs before the request's own target.
 type Stage struct {
 	Service string
-	// After lists the stages whose results this one needs.
+	// After lists the indices of the stages whose results this one needs.
 	After []int
-	// ResultBytes is the usual size of one result.
+	// ResultBytes is the typical size of one result.
 	ResultBytes int64
 }
 
-// FinalStages returns the stages whose results no other stage needs: those that
-// the request's own target reads.
+// FinalStages returns the indices of the stages whose results no other stage
+// needs. The request's own target reads these results.
 func (r *Route) FinalStages() []int {
 	var final []int
 	for i := range r.Stages {
@@ -118,40 +121,41 @@
 	HealthPath string
 	// MaxConnections bounds the connections to one target from all callers.
 	MaxConnections int
-	// Slots is the number of requests that one target runs at once; 0 where the
-	// configuration doesn't say.
+	// Slots is the number of requests that one target runs at once; 0 if the
+	// configuration does not specify it.
 	Slots int
-	// CacheTokens is the room for prompts at one target, in tokens; 0 where the
-	// configuration doesn't say.
+	// CacheTokens is the capacity for prompts of one target, in tokens; 0 if the
+	// configuration does not specify it.
 	CacheTokens int
-	// Batch is set for services that take pieces of stages in batches.
-	Batch *Batch
+	// Batch is set for services that run the pieces of stages in batches.
+	Batch *BatchConfig
 }
 
-// Batch describes how one target of a stage service works. All values are for
-// one target.
-type Batch struct {
-	// Slots is the number of calls in progress, Queue of those that may wait.
+// BatchConfig describes how a target of a stage service runs batches of pieces.
+// All values are per target.
+type BatchConfig struct {
+	// Slots bounds the calls in progress, Queue those that wait.
 	Slots, Queue int
 	// MaxPieces bounds the pieces of one call.
 	MaxPieces int
-	// CallTime is what each call takes, PieceTime what each piece adds.
+	// CallTime is the fixed duration of a call; each piece adds PieceTime.
 	CallTime, PieceTime time.Duration
-	// ResultBytes is the room for results that are kept.
-	ResultBytes int64
-	// KeepFor is how long a result is kept that nobody frees.
-	KeepFor time.Duration
+	// ResultCapacity is the capacity for stored results, in bytes.
+	ResultCapacity int64
+	// ResultTTL is how long a result is stored unless it is freed earlier.
+	ResultTTL time.Duration
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority goes before the route's; nil where the account has none.
+	// Priority overrides that of the route; nil if the account has none.
 	Priority *int
 }
 
-// Build indexes the routes and the accounts of a version. Keys are kept as
-// hashes alone, so that no dump of the memory's tables shows one.
+// Build returns the table of a version with its routes and accounts indexed. It
+// stores only hashes of the keys, so that a dump of the table does not reveal
+// them.
 func Build(t Table, all []*Route, keys map[string]*Account) *Table {
 	t.byHost = make(map[string][]*Route)
 	for _, r := range all {
@@ -160,14 +164,15 @@
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	t.accounts = make(map[[sha256.Size]byte]*Account, len(keys))
+	t.accountsByKeyHash = make(map[[sha256.Size]byte]*Account, len(keys))
 	for key, account := range keys {
-		t.accounts[sha256.Sum256([]byte(key))] = account
+		t.accountsByKeyHash[sha256.Sum256([]byte(key))] = account
 	}
 	return &t
 }
 
-// Match returns the route of a host with the longest prefix that begins path.
+// Match returns the route of a host with the longest Prefix that path begins
+// with.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -177,9 +182,9 @@
 	return nil, false
 }
 
-// Account returns the client account that holds a key.
-func (t *Table) Account(key string) (*Account, bool) {
-	a, ok := t.accounts[sha256.Sum256([]byte(key))]
+// AccountByKey returns the client account that a key belongs to.
+func (t *Table) AccountByKey(key string) (*Account, bool) {
+	a, ok := t.accountsByKeyHash[sha256.Sum256([]byte(key))]
 	return a, ok
 }
 
--- a/state/routes/target.go
+++ b/state/routes/target.go
@@ -8,31 +8,33 @@
 // Target is one incarnation of a process that runs requests or pieces of a
 // service.
 type Target struct {
-	// Name is what the platform calls the process, and what the process answers to.
-	// A process that starts again may keep it.
+	// Name is the name of the process at the platform, which the process also
+	// reports itself. A restarted process may keep it.
 	Name string
-	// Started is when the process started by its own word, in Unix milliseconds; 0
-	// if it doesn't say. Of two starts under one name the later has the larger.
-	Started    int64
-	Service    string
-	Address    string
-	DataCentre string
-	Slots      int
-	// Leaving targets finish what they have and take nothing new.
+	// StartedMillis is the start time that the process reports, in Unix
+	// milliseconds; 0 if it reports none. Of two incarnations with one name the
+	// later has the larger value.
+	StartedMillis int64
+	Service       string
+	Address       string
+	DataCentre    string
+	Slots         int
+	// Leaving targets finish their requests and accept no new ones.
 	Leaving bool
-	// ColdFor is how much longer the target stays slow after its start.
-	ColdFor time.Duration
+	// WarmupRemaining is how much longer the target is slow after its start.
+	WarmupRemaining time.Duration
 }
 
-// incarnationMark stands between a name and a start.
-const incarnationMark = "@"
+// incarnationSeparator separates the name from the start time in an incarnation
+// identifier.
+const incarnationSeparator = "@"
 
-// Incarnation identifies one start of the process: what was learned of one start,
-// such as its health or what it holds, says nothing of the next. It is the same at
-// all instances. Without a start it is the name alone.
+// Incarnation identifies one run of the process: state learned about one run, such
+// as its health or the results it stores, does not apply to the next. All
+// instances use the same identifier. Without a start time it is only the name.
 func (t Target) Incarnation() string {
-	if t.Started == 0 {
+	if t.StartedMillis == 0 {
 		return t.Name
 	}
-	return t.Name + incarnationMark + strconv.FormatInt(t.Started, 10)
+	return t.Name + incarnationSeparator + strconv.FormatInt(t.StartedMillis, 10)
 }
