--- a/coordination/config/draft.go
+++ b/coordination/config/draft.go
@@ -32,7 +32,7 @@
 		d.next.Tiers = maps.Clone(d.next.Tiers)
 	case pipelines:
 		d.next.Pipelines = maps.Clone(d.next.Pipelines)
-		d.next.Versions = maps.Clone(d.next.Versions)
+		d.next.SchemaVersions = maps.Clone(d.next.SchemaVersions)
 	}
 }
 
@@ -75,23 +75,23 @@
 // addVersion lists a schema version. The list is a new one: the old one may be
 // in a published snapshot.
 func (d *draft) addVersion(key catalog.PipelineKey) {
-	versions := slices.Clone(d.next.Versions[key.Name])
+	versions := slices.Clone(d.next.SchemaVersions[key.Name])
 	at, found := slices.BinarySearch(versions, key.SchemaVersion)
 	if !found {
 		versions = slices.Insert(versions, at, key.SchemaVersion)
 	}
-	d.next.Versions[key.Name] = versions
+	d.next.SchemaVersions[key.Name] = versions
 }
 
 func (d *draft) dropVersion(key catalog.PipelineKey) {
-	versions := slices.DeleteFunc(slices.Clone(d.next.Versions[key.Name]), func(v int) bool {
+	versions := slices.DeleteFunc(slices.Clone(d.next.SchemaVersions[key.Name]), func(v int) bool {
 		return v == key.SchemaVersion
 	})
 	if len(versions) == 0 {
-		delete(d.next.Versions, key.Name)
+		delete(d.next.SchemaVersions, key.Name)
 		return
 	}
-	d.next.Versions[key.Name] = versions
+	d.next.SchemaVersions[key.Name] = versions
 }
 
 // publish returns the finished snapshot, or the last one when nothing in force
--- a/coordination/config/set.go
+++ b/coordination/config/set.go
@@ -69,10 +69,10 @@
 		asOf:    map[catalog.RecordKind]uint64{},
 		floor:   map[catalog.RecordKind]uint64{},
 		snapshot: &catalog.Snapshot{
-			Pipelines: map[catalog.PipelineKey]*catalog.Pipeline{},
-			Versions:  map[string][]int{},
-			Tiers:     map[string]*catalog.Tier{},
-			Pools:     map[string]*catalog.Pool{},
+			Pipelines:      map[catalog.PipelineKey]*catalog.Pipeline{},
+			SchemaVersions: map[string][]int{},
+			Tiers:          map[string]*catalog.Tier{},
+			Pools:          map[string]*catalog.Pool{},
 		},
 	}
 	for _, kind := range Kinds {
--- a/coordination/config/set_test.go
+++ b/coordination/config/set_test.go
@@ -28,7 +28,7 @@
 		return &catalog.Tier{Name: name, Revision: revision, Deadline: millis(words[0])}, nil
 	case catalog.RecordPipelines:
 		p := &catalog.Pipeline{Key: catalog.PipelineKey{Name: name, SchemaVersion: 1}, Revision: revision,
-			Stages: []catalog.Stage{{Name: "s", Pool: words[0], Expected: millis(words[1])}}, Deadlines: map[string]time.Duration{}}
+			Stages: []catalog.Stage{{Name: "s", Pool: words[0], ExpectedDuration: millis(words[1])}}, Deadlines: map[string]time.Duration{}}
 		for _, tier := range words[2:] {
 			p.Deadlines[tier] = time.Hour
 		}
--- a/daemon/discovery/weights_test.go
+++ b/daemon/discovery/weights_test.go
@@ -18,7 +18,7 @@
 	s := &sink{targets: map[string][]routing.Target{}, slots: map[string]int{}}
 	d := New(s, s, time.Now)
 	snapshot := pools(4)
-	snapshot.Pools["a"].Desired = &catalog.Desired{Models: []string{"m"}, Adapters: []string{"x"}}
+	snapshot.Pools["a"].Desired = &catalog.DesiredState{Models: []string{"m"}, Adapters: []string{"x"}}
 	d.SetSnapshot(snapshot)
 	d.SetTargets(targets(6))
 	fits := func(pool string, place int, q routing.Query) bool { return s.targets[pool][place].Fits(&q) }
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -195,7 +195,7 @@
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
 	incarnation := a.choice.Target.Incarnation
-	p50, _ := a.opts.Times.Estimate(a.stageKey(a.index), a.stage.Expected)
+	p50, _ := a.opts.Times.Estimate(a.stageKey(a.index), a.stage.ExpectedDuration)
 	end := a.routingOutcome(ctx, r)
 	a.handle.Done(now, routing.Result{
 		Outcome:  end,
@@ -210,7 +210,7 @@
 		a.opts.Router.Leaving(now, incarnation)
 	}
 	if r.err == nil {
-		a.opts.Times.Observe(now, a.stageKey(a.index), a.stage.Expected, elapsed)
+		a.opts.Times.Observe(now, a.stageKey(a.index), a.stage.ExpectedDuration, elapsed)
 	}
 	a.record(now, end, r)
 }
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -39,7 +39,7 @@
 
 func (r *run) estimate(i int) deadline.Remaining {
 	stage := &r.job.Pipeline.Stages[i]
-	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.Expected)
+	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.ExpectedDuration)
 	wait := r.opts.Gate.Wait(stage.Pool, r.rank)
 	return deadline.Remaining{Stage: i, After: stage.After, P50: p50, P95: p95, Wait: wait}
 }
--- a/daemon/execute/executor_test.go
+++ b/daemon/execute/executor_test.go
@@ -240,7 +240,7 @@
 	p := oneStage(true, false, 0)
 	key := deadline.StageKey{Pipeline: p.Key, Stage: "s"}
 	for range 50 {
-		r.opts.Times.Observe(time.Now(), key, p.Stages[0].Expected, time.Hour)
+		r.opts.Times.Observe(time.Now(), key, p.Stages[0].ExpectedDuration, time.Hour)
 	}
 	_, err := r.do(r.job(p, time.Second))
 	require.NoError(t, err)
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -30,7 +30,7 @@
 const maxParallel = 2
 
 func (s *stageRun) hedgeAfter() time.Duration {
-	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.Expected)
+	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.ExpectedDuration)
 	return retry.HedgeDelay(p95, s.left(), s.attainmentFirst(s.stage.Pool))
 }
 
--- a/daemon/execute/rig_test.go
+++ b/daemon/execute/rig_test.go
@@ -80,7 +80,7 @@
 	return &catalog.Pipeline{
 		Key: catalog.PipelineKey{Name: "p", SchemaVersion: 1},
 		Stages: []catalog.Stage{{
-			Name: "s", Pool: rigPool, Expected: 20 * time.Millisecond,
+			Name: "s", Pool: rigPool, ExpectedDuration: 20 * time.Millisecond,
 			Repeatable: repeatable, Resumable: resumable, MaxTokens: tokens,
 		}},
 	}
--- a/daemon/orders/group_test.go
+++ b/daemon/orders/group_test.go
@@ -54,7 +54,7 @@
 func ordered(revision uint64, role string, pools ...string) *catalog.Snapshot {
 	s := &catalog.Snapshot{Pools: map[string]*catalog.Pool{}}
 	for _, name := range pools {
-		s.Pools[name] = &catalog.Pool{Name: name, Revision: revision, ChecksFencing: true, Desired: &catalog.Desired{Role: role}}
+		s.Pools[name] = &catalog.Pool{Name: name, Revision: revision, ChecksFencing: true, Desired: &catalog.DesiredState{Role: role}}
 	}
 	return s
 }
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -129,10 +129,10 @@
 	again, once := pipeline("again", true), pipeline("once", false)
 	account := &catalog.Account{Name: "a", Tier: "gold", KeyHashes: [][32]byte{sha256.Sum256([]byte(callerKey))}}
 	return &catalog.Snapshot{
-		Pipelines: map[catalog.PipelineKey]*catalog.Pipeline{again.Key: again, once.Key: once},
-		Versions:  map[string][]int{"again": {1}, "once": {1}},
-		Tiers:     map[string]*catalog.Tier{"gold": {Name: "gold", Deadline: 5 * time.Second}},
-		Accounts:  catalog.NewAccountTable(account),
+		Pipelines:      map[catalog.PipelineKey]*catalog.Pipeline{again.Key: again, once.Key: once},
+		SchemaVersions: map[string][]int{"again": {1}, "once": {1}},
+		Tiers:          map[string]*catalog.Tier{"gold": {Name: "gold", Deadline: 5 * time.Second}},
+		Accounts:       catalog.NewAccountTable(account),
 	}
 }
 
--- a/protocol/record/decode_test.go
+++ b/protocol/record/decode_test.go
@@ -153,7 +153,7 @@
 			Slots: whole("slots", 1, 99), ChecksFencing: rapid.Bool().Draw(t, "checks"), EjectionFloor: rapid.Float64Range(0, 1).Draw(t, "floor")}
 		if rapid.Bool().Draw(t, "orders") {
 			models := rapid.SliceOfNDistinct(rapid.StringMatching(`[A-Za-z0-9]([A-Za-z0-9._/-]{0,20}[A-Za-z0-9])?`), 1, record.MaxDesiredModels, rapid.ID[string])
-			p.Kind, p.Desired = catalog.KindEngine, &catalog.Desired{Models: models.Draw(t, "models"), Version: "1.2"}
+			p.Kind, p.Desired = catalog.KindEngine, &catalog.DesiredState{Models: models.Draw(t, "models"), Version: "1.2"}
 		}
 		return p
 	case 2:
@@ -162,7 +162,7 @@
 	}
 	p := &catalog.Pipeline{Key: catalog.PipelineKey{Name: name.Draw(t, "name"), SchemaVersion: whole("version", 1, 2)}, Revision: 3, MaxAttempts: whole("attempts", 1, 10)}
 	for i := range whole("stages", 1, record.MaxStages) {
-		s := catalog.Stage{Name: fmt.Sprint("s", i), Pool: name.Draw(t, "pool"), Expected: millis(100), Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxTokens: whole("tokens", 0, 99)}
+		s := catalog.Stage{Name: fmt.Sprint("s", i), Pool: name.Draw(t, "pool"), ExpectedDuration: millis(100), Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxTokens: whole("tokens", 0, 99)}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
--- a/protocol/record/encode.go
+++ b/protocol/record/encode.go
@@ -113,7 +113,7 @@
 
 func encodeStage(p *catalog.Pipeline, i int) stageSpec {
 	s := &p.Stages[i]
-	spec := stageSpec{Name: s.Name, Pool: s.Pool, ExpectedMS: s.Expected.Milliseconds(), Repeatable: s.Repeatable,
+	spec := stageSpec{Name: s.Name, Pool: s.Pool, ExpectedMS: s.ExpectedDuration.Milliseconds(), Repeatable: s.Repeatable,
 		Resumable: s.Resumable, Model: s.Model, Adapter: s.Adapter, MaxTokens: s.MaxTokens}
 	if p.Key.SchemaVersion > PipelineV1 {
 		for _, before := range s.After {
--- a/protocol/record/pipeline.go
+++ b/protocol/record/pipeline.go
@@ -82,11 +82,11 @@
 func (d *decoding) stage(i int, v value, version int) stageDraft {
 	o := newObject(d.list, fmt.Sprintf("stages[%d]", i), v)
 	s := catalog.Stage{
-		Name:       o.name("name"),
-		Pool:       o.name("pool"),
-		Expected:   o.milliseconds("expected_ms"),
-		Repeatable: o.boolean("repeatable", true),
-		Model:      o.model("model"),
+		Name:             o.name("name"),
+		Pool:             o.name("pool"),
+		ExpectedDuration: o.milliseconds("expected_ms"),
+		Repeatable:       o.boolean("repeatable", true),
+		Model:            o.model("model"),
 	}
 	s.MaxTokens, _ = o.integer("max_tokens", 0, MaxTokens, false)
 	draft := stageDraft{obj: o}
--- a/protocol/record/pool.go
+++ b/protocol/record/pool.go
@@ -60,7 +60,7 @@
 
 // desired reads what the targets shall have. Only engines take orders: on
 // another pool it would stand there and never come about.
-func (d *decoding) desired(kind catalog.PoolKind) *catalog.Desired {
+func (d *decoding) desired(kind catalog.PoolKind) *catalog.DesiredState {
 	v, ok := d.spec.get("desired", valueObject, false)
 	if !ok {
 		return nil
@@ -69,7 +69,7 @@
 		d.spec.fault("desired", "only pools of kind %s take orders", catalog.KindEngine)
 	}
 	fields := newObject(d.list, "desired", v)
-	desired := &catalog.Desired{
+	desired := &catalog.DesiredState{
 		Models:   fields.models("models", MaxDesiredModels),
 		Adapters: fields.models("adapters", MaxDesiredAdapters),
 		Version:  fields.model("version"),
--- a/protocol/record/wire_test.go
+++ b/protocol/record/wire_test.go
@@ -27,19 +27,19 @@
 		{"pool", &catalog.Pool{
 			Name: "engines", Revision: 1, Kind: catalog.KindEngine, Objective: catalog.ObjectiveCost, Slots: 2,
 			ChecksFencing: true, EjectionFloor: 0.5,
-			Desired: &catalog.Desired{Models: []string{"m", "n"}, Adapters: []string{"l"}, Version: "v", Role: "r"},
+			Desired: &catalog.DesiredState{Models: []string{"m", "n"}, Adapters: []string{"l"}, Version: "v", Role: "r"},
 		}, `pools/engines {"schema_version":2,"kind":"engine","objective":"cost","slots":2,"checks_fencing":true,"ejection_floor":0.5,"desired":{"models":["m","n"],"adapters":["l"],"version":"v","role":"r"}}`},
 		{"pool without orders", &catalog.Pool{
 			Name: "encoders", Revision: 1, Kind: catalog.KindEncoder, Objective: catalog.ObjectiveAttainment, Slots: 2,
 			ChecksFencing: true, EjectionFloor: 0.5,
 		}, `pools/encoders {"schema_version":1,"kind":"encoder","objective":"attainment","slots":2,"checks_fencing":true,"ejection_floor":0.5}`},
-		{"empty pool", &catalog.Pool{Desired: &catalog.Desired{}}, `pools/ {"schema_version":2,"kind":"","objective":"","slots":0,"checks_fencing":false,"ejection_floor":0,"desired":{}}`},
+		{"empty pool", &catalog.Pool{Desired: &catalog.DesiredState{}}, `pools/ {"schema_version":2,"kind":"","objective":"","slots":0,"checks_fencing":false,"ejection_floor":0,"desired":{}}`},
 		{"pipeline 2", &catalog.Pipeline{
 			Key: catalog.PipelineKey{Name: "chat", SchemaVersion: record.PipelineV2}, Revision: 1,
 			Stages: []catalog.Stage{
-				{Name: "a", Pool: "p", Expected: 2 * time.Millisecond},
+				{Name: "a", Pool: "p", ExpectedDuration: 2 * time.Millisecond},
 				{
-					Name: "b", Pool: "q", After: []int{0}, Expected: 3 * time.Millisecond, Repeatable: true, Resumable: true,
+					Name: "b", Pool: "q", After: []int{0}, ExpectedDuration: 3 * time.Millisecond, Repeatable: true, Resumable: true,
 					Model: "m", Adapter: "l", MaxTokens: 4,
 				},
 			},
@@ -48,8 +48,8 @@
 		{"pipeline 1", &catalog.Pipeline{
 			Key: catalog.PipelineKey{Name: "chat", SchemaVersion: record.PipelineV1}, Revision: 1,
 			Stages: []catalog.Stage{
-				{Name: "a", Pool: "p", Expected: 2 * time.Millisecond, Repeatable: true, Model: "m", MaxTokens: 3},
-				{Name: "b", Pool: "q", After: []int{0}, Expected: 4 * time.Millisecond},
+				{Name: "a", Pool: "p", ExpectedDuration: 2 * time.Millisecond, Repeatable: true, Model: "m", MaxTokens: 3},
+				{Name: "b", Pool: "q", After: []int{0}, ExpectedDuration: 4 * time.Millisecond},
 			},
 			Deadlines: map[string]time.Duration{"gold": 5 * time.Second}, MaxAttempts: 6,
 		}, `pipelines/chat.v1 {"schema_version":1,"pipeline":"chat","stages":[{"name":"a","pool":"p","expected_ms":2,"repeatable":true,"model":"m","max_tokens":3},{"name":"b","pool":"q","expected_ms":4,"repeatable":false}],"deadlines_ms":{"gold":5000},"max_attempts":6}`},
--- a/state/catalog/accounts.go
+++ b/state/catalog/accounts.go
@@ -9,21 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// accountShards is how many maps an account table is spread over. A change of
-// one account copies one map of each index and no other.
-const accountShards = 256
+// accountShardCount is the number of maps in each index of an account table. A
+// change of one account copies the maps that hold its name and its keys, and no
+// others.
+const accountShardCount = 256
 
 // AccountTable is an immutable set of accounts with two indexes, by name and
-// by key hash. The zero value is empty. Change it through Edit.
+// by key hash. The zero value is empty. Edit returns a changed copy.
 type AccountTable struct {
-	byName *[accountShards]map[string]*Account
-	byKey  *[accountShards]map[[32]byte]*Account
-	// rivals holds the accounts that name a key which another one holds.
-	rivals map[[32]byte][]*Account
-	count  int
+	byName *[accountShardCount]map[string]*Account
+	byKey  *[accountShardCount]map[[32]byte]*Account
+	// keyContenders holds, by key hash, the accounts that list a key which
+	// belongs to another account.
+	keyContenders map[[32]byte][]*Account
+	count         int
 }
 
-// NewAccountTable builds a table. Of two accounts with one name the later wins.
+// NewAccountTable returns a table of the accounts. Of two accounts with one name
+// it keeps the later.
 func NewAccountTable(accounts ...*Account) AccountTable {
 	editor := AccountTable{}.Edit()
 	for _, a := range accounts {
@@ -35,7 +38,7 @@
 // Len returns the number of accounts.
 func (t AccountTable) Len() int { return t.count }
 
-// Get finds an account by name.
+// Get returns an account by name.
 func (t AccountTable) Get(name string) (*Account, bool) {
 	if t.byName == nil {
 		return nil, false
@@ -44,7 +47,7 @@
 	return a, ok
 }
 
-// ByKey finds the account that a caller key's SHA-256 digest belongs to.
+// ByKey returns the account of the caller key with a SHA-256 digest.
 func (t AccountTable) ByKey(hash [32]byte) (*Account, bool) {
 	if t.byKey == nil {
 		return nil, false
@@ -69,13 +72,14 @@
 	}
 }
 
-// Edit starts a change; the table itself stays as it is.
+// Edit returns an editor for a copy of the table; the table itself never
+// changes.
 func (t AccountTable) Edit() *AccountEditor {
 	e := &AccountEditor{
-		byName: new([accountShards]map[string]*Account),
-		byKey:  new([accountShards]map[[32]byte]*Account),
-		rivals: t.rivals,
-		count:  t.count,
+		byName:        new([accountShardCount]map[string]*Account),
+		byKey:         new([accountShardCount]map[[32]byte]*Account),
+		keyContenders: t.keyContenders,
+		count:         t.count,
 	}
 	if t.byName != nil {
 		*e.byName = *t.byName
@@ -84,86 +88,87 @@
 	return e
 }
 
-// AccountEditor changes a copy of an account table. It copies each shard on
-// its first change. It is for one goroutine, and spent once Table is called.
+// AccountEditor changes a copy of an account table. It copies each shard on its
+// first change. It is not safe for concurrent use and must not be used after
+// Table.
 type AccountEditor struct {
-	byName     *[accountShards]map[string]*Account
-	byKey      *[accountShards]map[[32]byte]*Account
-	rivals     map[[32]byte][]*Account
-	ownedNames [accountShards]bool
-	ownedKeys  [accountShards]bool
-	count      int
+	byName           *[accountShardCount]map[string]*Account
+	byKey            *[accountShardCount]map[[32]byte]*Account
+	keyContenders    map[[32]byte][]*Account
+	copiedNameShards [accountShardCount]bool
+	copiedKeyShards  [accountShardCount]bool
+	count            int
 }
 
-// ByKey finds the account that a key belongs to at this point of the change.
+// ByKey returns the account that a key belongs to after the changes so far.
 func (e *AccountEditor) ByKey(hash [32]byte) (*Account, bool) {
 	a, ok := e.byKey[keyShard(hash)][hash]
 	return a, ok
 }
 
-// Put adds an account or replaces the one of its name. When two accounts name
-// one key, it belongs to the one whose name sorts first: two instances that
-// learned of the accounts in different orders must find the same one.
+// Put adds an account or replaces the one with its name. If several accounts list
+// one key, it belongs to the one whose name sorts first, so that instances that
+// received the accounts in different orders agree.
 func (e *AccountEditor) Put(a *Account) {
 	e.Delete(a.Name)
-	e.names(a.Name)[a.Name] = a
+	e.writableNames(a.Name)[a.Name] = a
 	for _, hash := range a.KeyHashes {
 		e.addKey(hash, a)
 	}
 	e.count++
 }
 
-// Delete removes an account with its keys; a name that is absent is no fault.
+// Delete removes an account and its keys. It ignores an unknown name.
 func (e *AccountEditor) Delete(name string) {
 	old, ok := e.byName[nameShard(name)][name]
 	if !ok {
 		return
 	}
-	delete(e.names(name), name)
+	delete(e.writableNames(name), name)
 	for _, hash := range old.KeyHashes {
-		e.dropKey(hash, old)
+		e.removeKey(hash, old)
 	}
 	e.count--
 }
 
 func (e *AccountEditor) addKey(hash [32]byte, a *Account) {
-	holder, taken := e.ByKey(hash)
-	if !taken {
-		e.keys(hash)[hash] = a
+	holder, ok := e.ByKey(hash)
+	if !ok {
+		e.writableKeys(hash)[hash] = a
 		return
 	}
-	e.setRivals(hash, append(slices.Clone(e.rivals[hash]), holder, a))
-	e.promote(hash)
+	e.setContenders(hash, append(slices.Clone(e.keyContenders[hash]), holder, a))
+	e.promoteContender(hash)
 }
 
-func (e *AccountEditor) dropKey(hash [32]byte, a *Account) {
+func (e *AccountEditor) removeKey(hash [32]byte, a *Account) {
 	holder, _ := e.ByKey(hash)
 	if holder == a {
-		delete(e.keys(hash), hash)
-		e.promote(hash)
+		delete(e.writableKeys(hash), hash)
+		e.promoteContender(hash)
 		return
 	}
-	e.setRivals(hash, without(e.rivals[hash], a))
+	e.setContenders(hash, without(e.keyContenders[hash], a))
 }
 
-// promote gives a key to the first of its rivals.
-func (e *AccountEditor) promote(hash [32]byte) {
-	rivals := e.rivals[hash]
-	if len(rivals) == 0 {
+// promoteContender assigns a key to the contender whose name sorts first.
+func (e *AccountEditor) promoteContender(hash [32]byte) {
+	contenders := e.keyContenders[hash]
+	if len(contenders) == 0 {
 		return
 	}
-	first := slices.MinFunc(rivals, func(a, b *Account) int { return strings.Compare(a.Name, b.Name) })
-	e.keys(hash)[hash] = first
-	e.setRivals(hash, without(rivals, first))
+	first := slices.MinFunc(contenders, func(a, b *Account) int { return strings.Compare(a.Name, b.Name) })
+	e.writableKeys(hash)[hash] = first
+	e.setContenders(hash, without(contenders, first))
 }
 
-// setRivals replaces the rivals for a key. It copies the whole map, which is
-// empty but for races of operators.
-func (e *AccountEditor) setRivals(hash [32]byte, rivals []*Account) {
-	e.rivals = cloneOrMake(e.rivals)
-	e.rivals[hash] = rivals
-	if len(rivals) == 0 {
-		delete(e.rivals, hash)
+// setContenders replaces the contenders for a key. It copies the whole map, which
+// is empty unless operators concurrently gave one key to several accounts.
+func (e *AccountEditor) setContenders(hash [32]byte, contenders []*Account) {
+	e.keyContenders = cloneOrMake(e.keyContenders)
+	e.keyContenders[hash] = contenders
+	if len(contenders) == 0 {
+		delete(e.keyContenders, hash)
 	}
 }
 
@@ -173,22 +178,25 @@
 
 // Table returns the changed table.
 func (e *AccountEditor) Table() AccountTable {
-	return AccountTable{byName: e.byName, byKey: e.byKey, rivals: e.rivals, count: e.count}
+	return AccountTable{byName: e.byName, byKey: e.byKey, keyContenders: e.keyContenders, count: e.count}
 }
 
-func (e *AccountEditor) names(name string) map[string]*Account {
+// writableNames returns the shard of byName for a name, copied if it is still
+// shared with the original table.
+func (e *AccountEditor) writableNames(name string) map[string]*Account {
 	i := nameShard(name)
-	if !e.ownedNames[i] {
-		e.ownedNames[i] = true
+	if !e.copiedNameShards[i] {
+		e.copiedNameShards[i] = true
 		e.byName[i] = cloneOrMake(e.byName[i])
 	}
 	return e.byName[i]
 }
 
-func (e *AccountEditor) keys(hash [32]byte) map[[32]byte]*Account {
+// writableKeys is writableNames for the shard of byKey for a key hash.
+func (e *AccountEditor) writableKeys(hash [32]byte) map[[32]byte]*Account {
 	i := keyShard(hash)
-	if !e.ownedKeys[i] {
-		e.ownedKeys[i] = true
+	if !e.copiedKeyShards[i] {
+		e.copiedKeyShards[i] = true
 		e.byKey[i] = cloneOrMake(e.byKey[i])
 	}
 	return e.byKey[i]
@@ -201,6 +209,6 @@
 	return maps.Clone(m)
 }
 
-func nameShard(name string) int { return int(xxhash.Sum64String(name) % accountShards) }
+func nameShard(name string) int { return int(xxhash.Sum64String(name) % accountShardCount) }
 
 func keyShard(hash [32]byte) int { return int(hash[0]) }
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,11 +1,12 @@
 // Package catalog holds the domain types of an accepted configuration and the
 // immutable snapshot that the request path reads. A snapshot is never changed
-// once it is published: the request path loads a pointer and takes no lock.
+// once it is published, so that the request path loads a pointer and acquires no
+// lock.
 package catalog
 
 import "time"
 
-// PoolKind says what the targets of a pool do.
+// PoolKind is the kind of work that the targets of a pool do.
 type PoolKind string
 
 // The kinds of pool.
@@ -17,20 +18,21 @@
 	KindService   PoolKind = "service"
 )
 
-// Objective says what a pool's routing weighs first.
+// Objective is what the routing of a pool optimises for.
 type Objective string
 
 // The objectives of a pool.
 const (
-	// ObjectiveAttainment prefers whole answers in time: it hedges and spreads.
+	// ObjectiveAttainment optimises for complete answers within their deadline: it
+	// hedges and distributes the load.
 	ObjectiveAttainment Objective = "attainment"
-	// ObjectiveCost prefers little work per answer: it hedges less and keeps
-	// requests near cached prefixes.
+	// ObjectiveCost optimises for little work per answer: it hedges less and
+	// prefers targets that have cached the request's prefix.
 	ObjectiveCost Objective = "cost"
 )
 
-// PipelineKey names one definition: callers choose the schema version, so two
-// definitions of one pipeline are in force side by side.
+// PipelineKey identifies one definition. Callers choose the schema version, so
+// several definitions of a pipeline can be in force at once.
 type PipelineKey struct {
 	Name          string
 	SchemaVersion int
@@ -43,12 +45,13 @@
 	Stages   []Stage
 	// Deadlines overrides the deadline of a tier for this pipeline.
 	Deadlines map[string]time.Duration
-	// MaxAttempts bounds how often one stage is sent to a target.
+	// MaxAttempts bounds the number of attempts of one stage.
 	MaxAttempts int
 }
 
-// Repeatable tells whether every stage of the pipeline may run more than once.
-// A pipeline that is not repeatable needs an idempotency key and a claim.
+// Repeatable reports whether every stage of the pipeline may run more than once.
+// Requests of a pipeline that is not repeatable need an idempotency key and a
+// claim.
 func (p *Pipeline) Repeatable() bool {
 	for i := range p.Stages {
 		if !p.Stages[i].Repeatable {
@@ -65,16 +68,16 @@
 	// After lists the indices of the stages whose outputs this one needs; they
 	// are always smaller than the stage's own index.
 	After []int
-	// Expected is the operator's estimate of the stage time, used until the
-	// time is learned.
-	Expected   time.Duration
-	Repeatable bool
-	// Resumable streams may go on at another target from a token offset.
+	// ExpectedDuration is the operator's estimate of the stage's duration, used
+	// until enough durations have been observed.
+	ExpectedDuration time.Duration
+	Repeatable       bool
+	// Resumable streams may continue at another target from a token offset.
 	Resumable bool
 	// Model and Adapter constrain the engine; empty for other kinds of pool.
 	Model   string
 	Adapter string
-	// MaxTokens bounds what a generation stage may produce.
+	// MaxTokens bounds the output of a generation stage.
 	MaxTokens int
 }
 
@@ -84,7 +87,7 @@
 	Revision uint64
 	// Rank orders the tiers; 0 is the highest.
 	Rank int
-	// Deadline is end to end, unless the pipeline overrides it.
+	// Deadline is the end-to-end time limit, unless the pipeline overrides it.
 	Deadline time.Duration
 	// EnginePriority is passed to model engines; 0 is the most urgent.
 	EnginePriority int
@@ -95,12 +98,12 @@
 	Name     string
 	Revision uint64
 	Tier     string
-	// KeyHashes are the SHA-256 digests of the valid caller keys: two at most,
-	// so that a key can be changed without a gap.
+	// KeyHashes are the SHA-256 digests of the valid caller keys. There are at
+	// most two, so that a key can be rotated without interruption.
 	KeyHashes [][32]byte
 	// RequestsPerSecond is the budget over all instances; 0 means none.
 	RequestsPerSecond float64
-	// Burst is the number of requests that may come at once over all instances.
+	// Burst is the number of requests that may arrive at once over all instances.
 	Burst float64
 }
 
@@ -112,23 +115,23 @@
 	Objective Objective
 	// Slots is the number of requests that a target runs at once.
 	Slots int
-	// ChecksFencing tells whether the targets refuse orders with an old
-	// fencing number.
+	// ChecksFencing means that the targets refuse orders with an old fencing
+	// number.
 	ChecksFencing bool
 	// EjectionFloor is the least share of targets, 0 to 1, that stay routable
-	// however badly they do.
+	// regardless of their health.
 	EjectionFloor float64
-	// Desired is what the targets shall have; nil when the operators leave
-	// that to others. Like the pool it is never changed once published.
-	Desired *Desired
+	// Desired is the desired state of the targets; nil if the operators leave it
+	// to other systems. Like the pool it is never changed once published.
+	Desired *DesiredState
 }
 
-// Desired is what each target of a pool shall have. What it doesn't name is
-// left as it is.
-type Desired struct {
+// DesiredState is the desired state of each target of a pool. Whatever it does
+// not specify is left unchanged.
+type DesiredState struct {
 	Models   []string
 	Adapters []string
-	// Version and Role are empty when any will do.
+	// Version and Role are empty if any value is acceptable.
 	Version string
 	Role    string
 }
@@ -138,28 +141,29 @@
 	// Revision is the platform's revision of the newest record in it.
 	Revision  uint64
 	Pipelines map[PipelineKey]*Pipeline
-	// Versions lists the schema versions of a pipeline in rising order.
-	Versions map[string][]int
-	Tiers    map[string]*Tier
-	Pools    map[string]*Pool
-	// Accounts is shared in most of its parts between one snapshot and the
-	// next, because there are far more accounts than other records.
+	// SchemaVersions lists the schema versions of each pipeline in ascending
+	// order.
+	SchemaVersions map[string][]int
+	Tiers          map[string]*Tier
+	Pools          map[string]*Pool
+	// Accounts shares most of its data with the previous snapshot, because there
+	// are far more accounts than other records.
 	Accounts AccountTable
 }
 
-// Account finds an account by name.
+// Account returns an account by name.
 func (s *Snapshot) Account(name string) (*Account, bool) { return s.Accounts.Get(name) }
 
-// AccountByKey finds the account that a caller key's SHA-256 digest belongs to.
+// AccountByKey returns the account of the caller key with a SHA-256 digest.
 func (s *Snapshot) AccountByKey(hash [32]byte) (*Account, bool) { return s.Accounts.ByKey(hash) }
 
-// Tier finds a tier by name.
+// Tier returns a tier by name.
 func (s *Snapshot) Tier(name string) (*Tier, bool) {
 	t, ok := s.Tiers[name]
 	return t, ok
 }
 
-// Pool finds a pool by name.
+// Pool returns a pool by name.
 func (s *Snapshot) Pool(name string) (*Pool, bool) {
 	p, ok := s.Pools[name]
 	return p, ok
@@ -173,12 +177,12 @@
 	return t.Deadline
 }
 
-// Pipeline finds a definition. Schema version 0 stands for a caller that names
-// none and gets the oldest one in force, so that applying a newer one never
-// changes what an unchanged caller sees.
+// Pipeline returns a pipeline definition. Schema version 0 stands for a caller
+// that specifies none; it selects the oldest version in force, so that adding a
+// newer one changes nothing for existing callers.
 func (s *Snapshot) Pipeline(name string, schemaVersion int) (*Pipeline, bool) {
 	if schemaVersion == 0 {
-		versions := s.Versions[name]
+		versions := s.SchemaVersions[name]
 		if len(versions) == 0 {
 			return nil, false
 		}
--- a/state/catalog/item.go
+++ b/state/catalog/item.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// RecordKind names one of the kinds of record that operators write.
+// RecordKind is a kind of record that operators write.
 type RecordKind string
 
-// The kinds of record, as the platform's object API spells them.
+// The kinds of record, by their names in the platform's object API.
 const (
 	RecordPools     RecordKind = "pools"
 	RecordTiers     RecordKind = "tiers"
@@ -13,7 +13,7 @@
 	RecordAccounts  RecordKind = "accounts"
 )
 
-// Item is what a record decodes to: a *Pool, *Tier, *Pipeline or *Account.
+// Item is a decoded record: a *Pool, *Tier, *Pipeline or *Account.
 type Item interface {
 	isItem()
 }
@@ -23,9 +23,8 @@
 func (*Pipeline) isItem() {}
 func (*Account) isItem()  {}
 
-// CriticalPath is the least time in which the pipeline can answer when every
-// stage takes its expected time: the longest chain of stages that wait for one
-// another.
+// CriticalPath returns the duration of the longest chain of dependent stages if
+// every stage takes its expected duration. The pipeline cannot complete sooner.
 func (p *Pipeline) CriticalPath() time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(p.Stages))
@@ -35,7 +34,7 @@
 		for _, before := range stage.After {
 			start = max(start, ends[before])
 		}
-		ends[i] = start + stage.Expected
+		ends[i] = start + stage.ExpectedDuration
 		longest = max(longest, ends[i])
 	}
 	return longest
