--- a/state/shard/example_test.go
+++ b/state/shard/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/ivyhollow/ivyhollow/state/shard"
 )
 
-// The entry that was written longest ago makes room; reading keeps none.
+// A full map evicts the least recently written entry; reading does not count.
 func ExampleMap() {
 	seen := shard.NewMap[string, int](1, 2)
 	for _, name := range []string{"kochi", "aluva", "kochi", "thekkady"} {
--- a/state/shard/map.go
+++ b/state/shard/map.go
@@ -1,6 +1,6 @@
-// Package shard holds bounded tables that are split into shards, each under a
-// lock of its own, so that requests on many cores seldom meet. A callback runs
-// under its shard's lock and must neither block nor call back into the table.
+// Package shard provides a bounded map that is divided into shards, each with its
+// own lock, so that requests on many cores rarely contend. Callbacks run under
+// the lock of a shard and must neither block nor use the map.
 package shard
 
 import (
@@ -8,16 +8,18 @@
 	"sync"
 )
 
-// none marks the end of a shard's list of entries.
-const none = int32(-1)
+// noEntry marks the end of a shard's list of entries.
+const noEntry = int32(-1)
 
-// Map is a bounded map. When a shard is full, the entry that was written
-// longest ago makes room for a new one.
+// Map is a bounded map. A new entry in a full shard evicts the shard's least
+// recently written one.
 type Map[K comparable, V any] struct {
 	seed   maphash.Seed
 	shards []mapShard[K, V]
 }
 
+// mapShard is one shard of a Map. Its entries form a list in the order in which
+// they were last written.
 type mapShard[K comparable, V any] struct {
 	mu       sync.Mutex
 	index    map[K]int32
@@ -34,8 +36,9 @@
 	newer, older int32
 }
 
-// NewMap makes a map of the given number of shards that holds about capacity
-// entries in all. Both are raised to at least one a shard.
+// NewMap returns a map with the given number of shards that holds about capacity
+// entries in total. There is at least one shard and each holds at least one
+// entry.
 func NewMap[K comparable, V any](shards, capacity int) *Map[K, V] {
 	shards = max(shards, 1)
 	perShard := max((capacity+shards-1)/shards, 1)
@@ -43,7 +46,7 @@
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.index = make(map[K]int32)
-		s.newest, s.oldest = none, none
+		s.newest, s.oldest = noEntry, noEntry
 		s.capacity = perShard
 	}
 	return m
@@ -54,7 +57,7 @@
 	return &m.shards[h%uint64(len(m.shards))]
 }
 
-// Get returns the value of a key. Reading does not make an entry newer.
+// Get returns the value of a key. Reading does not affect the order of eviction.
 func (m *Map[K, V]) Get(key K) (V, bool) {
 	s := m.shardOf(key)
 	s.mu.Lock()
@@ -67,9 +70,9 @@
 	return s.entries[i].value, true
 }
 
-// Update lets change work on the value of a key under the shard's lock, and
-// makes the entry the newest of its shard. A missing entry starts as the zero
-// value, and change is told that it did not exist.
+// Update calls change with the value of a key under the shard's lock and makes
+// the entry the newest of its shard. A missing entry is created with the zero
+// value; existed is false then.
 func (m *Map[K, V]) Update(key K, change func(value *V, existed bool)) {
 	s := m.shardOf(key)
 	s.mu.Lock()
@@ -78,46 +81,46 @@
 	if ok {
 		s.unlink(i)
 	} else {
-		i = s.allocate(key)
+		i = s.allocateEntry(key)
 	}
 	s.linkNewest(i)
 	change(&s.entries[i].value, ok)
 }
 
-// View lets look read the value of a key under the shard's lock, without a
-// copy, and tells whether the key exists.
-func (m *Map[K, V]) View(key K, look func(value *V)) bool {
+// View calls read with the value of a key under the shard's lock, without a copy.
+// It reports whether the key exists; read is not called if it does not.
+func (m *Map[K, V]) View(key K, read func(value *V)) bool {
 	s := m.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.index[key]
 	if ok {
-		look(&s.entries[i].value)
+		read(&s.entries[i].value)
 	}
 	return ok
 }
 
-// Delete removes a key and tells whether it existed.
+// Delete removes a key and reports whether it existed.
 func (m *Map[K, V]) Delete(key K) bool {
 	s := m.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i, ok := s.index[key]
 	if ok {
-		s.remove(i)
+		s.removeEntry(i)
 	}
 	return ok
 }
 
-// DeleteFunc removes every entry for which drop returns true. It takes one
-// shard's lock at a time.
-func (m *Map[K, V]) DeleteFunc(drop func(key K, value *V) bool) {
+// DeleteFunc removes every entry for which del returns true. It locks one shard
+// at a time.
+func (m *Map[K, V]) DeleteFunc(del func(key K, value *V) bool) {
 	for n := range m.shards {
-		m.shards[n].deleteFunc(drop)
+		m.shards[n].deleteFunc(del)
 	}
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries. It locks one shard at a time.
 func (m *Map[K, V]) Len() int {
 	total := 0
 	for n := range m.shards {
@@ -129,24 +132,24 @@
 	return total
 }
 
-func (s *mapShard[K, V]) deleteFunc(drop func(K, *V) bool) {
+func (s *mapShard[K, V]) deleteFunc(del func(K, *V) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := s.oldest; i != none; {
+	for i := s.oldest; i != noEntry; {
 		e := &s.entries[i]
 		next := e.newer
-		if drop(e.key, &e.value) {
-			s.remove(i)
+		if del(e.key, &e.value) {
+			s.removeEntry(i)
 		}
 		i = next
 	}
 }
 
-// allocate returns an unlinked entry for a new key, taking the oldest one when
-// the shard is full.
-func (s *mapShard[K, V]) allocate(key K) int32 {
+// allocateEntry returns an unlinked entry for a new key. It evicts the oldest
+// entry if the shard is full.
+func (s *mapShard[K, V]) allocateEntry(key K) int32 {
 	if len(s.index) >= s.capacity {
-		s.remove(s.oldest)
+		s.removeEntry(s.oldest)
 	}
 	var i int32
 	if n := len(s.free); n > 0 {
@@ -161,7 +164,7 @@
 	return i
 }
 
-func (s *mapShard[K, V]) remove(i int32) {
+func (s *mapShard[K, V]) removeEntry(i int32) {
 	s.unlink(i)
 	delete(s.index, s.entries[i].key)
 	s.entries[i] = mapEntry[K, V]{}
@@ -170,12 +173,12 @@
 
 func (s *mapShard[K, V]) unlink(i int32) {
 	e := &s.entries[i]
-	if e.newer != none {
+	if e.newer != noEntry {
 		s.entries[e.newer].older = e.older
 	} else {
 		s.newest = e.older
 	}
-	if e.older != none {
+	if e.older != noEntry {
 		s.entries[e.older].newer = e.newer
 	} else {
 		s.oldest = e.newer
@@ -184,8 +187,8 @@
 
 func (s *mapShard[K, V]) linkNewest(i int32) {
 	e := &s.entries[i]
-	e.newer, e.older = none, s.newest
-	if s.newest != none {
+	e.newer, e.older = noEntry, s.newest
+	if s.newest != noEntry {
 		s.entries[s.newest].newer = i
 	} else {
 		s.oldest = i
--- a/state/shard/shard_test.go
+++ b/state/shard/shard_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// A map that forgets the wrong entry, or none, shows as a budget that starts
-// anew or as memory that grows. The model is a list in order of writing.
-func TestMapForgetsOldest(t *testing.T) {
+// Evicting the wrong entry would reset a budget in use, and evicting none would
+// let the memory grow. The model is a list in order of writing.
+func TestMapEvictsOldest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 6).Draw(t, "capacity")
 		m := NewMap[int, int](1, capacity)
@@ -58,8 +58,8 @@
 	})
 }
 
-// Many cores change the same keys at once. An update that is lost shows as a
-// budget that pays twice.
+// Many cores update the same keys at once. With a lost update, a budget would be
+// spent twice.
 func TestConcurrentUse(t *testing.T) {
 	const workers, rounds, keys = 8, 2000, 16
 	m := NewMap[int, int](4, 1024)
