--- a/coordination/retry/attempts.go
+++ b/coordination/retry/attempts.go
@@ -101,19 +101,19 @@
 // more, and attempts at them would empty the budget, so that most requests would
 // fail although other targets are healthy. Such an attempt caused the pool no
 // work, so its retry does not multiply the load. It still counts as an attempt.
-func (a *Attempts) AfterFailure(now, latestStart time.Time, rng *rand.Rand, end Failure) Decision {
-	if end.Kind == Preempted && a.stage.Repeatable && a.stage.Resumable {
+func (a *Attempts) AfterFailure(now, latestStart time.Time, rng *rand.Rand, failure Failure) Decision {
+	if failure.Kind == Preempted && a.stage.Repeatable && a.stage.Resumable {
 		a.sent--
 		return Decision{Retry: true}
 	}
-	a.mayHaveRun = a.mayHaveRun || end.Kind == Failed || end.Kind == Preempted
-	if reason := a.stopReason(end); reason != "" {
+	a.mayHaveRun = a.mayHaveRun || failure.Kind == Failed || failure.Kind == Preempted
+	if reason := a.stopReason(failure); reason != "" {
 		return Decision{Reason: reason}
 	}
-	decision := Decision{Retry: true, UsesBudget: end.Kind != NoConnection}
-	if end.Kind == Refused {
+	decision := Decision{Retry: true, UsesBudget: failure.Kind != NoConnection}
+	if failure.Kind == Refused {
 		a.refusals++
-		decision.Delay = backoff(rng, a.refusals, latestStart.Sub(now), end.RetryAfter)
+		decision.Delay = backoff(rng, a.refusals, latestStart.Sub(now), failure.RetryAfter)
 	}
 	return decision
 }
@@ -122,11 +122,11 @@
 // that is not repeatable is retried only while each attempt is known not to have
 // started. After tokens were delivered, only a resumed stream may continue: the
 // text of a new run could differ, and the response would mix two runs.
-func (a *Attempts) stopReason(end Failure) Reason {
+func (a *Attempts) stopReason(failure Failure) Reason {
 	switch {
 	case !a.stage.Repeatable && a.mayHaveRun:
 		return ReasonNotRepeatable
-	case end.TokensDelivered && !a.stage.Resumable:
+	case failure.TokensDelivered && !a.stage.Resumable:
 		return ReasonTokensDelivered
 	case a.sent >= a.stage.MaxAttempts:
 		return ReasonAttemptsUsedUp
--- a/state/requests/summary.go
+++ b/state/requests/summary.go
@@ -54,8 +54,8 @@
 	return Summary{Rows: rows}
 }
 
-// Restore adds the counters of a summary that could not be written back, so that
-// the next one includes them.
+// Restore adds back the counters of a summary that could not be stored, so that
+// the next summary includes them.
 func (t *Table) Restore(s Summary) {
 	// The choice of the stripe does not matter: Drain sums over all of them.
 	for _, row := range s.Rows {
