--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/retry"
 )
 
-// A new budget pays for two retries; after that, ten answers earn one.
+// A new budget allows two retries; after that, ten successes add one.
 func ExampleBudget() {
 	now := time.Unix(0, 0)
 	budget := retry.NewBudget(retry.Config{})
--- a/coordination/tiers/gate.go
+++ b/coordination/tiers/gate.go
@@ -13,20 +13,20 @@
 	DefaultMaxPreemptions = 2
 )
 
-// Config sets a pool's gate. Zero values take the defaults.
+// Config configures the gate of a pool. Zero values select the defaults.
 type Config struct {
-	// Queue bounds the number of queued items over all ranks.
+	// MaxQueued bounds the number of queued items over all ranks.
 	MaxQueued int
-	// Window is the time over which demand is averaged.
+	// DemandWindow is the time constant of the moving average of demand.
 	DemandWindow time.Duration
-	// Ordered tells that the targets run the most urgent first, by the
-	// priority that is passed to them, as model engines do.
+	// PriorityScheduling means that the targets run the most urgent requests
+	// first, by the priority that is passed to them, as model engines do.
 	PriorityScheduling bool
 	// Preempt allows resumable work to be cancelled for a higher rank.
 	Preempt bool
-	// MinRun is the least time that work runs before it may be cancelled.
+	// MinRunTime is the least time that an item runs before it may be preempted.
 	MinRunTime time.Duration
-	// MaxPreemptions bounds how often one work is cancelled.
+	// MaxPreemptions bounds how often one item is preempted.
 	MaxPreemptions int
 }
 
@@ -53,12 +53,13 @@
 	preempting bool
 }
 
-// Gate is one instance's queue and admission to the targets of one pool.
+// Gate queues the items of one instance for the targets of one pool and decides
+// when they are dispatched.
 type Gate struct {
 	config   Config
 	capacity int
 	peers    PeerLoad
-	// told and toldBefore are the digests that the peers got last.
+	// lastDigest and previousDigest are the last two digests returned by Digest.
 	lastDigest, previousDigest Digest
 	queues                     [MaxRanks]rankQueue
 	waiting                    map[uint64]*queued
@@ -69,7 +70,7 @@
 	seq                        uint64
 }
 
-// NewGate makes a gate for a pool whose targets have capacity slots in all.
+// NewGate returns a gate for a pool whose targets have capacity slots in total.
 func NewGate(c Config, capacity int) *Gate {
 	return &Gate{
 		config:   c.withDefaults(),
@@ -80,8 +81,8 @@
 	}
 }
 
-// Enqueue takes an item in, or refuses it when the queue is full of work that
-// is as urgent.
+// Enqueue queues an item. If the queue is full, it refuses the newest item of the
+// lowest queued rank that is below the item's, or else the item itself.
 func (g *Gate) Enqueue(now time.Time, item Item) []Action {
 	item.Rank = clampRank(item.Rank)
 	var out []Action
@@ -101,8 +102,8 @@
 	return g.dispatch(now, out)
 }
 
-// Finished tells that an item that was dispatched no longer holds its slot:
-// answered, failed, cancelled or preempted.
+// Finished frees the slot of a dispatched item that completed, failed, was
+// cancelled or was preempted.
 func (g *Gate) Finished(now time.Time, id uint64) []Action {
 	r, ok := g.running[id]
 	if !ok {
@@ -115,8 +116,8 @@
 	return g.dispatch(now, nil)
 }
 
-// Abandon takes an item whose caller gave up out of the queue. An item that was
-// dispatched is left alone: it ends by Finished.
+// Abandon removes a queued item whose caller gave up. It ignores an item that
+// was dispatched, which ends by Finished.
 func (g *Gate) Abandon(now time.Time, id uint64) []Action {
 	it, ok := g.waiting[id]
 	if !ok {
@@ -126,27 +127,28 @@
 	return g.dispatch(now, nil)
 }
 
-// Tick refuses what waited past the point of use and dispatches what may start
-// since the peers' load or the time changed. Call it some ten times a second.
+// Tick refuses the items past their LatestStart and dispatches those that may
+// start because the peers' load or the time changed. Call it about ten times a
+// second.
 func (g *Gate) Tick(now time.Time) []Action {
 	return g.dispatch(now, nil)
 }
 
-// SetCapacity tells how many slots the pool's routable targets have in all.
+// SetCapacity sets the total number of slots of the pool's routable targets.
 func (g *Gate) SetCapacity(now time.Time, slots int) []Action {
 	g.capacity = max(slots, 0)
 	return g.dispatch(now, nil)
 }
 
-// SetPeers tells what the peers' newest digests add up to.
+// SetPeers sets the sum of the peers' latest digests.
 func (g *Gate) SetPeers(now time.Time, load PeerLoad) []Action {
 	load.Instances = max(load.Instances, 1)
 	g.peers = load
 	return g.dispatch(now, nil)
 }
 
-// Digest returns what the peers have to know of this instance. It is to be sent
-// to them, since the gate keeps to what it says.
+// Digest returns the load of this instance for its peers. The caller must send
+// it to them, since the gate computes its limits from the digests it returned.
 func (g *Gate) Digest(now time.Time) Digest {
 	var d Digest
 	for r := range d.Ranks {
@@ -158,7 +160,7 @@
 	return d
 }
 
-// Stats returns a reading for metrics.
+// Stats returns the figures that are exported as metrics.
 func (g *Gate) Stats() Stats {
 	s := Stats{Capacity: g.capacity, InFlight: g.inFlight, TotalInFlight: g.totalInFlight()}
 	if len(g.running) > 0 {
@@ -170,9 +172,9 @@
 	return s
 }
 
-// Wait is how long an item of the rank that came now would queue: the work of
-// the same and higher ranks that is queued, over the rate at which the work of
-// these ranks that holds slots finishes.
+// EstimatedWait returns how long an item of the rank would be queued if it
+// arrived now: the number of queued items of the same and higher ranks, divided
+// by the completion rate of the dispatched items of these ranks.
 func (g *Gate) EstimatedWait(_ time.Time, rank int) time.Duration {
 	queued, inFlight := 0, 0
 	for r := 0; r <= clampRank(rank); r++ {
@@ -186,7 +188,7 @@
 	return time.Duration(float64(queued) / rate * float64(time.Second))
 }
 
-// Bounds of a time to come back.
+// Bounds of Action.RetryAfter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
@@ -202,8 +204,8 @@
 	}
 }
 
-// displaceable returns the newest item of the lowest queued rank, if that is
-// below rank.
+// displacementVictim returns the newest item of the lowest queued rank if that
+// rank is below the given one, or nil.
 func (g *Gate) displacementVictim(rank int) *queued {
 	for r := MaxRanks - 1; r > rank; r-- {
 		if it := g.queues[r].latestArrival(); it != nil {
--- a/coordination/tiers/peers.go
+++ b/coordination/tiers/peers.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// maxPeers bounds the digests that are kept; an instance hears of few peers.
+// maxPeers bounds the digests that are kept; an instance receives the digests
+// of few peers.
 const maxPeers = 64
 
-// Peers keeps the newest digests of the peers for one pool.
+// PeerDigests holds the latest digest of each peer for one pool.
 type PeerDigests struct {
 	ttl      time.Duration
 	received map[string]receivedDigest
@@ -20,12 +21,13 @@
 	receivedAt time.Time
 }
 
-// NewPeers makes an empty table whose digests count for ttl.
+// NewPeerDigests returns an empty table whose digests expire after ttl.
 func NewPeerDigests(ttl time.Duration) *PeerDigests {
 	return &PeerDigests{ttl: ttl, received: make(map[string]receivedDigest)}
 }
 
-// Heard takes in a peer's digest.
+// Add replaces a peer's digest. A digest of a new peer is dropped while the
+// table is full.
 func (p *PeerDigests) Add(now time.Time, peer string, d Digest) {
 	if _, known := p.received[peer]; !known && len(p.received) >= maxPeers {
 		p.expire(now)
@@ -36,12 +38,13 @@
 	p.received[peer] = receivedDigest{digest: d, receivedAt: now}
 }
 
-// Load adds up the digests that count, for instances live instances in all.
+// Load returns the sum of the unexpired digests. instances is the number of
+// live instances, this one included.
 func (p *PeerDigests) Load(now time.Time, instances int) PeerLoad {
 	p.expire(now)
 	out := PeerLoad{Instances: max(instances, len(p.received)+1), Reporting: len(p.received)}
-	// In a fixed order: sums of floats depend on it, and the same events have
-	// to lead to the same decisions.
+	// The order is fixed because sums of floats depend on it, and the same
+	// events have to lead to the same decisions.
 	for _, name := range slices.Sorted(maps.Keys(p.received)) {
 		h := p.received[name]
 		for r := range out.Ranks {
--- a/coordination/tiers/queue.go
+++ b/coordination/tiers/queue.go
@@ -10,12 +10,12 @@
 	Item
 	seq        uint64
 	enqueuedAt time.Time
-	// index is the place in the heap.
+	// heapIndex is the item's position in its rankQueue.
 	heapIndex int
 }
 
-// rankQueue is a heap of the items of one rank, the earliest latest start
-// first, and in order of arrival among equals.
+// rankQueue is a heap of the items of one rank, ordered by LatestStart and then
+// by arrival.
 type rankQueue []*queued
 
 func (q rankQueue) Len() int { return len(q) }
@@ -55,7 +55,7 @@
 	return q[0]
 }
 
-// newest returns the item that arrived last, or nil.
+// latestArrival returns the item that arrived last, or nil.
 func (q rankQueue) latestArrival() *queued {
 	var out *queued
 	for _, it := range q {
--- a/state/catalog/accounts.go
+++ b/state/catalog/accounts.go
@@ -9,21 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// accountShards is how many maps an account table is spread over. A change of
-// one account copies one map of each index and no other.
+// accountShardCount is the number of maps in each index of an account table. A
+// change of one account copies the maps that hold its name and its keys, and no
+// others.
 const accountShardCount = 256
 
 // AccountTable is an immutable set of accounts with two indexes, by name and
-// by key hash. The zero value is empty. Change it through Edit.
+// by key hash. The zero value is empty. Edit returns a changed copy.
 type AccountTable struct {
 	byName *[accountShardCount]map[string]*Account
 	byKey  *[accountShardCount]map[[32]byte]*Account
-	// rivals holds the accounts that name a key which another one holds.
+	// keyContenders holds, by key hash, the accounts that list a key which
+	// belongs to another account.
 	keyContenders map[[32]byte][]*Account
 	count         int
 }
 
-// NewAccountTable builds a table. Of two accounts with one name the later wins.
+// NewAccountTable returns a table of the accounts. Of two accounts with one name
+// it keeps the later.
 func NewAccountTable(accounts ...*Account) AccountTable {
 	editor := AccountTable{}.Edit()
 	for _, a := range accounts {
@@ -35,7 +38,7 @@
 // Len returns the number of accounts.
 func (t AccountTable) Len() int { return t.count }
 
-// Get finds an account by name.
+// Get returns an account by name.
 func (t AccountTable) Get(name string) (*Account, bool) {
 	if t.byName == nil {
 		return nil, false
@@ -44,7 +47,7 @@
 	return a, ok
 }
 
-// ByKey finds the account that a caller key's SHA-256 digest belongs to.
+// ByKey returns the account of the caller key with a SHA-256 digest.
 func (t AccountTable) ByKey(hash [32]byte) (*Account, bool) {
 	if t.byKey == nil {
 		return nil, false
@@ -69,7 +72,8 @@
 	}
 }
 
-// Edit starts a change; the table itself stays as it is.
+// Edit returns an editor for a copy of the table; the table itself never
+// changes.
 func (t AccountTable) Edit() *AccountEditor {
 	e := &AccountEditor{
 		byName:        new([accountShardCount]map[string]*Account),
@@ -84,8 +88,9 @@
 	return e
 }
 
-// AccountEditor changes a copy of an account table. It copies each shard on
-// its first change. It is for one goroutine, and spent once Table is called.
+// AccountEditor changes a copy of an account table. It copies each shard on its
+// first change. It is not safe for concurrent use and must not be used after
+// Table.
 type AccountEditor struct {
 	byName           *[accountShardCount]map[string]*Account
 	byKey            *[accountShardCount]map[[32]byte]*Account
@@ -95,15 +100,15 @@
 	count            int
 }
 
-// ByKey finds the account that a key belongs to at this point of the change.
+// ByKey returns the account that a key belongs to after the changes so far.
 func (e *AccountEditor) ByKey(hash [32]byte) (*Account, bool) {
 	a, ok := e.byKey[keyShard(hash)][hash]
 	return a, ok
 }
 
-// Put adds an account or replaces the one of its name. When two accounts name
-// one key, it belongs to the one whose name sorts first: two instances that
-// learned of the accounts in different orders must find the same one.
+// Put adds an account or replaces the one with its name. If several accounts list
+// one key, it belongs to the one whose name sorts first, so that instances that
+// received the accounts in different orders agree.
 func (e *AccountEditor) Put(a *Account) {
 	e.Delete(a.Name)
 	e.writableNames(a.Name)[a.Name] = a
@@ -113,7 +118,7 @@
 	e.count++
 }
 
-// Delete removes an account with its keys; a name that is absent is no fault.
+// Delete removes an account and its keys. It ignores an unknown name.
 func (e *AccountEditor) Delete(name string) {
 	old, ok := e.byName[nameShard(name)][name]
 	if !ok {
@@ -127,8 +132,8 @@
 }
 
 func (e *AccountEditor) addKey(hash [32]byte, a *Account) {
-	holder, taken := e.ByKey(hash)
-	if !taken {
+	holder, ok := e.ByKey(hash)
+	if !ok {
 		e.writableKeys(hash)[hash] = a
 		return
 	}
@@ -146,23 +151,23 @@
 	e.setContenders(hash, without(e.keyContenders[hash], a))
 }
 
-// promote gives a key to the first of its rivals.
+// promoteContender assigns a key to the contender whose name sorts first.
 func (e *AccountEditor) promoteContender(hash [32]byte) {
-	rivals := e.keyContenders[hash]
-	if len(rivals) == 0 {
+	contenders := e.keyContenders[hash]
+	if len(contenders) == 0 {
 		return
 	}
-	first := slices.MinFunc(rivals, func(a, b *Account) int { return strings.Compare(a.Name, b.Name) })
+	first := slices.MinFunc(contenders, func(a, b *Account) int { return strings.Compare(a.Name, b.Name) })
 	e.writableKeys(hash)[hash] = first
-	e.setContenders(hash, without(rivals, first))
+	e.setContenders(hash, without(contenders, first))
 }
 
-// setRivals replaces the rivals for a key. It copies the whole map, which is
-// empty but for races of operators.
-func (e *AccountEditor) setContenders(hash [32]byte, rivals []*Account) {
+// setContenders replaces the contenders for a key. It copies the whole map, which
+// is empty unless operators concurrently gave one key to several accounts.
+func (e *AccountEditor) setContenders(hash [32]byte, contenders []*Account) {
 	e.keyContenders = cloneOrMake(e.keyContenders)
-	e.keyContenders[hash] = rivals
-	if len(rivals) == 0 {
+	e.keyContenders[hash] = contenders
+	if len(contenders) == 0 {
 		delete(e.keyContenders, hash)
 	}
 }
@@ -176,6 +181,8 @@
 	return AccountTable{byName: e.byName, byKey: e.byKey, keyContenders: e.keyContenders, count: e.count}
 }
 
+// writableNames returns the shard of byName for a name, copied if it is still
+// shared with the original table.
 func (e *AccountEditor) writableNames(name string) map[string]*Account {
 	i := nameShard(name)
 	if !e.copiedNameShards[i] {
@@ -185,6 +192,7 @@
 	return e.byName[i]
 }
 
+// writableKeys is writableNames for the shard of byKey for a key hash.
 func (e *AccountEditor) writableKeys(hash [32]byte) map[[32]byte]*Account {
 	i := keyShard(hash)
 	if !e.copiedKeyShards[i] {
--- a/state/requests/bench_test.go
+++ b/state/requests/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkRequest measures the records of one request of four stages while
-// others are in flight.
+// BenchmarkRequest measures recording one request of four stages while others
+// are in flight.
 func BenchmarkRequest(b *testing.B) {
 	for _, inFlight := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("in_flight=%d", inFlight), func(b *testing.B) {
@@ -47,8 +47,8 @@
 	tab.Finish(ref, End{State: StateAnswered, Outcome: OutcomeRan, At: at(3)})
 }
 
-// BenchmarkDigestOfNewAccounts measures the worst case of the sums: every
-// attempt is of another account, so the pruning is paid in full.
+// BenchmarkDigestOfNewAccounts measures the worst case of the aggregates: every
+// attempt is of a new account, so pruning is as frequent as possible.
 func BenchmarkDigestOfNewAccounts(b *testing.B) {
 	accounts := make([]string, 16*defaultAccounts)
 	for i := range accounts {
--- a/state/requests/shard.go
+++ b/state/requests/shard.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// expiryBatch bounds the old requests that one Begin removes. It is more than
-// the one that Begin adds, so expiry keeps up and no Begin pays for a backlog.
+// expiryBatch bounds the expired requests that one Begin removes. It is greater
+// than the one request that Begin adds, so expiry keeps up without a long pause
+// in any single Begin.
 const expiryBatch = 4
 
-// shard is a part of the table with its own lock and its own share of the bounds.
+// shard is a part of the table with its own lock and its share of the bounds.
 type shard struct {
 	mu          sync.Mutex
 	slots       []record
@@ -44,11 +45,11 @@
 	return slot, r.generation
 }
 
-// take finds a free slot: one of the free list, a new one, or the one of the
-// oldest finished request. Running requests are never pushed out; when they
-// fill the shard, or the id is taken, there is none.
+// allocateSlot returns a slot from the free list, a new one, or that of the
+// oldest finished request. Running requests are never evicted: if they fill the
+// shard, or if the id is in use, it returns noSlot.
 func (s *shard) allocateSlot(id string) int32 {
-	if _, taken := s.index[id]; taken {
+	if _, inUse := s.index[id]; inUse {
 		return noSlot
 	}
 	if !s.reserveBytes(recordBytes + int64(len(id)) + preallocatedAttempts*attemptBytes) {
@@ -65,7 +66,8 @@
 	return int32(len(s.slots) - 1)
 }
 
-// reserve makes room for n more bytes by removing finished requests.
+// reserveBytes evicts finished requests until n more bytes fit. It reports
+// whether they do.
 func (s *shard) reserveBytes(n int64) bool {
 	for s.bytes+n > s.maxBytes {
 		if !s.evictOldest() {
@@ -75,7 +77,8 @@
 	return true
 }
 
-// evictOldest removes the request that finished first.
+// evictOldest removes the request that finished first and reports whether there
+// was one.
 func (s *shard) evictOldest() bool {
 	slot := s.finished.head
 	if slot == noSlot {
@@ -86,7 +89,7 @@
 	return true
 }
 
-// release frees a slot that is in no list.
+// freeSlot empties a slot that is in no list and adds it to the free list.
 func (s *shard) freeSlot(slot int32) {
 	r := &s.slots[slot]
 	delete(s.index, r.info.ID)
@@ -95,10 +98,10 @@
 	s.free.pushBack(s.slots, slot)
 }
 
-// expire removes at most limit requests of each kind: finished ones past their
-// retention, and running ones as long past their deadline. The second guards
-// against a request whose Finish is never called: such records would fill the
-// table, which shows as status that is missing for new requests.
+// expire removes at most limit finished requests past their retention and at
+// most limit running ones that exceed their deadline by the retention. The
+// latter prevents requests whose Finish is never called from filling the table,
+// which would leave new requests without a status.
 func (s *shard) expire(now time.Time, limit int) {
 	for range limit {
 		slot := s.finished.head
@@ -125,8 +128,8 @@
 	return now.Sub(r.endedAt) >= s.retention
 }
 
-// find returns the record of a reference, or nil when its slot has gone to
-// another request since.
+// find returns the record of a reference, or nil if its slot was freed or reused
+// for another request.
 func (s *shard) find(ref Ref) *record {
 	if int(ref.slot) >= len(s.slots) {
 		return nil
@@ -154,7 +157,7 @@
 	if len(r.attempts) == cap(r.attempts) {
 		n += int64(nextAttemptCapacity(cap(r.attempts))-cap(r.attempts)) * attemptBytes
 	}
-	// The record itself may not be pushed out here: the others make room.
+	// The record itself must not be evicted.
 	if !s.reserveBytesKeeping(ref.slot, n) {
 		r.unrecorded++
 		return NoAttempt
@@ -169,7 +172,7 @@
 	return len(r.attempts) - 1
 }
 
-// reserveFor is reserve, but stops before it would remove the slot itself.
+// reserveBytesKeeping is reserveBytes that never evicts the given slot.
 func (s *shard) reserveBytesKeeping(slot int32, n int64) bool {
 	for s.bytes+n > s.maxBytes {
 		if s.finished.head == slot || !s.evictOldest() {
@@ -179,13 +182,14 @@
 	return true
 }
 
+// charge adds n bytes to the memory accounted to a record.
 func (s *shard) charge(r *record, n int64) {
 	r.bytes += n
 	s.bytes += n
 }
 
-// grown returns the attempts with room for one more. append's own growth
-// would exceed what was charged.
+// growAttempts returns the attempts with capacity for one more. Growth by append
+// would exceed the bytes that were charged.
 func growAttempts(attempts []Attempt) []Attempt {
 	if len(attempts) < cap(attempts) {
 		return attempts
--- a/state/requests/list.go
+++ b/state/requests/slot_list.go
@@ -1,7 +1,7 @@
 package requests
 
-// list is a queue of a shard's slots, linked through the records, so that any
-// slot leaves it in constant time and without allocation.
+// slotList is a queue of a shard's slots, linked through their records so that
+// any slot can be removed in constant time and without allocation.
 type slotList struct{ head, tail int32 }
 
 func newSlotList() slotList { return slotList{head: noSlot, tail: noSlot} }
--- a/state/requests/table.go
+++ b/state/requests/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// NoAttempt is the number of an attempt that is not recorded; EndAttempt takes
+// NoAttempt is the number of an attempt that is not recorded; EndAttempt accepts
 // it and does nothing.
 const NoAttempt = -1
 
@@ -19,32 +19,33 @@
 
 // Options bounds a Table.
 type Options struct {
-	// MaxRequests is the greatest number of requests kept, running ones included.
+	// MaxRequests bounds the number of requests kept, including running ones.
 	MaxRequests int
-	// MaxBytes bounds the memory of the requests kept; 0 allows 2 KiB a request.
-	// Slots that were emptied keep at most as much again for the next requests.
+	// MaxBytes bounds the memory of the requests kept; 0 allows 2 KiB per request.
+	// Free slots retain at most the same amount again for the next requests.
 	MaxBytes int64
-	// Retention is how long a finished request is kept at most.
+	// Retention is the maximum time for which a finished request is kept.
 	Retention time.Duration
-	// MaxAccounts bounds the sums that are kept by client account between two
-	// drains; 0 is 4096. Beyond it the least busy ones are summed together.
+	// MaxAccounts bounds the counters that are kept per client account between
+	// two drains; 0 means 4096. Beyond it the least busy accounts are combined.
 	MaxAccounts int
 }
 
-// Table holds the status of requests in shards by request id. Locks are taken
-// in the order shard, digests; neither is held for more than memory work.
+// Table holds the status of requests, sharded by request id. Locks are acquired
+// in the order shard, aggregates; neither is held during I/O.
 type Table struct {
 	shards []shard
 	seed   maphash.Seed
-	// digests are striped by the request's shard and not by account: one busy
-	// account would otherwise keep all cores at one lock.
+	// stripes are selected by the request's shard and not by its account: with
+	// one busy account all cores would otherwise contend for one lock.
 	stripes []*aggregates
 }
 
-// defaultBytesPerRequest fits a request of four stages with their attempts.
+// defaultBytesPerRequest is enough for a request of four stages with their
+// attempts.
 const defaultBytesPerRequest = 2 << 10
 
-// New makes an empty table.
+// New returns an empty table.
 func New(o Options) *Table {
 	o.MaxRequests = max(o.MaxRequests, 1)
 	if o.MaxBytes <= 0 {
@@ -73,8 +74,8 @@
 	return t
 }
 
-// shardCount gives each shard room enough that chance does not fill one while
-// others are empty.
+// shardCount returns a number of shards so small that uneven hashing does not
+// fill one shard while others are empty.
 func shardCount(requests int) int {
 	n := min(max(requests/requestsPerShard, 1), maxShards)
 	return 1 << (bits.Len(uint(n)) - 1)
@@ -88,9 +89,8 @@
 	return t.stripes[int(ref.shard)%len(t.stripes)]
 }
 
-// Begin records a request. The reference is the zero Ref when the id is in use
-// or running requests fill the table; the request is then served without a
-// status of its own.
+// Begin records a request. It returns the zero Ref if the id is in use or running
+// requests fill the table; the request is then served without a status.
 func (t *Table) Begin(info Info) Ref {
 	i := t.shardOf(info.ID)
 	slot, generation := t.shards[i].begin(info)
@@ -108,9 +108,9 @@
 	return t.shards[ref.shard].addAttempt(ref, a)
 }
 
-// EndAttempt records how an attempt ended, also after the end of its request:
-// the answer of a hedge that lost still counts as work. The first end of an
-// attempt stands.
+// EndAttempt records how an attempt ended, also after the end of its request,
+// since the work of a hedge whose response was not used still counts. Only the
+// first call for an attempt has an effect.
 func (t *Table) EndAttempt(ref Ref, attempt int, e AttemptEnd) {
 	if !ref.Recorded() {
 		return
@@ -139,7 +139,7 @@
 	t.stripeOf(ref).add(r.attemptKey(a.Stage), attemptCounters(a, r))
 }
 
-// Finish records the end of a request. The first end stands.
+// Finish records the end of a request. Only the first call has an effect.
 func (t *Table) Finish(ref Ref, e End) {
 	if !ref.Recorded() || e.State == StateRunning {
 		return
@@ -158,8 +158,8 @@
 	t.stripeOf(ref).addRequest(r)
 }
 
-// Get copies the status of a request. It is false when the request is not
-// known, or is past its retention.
+// Get returns a copy of the status of a request. It returns false if the request
+// is unknown or past its retention.
 func (t *Table) Get(id string, now time.Time) (Status, bool) {
 	s := &t.shards[t.shardOf(id)]
 	s.mu.Lock()
@@ -171,8 +171,8 @@
 	return s.slots[slot].status(now), true
 }
 
-// Expire removes what is past its retention, for an instance without requests
-// whose Begin would do it.
+// Expire removes the requests past their retention. Begin does so too, but only
+// on an instance that receives requests.
 func (t *Table) Expire(now time.Time) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -182,34 +182,36 @@
 	}
 }
 
-// Attainment returns, by tier, how many requests ended since the start and how
-// many of them were answered within their deadline.
+// Attainment returns, by tier, how many requests ended since the process started
+// and how many of them were answered within their deadline.
 func (t *Table) Attainment() map[string]Attainment {
 	sum := make(map[string]Attainment)
-	for _, d := range t.stripes {
-		d.mu.Lock()
-		for tier, own := range d.byTier {
+	for _, agg := range t.stripes {
+		agg.mu.Lock()
+		for tier, own := range agg.byTier {
 			total := sum[tier]
 			total.Ended += own.Ended
 			total.Attained += own.Attained
 			sum[tier] = total
 		}
-		d.mu.Unlock()
+		agg.mu.Unlock()
 	}
 	return sum
 }
 
-// Stats is the size of a table.
+// Stats describes the size of a table.
 type Stats struct {
 	// Requests counts the records, running and finished.
 	Requests int
 	// Bytes is the memory charged to them.
 	Bytes int64
-	// Unrecorded counts the requests that found no room since the start.
+	// Unrecorded counts the requests since the process started that could not be
+	// recorded.
 	Unrecorded uint64
 }
 
-// Stats sums up the shards, one after the other.
+// Stats returns the sum over the shards. It locks them one at a time, so the
+// figures of different shards are of slightly different times.
 func (t *Table) Stats() Stats {
 	var sum Stats
 	for i := range t.shards {
