--- a/daemon/retrybudget/retrybudget.go
+++ b/daemon/retrybudget/retrybudget.go
@@ -19,7 +19,7 @@
 	config retry.Config
 
 	mu    sync.RWMutex
-	pools map[string]*pool
+	pools map[string]*poolBudget
 
 	retries, hedges counts
 }
@@ -31,7 +31,7 @@
 type counts struct{ paid, refused atomic.Uint64 }
 
 // note counts one decision and returns it.
-func (c *counts) note(paid bool) bool {
+func (c *counts) record(paid bool) bool {
 	if paid {
 		c.paid.Add(1)
 	} else {
@@ -45,30 +45,30 @@
 // Counts returns the retries and the hedges since the start.
 func (b *Budgets) Counts() (retries, hedges Counts) { return b.retries.read(), b.hedges.read() }
 
-type pool struct {
+type poolBudget struct {
 	mu     sync.Mutex
 	budget *retry.Budget
 }
 
 // New makes budgets that all have the given shares.
 func New(c retry.Config) *Budgets {
-	return &Budgets{config: c, pools: make(map[string]*pool)}
+	return &Budgets{config: c, pools: make(map[string]*poolBudget)}
 }
 
 // Retry pays for one retry at the pool, or tells that it can't.
-func (b *Budgets) Retry(now time.Time, name string) bool {
+func (b *Budgets) TakeRetry(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.retries.note(p.budget.SpendRetry(now))
+	return b.retries.record(p.budget.SpendRetry(now))
 }
 
 // Hedge pays for one attempt beside the first, or tells that it can't.
-func (b *Budgets) Hedge(now time.Time, name string) bool {
+func (b *Budgets) TakeHedge(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.hedges.note(p.budget.SpendHedge(now))
+	return b.hedges.record(p.budget.SpendHedge(now))
 }
 
 // Succeeded tells that a stage was answered whole, which earns extra attempts.
@@ -80,7 +80,7 @@
 	p.budget.AddSuccess(now)
 }
 
-func (b *Budgets) pool(name string) *pool {
+func (b *Budgets) pool(name string) *poolBudget {
 	b.mu.RLock()
 	p, ok := b.pools[name]
 	b.mu.RUnlock()
@@ -95,7 +95,7 @@
 	if len(b.pools) >= maxPools {
 		clear(b.pools) // the pools in use come back with a new budget's reserve
 	}
-	p = &pool{budget: retry.NewBudget(b.config)}
+	p = &poolBudget{budget: retry.NewBudget(b.config)}
 	b.pools[name] = p
 	return p
 }
--- a/daemon/retrybudget/retrybudget_test.go
+++ b/daemon/retrybudget/retrybudget_test.go
@@ -15,7 +15,7 @@
 var epoch = time.Unix(1_000_000, 0)
 
 // spent takes tokens until there is none.
-func spent(take func(time.Time, string) bool, pool string) int {
+func takeAll(take func(time.Time, string) bool, pool string) int {
 	n := 0
 	for take(epoch, pool) {
 		n++
@@ -25,7 +25,7 @@
 
 // All of one pool fails and takes every token it can get; the retries of another
 // pool, and the hedges of its own, must not be paid from the same purse.
-func TestBudgetsOfPoolsAreApart(t *testing.T) {
+func TestPoolsHaveSeparateBudgets(t *testing.T) {
 	tests := map[string]struct {
 		answered, empty            string
 		retriesA, retriesB, hedges int // what is left in "a", "b" and "a"
@@ -41,16 +41,16 @@
 		t.Run(name, func(t *testing.T) {
 			b := New(retry.Config{})
 			if tt.empty != "" {
-				require.Equal(t, 2, spent(b.Retry, tt.empty))
+				require.Equal(t, 2, takeAll(b.TakeRetry, tt.empty))
 			}
 			for range 105 { // ten tokens and a half: no sum of tenths is exact
 				if tt.answered != "" {
 					b.Succeeded(epoch, tt.answered)
 				}
 			}
-			require.Equal(t, tt.retriesA, spent(b.Retry, "a"))
-			require.Equal(t, tt.retriesB, spent(b.Retry, "b"))
-			require.Equal(t, tt.hedges, spent(b.Hedge, "a"))
+			require.Equal(t, tt.retriesA, takeAll(b.TakeRetry, "a"))
+			require.Equal(t, tt.retriesB, takeAll(b.TakeRetry, "b"))
+			require.Equal(t, tt.hedges, takeAll(b.TakeHedge, "a"))
 		})
 	}
 }
@@ -68,10 +68,10 @@
 			start.Wait()
 			for p := range pools {
 				name := strconv.Itoa(p)
-				if b.Retry(epoch, name) {
+				if b.TakeRetry(epoch, name) {
 					retries[p].Add(1)
 				}
-				if b.Hedge(epoch, name) {
+				if b.TakeHedge(epoch, name) {
 					hedges[p].Add(1)
 				}
 			}
@@ -86,11 +86,11 @@
 }
 
 // Pools come and go with the configuration for as long as the process lives.
-func TestDroppedPoolsAreNotKeptForEver(t *testing.T) {
+func TestNumberOfPoolsIsBounded(t *testing.T) {
 	b := New(retry.Config{})
 	for i := range 3*maxPools + 1 {
 		b.Succeeded(epoch, strconv.Itoa(i))
 		require.LessOrEqual(t, len(b.pools), maxPools)
 	}
-	require.True(t, b.Retry(epoch, "in use"))
+	require.True(t, b.TakeRetry(epoch, "in use"))
 }
--- a/daemon/stages/answers.go
+++ b/daemon/stages/answers.go
@@ -9,24 +9,24 @@
 )
 
 // errRepeated tells that a target sent an answer again, in place of the one that is due.
-var errRepeated = errors.New("the results are those of an earlier call")
+var errRepeatedResponse = errors.New("the results are those of an earlier call")
 
 // maxAnswers bounds the answers that are remembered. It is many times the calls that are in
 // progress at once.
-const maxAnswers = 4096
+const maxRecentResponses = 4096
 
 // answers remembers the latest answers to calls for pieces. Answers have no id, so one that
 // comes twice shows by its results alone: a result has a handle of its own.
-type answers struct {
-	mu    sync.Mutex
-	known map[string]struct{}
+type recentResponses struct {
+	mu   sync.Mutex
+	seen map[string]struct{}
 	// order are the known ones, the oldest at next.
-	order []string
-	next  int
+	keys   []string
+	oldest int
 }
 
 // add remembers an answer. It returns false for one that is remembered already.
-func (a *answers) add(incarnation string, results []gather.PieceResult) bool {
+func (a *recentResponses) add(incarnation string, results []gather.PieceResult) bool {
 	handle := firstHandle(results)
 	if handle == "" {
 		return true
@@ -34,20 +34,20 @@
 	key := incarnation + " " + handle
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if _, ok := a.known[key]; ok {
+	if _, ok := a.seen[key]; ok {
 		return false
 	}
-	if a.known == nil {
-		a.known = map[string]struct{}{}
+	if a.seen == nil {
+		a.seen = map[string]struct{}{}
 	}
-	a.known[key] = struct{}{}
-	if len(a.order) < maxAnswers {
-		a.order = append(a.order, key)
+	a.seen[key] = struct{}{}
+	if len(a.keys) < maxRecentResponses {
+		a.keys = append(a.keys, key)
 		return true
 	}
-	delete(a.known, a.order[a.next])
-	a.order[a.next] = key
-	a.next = (a.next + 1) % maxAnswers
+	delete(a.seen, a.keys[a.oldest])
+	a.keys[a.oldest] = key
+	a.oldest = (a.oldest + 1) % maxRecentResponses
 	return true
 }
 
--- a/daemon/stages/answers_test.go
+++ b/daemon/stages/answers_test.go
@@ -11,8 +11,8 @@
 
 // TestAnswersComeOnce guards against results of an earlier call that are taken for those of
 // the one that is due.
-func TestAnswersComeOnce(t *testing.T) {
-	var a answers
+func TestRepeatedResponsesAreRejected(t *testing.T) {
+	var a recentResponses
 	made := func(handles ...string) []gather.PieceResult {
 		results := []gather.PieceResult{{Failure: gather.PieceDeadlineExceeded}}
 		for _, h := range handles {
@@ -25,10 +25,10 @@
 	require.True(t, a.add("y", made("1", "2")), "another process")
 	require.True(t, a.add("x", made()))
 	require.True(t, a.add("x", made()), "nothing tells answers without results apart")
-	for i := range 2 * maxAnswers {
+	for i := range 2 * maxRecentResponses {
 		require.True(t, a.add("z", made(fmt.Sprint(i))))
 	}
-	require.Len(t, a.known, maxAnswers)
-	require.Len(t, a.order, maxAnswers)
-	require.False(t, a.add("z", made(fmt.Sprint(maxAnswers))))
+	require.Len(t, a.seen, maxRecentResponses)
+	require.Len(t, a.keys, maxRecentResponses)
+	require.False(t, a.add("z", made(fmt.Sprint(maxRecentResponses))))
 }
--- a/daemon/stages/askers.go
+++ b/daemon/stages/askers.go
@@ -8,14 +8,14 @@
 )
 
 // reading is a request whose results its asker reads.
-type reading struct {
-	sender
+type resultReader struct {
+	instanceID
 	// until is the request's deadline: by then the planner has dropped it.
-	until time.Time
+	deadline time.Time
 }
 
 // noteReader notes who reads the results of a request that is done.
-func (o *Owner) noteReader(id string, r reading) {
+func (o *queue) recordReader(id string, r resultReader) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.readers[id] = r
@@ -24,7 +24,7 @@
 // dropReaderless frees the results of requests whose askers have died or started
 // again: nobody reads them, and nobody will say so. Those of askers that leave as
 // planned stay, since these still serve what they have.
-func (o *Owner) dropReaderless(now time.Time, view *membership.View) {
+func (o *queue) dropOrphaned(now time.Time, view *membership.View) {
 	var gone []placing.RequestEnd
 	o.mu.Lock()
 	for id, r := range o.readers {
@@ -32,7 +32,7 @@
 		switch {
 		case ok && (m.Incarnation > r.incarnation || m.State == membership.Dead):
 			gone = append(gone, placing.RequestEnd{Request: id})
-		case now.After(r.until):
+		case now.After(r.deadline):
 			delete(o.readers, id)
 		}
 	}
@@ -44,21 +44,21 @@
 
 // reconnectWithin is how long a request is kept whose asker's connection was lost: some
 // round trips. An asker that is well asks for it again.
-const reconnectWithin = 300 * time.Millisecond
+const reconnectTimeout = 300 * time.Millisecond
 
 // abandon drops a request whose asker gave up, unless it has been asked for again or has
 // moved. One whose asker's connection was lost is kept for a moment, with its end if
 // that has come.
-func (o *Owner) abandon(id string, done chan outcome, lost bool) {
+func (o *queue) abandon(id string, done chan outcome, lost bool) {
 	o.mu.Lock()
-	present, waits := o.waiting[id]
-	if waits && present != done || o.keepEnd(id, done, lost) {
+	present, waits := o.waiters[id]
+	if waits && present != done || o.keepOutcome(id, done, lost) {
 		o.mu.Unlock()
 		return
 	}
 	if lost {
-		delete(o.waiting, id)
-		o.unclaimed[id] = time.Now().Add(reconnectWithin)
+		delete(o.waiters, id)
+		o.unclaimed[id] = time.Now().Add(reconnectTimeout)
 	}
 	o.mu.Unlock()
 	if !lost {
@@ -69,14 +69,14 @@
 // keepEnd keeps an end that came as its asker was lost, for when that asks again. It
 // tells whether nothing is left to decide here: the request has moved or was dropped.
 // mu is held.
-func (o *Owner) keepEnd(id string, done <-chan outcome, lost bool) (decided bool) {
+func (o *queue) keepOutcome(id string, done <-chan outcome, lost bool) (decided bool) {
 	select {
 	case end := <-done:
 		if end.movedTo != "" || end.dropped {
 			return true
 		}
 		if lost {
-			o.early[id] = end
+			o.earlyOutcomes[id] = end
 		}
 	default:
 	}
--- a/daemon/stages/askers_test.go
+++ b/daemon/stages/askers_test.go
@@ -9,13 +9,13 @@
 
 // TestFirstAskEndsWithoutTheSecond guards against a request that is dropped, or loses its
 // second ask, as the end of its first connection is noticed late.
-func TestFirstAskEndsWithoutTheSecond(t *testing.T) {
+func TestAbandonedRequestKeepsItsRetry(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		o := newOwner(nil, nil, nil, newMetrics(tally.NoopScope))
+		o := newQueue(nil, nil, nil, newMetrics(tally.NoopScope))
 		first, second := make(chan outcome, 1), make(chan outcome, 1)
-		o.waiting["1"] = second
+		o.waiters["1"] = second
 		o.abandon("1", first, lost)
-		require.Equal(t, second, o.waiting["1"])
+		require.Equal(t, second, o.waiters["1"])
 		require.Empty(t, o.unclaimed)
 		require.Empty(t, second)
 	}
@@ -23,11 +23,11 @@
 
 // TestEndIsKeptForTheNextAsk guards against a request that is made once more since its end
 // came as its asker's connection was lost.
-func TestEndIsKeptForTheNextAsk(t *testing.T) {
-	o := newOwner(nil, nil, nil, newMetrics(tally.NoopScope))
+func TestOutcomeIsKeptForTheRetry(t *testing.T) {
+	o := newQueue(nil, nil, nil, newMetrics(tally.NoopScope))
 	done := make(chan outcome, 1)
 	done <- outcome{handles: []string{"h"}}
 	o.abandon("1", done, true)
-	require.Equal(t, []string{"h"}, o.early["1"].handles)
+	require.Equal(t, []string{"h"}, o.earlyOutcomes["1"].handles)
 	require.Contains(t, o.unclaimed, "1")
 }
--- a/daemon/stages/bound.go
+++ b/daemon/stages/bound.go
@@ -13,24 +13,24 @@
 )
 
 // methodBound is the method by which a stopping instance has its requests end earlier.
-const methodBound = "stages.bound"
+const methodShorten = "stages.bound"
 
 // boundTimeout bounds the word that requests must end earlier.
-const boundTimeout = time.Second
+const shortenTimeout = time.Second
 
 // boundAsk is the body of methodBound.
-type boundAsk struct {
+type shortenRequest struct {
 	// Left is the time that the requests have from now on.
-	Left time.Duration
-	IDs  []string
+	Remaining time.Duration
+	IDs       []string
 }
 
 // asking is a request of this instance that waits for its stages.
-type asking struct {
+type waitingRequest struct {
 	// owner is the address of the instance that was asked last.
-	owner string
+	holder string
 	// until is the earlier deadline that Bound gave it; zero if none.
-	until time.Time
+	deadline time.Time
 }
 
 // Bound has requests of this instance that wait for their stages end by an earlier
@@ -39,32 +39,32 @@
 //
 // The failure it guards against: a request waits until its instance's grace ends and
 // is then given up, when its caller has no time left to be served elsewhere.
-func (s *Stages) Bound(until time.Time, ids ...string) {
+func (s *Stages) ShortenDeadlines(until time.Time, ids ...string) {
 	s.mu.Lock()
 	byOwner := map[string][]string{}
 	for _, id := range ids {
-		if a := s.asking[id]; a != nil {
-			a.until = until
-			byOwner[a.owner] = append(byOwner[a.owner], id)
+		if a := s.waiting[id]; a != nil {
+			a.deadline = until
+			byOwner[a.holder] = append(byOwner[a.holder], id)
 		}
 	}
 	s.mu.Unlock()
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	for owner, ids := range byOwner {
 		if owner == self.Address {
-			s.owner.bound(until, ids)
+			s.queue.shortenDeadlines(until, ids)
 			continue
 		}
-		go s.sendBound(owner, until, ids)
+		go s.sendShorten(owner, until, ids)
 	}
 }
 
-func (s *Stages) sendBound(owner string, until time.Time, ids []string) {
-	body, err := encode(&boundAsk{Left: time.Until(until), IDs: ids})
+func (s *Stages) sendShorten(owner string, until time.Time, ids []string) {
+	body, err := encode(&shortenRequest{Remaining: time.Until(until), IDs: ids})
 	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), boundTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shortenTimeout)
 		defer cancel()
-		_, err = s.cluster.Call(ctx, owner, methodBound, body)
+		_, err = s.cluster.Call(ctx, owner, methodShorten, body)
 	}
 	if err != nil {
 		// They end by their own deadlines, or with this instance.
@@ -72,42 +72,42 @@
 	}
 }
 
-func (s *Stages) handleBound(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var ask boundAsk
+func (s *Stages) handleShorten(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+	var ask shortenRequest
 	if err := msgpack.Unmarshal(body, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	s.owner.bound(time.Now().Add(ask.Left), ask.IDs)
+	s.queue.shortenDeadlines(time.Now().Add(ask.Remaining), ask.IDs)
 	return nil, nil
 }
 
 // bound gives requests an earlier deadline. One that has moved meanwhile has it from
 // its asker, which asks the new holder with it.
-func (o *Owner) bound(until time.Time, ids []string) {
-	o.do(func(p *gather.Planner) []gather.Action { return p.ShortenDeadlines(time.Now(), until, ids...) })
+func (o *queue) shortenDeadlines(until time.Time, ids []string) {
+	o.apply(func(p *gather.Planner) []gather.Action { return p.ShortenDeadlines(time.Now(), until, ids...) })
 }
 
 // ask notes which instance is asked for a request and returns the request with the
 // deadline that it has by now; true if Bound gave it.
-func (s *Stages) ask(owner string, r gather.Request) (gather.Request, bool) {
+func (s *Stages) addWaiting(owner string, r gather.Request) (gather.Request, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.asking[r.ID]
+	a := s.waiting[r.ID]
 	if a == nil {
-		a = &asking{}
-		s.asking[r.ID] = a
+		a = &waitingRequest{}
+		s.waiting[r.ID] = a
 	}
-	a.owner = owner
-	if a.until.IsZero() || !a.until.Before(r.Deadline) {
+	a.holder = owner
+	if a.deadline.IsZero() || !a.deadline.Before(r.Deadline) {
 		return r, false
 	}
-	r.Deadline = a.until
+	r.Deadline = a.deadline
 	return r, true
 }
 
 // asked forgets a request whose stages have ended.
-func (s *Stages) asked(id string) {
+func (s *Stages) removeWaiting(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asking, id)
+	delete(s.waiting, id)
 }
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -15,34 +15,34 @@
 )
 
 // call carries out one stage call.
-func (o *Owner) call(c gather.StartCall) {
+func (o *queue) runCall(c gather.StartCall) {
 	started, known := time.Now(), o.follower.TargetsAge()
-	results, how, err := o.exchange(c)
+	results, how, err := o.sendCall(c)
 	if how == gather.CallUnanswered && forward.EndedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
 		how = gather.CallTargetCrashed
 	}
 	if err != nil {
 		telemetry.ErrorS(err, "Stage call failed", telemetry.Event{
 			Target: c.Target.Incarnation, Address: c.Target.Address, Count: len(c.Pieces),
-			Reason: callOutcomes[how], Elapsed: time.Since(started),
+			Reason: callOutcomeTexts[how], Elapsed: time.Since(started),
 		})
 	}
 	telemetry.InfoS("Stage call ended", telemetry.Event{
-		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomes[how], Elapsed: time.Since(started), Known: known,
+		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomeTexts[how], Elapsed: time.Since(started), Known: known,
 	})
-	o.metrics.call(callOutcomes[how], time.Since(started))
-	o.noteFailures(c, results)
+	o.metrics.call(callOutcomeTexts[how], time.Since(started))
+	o.recordFailures(c, results)
 	if how == gather.CallWrongTarget {
 		o.follower.Leaving(c.Target.Incarnation)
 	}
 	o.callEnded(c.ID, how, results)
 	o.mu.Lock()
-	o.running--
+	o.runningCalls--
 	o.mu.Unlock()
 }
 
 // noteFailures writes one line for each way in which pieces of a call failed.
-func (o *Owner) noteFailures(c gather.StartCall, results []gather.PieceResult) {
+func (o *queue) recordFailures(c gather.StartCall, results []gather.PieceResult) {
 	counts := map[gather.PieceFailure]int{}
 	for _, r := range results {
 		counts[r.Failure]++
@@ -50,16 +50,16 @@
 	o.metrics.pieces("made", counts[gather.PieceOK])
 	for failure, n := range counts {
 		if failure != gather.PieceOK {
-			o.metrics.pieces(pieceFailures[failure], n)
+			o.metrics.pieces(pieceFailureTexts[failure], n)
 			telemetry.InfoS("Pieces not made", telemetry.Event{
-				Target: c.Target.Incarnation, Address: c.Target.Address, Count: n, Reason: pieceFailures[failure],
+				Target: c.Target.Incarnation, Address: c.Target.Address, Count: n, Reason: pieceFailureTexts[failure],
 			})
 		}
 	}
 }
 
 // pieceFailures names failures in logs.
-var pieceFailures = map[gather.PieceFailure]string{
+var pieceFailureTexts = map[gather.PieceFailure]string{
 	gather.PieceDeadlineExceeded: "late",
 	gather.PieceInputMissing:     "input_gone",
 	gather.PieceNoCapacity:       "no_room",
@@ -67,7 +67,7 @@
 }
 
 // callOutcomes names outcomes in logs.
-var callOutcomes = map[gather.CallOutcome]string{
+var callOutcomeTexts = map[gather.CallOutcome]string{
 	gather.CallAnswered:      "answered",
 	gather.CallTargetFull:    "target_full",
 	gather.CallWrongTarget:   "wrong_target",
@@ -82,7 +82,7 @@
 // exchange sends a call and reads its results. A kept connection is in step, and kept on, if
 // the answer has a result that is new; any other answer may be a second one to an earlier
 // call, and the one that is due may follow it.
-func (o *Owner) exchange(c gather.StartCall) ([]gather.PieceResult, gather.CallOutcome, error) {
+func (o *queue) sendCall(c gather.StartCall) ([]gather.PieceResult, gather.CallOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	request, err := o.dialect.StageCall(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
@@ -116,8 +116,8 @@
 	if err == nil && len(results) != len(c.Pieces) {
 		err = errors.Newf("%d results for %d pieces", len(results), len(c.Pieces))
 	}
-	if err == nil && !o.answers.add(c.Target.Incarnation, results) {
-		inStep, err = false, errRepeated
+	if err == nil && !o.responses.add(c.Target.Incarnation, results) {
+		inStep, err = false, errRepeatedResponse
 	}
 	if err != nil {
 		return nil, gather.CallUnanswered, err
--- a/daemon/stages/giving.go
+++ b/daemon/stages/giving.go
@@ -6,13 +6,13 @@
 )
 
 // attempt is one try to give the queue to another instance.
-type attempt struct {
+type handoverAttempt struct {
 	// within bounds it.
-	within time.Duration
+	timeout time.Duration
 	// done is closed at its end. given is set before, and tells whether another instance
 	// has the queue.
-	done  chan struct{}
-	given bool
+	done      chan struct{}
+	succeeded bool
 }
 
 // give has the queue given away by a try that begins from now on, and waits for its end
@@ -21,44 +21,44 @@
 //
 // Tries go on one at a time, since two at once might give one queue to two instances.
 // All who come while one is under way share the next, so there are never more than two.
-func (s *Stages) give(ctx context.Context, within time.Duration) bool {
+func (s *Stages) awaitHandover(ctx context.Context, within time.Duration) bool {
 	a := s.nextAttempt(within)
 	select {
 	case <-a.done:
-		return a.given
+		return a.succeeded
 	case <-ctx.Done():
 		return false
 	}
 }
 
 // nextAttempt returns the try that begins next, which it begins if none is under way.
-func (s *Stages) nextAttempt(within time.Duration) *attempt {
+func (s *Stages) nextAttempt(within time.Duration) *handoverAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.giving == nil:
-		s.giving = newAttempt(within)
-		go s.runAttempts(s.giving)
-		return s.giving
-	case s.following == nil:
-		s.following = newAttempt(within)
+	case s.handover == nil:
+		s.handover = newHandoverAttempt(within)
+		go s.runAttempts(s.handover)
+		return s.handover
+	case s.nextHandover == nil:
+		s.nextHandover = newHandoverAttempt(within)
 	default:
-		s.following.within = max(s.following.within, within)
+		s.nextHandover.timeout = max(s.nextHandover.timeout, within)
 	}
-	return s.following
+	return s.nextHandover
 }
 
-func newAttempt(within time.Duration) *attempt {
-	return &attempt{within: within, done: make(chan struct{})}
+func newHandoverAttempt(within time.Duration) *handoverAttempt {
+	return &handoverAttempt{timeout: within, done: make(chan struct{})}
 }
 
 // runAttempts makes a try, and each that is wanted meanwhile.
-func (s *Stages) runAttempts(a *attempt) {
+func (s *Stages) runAttempts(a *handoverAttempt) {
 	for a != nil {
-		a.given = s.tryToGive(a.within)
+		a.succeeded = s.tryHandover(a.timeout)
 		s.mu.Lock()
-		next := s.following
-		s.giving, s.following = next, nil
+		next := s.nextHandover
+		s.handover, s.nextHandover = next, nil
 		s.mu.Unlock()
 		close(a.done)
 		a = next
@@ -67,27 +67,27 @@
 
 // tryToGive asks up to maxOwners instances. Without one that takes the queue this
 // instance goes on with it.
-func (s *Stages) tryToGive(within time.Duration) bool {
+func (s *Stages) tryHandover(within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	if !s.owner.hasMoved() && !s.offer(ctx) {
-		s.owner.thawFrozen()
+	if !s.queue.hasMoved() && !s.offerQueue(ctx) {
+		s.queue.unfreezeExported()
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.owner.mayTakeBack(!s.stopping)
+	s.queue.setYielded(!s.stopping)
 	return true
 }
 
 // offer asks one instance after the other to take the queue.
-func (s *Stages) offer(ctx context.Context) bool {
-	for range maxOwners {
-		next, ok := s.next(time.Now())
+func (s *Stages) offerQueue(ctx context.Context) bool {
+	for range maxCandidates {
+		next, ok := s.nextHolder(time.Now())
 		if !ok {
 			return false
 		}
-		if s.handTo(ctx, next) {
+		if s.handoverTo(ctx, next) {
 			return true
 		}
 		s.avoid(next.Name)
@@ -99,15 +99,15 @@
 }
 
 // keepTrying goes on until another instance has the queue.
-func (s *Stages) keepTrying() {
-	ticker := time.NewTicker(retryHandOver)
+func (s *Stages) retryHandover() {
+	ticker := time.NewTicker(handoverRetryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-s.ended:
 		case <-ticker.C:
 		}
-		if s.hasEnded() || s.give(context.Background(), takingFor) {
+		if s.hasEnded() || s.awaitHandover(context.Background(), longHandoverTimeout) {
 			return
 		}
 	}
--- a/daemon/stages/giving_test.go
+++ b/daemon/stages/giving_test.go
@@ -18,10 +18,10 @@
 
 // TestStopDoesNotWaitForAnotherHandOver guards against a planned stop that waits for the
 // messages of a hand-over which began before it.
-func TestStopDoesNotWaitForAnotherHandOver(t *testing.T) {
+func TestStopDoesNotWaitForAnotherHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(4)
-		c.answer = silent
+		c.respond = neverRespond
 		s := startStages(t, c)
 		holdCall(t, s, time.Minute)
 		go s.Yield()
@@ -29,25 +29,25 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		begun := time.Now()
-		s.HandOver(ctx)
+		s.Handover(ctx)
 		require.Equal(t, 100*time.Millisecond, time.Since(begun))
 	})
 }
 
 // TestHandOversKeepTheirOrder guards against two hand-overs of an instance at once, and
 // against one for each of many that want it while one is on its way.
-func TestHandOversKeepTheirOrder(t *testing.T) {
+func TestHandoversAreSequential(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
 		var sending, handOvers atomic.Int32
-		c.answer = func(_ context.Context, _, method string, body []byte) ([]byte, error) {
-			if method != methodTake {
+		c.respond = func(_ context.Context, _, method string, body []byte) ([]byte, error) {
+			if method != methodHandover {
 				return nil, nil
 			}
 			assert.EqualValues(t, 1, sending.Add(1))
 			time.Sleep(100 * time.Millisecond)
 			sending.Add(-1)
-			last, answer := taken(t, body)
+			last, answer := acceptPart(t, body)
 			if last {
 				handOvers.Add(1)
 			}
@@ -59,69 +59,69 @@
 		for range 20 {
 			all.Go(s.Yield)
 		}
-		all.Go(func() { s.HandOver(t.Context()) })
+		all.Go(func() { s.Handover(t.Context()) })
 		begun := time.Now()
 		all.Wait()
 		require.Equal(t, 200*time.Millisecond, time.Since(begun), "one hand-over of two messages")
 		require.EqualValues(t, 1, handOvers.Load())
-		require.False(t, s.owner.takeOver(sender{"b", 2}, gather.State{}), "an instance that stops takes no queue")
+		require.False(t, s.queue.takeOver(instanceID{"b", 2}, gather.State{}), "an instance that stops takes no queue")
 	})
 }
 
 // TestHandOverEndsWithItsTime guards against a queue that nobody serves while another
 // instance takes its parts, each just in time.
-func TestHandOverEndsWithItsTime(t *testing.T) {
+func TestHandoverEndsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(2)
-		c.answer = func(ctx context.Context, _, method string, body []byte) ([]byte, error) {
-			if method != methodTake {
+		c.respond = func(ctx context.Context, _, method string, body []byte) ([]byte, error) {
+			if method != methodHandover {
 				return nil, nil
 			}
 			select {
-			case <-time.After(takeTimeout - time.Millisecond):
+			case <-time.After(partTimeout - time.Millisecond):
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-			_, answer := taken(t, body)
+			_, answer := acceptPart(t, body)
 			return answer, nil
 		}
 		s := startStages(t, c)
 		var state gather.State
-		for i := range 40 * worksPerPart {
+		for i := range 40 * requestsPerPart {
 			state.Requests = append(state.Requests, gather.RequestState{
 				ID: fmt.Sprint(i), Objective: time.Hour, Deadline: time.Hour,
 				Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.StageState{{Pending: []int{0}}},
 			})
 		}
-		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
-		s.owner.mu.Lock()
-		clear(s.owner.unclaimed) // their askers wait
-		s.owner.mu.Unlock()
-		s.HandOver(t.Context())
-		for tries := 0; !s.owner.isFrozen(); tries++ {
+		require.True(t, s.queue.takeOver(instanceID{"z", 1}, state))
+		s.queue.mu.Lock()
+		clear(s.queue.unclaimed) // their askers wait
+		s.queue.mu.Unlock()
+		s.Handover(t.Context())
+		for tries := 0; !s.queue.isFrozen(); tries++ {
 			require.Less(t, tries, 100, "no second try")
-			time.Sleep(retryHandOver)
+			time.Sleep(handoverRetryInterval)
 		}
-		s.owner.mu.Lock()
-		decided := s.owner.decided
-		s.owner.mu.Unlock()
+		s.queue.mu.Lock()
+		decided := s.queue.unfrozen
+		s.queue.mu.Unlock()
 		select {
 		case <-decided:
-		case <-time.After(takingFor + takeTimeout):
+		case <-time.After(longHandoverTimeout + partTimeout):
 			require.Fail(t, "the hand-over doesn't end")
 		}
 	})
 }
 
 // isFrozen tells whether the queue is on its way.
-func (o *Owner) isFrozen() bool {
+func (o *queue) isFrozen() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.frozen
 }
 
 // heldWork is a request of one piece that waits.
-func heldWork(id string) gather.RequestState {
+func pendingRequest(id string) gather.RequestState {
 	return gather.RequestState{
 		ID: id, Objective: time.Hour, Deadline: time.Hour,
 		Stages: []gather.Stage{{Service: "stage", Pieces: 1}}, Progress: []gather.StageState{{Pending: []int{0}}},
@@ -130,19 +130,19 @@
 
 // TestEndsPassedOnDoNotKeepTheQueueAway guards against a queue that nobody serves, since ends
 // of calls are passed on to a holder that is gone before the queue can be taken back.
-func TestEndsPassedOnDoNotKeepTheQueueAway(t *testing.T) {
+func TestForwardedCallEndsDoNotDelayTakeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
 		release := make(chan struct{})
-		c.answer = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
-			if method == methodTake {
-				last, answer := taken(t, body)
+		c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
+			if method == methodHandover {
+				last, answer := acceptPart(t, body)
 				if last {
 					<-release
 				}
 				return answer, nil
 			}
-			return silent(ctx, to, method, body)
+			return neverRespond(ctx, to, method, body)
 		}
 		s := startStages(t, c)
 		var state gather.State
@@ -150,61 +150,61 @@
 		for i := range 10 {
 			state.Calls = append(state.Calls, gather.CallState{ID: uint64(i + 1), TimeoutAt: time.Minute})
 		}
-		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
+		require.True(t, s.queue.takeOver(instanceID{"z", 1}, state))
 		go s.Yield()
 		synctest.Wait()
 		for i := range 10 {
-			s.owner.adoptedEnded(sender{"z", 1}, uint64(i+1), gather.CallUnanswered, nil)
+			s.queue.remoteCallEnded(instanceID{"z", 1}, uint64(i+1), gather.CallUnanswered, nil)
 		}
 		close(release)
 		synctest.Wait()
-		require.True(t, s.owner.hasMoved())
+		require.True(t, s.queue.hasMoved())
 		c.set("b", membership.Dead)
 		begun := time.Now()
-		for s.owner.hasMoved() {
+		for s.queue.hasMoved() {
 			time.Sleep(tick)
 		}
 		took := time.Since(begun)
-		time.Sleep(3 * endedTimeout)
+		time.Sleep(3 * callEndTimeout)
 		require.Less(t, took, 3*tick, "nobody serves")
 	})
 }
 
 // TestTryThatRanOutAvoidsNoOther guards against a try whose time is over and that passes over
 // instances which it never asked.
-func TestTryThatRanOutAvoidsNoOther(t *testing.T) {
+func TestTimedOutAttemptAvoidsNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(4)
-		c.answer = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
-			if method != methodTake {
+		c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
+			if method != methodHandover {
 				return nil, nil
 			}
 			if to == "at-b" {
 				select {
-				case <-time.After(takeTimeout - time.Millisecond):
+				case <-time.After(partTimeout - time.Millisecond):
 				case <-ctx.Done():
 				}
 			}
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			_, answer := taken(t, body)
+			_, answer := acceptPart(t, body)
 			return answer, nil
 		}
 		s := startStages(t, c)
 		var state gather.State
-		for i := range 5 * worksPerPart {
-			state.Requests = append(state.Requests, heldWork(fmt.Sprint(i)))
+		for i := range 5 * requestsPerPart {
+			state.Requests = append(state.Requests, pendingRequest(fmt.Sprint(i)))
 		}
-		require.True(t, s.owner.takeOver(sender{"z", 1}, state))
-		s.owner.mu.Lock()
-		clear(s.owner.unclaimed)
-		s.owner.mu.Unlock()
+		require.True(t, s.queue.takeOver(instanceID{"z", 1}, state))
+		s.queue.mu.Lock()
+		clear(s.queue.unclaimed)
+		s.queue.mu.Unlock()
 		begun := time.Now()
-		s.HandOver(t.Context())
-		for !s.owner.hasMoved() {
+		s.Handover(t.Context())
+		for !s.queue.hasMoved() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Less(t, time.Since(begun), handOverTimeout+2*retryHandOver)
+		require.Less(t, time.Since(begun), handoverTimeout+2*handoverRetryInterval)
 	})
 }
--- a/daemon/stages/gone.go
+++ b/daemon/stages/gone.go
@@ -13,31 +13,31 @@
 
 // methodGone is the method by which askers tell of an engine at whose address nothing
 // listens.
-const methodGone = "stages.gone"
+const methodUnreachable = "stages.gone"
 
 // goneTimeout bounds that word.
-const goneTimeout = time.Second
+const unreachableTimeout = time.Second
 
 // goneAsk is the body of methodGone.
-type goneAsk struct{ Pool, Engine string }
+type unreachableReport struct{ Pool, Engine string }
 
 // EngineGone tells the holder that nothing listens at the address of an engine that it
 // chose. It doesn't wait.
-func (s *Stages) EngineGone(owner, pool, engine string) {
+func (s *Stages) ReportUnreachable(owner, pool, engine string) {
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	if owner == self.Address {
-		s.owner.engineGone(pool, engine)
+		s.queue.recordUnreachable(pool, engine)
 		return
 	}
-	go s.tellGone(owner, goneAsk{pool, engine})
+	go s.sendUnreachable(owner, unreachableReport{pool, engine})
 }
 
-func (s *Stages) tellGone(owner string, gone goneAsk) {
+func (s *Stages) sendUnreachable(owner string, gone unreachableReport) {
 	body, err := encode(&gone)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), unreachableTimeout)
 		defer cancel()
-		_, err = s.cluster.Call(ctx, owner, methodGone, body)
+		_, err = s.cluster.Call(ctx, owner, methodUnreachable, body)
 	}
 	if err != nil && !errors.Is(err, peer.ErrNoMethod) {
 		// Other askers find out as well.
@@ -45,16 +45,16 @@
 	}
 }
 
-func (s *Stages) handleGone(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var gone goneAsk
+func (s *Stages) handleUnreachable(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+	var gone unreachableReport
 	if err := msgpack.Unmarshal(body, &gone); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	s.owner.engineGone(gone.Pool, gone.Engine)
+	s.queue.recordUnreachable(gone.Pool, gone.Engine)
 	return nil, nil
 }
 
-func (o *Owner) engineGone(pool, engine string) {
+func (o *queue) recordUnreachable(pool, engine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.engines.RecordUnreachable(time.Now(), pool, engine)
--- a/daemon/stages/handover_test.go
+++ b/daemon/stages/handover_test.go
@@ -12,11 +12,11 @@
 )
 
 // frameBytes is what a message between instances holds at most.
-const frameBytes = 1 << 20
+const maxFrameBytes = 1 << 20
 
 // burst is a planner in the middle of the heaviest load measured: 2,500 requests of
 // three stages at 30 targets, all of which have a full call.
-func burst(tb testing.TB, now time.Time) *gather.Planner {
+func loadedPlanner(tb testing.TB, now time.Time) *gather.Planner {
 	p := gather.New(gather.Config{})
 	shape := gather.ServiceConfig{
 		Slots: 1, MaxPieces: 128, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond,
@@ -64,23 +64,23 @@
 }
 
 // A queue of the heaviest load goes over in messages that fit, and arrives as it was.
-func TestHandOverOfALargeQueue(t *testing.T) {
+func TestHandoverOfLargeQueue(t *testing.T) {
 	now := time.Now()
-	state := burst(t, now).Export(now)
-	parts := split(state)
+	state := loadedPlanner(t, now).Export(now)
+	parts := splitState(state)
 	var got gather.State
 	bytes := 0
 	for _, part := range parts {
-		body, err := encode(&takeAsk{Part: part})
+		body, err := encode(&handoverPart{State: part})
 		require.NoError(t, err)
-		require.Less(t, len(body), frameBytes)
+		require.Less(t, len(body), maxFrameBytes)
 		bytes += len(body)
-		var ask takeAsk
+		var ask handoverPart
 		require.NoError(t, msgpack.Unmarshal(body, &ask))
-		got.Targets = append(got.Targets, ask.Part.Targets...)
-		got.Times = append(got.Times, ask.Part.Times...)
-		got.Calls = append(got.Calls, ask.Part.Calls...)
-		got.Requests = append(got.Requests, ask.Part.Requests...)
+		got.Targets = append(got.Targets, ask.State.Targets...)
+		got.Times = append(got.Times, ask.State.Times...)
+		got.Calls = append(got.Calls, ask.State.Calls...)
+		got.Requests = append(got.Requests, ask.State.Requests...)
 	}
 	t.Logf("%d requests, %d calls: %d messages, %d bytes", len(state.Requests), len(state.Calls), len(parts), bytes)
 	require.Equal(t, len(state.Requests), len(got.Requests))
@@ -91,13 +91,13 @@
 }
 
 // BenchmarkHandOver measures what both ends of a hand-over work.
-func BenchmarkHandOver(b *testing.B) {
+func BenchmarkHandover(b *testing.B) {
 	now := time.Now()
-	p := burst(b, now)
+	p := loadedPlanner(b, now)
 	for b.Loop() {
 		state := p.Export(now)
-		for _, part := range split(state) {
-			if _, err := encode(&takeAsk{Part: part}); err != nil {
+		for _, part := range splitState(state) {
+			if _, err := encode(&handoverPart{State: part}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/daemon/stages/known.go
+++ b/daemon/stages/known.go
@@ -14,25 +14,25 @@
 )
 
 // methodKnown is the method by which a holder tells the next what engines have read.
-const methodKnown = "stages.known"
+const methodCaches = "stages.known"
 
 const (
 	// knownPerMessage bounds the parts of prompts in one message: some 30 KB.
-	knownPerMessage = 1000
+	partsPerMessage = 1000
 	// knownTimeout bounds all messages of one hand-over together.
-	knownTimeout = time.Second
+	cachesTimeout = time.Second
 )
 
 // tellKnown tells the instance that has the queue what engines have read. Without the
 // word the prompts of all subjects that aren't at the engine of their hash are read
 // once more.
-func (s *Stages) tellKnown(address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), knownTimeout)
+func (s *Stages) sendCaches(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), cachesTimeout)
 	defer cancel()
-	for _, message := range splitKnown(s.owner.known()) {
+	for _, message := range splitCaches(s.queue.caches()) {
 		body, err := encode(message)
 		if err == nil {
-			_, err = s.cluster.Call(ctx, address, methodKnown, body)
+			_, err = s.cluster.Call(ctx, address, methodCaches, body)
 		}
 		if err != nil {
 			telemetry.ErrorS(err, "Next holder of the stage queue was not told what engines have read", telemetry.Event{Address: address})
@@ -42,13 +42,13 @@
 }
 
 // splitKnown cuts what is known into messages.
-func splitKnown(known []placing.EngineCache) [][]placing.EngineCache {
+func splitCaches(known []placing.EngineCache) [][]placing.EngineCache {
 	var messages [][]placing.EngineCache
 	left := 0
 	for _, k := range known {
-		for parts := range slices.Chunk(k.Parts, knownPerMessage) {
+		for parts := range slices.Chunk(k.Parts, partsPerMessage) {
 			if len(parts) > left {
-				messages, left = append(messages, nil), knownPerMessage
+				messages, left = append(messages, nil), partsPerMessage
 			}
 			left -= len(parts)
 			last := len(messages) - 1
@@ -58,22 +58,22 @@
 	return messages
 }
 
-func (s *Stages) handleKnown(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+func (s *Stages) handleCaches(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
 	var known []placing.EngineCache
 	if err := msgpack.Unmarshal(body, &known); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	s.owner.learnKnown(known)
+	s.queue.mergeCaches(known)
 	return nil, nil
 }
 
-func (o *Owner) known() []placing.EngineCache {
+func (o *queue) caches() []placing.EngineCache {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.engines.Caches()
 }
 
-func (o *Owner) learnKnown(known []placing.EngineCache) {
+func (o *queue) mergeCaches(known []placing.EngineCache) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.engines.MergeCaches(time.Now(), known)
@@ -81,7 +81,7 @@
 
 // noteRead notes what an engine reads by another holder's choice: should this instance
 // hold the queue next, it knows that much.
-func (o *Owner) noteRead(prompt placing.Prompt, engine string) {
+func (o *queue) recordPrefill(prompt placing.Prompt, engine string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.engines.RecordPrefill(time.Now(), &prompt, engine)
--- a/daemon/stages/late_test.go
+++ b/daemon/stages/late_test.go
@@ -14,7 +14,7 @@
 
 // TestHolderThatAnswersLate guards against a second queue beside that of a holder which lives
 // and answers late, and against asks that go on to one whose connection is silent.
-func TestHolderThatAnswersLate(t *testing.T) {
+func TestSlowHolder(t *testing.T) {
 	const deadline = 3 * time.Second
 	cases := map[string]struct {
 		after time.Duration
@@ -28,19 +28,19 @@
 	}{
 		"within the deadline": {
 			after: 2 * time.Second, owner: "at-b", took: 2 * time.Second,
-			asked: []string{methodPlace, methodPlace},
+			asked: []string{methodAssign, methodAssign},
 		},
 		"after the deadline": {
 			after: time.Minute, took: deadline,
-			asked: []string{methodPlace, methodServed, methodPlace, methodServed},
+			asked: []string{methodAssign, methodRequestEnds, methodAssign, methodRequestEnds},
 		},
 		"connection is silent": {
 			after: time.Second, errs: []error{peer.ErrSilent}, owner: "at-c", took: time.Second,
-			asked: []string{methodPlace}, next: []string{methodPlace, methodPlace},
+			asked: []string{methodAssign}, next: []string{methodAssign, methodAssign},
 		},
 		"connection is reset": {
 			errs: []error{peer.ErrConnLost}, owner: "at-b",
-			asked: []string{methodPlace, methodPlace, methodPlace},
+			asked: []string{methodAssign, methodAssign, methodAssign},
 		},
 	}
 	for name, c := range cases {
@@ -49,9 +49,9 @@
 				cluster := newFakeCluster(3)
 				cluster.members[0].Incarnation = 9 // b holds the queue
 				errs := c.errs
-				cluster.answer = func(ctx context.Context, to, method string, _ []byte) ([]byte, error) {
-					if method != methodPlace || to != "at-b" {
-						return encode(&placeAnswer{})
+				cluster.respond = func(ctx context.Context, to, method string, _ []byte) ([]byte, error) {
+					if method != methodAssign || to != "at-b" {
+						return encode(&assignResponse{})
 					}
 					select {
 					case <-time.After(c.after):
@@ -59,7 +59,7 @@
 						return nil, ctx.Err()
 					}
 					if len(errs) == 0 {
-						return encode(&placeAnswer{})
+						return encode(&assignResponse{})
 					}
 					err := errs[0]
 					errs = errs[1:]
@@ -69,8 +69,8 @@
 				ask := func(id string) {
 					ctx, cancel := context.WithTimeout(t.Context(), deadline)
 					defer cancel()
-					made, err := s.Make(ctx, emptyRequest(id), placing.Prompt{})
-					require.Equal(t, c.owner, made.Owner)
+					made, err := s.Execute(ctx, emptyRequest(id), placing.Prompt{})
+					require.Equal(t, c.owner, made.Holder)
 					require.Equal(t, c.owner == "", err != nil)
 				}
 				begun := time.Now()
@@ -79,8 +79,8 @@
 				time.Sleep(2 * dropDelay)
 				ask("2")
 				time.Sleep(2 * dropDelay)
-				require.Equal(t, c.asked, cluster.calls("at-b"))
-				require.Equal(t, c.next, cluster.calls("at-c"))
+				require.Equal(t, c.asked, cluster.methodsCalled("at-b"))
+				require.Equal(t, c.next, cluster.methodsCalled("at-c"))
 			})
 		})
 	}
@@ -88,48 +88,48 @@
 
 // TestHandOverToOneThatAnswersLate guards against a queue that waits for an instance which
 // takes it late, or that two instances have since the word on its last part was late.
-func TestHandOverToOneThatAnswersLate(t *testing.T) {
+func TestHandoverToSlowInstance(t *testing.T) {
 	const parts = 2
 	for late, owner := range map[int]string{1: "at-c", parts: "at-b"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(3)
 			came := 0
-			c.answer = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
-				if to == "at-b" && method == methodTake {
+			c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
+				if to == "at-b" && method == methodHandover {
 					if came++; came == late {
-						return silent(ctx, to, method, body)
+						return neverRespond(ctx, to, method, body)
 					}
 				}
-				return takes(t)(ctx, to, method, body)
+				return acceptHandover(t)(ctx, to, method, body)
 			}
 			s := startStages(t, c)
 			holdCall(t, s, time.Minute)
 			begun := time.Now()
 			s.Yield()
-			require.Equal(t, takeTimeout, time.Since(begun))
-			require.Equal(t, owner, s.owner.yieldedTo())
-			require.Equal(t, owner == "at-b", len(c.calls("at-c")) == 0)
+			require.Equal(t, partTimeout, time.Since(begun))
+			require.Equal(t, owner, s.queue.yieldedTo())
+			require.Equal(t, owner == "at-b", len(c.methodsCalled("at-c")) == 0)
 		})
 	}
 }
 
 // TestHandOverOverALostConnection guards against a queue that is given to a third instance,
 // while askers turn to the one whose connection was found lost as the holder woke.
-func TestHandOverOverALostConnection(t *testing.T) {
+func TestHandoverOverLostConnection(t *testing.T) {
 	for lost, owner := range map[int]string{1: "at-b", 2: "at-c"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(3)
-			c.answer = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
-				if to == "at-b" && method == methodTake && lost > 0 {
+			c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
+				if to == "at-b" && method == methodHandover && lost > 0 {
 					lost--
 					return nil, peer.ErrConnLost
 				}
-				return takes(t)(ctx, to, method, body)
+				return acceptHandover(t)(ctx, to, method, body)
 			}
 			s := startStages(t, c)
 			holdCall(t, s, time.Minute)
 			s.Yield()
-			require.Equal(t, owner, s.owner.yieldedTo())
+			require.Equal(t, owner, s.queue.yieldedTo())
 		})
 	}
 }
--- a/daemon/stages/messages.go
+++ b/daemon/stages/messages.go
@@ -13,55 +13,55 @@
 
 // makeAsk is the body of methodMake. Times are what is left, since the clocks of
 // two instances differ.
-type makeAsk struct {
+type runRequest struct {
 	ID         string
 	Route      string
 	Key        string
 	Priority   int
-	Stages     []stageAsk
+	Stages     []stageRequest
 	Objective  time.Duration
 	Deadline   time.Duration
-	Rest       time.Duration
+	Remaining  time.Duration
 	DataCentre string
 	// Kind is the priority of the kind of request.
-	Kind int
+	KindPriority int
 }
 
 // followAsk is the body of methodFollow, of askers that follow a queue that moves.
 // Messages are arrays whose lengths both ends have to agree on: what a new field is
 // to tell needs a new method.
-type followAsk struct {
-	Make makeAsk
+type redirectableRequest struct {
+	Run runRequest
 	// Bounded tells that the asker stops, and has brought the deadline forward.
-	Bounded bool
+	DeadlineShortened bool
 	// Sent tells that the asker was sent here by another instance, Passed lists the
 	// addresses of those that it passes over since they didn't answer.
-	Sent   bool
-	Passed []string
+	Redirected bool
+	Avoided    []string
 }
 
 // followAnswer is the answer of methodFollow.
-type followAnswer struct {
-	Made makeAnswer
+type redirectableResponse struct {
+	Run runResponse
 	// Moved is the address of the instance that has the queue and the request now.
-	Moved string
+	MovedTo string
 }
 
 // placeAsk is the body of methodPlace: of askers that have the engine chosen as well.
-type placeAsk struct {
-	Follow followAsk
-	Prompt placing.Prompt
+type assignRequest struct {
+	Redirectable redirectableRequest
+	Prompt       placing.Prompt
 }
 
 // placeAnswer is the answer of methodPlace.
-type placeAnswer struct {
-	Follow followAnswer
+type assignResponse struct {
+	Redirectable redirectableResponse
 	// Engine is the incarnation of the engine that is to serve the request; empty if
 	// the asker is to choose.
 	Engine string
 }
 
-type stageAsk struct {
+type stageRequest struct {
 	Service     string
 	After       []int
 	Pieces      int
@@ -69,7 +69,7 @@
 }
 
 // makeAnswer is the answer of methodMake.
-type makeAnswer struct {
+type runResponse struct {
 	Handles    []string
 	Reason     string
 	RetryAfter time.Duration
@@ -88,23 +88,23 @@
 	return b.Bytes(), err
 }
 
-func newAsk(now time.Time, r gather.Request) *makeAsk {
-	ask := &makeAsk{
-		ID: r.ID, Route: r.Route, Key: r.Key, Priority: r.Priority, Kind: r.KindPriority,
+func newRunRequest(now time.Time, r gather.Request) *runRequest {
+	ask := &runRequest{
+		ID: r.ID, Route: r.Route, Key: r.Key, Priority: r.Priority, KindPriority: r.KindPriority,
 		Objective: r.Objective.Sub(now), Deadline: r.Deadline.Sub(now),
-		Rest: r.Remaining, DataCentre: r.DataCentre,
+		Remaining: r.Remaining, DataCentre: r.DataCentre,
 	}
 	for _, st := range r.Stages {
-		ask.Stages = append(ask.Stages, stageAsk{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
+		ask.Stages = append(ask.Stages, stageRequest{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
 	}
 	return ask
 }
 
-func (a *makeAsk) request(now time.Time) gather.Request {
+func (a *runRequest) request(now time.Time) gather.Request {
 	r := gather.Request{
-		ID: a.ID, Route: a.Route, Key: a.Key, Priority: a.Priority, KindPriority: a.Kind,
+		ID: a.ID, Route: a.Route, Key: a.Key, Priority: a.Priority, KindPriority: a.KindPriority,
 		Objective: now.Add(a.Objective), Deadline: now.Add(a.Deadline),
-		Remaining: a.Rest, DataCentre: a.DataCentre,
+		Remaining: a.Remaining, DataCentre: a.DataCentre,
 	}
 	for _, st := range a.Stages {
 		r.Stages = append(r.Stages, gather.Stage{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
--- a/daemon/stages/metrics.go
+++ b/daemon/stages/metrics.go
@@ -13,14 +13,14 @@
 	scope tally.Scope
 	// taken is how long the stages of requests took, longer and shorter by how much
 	// that was more or less than predicted.
-	taken, longer, shorter tally.Timer
+	elapsed, longer, shorter tally.Timer
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	scope = scope.SubScope("stages")
 	return metrics{
 		scope:   scope,
-		taken:   scope.Timer("taken"),
+		elapsed: scope.Timer("taken"),
 		longer:  scope.Timer("longer_than_predicted"),
 		shorter: scope.Timer("shorter_than_predicted"),
 	}
@@ -41,8 +41,8 @@
 
 // done takes in the time that the stages of a request took, and by how much that was
 // more or less than predicted.
-func (m metrics) done(c gather.Completed) {
-	m.taken.Record(c.Elapsed)
+func (m metrics) completed(c gather.Completed) {
+	m.elapsed.Record(c.Elapsed)
 	if c.Predicted <= 0 {
 		return
 	}
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -38,35 +38,35 @@
 
 // Owner holds the queue of the stage targets: it drives a gather.Planner and
 // carries out its calls.
-type Owner struct {
+type queue struct {
 	dialect exchange.Dialect
 	client  *forward.Client
 	// follower is told of targets that another process replaced.
-	follower Follower
-	metrics  metrics
-	answers  answers
+	follower  Follower
+	metrics   metrics
+	responses recentResponses
 	// passEnd and passDrops tell the instance that has the queue of the end of a call
 	// and of requests that nobody waits for.
-	passEnd   func(to string, call uint64, how gather.CallOutcome, results []gather.PieceResult)
-	passDrops func(to string, served ...placing.RequestEnd)
+	reportCallEnd func(to string, call uint64, how gather.CallOutcome, results []gather.PieceResult)
+	forwardDrops  func(to string, served ...placing.RequestEnd)
 
 	mu      sync.Mutex
 	planner *gather.Planner
 	engines *placing.Table
 	// prompts are those of the requests whose stages are made here, by request.
-	prompts map[string]placing.Prompt
-	waiting map[string]chan outcome
-	freeing map[gather.Target][]string
+	prompts     map[string]placing.Prompt
+	waiters     map[string]chan outcome
+	pendingFree map[gather.Target][]string
 	// stall finds out that this instance stood still, by boot beside the time of day.
-	stall holder.StallDetector
-	boot  boottime.Clock
+	stall     holder.StallDetector
+	bootClock boottime.Clock
 	// stalled is called once the queue is frozen since this instance stood still.
-	stalled func()
+	onStall func()
 	// running counts the calls that this instance carries out.
-	running int
+	runningCalls int
 	// readers are other instances that read the results of requests that are done.
-	readers map[string]reading
-	handing
+	readers map[string]resultReader
+	handoverState
 }
 
 // outcome is the end of a request's stages at this instance.
@@ -85,24 +85,24 @@
 // errDropped answers an ask whose request was dropped meanwhile.
 var errDropped = errors.New("the request was dropped")
 
-func newOwner(d exchange.Dialect, client *forward.Client, follower Follower, m metrics) *Owner {
-	return &Owner{
-		dialect:  d,
-		client:   client,
-		follower: follower,
-		metrics:  m,
-		planner:  gather.New(gather.Config{}),
-		engines:  placing.NewTable(),
-		prompts:  map[string]placing.Prompt{},
-		waiting:  map[string]chan outcome{},
-		freeing:  map[gather.Target][]string{},
-		readers:  map[string]reading{},
-		boot:     boottime.Now,
-		handing:  newHanding(),
+func newQueue(d exchange.Dialect, client *forward.Client, follower Follower, m metrics) *queue {
+	return &queue{
+		dialect:       d,
+		client:        client,
+		follower:      follower,
+		metrics:       m,
+		planner:       gather.New(gather.Config{}),
+		engines:       placing.NewTable(),
+		prompts:       map[string]placing.Prompt{},
+		waiters:       map[string]chan outcome{},
+		pendingFree:   map[gather.Target][]string{},
+		readers:       map[string]resultReader{},
+		bootClock:     boottime.Now,
+		handoverState: newHandoverState(),
 	}
 }
 
-func shape(b *routes.BatchConfig) gather.ServiceConfig {
+func serviceConfig(b *routes.BatchConfig) gather.ServiceConfig {
 	return gather.ServiceConfig{
 		Slots: b.Slots, MaxPieces: b.MaxPieces,
 		CallTime: b.CallTime, PieceTime: b.PieceTime,
@@ -111,7 +111,7 @@
 }
 
 // run drives the planner until the context ends. view returns the members as known.
-func (o *Owner) run(ctx context.Context, view func() *membership.View) {
+func (o *queue) run(ctx context.Context, view func() *membership.View) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -119,15 +119,15 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			o.takeBackGone(view())
-			o.enter()
+			o.takeBackFromDead(view())
+			o.lockAndCheckStall()
 			idle := o.planner.RequestCount() == 0
 			o.engines.Tick(now)
 			o.mu.Unlock()
 			o.dropUnclaimed(now)
-			o.dropReaderless(now, view())
+			o.dropOrphaned(now, view())
 			if !idle {
-				o.do(func(p *gather.Planner) []gather.Action { return p.Tick(now) })
+				o.apply(func(p *gather.Planner) []gather.Action { return p.Tick(now) })
 			}
 		}
 	}
@@ -138,8 +138,8 @@
 //
 // bounded tells that its deadline was brought forward since it was asked for first,
 // remote that another instance asks, whose connection the context is bound to.
-func (o *Owner) make(ctx context.Context, r gather.Request, prompt placing.Prompt, bounded, remote bool) (outcome, error) {
-	done, err := o.begin(ctx, r, prompt, bounded)
+func (o *queue) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, bounded, remote bool) (outcome, error) {
+	done, err := o.submit(ctx, r, prompt, bounded)
 	if err != nil {
 		return outcome{}, err
 	}
@@ -157,11 +157,11 @@
 
 // begin takes a request in, as soon as the queue isn't on its way. The channel tells
 // the request's end.
-func (o *Owner) begin(ctx context.Context, r gather.Request, prompt placing.Prompt, bounded bool) (chan outcome, error) {
+func (o *queue) submit(ctx context.Context, r gather.Request, prompt placing.Prompt, bounded bool) (chan outcome, error) {
 	done := make(chan outcome, 1)
-	o.enter()
+	o.lockAndCheckStall()
 	for o.frozen {
-		decided := o.decided
+		decided := o.unfrozen
 		o.mu.Unlock()
 		select {
 		case <-decided:
@@ -181,17 +181,17 @@
 		return done, nil
 	}
 	_, taken := o.unclaimed[r.ID]
-	_, asked := o.waiting[r.ID]
+	_, asked := o.waiters[r.ID]
 	taken = taken || asked
 	delete(o.unclaimed, r.ID)
-	if end, ok := o.early[r.ID]; ok {
-		delete(o.early, r.ID)
+	if end, ok := o.earlyOutcomes[r.ID]; ok {
+		delete(o.earlyOutcomes, r.ID)
 		done <- end
 		o.mu.Unlock()
 		return done, nil
 	}
-	o.waiting[r.ID] = done
-	r = o.near(time.Now(), r, prompt)
+	o.waiters[r.ID] = done
+	r = o.predictEngine(time.Now(), r, prompt)
 	var actions []gather.Action
 	switch {
 	case !taken:
@@ -199,38 +199,38 @@
 	case bounded:
 		actions = o.planner.ShortenDeadlines(time.Now(), r.Deadline, r.ID)
 	}
-	o.settle(actions)
+	o.recordActions(actions)
 	o.mu.Unlock()
-	o.carryOut(actions)
+	o.performActions(actions)
 	return done, nil
 }
 
 // drop forgets requests and frees what they hold.
-func (o *Owner) drop(served ...placing.RequestEnd) {
+func (o *queue) drop(served ...placing.RequestEnd) {
 	ids := make([]string, len(served))
-	o.enter()
+	o.lockAndCheckStall()
 	for i, s := range served {
 		id := s.Request
 		ids[i] = id
 		o.engines.RecordEnd(s)
-		if o.waiting[id] != nil {
+		if o.waiters[id] != nil {
 			o.finish(id, outcome{dropped: true})
 		}
 		delete(o.prompts, id)
 		delete(o.unclaimed, id)
-		delete(o.early, id)
+		delete(o.earlyOutcomes, id)
 		delete(o.readers, id)
 	}
 	if o.frozen {
-		o.drops = append(o.drops, served...)
+		o.deferredDrops = append(o.deferredDrops, served...)
 	}
 	to := o.movedTo
 	o.mu.Unlock()
 	if to != "" {
-		o.passDrops(to, served...)
+		o.forwardDrops(to, served...)
 		return
 	}
-	o.do(func(p *gather.Planner) []gather.Action {
+	o.apply(func(p *gather.Planner) []gather.Action {
 		var actions []gather.Action
 		for _, id := range ids {
 			actions = append(actions, p.Drop(time.Now(), id)...)
@@ -241,45 +241,45 @@
 
 // do runs a step of the planner under its lock and its actions without it. While the
 // queue is on its way steps wait; once another instance has it they are of no use.
-func (o *Owner) do(step func(*gather.Planner) []gather.Action) {
-	o.enter()
+func (o *queue) apply(step func(*gather.Planner) []gather.Action) {
+	o.lockAndCheckStall()
 	if o.frozen {
-		o.steps = append(o.steps, step)
+		o.deferredSteps = append(o.deferredSteps, step)
 	}
 	if o.frozen || o.movedTo != "" {
 		o.mu.Unlock()
 		return
 	}
 	actions := step(o.planner)
-	o.settle(actions)
+	o.recordActions(actions)
 	o.mu.Unlock()
-	o.carryOut(actions)
+	o.performActions(actions)
 }
 
 // settle does what actions change here; mu is held.
-func (o *Owner) settle(actions []gather.Action) {
+func (o *queue) recordActions(actions []gather.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case gather.Completed:
-			o.finish(a.Request, outcome{handles: a.Handles, engine: o.place(time.Now(), a)})
+			o.finish(a.Request, outcome{handles: a.Handles, engine: o.assignEngine(time.Now(), a)})
 		case gather.Refused:
 			o.finish(a.Request, outcome{refused: &a})
 		case gather.FreeResults:
-			o.freeLater(a)
+			o.scheduleFree(a)
 		case gather.StartCall:
-			o.running++
+			o.runningCalls++
 		}
 	}
 }
 
 // carryOut begins the calls among actions and writes down the ends; mu isn't held.
-func (o *Owner) carryOut(actions []gather.Action) {
+func (o *queue) performActions(actions []gather.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case gather.StartCall:
-			go o.call(a)
+			go o.runCall(a)
 		case gather.Completed:
-			o.metrics.done(a)
+			o.metrics.completed(a)
 			telemetry.InfoS("Stages done", telemetry.Event{
 				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Needed: a.Predicted, Left: a.TimeToObjective,
 			})
@@ -304,32 +304,32 @@
 }
 
 // finish tells a request's end; mu is held.
-func (o *Owner) finish(id string, end outcome) {
+func (o *queue) finish(id string, end outcome) {
 	delete(o.prompts, id)
-	if done := o.waiting[id]; done != nil {
-		delete(o.waiting, id)
+	if done := o.waiters[id]; done != nil {
+		delete(o.waiters, id)
 		done <- end
 		return
 	}
 	if _, ok := o.unclaimed[id]; ok {
-		o.early[id] = end
+		o.earlyOutcomes[id] = end
 	}
 }
 
 // freeLater gathers results to free; mu is held.
-func (o *Owner) freeLater(f gather.FreeResults) {
-	first := len(o.freeing[f.Target]) == 0
-	o.freeing[f.Target] = append(o.freeing[f.Target], f.Handles...)
+func (o *queue) scheduleFree(f gather.FreeResults) {
+	first := len(o.pendingFree[f.Target]) == 0
+	o.pendingFree[f.Target] = append(o.pendingFree[f.Target], f.Handles...)
 	if first {
 		time.AfterFunc(freeDelay, func() { o.free(f.Target) })
 	}
 }
 
 // free gives the gathered results of a target back.
-func (o *Owner) free(t gather.Target) {
+func (o *queue) free(t gather.Target) {
 	o.mu.Lock()
-	handles := o.freeing[t]
-	delete(o.freeing, t)
+	handles := o.pendingFree[t]
+	delete(o.pendingFree, t)
 	o.mu.Unlock()
 	request, err := o.dialect.FreeCall(t.Address, t.Name, handles)
 	if err != nil {
@@ -347,5 +347,5 @@
 		// They expire by themselves; until then their room is taken.
 		telemetry.ErrorS(err, "Results were not freed", telemetry.Event{Target: t.Incarnation, Count: len(handles)})
 	}
-	o.do(func(p *gather.Planner) []gather.Action { return p.FreeDone(time.Now(), handles) })
+	o.apply(func(p *gather.Planner) []gather.Action { return p.FreeDone(time.Now(), handles) })
 }
--- a/daemon/stages/placed.go
+++ b/daemon/stages/placed.go
@@ -11,14 +11,14 @@
 const (
 	// restMargin is added to the time that an idle engine is predicted to take: its
 	// usual wait for what it reads already, and the way there.
-	restMargin = 60 * time.Millisecond
+	remainingMargin = 60 * time.Millisecond
 	// mostRest bounds what a request counts as taking at its engine: the longest
 	// prompts take a second.
-	mostRest = 2 * time.Second
+	maxRemaining = 2 * time.Second
 )
 
 // setEngines takes the usable engines of a service; mu is held.
-func (o *Owner) setEngines(s *routes.Service, usable []routes.Target) {
+func (o *queue) setEngines(s *routes.Service, usable []routes.Target) {
 	list := make([]placing.Engine, 0, len(usable))
 	for _, t := range usable {
 		list = append(list, placing.Engine{Incarnation: t.Incarnation(), Name: t.Name, DataCentre: t.DataCentre})
@@ -30,7 +30,7 @@
 // far as can be told before its stages run, and the time that it needs after them; mu
 // is held. With one constant for all kinds the stages of a long prompt are done in time
 // and its answer is late.
-func (o *Owner) near(now time.Time, r gather.Request, prompt placing.Prompt) gather.Request {
+func (o *queue) predictEngine(now time.Time, r gather.Request, prompt placing.Prompt) gather.Request {
 	if prompt.Pool == "" {
 		return r
 	}
@@ -40,14 +40,14 @@
 	}
 	o.prompts[r.ID] = prompt
 	r.DataCentre = choice.Engine.DataCentre
-	r.Remaining = min(choice.FirstEventIdle+restMargin, mostRest)
+	r.Remaining = min(choice.FirstEventIdle+remainingMargin, maxRemaining)
 	return r
 }
 
 // place chooses the engine of a request whose stages are done; mu is held. It returns
 // none where the request's prompt isn't known, as of one that was taken over and whose
 // asker hasn't asked here: its asker chooses then.
-func (o *Owner) place(now time.Time, done gather.Completed) string {
+func (o *queue) assignEngine(now time.Time, done gather.Completed) string {
 	prompt, ok := o.prompts[done.Request]
 	if !ok {
 		return ""
--- a/daemon/stages/redirect.go
+++ b/daemon/stages/redirect.go
@@ -8,7 +8,7 @@
 
 // redirectFor is how long an instance's word counts on who has the queue: while views
 // differ it may have been wrong.
-const redirectFor = 500 * time.Millisecond
+const redirectValidity = 500 * time.Millisecond
 
 // redirect is where an instance sent a request on to.
 type redirect struct {
@@ -17,15 +17,15 @@
 }
 
 // noteRedirect notes that an instance sent a request on to another.
-func (s *Stages) noteRedirect(from, to membership.Member) {
+func (s *Stages) recordRedirect(from, to membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.redirects[from.Name] = redirect{to.Name, time.Now().Add(redirectFor)}
+	s.redirects[from.Name] = redirect{to.Name, time.Now().Add(redirectValidity)}
 }
 
 // redirected returns the live member that an instance last sent requests on to, if it
 // did so lately and that one answers; mu is held.
-func (s *Stages) redirected(now time.Time, view *membership.View, name string) (membership.Member, bool) {
+func (s *Stages) lookUpRedirect(now time.Time, view *membership.View, name string) (membership.Member, bool) {
 	r, ok := s.redirects[name]
 	if !ok {
 		return membership.Member{}, false
--- a/daemon/stages/sendon.go
+++ b/daemon/stages/sendon.go
@@ -9,7 +9,7 @@
 
 // takenFor is how long an instance that took a queue over counts as its holder
 // whatever its view says: views were seen to differ for four seconds at 90 instances.
-const takenFor = 5 * time.Second
+const takeoverValidity = 5 * time.Second
 
 // sendOn returns the address of the instance that this one takes for the holder, if
 // an asker is to ask there; "" if it is to be served here.
@@ -20,8 +20,8 @@
 // wouldn't pick itself sends its askers on. Each request is sent on once, so that two
 // instances that take each other for the holder still serve it, and not to an instance
 // that its asker found not to answer.
-func (s *Stages) sendOn(now time.Time, ask *followAsk) string {
-	if ask.Sent || s.owner.keeps(now, ask.Make.ID) {
+func (s *Stages) redirectTo(now time.Time, ask *redirectableRequest) string {
+	if ask.Redirected || s.queue.servesHere(now, ask.Run.ID) {
 		return ""
 	}
 	view := s.cluster.View()
@@ -29,7 +29,7 @@
 	defer s.mu.Unlock()
 	chosen := holder.Pick(view, func(name string) bool {
 		m, _ := view.Find(name)
-		return s.isAvoided(now, name) || slices.Contains(ask.Passed, m.Address)
+		return s.isAvoided(now, name) || slices.Contains(ask.Avoided, m.Address)
 	})
 	if chosen.Name == view.Self {
 		return ""
@@ -39,31 +39,31 @@
 
 // keeps tells whether an owner answers for a request itself: it took its queue over,
 // or knows where that is.
-func (o *Owner) keeps(now time.Time, id string) bool {
+func (o *queue) servesHere(now time.Time, id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	_, taken := o.unclaimed[id]
-	return taken || o.frozen || o.movedTo != "" || o.holds(now)
+	return taken || o.frozen || o.movedTo != "" || o.tookOverRecently(now)
 }
 
 // holds tells whether an owner took a queue over lately; mu is held.
-func (o *Owner) holds(now time.Time) bool {
-	return !o.tookOver.IsZero() && now.Sub(o.tookOver) < takenFor
+func (o *queue) tookOverRecently(now time.Time) bool {
+	return !o.tookOverAt.IsZero() && now.Sub(o.tookOverAt) < takeoverValidity
 }
 
 // tookLately tells whether an owner took a queue over lately.
-func (o *Owner) tookLately(now time.Time) bool {
+func (o *queue) isRecentHolder(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.movedTo == "" && o.holds(now)
+	return o.movedTo == "" && o.tookOverRecently(now)
 }
 
 // passed returns the addresses of the instances that are passed over.
-func (s *Stages) passed(now time.Time) []string {
+func (s *Stages) avoidedAddresses(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var addresses []string
-	for name := range s.avoided {
+	for name := range s.avoidedUntil {
 		if m, ok := s.cluster.View().Find(name); ok && s.isAvoided(now, name) {
 			addresses = append(addresses, m.Address)
 		}
--- a/daemon/stages/served.go
+++ b/daemon/stages/served.go
@@ -14,8 +14,8 @@
 
 // Methods by which askers tell of requests that have ended.
 const (
-	methodDrop   = "stages.drop"
-	methodServed = "stages.served"
+	methodDrop        = "stages.drop"
+	methodRequestEnds = "stages.served"
 )
 
 const (
@@ -30,13 +30,13 @@
 func (s *Stages) Drop(owner string, served placing.RequestEnd) {
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	if owner == self.Address {
-		s.owner.drop(served)
+		s.queue.drop(served)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := len(s.dropping[owner]) == 0
-	s.dropping[owner] = append(s.dropping[owner], served)
+	first := len(s.pendingDrops[owner]) == 0
+	s.pendingDrops[owner] = append(s.pendingDrops[owner], served)
 	if first {
 		time.AfterFunc(dropDelay, func() { s.sendDrops(owner) })
 	}
@@ -44,12 +44,12 @@
 
 func (s *Stages) sendDrops(owner string) {
 	s.mu.Lock()
-	served := s.dropping[owner]
-	delete(s.dropping, owner)
+	served := s.pendingDrops[owner]
+	delete(s.pendingDrops, owner)
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
-	if err := s.tellServed(ctx, owner, served); err != nil {
+	if err := s.reportEnds(ctx, owner, served); err != nil {
 		// The holder drops them at their deadlines.
 		telemetry.ErrorS(err, "Holder of the stage queue was not told of ended requests", telemetry.Event{Peer: owner, Count: len(served)})
 		s.dropElsewhere(owner, served)
@@ -58,12 +58,12 @@
 
 // tellServed tells a holder of ended requests; one of an earlier version just which
 // they are.
-func (s *Stages) tellServed(ctx context.Context, owner string, served []placing.RequestEnd) error {
+func (s *Stages) reportEnds(ctx context.Context, owner string, served []placing.RequestEnd) error {
 	body, err := encode(served)
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
-	if _, err = s.cluster.Call(ctx, owner, methodServed, body); !errors.Is(err, peer.ErrNoMethod) {
+	if _, err = s.cluster.Call(ctx, owner, methodRequestEnds, body); !errors.Is(err, peer.ErrNoMethod) {
 		return err
 	}
 	ids := make([]string, len(served))
@@ -80,7 +80,7 @@
 // dropElsewhere tells the present holder of ended requests: it may have them from the
 // one that didn't answer.
 func (s *Stages) dropElsewhere(lost string, served []placing.RequestEnd) {
-	next, _ := s.pick(time.Now())
+	next, _ := s.pickHolder(time.Now())
 	if next.Address == lost || next.Address == "" {
 		return
 	}
@@ -98,15 +98,15 @@
 	for i, id := range ids {
 		served[i].Request = id
 	}
-	s.dropHere(served)
+	s.dropEnded(served)
 	return nil, nil
 }
 
-func (s *Stages) handleServed(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+func (s *Stages) handleRequestEnds(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
 	var served []placing.RequestEnd
 	if err := msgpack.Unmarshal(body, &served); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	s.dropHere(served)
+	s.dropEnded(served)
 	return nil, nil
 }
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -27,20 +27,20 @@
 
 // Methods between instances.
 const (
-	methodMake   = "stages.make"
-	methodFollow = "stages.follow"
-	methodPlace  = "stages.place"
+	methodRun          = "stages.make"
+	methodRedirectable = "stages.follow"
+	methodAssign       = "stages.place"
 )
 
 const (
 	// avoidFor is how long an owner that didn't answer is passed over: the
 	// membership finds out meanwhile.
-	avoidFor = 3 * time.Second
+	avoidPeriod = 3 * time.Second
 	// maxOwners bounds the instances that one request is handed to.
-	maxOwners = 3
+	maxCandidates = 3
 	// maxMoves bounds how often a request follows the queue in a row: more instances
 	// than end their stop within a request's time.
-	maxMoves = 16
+	maxRedirects = 16
 )
 
 // Cluster is what the package needs of the connections between instances.
@@ -65,29 +65,29 @@
 // the queue, for those of others.
 type Stages struct {
 	cluster Cluster
-	owner   *Owner
+	queue   *queue
 
 	mu sync.Mutex
 	// holder is the name of the instance that holds the queue, as last believed.
-	holder  string
-	avoided map[string]time.Time
+	holder       string
+	avoidedUntil map[string]time.Time
 	// redirects are, by the name of an instance, where it last sent a request on to.
 	redirects map[string]redirect
 	// answered is when instances last answered, by their addresses.
-	answered map[string]time.Time
+	lastResponse map[string]time.Time
 	// relayed are the requests of other instances that were passed on, by their ids.
-	relayed  map[string]relayed
-	dropping map[string][]placing.RequestEnd
+	relayed      map[string]relayedRequest
+	pendingDrops map[string][]placing.RequestEnd
 	// asking are the requests of this instance that wait for their stages.
-	asking map[string]*asking
+	waiting map[string]*waitingRequest
 	// stopping tells that this instance gives its queue away and takes no other.
 	stopping bool
 	// giving is the try to give the queue away that is under way, following the one
 	// after it; nil if there is none.
-	giving, following *attempt
+	handover, nextHandover *handoverAttempt
 	// taking are the hand-overs on their way to this instance, by the name of the one
 	// that stops.
-	taking map[string]*taking
+	incoming map[string]*incomingHandover
 	// ended is closed when Run ends.
 	ended chan struct{}
 }
@@ -95,47 +95,47 @@
 // New registers the methods that other instances call.
 func New(c Cluster, d exchange.Dialect, client *forward.Client, follower Follower, scope tally.Scope) *Stages {
 	s := &Stages{
-		cluster:   c,
-		owner:     newOwner(d, client, follower, newMetrics(scope)),
-		avoided:   map[string]time.Time{},
-		redirects: map[string]redirect{},
-		answered:  map[string]time.Time{},
-		relayed:   map[string]relayed{},
-		dropping:  map[string][]placing.RequestEnd{},
-		asking:    map[string]*asking{},
-		taking:    map[string]*taking{},
-		ended:     make(chan struct{}),
+		cluster:      c,
+		queue:        newQueue(d, client, follower, newMetrics(scope)),
+		avoidedUntil: map[string]time.Time{},
+		redirects:    map[string]redirect{},
+		lastResponse: map[string]time.Time{},
+		relayed:      map[string]relayedRequest{},
+		pendingDrops: map[string][]placing.RequestEnd{},
+		waiting:      map[string]*waitingRequest{},
+		incoming:     map[string]*incomingHandover{},
+		ended:        make(chan struct{}),
 	}
-	s.owner.passEnd = s.passEnd
-	s.owner.stalled = s.Yield
-	s.owner.passDrops = func(to string, served ...placing.RequestEnd) {
+	s.queue.reportCallEnd = s.reportCallEnd
+	s.queue.onStall = s.Yield
+	s.queue.forwardDrops = func(to string, served ...placing.RequestEnd) {
 		for _, one := range served {
 			s.Drop(to, one)
 		}
 	}
-	c.Handle(methodMake, s.handleMake)
-	c.Handle(methodFollow, s.handleFollow)
+	c.Handle(methodRun, s.handleRun)
+	c.Handle(methodRedirectable, s.handleRedirectable)
 	c.Handle(methodDrop, s.handleDrop)
-	c.Handle(methodPlace, s.handlePlace)
-	c.Handle(methodServed, s.handleServed)
-	c.Handle(methodKnown, s.handleKnown)
-	c.Handle(methodGone, s.handleGone)
-	c.Handle(methodTake, s.handleTake)
-	c.Handle(methodEnded, s.handleEnded)
-	c.Handle(methodBound, s.handleBound)
+	c.Handle(methodAssign, s.handleAssign)
+	c.Handle(methodRequestEnds, s.handleRequestEnds)
+	c.Handle(methodCaches, s.handleCaches)
+	c.Handle(methodUnreachable, s.handleUnreachable)
+	c.Handle(methodHandover, s.handleHandover)
+	c.Handle(methodCallEnd, s.handleCallEnd)
+	c.Handle(methodShorten, s.handleShorten)
 	return s
 }
 
 // Run drives the queue until the context ends.
 func (s *Stages) Run(ctx context.Context) error {
-	s.owner.run(ctx, s.cluster.View)
+	s.queue.run(ctx, s.cluster.View)
 	close(s.ended)
 	return nil
 }
 
 // SetTargets takes the usable targets of all services.
 func (s *Stages) SetTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
-	s.owner.setTargets(now, table, usable)
+	s.queue.setTargets(now, table, usable)
 }
 
 // RefusedError says that a request's stages won't be run in time.
@@ -143,19 +143,19 @@
 	Reason     gather.Reason
 	RetryAfter time.Duration
 	// Owner is the instance that decided.
-	Owner string
+	Holder string
 }
 
 func (e *RefusedError) Error() string {
-	return "stages refused by " + e.Owner + ": " + string(e.Reason)
+	return "stages refused by " + e.Holder + ": " + string(e.Reason)
 }
 
 // Made is what became of a request's stages.
-type Made struct {
+type Result struct {
 	// Handles are the final stages' results, in their order.
 	Handles []string
 	// Owner is the address of the instance that holds them.
-	Owner string
+	Holder string
 	// Engine is the incarnation of the engine that is to serve the request; empty if
 	// the asker is to choose.
 	Engine string
@@ -164,32 +164,32 @@
 // Make has all stages of a request run, and the engine chosen that is to read its
 // prompt. A *RefusedError means that the request was given up. The results stay until
 // Drop.
-func (s *Stages) Make(ctx context.Context, r gather.Request, prompt placing.Prompt) (Made, error) {
-	return s.makeFrom(ctx, r, prompt, false)
+func (s *Stages) Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (Result, error) {
+	return s.execute(ctx, r, prompt, false)
 }
 
 // makeFrom is Make; sent tells that another instance sent the request on.
-func (s *Stages) makeFrom(ctx context.Context, r gather.Request, prompt placing.Prompt, sent bool) (Made, error) {
-	defer s.asked(r.ID)
+func (s *Stages) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, sent bool) (Result, error) {
+	defer s.removeWaiting(r.ID)
 	s.cluster.AwaitJoin(ctx)
 	var err error
-	for range maxOwners {
-		var made Made
-		m, redirected := s.pick(time.Now())
-		made, m, err = s.follow(ctx, m, r, prompt, sent || redirected)
+	for range maxCandidates {
+		var made Result
+		m, redirected := s.pickHolder(time.Now())
+		made, m, err = s.followRedirects(ctx, m, r, prompt, sent || redirected)
 		var refused *RefusedError
 		if err == nil || errors.As(err, &refused) {
-			made.Owner = m.Address
+			made.Holder = m.Address
 			return made, err
 		}
 		if ctx.Err() != nil {
 			s.Drop(m.Address, placing.RequestEnd{Request: r.ID})
-			return Made{}, err
+			return Result{}, err
 		}
 		telemetry.ErrorS(err, "Holder of the stage queue didn't answer", telemetry.Event{RequestID: r.ID, Peer: m.Name})
 		s.avoid(m.Name)
 	}
-	return Made{}, err
+	return Result{}, err
 }
 
 // movedError tells where the queue has gone.
@@ -199,18 +199,18 @@
 
 // follow has a request made by an instance, or by the one that has its queue now. It
 // returns the one that answered. sent tells that some instance has sent it on.
-func (s *Stages) follow(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Made, membership.Member, error) {
-	for range maxMoves {
-		made, err := s.makeAt(ctx, m, r, prompt, sent)
+func (s *Stages) followRedirects(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Result, membership.Member, error) {
+	for range maxRedirects {
+		made, err := s.executeAt(ctx, m, r, prompt, sent)
 		var moved *movedError
 		if !errors.As(err, &moved) {
 			return made, m, err
 		}
 		to := s.memberAt(moved.to)
-		s.noteRedirect(m, to)
+		s.recordRedirect(m, to)
 		m, sent = to, true
 	}
-	return Made{}, m, errors.Newf("the queue moved %d times", maxMoves)
+	return Result{}, m, errors.Newf("the queue moved %d times", maxRedirects)
 }
 
 // memberAt returns the member of an address; one that isn't known has just that.
@@ -225,11 +225,11 @@
 
 // pick returns the instance that holds the queue, as far as this one knows, and whether
 // it does so by another's word.
-func (s *Stages) pick(now time.Time) (_ membership.Member, redirected bool) {
+func (s *Stages) pickHolder(now time.Time) (_ membership.Member, redirected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.cluster.View()
-	if self, ok := view.Find(view.Self); ok && s.owner.tookLately(now) {
+	if self, ok := view.Find(view.Self); ok && s.queue.isRecentHolder(now) {
 		return self, false
 	}
 	chosen := holder.Pick(view, func(name string) bool { return s.isAvoided(now, name) })
@@ -237,7 +237,7 @@
 		s.holder = chosen.Name
 		telemetry.InfoS("Holder of the stage queue", telemetry.Event{Peer: chosen.Name, Count: len(view.Live())})
 	}
-	if to, ok := s.redirected(now, view, chosen.Name); ok {
+	if to, ok := s.lookUpRedirect(now, view, chosen.Name); ok {
 		return to, true
 	}
 	return chosen, false
@@ -246,9 +246,9 @@
 // isAvoided tells whether an instance is passed over since it didn't answer; mu is
 // held.
 func (s *Stages) isAvoided(now time.Time, name string) bool {
-	until, ok := s.avoided[name]
+	until, ok := s.avoidedUntil[name]
 	if ok && !now.Before(until) {
-		delete(s.avoided, name)
+		delete(s.avoidedUntil, name)
 		return false
 	}
 	return ok
@@ -257,59 +257,59 @@
 func (s *Stages) avoid(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoided[name] = time.Now().Add(avoidFor)
+	s.avoidedUntil[name] = time.Now().Add(avoidPeriod)
 	delete(s.redirects, name)
 }
 
-func (s *Stages) makeAt(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Made, error) {
-	r, bounded := s.ask(m.Address, r)
+func (s *Stages) executeAt(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Result, error) {
+	r, bounded := s.addWaiting(m.Address, r)
 	if m.Name == s.cluster.View().Self {
 		s.takeBackAvoided(ctx, time.Now())
-		end, err := s.owner.make(ctx, r, prompt, bounded, false)
+		end, err := s.queue.execute(ctx, r, prompt, bounded, false)
 		if err == nil && end.movedTo != "" {
-			return Made{}, &movedError{end.movedTo}
+			return Result{}, &movedError{end.movedTo}
 		}
 		if err == nil && end.refused != nil {
-			err = &RefusedError{Reason: end.refused.Reason, RetryAfter: end.refused.RetryAfter, Owner: m.Name}
+			err = &RefusedError{Reason: end.refused.Reason, RetryAfter: end.refused.RetryAfter, Holder: m.Name}
 		}
-		return Made{Handles: end.handles, Engine: end.engine}, err
+		return Result{Handles: end.handles, Engine: end.engine}, err
 	}
-	follow := followAsk{*newAsk(time.Now(), r), bounded, sent, s.passed(time.Now())}
-	answer, err := s.makeRemote(ctx, m.Address, &placeAsk{follow, prompt})
+	follow := redirectableRequest{*newRunRequest(time.Now(), r), bounded, sent, s.avoidedAddresses(time.Now())}
+	answer, err := s.executeRemote(ctx, m.Address, &assignRequest{follow, prompt})
 	if errors.Is(err, peer.ErrConnLost) {
 		// The holder keeps the request for a moment, and may well be there.
-		answer, err = s.makeRemote(ctx, m.Address, &placeAsk{follow, prompt})
+		answer, err = s.executeRemote(ctx, m.Address, &assignRequest{follow, prompt})
 	}
 	if err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
-	s.noteAnswer(time.Now(), m.Address)
-	if answer.Follow.Moved != "" {
-		return Made{}, &movedError{answer.Follow.Moved}
+	s.recordResponse(time.Now(), m.Address)
+	if answer.Redirectable.MovedTo != "" {
+		return Result{}, &movedError{answer.Redirectable.MovedTo}
 	}
-	if made := answer.Follow.Made; made.Reason != "" {
-		return Made{}, &RefusedError{Reason: gather.Reason(made.Reason), RetryAfter: made.RetryAfter, Owner: m.Name}
+	if made := answer.Redirectable.Run; made.Reason != "" {
+		return Result{}, &RefusedError{Reason: gather.Reason(made.Reason), RetryAfter: made.RetryAfter, Holder: m.Name}
 	}
-	s.owner.noteRead(prompt, answer.Engine)
-	return Made{Handles: answer.Follow.Made.Handles, Engine: answer.Engine}, nil
+	s.queue.recordPrefill(prompt, answer.Engine)
+	return Result{Handles: answer.Redirectable.Run.Handles, Engine: answer.Engine}, nil
 }
 
 // makeRemote asks another instance; one of an earlier version by the latest method that
 // it knows.
-func (s *Stages) makeRemote(ctx context.Context, address string, ask *placeAsk) (placeAnswer, error) {
-	var answer placeAnswer
-	err := s.callFor(ctx, address, methodPlace, ask, &answer)
+func (s *Stages) executeRemote(ctx context.Context, address string, ask *assignRequest) (assignResponse, error) {
+	var answer assignResponse
+	err := s.callMethod(ctx, address, methodAssign, ask, &answer)
 	if errors.Is(err, peer.ErrNoMethod) {
-		err = s.callFor(ctx, address, methodFollow, &ask.Follow, &answer.Follow)
+		err = s.callMethod(ctx, address, methodRedirectable, &ask.Redirectable, &answer.Redirectable)
 	}
 	if errors.Is(err, peer.ErrNoMethod) {
-		err = s.callFor(ctx, address, methodMake, &ask.Follow.Make, &answer.Follow.Made)
+		err = s.callMethod(ctx, address, methodRun, &ask.Redirectable.Run, &answer.Redirectable.Run)
 	}
 	return answer, err
 }
 
 // callFor calls a method with a message and reads its answer.
-func (s *Stages) callFor(ctx context.Context, address, method string, message, answer any) error {
+func (s *Stages) callMethod(ctx context.Context, address, method string, message, answer any) error {
 	body, err := encode(message)
 	if err != nil {
 		return errors.Wrap(err, "encode")
@@ -321,39 +321,39 @@
 	return errors.Wrap(msgpack.Unmarshal(reply, answer), "decode")
 }
 
-func (s *Stages) handleMake(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask makeAsk
+func (s *Stages) handleRun(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var ask runRequest
 	if err := msgpack.Unmarshal(body, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &placeAsk{Follow: followAsk{Make: ask, Sent: true}})
+	answer, err := s.executeFor(ctx, from, &assignRequest{Redirectable: redirectableRequest{Run: ask, Redirected: true}})
 	if err != nil {
 		return nil, err
 	}
-	if answer.Follow.Moved != "" {
+	if answer.Redirectable.MovedTo != "" {
 		return nil, errMoved
 	}
-	return encode(&answer.Follow.Made)
+	return encode(&answer.Redirectable.Run)
 }
 
-func (s *Stages) handleFollow(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask placeAsk
-	if err := msgpack.Unmarshal(body, &ask.Follow); err != nil {
+func (s *Stages) handleRedirectable(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var ask assignRequest
+	if err := msgpack.Unmarshal(body, &ask.Redirectable); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &ask)
+	answer, err := s.executeFor(ctx, from, &ask)
 	if err != nil {
 		return nil, err
 	}
-	return encode(&answer.Follow)
+	return encode(&answer.Redirectable)
 }
 
-func (s *Stages) handlePlace(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask placeAsk
+func (s *Stages) handleAssign(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var ask assignRequest
 	if err := msgpack.Unmarshal(body, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &ask)
+	answer, err := s.executeFor(ctx, from, &ask)
 	if err != nil {
 		return nil, err
 	}
@@ -361,32 +361,32 @@
 }
 
 // makeFor has the stages of another instance's request run.
-func (s *Stages) makeFor(ctx context.Context, from peer.Peer, ask *placeAsk) (*placeAnswer, error) {
-	if to := s.sendOn(time.Now(), &ask.Follow); to != "" {
-		return &placeAnswer{Follow: followAnswer{Moved: to}}, nil
+func (s *Stages) executeFor(ctx context.Context, from peer.Peer, ask *assignRequest) (*assignResponse, error) {
+	if to := s.redirectTo(time.Now(), &ask.Redirectable); to != "" {
+		return &assignResponse{Redirectable: redirectableResponse{MovedTo: to}}, nil
 	}
-	if s.lostHolder(ctx, &ask.Follow) || s.relays(time.Now(), &ask.Follow) {
+	if s.relaysToYielded(ctx, &ask.Redirectable) || s.shouldRelay(time.Now(), &ask.Redirectable) {
 		return s.relay(ctx, ask)
 	}
-	r := ask.Follow.Make.request(time.Now())
-	end, err := s.owner.make(ctx, r, ask.Prompt, ask.Follow.Bounded, true)
+	r := ask.Redirectable.Run.request(time.Now())
+	end, err := s.queue.execute(ctx, r, ask.Prompt, ask.Redirectable.DeadlineShortened, true)
 	if err != nil {
 		return nil, err
 	}
-	answer := &placeAnswer{followAnswer{Made: makeAnswer{Handles: end.handles}, Moved: end.movedTo}, end.engine}
+	answer := &assignResponse{redirectableResponse{Run: runResponse{Handles: end.handles}, MovedTo: end.movedTo}, end.engine}
 	switch {
 	case end.refused != nil:
-		answer.Follow.Made.Reason, answer.Follow.Made.RetryAfter = string(end.refused.Reason), end.refused.RetryAfter
+		answer.Redirectable.Run.Reason, answer.Redirectable.Run.RetryAfter = string(end.refused.Reason), end.refused.RetryAfter
 	case end.movedTo == "":
-		s.owner.noteReader(r.ID, reading{sender{from.Name, from.Incarnation}, r.Deadline})
+		s.queue.recordReader(r.ID, resultReader{instanceID{from.Name, from.Incarnation}, r.Deadline})
 	}
 	return answer, nil
 }
 
 // Held returns the number of requests whose stages this instance holds, and of calls
 // that it carries out, also for another instance's queue.
-func (s *Stages) Held() int {
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	return s.owner.planner.RequestCount() + s.owner.running + len(s.owner.freeing)
+func (s *Stages) ActiveCount() int {
+	s.queue.mu.Lock()
+	defer s.queue.mu.Unlock()
+	return s.queue.planner.RequestCount() + s.queue.runningCalls + len(s.queue.pendingFree)
 }
--- a/daemon/stages/targets.go
+++ b/daemon/stages/targets.go
@@ -12,28 +12,28 @@
 //
 // The failure it guards against: an instance that gave its queue away has it again, goes
 // on with the targets of before, and calls those that have left since.
-func (o *Owner) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
-	o.enter()
+func (o *queue) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
+	o.lockAndCheckStall()
 	if o.frozen {
-		o.listed = func() []gather.Action { return o.list(time.Now(), table, usable) }
+		o.deferredTargets = func() []gather.Action { return o.applyTargets(time.Now(), table, usable) }
 		o.mu.Unlock()
 		return
 	}
-	actions := o.list(now, table, usable)
-	o.settle(actions)
+	actions := o.applyTargets(now, table, usable)
+	o.recordActions(actions)
 	o.mu.Unlock()
-	o.carryOut(actions)
+	o.performActions(actions)
 }
 
 // list tells the planner and the table of engines the usable targets; mu is held.
-func (o *Owner) list(now time.Time, table *routes.Table, usable map[string][]routes.Target) []gather.Action {
+func (o *queue) applyTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) []gather.Action {
 	var actions []gather.Action
 	for name, s := range table.Services {
 		if s.Batch == nil {
 			o.setEngines(s, usable[name])
 			continue
 		}
-		o.planner.SetService(name, shape(s.Batch))
+		o.planner.SetService(name, serviceConfig(s.Batch))
 		list := make([]gather.Target, 0, len(usable[name]))
 		for _, t := range usable[name] {
 			list = append(list, gather.Target{
@@ -46,9 +46,9 @@
 }
 
 // takeListed takes the targets that came while the queue was frozen; mu is held.
-func (o *Owner) takeListed() []gather.Action {
-	listed := o.listed
-	o.listed = nil
+func (o *queue) applyDeferredTargets() []gather.Action {
+	listed := o.deferredTargets
+	o.deferredTargets = nil
 	if listed == nil {
 		return nil
 	}
--- a/daemon/stages/yield.go
+++ b/daemon/stages/yield.go
@@ -12,48 +12,48 @@
 // enter takes mu, and freezes a queue whose instance has stood still: its askers have
 // gone to another holder meanwhile, whose calls those of this one would meet at the
 // targets.
-func (o *Owner) enter() {
+func (o *queue) lockAndCheckStall() {
 	o.mu.Lock()
-	if !o.stall.Check(time.Now(), o.boot) || o.frozen || o.movedTo != "" || !o.holdsWork() {
+	if !o.stall.Check(time.Now(), o.bootClock) || o.frozen || o.movedTo != "" || !o.hasWork() {
 		return
 	}
-	o.export()
-	go o.stalled()
+	o.freezeLocked()
+	go o.onStall()
 }
 
 // holdsWork tells whether requests or calls are held here; mu is held.
-func (o *Owner) holdsWork() bool { return o.planner.RequestCount() > 0 || o.planner.CallCount() > 0 }
+func (o *queue) hasWork() bool { return o.planner.RequestCount() > 0 || o.planner.CallCount() > 0 }
 
 // Yield gives the queue to the next holder while this instance goes on. Without one
 // it keeps the queue.
-func (s *Stages) Yield() { s.give(context.Background(), handOverTimeout) }
+func (s *Stages) Yield() { s.awaitHandover(context.Background(), handoverTimeout) }
 
 // mayTakeBack says whether a queue that was given away may come back.
-func (o *Owner) mayTakeBack(may bool) {
+func (o *queue) setYielded(may bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.yielded = may && o.movedTo != ""
 }
 
 // hasMoved tells whether another instance has the queue.
-func (o *Owner) hasMoved() bool {
+func (o *queue) hasMoved() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.movedTo != ""
 }
 
 // thawFrozen goes on with a queue for which there is no other instance.
-func (o *Owner) thawFrozen() {
+func (o *queue) unfreezeExported() {
 	o.mu.Lock()
 	frozen, state := o.frozen, o.exported
 	o.mu.Unlock()
 	if frozen {
-		o.thaw(state)
+		o.unfreeze(state)
 	}
 }
 
 // reachTimeout bounds the question whether the instance answers that has the queue.
-const reachTimeout = 300 * time.Millisecond
+const probeTimeout = 300 * time.Millisecond
 
 // lostHolder deals with an asker that doesn't reach the instance which has this one's
 // queue since a yield. It tells whether that instance answers here; else the queue is
@@ -61,29 +61,29 @@
 //
 // It guards against requests that nobody serves: until its death is known to all, askers
 // are sent on to an instance that is gone.
-func (s *Stages) lostHolder(ctx context.Context, ask *followAsk) (passOn bool) {
-	to := s.owner.yieldedTo()
-	if to == "" || !slices.Contains(ask.Passed, to) {
+func (s *Stages) relaysToYielded(ctx context.Context, ask *redirectableRequest) (passOn bool) {
+	to := s.queue.yieldedTo()
+	if to == "" || !slices.Contains(ask.Avoided, to) {
 		return false
 	}
-	if s.reaches(ctx, to) {
-		return !ask.Sent
+	if s.isReachable(ctx, to) {
+		return !ask.Redirected
 	}
-	s.owner.takeBack(to)
+	s.queue.takeBack(to)
 	return false
 }
 
 // reaches tells whether an instance answers at once.
-func (s *Stages) reaches(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
+func (s *Stages) isReachable(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.tellServed(ctx, address, nil) == nil
+	return s.reportEnds(ctx, address, nil) == nil
 }
 
 // takeBackAvoided takes the queue back from an instance that this one passes over, unless it
 // answers: then it has lost no more than connections, and goes on with the queue.
 func (s *Stages) takeBackAvoided(ctx context.Context, now time.Time) {
-	to := s.owner.yieldedTo()
+	to := s.queue.yieldedTo()
 	if to == "" {
 		return
 	}
@@ -93,17 +93,17 @@
 	s.mu.Unlock()
 	switch {
 	case !avoided:
-	case s.reaches(ctx, to):
+	case s.isReachable(ctx, to):
 		s.mu.Lock()
-		delete(s.avoided, name)
+		delete(s.avoidedUntil, name)
 		s.mu.Unlock()
 	default:
-		s.owner.takeBack(to)
+		s.queue.takeBack(to)
 	}
 }
 
 // yieldedTo is the address of the instance that has the queue since a yield, or "".
-func (o *Owner) yieldedTo() string {
+func (o *queue) yieldedTo() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.yielded {
@@ -113,7 +113,7 @@
 }
 
 // takeBackGone ends a yield to an instance that isn't live.
-func (o *Owner) takeBackGone(view *membership.View) {
+func (o *queue) takeBackFromDead(view *membership.View) {
 	to := o.yieldedTo()
 	isThere := func(m membership.Member) bool { return m.Address == to }
 	if to != "" && !slices.ContainsFunc(view.Live(), isThere) {
@@ -122,7 +122,7 @@
 }
 
 // takeBack ends a yield to an instance.
-func (o *Owner) takeBack(from string) {
+func (o *queue) takeBack(from string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.yielded && o.movedTo == from {
