--- a/daemon/execute/executor_test.go
+++ b/daemon/execute/executor_test.go
@@ -206,7 +206,7 @@
 	warm.ID = "test.1.3" // the gate learns how long such work holds a slot
 	_, err := r.do(warm)
 	require.NoError(t, err)
-	for r.budgets.Retry(time.Now(), rigPool) {
+	for r.budgets.TakeRetry(time.Now(), rigPool) {
 		continue // nor is it paid from the budget of retries
 	}
 	highDone := make(chan error, 1)
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -86,7 +86,7 @@
 	if failure != nil {
 		return nil
 	}
-	if !s.opts.Budgets.Hedge(s.opts.Now(), s.stage.Pool) {
+	if !s.opts.Budgets.TakeHedge(s.opts.Now(), s.stage.Pool) {
 		return nil
 	}
 	second, err := s.newAttempt(choice)
--- a/daemon/execute/panic_test.go
+++ b/daemon/execute/panic_test.go
@@ -53,9 +53,9 @@
 	return f.Gate.Enter(ctx, pool, r)
 }
 
-func (f *fault) Retry(now time.Time, pool string) bool {
+func (f *fault) TakeRetry(now time.Time, pool string) bool {
 	f.hit("Retry")
-	return f.Budgets.Retry(now, pool)
+	return f.Budgets.TakeRetry(now, pool)
 }
 
 func (f *fault) Succeeded(now time.Time, pool string) {
--- a/daemon/execute/ports.go
+++ b/daemon/execute/ports.go
@@ -47,9 +47,9 @@
 // *retrybudget.Budgets is one. Calls don't block.
 type Budgets interface {
 	// Retry pays for one retry, or tells that it can't.
-	Retry(now time.Time, pool string) bool
+	TakeRetry(now time.Time, pool string) bool
 	// Hedge pays for a second attempt beside the first, or tells that it can't.
-	Hedge(now time.Time, pool string) bool
+	TakeHedge(now time.Time, pool string) bool
 	// Succeeded tells that a stage was answered whole; it earns.
 	Succeeded(now time.Time, pool string)
 }
--- a/daemon/execute/retry.go
+++ b/daemon/execute/retry.go
@@ -26,7 +26,7 @@
 	if !decision.Again {
 		return s.targetFailure(result, decision.Reason)
 	}
-	if decision.Paid && !s.opts.Budgets.Retry(now, s.stage.Pool) {
+	if decision.Paid && !s.opts.Budgets.TakeRetry(now, s.stage.Pool) {
 		return s.targetFailure(result, retry.ReasonBudget)
 	}
 	if err := wait(ctx, decision.Delay); err != nil {
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -207,7 +207,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &script{steps: c.steps}
 				r := scripted(s, retry.Config{Reserve: 5})
-				for c.empty && (r.budgets.Retry(time.Now(), rigPool) || r.budgets.Hedge(time.Now(), rigPool)) {
+				for c.empty && (r.budgets.TakeRetry(time.Now(), rigPool) || r.budgets.TakeHedge(time.Now(), rigPool)) {
 					continue
 				}
 				start := time.Now()
--- a/daemon/gateway/run.go
+++ b/daemon/gateway/run.go
@@ -78,7 +78,7 @@
 	times := g.shutdown.Load()
 	noticed, ends := begin.Add(times.BalancerDelay), begin.Add(times.Grace-exitMargin)
 	g.relay.Drain(noticed, ends)
-	g.stages.HandOver(context.Background())
+	g.stages.Handover(context.Background())
 	leave, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := g.cluster.Leave(leave); err != nil {
@@ -112,7 +112,7 @@
 func (g *Gateway) awaitQuiet(callers *inbound.Server, ends time.Time) {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for time.Now().Before(ends) && (callers.Open() > 0 || g.stages.Held() > 0) {
+	for time.Now().Before(ends) && (callers.Open() > 0 || g.stages.ActiveCount() > 0) {
 		<-ticker.C
 	}
 }
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -54,7 +54,7 @@
 		requests.End{State: requests.Failed, At: now})
 	extra := retrybudget.New(retry.Config{})
 	for range 5 {
-		extra.Hedge(now, "p")
+		extra.TakeHedge(now, "p")
 	}
 	s := New(Options{Calls: calls, Gates: gates, Router: routes, Status: status, Extra: extra, Scope: scope})
 	s.Sample(now)
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -145,8 +145,8 @@
 		r.Stages = append(r.Stages, gather.Stage{Service: s.Service, After: s.After, Pieces: pieces, ResultBytes: s.ResultBytes})
 	}
 	asked := time.Now()
-	made, err := q.relay.options.Stages.Make(ctx, r, q.prompt())
-	q.handles, q.owner, q.engine = made.Handles, made.Owner, made.Engine
+	made, err := q.relay.options.Stages.Execute(ctx, r, q.prompt())
+	q.handles, q.owner, q.engine = made.Handles, made.Holder, made.Engine
 	q.parts.stages += time.Since(asked)
 	if err == nil && q.handles == nil {
 		q.handles = []string{}
@@ -258,7 +258,7 @@
 		q.mayHaveRun = true
 	}
 	if f.nothingListens && q.owner != "" {
-		q.relay.options.Stages.EngineGone(q.owner, q.service, q.target)
+		q.relay.options.Stages.ReportUnreachable(q.owner, q.service, q.target)
 	}
 	if f.inputsGone {
 		q.excluded = q.excluded[:len(q.excluded)-1]
@@ -290,7 +290,7 @@
 	if q.paid.Load() {
 		return true
 	}
-	if !q.relay.options.Budgets.Retry(time.Now(), q.service) {
+	if !q.relay.options.Budgets.TakeRetry(time.Now(), q.service) {
 		return false
 	}
 	q.paid.Store(true)
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -34,13 +34,13 @@
 
 // Maker has the stages of a request run.
 type Maker interface {
-	Make(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Made, error)
+	Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Result, error)
 	Drop(owner string, served placing.RequestEnd)
 	// EngineGone tells an owner that nothing listens at an engine's address.
-	EngineGone(owner, pool, engine string)
+	ReportUnreachable(owner, pool, engine string)
 	// Bound gives requests that wait in Make an earlier deadline, and refuses those
 	// that won't be done by then. It doesn't wait.
-	Bound(until time.Time, ids ...string)
+	ShortenDeadlines(until time.Time, ids ...string)
 }
 
 // Options are the parts that a Relay works with.
--- a/daemon/relay/stop.go
+++ b/daemon/relay/stop.go
@@ -54,7 +54,7 @@
 func (s *Relay) boundStages() {
 	due := s.waiting.due(func(q *request) time.Time { return s.stopping.window.SendDeadline(q.drainRequest()).Add(engineTime) })
 	for by, ids := range due {
-		s.options.Stages.Bound(by, ids...)
+		s.options.Stages.ShortenDeadlines(by, ids...)
 	}
 }
 
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -81,21 +81,21 @@
 	retryAfter time.Duration
 }
 
-func (m *maker) Make(ctx context.Context, r gather.Request, _ placing.Prompt) (stages.Made, error) {
+func (m *maker) Execute(ctx context.Context, r gather.Request, _ placing.Prompt) (stages.Result, error) {
 	m.asked <- r
 	select {
 	case <-m.refused:
-		return stages.Made{}, &stages.RefusedError{Reason: gather.ReasonStopping, RetryAfter: m.retryAfter}
+		return stages.Result{}, &stages.RefusedError{Reason: gather.ReasonStopping, RetryAfter: m.retryAfter}
 	case <-ctx.Done():
-		return stages.Made{}, context.Cause(ctx)
+		return stages.Result{}, context.Cause(ctx)
 	}
 }
 
 func (m *maker) Drop(string, placing.RequestEnd) {}
 
-func (m *maker) EngineGone(string, string, string) {}
+func (m *maker) ReportUnreachable(string, string, string) {}
 
-func (m *maker) Bound(until time.Time, ids ...string) {
+func (m *maker) ShortenDeadlines(until time.Time, ids ...string) {
 	if !m.deaf && len(ids) == 1 && ids[0] == "a" {
 		m.refused <- until
 	}
--- a/daemon/retrybudget/retrybudget.go
+++ b/daemon/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget holds an instance's budgets of extra attempts, one a pool,
-// each under its own lock.
+// Package retrybudget holds an instance's budgets for extra attempts, one per pool, each with
+// its own lock.
 package retrybudget
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/ivyhollow/ivyhollow/coordination/retry"
 )
 
-// maxPools bounds the budgets that are kept. Names of pools that the
-// configuration dropped would else stay for the life of the process.
+// maxPools limits the budgets that are kept. Otherwise the names of pools that were removed
+// from the configuration would stay for the life of the process.
 const maxPools = 4096
 
-// Budgets are the budgets of all pools. They are safe for concurrent use.
+// Budgets has the budgets of all pools. It is safe for concurrent use.
 type Budgets struct {
 	config retry.Config
 
 	mu    sync.RWMutex
-	pools map[string]*pool
+	pools map[string]*poolBudget
 
 	retries, hedges counts
 }
 
-// Counts tells how often an extra attempt was paid for and how often not, over
-// all pools.
+// Counts has the number of extra attempts over all pools that were paid for, and of those
+// that were refused.
 type Counts struct{ Paid, Refused uint64 }
 
 type counts struct{ paid, refused atomic.Uint64 }
 
-// note counts one decision and returns it.
-func (c *counts) note(paid bool) bool {
+// record counts a decision and returns it.
+func (c *counts) record(paid bool) bool {
 	if paid {
 		c.paid.Add(1)
 	} else {
@@ -42,37 +42,38 @@
 
 func (c *counts) read() Counts { return Counts{Paid: c.paid.Load(), Refused: c.refused.Load()} }
 
-// Counts returns the retries and the hedges since the start.
+// Counts returns the counts of retries and of hedges since the start.
 func (b *Budgets) Counts() (retries, hedges Counts) { return b.retries.read(), b.hedges.read() }
 
-type pool struct {
+type poolBudget struct {
 	mu     sync.Mutex
 	budget *retry.Budget
 }
 
-// New makes budgets that all have the given shares.
+// New returns budgets that all have the given configuration.
 func New(c retry.Config) *Budgets {
-	return &Budgets{config: c, pools: make(map[string]*pool)}
+	return &Budgets{config: c, pools: make(map[string]*poolBudget)}
 }
 
-// Retry pays for one retry at the pool, or tells that it can't.
-func (b *Budgets) Retry(now time.Time, name string) bool {
+// TakeRetry takes one token for a retry at a pool. It returns false if there is none.
+func (b *Budgets) TakeRetry(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.retries.note(p.budget.TakeRetry(now))
+	return b.retries.record(p.budget.TakeRetry(now))
 }
 
-// Hedge pays for one attempt beside the first, or tells that it can't.
-func (b *Budgets) Hedge(now time.Time, name string) bool {
+// TakeHedge takes one token for a second attempt beside the first. It returns false if there
+// is none.
+func (b *Budgets) TakeHedge(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.hedges.note(p.budget.TakeHedge(now))
+	return b.hedges.record(p.budget.TakeHedge(now))
 }
 
-// Succeeded tells that a stage was answered whole, which earns extra attempts.
-// It is told once a stage, however many attempts there were.
+// Succeeded records that a stage completed, which adds tokens for extra attempts. It is
+// called once per stage, regardless of the number of its attempts.
 func (b *Budgets) Succeeded(now time.Time, name string) {
 	p := b.pool(name)
 	p.mu.Lock()
@@ -80,7 +81,7 @@
 	p.budget.Succeeded(now)
 }
 
-func (b *Budgets) pool(name string) *pool {
+func (b *Budgets) pool(name string) *poolBudget {
 	b.mu.RLock()
 	p, ok := b.pools[name]
 	b.mu.RUnlock()
@@ -93,9 +94,9 @@
 		return p
 	}
 	if len(b.pools) >= maxPools {
-		clear(b.pools) // the pools in use come back with a new budget's reserve
+		clear(b.pools) // pools in use get a new budget with its reserve
 	}
-	p = &pool{budget: retry.NewBudget(b.config)}
+	p = &poolBudget{budget: retry.NewBudget(b.config)}
 	b.pools[name] = p
 	return p
 }
--- a/daemon/retrybudget/retrybudget_test.go
+++ b/daemon/retrybudget/retrybudget_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// spent takes tokens until there is none.
-func spent(take func(time.Time, string) bool, pool string) int {
+// takeAll takes tokens until there are none, and returns their number.
+func takeAll(take func(time.Time, string) bool, pool string) int {
 	n := 0
 	for take(epoch, pool) {
 		n++
@@ -23,40 +23,40 @@
 	return n
 }
 
-// All of one pool fails and takes every token it can get; the retries of another
-// pool, and the hedges of its own, must not be paid from the same purse.
-func TestBudgetsOfPoolsAreApart(t *testing.T) {
+// All requests of one pool fail and take every available token. Retries at another pool, and
+// hedges at the same pool, must not be paid from the same budget.
+func TestPoolsHaveSeparateBudgets(t *testing.T) {
 	tests := map[string]struct {
-		answered, empty            string
-		retriesA, retriesB, hedges int // what is left in "a", "b" and "a"
+		succeeded, empty           string
+		retriesA, retriesB, hedges int // the tokens left in "a", "b" and "a"
 	}{
-		"new":                      {retriesA: 2, retriesB: 2, hedges: 2},
-		"another pool was emptied": {empty: "b", retriesA: 2, retriesB: 0, hedges: 2},
-		"its retries were spent":   {empty: "a", retriesA: 0, retriesB: 2, hedges: 2},
-		"its answers earn":         {answered: "a", retriesA: 12, retriesB: 2, hedges: 7},
-		"answers of another pool":  {answered: "b", retriesA: 2, retriesB: 12, hedges: 2},
-		"spent, then earned":       {answered: "a", empty: "a", retriesA: 10, retriesB: 2, hedges: 7},
+		"new":                       {retriesA: 2, retriesB: 2, hedges: 2},
+		"another pool was emptied":  {empty: "b", retriesA: 2, retriesB: 0, hedges: 2},
+		"its retries were spent":    {empty: "a", retriesA: 0, retriesB: 2, hedges: 2},
+		"successes add tokens":      {succeeded: "a", retriesA: 12, retriesB: 2, hedges: 7},
+		"successes of another pool": {succeeded: "b", retriesA: 2, retriesB: 12, hedges: 2},
+		"spent, then succeeded":     {succeeded: "a", empty: "a", retriesA: 10, retriesB: 2, hedges: 7},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := New(retry.Config{})
 			if tt.empty != "" {
-				require.Equal(t, 2, spent(b.Retry, tt.empty))
+				require.Equal(t, 2, takeAll(b.TakeRetry, tt.empty))
 			}
 			for range 105 { // ten tokens and a half: no sum of tenths is exact
-				if tt.answered != "" {
-					b.Succeeded(epoch, tt.answered)
+				if tt.succeeded != "" {
+					b.Succeeded(epoch, tt.succeeded)
 				}
 			}
-			require.Equal(t, tt.retriesA, spent(b.Retry, "a"))
-			require.Equal(t, tt.retriesB, spent(b.Retry, "b"))
-			require.Equal(t, tt.hedges, spent(b.Hedge, "a"))
+			require.Equal(t, tt.retriesA, takeAll(b.TakeRetry, "a"))
+			require.Equal(t, tt.retriesB, takeAll(b.TakeRetry, "b"))
+			require.Equal(t, tt.hedges, takeAll(b.TakeHedge, "a"))
 		})
 	}
 }
 
-// Requests that fail together ask for the same tokens at once, the first ones
-// for a pool that is not known yet. Each token is spent once.
+// Requests that fail together take the same tokens at once, the first ones of a pool that is
+// not known yet. Each token is spent once.
 func TestConcurrentRequestsSpendEachTokenOnce(t *testing.T) {
 	const reserve, pools, requests = 20, 256, 64
 	b := New(retry.Config{Reserve: reserve})
@@ -68,10 +68,10 @@
 			start.Wait()
 			for p := range pools {
 				name := strconv.Itoa(p)
-				if b.Retry(epoch, name) {
+				if b.TakeRetry(epoch, name) {
 					retries[p].Add(1)
 				}
-				if b.Hedge(epoch, name) {
+				if b.TakeHedge(epoch, name) {
 					hedges[p].Add(1)
 				}
 			}
@@ -85,12 +85,12 @@
 	}
 }
 
-// Pools come and go with the configuration for as long as the process lives.
-func TestDroppedPoolsAreNotKeptForEver(t *testing.T) {
+// Pools are added and removed by the configuration for as long as the process lives.
+func TestNumberOfPoolsIsBounded(t *testing.T) {
 	b := New(retry.Config{})
 	for i := range 3*maxPools + 1 {
 		b.Succeeded(epoch, strconv.Itoa(i))
 		require.LessOrEqual(t, len(b.pools), maxPools)
 	}
-	require.True(t, b.Retry(epoch, "in use"))
+	require.True(t, b.TakeRetry(epoch, "in use"))
 }
--- /dev/null
+++ b/daemon/stages/assign.go
@@ -0,0 +1,68 @@
+package stages
+
+import (
+	"time"
+
+	"github.com/ivyhollow/ivyhollow/coordination/gather"
+	"github.com/ivyhollow/ivyhollow/coordination/placing"
+	"github.com/ivyhollow/ivyhollow/state/routes"
+)
+
+const (
+	// remainingMargin is added to the time that an idle engine is predicted to take: its
+	// usual queueing time for the prompts that it already processes, and the network
+	// transfer.
+	remainingMargin = 60 * time.Millisecond
+	// maxRemaining limits the remaining time that a request counts with for its engine: the
+	// longest prompts take a second.
+	maxRemaining = 2 * time.Second
+)
+
+// setEngines replaces the usable engines of a service. mu must be held.
+func (q *queue) setEngines(s *routes.Service, usable []routes.Target) {
+	list := make([]placing.Engine, 0, len(usable))
+	for _, t := range usable {
+		list = append(list, placing.Engine{Incarnation: t.Incarnation(), Name: t.Name, DataCentre: t.DataCentre})
+	}
+	q.engines.SetEngines(placing.Pool{Name: s.Name, CacheTokens: s.CacheTokens}, list)
+}
+
+// predictEngine returns the request with the data centre where its results are best read, as
+// far as that is known before its stages run, and with the time that it needs after them. mu
+// must be held. With one constant time for all kinds of requests, the stages of a long prompt
+// would meet their deadline and the first event would miss its objective.
+func (q *queue) predictEngine(now time.Time, r gather.Request, prompt placing.Prompt) gather.Request {
+	if prompt.Pool == "" {
+		return r
+	}
+	choice, ok := q.engines.Choose(now, &prompt, q.planner.ReadCosts(now, &r))
+	if !ok {
+		return r
+	}
+	q.prompts[r.ID] = prompt
+	r.DataCentre = choice.Engine.DataCentre
+	r.Remaining = min(choice.FirstEventIdle+remainingMargin, maxRemaining)
+	return r
+}
+
+// assignEngine chooses the engine of a request whose stages have completed. mu must be held.
+// It returns "" if the request's prompt is unknown, as for a request that was taken over and
+// whose requester hasn't asked here: the requester then chooses.
+func (q *queue) assignEngine(now time.Time, done gather.Completed) string {
+	prompt, ok := q.prompts[done.Request]
+	if !ok {
+		return ""
+	}
+	var total int64
+	for _, bytes := range done.Bytes {
+		total += bytes
+	}
+	choice, ok := q.engines.Choose(now, &prompt, func(dataCentre string) time.Duration {
+		return gather.CrossingCost(total - done.Bytes[dataCentre])
+	})
+	if !ok {
+		return ""
+	}
+	q.engines.RecordSent(now, done.Request, &prompt, choice)
+	return choice.Engine.Incarnation
+}
--- /dev/null
+++ b/daemon/stages/assign_test.go
@@ -0,0 +1,55 @@
+package stages
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"github.com/uber-go/tally/v4"
+
+	"github.com/ivyhollow/ivyhollow/coordination/gather"
+	"github.com/ivyhollow/ivyhollow/coordination/placing"
+	"github.com/ivyhollow/ivyhollow/state/routes"
+)
+
+func queueWithEngines() *queue {
+	q := newQueue(nil, nil, nil, newMetrics(tally.NoopScope))
+	table := &routes.Table{Services: map[string]*routes.Service{"engines": {Name: "engines", CacheTokens: 300_000}}}
+	q.setTargets(time.Now(), table, map[string][]routes.Target{"engines": {
+		{Name: "e1", DataCentre: "x"}, {Name: "e2", DataCentre: "y"},
+	}})
+	return q
+}
+
+func uniquePrompt(tokens int) placing.Prompt {
+	return placing.Prompt{Pool: "engines", Tokens: tokens, Parts: []placing.Part{{ID: "own", Tokens: tokens}}}
+}
+
+// A request with a prompt of 30,000 tokens and one with 100 arrive together. The engine takes
+// most of a second for the long one. If both counted with the same remaining time, the stages
+// of the long one would meet their deadline and its first event would be late.
+func TestLongPromptsNeedTheirStagesEarlier(t *testing.T) {
+	q := queueWithEngines()
+	short := q.predictEngine(time.Now(), gather.Request{ID: "short"}, uniquePrompt(100))
+	long := q.predictEngine(time.Now(), gather.Request{ID: "long"}, uniquePrompt(30_000))
+	require.Less(t, short.Remaining, 150*time.Millisecond)
+	require.Greater(t, long.Remaining, 500*time.Millisecond)
+	require.LessOrEqual(t, q.predictEngine(time.Now(), gather.Request{ID: "endless"}, uniquePrompt(1<<30)).Remaining, maxRemaining)
+}
+
+// The large results of a request are in one data centre when its stages have completed. The
+// request is assigned to an engine there, although another was equally good when it arrived.
+func TestEngineIsInTheDataCentreOfTheResults(t *testing.T) {
+	for _, dataCentre := range []string{"x", "y"} {
+		q := queueWithEngines()
+		q.predictEngine(time.Now(), gather.Request{ID: "1"}, uniquePrompt(500))
+		engine := q.assignEngine(time.Now(), gather.Completed{Request: "1", Bytes: map[string]int64{dataCentre: 4 << 20}})
+		require.Equal(t, map[string]string{"x": "e1", "y": "e2"}[dataCentre], engine)
+	}
+}
+
+// A request was taken over with the queue of another instance and completes before its
+// requester asks here. Its prompt is unknown here, so the requester chooses.
+func TestEngineOfUnknownPromptIsLeftToRequester(t *testing.T) {
+	require.Empty(t, queueWithEngines().assignEngine(time.Now(), gather.Completed{Request: "1"}))
+}
--- a/daemon/stages/cluster_test.go
+++ b/daemon/stages/cluster_test.go
@@ -16,21 +16,21 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// fakeCluster is a cluster of instances a, b and so on, as a sees it: only a runs, and
-// answer stands for the others.
+// fakeCluster is a cluster of instances a, b and so on, as seen by a. Only a runs; respond
+// stands for the others.
 type fakeCluster struct {
-	answer func(ctx context.Context, to, method string, body []byte) ([]byte, error)
+	respond func(ctx context.Context, to, method string, body []byte) ([]byte, error)
 
 	mu      sync.Mutex
 	members []membership.Member
-	// gate, where set, is what View waits for.
-	gate chan struct{}
-	// told are the calls to others.
-	told []toldCall
+	// viewBlocked, if set, blocks View until it is closed.
+	viewBlocked chan struct{}
+	// sent has the calls to other instances.
+	sent []sentCall
 }
 
-// toldCall is a call to an instance.
-type toldCall struct{ to, method string }
+// sentCall is a call to an instance.
+type sentCall struct{ to, method string }
 
 func newFakeCluster(instances int) *fakeCluster {
 	c := &fakeCluster{}
@@ -55,7 +55,7 @@
 // View implements Cluster.
 func (c *fakeCluster) View() *membership.View {
 	c.mu.Lock()
-	gate := c.gate
+	gate := c.viewBlocked
 	c.mu.Unlock()
 	if gate != nil {
 		<-gate
@@ -74,17 +74,17 @@
 // Call implements Cluster.
 func (c *fakeCluster) Call(ctx context.Context, address, method string, body []byte) ([]byte, error) {
 	c.mu.Lock()
-	c.told = append(c.told, toldCall{address, method})
+	c.sent = append(c.sent, sentCall{address, method})
 	c.mu.Unlock()
-	return c.answer(ctx, address, method, body)
+	return c.respond(ctx, address, method, body)
 }
 
-// calls returns the methods that an instance was called by.
-func (c *fakeCluster) calls(to string) []string {
+// methodsCalled returns the methods that were called at an instance.
+func (c *fakeCluster) methodsCalled(to string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var methods []string
-	for _, call := range c.told {
+	for _, call := range c.sent {
 		if call.to == to {
 			methods = append(methods, call.method)
 		}
@@ -92,84 +92,84 @@
 	return methods
 }
 
-// standStill has what the instance does each tick stand still for a time.
-func (c *fakeCluster) standStill(d time.Duration) {
+// stall blocks what the instance does on each tick for a time.
+func (c *fakeCluster) stall(d time.Duration) {
 	gate := make(chan struct{})
 	c.mu.Lock()
-	c.gate = gate
+	c.viewBlocked = gate
 	c.mu.Unlock()
 	time.Sleep(d)
 	c.mu.Lock()
-	c.gate = nil
+	c.viewBlocked = nil
 	c.mu.Unlock()
 	close(gate)
 }
 
-// takes answers as an instance that takes a queue and serves requests.
-func takes(t *testing.T) func(context.Context, string, string, []byte) ([]byte, error) {
+// acceptHandover responds as an instance that accepts a queue and serves requests.
+func acceptHandover(t *testing.T) func(context.Context, string, string, []byte) ([]byte, error) {
 	return func(_ context.Context, _, method string, body []byte) ([]byte, error) {
 		switch method {
-		case methodTake:
-			_, answer := taken(t, body)
-			return answer, nil
-		case methodPlace:
-			return encode(&placeAnswer{})
+		case methodHandover:
+			_, response := acceptPart(t, body)
+			return response, nil
+		case methodAssign:
+			return encode(&assignResponse{})
 		}
 		return nil, nil
 	}
 }
 
-// emptyRequest has a stage without pieces, which is done as soon as a holder has it.
+// emptyRequest has a stage without pieces, which completes as soon as a holder has it.
 func emptyRequest(id string) gather.Request {
 	until := time.Now().Add(time.Minute)
 	return gather.Request{ID: id, Objective: until, Deadline: until, Stages: []gather.Stage{{Service: "stage"}}}
 }
 
-// silent answers nothing.
-func silent(ctx context.Context, _, _ string, _ []byte) ([]byte, error) {
+// neverRespond blocks until the context ends.
+func neverRespond(ctx context.Context, _, _ string, _ []byte) ([]byte, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// startStages runs instance a until the test ends, and waits for its tries to give the
-// queue away.
+// startStages runs instance a until the test ends, and then waits for the end of its handover
+// attempts.
 func startStages(t *testing.T, c *fakeCluster) *Stages {
 	s := New(c, nil, nil, nil, tally.NoopScope)
-	s.owner.boot = time.Now
+	s.queue.bootClock = time.Now
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		require.NoError(t, <-ended)
-		for s.isGiving() {
+		for s.isHandingOver() {
 			time.Sleep(tick)
 		}
 	})
 	return s
 }
 
-// isGiving tells whether a try to give the queue away is under way.
-func (s *Stages) isGiving() bool {
+// isHandingOver reports whether a handover attempt is in progress.
+func (s *Stages) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.giving != nil
+	return s.handover != nil
 }
 
-// holdCall has an instance hold the queue with one call of another, which ends within
-// the given time.
+// holdCall makes an instance hold the queue with one call that another instance carries out,
+// with a timeout.
 func holdCall(t *testing.T, s *Stages, within time.Duration) {
-	require.True(t, s.owner.takeOver(sender{"z", 1}, gather.State{
+	require.True(t, s.queue.takeOver(instanceID{"z", 1}, gather.State{
 		Targets: []gather.TargetState{{Service: "stage", Incarnation: "t"}},
 		Calls:   []gather.CallState{{ID: 7, TimeoutAt: within}},
 	}))
 }
 
-// taken answers a message of a hand-over.
-func taken(t *testing.T, body []byte) (last bool, answer []byte) {
-	var ask takeAsk
-	assert.NoError(t, msgpack.Unmarshal(body, &ask))
-	answer, err := encode(&takeAnswer{Taken: true})
+// acceptPart accepts a part of a handover.
+func acceptPart(t *testing.T, body []byte) (last bool, response []byte) {
+	var request handoverPart
+	assert.NoError(t, msgpack.Unmarshal(body, &request))
+	response, err := encode(&handoverResponse{Accepted: true})
 	assert.NoError(t, err)
-	return ask.Last, answer
+	return request.Last, response
 }
--- a/daemon/stages/handover.go
+++ b/daemon/stages/handover.go
@@ -15,141 +15,146 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Methods of a hand-over between instances.
+// Methods of a handover between instances.
 const (
-	methodTake  = "stages.take"
-	methodEnded = "stages.ended"
+	methodHandover = "stages.take"
+	methodCallEnd  = "stages.ended"
 )
 
 const (
-	// takeTimeout bounds one message of a hand-over; the largest, of some 200 KB,
-	// takes 0.16 s over a link of 10 Mbit/s.
-	takeTimeout = 500 * time.Millisecond
-	// handOverTimeout bounds a yield and the first try of a stop, which waits for it: a
-	// seventh of the usual grace.
-	handOverTimeout = time.Second
-	// retryHandOver is how soon a stopping instance looks again for one that takes
-	// its queue over, as one that has just started.
-	retryHandOver = 200 * time.Millisecond
-	// worksPerPart and callsPerPart bound a message of a hand-over: requests of 40
+	// partTimeout limits one message of a handover. The largest, of some 200 KB, takes 0.16 s
+	// over a link of 10 Mbit/s.
+	partTimeout = 500 * time.Millisecond
+	// handoverTimeout limits a yield, and the first attempt of a planned stop, which waits
+	// for it: a seventh of the usual grace period.
+	handoverTimeout = time.Second
+	// handoverRetryInterval is the time after which a stopping instance looks again for one
+	// that accepts its queue, such as one that has just started.
+	handoverRetryInterval = 200 * time.Millisecond
+	// requestsPerPart and callsPerPart limit a message of a handover: requests with 40
 	// results take some 2 KB each, calls of 128 pieces 3 KB.
-	worksPerPart = 100
-	callsPerPart = 32
-	// takingFor bounds later tries, and is after how long a hand-over that breaks off is
-	// forgotten: longer than its 40 parts take over a link of 10 Mbit/s.
-	takingFor = 10 * time.Second
-	// endedTimeout bounds the word that a call has ended; the new holder counts a
-	// call of which it hears nothing as lost.
-	endedTimeout = 2 * time.Second
+	requestsPerPart = 100
+	callsPerPart    = 32
+	// longHandoverTimeout limits later attempts. It is also the age at which an incomplete
+	// incoming handover is removed. It is longer than 40 parts take over a link of 10 Mbit/s.
+	longHandoverTimeout = 10 * time.Second
+	// callEndTimeout limits the report of a call's end. The new holder counts a call as
+	// unanswered if it receives no report.
+	callEndTimeout = 2 * time.Second
 )
 
-// takeAsk is a part of a hand-over. The state counts with its last part, so that a
-// hand-over that breaks off has no effect.
-type takeAsk struct {
-	// Number tells the hand-overs of one instance apart.
+// handoverPart is a part of a handover. The state is imported with the last part, so that an
+// incomplete handover has no effect.
+type handoverPart struct {
+	// Number distinguishes the handovers of one instance.
 	Number uint64
-	Part   gather.State
+	State  gather.State
 	Last   bool
 }
 
-// takeAnswer tells whether the instance takes the queue; one that stops itself
-// doesn't.
-type takeAnswer struct {
-	Taken bool
+// handoverResponse tells whether the instance accepts the queue. An instance that is itself
+// stopping doesn't.
+type handoverResponse struct {
+	Accepted bool
 }
 
-// endedAsk passes on the end of a call that its sender carried out for a queue that
-// it gave away.
-type endedAsk struct {
+// callEndReport reports the end of a call that the sender carried out for a queue that it
+// handed over.
+type callEndReport struct {
 	Call    uint64
 	Outcome uint8
 	Results []gather.PieceResult
 }
 
-// HandOver gives the queue away as this instance begins its planned stop, to the one
-// that all others pick next. Callers that wait here are told to ask there.
+// Handover hands the queue over as this instance begins its planned stop, to the instance
+// that all others pick next. Requesters that wait here are redirected to it.
 //
-// The failure it guards against: the others pick the next holder at once, while this
-// one goes on with what it holds. Two holders send calls to targets of one place, each
-// blind to the other: calls find targets full and results no room, and what is still
-// held as the instance ends begins anew elsewhere. Only one instance sends calls now,
+// Without a handover the others would pick the next holder at once, while this one continues
+// with its requests. Two holders would send calls to the same targets without knowledge of
+// each other: calls would find targets full and results no capacity, and requests still held
+// when this instance ends would start again elsewhere. With it only one instance sends calls,
 // and it knows of all calls in progress and all results.
 //
-// It returns when the queue is given away, when the context ends, or when no instance
-// takes it at once; then it goes on looking until the instance ends.
-func (s *Stages) HandOver(ctx context.Context) {
+// Handover returns when the queue is handed over, when the context ends, or when no instance
+// accepts the queue at once. In the latter two cases it keeps trying in the background until
+// the instance ends.
+func (s *Stages) Handover(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	s.owner.mayTakeBack(false)
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	s.queue.setYielded(false)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	if !s.give(ctx, handOverTimeout) {
-		go s.keepTrying()
+	if !s.awaitHandover(ctx, handoverTimeout) {
+		go s.retryHandover()
 	}
 }
 
-func (s *Stages) next(now time.Time) (membership.Member, bool) {
+func (s *Stages) nextHolder(now time.Time) (membership.Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return holder.Next(s.cluster.View(), func(name string) bool { return s.isAvoided(now, name) })
 }
 
-// handTo gives the queue to an instance. Without a word from it on the last part the
-// queue counts as given away: were it kept, two instances might hold it. Should the
-// other not have it, the callers' requests begin anew there.
-func (s *Stages) handTo(ctx context.Context, next membership.Member) bool {
-	begun := time.Now()
-	state := s.owner.freeze()
-	sent := state
+// handoverTo hands the queue over to an instance. If there is no response to the last part,
+// the queue counts as handed over: if it were kept, two instances might hold it. If the other
+// instance doesn't have it, the requests start again there when their requesters ask.
+func (s *Stages) handoverTo(ctx context.Context, next membership.Member) bool {
+	start := time.Now()
+	state := s.queue.freeze()
+	toSend := state
 	if len(state.Requests) == 0 && len(state.Calls) == 0 {
-		// What an instance knows of targets that it sends no calls is old.
-		sent.Targets, sent.Times = nil, nil
-		if !s.owner.everTookOver() {
-			s.owner.moved(next.Address)
-			go s.tellKnown(next.Address)
+		// Knowledge of targets to which an instance sends no calls is outdated.
+		toSend.Targets, toSend.Times = nil, nil
+		if !s.queue.hasTakenOver() {
+			s.queue.completeHandover(next.Address)
+			go s.sendCaches(next.Address)
 			return true
 		}
-		// The next one may be who gave the queue away, and name this one to askers.
+		// The next holder may be the instance that handed the queue over to this one, and may
+		// still redirect requesters here.
 	}
-	err := s.sendState(ctx, next.Address, sent)
-	var kept *keptError
+	err := s.sendState(ctx, next.Address, toSend)
+	var kept *notAcceptedError
 	if errors.As(err, &kept) && errors.Is(err, peer.ErrConnLost) {
-		// An instance that stood still finds its connections lost, and askers use the next one.
-		err = s.sendState(ctx, next.Address, sent)
+		// An instance that was stalled finds its connections lost; requesters use the next
+		// one.
+		err = s.sendState(ctx, next.Address, toSend)
 	}
 	if errors.As(err, &kept) {
 		telemetry.ErrorS(err, "Stage queue not handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests)})
-		s.owner.thaw(state)
+		s.queue.unfreeze(state)
 		return false
 	}
 	if err != nil {
 		telemetry.ErrorS(err, "Stage queue handed over without a word", telemetry.Event{Peer: next.Name, Count: len(state.Requests)})
 	}
-	telemetry.InfoS("Stage queue handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests), Elapsed: time.Since(begun)})
-	s.owner.moved(next.Address)
-	go s.tellKnown(next.Address)
+	telemetry.InfoS("Stage queue handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests), Elapsed: time.Since(start)})
+	s.queue.completeHandover(next.Address)
+	go s.sendCaches(next.Address)
 	return true
 }
 
-// keptError tells that the other instance certainly doesn't have the queue.
-type keptError struct{ cause error }
+// notAcceptedError means that the other instance certainly doesn't have the queue.
+type notAcceptedError struct{ cause error }
 
-func (e *keptError) Error() string { return "not taken: " + e.cause.Error() }
-func (e *keptError) Unwrap() error { return e.cause }
+func (e *notAcceptedError) Error() string { return "queue not accepted: " + e.cause.Error() }
+func (e *notAcceptedError) Unwrap() error { return e.cause }
 
-// errRefused is the refusal of an instance that stops itself.
+// errRefused means that the other instance refused the queue, as one that is itself stopping
+// does.
 var errRefused = errors.New("refused")
 
-// sendState sends a state in parts. A *keptError tells that it certainly isn't taken.
+// sendState sends a state in parts. A *notAcceptedError means that it certainly isn't
+// accepted.
 func (s *Stages) sendState(ctx context.Context, address string, state gather.State) error {
-	parts := split(state)
+	parts := splitState(state)
 	number := uint64(time.Now().UnixNano())
-	for i, part := range parts {
+	for i, state := range parts {
 		last := i == len(parts)-1
-		err := s.sendPart(ctx, address, &takeAsk{Number: number, Part: part, Last: last})
-		if err != nil && (!last || notTaken(err)) {
-			return &keptError{err}
+		err := s.sendPart(ctx, address, &handoverPart{Number: number, State: state, Last: last})
+		if err != nil && (!last || isNotAccepted(err)) {
+			return &notAcceptedError{err}
 		}
 		if err != nil {
 			return err
@@ -158,125 +163,125 @@
 	return nil
 }
 
-// notTaken tells whether an instance certainly didn't take a part: it refused, failed
-// or doesn't know the method.
-func notTaken(err error) bool {
+// isNotAccepted reports whether an instance certainly didn't accept a part: it refused,
+// failed or doesn't know the method.
+func isNotAccepted(err error) bool {
 	var failed *peer.Error
 	return errors.Is(err, errRefused) || errors.Is(err, peer.ErrHandler) || (errors.As(err, &failed) && failed.NotRun)
 }
 
-func (s *Stages) sendPart(ctx context.Context, address string, ask *takeAsk) error {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+func (s *Stages) sendPart(ctx context.Context, address string, part *handoverPart) error {
+	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
-	var answer takeAnswer
-	if err := s.callFor(ctx, address, methodTake, ask, &answer); err != nil {
+	var response handoverResponse
+	if err := s.callMethod(ctx, address, methodHandover, part, &response); err != nil {
 		return err
 	}
-	if !answer.Taken {
+	if !response.Accepted {
 		return errRefused
 	}
 	return nil
 }
 
-// split cuts a state into parts that fit a message. The targets come first.
-func split(state gather.State) []gather.State {
+// splitState splits a state into parts that fit a message. The targets come first.
+func splitState(state gather.State) []gather.State {
 	parts := []gather.State{{Targets: state.Targets, Times: state.Times}}
 	for calls := range slices.Chunk(state.Calls, callsPerPart) {
 		parts = append(parts, gather.State{Calls: calls})
 	}
-	for works := range slices.Chunk(state.Requests, worksPerPart) {
-		parts = append(parts, gather.State{Requests: works})
+	for requests := range slices.Chunk(state.Requests, requestsPerPart) {
+		parts = append(parts, gather.State{Requests: requests})
 	}
 	return parts
 }
 
-// taking is a hand-over of which parts have come.
-type taking struct {
-	number uint64
-	begun  time.Time
-	state  gather.State
+// incomingHandover is a handover of which some parts have been received.
+type incomingHandover struct {
+	number    uint64
+	startedAt time.Time
+	state     gather.State
 }
 
-// handleTake takes over the queue of an instance that stops. It refuses without a
-// wait when this one stops too: two that stop at once don't wait for each other.
-func (s *Stages) handleTake(_ context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask takeAsk
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+// handleHandover takes over the queue of an instance that stops. It refuses without waiting
+// if this instance stops too, so that two that stop at once don't wait for each other.
+func (s *Stages) handleHandover(_ context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var part handoverPart
+	if err := msgpack.Unmarshal(body, &part); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	state, ok := s.gatherParts(from.Name, &ask)
-	if ok && ask.Last {
-		ok = s.owner.takeOver(sender{from.Name, from.Incarnation}, state)
+	state, ok := s.addPart(from.Name, &part)
+	if ok && part.Last {
+		ok = s.queue.takeOver(instanceID{from.Name, from.Incarnation}, state)
 		telemetry.InfoS("Stage queue taken over", telemetry.Event{Peer: from.Name, Count: len(state.Requests)})
 	}
-	return encode(&takeAnswer{Taken: ok})
+	return encode(&handoverResponse{Accepted: ok})
 }
 
-// gatherParts adds a part to those that have come of its hand-over.
-func (s *Stages) gatherParts(name string, ask *takeAsk) (gather.State, bool) {
+// addPart adds a part to those already received of its handover.
+func (s *Stages) addPart(name string, part *handoverPart) (gather.State, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping {
 		return gather.State{}, false
 	}
-	t := s.taking[name]
-	if t == nil || t.number != ask.Number {
-		s.forgetTaking(time.Now())
-		t = &taking{number: ask.Number, begun: time.Now()}
-		s.taking[name] = t
+	t := s.incoming[name]
+	if t == nil || t.number != part.Number {
+		s.removeStaleHandovers(time.Now())
+		t = &incomingHandover{number: part.Number, startedAt: time.Now()}
+		s.incoming[name] = t
 	}
-	if len(t.state.Requests)+len(ask.Part.Requests) > gather.DefaultMaxRequests {
-		delete(s.taking, name)
+	if len(t.state.Requests)+len(part.State.Requests) > gather.DefaultMaxRequests {
+		delete(s.incoming, name)
 		return gather.State{}, false
 	}
-	t.state.Targets = append(t.state.Targets, ask.Part.Targets...)
-	t.state.Times = append(t.state.Times, ask.Part.Times...)
-	t.state.Calls = append(t.state.Calls, ask.Part.Calls...)
-	t.state.Requests = append(t.state.Requests, ask.Part.Requests...)
-	if ask.Last {
-		delete(s.taking, name)
+	t.state.Targets = append(t.state.Targets, part.State.Targets...)
+	t.state.Times = append(t.state.Times, part.State.Times...)
+	t.state.Calls = append(t.state.Calls, part.State.Calls...)
+	t.state.Requests = append(t.state.Requests, part.State.Requests...)
+	if part.Last {
+		delete(s.incoming, name)
 	}
 	return t.state, true
 }
 
-// forgetTaking forgets hand-overs that broke off; mu is held.
-func (s *Stages) forgetTaking(now time.Time) {
-	for name, t := range s.taking {
-		if now.Sub(t.begun) > takingFor {
-			delete(s.taking, name)
+// removeStaleHandovers removes incoming handovers that were not completed. mu must be held.
+func (s *Stages) removeStaleHandovers(now time.Time) {
+	for name, t := range s.incoming {
+		if now.Sub(t.startedAt) > longHandoverTimeout {
+			delete(s.incoming, name)
 		}
 	}
 }
 
-// passEnd tells the new holder of the end of a call that this instance carried out.
-func (s *Stages) passEnd(to string, id uint64, how gather.CallOutcome, results []gather.PieceResult) {
-	if how == gather.CallTargetCrashed {
-		how = gather.CallUnanswered // instances of the version before know no other
+// reportCallEnd reports the end of a call that this instance carried out to the new holder.
+func (s *Stages) reportCallEnd(to string, id uint64, callOutcome gather.CallOutcome, results []gather.PieceResult) {
+	if callOutcome == gather.CallTargetCrashed {
+		callOutcome = gather.CallUnanswered // instances of the version before know no other
 	}
-	body, err := encode(&endedAsk{Call: id, Outcome: uint8(how), Results: results})
+	body, err := encode(&callEndReport{Call: id, Outcome: uint8(callOutcome), Results: results})
 	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), callEndTimeout)
 		defer cancel()
-		_, err = s.cluster.Call(ctx, to, methodEnded, body)
+		_, err = s.cluster.Call(ctx, to, methodCallEnd, body)
 	}
 	if err != nil {
-		// The new holder counts the call as lost and has its pieces made again.
+		// The new holder counts the call as unanswered and runs its pieces again.
 		telemetry.ErrorS(err, "Holder of the stage queue was not told of a call's end", telemetry.Event{Peer: to, Count: len(results)})
 	}
 }
 
-func (s *Stages) handleEnded(_ context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask endedAsk
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+func (s *Stages) handleCallEnd(_ context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var report callEndReport
+	if err := msgpack.Unmarshal(body, &report); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	s.owner.adoptedEnded(sender{from.Name, from.Incarnation}, ask.Call, gather.CallOutcome(ask.Outcome), ask.Results)
+	s.queue.remoteCallEnded(instanceID{from.Name, from.Incarnation}, report.Call, gather.CallOutcome(report.Outcome), report.Results)
 	return nil, nil
 }
 
-// everTookOver tells whether this instance has had another's queue.
-func (o *Owner) everTookOver() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return !o.tookOver.IsZero()
+// hasTakenOver reports whether this instance has ever taken over a queue.
+func (q *queue) hasTakenOver() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return !q.tookOverAt.IsZero()
 }
--- a/daemon/stages/handover_test.go
+++ b/daemon/stages/handover_test.go
@@ -11,20 +11,20 @@
 	"github.com/ivyhollow/ivyhollow/coordination/gather"
 )
 
-// frameBytes is what a message between instances holds at most.
-const frameBytes = 1 << 20
+// maxFrameBytes is the maximum size of a message between instances.
+const maxFrameBytes = 1 << 20
 
-// burst is a planner in the middle of the heaviest load measured: 2,500 requests of
-// three stages at 30 targets, all of which have a full call.
-func burst(tb testing.TB, now time.Time) *gather.Planner {
+// loadedPlanner returns a planner under the heaviest load measured: 2,500 requests of three
+// stages at 30 targets, all of which have a full call.
+func loadedPlanner(tb testing.TB, now time.Time) *gather.Planner {
 	p := gather.New(gather.Config{})
-	shape := gather.ServiceConfig{
+	config := gather.ServiceConfig{
 		Slots: 1, MaxPieces: 128, CallTime: 200 * time.Millisecond, PieceTime: time.Millisecond,
 		ResultCapacity: 8 << 20, ResultTTL: 4 * time.Second,
 	}
 	var calls []gather.StartCall
 	for _, name := range []string{"a", "b", "c"} {
-		p.SetService(name, shape)
+		p.SetService(name, config)
 		var list []gather.Target
 		for i := range 10 {
 			id := fmt.Sprintf("i-%s%09d", name, i)
@@ -63,24 +63,25 @@
 	return p
 }
 
-// A queue of the heaviest load goes over in messages that fit, and arrives as it was.
-func TestHandOverOfALargeQueue(t *testing.T) {
+// A queue under the heaviest load is handed over in messages that fit into frames, and
+// arrives unchanged.
+func TestHandoverOfLargeQueue(t *testing.T) {
 	now := time.Now()
-	state := burst(t, now).Export(now)
-	parts := split(state)
+	state := loadedPlanner(t, now).Export(now)
+	parts := splitState(state)
 	var got gather.State
 	bytes := 0
 	for _, part := range parts {
-		body, err := encode(&takeAsk{Part: part})
+		body, err := encode(&handoverPart{State: part})
 		require.NoError(t, err)
-		require.Less(t, len(body), frameBytes)
+		require.Less(t, len(body), maxFrameBytes)
 		bytes += len(body)
-		var ask takeAsk
-		require.NoError(t, msgpack.Unmarshal(body, &ask))
-		got.Targets = append(got.Targets, ask.Part.Targets...)
-		got.Times = append(got.Times, ask.Part.Times...)
-		got.Calls = append(got.Calls, ask.Part.Calls...)
-		got.Requests = append(got.Requests, ask.Part.Requests...)
+		var request handoverPart
+		require.NoError(t, msgpack.Unmarshal(body, &request))
+		got.Targets = append(got.Targets, request.State.Targets...)
+		got.Times = append(got.Times, request.State.Times...)
+		got.Calls = append(got.Calls, request.State.Calls...)
+		got.Requests = append(got.Requests, request.State.Requests...)
 	}
 	t.Logf("%d requests, %d calls: %d messages, %d bytes", len(state.Requests), len(state.Calls), len(parts), bytes)
 	require.Equal(t, len(state.Requests), len(got.Requests))
@@ -90,14 +91,14 @@
 	require.Equal(t, 2500, again.RequestCount())
 }
 
-// BenchmarkHandOver measures what both ends of a hand-over work.
-func BenchmarkHandOver(b *testing.B) {
+// BenchmarkHandover measures the work of both ends of a handover.
+func BenchmarkHandover(b *testing.B) {
 	now := time.Now()
-	p := burst(b, now)
+	p := loadedPlanner(b, now)
 	for b.Loop() {
 		state := p.Export(now)
-		for _, part := range split(state) {
-			if _, err := encode(&takeAsk{Part: part}); err != nil {
+		for _, part := range splitState(state) {
+			if _, err := encode(&handoverPart{State: part}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/daemon/stages/messages.go
+++ b/daemon/stages/messages.go
@@ -11,75 +11,77 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// makeAsk is the body of methodMake. Times are what is left, since the clocks of
-// two instances differ.
-type makeAsk struct {
+// runRequest is the body of methodRun. Times are remaining times, since the clocks of two
+// instances differ.
+type runRequest struct {
 	ID         string
 	Route      string
 	Key        string
 	Priority   int
-	Stages     []stageAsk
+	Stages     []stageRequest
 	Objective  time.Duration
 	Deadline   time.Duration
-	Rest       time.Duration
+	Remaining  time.Duration
 	DataCentre string
-	// Kind is the priority of the kind of request.
-	Kind int
+	// KindPriority is the priority of the kind of request.
+	KindPriority int
 }
 
-// followAsk is the body of methodFollow, of askers that follow a queue that moves.
-// Messages are arrays whose lengths both ends have to agree on: what a new field is
-// to tell needs a new method.
-type followAsk struct {
-	Make makeAsk
-	// Bounded tells that the asker stops, and has brought the deadline forward.
-	Bounded bool
-	// Sent tells that the asker was sent here by another instance, Passed lists the
-	// addresses of those that it passes over since they didn't answer.
-	Sent   bool
-	Passed []string
+// redirectableRequest is the body of methodRedirectable, sent by requesters that follow
+// redirects to the holder of the queue. Messages are arrays whose lengths both ends have to
+// agree on, so that a new field needs a new method.
+type redirectableRequest struct {
+	Run runRequest
+	// DeadlineShortened is true if the requester is stopping and has shortened the deadline.
+	DeadlineShortened bool
+	// Redirected is true if another instance redirected the requester to this one. Avoided
+	// lists the addresses of the instances that the requester avoids because they didn't
+	// respond.
+	Redirected bool
+	Avoided    []string
 }
 
-// followAnswer is the answer of methodFollow.
-type followAnswer struct {
-	Made makeAnswer
-	// Moved is the address of the instance that has the queue and the request now.
-	Moved string
+// redirectableResponse is the response of methodRedirectable.
+type redirectableResponse struct {
+	Run runResponse
+	// MovedTo is the address of the instance that now has the queue and the request, or to
+	// which the requester is redirected.
+	MovedTo string
 }
 
-// placeAsk is the body of methodPlace: of askers that have the engine chosen as well.
-type placeAsk struct {
-	Follow followAsk
-	Prompt placing.Prompt
+// assignRequest is the body of methodAssign, sent by requesters that have the engine chosen
+// as well.
+type assignRequest struct {
+	Redirectable redirectableRequest
+	Prompt       placing.Prompt
 }
 
-// placeAnswer is the answer of methodPlace.
-type placeAnswer struct {
-	Follow followAnswer
-	// Engine is the incarnation of the engine that is to serve the request; empty if
-	// the asker is to choose.
+// assignResponse is the response of methodAssign.
+type assignResponse struct {
+	Redirectable redirectableResponse
+	// Engine is the incarnation of the engine that is to serve the request. It is empty if
+	// the requester is to choose.
 	Engine string
 }
 
-type stageAsk struct {
+type stageRequest struct {
 	Service     string
 	After       []int
 	Pieces      int
 	ResultBytes int64
 }
 
-// makeAnswer is the answer of methodMake.
-type makeAnswer struct {
+// runResponse is the response of methodRun.
+type runResponse struct {
 	Handles    []string
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// errMoved answers askers that don't follow a queue: they ask the next instance.
+// errMoved is returned to requesters that don't follow redirects; they ask the next instance.
 var errMoved = errors.New("the queue has moved")
 
-// encode writes a message without the names of its fields, which would be a third
-// of it.
+// encode encodes a message without the names of its fields, which would be a third of it.
 func encode(message any) ([]byte, error) {
 	var b bytes.Buffer
 	encoder := msgpack.NewEncoder(&b)
@@ -88,23 +90,23 @@
 	return b.Bytes(), err
 }
 
-func newAsk(now time.Time, r gather.Request) *makeAsk {
-	ask := &makeAsk{
-		ID: r.ID, Route: r.Route, Key: r.Key, Priority: r.Priority, Kind: r.KindPriority,
+func newRunRequest(now time.Time, r gather.Request) *runRequest {
+	request := &runRequest{
+		ID: r.ID, Route: r.Route, Key: r.Key, Priority: r.Priority, KindPriority: r.KindPriority,
 		Objective: r.Objective.Sub(now), Deadline: r.Deadline.Sub(now),
-		Rest: r.Remaining, DataCentre: r.DataCentre,
+		Remaining: r.Remaining, DataCentre: r.DataCentre,
 	}
 	for _, st := range r.Stages {
-		ask.Stages = append(ask.Stages, stageAsk{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
+		request.Stages = append(request.Stages, stageRequest{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
 	}
-	return ask
+	return request
 }
 
-func (a *makeAsk) request(now time.Time) gather.Request {
+func (a *runRequest) request(now time.Time) gather.Request {
 	r := gather.Request{
-		ID: a.ID, Route: a.Route, Key: a.Key, Priority: a.Priority, KindPriority: a.Kind,
+		ID: a.ID, Route: a.Route, Key: a.Key, Priority: a.Priority, KindPriority: a.KindPriority,
 		Objective: now.Add(a.Objective), Deadline: now.Add(a.Deadline),
-		Remaining: a.Rest, DataCentre: a.DataCentre,
+		Remaining: a.Remaining, DataCentre: a.DataCentre,
 	}
 	for _, st := range a.Stages {
 		r.Stages = append(r.Stages, gather.Stage{Service: st.Service, After: st.After, Pieces: st.Pieces, ResultBytes: st.ResultBytes})
--- a/daemon/stages/metrics.go
+++ b/daemon/stages/metrics.go
@@ -8,41 +8,41 @@
 	"github.com/ivyhollow/ivyhollow/coordination/gather"
 )
 
-// metrics count what the holder of the queue does.
+// metrics are the metrics of the holder of the queue.
 type metrics struct {
 	scope tally.Scope
-	// taken is how long the stages of requests took, longer and shorter by how much
+	// elapsed is how long the stages of requests took. longer and shorter are by how much
 	// that was more or less than predicted.
-	taken, longer, shorter tally.Timer
+	elapsed, longer, shorter tally.Timer
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	scope = scope.SubScope("stages")
 	return metrics{
 		scope:   scope,
-		taken:   scope.Timer("taken"),
+		elapsed: scope.Timer("taken"),
 		longer:  scope.Timer("longer_than_predicted"),
 		shorter: scope.Timer("shorter_than_predicted"),
 	}
 }
 
-// call counts the end of a call to a stage target.
+// call records the end of a call to a stage target.
 func (m metrics) call(outcome string, elapsed time.Duration) {
 	m.scope.Tagged(map[string]string{"outcome": outcome}).Counter("calls").Inc(1)
 	m.scope.Timer("call_duration").Record(elapsed)
 }
 
-// pieces counts pieces that were made, or why they weren't.
+// pieces counts pieces by result: produced, or why they weren't.
 func (m metrics) pieces(result string, n int) {
 	if n > 0 {
 		m.scope.Tagged(map[string]string{"result": result}).Counter("pieces").Inc(int64(n))
 	}
 }
 
-// done takes in the time that the stages of a request took, and by how much that was
-// more or less than predicted.
-func (m metrics) done(c gather.Completed) {
-	m.taken.Record(c.Elapsed)
+// completed records the time that the stages of a request took, and by how much that was more
+// or less than predicted.
+func (m metrics) completed(c gather.Completed) {
+	m.elapsed.Record(c.Elapsed)
 	if c.Predicted <= 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// refused counts requests whose stages were given up.
+// refused counts refused requests.
 func (m metrics) refused(reason string) {
 	m.scope.Tagged(map[string]string{"reason": reason}).Counter("refused").Inc(1)
 }
--- a/daemon/stages/redirect.go
+++ b/daemon/stages/redirect.go
@@ -6,32 +6,32 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// redirectFor is how long an instance's word counts on who has the queue: while views
-// differ it may have been wrong.
-const redirectFor = 500 * time.Millisecond
+// redirectValidity is how long a redirect to the holder of the queue is followed. While the
+// views of instances differ, it may have been wrong.
+const redirectValidity = 500 * time.Millisecond
 
-// redirect is where an instance sent a request on to.
+// redirect is the instance to which another one redirected a request.
 type redirect struct {
 	to    string
 	until time.Time
 }
 
-// noteRedirect notes that an instance sent a request on to another.
-func (s *Stages) noteRedirect(from, to membership.Member) {
+// recordRedirect records that an instance redirected a request to another.
+func (s *Stages) recordRedirect(from, to membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.redirects[from.Name] = redirect{to.Name, time.Now().Add(redirectFor)}
+	s.redirects[from.Name] = redirect{to.Name, time.Now().Add(redirectValidity)}
 }
 
-// redirected returns the live member that an instance last sent requests on to, if it
-// did so lately and that one answers; mu is held.
-func (s *Stages) redirected(now time.Time, view *membership.View, name string) (membership.Member, bool) {
+// lookUpRedirect returns the live member to which an instance redirected its latest request,
+// if that was recent and the member isn't avoided. mu must be held.
+func (s *Stages) lookUpRedirect(now time.Time, view *membership.View, name string) (membership.Member, bool) {
 	r, ok := s.redirects[name]
 	if !ok {
 		return membership.Member{}, false
 	}
-	m, known := view.Find(r.to)
-	if !now.Before(r.until) || !known || !m.Live() || s.isAvoided(now, r.to) {
+	m, found := view.Find(r.to)
+	if !now.Before(r.until) || !found || !m.Live() || s.isAvoided(now, r.to) {
 		delete(s.redirects, name)
 		return membership.Member{}, false
 	}
--- a/daemon/stages/relayed.go
+++ b/daemon/stages/relayed.go
@@ -12,90 +12,90 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// proofFor is how long an answer proves that its instance goes on answering: less than
-// those who ask one that is silent wait for it.
-const proofFor = time.Second
+// responseValidity is how long a response shows that its instance is responsive. It is less
+// than the time for which requesters of a silent instance wait.
+const responseValidity = time.Second
 
-// maxAnswered bounds the instances of which answers are remembered.
-const maxAnswered = 64
+// maxLastResponses limits the instances whose responses are recorded.
+const maxLastResponses = 64
 
-// sweepRelayed is the number of requests passed on from which those are looked for whose
-// time is over.
-const sweepRelayed = 256
+// relayedSweepSize is the number of relayed requests from which the expired ones are removed.
+const relayedSweepSize = 256
 
-// relayed is a request that this instance passed on to the holder of the queue for one
-// that doesn't reach it.
-type relayed struct {
-	// owner is the address of the instance that has it, empty before its end.
-	owner  string
-	until  time.Time
-	cancel context.CancelFunc
+// relayedRequest is a request that this instance relays to the holder of the queue for a
+// requester that can't reach the holder.
+type relayedRequest struct {
+	// holder is the address of the instance that has the request. It is empty until the
+	// request ends.
+	holder   string
+	deadline time.Time
+	cancel   context.CancelFunc
 }
 
-// noteAnswer notes that an instance answered.
-func (s *Stages) noteAnswer(now time.Time, address string) {
+// recordResponse records that an instance responded.
+func (s *Stages) recordResponse(now time.Time, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.answered) > maxAnswered {
-		clear(s.answered)
+	if len(s.lastResponse) > maxLastResponses {
+		clear(s.lastResponse)
 	}
-	s.answered[address] = now
+	s.lastResponse[address] = now
 }
 
-// relays tells whether a request of an asker that doesn't reach the holder is passed on
-// to it.
+// shouldRelay reports whether a request is relayed to the holder because its requester can't
+// reach it.
 //
-// It guards against a second queue: while some instances don't reach the holder and the
-// others do, each of two queues sends calls to the same targets.
-func (s *Stages) relays(now time.Time, ask *followAsk) bool {
-	if ask.Sent || len(ask.Passed) == 0 || s.owner.keeps(now, ask.Make.ID) {
+// Prevents a second queue: while only some instances reach the holder, both queues would
+// otherwise send calls to the same targets.
+func (s *Stages) shouldRelay(now time.Time, request *redirectableRequest) bool {
+	if request.Redirected || len(request.Avoided) == 0 || s.queue.servesHere(now, request.Run.ID) {
 		return false
 	}
 	view := s.cluster.View()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	chosen := holder.Pick(view, func(name string) bool { return s.isAvoided(now, name) })
-	if to, ok := s.redirected(now, view, chosen.Name); ok {
+	if to, ok := s.lookUpRedirect(now, view, chosen.Name); ok {
 		chosen = to
 	}
-	at, ok := s.answered[chosen.Address]
-	return chosen.Name != view.Self && slices.Contains(ask.Passed, chosen.Address) && ok && now.Sub(at) < proofFor
+	at, ok := s.lastResponse[chosen.Address]
+	return chosen.Name != view.Self && slices.Contains(request.Avoided, chosen.Address) && ok && now.Sub(at) < responseValidity
 }
 
-// relay has the stages of another instance's request run by the holder.
-func (s *Stages) relay(ctx context.Context, ask *placeAsk) (*placeAnswer, error) {
-	r := ask.Follow.Make.request(time.Now())
+// relay runs the stages of another instance's request at the holder.
+func (s *Stages) relay(ctx context.Context, request *assignRequest) (*assignResponse, error) {
+	r := request.Redirectable.Run.request(time.Now())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.noteRelayed(r.ID, relayed{until: r.Deadline, cancel: cancel})
-	made, err := s.makeFrom(ctx, r, ask.Prompt, true)
+	s.recordRelayed(r.ID, relayedRequest{deadline: r.Deadline, cancel: cancel})
+	result, err := s.execute(ctx, r, request.Prompt, true)
 	var refused *RefusedError
 	if err != nil {
-		s.forgetRelayed(r.ID)
+		s.removeRelayed(r.ID)
 	}
 	switch {
 	case errors.As(err, &refused):
-		return &placeAnswer{Follow: followAnswer{Made: makeAnswer{Reason: string(refused.Reason), RetryAfter: refused.RetryAfter}}}, nil
+		return &assignResponse{Redirectable: redirectableResponse{Run: runResponse{Reason: string(refused.Reason), RetryAfter: refused.RetryAfter}}}, nil
 	case err != nil:
 		return nil, err
 	}
-	s.noteRelayed(r.ID, relayed{owner: made.Owner, until: r.Deadline, cancel: cancel})
-	return &placeAnswer{Follow: followAnswer{Made: makeAnswer{Handles: made.Handles}}, Engine: made.Engine}, nil
+	s.recordRelayed(r.ID, relayedRequest{holder: result.Holder, deadline: r.Deadline, cancel: cancel})
+	return &assignResponse{Redirectable: redirectableResponse{Run: runResponse{Handles: result.Handles}}, Engine: result.Engine}, nil
 }
 
-// noteRelayed notes a request that is passed on.
-func (s *Stages) noteRelayed(id string, r relayed) {
+// recordRelayed records a request that is relayed.
+func (s *Stages) recordRelayed(id string, r relayedRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.relayed) >= sweepRelayed {
+	if len(s.relayed) >= relayedSweepSize {
 		now := time.Now()
-		maps.DeleteFunc(s.relayed, func(_ string, r relayed) bool { return now.After(r.until) })
+		maps.DeleteFunc(s.relayed, func(_ string, r relayedRequest) bool { return now.After(r.deadline) })
 	}
 	s.relayed[id] = r
 }
 
-// forgetRelayed forgets a request that was passed on, and returns it.
-func (s *Stages) forgetRelayed(id string) (relayed, bool) {
+// removeRelayed removes and returns a request that was relayed.
+func (s *Stages) removeRelayed(id string) (relayedRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.relayed[id]
@@ -103,20 +103,20 @@
 	return r, ok
 }
 
-// dropHere drops ended requests that are held here, and tells their holder of those
-// that were passed on.
-func (s *Stages) dropHere(served []placing.RequestEnd) {
-	here := make([]placing.RequestEnd, 0, len(served))
-	for _, one := range served {
-		r, ok := s.forgetRelayed(one.Request)
+// dropEnded drops the ended requests that are held here, and reports those that were relayed
+// to their holders.
+func (s *Stages) dropEnded(ends []placing.RequestEnd) {
+	local := make([]placing.RequestEnd, 0, len(ends))
+	for _, end := range ends {
+		r, ok := s.removeRelayed(end.Request)
 		switch {
 		case !ok:
-			here = append(here, one)
-		case r.owner == "":
+			local = append(local, end)
+		case r.holder == "":
 			r.cancel()
 		default:
-			s.Drop(r.owner, one)
+			s.Drop(r.holder, end)
 		}
 	}
-	s.owner.drop(here...)
+	s.queue.drop(local...)
 }
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -1,8 +1,8 @@
-// Package stages has the stages of requests run before the requests themselves.
+// Package stages runs the stages of requests before the requests themselves.
 //
-// One instance holds the queue of the stage targets, so that calls are full; the
-// others hand it their requests. Which one is a hint that all instances work out
-// from the membership: an instance that can't reach it asks the next.
+// One instance holds the queue of the stage targets, so that calls are full; the others send
+// their requests to it. All instances derive the holder from the membership. That is only a
+// hint: an instance that can't reach the holder asks the next one.
 package stages
 
 import (
@@ -25,195 +25,196 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Methods between instances.
+// Methods between instances. Instances of earlier versions know only the first ones.
 const (
-	methodMake   = "stages.make"
-	methodFollow = "stages.follow"
-	methodPlace  = "stages.place"
+	methodRun          = "stages.make"
+	methodRedirectable = "stages.follow"
+	methodAssign       = "stages.place"
 )
 
 const (
-	// avoidFor is how long an owner that didn't answer is passed over: the
-	// membership finds out meanwhile.
-	avoidFor = 3 * time.Second
-	// maxOwners bounds the instances that one request is handed to.
-	maxOwners = 3
-	// maxMoves bounds how often a request follows the queue in a row: more instances
-	// than end their stop within a request's time.
-	maxMoves = 16
+	// avoidPeriod is how long an instance that didn't respond is avoided. The membership
+	// detects its failure meanwhile.
+	avoidPeriod = 3 * time.Second
+	// maxCandidates limits the instances that are asked for one request, or for one handover.
+	maxCandidates = 3
+	// maxRedirects limits how many redirects in a row a request follows. It exceeds the
+	// number of instances that complete their stop within a request's time.
+	maxRedirects = 16
 )
 
-// Cluster is what the package needs of the connections between instances.
+// Cluster has the operations of the connections between instances that the package needs.
 type Cluster interface {
 	View() *membership.View
 	Handle(method string, h peer.Handler, opts ...peer.HandleOption)
 	Call(ctx context.Context, address, method string, body []byte) ([]byte, error)
-	// AwaitJoin waits until an instance that has just started knows who holds the queue,
-	// or the context ends.
+	// AwaitJoin waits until an instance that has just started knows who holds the queue, or
+	// until the context ends.
 	AwaitJoin(ctx context.Context)
 }
 
-// Follower is what the package needs of the follower of the platform's entries.
+// Follower has the operations of the follower of the platform's entries that the package
+// needs.
 type Follower interface {
-	// Leaving is told of an incarnation that takes nothing new.
+	// Leaving records that an incarnation accepts nothing new.
 	Leaving(incarnation string)
-	// TargetsAge is how old the knowledge of the targets is.
+	// TargetsAge returns the age of the knowledge of the targets.
 	TargetsAge() time.Duration
 }
 
-// Stages makes stage results for this instance's requests and, while it holds
-// the queue, for those of others.
+// Stages runs the stages of this instance's requests and, while it holds the queue, of those
+// of others.
 type Stages struct {
 	cluster Cluster
-	owner   *Owner
+	queue   *queue
 
 	mu sync.Mutex
-	// holder is the name of the instance that holds the queue, as last believed.
-	holder  string
-	avoided map[string]time.Time
-	// redirects are, by the name of an instance, where it last sent a request on to.
+	// holder is the name of the last known holder of the queue.
+	holder       string
+	avoidedUntil map[string]time.Time
+	// redirects are the latest redirects by the names of the redirecting instances.
 	redirects map[string]redirect
-	// answered is when instances last answered, by their addresses.
-	answered map[string]time.Time
-	// relayed are the requests of other instances that were passed on, by their ids.
-	relayed  map[string]relayed
-	dropping map[string][]placing.RequestEnd
-	// asking are the requests of this instance that wait for their stages.
-	asking map[string]*asking
-	// stopping tells that this instance gives its queue away and takes no other.
+	// lastResponse is when instances last responded, by address.
+	lastResponse map[string]time.Time
+	// relayed are the relayed requests of other instances, by ID.
+	relayed      map[string]relayedRequest
+	pendingDrops map[string][]placing.RequestEnd
+	// waiting are the requests of this instance that wait for their stages, by ID.
+	waiting map[string]*waitingRequest
+	// stopping means that this instance hands its queue over and accepts no other.
 	stopping bool
-	// giving is the try to give the queue away that is under way, following the one
-	// after it; nil if there is none.
-	giving, following *attempt
-	// taking are the hand-overs on their way to this instance, by the name of the one
-	// that stops.
-	taking map[string]*taking
+	// handover is the handover attempt in progress, nextHandover the one after it; nil if
+	// there is none.
+	handover, nextHandover *handoverAttempt
+	// incoming are the handovers in progress to this instance, by the name of the sender.
+	incoming map[string]*incomingHandover
 	// ended is closed when Run ends.
 	ended chan struct{}
 }
 
-// New registers the methods that other instances call.
+// New returns a Stages and registers the methods that other instances call.
 func New(c Cluster, d exchange.Dialect, client *forward.Client, follower Follower, scope tally.Scope) *Stages {
 	s := &Stages{
-		cluster:   c,
-		owner:     newOwner(d, client, follower, newMetrics(scope)),
-		avoided:   map[string]time.Time{},
-		redirects: map[string]redirect{},
-		answered:  map[string]time.Time{},
-		relayed:   map[string]relayed{},
-		dropping:  map[string][]placing.RequestEnd{},
-		asking:    map[string]*asking{},
-		taking:    map[string]*taking{},
-		ended:     make(chan struct{}),
+		cluster:      c,
+		queue:        newQueue(d, client, follower, newMetrics(scope)),
+		avoidedUntil: map[string]time.Time{},
+		redirects:    map[string]redirect{},
+		lastResponse: map[string]time.Time{},
+		relayed:      map[string]relayedRequest{},
+		pendingDrops: map[string][]placing.RequestEnd{},
+		waiting:      map[string]*waitingRequest{},
+		incoming:     map[string]*incomingHandover{},
+		ended:        make(chan struct{}),
 	}
-	s.owner.passEnd = s.passEnd
-	s.owner.stalled = s.Yield
-	s.owner.passDrops = func(to string, served ...placing.RequestEnd) {
-		for _, one := range served {
-			s.Drop(to, one)
+	s.queue.reportCallEnd = s.reportCallEnd
+	s.queue.onStall = s.Yield
+	s.queue.forwardDrops = func(to string, ends ...placing.RequestEnd) {
+		for _, end := range ends {
+			s.Drop(to, end)
 		}
 	}
-	c.Handle(methodMake, s.handleMake)
-	c.Handle(methodFollow, s.handleFollow)
+	c.Handle(methodRun, s.handleRun)
+	c.Handle(methodRedirectable, s.handleRedirectable)
 	c.Handle(methodDrop, s.handleDrop)
-	c.Handle(methodPlace, s.handlePlace)
-	c.Handle(methodServed, s.handleServed)
-	c.Handle(methodKnown, s.handleKnown)
-	c.Handle(methodGone, s.handleGone)
-	c.Handle(methodTake, s.handleTake)
-	c.Handle(methodEnded, s.handleEnded)
-	c.Handle(methodBound, s.handleBound)
+	c.Handle(methodAssign, s.handleAssign)
+	c.Handle(methodRequestEnds, s.handleRequestEnds)
+	c.Handle(methodCaches, s.handleCaches)
+	c.Handle(methodUnreachable, s.handleUnreachable)
+	c.Handle(methodHandover, s.handleHandover)
+	c.Handle(methodCallEnd, s.handleCallEnd)
+	c.Handle(methodShorten, s.handleShorten)
 	return s
 }
 
 // Run drives the queue until the context ends.
 func (s *Stages) Run(ctx context.Context) error {
-	s.owner.run(ctx, s.cluster.View)
+	s.queue.run(ctx, s.cluster.View)
 	close(s.ended)
 	return nil
 }
 
-// SetTargets takes the usable targets of all services.
+// SetTargets replaces the usable targets of all services.
 func (s *Stages) SetTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
-	s.owner.setTargets(now, table, usable)
+	s.queue.setTargets(now, table, usable)
 }
 
-// RefusedError says that a request's stages won't be run in time.
+// RefusedError means that a request's stages won't be run by its deadline.
 type RefusedError struct {
 	Reason     gather.Reason
 	RetryAfter time.Duration
-	// Owner is the instance that decided.
-	Owner string
+	// Holder is the name of the instance that decided.
+	Holder string
 }
 
 func (e *RefusedError) Error() string {
-	return "stages refused by " + e.Owner + ": " + string(e.Reason)
+	return "stages refused by " + e.Holder + ": " + string(e.Reason)
 }
 
-// Made is what became of a request's stages.
-type Made struct {
-	// Handles are the final stages' results, in their order.
+// Result is the result of a request's stages.
+type Result struct {
+	// Handles are the handles of the final stages' results, in their order.
 	Handles []string
-	// Owner is the address of the instance that holds them.
-	Owner string
-	// Engine is the incarnation of the engine that is to serve the request; empty if
-	// the asker is to choose.
+	// Holder is the address of the instance that holds the results.
+	Holder string
+	// Engine is the incarnation of the engine that is to serve the request. It is empty if
+	// the requester is to choose.
 	Engine string
 }
 
-// Make has all stages of a request run, and the engine chosen that is to read its
-// prompt. A *RefusedError means that the request was given up. The results stay until
+// Execute runs all stages of a request, and has the engine chosen that is to process its
+// prompt. A *RefusedError means that the request was refused. The results are kept until
 // Drop.
-func (s *Stages) Make(ctx context.Context, r gather.Request, prompt placing.Prompt) (Made, error) {
-	return s.makeFrom(ctx, r, prompt, false)
+func (s *Stages) Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (Result, error) {
+	return s.execute(ctx, r, prompt, false)
 }
 
-// makeFrom is Make; sent tells that another instance sent the request on.
-func (s *Stages) makeFrom(ctx context.Context, r gather.Request, prompt placing.Prompt, sent bool) (Made, error) {
-	defer s.asked(r.ID)
+// execute is Execute. wasRedirected means that another instance redirected the request.
+func (s *Stages) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, wasRedirected bool) (Result, error) {
+	defer s.removeWaiting(r.ID)
 	s.cluster.AwaitJoin(ctx)
 	var err error
-	for range maxOwners {
-		var made Made
-		m, redirected := s.pick(time.Now())
-		made, m, err = s.follow(ctx, m, r, prompt, sent || redirected)
+	for range maxCandidates {
+		var result Result
+		m, redirected := s.pickHolder(time.Now())
+		result, m, err = s.followRedirects(ctx, m, r, prompt, wasRedirected || redirected)
 		var refused *RefusedError
 		if err == nil || errors.As(err, &refused) {
-			made.Owner = m.Address
-			return made, err
+			result.Holder = m.Address
+			return result, err
 		}
 		if ctx.Err() != nil {
 			s.Drop(m.Address, placing.RequestEnd{Request: r.ID})
-			return Made{}, err
+			return Result{}, err
 		}
 		telemetry.ErrorS(err, "Holder of the stage queue didn't answer", telemetry.Event{RequestID: r.ID, Peer: m.Name})
 		s.avoid(m.Name)
 	}
-	return Made{}, err
+	return Result{}, err
 }
 
-// movedError tells where the queue has gone.
+// movedError reports the instance that has the queue now.
 type movedError struct{ to string }
 
 func (e *movedError) Error() string { return "the queue has moved to " + e.to }
 
-// follow has a request made by an instance, or by the one that has its queue now. It
-// returns the one that answered. sent tells that some instance has sent it on.
-func (s *Stages) follow(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Made, membership.Member, error) {
-	for range maxMoves {
-		made, err := s.makeAt(ctx, m, r, prompt, sent)
+// followRedirects runs a request at an instance, or at the one that has its queue now. It
+// returns the one that responded. redirected means that some instance redirected the request.
+func (s *Stages) followRedirects(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, redirected bool) (Result, membership.Member, error) {
+	for range maxRedirects {
+		result, err := s.executeAt(ctx, m, r, prompt, redirected)
 		var moved *movedError
 		if !errors.As(err, &moved) {
-			return made, m, err
+			return result, m, err
 		}
 		to := s.memberAt(moved.to)
-		s.noteRedirect(m, to)
-		m, sent = to, true
+		s.recordRedirect(m, to)
+		m, redirected = to, true
 	}
-	return Made{}, m, errors.Newf("the queue moved %d times", maxMoves)
+	return Result{}, m, errors.Newf("the queue moved %d times", maxRedirects)
 }
 
-// memberAt returns the member of an address; one that isn't known has just that.
+// memberAt returns the member with an address. A member that is unknown gets the address as
+// its name.
 func (s *Stages) memberAt(address string) membership.Member {
 	for _, m := range s.cluster.View().Members {
 		if m.Address == address {
@@ -223,13 +224,13 @@
 	return membership.Member{Name: address, Address: address}
 }
 
-// pick returns the instance that holds the queue, as far as this one knows, and whether
-// it does so by another's word.
-func (s *Stages) pick(now time.Time) (_ membership.Member, redirected bool) {
+// pickHolder returns the instance that holds the queue, as far as this one knows, and whether
+// that is by a redirect of another instance.
+func (s *Stages) pickHolder(now time.Time) (_ membership.Member, redirected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.cluster.View()
-	if self, ok := view.Find(view.Self); ok && s.owner.tookLately(now) {
+	if self, ok := view.Find(view.Self); ok && s.queue.isRecentHolder(now) {
 		return self, false
 	}
 	chosen := holder.Pick(view, func(name string) bool { return s.isAvoided(now, name) })
@@ -237,18 +238,18 @@
 		s.holder = chosen.Name
 		telemetry.InfoS("Holder of the stage queue", telemetry.Event{Peer: chosen.Name, Count: len(view.Live())})
 	}
-	if to, ok := s.redirected(now, view, chosen.Name); ok {
+	if to, ok := s.lookUpRedirect(now, view, chosen.Name); ok {
 		return to, true
 	}
 	return chosen, false
 }
 
-// isAvoided tells whether an instance is passed over since it didn't answer; mu is
+// isAvoided reports whether an instance is avoided because it didn't respond. mu must be
 // held.
 func (s *Stages) isAvoided(now time.Time, name string) bool {
-	until, ok := s.avoided[name]
+	until, ok := s.avoidedUntil[name]
 	if ok && !now.Before(until) {
-		delete(s.avoided, name)
+		delete(s.avoidedUntil, name)
 		return false
 	}
 	return ok
@@ -257,59 +258,59 @@
 func (s *Stages) avoid(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoided[name] = time.Now().Add(avoidFor)
+	s.avoidedUntil[name] = time.Now().Add(avoidPeriod)
 	delete(s.redirects, name)
 }
 
-func (s *Stages) makeAt(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, sent bool) (Made, error) {
-	r, bounded := s.ask(m.Address, r)
+func (s *Stages) executeAt(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, redirected bool) (Result, error) {
+	r, shortened := s.addWaiting(m.Address, r)
 	if m.Name == s.cluster.View().Self {
 		s.takeBackAvoided(ctx, time.Now())
-		end, err := s.owner.make(ctx, r, prompt, bounded, false)
+		end, err := s.queue.execute(ctx, r, prompt, shortened, false)
 		if err == nil && end.movedTo != "" {
-			return Made{}, &movedError{end.movedTo}
+			return Result{}, &movedError{end.movedTo}
 		}
 		if err == nil && end.refused != nil {
-			err = &RefusedError{Reason: end.refused.Reason, RetryAfter: end.refused.RetryAfter, Owner: m.Name}
+			err = &RefusedError{Reason: end.refused.Reason, RetryAfter: end.refused.RetryAfter, Holder: m.Name}
 		}
-		return Made{Handles: end.handles, Engine: end.engine}, err
+		return Result{Handles: end.handles, Engine: end.engine}, err
 	}
-	follow := followAsk{*newAsk(time.Now(), r), bounded, sent, s.passed(time.Now())}
-	answer, err := s.makeRemote(ctx, m.Address, &placeAsk{follow, prompt})
+	redirectable := redirectableRequest{*newRunRequest(time.Now(), r), shortened, redirected, s.avoidedAddresses(time.Now())}
+	response, err := s.executeRemote(ctx, m.Address, &assignRequest{redirectable, prompt})
 	if errors.Is(err, peer.ErrConnLost) {
-		// The holder keeps the request for a moment, and may well be there.
-		answer, err = s.makeRemote(ctx, m.Address, &placeAsk{follow, prompt})
+		// The holder keeps the request for reconnectTimeout, and may well be reachable.
+		response, err = s.executeRemote(ctx, m.Address, &assignRequest{redirectable, prompt})
 	}
 	if err != nil {
-		return Made{}, err
+		return Result{}, err
 	}
-	s.noteAnswer(time.Now(), m.Address)
-	if answer.Follow.Moved != "" {
-		return Made{}, &movedError{answer.Follow.Moved}
+	s.recordResponse(time.Now(), m.Address)
+	if response.Redirectable.MovedTo != "" {
+		return Result{}, &movedError{response.Redirectable.MovedTo}
 	}
-	if made := answer.Follow.Made; made.Reason != "" {
-		return Made{}, &RefusedError{Reason: gather.Reason(made.Reason), RetryAfter: made.RetryAfter, Owner: m.Name}
+	if run := response.Redirectable.Run; run.Reason != "" {
+		return Result{}, &RefusedError{Reason: gather.Reason(run.Reason), RetryAfter: run.RetryAfter, Holder: m.Name}
 	}
-	s.owner.noteRead(prompt, answer.Engine)
-	return Made{Handles: answer.Follow.Made.Handles, Engine: answer.Engine}, nil
+	s.queue.recordPrefill(prompt, response.Engine)
+	return Result{Handles: response.Redirectable.Run.Handles, Engine: response.Engine}, nil
 }
 
-// makeRemote asks another instance; one of an earlier version by the latest method that
-// it knows.
-func (s *Stages) makeRemote(ctx context.Context, address string, ask *placeAsk) (placeAnswer, error) {
-	var answer placeAnswer
-	err := s.callFor(ctx, address, methodPlace, ask, &answer)
+// executeRemote sends a request to another instance. For one of an earlier version it uses
+// the latest method that it knows.
+func (s *Stages) executeRemote(ctx context.Context, address string, request *assignRequest) (assignResponse, error) {
+	var response assignResponse
+	err := s.callMethod(ctx, address, methodAssign, request, &response)
 	if errors.Is(err, peer.ErrNoMethod) {
-		err = s.callFor(ctx, address, methodFollow, &ask.Follow, &answer.Follow)
+		err = s.callMethod(ctx, address, methodRedirectable, &request.Redirectable, &response.Redirectable)
 	}
 	if errors.Is(err, peer.ErrNoMethod) {
-		err = s.callFor(ctx, address, methodMake, &ask.Follow.Make, &answer.Follow.Made)
+		err = s.callMethod(ctx, address, methodRun, &request.Redirectable.Run, &response.Redirectable.Run)
 	}
-	return answer, err
+	return response, err
 }
 
-// callFor calls a method with a message and reads its answer.
-func (s *Stages) callFor(ctx context.Context, address, method string, message, answer any) error {
+// callMethod calls a method with a message and decodes its response.
+func (s *Stages) callMethod(ctx context.Context, address, method string, message, response any) error {
 	body, err := encode(message)
 	if err != nil {
 		return errors.Wrap(err, "encode")
@@ -318,75 +319,76 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(msgpack.Unmarshal(reply, answer), "decode")
+	return errors.Wrap(msgpack.Unmarshal(reply, response), "decode")
 }
 
-func (s *Stages) handleMake(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask makeAsk
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+func (s *Stages) handleRun(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var request runRequest
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &placeAsk{Follow: followAsk{Make: ask, Sent: true}})
+	response, err := s.executeFor(ctx, from, &assignRequest{Redirectable: redirectableRequest{Run: request, Redirected: true}})
 	if err != nil {
 		return nil, err
 	}
-	if answer.Follow.Moved != "" {
+	if response.Redirectable.MovedTo != "" {
 		return nil, errMoved
 	}
-	return encode(&answer.Follow.Made)
+	return encode(&response.Redirectable.Run)
 }
 
-func (s *Stages) handleFollow(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask placeAsk
-	if err := msgpack.Unmarshal(body, &ask.Follow); err != nil {
+func (s *Stages) handleRedirectable(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var request assignRequest
+	if err := msgpack.Unmarshal(body, &request.Redirectable); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &ask)
+	response, err := s.executeFor(ctx, from, &request)
 	if err != nil {
 		return nil, err
 	}
-	return encode(&answer.Follow)
+	return encode(&response.Redirectable)
 }
 
-func (s *Stages) handlePlace(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
-	var ask placeAsk
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+func (s *Stages) handleAssign(ctx context.Context, from peer.Peer, body []byte) ([]byte, error) {
+	var request assignRequest
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	answer, err := s.makeFor(ctx, from, &ask)
+	response, err := s.executeFor(ctx, from, &request)
 	if err != nil {
 		return nil, err
 	}
-	return encode(answer)
+	return encode(response)
 }
 
-// makeFor has the stages of another instance's request run.
-func (s *Stages) makeFor(ctx context.Context, from peer.Peer, ask *placeAsk) (*placeAnswer, error) {
-	if to := s.sendOn(time.Now(), &ask.Follow); to != "" {
-		return &placeAnswer{Follow: followAnswer{Moved: to}}, nil
+// executeFor runs the stages of another instance's request.
+func (s *Stages) executeFor(ctx context.Context, from peer.Peer, request *assignRequest) (*assignResponse, error) {
+	if to := s.redirectTo(time.Now(), &request.Redirectable); to != "" {
+		return &assignResponse{Redirectable: redirectableResponse{MovedTo: to}}, nil
 	}
-	if s.lostHolder(ctx, &ask.Follow) || s.relays(time.Now(), &ask.Follow) {
-		return s.relay(ctx, ask)
+	if s.relaysToYielded(ctx, &request.Redirectable) || s.shouldRelay(time.Now(), &request.Redirectable) {
+		return s.relay(ctx, request)
 	}
-	r := ask.Follow.Make.request(time.Now())
-	end, err := s.owner.make(ctx, r, ask.Prompt, ask.Follow.Bounded, true)
+	r := request.Redirectable.Run.request(time.Now())
+	end, err := s.queue.execute(ctx, r, request.Prompt, request.Redirectable.DeadlineShortened, true)
 	if err != nil {
 		return nil, err
 	}
-	answer := &placeAnswer{followAnswer{Made: makeAnswer{Handles: end.handles}, Moved: end.movedTo}, end.engine}
+	response := &assignResponse{redirectableResponse{Run: runResponse{Handles: end.handles}, MovedTo: end.movedTo}, end.engine}
 	switch {
 	case end.refused != nil:
-		answer.Follow.Made.Reason, answer.Follow.Made.RetryAfter = string(end.refused.Reason), end.refused.RetryAfter
+		response.Redirectable.Run.Reason, response.Redirectable.Run.RetryAfter = string(end.refused.Reason), end.refused.RetryAfter
 	case end.movedTo == "":
-		s.owner.noteReader(r.ID, reading{sender{from.Name, from.Incarnation}, r.Deadline})
+		s.queue.recordReader(r.ID, resultReader{instanceID{from.Name, from.Incarnation}, r.Deadline})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Held returns the number of requests whose stages this instance holds, and of calls
-// that it carries out, also for another instance's queue.
-func (s *Stages) Held() int {
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	return s.owner.planner.RequestCount() + s.owner.running + len(s.owner.freeing)
+// ActiveCount returns the number of requests whose stages this instance holds, of calls that
+// it carries out, also for another instance's queue, and of targets whose results it is about
+// to free.
+func (s *Stages) ActiveCount() int {
+	s.queue.mu.Lock()
+	defer s.queue.mu.Unlock()
+	return s.queue.planner.RequestCount() + s.queue.runningCalls + len(s.queue.pendingFree)
 }
--- a/daemon/stages/targets.go
+++ b/daemon/stages/targets.go
@@ -7,50 +7,52 @@
 	"github.com/ivyhollow/ivyhollow/state/routes"
 )
 
-// setTargets takes the usable targets of all services, also while another instance has
-// the queue. While the queue is on its way they wait for what becomes of it.
+// setTargets replaces the usable targets of all services, also while another instance has the
+// queue. During a handover the update is deferred until its end.
 //
-// The failure it guards against: an instance that gave its queue away has it again, goes
-// on with the targets of before, and calls those that have left since.
-func (o *Owner) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
-	o.enter()
-	if o.frozen {
-		o.listed = func() []gather.Action { return o.list(time.Now(), table, usable) }
-		o.mu.Unlock()
+// Without the deferral, an instance that hands its queue over and gets it back would continue
+// with the former targets, and call those that have been removed since.
+func (q *queue) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
+	q.lockAndCheckStall()
+	if q.frozen {
+		q.deferredTargets = func() []gather.Action { return q.applyTargets(time.Now(), table, usable) }
+		q.mu.Unlock()
 		return
 	}
-	actions := o.list(now, table, usable)
-	o.settle(actions)
-	o.mu.Unlock()
-	o.carryOut(actions)
+	actions := q.applyTargets(now, table, usable)
+	q.recordActions(actions)
+	q.mu.Unlock()
+	q.performActions(actions)
 }
 
-// list tells the planner and the table of engines the usable targets; mu is held.
-func (o *Owner) list(now time.Time, table *routes.Table, usable map[string][]routes.Target) []gather.Action {
+// applyTargets passes the usable targets to the planner and to the table of engines. mu must
+// be held.
+func (q *queue) applyTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) []gather.Action {
 	var actions []gather.Action
 	for name, s := range table.Services {
 		if s.Batch == nil {
-			o.setEngines(s, usable[name])
+			q.setEngines(s, usable[name])
 			continue
 		}
-		o.planner.SetService(name, shape(s.Batch))
+		q.planner.SetService(name, serviceConfig(s.Batch))
 		list := make([]gather.Target, 0, len(usable[name]))
 		for _, t := range usable[name] {
 			list = append(list, gather.Target{
 				Incarnation: t.Incarnation(), Name: t.Name, Address: t.Address, DataCentre: t.DataCentre,
 			})
 		}
-		actions = append(actions, o.planner.SetTargets(now, name, list)...)
+		actions = append(actions, q.planner.SetTargets(now, name, list)...)
 	}
 	return actions
 }
 
-// takeListed takes the targets that came while the queue was frozen; mu is held.
-func (o *Owner) takeListed() []gather.Action {
-	listed := o.listed
-	o.listed = nil
-	if listed == nil {
+// applyDeferredTargets applies the targets that were set while the queue was frozen. mu must
+// be held.
+func (q *queue) applyDeferredTargets() []gather.Action {
+	apply := q.deferredTargets
+	q.deferredTargets = nil
+	if apply == nil {
 		return nil
 	}
-	return listed()
+	return apply()
 }
--- /dev/null
+++ b/daemon/stages/transfer.go
@@ -0,0 +1,284 @@
+package stages
+
+import (
+	"maps"
+	"time"
+
+	"github.com/ivyhollow/ivyhollow/coordination/gather"
+	"github.com/ivyhollow/ivyhollow/coordination/placing"
+)
+
+const (
+	// claimTimeout is how long a request that was taken over is kept until its requester asks
+	// here: some round trips between data centres, and the time until a lost connection is
+	// detected. After that nobody waits for it.
+	claimTimeout = 2 * time.Second
+	// callEndMargin is added to the timeout of a call whose end another instance reports;
+	// after that it counts as unanswered.
+	callEndMargin = 500 * time.Millisecond
+)
+
+// instanceID identifies one run of an instance.
+type instanceID struct {
+	name        string
+	incarnation uint64
+}
+
+// remoteCall identifies a call of another instance.
+type remoteCall struct {
+	instanceID
+	id uint64
+}
+
+// callEnd is the end of a call, deferred until the end of a handover.
+type callEnd struct {
+	id      uint64
+	outcome gather.CallOutcome
+	results []gather.PieceResult
+}
+
+// handoverState is the state of the handovers in which a queue took part.
+type handoverState struct {
+	// frozen means that a handover to another instance is in progress: until that has
+	// accepted the queue or not, nothing changes here. exported is the frozen state.
+	frozen   bool
+	exported gather.State
+	// unfrozen is closed when the queue is no longer frozen.
+	unfrozen chan struct{}
+	// deferredSteps, deferredEnds and deferredDrops arrived while the queue was frozen.
+	// deferredTargets applies the targets that did.
+	deferredSteps   []func(*gather.Planner) []gather.Action
+	deferredEnds    []callEnd
+	deferredDrops   []placing.RequestEnd
+	deferredTargets func() []gather.Action
+	// movedTo is the address of the instance that has the queue. yielded means that this
+	// instance keeps running and may get the queue back.
+	movedTo string
+	yielded bool
+	// movedCalls are the instances that have calls which were in progress at the handover, by
+	// their IDs here.
+	movedCalls map[uint64]string
+	// tookOverAt is when a queue was last taken over.
+	tookOverAt time.Time
+	// renumbered are the new IDs of calls that changed when the queue was imported again, by
+	// their old IDs.
+	renumbered map[uint64]uint64
+	// remoteCalls are the IDs here of calls that other instances carry out.
+	remoteCalls map[remoteCall]uint64
+	// unclaimed are the requests taken over whose requesters haven't asked here, with the
+	// time until which they are kept. earlyOutcomes are the outcomes of those that have
+	// ended.
+	unclaimed     map[string]time.Time
+	earlyOutcomes map[string]outcome
+}
+
+func newHandoverState() handoverState {
+	return handoverState{
+		movedCalls:    map[uint64]string{},
+		renumbered:    map[uint64]uint64{},
+		remoteCalls:   map[remoteCall]uint64{},
+		unclaimed:     map[string]time.Time{},
+		earlyOutcomes: map[string]outcome{},
+	}
+}
+
+// freeze exports the queue from the planner, unless that has been done already. It is ended
+// by completeHandover or unfreeze.
+func (q *queue) freeze() gather.State {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.freezeLocked()
+	return q.exported
+}
+
+// freezeLocked is freeze with mu held.
+func (q *queue) freezeLocked() {
+	if !q.frozen {
+		q.frozen, q.unfrozen = true, make(chan struct{})
+		q.exported = q.planner.Export(time.Now())
+	}
+}
+
+// unfreeze continues with a queue that no other instance accepted.
+func (q *queue) unfreeze(state gather.State) {
+	q.mu.Lock()
+	actions := q.applyDeferredTargets()
+	imported, ids := q.planner.Import(time.Now(), state)
+	actions = append(actions, imported...)
+	q.renumber(ids)
+	for id := range q.unclaimed {
+		q.unclaimed[id] = time.Now().Add(claimTimeout)
+	}
+	ends, steps := q.deferredEnds, q.deferredSteps
+	q.deferredEnds, q.deferredSteps, q.deferredDrops = nil, nil, nil
+	q.frozen, q.exported = false, gather.State{}
+	close(q.unfrozen)
+	q.recordActions(actions)
+	q.mu.Unlock()
+	q.performActions(actions)
+	for _, e := range ends {
+		q.callEnded(e.id, e.outcome, e.results)
+	}
+	for _, step := range steps {
+		q.apply(step)
+	}
+}
+
+// renumber records new IDs of calls in progress. mu must be held.
+func (q *queue) renumber(ids map[uint64]uint64) {
+	applied := map[uint64]bool{}
+	for from, to := range q.renumbered {
+		if id, ok := ids[to]; ok {
+			q.renumbered[from] = id
+			applied[to] = true
+		}
+	}
+	for from, to := range ids {
+		if !applied[from] {
+			q.renumbered[from] = to
+		}
+	}
+}
+
+// completeHandover releases a queue that another instance has now. Requesters that wait here
+// are redirected to it.
+func (q *queue) completeHandover(to string) {
+	q.mu.Lock()
+	ends, drops := q.deferredEnds, q.deferredDrops
+	q.deferredEnds, q.deferredSteps, q.deferredDrops = nil, nil, nil
+	q.applyDeferredTargets() // there are no actions where nothing is held
+	for _, c := range q.exported.Calls {
+		q.movedCalls[c.ID] = to
+	}
+	q.frozen, q.exported, q.movedTo = false, gather.State{}, to
+	close(q.unfrozen)
+	for id := range q.waiters {
+		q.finish(id, outcome{movedTo: to})
+	}
+	clear(q.unclaimed)
+	clear(q.earlyOutcomes)
+	clear(q.prompts)
+	q.mu.Unlock()
+	for _, e := range ends {
+		// Each report may wait for an instance that has failed; a call's end doesn't wait for
+		// others.
+		go q.callEnded(e.id, e.outcome, e.results)
+	}
+	q.forwardDrops(to, drops...)
+}
+
+// takeOver continues with the queue of an instance that stops. It returns false if this
+// instance hands its own over.
+func (q *queue) takeOver(from instanceID, state gather.State) bool {
+	q.mu.Lock()
+	if q.frozen || (q.movedTo != "" && !q.yielded) {
+		q.mu.Unlock()
+		return false
+	}
+	now := time.Now()
+	q.tookOverAt, q.movedTo, q.yielded = now, "", false
+	for _, w := range state.Requests {
+		if !w.Completed && q.waiters[w.ID] == nil {
+			q.unclaimed[w.ID] = now.Add(claimTimeout)
+		}
+	}
+	actions, ids := q.planner.Import(now, state)
+	for there, here := range ids {
+		q.remoteCalls[remoteCall{from, there}] = here
+	}
+	timeouts := q.planner.CallTimeouts(ids)
+	q.recordActions(actions)
+	q.mu.Unlock()
+	q.performActions(actions)
+	for id, at := range timeouts {
+		time.AfterFunc(at.Sub(now)+callEndMargin, func() { q.timeOutRemoteCall(id) })
+	}
+	return true
+}
+
+// timeOutRemoteCall counts a call as unanswered whose end was not reported, and forgets one
+// that was handed over with the queue: its new holder has a timeout of its own.
+//
+// Prevents records from staying for ever if the instance that carries out the call has failed
+// and never reports its end.
+func (q *queue) timeOutRemoteCall(id uint64) {
+	q.mu.Lock()
+	maps.DeleteFunc(q.remoteCalls, func(_ remoteCall, here uint64) bool { return here == id })
+	moved := q.forgetMovedCall(id) || q.movedTo != ""
+	q.mu.Unlock()
+	if !moved {
+		q.callEnded(id, gather.CallUnanswered, nil)
+	}
+}
+
+// forgetMovedCall forgets a call in progress if the queue was handed over since the call was
+// imported, and reports whether it was. mu must be held.
+func (q *queue) forgetMovedCall(id uint64) bool {
+	current, renumbered := q.renumbered[id]
+	if !renumbered {
+		current = id
+	}
+	_, moved := q.movedCalls[current]
+	if moved || q.movedTo != "" {
+		delete(q.renumbered, id)
+		delete(q.movedCalls, current)
+	}
+	return moved
+}
+
+// remoteCallEnded processes the end of a call that another instance carried out.
+func (q *queue) remoteCallEnded(from instanceID, id uint64, callOutcome gather.CallOutcome, results []gather.PieceResult) {
+	key := remoteCall{from, id}
+	q.mu.Lock()
+	here, ok := q.remoteCalls[key]
+	delete(q.remoteCalls, key)
+	q.mu.Unlock()
+	if ok {
+		q.callEnded(here, callOutcome, results)
+	}
+}
+
+// callEnded processes the end of a call, or reports it to the instance that now has the
+// queue.
+func (q *queue) callEnded(id uint64, callOutcome gather.CallOutcome, results []gather.PieceResult) {
+	q.lockAndCheckStall()
+	if q.frozen {
+		q.deferredEnds = append(q.deferredEnds, callEnd{id, callOutcome, results})
+		q.mu.Unlock()
+		return
+	}
+	if to, ok := q.renumbered[id]; ok {
+		delete(q.renumbered, id)
+		id = to
+	}
+	if to, ok := q.movedCalls[id]; ok {
+		delete(q.movedCalls, id)
+		q.mu.Unlock()
+		q.reportCallEnd(to, id, callOutcome, results)
+		return
+	}
+	actions := q.planner.CallDone(time.Now(), id, callOutcome, results)
+	q.recordActions(actions)
+	q.mu.Unlock()
+	q.performActions(actions)
+}
+
+// dropUnclaimed drops requests that were taken over and whose requesters never asked here.
+func (q *queue) dropUnclaimed(now time.Time) {
+	var expired []placing.RequestEnd
+	q.mu.Lock()
+	if q.frozen {
+		// Their requesters may be waiting here for the end of the handover.
+		q.mu.Unlock()
+		return
+	}
+	for id, until := range q.unclaimed {
+		if now.After(until) {
+			expired = append(expired, placing.RequestEnd{Request: id})
+		}
+	}
+	q.mu.Unlock()
+	if len(expired) > 0 {
+		q.drop(expired...)
+	}
+}
--- a/daemon/stages/wire_test.go
+++ b/daemon/stages/wire_test.go
@@ -11,35 +11,36 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// A field is moved, added or dropped: instances of two builds stand side by side for
-// minutes, and each would read another value from the same place of the other's arrays.
+// Prevents a field from being moved, added or removed. Instances of two builds run side by
+// side for minutes, and each would read another value from the same position of the other's
+// arrays.
 func TestBytesOfStageMessages(t *testing.T) {
-	asked := makeAsk{
+	run := runRequest{
 		ID: "id", Route: "route", Key: "key", Priority: 1,
-		Stages:    []stageAsk{{Service: "service", After: []int{2, 3}, Pieces: 4, ResultBytes: 5}},
-		Objective: 6, Deadline: 7, Rest: 8, DataCentre: "dc", Kind: 9,
+		Stages:    []stageRequest{{Service: "service", After: []int{2, 3}, Pieces: 4, ResultBytes: 5}},
+		Objective: 6, Deadline: 7, Remaining: 8, DataCentre: "dc", KindPriority: 9,
 	}
-	made := makeAnswer{Handles: []string{"h1", "h2"}, Reason: string(gather.ReasonQueueTooLong), RetryAfter: 10}
-	followed := followAsk{Make: asked, Bounded: true, Sent: true, Passed: []string{"p1", "p2"}}
+	response := runResponse{Handles: []string{"h1", "h2"}, Reason: string(gather.ReasonQueueTooLong), RetryAfter: 10}
+	redirectable := redirectableRequest{Run: run, DeadlineShortened: true, Redirected: true, Avoided: []string{"p1", "p2"}}
 	cases := []struct {
 		name    string
 		message any
 		want    string
 	}{
-		{"make", &asked, "9aa26964a5726f757465a36b6579019194a77365727669636592020304d30000000000000005d30000000000000006d30000" +
+		{"run", &run, "9aa26964a5726f757465a36b6579019194a77365727669636592020304d30000000000000005d30000000000000006d30000" +
 			"000000000007d30000000000000008a2646309"},
-		{"made", &made, "9392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000a"},
-		{"follow", &followed, "949aa26964a5726f757465a36b6579019194a77365727669636592020304d30000000000000005d30000000000000006d300" +
+		{"run response", &response, "9392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000a"},
+		{"redirectable", &redirectable, "949aa26964a5726f757465a36b6579019194a77365727669636592020304d30000000000000005d30000000000000006d300" +
 			"00000000000007d30000000000000008a2646309c3c392a27031a27032"},
-		{"follow, bounded alone", &followAsk{Bounded: true}, "949aa0a0a000c0d30000000000000000d30000000000000000d30000000000000000a000c3c2c0"},
-		{"followed", &followAnswer{Made: made, Moved: "moved"}, "929392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000aa56d6f766564"},
-		{"place", &placeAsk{Follow: followed, Prompt: placing.Prompt{
+		{"redirectable, only shortened", &redirectableRequest{DeadlineShortened: true}, "949aa0a0a000c0d30000000000000000d30000000000000000d30000000000000000a000c3c2c0"},
+		{"redirectable response", &redirectableResponse{Run: response, MovedTo: "moved"}, "929392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000aa56d6f766564"},
+		{"assign", &assignRequest{Redirectable: redirectable, Prompt: placing.Prompt{
 			Pool: "pool", Parts: []placing.Part{{ID: "part", Tokens: 11}}, Tokens: 12, Exclude: []string{"e1", "e2"},
 		}}, "92949aa26964a5726f757465a36b6579019194a77365727669636592020304d30000000000000005d30000000000000006d3" +
 			"0000000000000007d30000000000000008a2646309c3c392a27031a2703294a4706f6f6c9192a4706172740b0c92a26531a2" +
 			"6532"},
-		{"placed", &placeAnswer{Follow: followAnswer{Made: made, Moved: "moved"}, Engine: "engine"}, "92929392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000aa56d6f766564a6656e67696e65"},
-		{"take, its works", &takeAsk{Number: 13, Last: true, Part: gather.State{Requests: []gather.RequestState{{
+		{"assign response", &assignResponse{Redirectable: redirectableResponse{Run: response, MovedTo: "moved"}, Engine: "engine"}, "92929392a26831a26832ae71756575655f746f6f5f6c6f6e67d3000000000000000aa56d6f766564a6656e67696e65"},
+		{"handover, requests", &handoverPart{Number: 13, Last: true, State: gather.State{Requests: []gather.RequestState{{
 			ID: "id", Route: "route", Key: "key", Priority: 1, KindPriority: 2,
 			Stages:    []gather.Stage{{Service: "service", After: []int{3}, Pieces: 4, ResultBytes: 5}},
 			Objective: 6, Deadline: 7, Remaining: 8, DataCentre: "dc", AdmittedAt: 9,
@@ -53,21 +54,21 @@
 			"0005d30000000000000006d30000000000000007d30000000000000008a26463d30000000000000009c3c3c3c39197920a0b" +
 			"91950ca668616e646c650dd3000000000000000ec30fd30000000000000010d30000000000000011d30000000000000012d3" +
 			"0000000000000013c0c0c0c3"},
-		{"take, what is begun", &takeAsk{Part: gather.State{Requests: []gather.RequestState{{Started: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
+		{"handover, started request", &handoverPart{State: gather.State{Requests: []gather.RequestState{{Started: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
 			"0000000000000000c3c2c2c2c0c0c0c0c2"},
-		{"take, what is lifted", &takeAsk{Part: gather.State{Requests: []gather.RequestState{{Boosted: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
+		{"handover, boosted request", &handoverPart{State: gather.State{Requests: []gather.RequestState{{Boosted: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
 			"0000000000000000c2c3c2c2c0c0c0c0c2"},
-		{"take, what is bounded", &takeAsk{Part: gather.State{Requests: []gather.RequestState{{DeadlineShortened: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
+		{"handover, shortened request", &handoverPart{State: gather.State{Requests: []gather.RequestState{{DeadlineShortened: true}}}}, "93cf00000000000000009491dc0010a0a0a00000c0d30000000000000000d30000000000000000d30000000000000000a0d3" +
 			"0000000000000000c2c2c3c2c0c0c0c0c2"},
-		{"take, its calls", &takeAsk{Number: 20, Part: gather.State{Calls: []gather.CallState{{
+		{"handover, calls", &handoverPart{Number: 20, State: gather.State{Calls: []gather.CallState{{
 			ID: 21, Target: 22, Pieces: []gather.PieceState{{Request: "request", Stage: 23, Index: 24, Bytes: 25}}, Bytes: 26,
 			StartedAt: 27, OverdueAt: 28, InputsReadAt: 29, TimeoutAt: 30, ExpectedDuration: 31, Hedged: true, InputsFreed: true,
 		}}}}, "93cf000000000000001494c0919bcf0000000000000015169194a7726571756573741718d30000000000000019d300000000" +
 			"0000001ad3000000000000001bd3000000000000001cd3000000000000001dd3000000000000001ed3000000000000001fc3" +
 			"c3c0c0c2"},
-		{"take, what is handed on", &takeAsk{Part: gather.State{Calls: []gather.CallState{{Hedged: true}}}}, "93cf000000000000000094c0919bcf000000000000000000c0d30000000000000000d30000000000000000d3000000000000" +
+		{"handover, hedged call", &handoverPart{State: gather.State{Calls: []gather.CallState{{Hedged: true}}}}, "93cf000000000000000094c0919bcf000000000000000000c0d30000000000000000d30000000000000000d3000000000000" +
 			"0000d30000000000000000d30000000000000000d30000000000000000c3c2c0c0c2"},
-		{"take, its targets and times", &takeAsk{Number: 32, Part: gather.State{
+		{"handover, targets and times", &handoverPart{Number: 32, State: gather.State{
 			Targets: []gather.TargetState{{
 				Service: "service", Incarnation: "incarnation", Name: "name", Address: "address", DataCentre: "dc",
 				Replaced: true, Slowness: 1.5, Answered: true, DownUntil: 33, UnansweredCalls: 34, UnsuccessfulCalls: 35,
@@ -79,17 +80,17 @@
 		}}, "93cf000000000000002094c0c0919ca773657276696365ab696e6361726e6174696f6ea46e616d65a761646472657373a264" +
 			"63c3cb3ff8000000000000c3d3000000000000002122239192d30000000000000024d300000000000000259193a574696d65" +
 			"64cb40040000000000009193a5726f75746526cb400c000000000000c2"},
-		{"take, what has ended", &takeAsk{Part: gather.State{Targets: []gather.TargetState{{Replaced: true}}}}, "93cf000000000000000094c0c0919ca0a0a0a0a0c3cb0000000000000000c2d300000000000000000000c0c0c2"},
-		{"taken", &takeAnswer{Taken: true}, "91c3"},
-		{"ended", &endedAsk{Call: 39, Outcome: uint8(gather.CallUnanswered), Results: []gather.PieceResult{
+		{"handover, replaced target", &handoverPart{State: gather.State{Targets: []gather.TargetState{{Replaced: true}}}}, "93cf000000000000000094c0c0919ca0a0a0a0a0c3cb0000000000000000c2d300000000000000000000c0c0c2"},
+		{"handover response", &handoverResponse{Accepted: true}, "91c3"},
+		{"call end", &callEndReport{Call: 39, Outcome: uint8(gather.CallUnanswered), Results: []gather.PieceResult{
 			{Handle: "handle", Failure: gather.PieceFailed},
 		}}, "93cf0000000000000027cc039192a668616e646c65cc04"},
-		{"known", []placing.EngineCache{{
+		{"caches", []placing.EngineCache{{
 			Pool: "pool", Engine: "engine", Parts: []placing.Part{{ID: "part", Tokens: 40}},
 		}}, "9193a4706f6f6ca6656e67696e659192a47061727428"},
-		{"gone", &goneAsk{Pool: "pool", Engine: "engine"}, "92a4706f6f6ca6656e67696e65"},
-		{"served", []placing.RequestEnd{{Request: "request", Engine: "engine", FirstEvent: 41}}, "9193a772657175657374a6656e67696e65d30000000000000029"},
-		{"bound", &boundAsk{Left: 42, IDs: []string{"id1", "id2"}}, "92d3000000000000002a92a3696431a3696432"},
+		{"unreachable", &unreachableReport{Pool: "pool", Engine: "engine"}, "92a4706f6f6ca6656e67696e65"},
+		{"request ends", []placing.RequestEnd{{Request: "request", Engine: "engine", FirstEvent: 41}}, "9193a772657175657374a6656e67696e65d30000000000000029"},
+		{"shorten", &shortenRequest{Remaining: 42, IDs: []string{"id1", "id2"}}, "92d3000000000000002a92a3696431a3696432"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/daemon/stages/yield.go
+++ b/daemon/stages/yield.go
@@ -9,81 +9,81 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// enter takes mu, and freezes a queue whose instance has stood still: its askers have
-// gone to another holder meanwhile, whose calls those of this one would meet at the
+// lockAndCheckStall locks mu, and freezes the queue if its instance was stalled. Its
+// requesters have turned to another holder meanwhile, and the calls of both would meet at the
 // targets.
-func (o *Owner) enter() {
-	o.mu.Lock()
-	if !o.stall.Check(time.Now(), o.boot) || o.frozen || o.movedTo != "" || !o.holdsWork() {
+func (q *queue) lockAndCheckStall() {
+	q.mu.Lock()
+	if !q.stall.Check(time.Now(), q.bootClock) || q.frozen || q.movedTo != "" || !q.hasWork() {
 		return
 	}
-	o.export()
-	go o.stalled()
+	q.freezeLocked()
+	go q.onStall()
 }
 
-// holdsWork tells whether requests or calls are held here; mu is held.
-func (o *Owner) holdsWork() bool { return o.planner.RequestCount() > 0 || o.planner.CallCount() > 0 }
+// hasWork reports whether requests or calls are held here. mu must be held.
+func (q *queue) hasWork() bool { return q.planner.RequestCount() > 0 || q.planner.CallCount() > 0 }
 
-// Yield gives the queue to the next holder while this instance goes on. Without one
-// it keeps the queue.
-func (s *Stages) Yield() { s.give(context.Background(), handOverTimeout) }
+// Yield hands the queue over to the next holder while this instance keeps running. Without
+// another instance it keeps the queue.
+func (s *Stages) Yield() { s.awaitHandover(context.Background(), handoverTimeout) }
 
-// mayTakeBack says whether a queue that was given away may come back.
-func (o *Owner) mayTakeBack(may bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.yielded = may && o.movedTo != ""
+// setYielded sets whether a queue that was handed over may come back.
+func (q *queue) setYielded(yielded bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.yielded = yielded && q.movedTo != ""
 }
 
-// hasMoved tells whether another instance has the queue.
-func (o *Owner) hasMoved() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.movedTo != ""
+// hasMoved reports whether another instance has the queue.
+func (q *queue) hasMoved() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.movedTo != ""
 }
 
-// thawFrozen goes on with a queue for which there is no other instance.
-func (o *Owner) thawFrozen() {
-	o.mu.Lock()
-	frozen, state := o.frozen, o.exported
-	o.mu.Unlock()
+// unfreezeExported continues with a frozen queue for which there is no other instance.
+func (q *queue) unfreezeExported() {
+	q.mu.Lock()
+	frozen, state := q.frozen, q.exported
+	q.mu.Unlock()
 	if frozen {
-		o.thaw(state)
+		q.unfreeze(state)
 	}
 }
 
-// reachTimeout bounds the question whether the instance answers that has the queue.
-const reachTimeout = 300 * time.Millisecond
+// probeTimeout limits the check whether the instance that has the queue responds.
+const probeTimeout = 300 * time.Millisecond
 
-// lostHolder deals with an asker that doesn't reach the instance which has this one's
-// queue since a yield. It tells whether that instance answers here; else the queue is
-// taken back.
+// relaysToYielded handles a request whose requester can't reach the instance that has this
+// one's queue since a yield. If that instance responds here, it reports whether to relay the
+// request to it. Otherwise the queue is taken back.
 //
-// It guards against requests that nobody serves: until its death is known to all, askers
-// are sent on to an instance that is gone.
-func (s *Stages) lostHolder(ctx context.Context, ask *followAsk) (passOn bool) {
-	to := s.owner.yieldedTo()
-	if to == "" || !slices.Contains(ask.Passed, to) {
+// Prevents requests that nobody serves: until all instances know of a failed holder,
+// requesters would otherwise be redirected to it.
+func (s *Stages) relaysToYielded(ctx context.Context, request *redirectableRequest) (relay bool) {
+	to := s.queue.yieldedTo()
+	if to == "" || !slices.Contains(request.Avoided, to) {
 		return false
 	}
-	if s.reaches(ctx, to) {
-		return !ask.Sent
+	if s.isReachable(ctx, to) {
+		return !request.Redirected
 	}
-	s.owner.takeBack(to)
+	s.queue.takeBack(to)
 	return false
 }
 
-// reaches tells whether an instance answers at once.
-func (s *Stages) reaches(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
+// isReachable reports whether an instance responds within probeTimeout.
+func (s *Stages) isReachable(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.tellServed(ctx, address, nil) == nil
+	return s.reportEnds(ctx, address, nil) == nil
 }
 
-// takeBackAvoided takes the queue back from an instance that this one passes over, unless it
-// answers: then it has lost no more than connections, and goes on with the queue.
+// takeBackAvoided takes the queue back from an instance that this one avoids, unless it
+// responds: then it has lost only connections, and continues with the queue.
 func (s *Stages) takeBackAvoided(ctx context.Context, now time.Time) {
-	to := s.owner.yieldedTo()
+	to := s.queue.yieldedTo()
 	if to == "" {
 		return
 	}
@@ -93,40 +93,40 @@
 	s.mu.Unlock()
 	switch {
 	case !avoided:
-	case s.reaches(ctx, to):
+	case s.isReachable(ctx, to):
 		s.mu.Lock()
-		delete(s.avoided, name)
+		delete(s.avoidedUntil, name)
 		s.mu.Unlock()
 	default:
-		s.owner.takeBack(to)
+		s.queue.takeBack(to)
 	}
 }
 
-// yieldedTo is the address of the instance that has the queue since a yield, or "".
-func (o *Owner) yieldedTo() string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if !o.yielded {
+// yieldedTo returns the address of the instance that has the queue since a yield, or "".
+func (q *queue) yieldedTo() string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !q.yielded {
 		return ""
 	}
-	return o.movedTo
+	return q.movedTo
 }
 
-// takeBackGone ends a yield to an instance that isn't live.
-func (o *Owner) takeBackGone(view *membership.View) {
-	to := o.yieldedTo()
+// takeBackFromDead ends a yield to an instance that isn't live.
+func (q *queue) takeBackFromDead(view *membership.View) {
+	to := q.yieldedTo()
 	isThere := func(m membership.Member) bool { return m.Address == to }
 	if to != "" && !slices.ContainsFunc(view.Live(), isThere) {
-		o.takeBack(to)
+		q.takeBack(to)
 	}
 }
 
 // takeBack ends a yield to an instance.
-func (o *Owner) takeBack(from string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.yielded && o.movedTo == from {
+func (q *queue) takeBack(from string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.yielded && q.movedTo == from {
 		telemetry.InfoS("Stage queue taken back", telemetry.Event{Address: from})
-		o.movedTo, o.yielded = "", false
+		q.movedTo, q.yielded = "", false
 	}
 }
