--- a/daemon/stages/handover.go
+++ b/daemon/stages/handover.go
@@ -115,13 +115,13 @@
 		// still redirect requesters here.
 	}
 	err := s.sendState(ctx, next.Address, toSend)
-	var kept *notAcceptedError
-	if errors.As(err, &kept) && errors.Is(err, peer.ErrConnLost) {
+	var notAccepted *notAcceptedError
+	if errors.As(err, &notAccepted) && errors.Is(err, peer.ErrConnLost) {
 		// An instance that was stalled finds its connections lost; requesters use the next
 		// one.
 		err = s.sendState(ctx, next.Address, toSend)
 	}
-	if errors.As(err, &kept) {
+	if errors.As(err, &notAccepted) {
 		telemetry.ErrorS(err, "Stage queue not handed over", telemetry.Event{Peer: next.Name, Count: len(state.Requests)})
 		s.queue.unfreeze(state)
 		return false
@@ -150,9 +150,9 @@
 func (s *Stages) sendState(ctx context.Context, address string, state gather.State) error {
 	parts := splitState(state)
 	number := uint64(time.Now().UnixNano())
-	for i, state := range parts {
+	for i, part := range parts {
 		last := i == len(parts)-1
-		err := s.sendPart(ctx, address, &handoverPart{Number: number, State: state, Last: last})
+		err := s.sendPart(ctx, address, &handoverPart{Number: number, State: part, Last: last})
 		if err != nil && (!last || isNotAccepted(err)) {
 			return &notAcceptedError{err}
 		}
@@ -256,7 +256,7 @@
 // reportCallEnd reports the end of a call that this instance carried out to the new holder.
 func (s *Stages) reportCallEnd(to string, id uint64, callOutcome gather.CallOutcome, results []gather.PieceResult) {
 	if callOutcome == gather.CallTargetCrashed {
-		callOutcome = gather.CallUnanswered // instances of the version before know no other
+		callOutcome = gather.CallUnanswered // instances of the previous version don't know CallTargetCrashed
 	}
 	body, err := encode(&callEndReport{Call: id, Outcome: uint8(callOutcome), Results: results})
 	if err == nil {
--- a/daemon/stages/queue.go
+++ b/daemon/stages/queue.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// run drives the planner until the context ends.
+// run drives the planner until the context ends. view returns the known members.
 func (q *queue) run(ctx context.Context, view func() *membership.View) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
--- a/daemon/stages/requestends.go
+++ b/daemon/stages/requestends.go
@@ -27,16 +27,16 @@
 
 // Drop reports to the holder that the results of a request have been read, with how its
 // engine performed, or that its caller left. It doesn't wait.
-func (s *Stages) Drop(holder string, ends placing.RequestEnd) {
+func (s *Stages) Drop(holder string, end placing.RequestEnd) {
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	if holder == self.Address {
-		s.queue.drop(ends)
+		s.queue.drop(end)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := len(s.pendingDrops[holder]) == 0
-	s.pendingDrops[holder] = append(s.pendingDrops[holder], ends)
+	s.pendingDrops[holder] = append(s.pendingDrops[holder], end)
 	if first {
 		time.AfterFunc(dropDelay, func() { s.sendDrops(holder) })
 	}
--- a/daemon/stages/transfer.go
+++ b/daemon/stages/transfer.go
@@ -146,7 +146,7 @@
 	q.mu.Lock()
 	ends, drops := q.deferredEnds, q.deferredDrops
 	q.deferredEnds, q.deferredSteps, q.deferredDrops = nil, nil, nil
-	q.applyDeferredTargets() // there are no actions where nothing is held
+	q.applyDeferredTargets() // returns no actions, since nothing is held
 	for _, c := range q.exported.Calls {
 		q.movedCalls[c.ID] = to
 	}
