--- a/daemon/stages/targets.go
+++ b/daemon/stages/targets.go
@@ -10,8 +10,8 @@
 // setTargets replaces the usable targets of all services, also while another instance has the
 // queue. During a handover the update is deferred until its end.
 //
-// Without the deferral, an instance that hands its queue over and gets it back would continue
-// with the former targets, and call those that have been removed since.
+// Without the updates meanwhile, an instance that handed its queue over and gets it back would
+// continue with the former targets, and call those that have been removed since.
 func (q *queue) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
 	q.lockAndCheckStall()
 	if q.frozen {
