--- a/daemon/retrybudget/retrybudget.go
+++ b/daemon/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget holds an instance's budgets of extra attempts, one a pool,
-// each under its own lock.
+// Package retrybudget holds an instance's budgets for extra attempts, one per pool, each with
+// its own lock.
 package retrybudget
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/ivyhollow/ivyhollow/coordination/retry"
 )
 
-// maxPools bounds the budgets that are kept. Names of pools that the
-// configuration dropped would else stay for the life of the process.
+// maxPools limits the budgets that are kept. Otherwise the names of pools that were removed
+// from the configuration would stay for the life of the process.
 const maxPools = 4096
 
-// Budgets are the budgets of all pools. They are safe for concurrent use.
+// Budgets has the budgets of all pools. It is safe for concurrent use.
 type Budgets struct {
 	config retry.Config
 
@@ -24,13 +24,13 @@
 	retries, hedges counts
 }
 
-// Counts tells how often an extra attempt was paid for and how often not, over
-// all pools.
+// Counts has the number of extra attempts over all pools that were paid for, and of those
+// that were refused.
 type Counts struct{ Paid, Refused uint64 }
 
 type counts struct{ paid, refused atomic.Uint64 }
 
-// note counts one decision and returns it.
+// record counts a decision and returns it.
 func (c *counts) record(paid bool) bool {
 	if paid {
 		c.paid.Add(1)
@@ -42,7 +42,7 @@
 
 func (c *counts) read() Counts { return Counts{Paid: c.paid.Load(), Refused: c.refused.Load()} }
 
-// Counts returns the retries and the hedges since the start.
+// Counts returns the counts of retries and of hedges since the start.
 func (b *Budgets) Counts() (retries, hedges Counts) { return b.retries.read(), b.hedges.read() }
 
 type poolBudget struct {
@@ -50,12 +50,12 @@
 	budget *retry.Budget
 }
 
-// New makes budgets that all have the given shares.
+// New returns budgets that all have the given configuration.
 func New(c retry.Config) *Budgets {
 	return &Budgets{config: c, pools: make(map[string]*poolBudget)}
 }
 
-// Retry pays for one retry at the pool, or tells that it can't.
+// TakeRetry takes one token for a retry at a pool. It returns false if there is none.
 func (b *Budgets) TakeRetry(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
@@ -63,7 +63,8 @@
 	return b.retries.record(p.budget.SpendRetry(now))
 }
 
-// Hedge pays for one attempt beside the first, or tells that it can't.
+// TakeHedge takes one token for a second attempt beside the first. It returns false if there
+// is none.
 func (b *Budgets) TakeHedge(now time.Time, name string) bool {
 	p := b.pool(name)
 	p.mu.Lock()
@@ -71,8 +72,8 @@
 	return b.hedges.record(p.budget.SpendHedge(now))
 }
 
-// Succeeded tells that a stage was answered whole, which earns extra attempts.
-// It is told once a stage, however many attempts there were.
+// Succeeded records that a stage completed, which adds tokens for extra attempts. It is
+// called once per stage, regardless of the number of its attempts.
 func (b *Budgets) Succeeded(now time.Time, name string) {
 	p := b.pool(name)
 	p.mu.Lock()
@@ -93,7 +94,7 @@
 		return p
 	}
 	if len(b.pools) >= maxPools {
-		clear(b.pools) // the pools in use come back with a new budget's reserve
+		clear(b.pools) // pools in use get a new budget with its reserve
 	}
 	p = &poolBudget{budget: retry.NewBudget(b.config)}
 	b.pools[name] = p
--- a/daemon/retrybudget/retrybudget_test.go
+++ b/daemon/retrybudget/retrybudget_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// spent takes tokens until there is none.
+// takeAll takes tokens until there are none, and returns their number.
 func takeAll(take func(time.Time, string) bool, pool string) int {
 	n := 0
 	for take(epoch, pool) {
@@ -23,19 +23,19 @@
 	return n
 }
 
-// All of one pool fails and takes every token it can get; the retries of another
-// pool, and the hedges of its own, must not be paid from the same purse.
+// All requests of one pool fail and take every available token. Retries at another pool, and
+// hedges at the same pool, must not be paid from the same budget.
 func TestPoolsHaveSeparateBudgets(t *testing.T) {
 	tests := map[string]struct {
-		answered, empty            string
-		retriesA, retriesB, hedges int // what is left in "a", "b" and "a"
+		succeeded, empty           string
+		retriesA, retriesB, hedges int // the tokens left in "a", "b" and "a"
 	}{
-		"new":                      {retriesA: 2, retriesB: 2, hedges: 2},
-		"another pool was emptied": {empty: "b", retriesA: 2, retriesB: 0, hedges: 2},
-		"its retries were spent":   {empty: "a", retriesA: 0, retriesB: 2, hedges: 2},
-		"its answers earn":         {answered: "a", retriesA: 12, retriesB: 2, hedges: 7},
-		"answers of another pool":  {answered: "b", retriesA: 2, retriesB: 12, hedges: 2},
-		"spent, then earned":       {answered: "a", empty: "a", retriesA: 10, retriesB: 2, hedges: 7},
+		"new":                       {retriesA: 2, retriesB: 2, hedges: 2},
+		"another pool was emptied":  {empty: "b", retriesA: 2, retriesB: 0, hedges: 2},
+		"its retries were spent":    {empty: "a", retriesA: 0, retriesB: 2, hedges: 2},
+		"successes add tokens":      {succeeded: "a", retriesA: 12, retriesB: 2, hedges: 7},
+		"successes of another pool": {succeeded: "b", retriesA: 2, retriesB: 12, hedges: 2},
+		"spent, then succeeded":     {succeeded: "a", empty: "a", retriesA: 10, retriesB: 2, hedges: 7},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,8 +44,8 @@
 				require.Equal(t, 2, takeAll(b.TakeRetry, tt.empty))
 			}
 			for range 105 { // ten tokens and a half: no sum of tenths is exact
-				if tt.answered != "" {
-					b.Succeeded(epoch, tt.answered)
+				if tt.succeeded != "" {
+					b.Succeeded(epoch, tt.succeeded)
 				}
 			}
 			require.Equal(t, tt.retriesA, takeAll(b.TakeRetry, "a"))
@@ -55,8 +55,8 @@
 	}
 }
 
-// Requests that fail together ask for the same tokens at once, the first ones
-// for a pool that is not known yet. Each token is spent once.
+// Requests that fail together take the same tokens at once, the first ones of a pool that is
+// not known yet. Each token is spent once.
 func TestConcurrentRequestsSpendEachTokenOnce(t *testing.T) {
 	const reserve, pools, requests = 20, 256, 64
 	b := New(retry.Config{Reserve: reserve})
@@ -85,7 +85,7 @@
 	}
 }
 
-// Pools come and go with the configuration for as long as the process lives.
+// Pools are added and removed by the configuration for as long as the process lives.
 func TestNumberOfPoolsIsBounded(t *testing.T) {
 	b := New(retry.Config{})
 	for i := range 3*maxPools + 1 {
--- a/daemon/stages/giving_test.go
+++ b/daemon/stages/attempts_test.go
@@ -16,8 +16,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// TestStopDoesNotWaitForAnotherHandOver guards against a planned stop that waits for the
-// messages of a hand-over which began before it.
+// Prevents a planned stop from waiting for the messages of a handover that started before it.
 func TestStopDoesNotWaitForAnotherHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(4)
@@ -28,14 +27,14 @@
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		s.Handover(ctx)
-		require.Equal(t, 100*time.Millisecond, time.Since(begun))
+		require.Equal(t, 100*time.Millisecond, time.Since(start))
 	})
 }
 
-// TestHandOversKeepTheirOrder guards against two hand-overs of an instance at once, and
-// against one for each of many that want it while one is on its way.
+// Prevents two handovers of one instance at once, and one handover for each of many callers
+// that request it while one is in progress.
 func TestHandoversAreSequential(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
@@ -47,11 +46,11 @@
 			assert.EqualValues(t, 1, sending.Add(1))
 			time.Sleep(100 * time.Millisecond)
 			sending.Add(-1)
-			last, answer := acceptPart(t, body)
+			last, response := acceptPart(t, body)
 			if last {
 				handOvers.Add(1)
 			}
-			return answer, nil
+			return response, nil
 		}
 		s := startStages(t, c)
 		holdCall(t, s, time.Minute)
@@ -60,16 +59,16 @@
 			all.Go(s.Yield)
 		}
 		all.Go(func() { s.Handover(t.Context()) })
-		begun := time.Now()
+		start := time.Now()
 		all.Wait()
-		require.Equal(t, 200*time.Millisecond, time.Since(begun), "one hand-over of two messages")
+		require.Equal(t, 200*time.Millisecond, time.Since(start), "one handover of two messages")
 		require.EqualValues(t, 1, handOvers.Load())
-		require.False(t, s.queue.takeOver(instanceID{"b", 2}, gather.State{}), "an instance that stops takes no queue")
+		require.False(t, s.queue.takeOver(instanceID{"b", 2}, gather.State{}), "an instance that stops accepts no queue")
 	})
 }
 
-// TestHandOverEndsWithItsTime guards against a queue that nobody serves while another
-// instance takes its parts, each just in time.
+// Prevents a queue that nobody serves while another instance accepts its parts, each just
+// before its timeout.
 func TestHandoverEndsAtItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(2)
@@ -82,8 +81,8 @@
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-			_, answer := acceptPart(t, body)
-			return answer, nil
+			_, response := acceptPart(t, body)
+			return response, nil
 		}
 		s := startStages(t, c)
 		var state gather.State
@@ -95,11 +94,11 @@
 		}
 		require.True(t, s.queue.takeOver(instanceID{"z", 1}, state))
 		s.queue.mu.Lock()
-		clear(s.queue.unclaimed) // their askers wait
+		clear(s.queue.unclaimed) // their requesters wait
 		s.queue.mu.Unlock()
 		s.Handover(t.Context())
 		for tries := 0; !s.queue.isFrozen(); tries++ {
-			require.Less(t, tries, 100, "no second try")
+			require.Less(t, tries, 100, "no second attempt")
 			time.Sleep(handoverRetryInterval)
 		}
 		s.queue.mu.Lock()
@@ -108,19 +107,19 @@
 		select {
 		case <-decided:
 		case <-time.After(longHandoverTimeout + partTimeout):
-			require.Fail(t, "the hand-over doesn't end")
+			require.Fail(t, "the handover doesn't end")
 		}
 	})
 }
 
-// isFrozen tells whether the queue is on its way.
-func (o *queue) isFrozen() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.frozen
+// isFrozen reports whether a handover of the queue is in progress.
+func (q *queue) isFrozen() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.frozen
 }
 
-// heldWork is a request of one piece that waits.
+// pendingRequest returns a request with one pending piece.
 func pendingRequest(id string) gather.RequestState {
 	return gather.RequestState{
 		ID: id, Objective: time.Hour, Deadline: time.Hour,
@@ -128,19 +127,19 @@
 	}
 }
 
-// TestEndsPassedOnDoNotKeepTheQueueAway guards against a queue that nobody serves, since ends
-// of calls are passed on to a holder that is gone before the queue can be taken back.
+// Prevents a queue that nobody serves because call ends are forwarded to a failed holder
+// before the queue can be taken back.
 func TestForwardedCallEndsDoNotDelayTakeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
 		release := make(chan struct{})
 		c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
 			if method == methodHandover {
-				last, answer := acceptPart(t, body)
+				last, response := acceptPart(t, body)
 				if last {
 					<-release
 				}
-				return answer, nil
+				return response, nil
 			}
 			return neverRespond(ctx, to, method, body)
 		}
@@ -160,18 +159,17 @@
 		synctest.Wait()
 		require.True(t, s.queue.hasMoved())
 		c.set("b", membership.Dead)
-		begun := time.Now()
+		start := time.Now()
 		for s.queue.hasMoved() {
 			time.Sleep(tick)
 		}
-		took := time.Since(begun)
+		took := time.Since(start)
 		time.Sleep(3 * callEndTimeout)
 		require.Less(t, took, 3*tick, "nobody serves")
 	})
 }
 
-// TestTryThatRanOutAvoidsNoOther guards against a try whose time is over and that passes over
-// instances which it never asked.
+// Prevents an attempt that has timed out from avoiding instances that it never asked.
 func TestTimedOutAttemptAvoidsNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(4)
@@ -188,8 +186,8 @@
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			_, answer := acceptPart(t, body)
-			return answer, nil
+			_, response := acceptPart(t, body)
+			return response, nil
 		}
 		s := startStages(t, c)
 		var state gather.State
@@ -200,11 +198,11 @@
 		s.queue.mu.Lock()
 		clear(s.queue.unclaimed)
 		s.queue.mu.Unlock()
-		begun := time.Now()
+		start := time.Now()
 		s.Handover(t.Context())
 		for !s.queue.hasMoved() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Less(t, time.Since(begun), handoverTimeout+2*handoverRetryInterval)
+		require.Less(t, time.Since(start), handoverTimeout+2*handoverRetryInterval)
 	})
 }
--- a/daemon/stages/cluster_test.go
+++ b/daemon/stages/cluster_test.go
@@ -16,20 +16,20 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// fakeCluster is a cluster of instances a, b and so on, as a sees it: only a runs, and
-// answer stands for the others.
+// fakeCluster is a cluster of instances a, b and so on, as seen by a. Only a runs; respond
+// stands for the others.
 type fakeCluster struct {
 	respond func(ctx context.Context, to, method string, body []byte) ([]byte, error)
 
 	mu      sync.Mutex
 	members []membership.Member
-	// gate, where set, is what View waits for.
+	// viewBlocked, if set, blocks View until it is closed.
 	viewBlocked chan struct{}
-	// told are the calls to others.
+	// sent has the calls to other instances.
 	sent []sentCall
 }
 
-// toldCall is a call to an instance.
+// sentCall is a call to an instance.
 type sentCall struct{ to, method string }
 
 func newFakeCluster(instances int) *fakeCluster {
@@ -79,7 +79,7 @@
 	return c.respond(ctx, address, method, body)
 }
 
-// calls returns the methods that an instance was called by.
+// methodsCalled returns the methods that were called at an instance.
 func (c *fakeCluster) methodsCalled(to string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	return methods
 }
 
-// standStill has what the instance does each tick stand still for a time.
+// stall blocks what the instance does on each tick for a time.
 func (c *fakeCluster) stall(d time.Duration) {
 	gate := make(chan struct{})
 	c.mu.Lock()
@@ -105,13 +105,13 @@
 	close(gate)
 }
 
-// takes answers as an instance that takes a queue and serves requests.
+// acceptHandover responds as an instance that accepts a queue and serves requests.
 func acceptHandover(t *testing.T) func(context.Context, string, string, []byte) ([]byte, error) {
 	return func(_ context.Context, _, method string, body []byte) ([]byte, error) {
 		switch method {
 		case methodHandover:
-			_, answer := acceptPart(t, body)
-			return answer, nil
+			_, response := acceptPart(t, body)
+			return response, nil
 		case methodAssign:
 			return encode(&assignResponse{})
 		}
@@ -119,20 +119,20 @@
 	}
 }
 
-// emptyRequest has a stage without pieces, which is done as soon as a holder has it.
+// emptyRequest has a stage without pieces, which completes as soon as a holder has it.
 func emptyRequest(id string) gather.Request {
 	until := time.Now().Add(time.Minute)
 	return gather.Request{ID: id, Objective: until, Deadline: until, Stages: []gather.Stage{{Service: "stage"}}}
 }
 
-// silent answers nothing.
+// neverRespond blocks until the context ends.
 func neverRespond(ctx context.Context, _, _ string, _ []byte) ([]byte, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// startStages runs instance a until the test ends, and waits for its tries to give the
-// queue away.
+// startStages runs instance a until the test ends, and then waits for the end of its handover
+// attempts.
 func startStages(t *testing.T, c *fakeCluster) *Stages {
 	s := New(c, nil, nil, nil, tally.NoopScope)
 	s.queue.bootClock = time.Now
@@ -149,15 +149,15 @@
 	return s
 }
 
-// isGiving tells whether a try to give the queue away is under way.
+// isHandingOver reports whether a handover attempt is in progress.
 func (s *Stages) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handover != nil
 }
 
-// holdCall has an instance hold the queue with one call of another, which ends within
-// the given time.
+// holdCall makes an instance hold the queue with one call that another instance carries out,
+// with a timeout.
 func holdCall(t *testing.T, s *Stages, within time.Duration) {
 	require.True(t, s.queue.takeOver(instanceID{"z", 1}, gather.State{
 		Targets: []gather.TargetState{{Service: "stage", Incarnation: "t"}},
@@ -165,11 +165,11 @@
 	}))
 }
 
-// taken answers a message of a hand-over.
-func acceptPart(t *testing.T, body []byte) (last bool, answer []byte) {
-	var ask handoverPart
-	assert.NoError(t, msgpack.Unmarshal(body, &ask))
-	answer, err := encode(&handoverResponse{Accepted: true})
+// acceptPart accepts a part of a handover.
+func acceptPart(t *testing.T, body []byte) (last bool, response []byte) {
+	var request handoverPart
+	assert.NoError(t, msgpack.Unmarshal(body, &request))
+	response, err := encode(&handoverResponse{Accepted: true})
 	assert.NoError(t, err)
-	return ask.Last, answer
+	return request.Last, response
 }
--- a/daemon/stages/relayed.go
+++ b/daemon/stages/relayed.go
@@ -12,27 +12,27 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// proofFor is how long an answer proves that its instance goes on answering: less than
-// those who ask one that is silent wait for it.
+// responseValidity is how long a response shows that its instance is responsive. It is less
+// than the time for which requesters of a silent instance wait.
 const responseValidity = time.Second
 
-// maxAnswered bounds the instances of which answers are remembered.
+// maxLastResponses limits the instances whose responses are recorded.
 const maxLastResponses = 64
 
-// sweepRelayed is the number of requests passed on from which those are looked for whose
-// time is over.
+// relayedSweepSize is the number of relayed requests from which the expired ones are removed.
 const relayedSweepSize = 256
 
-// relayed is a request that this instance passed on to the holder of the queue for one
-// that doesn't reach it.
+// relayedRequest is a request that this instance relays to the holder of the queue for a
+// requester that can't reach the holder.
 type relayedRequest struct {
-	// owner is the address of the instance that has it, empty before its end.
+	// holder is the address of the instance that has the request. It is empty until the
+	// request ends.
 	holder   string
 	deadline time.Time
 	cancel   context.CancelFunc
 }
 
-// noteAnswer notes that an instance answered.
+// recordResponse records that an instance responded.
 func (s *Stages) recordResponse(now time.Time, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,13 +42,13 @@
 	s.lastResponse[address] = now
 }
 
-// relays tells whether a request of an asker that doesn't reach the holder is passed on
-// to it.
+// shouldRelay reports whether a request is relayed to the holder because its requester can't
+// reach it.
 //
-// It guards against a second queue: while some instances don't reach the holder and the
-// others do, each of two queues sends calls to the same targets.
-func (s *Stages) shouldRelay(now time.Time, ask *redirectableRequest) bool {
-	if ask.Redirected || len(ask.Avoided) == 0 || s.queue.servesHere(now, ask.Run.ID) {
+// Prevents a second queue: while only some instances reach the holder, both queues would
+// otherwise send calls to the same targets.
+func (s *Stages) shouldRelay(now time.Time, request *redirectableRequest) bool {
+	if request.Redirected || len(request.Avoided) == 0 || s.queue.servesHere(now, request.Run.ID) {
 		return false
 	}
 	view := s.cluster.View()
@@ -59,16 +59,16 @@
 		chosen = to
 	}
 	at, ok := s.lastResponse[chosen.Address]
-	return chosen.Name != view.Self && slices.Contains(ask.Avoided, chosen.Address) && ok && now.Sub(at) < responseValidity
+	return chosen.Name != view.Self && slices.Contains(request.Avoided, chosen.Address) && ok && now.Sub(at) < responseValidity
 }
 
-// relay has the stages of another instance's request run by the holder.
-func (s *Stages) relay(ctx context.Context, ask *assignRequest) (*assignResponse, error) {
-	r := ask.Redirectable.Run.request(time.Now())
+// relay runs the stages of another instance's request at the holder.
+func (s *Stages) relay(ctx context.Context, request *assignRequest) (*assignResponse, error) {
+	r := request.Redirectable.Run.request(time.Now())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.recordRelayed(r.ID, relayedRequest{deadline: r.Deadline, cancel: cancel})
-	made, err := s.execute(ctx, r, ask.Prompt, true)
+	result, err := s.execute(ctx, r, request.Prompt, true)
 	var refused *RefusedError
 	if err != nil {
 		s.removeRelayed(r.ID)
@@ -79,11 +79,11 @@
 	case err != nil:
 		return nil, err
 	}
-	s.recordRelayed(r.ID, relayedRequest{holder: made.Holder, deadline: r.Deadline, cancel: cancel})
-	return &assignResponse{Redirectable: redirectableResponse{Run: runResponse{Handles: made.Handles}}, Engine: made.Engine}, nil
+	s.recordRelayed(r.ID, relayedRequest{holder: result.Holder, deadline: r.Deadline, cancel: cancel})
+	return &assignResponse{Redirectable: redirectableResponse{Run: runResponse{Handles: result.Handles}}, Engine: result.Engine}, nil
 }
 
-// noteRelayed notes a request that is passed on.
+// recordRelayed records a request that is relayed.
 func (s *Stages) recordRelayed(id string, r relayedRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	s.relayed[id] = r
 }
 
-// forgetRelayed forgets a request that was passed on, and returns it.
+// removeRelayed removes and returns a request that was relayed.
 func (s *Stages) removeRelayed(id string) (relayedRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,20 +103,20 @@
 	return r, ok
 }
 
-// dropHere drops ended requests that are held here, and tells their holder of those
-// that were passed on.
-func (s *Stages) dropEnded(served []placing.RequestEnd) {
-	here := make([]placing.RequestEnd, 0, len(served))
-	for _, one := range served {
-		r, ok := s.removeRelayed(one.Request)
+// dropEnded drops the ended requests that are held here, and reports those that were relayed
+// to their holders.
+func (s *Stages) dropEnded(ends []placing.RequestEnd) {
+	local := make([]placing.RequestEnd, 0, len(ends))
+	for _, end := range ends {
+		r, ok := s.removeRelayed(end.Request)
 		switch {
 		case !ok:
-			here = append(here, one)
+			local = append(local, end)
 		case r.holder == "":
 			r.cancel()
 		default:
-			s.Drop(r.holder, one)
+			s.Drop(r.holder, end)
 		}
 	}
-	s.queue.drop(here...)
+	s.queue.drop(local...)
 }
--- a/daemon/stages/late_test.go
+++ b/daemon/stages/slowholder_test.go
@@ -12,35 +12,37 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// TestHolderThatAnswersLate guards against a second queue beside that of a holder which lives
-// and answers late, and against asks that go on to one whose connection is silent.
+// Prevents a second queue beside that of a live holder that responds slowly, and requests
+// that continue to be sent to one whose connection is silent.
 func TestSlowHolder(t *testing.T) {
 	const deadline = 3 * time.Second
 	cases := map[string]struct {
 		after time.Duration
-		// errs are the ends of the first asks.
+		// errs are the errors of the first calls.
 		errs []error
-		// owner is who serves a request, "" if none does, and took the time until then.
-		owner string
-		took  time.Duration
-		// asked and next are the calls to the holder and to the one that is picked next.
-		asked, next []string
+		// holder is the instance that serves a request, "" if none does, and took the time
+		// until its end.
+		holder string
+		took   time.Duration
+		// called and next are the calls to the holder and to the instance that is picked
+		// next.
+		called, next []string
 	}{
 		"within the deadline": {
-			after: 2 * time.Second, owner: "at-b", took: 2 * time.Second,
-			asked: []string{methodAssign, methodAssign},
+			after: 2 * time.Second, holder: "at-b", took: 2 * time.Second,
+			called: []string{methodAssign, methodAssign},
 		},
 		"after the deadline": {
 			after: time.Minute, took: deadline,
-			asked: []string{methodAssign, methodRequestEnds, methodAssign, methodRequestEnds},
+			called: []string{methodAssign, methodRequestEnds, methodAssign, methodRequestEnds},
 		},
 		"connection is silent": {
-			after: time.Second, errs: []error{peer.ErrSilent}, owner: "at-c", took: time.Second,
-			asked: []string{methodAssign}, next: []string{methodAssign, methodAssign},
+			after: time.Second, errs: []error{peer.ErrSilent}, holder: "at-c", took: time.Second,
+			called: []string{methodAssign}, next: []string{methodAssign, methodAssign},
 		},
 		"connection is reset": {
-			errs: []error{peer.ErrConnLost}, owner: "at-b",
-			asked: []string{methodAssign, methodAssign, methodAssign},
+			errs: []error{peer.ErrConnLost}, holder: "at-b",
+			called: []string{methodAssign, methodAssign, methodAssign},
 		},
 	}
 	for name, c := range cases {
@@ -66,37 +68,37 @@
 					return nil, err
 				}
 				s := startStages(t, cluster)
-				ask := func(id string) {
+				execute := func(id string) {
 					ctx, cancel := context.WithTimeout(t.Context(), deadline)
 					defer cancel()
-					made, err := s.Execute(ctx, emptyRequest(id), placing.Prompt{})
-					require.Equal(t, c.owner, made.Holder)
-					require.Equal(t, c.owner == "", err != nil)
+					result, err := s.Execute(ctx, emptyRequest(id), placing.Prompt{})
+					require.Equal(t, c.holder, result.Holder)
+					require.Equal(t, c.holder == "", err != nil)
 				}
-				begun := time.Now()
-				ask("1")
-				require.Equal(t, c.took, time.Since(begun))
+				start := time.Now()
+				execute("1")
+				require.Equal(t, c.took, time.Since(start))
 				time.Sleep(2 * dropDelay)
-				ask("2")
+				execute("2")
 				time.Sleep(2 * dropDelay)
-				require.Equal(t, c.asked, cluster.methodsCalled("at-b"))
+				require.Equal(t, c.called, cluster.methodsCalled("at-b"))
 				require.Equal(t, c.next, cluster.methodsCalled("at-c"))
 			})
 		})
 	}
 }
 
-// TestHandOverToOneThatAnswersLate guards against a queue that waits for an instance which
-// takes it late, or that two instances have since the word on its last part was late.
+// Prevents a queue from waiting for an instance that accepts it late, and from being held by
+// two instances because the response to its last part was late.
 func TestHandoverToSlowInstance(t *testing.T) {
 	const parts = 2
-	for late, owner := range map[int]string{1: "at-c", parts: "at-b"} {
+	for late, holder := range map[int]string{1: "at-c", parts: "at-b"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(3)
-			came := 0
+			received := 0
 			c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
 				if to == "at-b" && method == methodHandover {
-					if came++; came == late {
+					if received++; received == late {
 						return neverRespond(ctx, to, method, body)
 					}
 				}
@@ -104,19 +106,19 @@
 			}
 			s := startStages(t, c)
 			holdCall(t, s, time.Minute)
-			begun := time.Now()
+			start := time.Now()
 			s.Yield()
-			require.Equal(t, partTimeout, time.Since(begun))
-			require.Equal(t, owner, s.queue.yieldedTo())
-			require.Equal(t, owner == "at-b", len(c.methodsCalled("at-c")) == 0)
+			require.Equal(t, partTimeout, time.Since(start))
+			require.Equal(t, holder, s.queue.yieldedTo())
+			require.Equal(t, holder == "at-b", len(c.methodsCalled("at-c")) == 0)
 		})
 	}
 }
 
-// TestHandOverOverALostConnection guards against a queue that is given to a third instance,
-// while askers turn to the one whose connection was found lost as the holder woke.
+// Prevents a queue from being handed over to a third instance, while requesters turn to the
+// one whose connection was found lost after the holder's stall.
 func TestHandoverOverLostConnection(t *testing.T) {
-	for lost, owner := range map[int]string{1: "at-b", 2: "at-c"} {
+	for lost, holder := range map[int]string{1: "at-b", 2: "at-c"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(3)
 			c.respond = func(ctx context.Context, to, method string, body []byte) ([]byte, error) {
@@ -129,7 +131,7 @@
 			s := startStages(t, c)
 			holdCall(t, s, time.Minute)
 			s.Yield()
-			require.Equal(t, owner, s.queue.yieldedTo())
+			require.Equal(t, holder, s.queue.yieldedTo())
 		})
 	}
 }
--- a/daemon/stages/moving_test.go
+++ b/daemon/stages/transfer_test.go
@@ -18,34 +18,34 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// TestCallsOfWhoseEndsNoWordComesAreForgotten guards against notes of calls in progress that
-// stay for good, where the queue has moved on and the instance that has the call is gone.
+// Prevents records of calls in progress from staying for ever where the queue has moved on
+// and the instance that carries out the call has failed.
 func TestRemoteCallsWithoutReportAreForgotten(t *testing.T) {
 	const within = time.Second
-	give := func(o *queue) {
-		o.freeze()
-		o.completeHandover("at-b")
+	give := func(q *queue) {
+		q.freeze()
+		q.completeHandover("at-b")
 	}
-	keep := func(o *queue) { o.unfreeze(o.freeze()) }
+	keep := func(q *queue) { q.unfreeze(q.freeze()) }
 	cases := map[string]func(*queue){
-		"kept":                            keep,
-		"given away":                      give,
-		"kept by a hand-over, then given": func(o *queue) { keep(o); keep(o); give(o) },
-		"given away and taken back": func(o *queue) {
-			give(o)
-			o.setYielded(true)
-			o.takeBack("at-b")
+		"kept":                                keep,
+		"given away":                          give,
+		"kept by a handover, then given away": func(q *queue) { keep(q); keep(q); give(q) },
+		"given away and taken back": func(q *queue) {
+			give(q)
+			q.setYielded(true)
+			q.takeBack("at-b")
 		},
-		"given away and come back": func(o *queue) {
-			o.freeze()
-			state := o.exported
-			o.completeHandover("at-b")
-			o.setYielded(true)
-			require.True(t, o.takeOver(instanceID{"b", 2}, state))
+		"given away and returned": func(q *queue) {
+			q.freeze()
+			state := q.exported
+			q.completeHandover("at-b")
+			q.setYielded(true)
+			require.True(t, q.takeOver(instanceID{"b", 2}, state))
 		},
-		"on its way": func(o *queue) {
-			o.freeze()
-			time.AfterFunc(2*(within+callEndMargin), func() { o.completeHandover("at-b") })
+		"handover in progress": func(q *queue) {
+			q.freeze()
+			time.AfterFunc(2*(within+callEndMargin), func() { q.completeHandover("at-b") })
 		},
 	}
 	for name, move := range cases {
@@ -64,15 +64,15 @@
 				require.Empty(t, s.queue.renumbered)
 				require.Empty(t, s.queue.remoteCalls)
 				require.Zero(t, s.queue.planner.CallCount())
-				if name != "on its way" {
-					require.Empty(t, c.methodsCalled("at-b"), "the next holder finds out for itself")
+				if name != "handover in progress" {
+					require.Empty(t, c.methodsCalled("at-b"), "the next holder has a timeout of its own")
 				}
 			})
 		})
 	}
 }
 
-// stubDialect notes the targets that are called, and calls none.
+// stubDialect records the targets that are called, and calls none.
 type stubDialect struct {
 	exchange.Dialect
 	mu     sync.Mutex
@@ -92,8 +92,8 @@
 func (stubFollower) Leaving(string)            {}
 func (stubFollower) TargetsAge() time.Duration { return 0 }
 
-// TestKeptQueueCallsNoTargetThatLeft guards against a call to an idle target that left while the
-// queue was on its way to an instance that didn't take it.
+// Prevents a call to an idle target that was removed during a handover to an instance that
+// didn't accept the queue.
 func TestKeptQueueCallsNoRemovedTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
@@ -115,17 +115,16 @@
 		clear(s.queue.unclaimed)
 		s.queue.mu.Unlock()
 		time.Sleep(340 * time.Millisecond)
-		time.Sleep(20 * time.Millisecond) // it was down until now
+		time.Sleep(20 * time.Millisecond) // the target was down until now
 		state := s.queue.freeze()
 		s.SetTargets(time.Now(), table, map[string][]routes.Target{"stage": nil})
 		s.queue.unfreeze(state)
 		synctest.Wait()
-		require.Empty(t, d.called, "a target that has left is called")
+		require.Empty(t, d.called, "a removed target is called")
 	})
 }
 
-// TestAskerThatWaitsForTheQueueClaimsItsRequest guards against a request that is dropped while
-// its asker waits to hear who has the queue.
+// Prevents a request from being dropped while its requester waits for the end of a handover.
 func TestWaitingRequesterClaimsItsRequest(t *testing.T) {
 	for _, move := range []string{"moved", "kept"} {
 		t.Run(move, func(t *testing.T) {
@@ -157,14 +156,14 @@
 						s.queue.completeHandover("at-b")
 						require.NoError(t, <-ends)
 						time.Sleep(time.Second)
-						require.NotContains(t, c.methodsCalled("at-b"), methodRequestEnds, "the request that its asker waits for is dropped at the next holder")
+						require.NotContains(t, c.methodsCalled("at-b"), methodRequestEnds, "the request that its requester waits for is dropped at the next holder")
 						return
 					}
 					s.queue.unfreeze(state)
 					synctest.Wait()
 					s.queue.mu.Lock()
 					defer s.queue.mu.Unlock()
-					require.Equal(t, len(s.queue.waiters), s.queue.planner.RequestCount(), "try %d: its asker waits for a request that isn't held", i)
+					require.Equal(t, len(s.queue.waiters), s.queue.planner.RequestCount(), "try %d: its requester waits for a request that isn't held", i)
 				})
 			}
 		})
--- a/daemon/stages/yield_test.go
+++ b/daemon/stages/yield_test.go
@@ -13,20 +13,20 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// TestInstanceThatStoodStillBeginsTheHandOver guards against an instance that wakes and goes
-// on with its queue, while its askers have turned to another holder.
+// Prevents an instance from continuing with its queue after a stall, when its requesters have
+// turned to another holder.
 func TestStalledInstanceStartsHandover(t *testing.T) {
-	const stoodStill, ranLate = 1500 * time.Millisecond, 500 * time.Millisecond
+	const stallTime, lateTick = 1500 * time.Millisecond, 500 * time.Millisecond
 	cases := map[string]struct {
 		instances int
-		still     time.Duration
+		stall     time.Duration
 		holds     bool
 		moves     bool
 	}{
-		"stood still":            {3, stoodStill, true, true},
-		"ran late":               {3, ranLate, true, false},
-		"held nothing":           {3, stoodStill, false, false},
-		"knows no other to have": {1, stoodStill, true, false},
+		"stalled":                 {3, stallTime, true, true},
+		"late tick":               {3, lateTick, true, false},
+		"holds nothing":           {3, stallTime, false, false},
+		"knows no other instance": {1, stallTime, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,22 +38,22 @@
 				if c.holds {
 					holdCall(t, s, time.Minute)
 				}
-				cluster.stall(c.still)
+				cluster.stall(c.stall)
 				synctest.Wait()
 				require.Equal(t, c.moves, s.queue.hasMoved())
-				made, err := s.Execute(t.Context(), emptyRequest("1"), placing.Prompt{})
+				result, err := s.Execute(t.Context(), emptyRequest("1"), placing.Prompt{})
 				require.NoError(t, err)
-				require.Equal(t, map[bool]string{true: "at-b", false: "at-a"}[c.moves], made.Holder)
+				require.Equal(t, map[bool]string{true: "at-b", false: "at-a"}[c.moves], result.Holder)
 				s.queue.mu.Lock()
 				defer s.queue.mu.Unlock()
-				require.Equal(t, c.holds && !c.moves, s.queue.planner.CallCount() == 1, "the call is counted by who holds the queue")
+				require.Equal(t, c.holds && !c.moves, s.queue.planner.CallCount() == 1, "the call is counted by the holder of the queue")
 			})
 		})
 	}
 }
 
-// TestRequestThatWakesAHolderIsNotServedThere guards against a request that comes before the
-// first tick after its holder stood still, and begins calls beside the next holder's.
+// Prevents a request that arrives before the first tick after its holder's stall from
+// starting calls beside those of the next holder.
 func TestRequestThatEndsStallIsNotServedThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
@@ -72,10 +72,10 @@
 	})
 }
 
-// TestQueueIsTakenBackFromAMemberThatIsGone guards against askers that are sent on to an
-// instance which has the queue since a yield, when its end is known.
+// Prevents requesters from being redirected to an instance that has the queue since a yield,
+// when its end is known.
 func TestQueueIsTakenBackFromDeadMember(t *testing.T) {
-	for state, goneNow := range map[membership.State]bool{membership.Dead: true, membership.Left: true, membership.Suspect: false} {
+	for state, notLive := range map[membership.State]bool{membership.Dead: true, membership.Left: true, membership.Suspect: false} {
 		t.Run(state.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newFakeCluster(3)
@@ -85,22 +85,22 @@
 				require.True(t, s.queue.hasMoved())
 				c.set("b", state)
 				time.Sleep(2 * tick)
-				answer, err := s.executeFor(t.Context(), peer.Peer{Member: c.members[2]}, &assignRequest{Redirectable: redirectableRequest{
+				response, err := s.executeFor(t.Context(), peer.Peer{Member: c.members[2]}, &assignRequest{Redirectable: redirectableRequest{
 					Run: *newRunRequest(time.Now(), emptyRequest("1")),
 				}})
 				require.NoError(t, err)
-				require.Equal(t, map[bool]string{true: "", false: "at-b"}[goneNow], answer.Redirectable.MovedTo)
-				made, err := s.Execute(t.Context(), emptyRequest("2"), placing.Prompt{})
+				require.Equal(t, map[bool]string{true: "", false: "at-b"}[notLive], response.Redirectable.MovedTo)
+				result, err := s.Execute(t.Context(), emptyRequest("2"), placing.Prompt{})
 				require.NoError(t, err)
-				require.Equal(t, map[bool]string{true: "at-a", false: "at-b"}[goneNow], made.Holder)
-				require.Equal(t, !goneNow, len(c.methodsCalled("at-b")) > 0)
+				require.Equal(t, map[bool]string{true: "at-a", false: "at-b"}[notLive], result.Holder)
+				require.Equal(t, !notLive, len(c.methodsCalled("at-b")) > 0)
 			})
 		})
 	}
 }
 
-// TestDropThatWakesAHolderIsPassedOn guards against results that stay, since the word on their
-// request is the first that a holder hears after it stood still.
+// Prevents results from staying because the report of their request's end is the first
+// message that a holder receives after a stall.
 func TestDropThatEndsStallIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(3)
