--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -34,26 +34,26 @@
 	cluster Cluster
 	metrics metrics
 	// requests is the number of requests with records.
-	requests atomic.Int64
+	requestCount atomic.Int64
 	// wake is sent to when there is news.
 	wake chan struct{}
 	// heard is closed once this instance knows what others knew at its start.
-	heard chan struct{}
+	synced chan struct{}
 
 	mu    sync.Mutex
 	table *quarantine.Table
 	// blocked are the digests that were last logged as blocked.
-	blocked map[quarantine.Digest]bool
+	loggedBlocked map[quarantine.Digest]bool
 	// denied is until when no trial of a request is asked for again.
-	denied map[quarantine.Digest]time.Time
+	deniedUntil map[quarantine.Digest]time.Time
 }
 
 // New returns an empty blocklist, and registers the methods by which the instances
 // exchange them.
 func New(cluster Cluster, config quarantine.Config, scope tally.Scope) *Blocklist {
 	b := &Blocklist{
-		cluster: cluster, metrics: newMetrics(scope), wake: make(chan struct{}, 1), heard: make(chan struct{}),
-		table: quarantine.New(config), blocked: map[quarantine.Digest]bool{}, denied: map[quarantine.Digest]time.Time{},
+		cluster: cluster, metrics: newMetrics(scope), wake: make(chan struct{}, 1), synced: make(chan struct{}),
+		table: quarantine.New(config), loggedBlocked: map[quarantine.Digest]bool{}, deniedUntil: map[quarantine.Digest]time.Time{},
 	}
 	cluster.Handle(methodExchange, b.handleExchange, peer.Idempotent())
 	cluster.Handle(methodTrial, b.handleTrial)
@@ -61,7 +61,7 @@
 }
 
 // Empty tells whether there are no records, so that no request can be blocked.
-func (b *Blocklist) Empty() bool { return b.requests.Load() == 0 }
+func (b *Blocklist) Empty() bool { return b.requestCount.Load() == 0 }
 
 // Crashed records that a target ended under a request.
 func (b *Blocklist) Crashed(digest quarantine.Digest, target string) {
@@ -70,7 +70,7 @@
 	defer b.mu.Unlock()
 	if b.table.RecordCrash(now, digest, target) {
 		b.metrics.crashes[sourceLocal].Inc(1)
-		b.changed(now, digest, sourceLocal, target)
+		b.recordChanged(now, digest, sourceLocal, target)
 	}
 }
 
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table.RecordCompletion(now, digest) {
-		b.changed(now, digest, sourceLocal, "")
+		b.recordChanged(now, digest, sourceLocal, "")
 	}
 }
 
@@ -102,23 +102,23 @@
 }
 
 // changed logs and counts what a new record means; mu is held.
-func (b *Blocklist) changed(now time.Time, digest quarantine.Digest, source, target string) {
-	b.requests.Store(int64(b.table.Len()))
+func (b *Blocklist) recordChanged(now time.Time, digest quarantine.Digest, source, target string) {
+	b.requestCount.Store(int64(b.table.Len()))
 	v := b.table.Judge(now, digest)
 	event := telemetry.Event{
 		Digest: digest.String(), Target: target, Reason: source, Count: v.Crashes, Elapsed: v.SinceLastCrash, RetryAfter: v.Remaining,
 	}
 	switch {
-	case v.State == quarantine.Blocked && (source == sourceLocal || !b.blocked[digest]):
-		b.blocked[digest] = true
+	case v.State == quarantine.Blocked && (source == sourceLocal || !b.loggedBlocked[digest]):
+		b.loggedBlocked[digest] = true
 		telemetry.InfoS("Request blocked, it crashes targets", event)
-	case v.State == quarantine.Allowed && b.blocked[digest]:
-		delete(b.blocked, digest)
+	case v.State == quarantine.Allowed && b.loggedBlocked[digest]:
+		delete(b.loggedBlocked, digest)
 		telemetry.InfoS("Request no longer blocked", event)
 	case target != "" && source == sourceLocal:
 		telemetry.InfoS("Target crashed under a request", event)
 	}
-	b.metrics.sizes(b.table.Len(), len(b.blocked))
+	b.metrics.updateSizes(b.table.Len(), len(b.loggedBlocked))
 	b.signal()
 }
 
@@ -135,17 +135,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table.Expire(now)
-	b.requests.Store(int64(b.table.Len()))
-	for digest := range b.blocked {
+	b.requestCount.Store(int64(b.table.Len()))
+	for digest := range b.loggedBlocked {
 		if b.table.Judge(now, digest).State == quarantine.Allowed {
-			delete(b.blocked, digest)
+			delete(b.loggedBlocked, digest)
 			telemetry.InfoS("Request no longer blocked", telemetry.Event{Digest: digest.String(), Reason: "expired"})
 		}
 	}
-	for digest, until := range b.denied {
+	for digest, until := range b.deniedUntil {
 		if now.After(until) {
-			delete(b.denied, digest)
+			delete(b.deniedUntil, digest)
 		}
 	}
-	b.metrics.sizes(b.table.Len(), len(b.blocked))
+	b.metrics.updateSizes(b.table.Len(), len(b.loggedBlocked))
 }
--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -35,7 +35,7 @@
 }
 
 // heardWithin is the bound of news among instances.
-const heardWithin = 3 * time.Second
+const gossipBound = 3 * time.Second
 
 var digest = quarantine.DigestOf("host", "/path", "account", nil)
 
@@ -45,9 +45,9 @@
 	instances map[string]*member
 	calls     atomic.Int64
 	// lost is one in how many calls is lost; 0 for none.
-	lost int64
+	lossInterval int64
 	// cut is the address of an instance that no call reaches or leaves.
-	cut atomic.Pointer[string]
+	isolated atomic.Pointer[string]
 }
 
 // member is one instance of a fleet.
@@ -58,12 +58,12 @@
 	*Blocklist
 }
 
-var errLost = errors.New("lost")
+var errUnreachable = errors.New("lost")
 
 // newFleet starts so many instances, each of which knows some others. One in lost calls is
 // lost; 0 for none.
 func newFleet(ctx context.Context, n int, lost int64) *fleet {
-	f := &fleet{instances: map[string]*member{}, lost: lost}
+	f := &fleet{instances: map[string]*member{}, lossInterval: lost}
 	for range n {
 		f.add(ctx)
 	}
@@ -85,11 +85,11 @@
 }
 
 func (m *member) Call(ctx context.Context, address, method string, body []byte) ([]byte, error) {
-	if n := m.fleet.calls.Add(1); m.fleet.lost > 0 && n%m.fleet.lost == 0 {
-		return nil, errLost
+	if n := m.fleet.calls.Add(1); m.fleet.lossInterval > 0 && n%m.fleet.lossInterval == 0 {
+		return nil, errUnreachable
 	}
-	if cut := m.fleet.cut.Load(); cut != nil && (*cut == address || *cut == m.address) {
-		return nil, errLost
+	if cut := m.fleet.isolated.Load(); cut != nil && (*cut == address || *cut == m.address) {
+		return nil, errUnreachable
 	}
 	m.fleet.mu.Lock()
 	other := m.fleet.instances[address]
@@ -125,7 +125,7 @@
 func (m *member) AwaitPeer(context.Context) {}
 
 // playFleet plays a fleet in virtual time, in which all sleeps of these tests are.
-func playFleet(t *testing.T, n int, lost int64, play func(ctx context.Context, f *fleet)) {
+func runFleet(t *testing.T, n int, lost int64, play func(ctx context.Context, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
@@ -155,15 +155,15 @@
 
 // TestNewsReachesAllInstances guards against instances that send on what others know to
 // crash targets, in large fleets and where calls are lost.
-func TestNewsReachesAllInstances(t *testing.T) {
+func TestRecordsReachAllInstances(t *testing.T) {
 	for _, size := range []int{2, 8, 60, 295} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, 10, func(ctx context.Context, f *fleet) {
+			runFleet(t, size, 10, func(ctx context.Context, f *fleet) {
 				f.crash(3)
-				time.Sleep(heardWithin)
+				time.Sleep(gossipBound)
 				require.Equal(t, size, f.blocked())
 				f.instances["at-0"].EndedWell(digest)
-				time.Sleep(heardWithin)
+				time.Sleep(gossipBound)
 				require.Zero(t, f.blocked())
 			})
 		})
@@ -172,7 +172,7 @@
 
 // TestNothingIsSentWithoutCrashes guards against a cost where no target crashes.
 func TestNothingIsSentWithoutCrashes(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
 		time.Sleep(time.Minute)
 		before := f.calls.Load()
 		time.Sleep(time.Hour)
@@ -182,35 +182,35 @@
 
 // TestInstanceThatJoinsHasHeard guards against an instance that serves its first requests
 // before it knows what the others refuse.
-func TestInstanceThatJoinsHasHeard(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+func TestJoiningInstanceHasRecords(t *testing.T) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
 		f.crash(3)
-		time.Sleep(heardWithin)
+		time.Sleep(gossipBound)
 		joined := f.add(ctx)
-		joined.AwaitHeard(ctx)
+		joined.AwaitInitialSync(ctx)
 		require.Equal(t, quarantine.Blocked, joined.Judge(digest).State)
 	})
 }
 
 // TestInstanceThatWasCutOffHears guards against an instance that missed all news, and knows
 // of nothing to ask for.
-func TestInstanceThatWasCutOffHears(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+func TestIsolatedInstanceRecovers(t *testing.T) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
 		cut := "at-7"
-		f.cut.Store(&cut)
+		f.isolated.Store(&cut)
 		f.crash(3)
 		time.Sleep(time.Minute)
 		require.Equal(t, 0, f.instances[cut].table.Len())
-		f.cut.Store(nil)
-		time.Sleep(heardWithin)
+		f.isolated.Store(nil)
+		time.Sleep(gossipBound)
 		require.Equal(t, 1, f.instances[cut].table.Len())
 	})
 }
 
 // TestBlockEndsByOneRun guards against a block that never ends, and against many runs at
 // once as it ends.
-func TestBlockEndsByOneRun(t *testing.T) {
-	playFleet(t, 1, 0, func(ctx context.Context, f *fleet) {
+func TestBlockEndsAfterOneTrial(t *testing.T) {
+	runFleet(t, 1, 0, func(ctx context.Context, f *fleet) {
 		f.crash(3)
 		only := f.instances["at-0"]
 		require.Equal(t, quarantine.Blocked, only.Admit(ctx, digest, time.Second).State)
@@ -226,7 +226,7 @@
 
 // TestDeniedTrialIsNotAskedForEachTime guards against a question to another instance for
 // each request of a kind that comes often.
-func TestDeniedTrialIsNotAskedForEachTime(t *testing.T) {
+func TestDeniedTrialIsNotRequestedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scope := tally.NewTestScope("", nil)
 		f := &fleet{instances: map[string]*member{}}
@@ -243,7 +243,7 @@
 			require.Equal(t, quarantine.Blocked, m.Admit(t.Context(), digest, time.Second).State)
 		}
 		require.Equal(t, int64(1), denied())
-		time.Sleep(askAgain)
+		time.Sleep(trialRetryInterval)
 		m.Admit(t.Context(), digest, time.Second)
 		require.Equal(t, int64(2), denied())
 	})
@@ -259,7 +259,7 @@
 	require.Error(t, err)
 	_, err = m.handlers[methodTrial](t.Context(), peer.Peer{}, []byte("none"))
 	require.Error(t, err)
-	body, err := msgpack.Marshal(&exchange{Crashes: []crashMessage{
+	body, err := msgpack.Marshal(&exchangeMessage{Crashes: []crashMessage{
 		{Digest: []byte("short"), Target: "a"}, {Digest: digest[:]}, {Digest: digest[:], Target: "a", AgeMillis: 1 << 31},
 	}})
 	require.NoError(t, err)
@@ -280,6 +280,6 @@
 		m.ServeHTTP(w, httptest.NewRequest("GET", "/quarantine", nil))
 		var entries []entry
 		require.NoError(t, json.Unmarshal(w.Body.Bytes(), &entries))
-		require.Equal(t, []entry{{Digest: digest.String(), State: "blocked", Crashes: 3, LeftSeconds: 30}}, entries)
+		require.Equal(t, []entry{{Digest: digest.String(), State: "blocked", Crashes: 3, RemainingSeconds: 30}}, entries)
 	})
 }
--- a/daemon/blocklist/exchange.go
+++ b/daemon/blocklist/exchange.go
@@ -19,14 +19,14 @@
 // Times and bounds of the exchange.
 const (
 	// roundEvery is the least time between two rounds.
-	roundEvery = 100 * time.Millisecond
+	minExchangeInterval = 100 * time.Millisecond
 	// sampleEvery is the time between two exchanges of samples while there are records.
-	sampleEvery = time.Second
+	sampleInterval = time.Second
 	// joinWithin bounds the wait for another instance after the start. The first one is
 	// known within some ways there and back.
-	joinWithin = 300 * time.Millisecond
+	joinTimeout = 300 * time.Millisecond
 	// joinAsks is how many neighbours an instance asks at its start.
-	joinAsks = 3
+	joinFanout = 3
 	// fanout is how many neighbours get news in one round.
 	fanout = 2
 	// extraCopies, added to the natural logarithm of the number of instances, is how often
@@ -35,40 +35,40 @@
 	exchangeTimeout = time.Second
 	// startSamples is how often an instance asks for samples after its start or after it
 	// stood still, whether it has records or not.
-	startSamples = 5
+	initialSamples = 5
 	// stoodStill is the time between two rounds that tells of an instance which stood still.
-	stoodStill = 3 * time.Second
+	pauseThreshold = 3 * time.Second
 )
 
 // rounds are the state of the loop that sends records.
-type rounds struct {
+type exchangeState struct {
 	// samples is how many samples are still asked for without records.
-	samples int
+	samplesDue int
 	// latest is when the latest round was, by the time of day, which goes on while an
 	// instance is suspended; sampled is when it asked for a sample.
-	latest, sampled time.Time
+	lastExchange, lastSample time.Time
 }
 
 // AwaitHeard waits until this instance knows what others knew at its start, or the context
 // ends. Whoever is alone knows all there is.
-func (b *Blocklist) AwaitHeard(ctx context.Context) {
+func (b *Blocklist) AwaitInitialSync(ctx context.Context) {
 	select {
-	case <-b.heard:
+	case <-b.synced:
 	case <-ctx.Done():
 	}
 }
 
 // join asks neighbours for their records, and returns with the first answer or without any.
-func (b *Blocklist) join(ctx context.Context) {
-	defer close(b.heard)
-	known, cancel := context.WithTimeout(ctx, joinWithin)
+func (b *Blocklist) syncAtStart(ctx context.Context) {
+	defer close(b.synced)
+	known, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	b.cluster.AwaitPeer(known)
-	peers := b.shuffled()
-	peers = peers[:min(joinAsks, len(peers))]
+	peers := b.shuffledNeighbours()
+	peers = peers[:min(joinFanout, len(peers))]
 	answers := make(chan bool, len(peers))
 	for _, address := range peers {
-		go func() { answers <- b.exchange(ctx, address, exchange{Ask: true}) }()
+		go func() { answers <- b.exchangeWith(ctx, address, exchangeMessage{Ask: true}) }()
 	}
 	for range peers {
 		if <-answers {
@@ -78,7 +78,7 @@
 }
 
 // shuffled returns the neighbours in a random order.
-func (b *Blocklist) shuffled() []string {
+func (b *Blocklist) shuffledNeighbours() []string {
 	peers := b.cluster.Neighbours()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers
@@ -86,30 +86,30 @@
 
 // Run exchanges records until ctx ends.
 func (b *Blocklist) Run(ctx context.Context) error {
-	b.join(ctx)
-	r := rounds{samples: startSamples, latest: time.Now().Round(0)}
-	for b.await(ctx) {
+	b.syncAtStart(ctx)
+	r := exchangeState{samplesDue: initialSamples, lastExchange: time.Now().Round(0)}
+	for b.awaitNextExchange(ctx) {
 		now := time.Now()
-		if now.Round(0).Sub(r.latest) > stoodStill {
-			r.samples = startSamples
+		if now.Round(0).Sub(r.lastExchange) > pauseThreshold {
+			r.samplesDue = initialSamples
 		}
-		r.latest = now.Round(0)
+		r.lastExchange = now.Round(0)
 		b.expire(now)
-		b.round(ctx, now, &r)
+		b.exchangeWithNeighbours(ctx, now, &r)
 	}
 	return nil
 }
 
 // await waits for news, or until a sample may be due. It returns false at the end of ctx.
-func (b *Blocklist) await(ctx context.Context) bool {
-	rest := time.NewTimer(roundEvery)
+func (b *Blocklist) awaitNextExchange(ctx context.Context) bool {
+	rest := time.NewTimer(minExchangeInterval)
 	defer rest.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-rest.C:
 	}
-	sample := time.NewTimer(sampleEvery - roundEvery)
+	sample := time.NewTimer(sampleInterval - minExchangeInterval)
 	defer sample.Stop()
 	select {
 	case <-ctx.Done():
@@ -121,19 +121,19 @@
 }
 
 // round sends news to a few neighbours, and exchanges samples with them if that is due.
-func (b *Blocklist) round(ctx context.Context, now time.Time, r *rounds) {
-	peers := b.shuffled()
-	sample := now.Sub(r.sampled) >= sampleEvery && (r.samples > 0 || !b.Empty())
+func (b *Blocklist) exchangeWithNeighbours(ctx context.Context, now time.Time, r *exchangeState) {
+	peers := b.shuffledNeighbours()
+	sample := now.Sub(r.lastSample) >= sampleInterval && (r.samplesDue > 0 || !b.Empty())
 	for _, address := range peers[:min(fanout, len(peers))] {
-		message := b.message(now, sample)
+		message := b.newMessage(now, sample)
 		if len(message.Crashes) == 0 && !message.Ask {
 			break
 		}
-		go b.exchange(ctx, address, message)
+		go b.exchangeWith(ctx, address, message)
 	}
 	if sample && len(peers) > 0 {
-		r.sampled = now
-		r.samples = max(r.samples-1, 0)
+		r.lastSample = now
+		r.samplesDue = max(r.samplesDue-1, 0)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,24 +143,24 @@
 }
 
 // message returns what a neighbour is told, and with sample also asked for.
-func (b *Blocklist) message(now time.Time, sample bool) exchange {
+func (b *Blocklist) newMessage(now time.Time, sample bool) exchangeMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	size := len(b.cluster.View().Live())
 	copies := int(math.Ceil(math.Log(float64(max(size, 1))))) + extraCopies
-	m := exchange{Ask: sample, Crashes: encodeCrashes(b.table.Gossip(now, newsPerMessage, copies))}
+	m := exchangeMessage{Ask: sample, Crashes: encodeCrashes(b.table.Gossip(now, maxGossipRecords, copies))}
 	if sample {
-		m.Crashes = append(m.Crashes, encodeCrashes(b.table.Sample(now, samplePerMessage))...)
+		m.Crashes = append(m.Crashes, encodeCrashes(b.table.Sample(now, maxSampleRecords))...)
 	}
 	return m
 }
 
 // exchange tells another instance, and takes in what it answers. It tells whether it
 // answered.
-func (b *Blocklist) exchange(running context.Context, address string, m exchange) bool {
+func (b *Blocklist) exchangeWith(running context.Context, address string, m exchangeMessage) bool {
 	ctx, cancel := context.WithTimeout(running, exchangeTimeout)
 	defer cancel()
-	var answer exchange
+	var answer exchangeMessage
 	body, err := msgpack.Marshal(&m)
 	if err == nil {
 		body, err = b.cluster.Call(ctx, address, methodExchange, body)
@@ -179,14 +179,14 @@
 }
 
 func (b *Blocklist) handleExchange(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var m exchange
+	var m exchangeMessage
 	if err := msgpack.Unmarshal(body, &m); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	var answer exchange
+	var answer exchangeMessage
 	if m.Ask {
 		b.mu.Lock()
-		answer.Crashes = encodeCrashes(b.table.Sample(time.Now(), samplePerMessage))
+		answer.Crashes = encodeCrashes(b.table.Sample(time.Now(), maxSampleRecords))
 		b.mu.Unlock()
 	}
 	b.merge(m.Crashes)
@@ -198,11 +198,11 @@
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, m := range crashes[:min(len(crashes), newsPerMessage+samplePerMessage)] {
+	for _, m := range crashes[:min(len(crashes), maxGossipRecords+maxSampleRecords)] {
 		c, ok := m.decode()
 		if ok && b.table.Merge(now, c) {
 			b.metrics.crashes[sourcePeer].Inc(1)
-			b.changed(now, c.Digest, sourcePeer, c.Target)
+			b.recordChanged(now, c.Digest, sourcePeer, c.Target)
 		}
 	}
 }
--- a/daemon/blocklist/listing.go
+++ b/daemon/blocklist/listing.go
@@ -16,8 +16,8 @@
 	Crashes int    `json:"crashes"`
 	// SinceSeconds is the time since the latest crash, LeftSeconds the time until one run
 	// is tried.
-	SinceSeconds float64 `json:"since_s"`
-	LeftSeconds  float64 `json:"left_s"`
+	SinceSeconds     float64 `json:"since_s"`
+	RemainingSeconds float64 `json:"left_s"`
 }
 
 // ServeHTTP lists the requests that are blocked or on trial, those of the latest crash
@@ -27,7 +27,7 @@
 	for digest, v := range b.Blocked() {
 		entries = append(entries, entry{
 			Digest: digest.String(), State: v.State.String(), Crashes: v.Crashes,
-			SinceSeconds: v.SinceLastCrash.Seconds(), LeftSeconds: max(v.Remaining.Seconds(), 0),
+			SinceSeconds: v.SinceLastCrash.Seconds(), RemainingSeconds: max(v.Remaining.Seconds(), 0),
 		})
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.SinceSeconds, b.SinceSeconds) })
--- a/daemon/blocklist/messages.go
+++ b/daemon/blocklist/messages.go
@@ -9,12 +9,12 @@
 // newsPerMessage and samplePerMessage bound the records of one message, which take some
 // 50 bytes each.
 const (
-	newsPerMessage   = 64
-	samplePerMessage = 12
+	maxGossipRecords = 64
+	maxSampleRecords = 12
 )
 
 // exchange is the body and the answer of methodExchange.
-type exchange struct {
+type exchangeMessage struct {
 	// Ask asks for a sample.
 	Ask     bool
 	Crashes []crashMessage
@@ -51,10 +51,10 @@
 }
 
 // trialAsk is the body of methodTrial: LeftMillis is how long the run takes at most.
-type trialAsk struct {
+type trialRequest struct {
 	Digest     []byte
 	LeftMillis uint32
 }
 
 // trialAnswer is its answer.
-type trialAnswer struct{ Granted bool }
+type trialResponse struct{ Granted bool }
--- a/daemon/blocklist/metrics.go
+++ b/daemon/blocklist/metrics.go
@@ -39,7 +39,7 @@
 }
 
 // sizes tells how many requests have records and how many of them are blocked.
-func (m metrics) sizes(requests, blocked int) {
+func (m metrics) updateSizes(requests, blocked int) {
 	m.requests.Update(float64(requests))
 	m.blocked.Update(float64(blocked))
 }
--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -18,14 +18,14 @@
 
 const (
 	// trialAnswerWithin bounds that question: the caller waits.
-	trialAnswerWithin = 200 * time.Millisecond
+	trialTimeout = 200 * time.Millisecond
 	// trialMargin, added to the time that a run may take, is for the news of its end to
 	// reach the others.
 	trialMargin = 2 * time.Second
 	// maxTrial bounds the time that a run may take.
-	maxTrial = time.Minute
+	maxTrialTime = time.Minute
 	// askAgain is when a caller may come back whose request another run decides on.
-	askAgain = time.Second
+	trialRetryInterval = time.Second
 )
 
 // Admit tells whether a request may be sent to targets, within left. A request on trial
@@ -35,42 +35,42 @@
 	if v.State != quarantine.OnTrial {
 		return v
 	}
-	if !b.wasDenied(digest) && b.askTrial(ctx, digest, left) {
+	if !b.recentlyDenied(digest) && b.requestTrial(ctx, digest, left) {
 		return v
 	}
 	b.deny(digest)
-	v.State, v.Remaining = quarantine.Blocked, askAgain
+	v.State, v.Remaining = quarantine.Blocked, trialRetryInterval
 	return v
 }
 
 // wasDenied tells whether a trial of the request was denied within the last askAgain, so that
 // a request that comes often doesn't ask each time.
-func (b *Blocklist) wasDenied(digest quarantine.Digest) bool {
+func (b *Blocklist) recentlyDenied(digest quarantine.Digest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().Before(b.denied[digest])
+	return time.Now().Before(b.deniedUntil[digest])
 }
 
 func (b *Blocklist) deny(digest quarantine.Digest) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !now.Before(b.denied[digest]) {
-		b.denied[digest] = now.Add(askAgain)
+	if !now.Before(b.deniedUntil[digest]) {
+		b.deniedUntil[digest] = now.Add(trialRetryInterval)
 	}
 }
 
 // askTrial asks the instance that decides on trials of a request.
-func (b *Blocklist) askTrial(ctx context.Context, digest quarantine.Digest, left time.Duration) bool {
-	left = min(max(left, 0), maxTrial)
+func (b *Blocklist) requestTrial(ctx context.Context, digest quarantine.Digest, left time.Duration) bool {
+	left = min(max(left, 0), maxTrialTime)
 	owners := membership.Owners(b.cluster.View(), digest.String(), 1)
 	if len(owners) == 0 || owners[0].Name == b.cluster.View().Self {
 		return b.grantTrial(digest, left)
 	}
-	ctx, cancel := context.WithTimeout(ctx, trialAnswerWithin)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	var answer trialAnswer
-	body, err := msgpack.Marshal(&trialAsk{digest[:], uint32(left.Milliseconds())})
+	var answer trialResponse
+	body, err := msgpack.Marshal(&trialRequest{digest[:], uint32(left.Milliseconds())})
 	if err == nil {
 		body, err = b.cluster.Call(ctx, owners[0].Address, methodTrial, body)
 	}
@@ -85,7 +85,7 @@
 }
 
 func (b *Blocklist) handleTrial(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var ask trialAsk
+	var ask trialRequest
 	var digest quarantine.Digest
 	if err := msgpack.Unmarshal(body, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode")
@@ -94,8 +94,8 @@
 		return nil, errors.Newf("a digest of %d bytes", len(ask.Digest))
 	}
 	copy(digest[:], ask.Digest)
-	left := min(time.Duration(ask.LeftMillis)*time.Millisecond, maxTrial)
-	return msgpack.Marshal(&trialAnswer{b.grantTrial(digest, left)})
+	left := min(time.Duration(ask.LeftMillis)*time.Millisecond, maxTrialTime)
+	return msgpack.Marshal(&trialResponse{b.grantTrial(digest, left)})
 }
 
 // grantTrial decides on a run that ends within left.
--- a/daemon/execute/admissions.go
+++ b/daemon/execute/admissions.go
@@ -21,52 +21,52 @@
 const maxControllers = 4096
 
 // admissions holds the controllers of one instance, each under its own lock.
-type admissions struct {
-	mu          sync.RWMutex
-	controllers map[admissionKey]*controller
+type admissionControllers struct {
+	mu    sync.RWMutex
+	byKey map[admissionKey]*lockedController
 }
 
-type controller struct {
-	mu  sync.Mutex
-	own *admission.Controller
-	rng *rand.Rand
+type lockedController struct {
+	mu    sync.Mutex
+	inner *admission.Controller
+	rng   *rand.Rand
 }
 
-func newAdmissions() *admissions {
-	return &admissions{controllers: make(map[admissionKey]*controller)}
+func newAdmissionControllers() *admissionControllers {
+	return &admissionControllers{byKey: make(map[admissionKey]*lockedController)}
 }
 
-func (a *admissions) decide(now time.Time, job *Job, stages []deadline.RemainingStage) admission.Decision {
-	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
+func (a *admissionControllers) decide(now time.Time, job *Job, stages []deadline.RemainingStage) admission.Decision {
+	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own.Decide(now, job.Deadline, stages, c.rng)
+	return c.inner.Decide(now, job.Deadline, stages, c.rng)
 }
 
 // probed tells how a job that was admitted as a probe ended.
-func (a *admissions) probed(job *Job, made bool) {
-	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
+func (a *admissionControllers) probeEnded(job *Job, made bool) {
+	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own.ProbeEnded(made)
+	c.inner.ProbeEnded(made)
 }
 
-func (a *admissions) controller(key admissionKey) *controller {
+func (a *admissionControllers) get(key admissionKey) *lockedController {
 	a.mu.RLock()
-	c, ok := a.controllers[key]
+	c, ok := a.byKey[key]
 	a.mu.RUnlock()
 	if ok {
 		return c
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if c, ok := a.controllers[key]; ok {
+	if c, ok := a.byKey[key]; ok {
 		return c
 	}
-	if len(a.controllers) >= maxControllers {
-		clear(a.controllers)
+	if len(a.byKey) >= maxControllers {
+		clear(a.byKey)
 	}
-	c = &controller{own: admission.New(admission.Config{}), rng: newRand()}
-	a.controllers[key] = c
+	c = &lockedController{inner: admission.New(admission.Config{}), rng: newRand()}
+	a.byKey[key] = c
 	return c
 }
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -16,14 +16,14 @@
 // reportAge stands for the age of the load in a reply's headers, which targets
 // do not tell. Taken for new, a report would count over what is known to have
 // been sent since it was made.
-const reportAge = 300 * time.Millisecond
+const assumedLoadAge = 300 * time.Millisecond
 
 // errSealed forbids a dispatch after the request's final answer.
 var errSealed = errors.New("the request has had its final answer")
 
 // attemptResult is the fate of one attempt.
 type attemptResult struct {
-	answer     targetapi.RunAnswer
+	response   targetapi.RunAnswer
 	peer       string
 	err        error
 	verdict    outcome.Verdict
@@ -36,10 +36,10 @@
 // attempt is one attempt under way.
 type attempt struct {
 	*stageRun
-	id      string
-	choice  routing.Choice
-	started time.Time
-	handle  *routing.Attempt
+	id             string
+	choice         routing.Choice
+	started        time.Time
+	routingAttempt *routing.Attempt
 	// number is the attempt's place in the status of its request.
 	number int
 	// stream tells that tokens are delivered as they come.
@@ -52,13 +52,13 @@
 		return nil, errSealed
 	}
 	if !s.stage.Repeatable {
-		s.once.Dispatch() // sealed after the ledger, so it can't be sealed here
+		s.nonRepeatable.Dispatch() // sealed after the ledger, so it can't be sealed here
 	}
 	s.tried = append(s.tried, choice.Target.Incarnation)
 	now := s.opts.Now()
 	a := &attempt{
 		stageRun: s,
-		id:       s.nextAttempt(),
+		id:       s.nextAttemptID(),
 		choice:   choice,
 		started:  now,
 		stream:   s.streams(),
@@ -66,28 +66,28 @@
 	a.number = s.opts.Status.StartAttempt(s.job.Ref, requests.AttemptStart{
 		Stage: s.index, ID: a.id, Target: choice.Target.Address, At: now,
 	})
-	a.handle = s.opts.Router.Started(now, choice.Target.Incarnation, 0)
+	a.routingAttempt = s.opts.Router.Started(now, choice.Target.Incarnation, 0)
 	return a, nil
 }
 
 // failedUnknown is the fate of an attempt that may have run.
-func failedUnknown(peer string, err error) attemptResult {
+func unknownResult(peer string, err error) attemptResult {
 	return attemptResult{peer: peer, err: err, verdict: outcome.Unknown}
 }
 
 // do makes the attempt, settles it in the ledger and teaches the router.
-func (a *attempt) do(ctx context.Context) (result attemptResult) {
-	defer a.contain(&result)
+func (a *attempt) run(ctx context.Context) (result attemptResult) {
+	defer a.recoverPanic(&result)
 	call := a.call()
 	answer, meta, err := a.send(ctx, call)
-	a.noteCrash(ctx, err)
-	result = attemptResult{answer: answer, peer: call.Address, err: err}
-	a.classify(&result)
+	a.recordCrash(ctx, err)
+	result = attemptResult{response: answer, peer: call.Address, err: err}
+	a.setVerdict(&result)
 	a.ledger.Settle(result.verdict)
 	if !a.stage.Repeatable {
-		a.once.Settle(result.verdict)
+		a.nonRepeatable.Settle(result.verdict)
 	}
-	a.learn(ctx, meta, &result)
+	a.recordResult(ctx, meta, &result)
 	return result
 }
 
@@ -134,9 +134,9 @@
 // a late answer into an unknown outcome.
 func (a *attempt) headerTimeout() time.Duration {
 	if a.stream && a.stage.Repeatable {
-		return a.left() / 2
+		return a.remainingTime() / 2
 	}
-	return a.left()
+	return a.remainingTime()
 }
 
 func targetParts(parts []Part) []targetapi.Part {
@@ -155,14 +155,14 @@
 	}
 	a.offset++
 	a.text.WriteString(token)
-	if a.job.OnToken == nil || !a.last() {
+	if a.job.OnToken == nil || !a.isLast() {
 		return nil
 	}
 	return a.job.OnToken(offset, token)
 }
 
 // classify says what the attempt's end means for the request.
-func (a *attempt) classify(r *attemptResult) {
+func (a *attempt) setVerdict(r *attemptResult) {
 	if r.err == nil {
 		r.verdict = outcome.Ran
 		if a.stream {
@@ -186,24 +186,24 @@
 
 // joinStream makes the whole answer of all parts of a resumed stream.
 func (a *attempt) joinStream(r *attemptResult) {
-	r.answer.Output = a.text.String()
-	r.answer.Tokens = a.offset
+	r.response.Output = a.text.String()
+	r.response.Tokens = a.offset
 }
 
 // learn tells the router, the learned times and the status how it ended.
-func (a *attempt) learn(ctx context.Context, meta target.Meta, r *attemptResult) {
+func (a *attempt) recordResult(ctx context.Context, meta target.Meta, r *attemptResult) {
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
 	incarnation := a.choice.Target.Incarnation
 	p50, _ := a.opts.Times.Estimate(a.stageKey(a.index), a.stage.ExpectedDuration)
 	end := a.routingOutcome(ctx, r)
-	a.handle.Done(now, routing.Result{
+	a.routingAttempt.Done(now, routing.Result{
 		Outcome:  end,
 		Latency:  elapsed,
 		Expected: p50,
 	})
 	if meta.HasLoad {
-		load := routing.Load{Active: meta.Active, Queued: meta.Queued, Slots: meta.Slots, Age: reportAge}
+		load := routing.Load{Active: meta.Active, Queued: meta.Queued, Slots: meta.Slots, Age: assumedLoadAge}
 		a.opts.Router.Report(now, incarnation, load)
 	}
 	if meta.Leaving {
@@ -212,7 +212,7 @@
 	if r.err == nil {
 		a.opts.Times.Observe(now, a.stageKey(a.index), a.stage.ExpectedDuration, elapsed)
 	}
-	a.record(now, end, r)
+	a.recordStatus(now, end, r)
 }
 
 func (a *attempt) routingOutcome(ctx context.Context, r *attemptResult) routing.Outcome {
@@ -231,12 +231,12 @@
 }
 
 // record keeps the attempt's fate in the status of its request.
-func (a *attempt) record(now time.Time, end routing.Outcome, r *attemptResult) {
+func (a *attempt) recordStatus(now time.Time, end routing.Outcome, r *attemptResult) {
 	entry := requests.AttemptEnd{
 		Result:        statusResult(end),
-		Work:          time.Duration(r.answer.WorkMS) * time.Millisecond,
-		Tokens:        r.answer.Tokens,
-		PrefillTokens: r.answer.PrefillTokens,
+		Work:          time.Duration(r.response.WorkMS) * time.Millisecond,
+		Tokens:        r.response.Tokens,
+		PrefillTokens: r.response.PrefillTokens,
 		At:            now,
 	}
 	if r.err != nil {
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -7,7 +7,7 @@
 )
 
 // stageKey names the learned times of stage i for this job's size.
-func (r *run) stageKey(i int) deadline.StageKey {
+func (r *jobRun) stageKey(i int) deadline.StageKey {
 	return deadline.StageKey{
 		Pipeline: r.job.Pipeline.Key,
 		Stage:    r.job.Pipeline.Stages[i].Name,
@@ -16,7 +16,7 @@
 }
 
 // size is the work of stage i in tokens: those to read and those to generate.
-func (r *run) size(i int) int {
+func (r *jobRun) size(i int) int {
 	total := r.maxTokens(i)
 	if total == 0 {
 		return 0
@@ -29,7 +29,7 @@
 
 // maxTokens bounds what stage i may generate: the caller's wish within the
 // stage's own bound.
-func (r *run) maxTokens(i int) int {
+func (r *jobRun) maxTokens(i int) int {
 	own := r.job.Pipeline.Stages[i].MaxTokens
 	if own == 0 || r.job.MaxTokens == 0 {
 		return own
@@ -37,7 +37,7 @@
 	return min(own, r.job.MaxTokens)
 }
 
-func (r *run) estimate(i int) deadline.RemainingStage {
+func (r *jobRun) estimate(i int) deadline.RemainingStage {
 	stage := &r.job.Pipeline.Stages[i]
 	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.ExpectedDuration)
 	wait := r.opts.Gate.Wait(stage.Pool, r.rank)
@@ -46,7 +46,7 @@
 
 // place returns a tier's place among the tiers in force. Gates order by it:
 // records may have ranks such as 10, 20 and 30, of which a gate keeps eight.
-func (e *Executor) place(t *catalog.Tier) int {
+func (e *Executor) gateRank(t *catalog.Tier) int {
 	snapshot := e.opts.Config()
 	if snapshot == nil {
 		return t.Rank
@@ -63,7 +63,7 @@
 
 // attainmentFirst tells whether the stage's pool weighs answers in time more
 // than the work they cost: only then is a hedge worth its price.
-func (r *run) attainmentFirst(pool string) bool {
+func (r *jobRun) attainmentFirst(pool string) bool {
 	snapshot := r.opts.Config()
 	if snapshot == nil {
 		return false
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -49,7 +49,7 @@
 // Executor runs jobs. It is safe for concurrent use.
 type Executor struct {
 	opts       Options
-	admissions *admissions
+	admissions *admissionControllers
 }
 
 // New makes an executor.
@@ -63,16 +63,16 @@
 	if o.Blocklist == nil {
 		o.Blocklist = blocklist.None{}
 	}
-	return &Executor{opts: o, admissions: newAdmissions()}
+	return &Executor{opts: o, admissions: newAdmissionControllers()}
 }
 
 // run is the state of one job.
-type run struct {
+type jobRun struct {
 	*Executor
 	job    *Job
 	ledger outcome.Ledger
 	// once counts only the attempts of stages that may not be repeated.
-	once outcome.Ledger
+	nonRepeatable outcome.Ledger
 	// outputs holds each finished stage's output; done is closed with it.
 	outputs []string
 	tokens  []int
@@ -82,13 +82,13 @@
 	rank int
 	// content is the digest of what the job's repeats have in common; onTrial tells that
 	// this is the one run of it that is allowed.
-	content quarantine.Digest
-	onTrial bool
+	content      quarantine.Digest
+	trialGranted bool
 	// probe tells that the job was admitted to measure its stages anew.
 	probe bool
 
 	mu        sync.Mutex
-	remaining []deadline.RemainingStage
+	estimates []deadline.RemainingStage
 	finished  []bool
 	claimed   bool
 }
@@ -100,18 +100,18 @@
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
 	r := e.newRun(&job)
-	defer func() { r.probed(err == nil) }()
+	defer func() { r.probeEnded(err == nil) }()
 	if failure := r.admitContent(ctx); failure != nil {
 		return Result{}, r.seal(failure)
 	}
-	if failure := r.hopeless(); failure != nil {
+	if failure := r.admit(); failure != nil {
 		return Result{}, r.seal(failure)
 	}
 	group, stageCtx := errgroup.WithContext(ctx)
 	for i := range job.Pipeline.Stages {
 		group.Go(func() error { return r.stageWhenReady(stageCtx, i) })
 	}
-	if err = group.Wait(); err != nil || !r.whole() {
+	if err = group.Wait(); err != nil || !r.complete() {
 		return Result{}, r.seal(r.asFailure(ctx, err))
 	}
 	r.ledger.Seal()
@@ -120,28 +120,28 @@
 	return Result{Output: r.outputs[last], Tokens: r.tokens[last]}, nil
 }
 
-func (e *Executor) newRun(job *Job) *run {
+func (e *Executor) newRun(job *Job) *jobRun {
 	n := len(job.Pipeline.Stages)
-	r := &run{
+	r := &jobRun{
 		Executor: e,
 		job:      job,
 		outputs:  make([]string, n),
 		tokens:   make([]int, n),
 		done:     make([]chan struct{}, n),
 		finished: make([]bool, n),
-		rank:     e.place(job.Tier),
+		rank:     e.gateRank(job.Tier),
 		content:  quarantine.DigestOf("", job.Pipeline.Key.Name, job.Account, []byte(job.Input)),
 	}
 	for i := range job.Pipeline.Stages {
 		r.done[i] = make(chan struct{})
-		r.remaining = append(r.remaining, r.estimate(i))
+		r.estimates = append(r.estimates, r.estimate(i))
 	}
 	return r
 }
 
 // hopeless refuses a job that can't make its deadline, or that a later stage
 // has no target for, before it costs a stage.
-func (r *run) hopeless() *Failure {
+func (r *jobRun) admit() *Failure {
 	for i := range r.job.Pipeline.Stages {
 		stage := &r.job.Pipeline.Stages[i]
 		query := routing.Query{Pool: stage.Pool, Model: stage.Model, Adapter: stage.Adapter}
@@ -149,7 +149,7 @@
 			return &Failure{Reason: ReasonNoTarget, Step: stage.Name}
 		}
 	}
-	decision := r.admissions.decide(r.opts.Now(), r.job, r.remaining)
+	decision := r.admissions.decide(r.opts.Now(), r.job, r.estimates)
 	if decision.Admit {
 		r.probe = decision.Probe
 		return nil
@@ -164,18 +164,18 @@
 
 // probed tells the admission how a probe ended, so that refusals by learned
 // times end once the stages are fast again.
-func (r *run) probed(made bool) {
+func (r *jobRun) probeEnded(made bool) {
 	if r.probe {
-		r.admissions.probed(r.job, made)
+		r.admissions.probeEnded(r.job, made)
 	}
 }
 
 // stageWhenReady waits for the stages before, then runs stage i. A stage that
 // waits in vain reports nothing: the one that it waits for says why, and where.
-func (r *run) stageWhenReady(ctx context.Context, i int) (err error) {
+func (r *jobRun) stageWhenReady(ctx context.Context, i int) (err error) {
 	s := newStageRun(r, i)
-	defer s.contain(&err)
-	inputs, ok := r.inputs(ctx, i)
+	defer s.recoverPanic(&err)
+	inputs, ok := r.awaitInputs(ctx, i)
 	if !ok {
 		return nil
 	}
@@ -192,7 +192,7 @@
 }
 
 // inputs waits for what stage i reads; false tells that the context ended first.
-func (r *run) inputs(ctx context.Context, i int) ([]string, bool) {
+func (r *jobRun) awaitInputs(ctx context.Context, i int) ([]string, bool) {
 	after := r.job.Pipeline.Stages[i].After
 	if len(after) == 0 {
 		return []string{r.job.Input}, true
@@ -209,7 +209,7 @@
 	return inputs, true
 }
 
-func (r *run) finish(i int, s *stageRun) {
+func (r *jobRun) finish(i int, s *stageRun) {
 	r.outputs[i] = s.output
 	r.tokens[i] = s.tokens
 	r.mu.Lock()
@@ -219,12 +219,12 @@
 }
 
 // share recomputes stage i's part of what is left of the deadline.
-func (r *run) share(now time.Time, i int) deadline.StageBudget {
+func (r *jobRun) stageBudget(now time.Time, i int) deadline.StageBudget {
 	r.mu.Lock()
 	var left []deadline.RemainingStage
-	for j := range r.remaining {
+	for j := range r.estimates {
 		if !r.finished[j] {
-			left = append(left, r.remaining[j])
+			left = append(left, r.estimates[j])
 		}
 	}
 	r.mu.Unlock()
@@ -237,7 +237,7 @@
 }
 
 // claimDispatch asks once for leave to send stages that may not be repeated.
-func (r *run) claimDispatch() error {
+func (r *jobRun) claimDispatch() error {
 	if r.job.BeforeDispatch == nil {
 		return nil
 	}
@@ -254,16 +254,16 @@
 }
 
 // seal makes the failure's verdict final.
-func (r *run) seal(f *Failure) *Failure {
+func (r *jobRun) seal(f *Failure) *Failure {
 	f.Verdict = r.ledger.Seal()
-	f.MayRunAgain = r.once.Seal() == outcome.NotRun
+	f.MayRunAgain = r.nonRepeatable.Seal() == outcome.NotRun
 	return f
 }
 
 // whole tells whether every stage was answered. The failure: the context ends at
 // the moment at which a stage is answered, the next one still waits and reports
 // nothing, and the caller gets an empty answer for a whole one.
-func (r *run) whole() bool {
+func (r *jobRun) complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.Contains(r.finished, false)
@@ -273,7 +273,7 @@
 var ErrStopping = errors.New("the instance stops")
 
 // asFailure names the cause of an end that no stage reported.
-func (r *run) asFailure(ctx context.Context, err error) *Failure {
+func (r *jobRun) asFailure(ctx context.Context, err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
 		return failure
@@ -296,7 +296,7 @@
 	return ReasonDeadline
 }
 
-func (r *run) firstUnfinished() string {
+func (r *jobRun) firstUnfinished() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, finished := range r.finished {
--- a/daemon/execute/executor_test.go
+++ b/daemon/execute/executor_test.go
@@ -18,7 +18,7 @@
 
 // once hits one call, wherever it is routed first; the faults of both targets
 // are set, so the second attempt meets a fault too unless Limit spares it.
-func hitOne(r *rig, kind emulated.FaultKind, after int) {
+func setFaultOnFirst(r *rig, kind emulated.FaultKind, after int) {
 	f := emulated.Fault{Kind: kind, Limit: 1, AfterTokens: after}
 	r.targets[0].SetFaults(f)
 	r.targets[1].SetFaults()
@@ -27,7 +27,7 @@
 // A clerk posts a work order and one attempt fails in some way at the target.
 // Sent again after it may have run, the order sends two crews; promised as "not
 // run" though it ran, the clerk's own retry does.
-func TestFaultTable(t *testing.T) {
+func TestTargetFaults(t *testing.T) {
 	whole := outcome.Verdict(-1)
 	cases := []struct {
 		fault                 emulated.FaultKind
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, kindFor(c.tokens), catalog.ObjectiveAttainment)
-			hitEither(t, r, c.fault, c.after, c.repeatable, c.resumable, c.tokens, c.want)
+			runUntilFaultHit(t, r, c.fault, c.after, c.repeatable, c.resumable, c.tokens, c.want)
 		})
 	}
 }
@@ -87,8 +87,8 @@
 
 // hitEither makes the call until it met the faulty target, which routing picks
 // by chance, and checks what the caller is told each time.
-func hitEither(t *testing.T, r *rig, kind emulated.FaultKind, after int, repeatable, resumable bool, tokens int, want outcome.Verdict) {
-	hitOne(r, kind, after)
+func runUntilFaultHit(t *testing.T, r *rig, kind emulated.FaultKind, after int, repeatable, resumable bool, tokens int, want outcome.Verdict) {
+	setFaultOnFirst(r, kind, after)
 	expected, _ := emulated.Output("s", []string{"in"}, "", tokens)
 	for hit := false; !hit; {
 		job := r.job(oneStage(repeatable, resumable, tokens), 2*time.Second)
@@ -153,7 +153,7 @@
 // An order's text is encoded, then the order itself meets a target in some state.
 // "Ran" is true of the encoding; whether the clerk may send the order again
 // depends on the order alone.
-func TestMayRunAgainLooksAtWhatMayNotBeRepeated(t *testing.T) {
+func TestMayRunAgainDependsOnNonRepeatableStages(t *testing.T) {
 	const forbidden emulated.FaultKind = "the claim forbids the order"
 	cases := map[emulated.FaultKind]bool{emulated.FaultReset: false, emulated.FaultFailFast: false, forbidden: true}
 	for fault, again := range cases {
@@ -194,7 +194,7 @@
 
 // A guest's chat holds the only slots when an allergy check of a higher tier
 // comes. The chat is interrupted and goes on later; its text must be one text.
-func TestPreemptedStreamGoesOnWhole(t *testing.T) {
+func TestPreemptedStreamResumesCompletely(t *testing.T) {
 	r := newRig(t, catalog.KindEngine, catalog.ObjectiveCost)
 	r.opts.Gate.(*gate.Group).SetCapacity(rigPool, 1, true)
 	const tokens = 500 // far more than are generated before the interruption
@@ -248,7 +248,7 @@
 
 // A plan's last stage needs a model that no engine has loaded. The stages before
 // it were run and paid for, and the guest was told that the work may have run.
-func TestAModelNobodyHasCostsNoStage(t *testing.T) {
+func TestModelWithoutTargetRunsNoStage(t *testing.T) {
 	r := newRig(t, catalog.KindEngine, catalog.ObjectiveAttainment)
 	r.opts.Router.(*routing.Table).SetTargets(time.Now(), routing.Pool{Name: "small"}, []routing.Target{
 		{Incarnation: "c", Pool: "small", Models: []string{"small"}},
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -15,27 +15,27 @@
 // doHedged makes an attempt and, where it is late, a second one beside it. The
 // first whole answer wins; the other attempt is cancelled so that it frees its
 // slot.
-func (s *stageRun) doHedged(ctx context.Context, first *attempt, grant *gate.Grant, request gate.Request) attemptResult {
+func (s *stageRun) runHedged(ctx context.Context, first *attempt, grant *gate.Grant, request gate.Request) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(errLostHedge)
-	results := make(chan attemptResult, maxParallel)
+	results := make(chan attemptResult, maxConcurrentAttempts)
 	go func() {
 		defer grant.Release()
-		results <- first.do(ctx)
+		results <- first.run(ctx)
 	}()
-	return s.race(ctx, results, request)
+	return s.awaitHedged(ctx, results, request)
 }
 
 // maxParallel is an attempt and its hedge.
-const maxParallel = 2
+const maxConcurrentAttempts = 2
 
 func (s *stageRun) hedgeAfter() time.Duration {
 	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.ExpectedDuration)
-	return retry.HedgeDelay(p95, s.left(), s.attainmentFirst(s.stage.Pool))
+	return retry.HedgeDelay(p95, s.remainingTime(), s.attainmentFirst(s.stage.Pool))
 }
 
 // race waits for the first whole answer among the attempt and its hedge.
-func (s *stageRun) race(ctx context.Context, results chan attemptResult, request gate.Request) attemptResult {
+func (s *stageRun) awaitHedged(ctx context.Context, results chan attemptResult, request gate.Request) attemptResult {
 	timer := time.NewTimer(s.hedgeAfter())
 	defer timer.Stop()
 	running := 1
@@ -69,7 +69,7 @@
 	}
 	go func() {
 		defer grant.Release()
-		results <- second.do(ctx)
+		results <- second.run(ctx)
 	}()
 	return true
 }
@@ -82,7 +82,7 @@
 			grant.Release()
 		}
 	}()
-	choice, failure := s.pickOther()
+	choice, failure := s.pickUntried()
 	if failure != nil {
 		return nil
 	}
--- a/daemon/execute/panic.go
+++ b/daemon/execute/panic.go
@@ -16,22 +16,22 @@
 // those of the next instance too. Contained, it fails this request alone. What
 // the stage had done is not known then, so an attempt that never settles is
 // entered in the ledgers: it keeps "not run" from being said.
-func (s *stageRun) contain(err *error) {
+func (s *stageRun) recoverPanic(err *error) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	s.ledger.Dispatch()
-	s.once.Dispatch()
+	s.nonRepeatable.Dispatch()
 	panicked := fmt.Errorf("stage %s panicked: %v", s.stage.Name, cause)
 	s.logPanic(panicked, "")
-	*err = s.failure(ReasonFault, "", panicked)
+	*err = s.newFailure(ReasonFault, "", panicked)
 }
 
 // contain makes a panic of the attempt its failure with an outcome unknown; it
 // is deferred because a hedged attempt has a goroutine of its own. An attempt
 // that had not settled stays open in the ledgers, which is the same verdict.
-func (a *attempt) contain(result *attemptResult) {
+func (a *attempt) recoverPanic(result *attemptResult) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -39,7 +39,7 @@
 	peer := a.choice.Target.Address
 	err := fmt.Errorf("attempt %s at %s panicked: %v", a.id, peer, cause)
 	a.logPanic(err, peer)
-	*result = failedUnknown(peer, err)
+	*result = unknownResult(peer, err)
 }
 
 func (s *stageRun) logPanic(err error, peer string) {
--- a/daemon/execute/retry.go
+++ b/daemon/execute/retry.go
@@ -13,12 +13,12 @@
 
 // beforeRetry decides whether a failed attempt is followed by another one, pays
 // for it and waits until it is due. Its error ends the stage.
-func (s *stageRun) beforeRetry(ctx context.Context, result attemptResult) error {
+func (s *stageRun) awaitRetry(ctx context.Context, result attemptResult) error {
 	if ctx.Err() != nil {
-		return s.unfinished(ctx, result.peer, ctx.Err())
+		return s.interruptedFailure(ctx, result.peer, ctx.Err())
 	}
 	now := s.opts.Now()
-	decision := s.attempts.AfterFailure(now, s.share(now, s.index).LatestStart, s.rng, retry.Failure{
+	decision := s.attempts.AfterFailure(now, s.stageBudget(now, s.index).LatestStart, s.rng, retry.Failure{
 		Kind:            retryResult(result),
 		RetryAfter:      result.retryAfter,
 		TokensDelivered: s.offset > 0,
@@ -29,8 +29,8 @@
 	if decision.UsesBudget && !s.opts.Budgets.TakeRetry(now, s.stage.Pool) {
 		return s.targetFailure(result, retry.ReasonBudgetUsedUp)
 	}
-	if err := wait(ctx, decision.Delay); err != nil {
-		return s.unfinished(ctx, result.peer, err)
+	if err := sleep(ctx, decision.Delay); err != nil {
+		return s.interruptedFailure(ctx, result.peer, err)
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 
 // targetFailure tells how the last attempt ended, and why it was the last.
 func (s *stageRun) targetFailure(result attemptResult, why retry.Reason) *Failure {
-	f := s.failure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, why))
+	f := s.newFailure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, why))
 	f.RetryAfter = result.retryAfter
 	if result.verdict == outcome.NotRun && f.RetryAfter > 0 {
 		f.Reason = ReasonOverload
@@ -65,7 +65,7 @@
 }
 
 // wait blocks for the delay or until the context's end, whose error it returns.
-func wait(ctx context.Context, delay time.Duration) error {
+func sleep(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
 	}
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -26,31 +26,31 @@
 
 // step is how one attempt ends, after a time.
 type step struct {
-	after time.Duration
-	err   *target.AttemptError // nil: a whole answer
-	deaf  bool                 // to a cancel
+	after         time.Duration
+	err           *target.AttemptError // nil: a whole answer
+	ignoresCancel bool                 // to a cancel
 }
 
 // script is a Caller whose n-th attempt ends as the n-th step says; the ones
 // behind the last step are refused at once.
-type script struct {
+type scriptedCaller struct {
 	steps []step
 
-	mu           sync.Mutex
-	open, most   int
-	sent         []time.Time
-	targets      []string
-	ended        []error
-	answered     []string
-	lostCauses   []error
-	mayHaveRunAt int // attempts sent when the first one ended that may have run
+	mu                    sync.Mutex
+	inFlight, maxInFlight int
+	sent                  []time.Time
+	targets               []string
+	ended                 []error
+	answered              []string
+	cancelCauses          []error
+	sentWhenMayHaveRun    int // attempts sent when the first one ended that may have run
 }
 
-func (s *script) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
+func (s *scriptedCaller) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
 	next := s.begin(call)
 	var err error
 	cancelled := ctx.Done()
-	if next.deaf {
+	if next.ignoresCancel {
 		cancelled = nil
 	}
 	select {
@@ -65,37 +65,37 @@
 	return targetapi.RunAnswer{Output: call.AttemptID}, target.Meta{}, err
 }
 
-func (s *script) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.Meta, error) {
+func (s *scriptedCaller) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.Meta, error) {
 	return s.Run(ctx, call)
 }
 
-func (s *script) begin(call target.Call) step {
+func (s *scriptedCaller) begin(call target.Call) step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := len(s.sent)
 	s.sent = append(s.sent, time.Now())
 	s.targets = append(s.targets, call.Incarnation)
-	s.open++
-	s.most = max(s.most, s.open)
+	s.inFlight++
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
 	if n < len(s.steps) {
 		return s.steps[n]
 	}
 	return step{err: notRun(0)}
 }
 
-func (s *script) end(ctx context.Context, call target.Call, err error) {
+func (s *scriptedCaller) end(ctx context.Context, call target.Call, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.inFlight--
 	s.ended = append(s.ended, err)
 	var failed *target.AttemptError
 	switch {
 	case err == nil:
 		s.answered = append(s.answered, call.AttemptID)
 	case ctx.Err() != nil:
-		s.lostCauses = append(s.lostCauses, context.Cause(ctx))
-	case errors.As(err, &failed) && failed.Outcome != target.NotRun && s.mayHaveRunAt == 0:
-		s.mayHaveRunAt = len(s.sent)
+		s.cancelCauses = append(s.cancelCauses, context.Cause(ctx))
+	case errors.As(err, &failed) && failed.Outcome != target.NotRun && s.sentWhenMayHaveRun == 0:
+		s.sentWhenMayHaveRun = len(s.sent)
 	}
 }
 
@@ -104,12 +104,12 @@
 }
 
 var (
-	lost        = &target.AttemptError{Step: target.StepHeaders, Outcome: target.Unknown, Reason: target.ReasonReset}
-	unconnected = &target.AttemptError{Step: target.StepConnect, Outcome: target.NotRun, Reason: target.ReasonRefused}
+	connectionReset = &target.AttemptError{Step: target.StepHeaders, Outcome: target.Unknown, Reason: target.ReasonReset}
+	notConnected    = &target.AttemptError{Step: target.StepConnect, Outcome: target.NotRun, Reason: target.ReasonRefused}
 )
 
 // scripted is an executor before three targets that follow the script.
-func scripted(s *script, budget retry.Config) *rig {
+func newScriptedRig(s *scriptedCaller, budget retry.Config) *rig {
 	r := &rig{budgets: retrybudget.New(budget)}
 	table := routing.New(routing.Config{Instance: "test"})
 	listed := []routing.Target{}
@@ -118,7 +118,7 @@
 	}
 	objective := catalog.ObjectiveAttainment
 	table.SetTargets(time.Now(), routing.Pool{Name: rigPool, Objective: objective, EjectionFloor: 1}, listed)
-	gates := gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{}, FillOrdered: 1, FillPlain: 1}, time.Now)
+	gates := gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{}, OvercommitOrdered: 1, OvercommitUnordered: 1}, time.Now)
 	gates.SetCapacity(rigPool, 12, false)
 	snapshot := &catalog.Snapshot{Pools: map[string]*catalog.Pool{rigPool: {Name: rigPool, Objective: objective}}}
 	r.Executor = New(Options{
@@ -133,10 +133,10 @@
 // Answers come late, twice or for nobody while attempts, retries and hedges are
 // under way. The caller gets one answer in time, what may run once is never sent
 // beside or behind a run, and nothing runs on for no one.
-func TestRaceEndsOnce(t *testing.T) {
-	faults := []*target.AttemptError{nil, notRun(0), notRun(3), lost, unconnected}
+func TestAttemptsEndInOneResponse(t *testing.T) {
+	faults := []*target.AttemptError{nil, notRun(0), notRun(3), connectionReset, notConnected}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &script{}
+		s := &scriptedCaller{}
 		for range rapid.IntRange(0, 5).Draw(rt, "steps") {
 			s.steps = append(s.steps, step{
 				after: time.Duration(rapid.IntRange(0, 1500).Draw(rt, "after ms")) * time.Millisecond,
@@ -149,18 +149,18 @@
 		var err error
 		inTime := false
 		synctest.Test(t, func(*testing.T) {
-			r := scripted(s, retry.Config{Reserve: 5})
+			r := newScriptedRig(s, retry.Config{Reserve: 5})
 			job := r.job(p, time.Second)
 			got, err = r.do(job)
 			inTime = !time.Now().After(job.Deadline)
 			synctest.Wait()
 		})
 		require.True(rt, inTime, "ended after its deadline")
-		require.Zero(rt, s.open, "an attempt runs on for no one")
+		require.Zero(rt, s.inFlight, "an attempt runs on for no one")
 		require.LessOrEqual(rt, len(s.sent), p.MaxAttempts)
 		if !p.Stages[0].Repeatable {
-			require.LessOrEqual(rt, s.most, 1, "sent beside itself")
-			require.True(rt, s.mayHaveRunAt == 0 || s.mayHaveRunAt == len(s.sent), "sent again although it may have run")
+			require.LessOrEqual(rt, s.maxInFlight, 1, "sent beside itself")
+			require.True(rt, s.sentWhenMayHaveRun == 0 || s.sentWhenMayHaveRun == len(s.sent), "sent again although it may have run")
 		}
 		if err == nil {
 			require.Contains(rt, s.answered, got.Output)
@@ -180,7 +180,7 @@
 // A target is silent, or full for a moment, and other targets of its pool are
 // well. A caller sees the answer of one of them, soon; the work at the slow one
 // is stopped.
-func TestAttemptsInTime(t *testing.T) {
+func TestAttemptTiming(t *testing.T) {
 	const hour, learned = time.Hour, 20 * time.Millisecond // oneStage's expected time
 	full := step{err: notRun(0)}
 	cases := map[string]struct {
@@ -195,25 +195,25 @@
 		"the hedge wins, the loser is cancelled": {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
 		"no hedge of what may run once":          {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
 		"no hedge without a token":               {empty: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
-		"a failure is followed at once":          {steps: []step{{err: lost}, {}}, within: []time.Duration{0, 0}},
+		"a failure is followed at once":          {steps: []step{{err: connectionReset}, {}}, within: []time.Duration{0, 0}},
 		"a refusal after a back-off":             {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
 		"no longer than the target asks":         {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
-		"no retry without a token":               {empty: true, steps: []step{{err: lost}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
-		"no connection needs no token":           {empty: true, once: true, steps: []step{{err: unconnected}, {err: unconnected}, {}}, within: []time.Duration{0, 0, 0}},
+		"no retry without a token":               {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
+		"no connection needs no token":           {empty: true, once: true, steps: []step{{err: notConnected}, {err: notConnected}, {}}, within: []time.Duration{0, 0, 0}},
 		"full everywhere":                        {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttemptsUsedUp)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{steps: c.steps}
-				r := scripted(s, retry.Config{Reserve: 5})
+				s := &scriptedCaller{steps: c.steps}
+				r := newScriptedRig(s, retry.Config{Reserve: 5})
 				for c.empty && (r.budgets.TakeRetry(time.Now(), rigPool) || r.budgets.TakeHedge(time.Now(), rigPool)) {
 					continue
 				}
 				start := time.Now()
 				_, err := r.do(r.job(oneStage(!c.once, false, 0), time.Second))
 				synctest.Wait()
-				require.Zero(t, s.open)
+				require.Zero(t, s.inFlight)
 				require.Len(t, s.sent, len(c.within))
 				tried := map[string]bool{}
 				for i, latest := range c.within {
@@ -222,7 +222,7 @@
 					tried[s.targets[i]] = true
 				}
 				require.False(t, c.waits && s.sent[len(s.sent)-1].Equal(start), "sent again at once")
-				for _, cause := range s.lostCauses {
+				for _, cause := range s.cancelCauses {
 					require.ErrorIs(t, cause, errLostHedge)
 				}
 				if c.reason == "" {
@@ -258,13 +258,13 @@
 	}{
 		"silent until the deadline":             {steps: []step{{after: time.Hour}}, reason: ReasonDeadline, stage: "s", attempted: true},
 		"a gate that fails":                     {gate: func(g Gate) Gate { return brokenGate{g} }, reason: ReasonFault, stage: "s"},
-		"answered late, the next one never ran": {steps: []step{{after: 2 * time.Second, deaf: true}}, reason: ReasonDeadline, stage: "last"},
+		"answered late, the next one never ran": {steps: []step{{after: 2 * time.Second, ignoresCancel: true}}, reason: ReasonDeadline, stage: "last"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{steps: c.steps}
-				r := scripted(s, retry.Config{})
+				s := &scriptedCaller{steps: c.steps}
+				r := newScriptedRig(s, retry.Config{})
 				if c.gate != nil {
 					r.opts.Gate = c.gate(r.opts.Gate)
 				}
--- a/daemon/execute/stage.go
+++ b/daemon/execute/stage.go
@@ -19,7 +19,7 @@
 
 // stageRun is the state of one stage of a job.
 type stageRun struct {
-	*run
+	*jobRun
 	index  int
 	stage  *catalog.Stage
 	inputs []string
@@ -33,18 +33,18 @@
 	attempts    *retry.Attempts
 	preemptions int
 	// serial numbers the attempts, preempted ones too.
-	serial int
+	lastAttemptNumber int
 
 	output string
 	tokens int
 }
 
-func newStageRun(r *run, i int) *stageRun {
+func newStageRun(r *jobRun, i int) *stageRun {
 	s := &stageRun{
-		run:   r,
-		index: i,
-		stage: &r.job.Pipeline.Stages[i],
-		rng:   newRand(),
+		jobRun: r,
+		index:  i,
+		stage:  &r.job.Pipeline.Stages[i],
+		rng:    newRand(),
 	}
 	s.attempts = retry.NewAttempts(retry.Stage{
 		Repeatable:  s.stage.Repeatable,
@@ -58,27 +58,27 @@
 // streams tells whether this stage's tokens go to the caller as they come, or
 // can be kept so that a broken stream resumes.
 func (s *stageRun) streams() bool {
-	toCaller := s.job.OnToken != nil && s.last()
+	toCaller := s.job.OnToken != nil && s.isLast()
 	return s.maxTokens(s.index) > 0 && (toCaller || s.stage.Resumable)
 }
 
-func (s *stageRun) last() bool { return s.index == len(s.job.Pipeline.Stages)-1 }
+func (s *stageRun) isLast() bool { return s.index == len(s.job.Pipeline.Stages)-1 }
 
 // execute sends the stage to targets until one answers whole or nothing more may
 // be tried. Its error is a *Failure.
 func (s *stageRun) execute(ctx context.Context) error {
 	for {
-		result, err := s.turn(ctx)
+		result, err := s.runAttempt(ctx)
 		if err != nil {
 			return err
 		}
 		if result.err == nil {
 			s.opts.Budgets.Succeeded(s.opts.Now(), s.stage.Pool)
-			s.output = result.answer.Output
-			s.tokens = result.answer.Tokens
+			s.output = result.response.Output
+			s.tokens = result.response.Tokens
 			return nil
 		}
-		if err := s.beforeRetry(ctx, result); err != nil {
+		if err := s.awaitRetry(ctx, result); err != nil {
 			return err
 		}
 	}
@@ -86,7 +86,7 @@
 
 // turn waits for the gate, picks a target and makes one attempt, with a hedge
 // beside it where it is slow and may run twice.
-func (s *stageRun) turn(ctx context.Context) (attemptResult, error) {
+func (s *stageRun) runAttempt(ctx context.Context) (attemptResult, error) {
 	request := s.gateRequest()
 	grant, err := s.opts.Gate.Enter(ctx, s.stage.Pool, request)
 	if err != nil {
@@ -97,9 +97,9 @@
 		return attemptResult{}, failure
 	}
 	if s.attempts.MayHedge() {
-		return s.doHedged(ctx, first, grant, request), nil
+		return s.runHedged(ctx, first, grant, request), nil
 	}
-	return s.doPreemptible(ctx, first, grant), nil
+	return s.runPreemptible(ctx, first, grant), nil
 }
 
 // firstAttempt picks the target of a turn's first attempt, asks for leave to
@@ -111,7 +111,7 @@
 			grant.Release()
 		}
 	}()
-	if failure := s.contentBlocked(s.stage.Name); failure != nil {
+	if failure := s.checkContent(s.stage.Name); failure != nil {
 		return nil, failure
 	}
 	choice, failure := s.pick()
@@ -120,12 +120,12 @@
 	}
 	if !s.stage.Repeatable {
 		if err := s.claimDispatch(); err != nil {
-			return nil, s.failure(ReasonClaim, choice.Target.Address, err)
+			return nil, s.newFailure(ReasonClaim, choice.Target.Address, err)
 		}
 	}
 	first, err := s.newAttempt(choice)
 	if err != nil {
-		return nil, s.failure(ReasonDeadline, choice.Target.Address, err)
+		return nil, s.newFailure(ReasonDeadline, choice.Target.Address, err)
 	}
 	return first, nil
 }
@@ -135,7 +135,7 @@
 
 // doPreemptible makes an attempt that a higher tier may interrupt. The slot is
 // given back only once the attempt has ended, so that it is truly free.
-func (s *stageRun) doPreemptible(ctx context.Context, a *attempt, grant *gate.Grant) attemptResult {
+func (s *stageRun) runPreemptible(ctx context.Context, a *attempt, grant *gate.Grant) attemptResult {
 	defer grant.Release()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -146,7 +146,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	result := a.do(ctx)
+	result := a.run(ctx)
 	result.preempted = result.err != nil && errors.Is(context.Cause(ctx), errPreempted)
 	if result.preempted {
 		s.preemptions++
@@ -156,15 +156,15 @@
 }
 
 // probeWait is how long a probe waits for a slot: the time to get to the gate.
-const probeWait = 20 * time.Millisecond
+const maxProbeWait = 20 * time.Millisecond
 
 func (s *stageRun) gateRequest() gate.Request {
 	now := s.opts.Now()
-	latest := s.share(now, s.index).LatestStart
+	latest := s.stageBudget(now, s.index).LatestStart
 	if s.probe {
 		// The times that a probe is to correct have let its latest start pass:
 		// it goes if a slot is free, and waits for none.
-		latest = now.Add(probeWait)
+		latest = now.Add(maxProbeWait)
 	}
 	return gate.Request{
 		Rank:        s.rank,
@@ -177,13 +177,13 @@
 func (s *stageRun) gateFailure(ctx context.Context, err error) *Failure {
 	var refused *gate.RefusedError
 	if !errors.As(err, &refused) {
-		return s.unfinished(ctx, "", err)
+		return s.interruptedFailure(ctx, "", err)
 	}
 	reason := ReasonOverload
 	if refused.Reason == tiers.ReasonTooLate {
 		reason = ReasonDeadline
 	}
-	f := s.failure(reason, "", err)
+	f := s.newFailure(reason, "", err)
 	f.RetryAfter = refused.RetryAfter
 	return f
 }
@@ -195,15 +195,15 @@
 	return defaultMaxAttempts
 }
 
-func (s *stageRun) failure(reason Reason, peer string, cause error) *Failure {
+func (s *stageRun) newFailure(reason Reason, peer string, cause error) *Failure {
 	return &Failure{Reason: reason, Step: s.stage.Name, Peer: peer, Cause: cause}
 }
 
 // unfinished is the failure of a stage that err stopped, mostly the end of its
 // context: the deadline passed, the caller went away or another stage failed.
-func (s *stageRun) unfinished(ctx context.Context, peer string, err error) *Failure {
+func (s *stageRun) interruptedFailure(ctx context.Context, peer string, err error) *Failure {
 	if ctx.Err() == nil {
-		return s.failure(ReasonFault, peer, err)
+		return s.newFailure(ReasonFault, peer, err)
 	}
 	f := s.asFailure(ctx, ctx.Err())
 	f.Step = s.stage.Name
@@ -212,11 +212,11 @@
 }
 
 // nextAttempt makes the id of the next attempt; it is unique to the request.
-func (s *stageRun) nextAttempt() string {
+func (s *stageRun) nextAttemptID() string {
 	s.attempts.AddAttempt()
-	s.serial++
-	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.serial)
+	s.lastAttemptNumber++
+	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.lastAttemptNumber)
 }
 
 // left is what is left of the job's deadline.
-func (s *stageRun) left() time.Duration { return s.job.Deadline.Sub(s.opts.Now()) }
+func (s *stageRun) remainingTime() time.Duration { return s.job.Deadline.Sub(s.opts.Now()) }
--- a/daemon/gate/gate.go
+++ b/daemon/gate/gate.go
@@ -105,23 +105,23 @@
 }
 
 // Release gives the slot back. Only the first call counts.
-func (t *Grant) Release() { t.gate.finish(t) }
+func (t *Grant) Release() { t.gate.release(t) }
 
 // Preempted is closed when the work is to be cancelled and resumed later, in
 // favour of a higher tier.
 func (t *Grant) Preempted() <-chan struct{} { return t.preempted }
 
 // Tick refuses what waited too long; call it some ten times a second.
-func (g *Gate) Tick() { g.step((*tiers.Gate).Tick) }
+func (g *Gate) Tick() { g.update((*tiers.Gate).Tick) }
 
 // SetCapacity tells how many slots the pool's routable targets have in all.
 func (g *Gate) SetCapacity(slots int) {
-	g.step(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetCapacity(now, slots) })
+	g.update(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetCapacity(now, slots) })
 }
 
 // SetPeers tells what the peers' newest digests add up to.
 func (g *Gate) SetPeers(load tiers.PeerLoad) {
-	g.step(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetPeers(now, load) })
+	g.update(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetPeers(now, load) })
 }
 
 // Digest returns what the peers have to know.
@@ -152,7 +152,7 @@
 	return maps.Clone(g.refused)
 }
 
-func (g *Gate) step(event func(*tiers.Gate, time.Time) []tiers.Action) {
+func (g *Gate) update(event func(*tiers.Gate, time.Time) []tiers.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(event(g.machine, g.clock()))
@@ -179,7 +179,7 @@
 	return t
 }
 
-func (g *Gate) finish(t *Grant) {
+func (g *Gate) release(t *Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.grants, t.id)
--- a/daemon/gate/gate_test.go
+++ b/daemon/gate/gate_test.go
@@ -22,7 +22,7 @@
 	return Request{Rank: rank, LatestStart: time.Now().Add(time.Hour)}
 }
 
-func hold(t *testing.T, g *Gate, r Request) *Grant {
+func acquire(t *testing.T, g *Gate, r Request) *Grant {
 	grant, err := g.Acquire(t.Context(), r)
 	require.NoError(t, err)
 	return grant
@@ -31,11 +31,11 @@
 func TestAcquireWaitsForRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("engines", tiers.Config{}, 1, time.Now)
-		first := hold(t, g, request(0))
+		first := acquire(t, g, request(0))
 		order := make(chan int, 2)
 		for _, rank := range []int{2, 1} {
 			go func() {
-				grant := hold(t, g, request(rank))
+				grant := acquire(t, g, request(rank))
 				order <- rank
 				grant.Release()
 			}()
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestWaitEnds(t *testing.T) {
+func TestAcquireFails(t *testing.T) {
 	tests := map[string]struct {
 		run  func(t *testing.T, g *Gate) error
 		want func(t *testing.T, err error)
@@ -94,10 +94,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := New("engines", tiers.Config{}, 1, time.Now)
-				held := hold(t, g, request(0))
+				held := acquire(t, g, request(0))
 				tt.want(t, tt.run(t, g))
 				held.Release()
-				hold(t, g, request(0)).Release()
+				acquire(t, g, request(0)).Release()
 				require.Zero(t, g.Stats().InFlight[0])
 			})
 		})
@@ -107,10 +107,10 @@
 func TestPreempted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("engines", tiers.Config{Preempt: true}, 1, time.Now)
-		warm := hold(t, g, request(0))
+		warm := acquire(t, g, request(0))
 		time.Sleep(8 * time.Second)
 		warm.Release() // a slot is held for 8 s
-		low := hold(t, g, Request{Rank: 1, LatestStart: time.Now().Add(time.Hour), Resumable: true})
+		low := acquire(t, g, Request{Rank: 1, LatestStart: time.Now().Add(time.Hour), Resumable: true})
 		time.Sleep(time.Second)
 		g.SetPeers(tiers.PeerLoad{Instances: 1})
 		g.SetCapacity(1)
@@ -165,7 +165,7 @@
 
 func TestGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := NewGroup(GroupConfig{FillOrdered: 1}, time.Now)
+		group := NewGroup(GroupConfig{OvercommitOrdered: 1}, time.Now)
 		_, err := group.Enter(t.Context(), "engines", request(0))
 		var refused *RefusedError
 		require.True(t, errors.As(err, &refused))
@@ -204,7 +204,7 @@
 
 // A stage is slow because its pool is full. A hedge for each of its requests
 // would fill the pool further and make every other request late.
-func TestHedgesNeedRoomToSpare(t *testing.T) {
+func TestHedgesNeedSpareCapacity(t *testing.T) {
 	group := NewGroup(GroupConfig{}, time.Now)
 	group.SetCapacity("services", 10, false)
 	for range 6 {
--- a/daemon/gate/group.go
+++ b/daemon/gate/group.go
@@ -15,8 +15,8 @@
 
 // Times of a Group.
 const (
-	tickInterval       = 100 * time.Millisecond
-	noCapacityComeBack = time.Second
+	tickInterval         = 100 * time.Millisecond
+	noCapacityRetryAfter = time.Second
 )
 
 // Group holds the gates of all pools of one instance. It is safe for
@@ -37,29 +37,29 @@
 	// FillOrdered and FillPlain are how many requests are sent to a pool's
 	// targets for each slot, where the targets run the most urgent first and
 	// where they do not.
-	FillOrdered, FillPlain float64
+	OvercommitOrdered, OvercommitUnordered float64
 	// HedgeBelow is the share of a pool's slots under which hedges may go.
-	HedgeBelow float64
+	MaxHedgeUtilization float64
 }
 
 // Defaults of GroupConfig. Gates that fill exactly the slots leave targets idle
 // between two requests; docs/design/routing.md has the figures of the others.
 const (
-	DefaultFillOrdered = 2.0
-	DefaultFillPlain   = 1.5
-	DefaultHedgeBelow  = 0.7
+	DefaultOvercommitOrdered   = 2.0
+	DefaultOvercommitUnordered = 1.5
+	DefaultMaxHedgeUtilization = 0.7
 )
 
 // NewGroup makes a group without gates; SetCapacity adds them.
 func NewGroup(c GroupConfig, clock func() time.Time) *Group {
-	if c.FillOrdered <= 0 {
-		c.FillOrdered = DefaultFillOrdered
+	if c.OvercommitOrdered <= 0 {
+		c.OvercommitOrdered = DefaultOvercommitOrdered
 	}
-	if c.FillPlain <= 0 {
-		c.FillPlain = DefaultFillPlain
+	if c.OvercommitUnordered <= 0 {
+		c.OvercommitUnordered = DefaultOvercommitUnordered
 	}
-	if c.HedgeBelow <= 0 {
-		c.HedgeBelow = DefaultHedgeBelow
+	if c.MaxHedgeUtilization <= 0 {
+		c.MaxHedgeUtilization = DefaultMaxHedgeUtilization
 	}
 	return &Group{config: c, clock: clock, gates: make(map[string]*Gate)}
 }
@@ -68,9 +68,9 @@
 // Ordered tells that they run the most urgent request first themselves; it
 // counts for a pool that is new.
 func (g *Group) SetCapacity(pool string, slots int, ordered bool) {
-	fill := g.config.FillPlain
+	fill := g.config.OvercommitUnordered
 	if ordered {
-		fill = g.config.FillOrdered
+		fill = g.config.OvercommitOrdered
 	}
 	own := g.findOrAdd(pool, ordered)
 	own.SetCapacity(int(math.Ceil(float64(slots) * fill)))
@@ -99,7 +99,7 @@
 	own := g.find(pool)
 	if own == nil {
 		g.noCapacity.Add(1)
-		return nil, &RefusedError{Pool: pool, Reason: ReasonNoCapacity, RetryAfter: noCapacityComeBack}
+		return nil, &RefusedError{Pool: pool, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}
 	}
 	return own.Acquire(ctx, r)
 }
@@ -109,7 +109,7 @@
 // than it saves.
 func (g *Group) TryEnter(pool string, r Request) (*Grant, bool) {
 	own := g.find(pool)
-	if own == nil || own.Stats().TotalInFlight >= g.config.HedgeBelow*float64(own.slots.Load()) {
+	if own == nil || own.Stats().TotalInFlight >= g.config.MaxHedgeUtilization*float64(own.slots.Load()) {
 		return nil, false
 	}
 	return own.TryAcquire(r)
