--- a/daemon/execute/admissions.go
+++ b/daemon/execute/admissions.go
@@ -10,63 +10,66 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// admissionKey names one controller: requests of one pipeline and tier.
+// admissionKey identifies a controller, which decides on the requests of one pipeline and
+// tier.
 type admissionKey struct {
 	pipeline catalog.PipelineKey
 	tier     string
 }
 
-// maxControllers bounds the controllers kept; definitions that are gone make
-// room when it is reached.
+// maxControllers limits the number of controllers. When it is reached, all are dropped, so
+// that those of removed definitions don't accumulate.
 const maxControllers = 4096
 
-// admissions holds the controllers of one instance, each under its own lock.
-type admissions struct {
-	mu          sync.RWMutex
-	controllers map[admissionKey]*controller
+// admissionControllers holds the admission controllers of one instance.
+type admissionControllers struct {
+	mu    sync.RWMutex
+	byKey map[admissionKey]*lockedController
 }
 
-type controller struct {
-	mu  sync.Mutex
-	own *admission.Controller
-	rng *rand.Rand
+// lockedController is a controller with its lock and random source.
+type lockedController struct {
+	mu    sync.Mutex
+	inner *admission.Controller
+	rng   *rand.Rand
 }
 
-func newAdmissions() *admissions {
-	return &admissions{controllers: make(map[admissionKey]*controller)}
+func newAdmissionControllers() *admissionControllers {
+	return &admissionControllers{byKey: make(map[admissionKey]*lockedController)}
 }
 
-func (a *admissions) decide(now time.Time, job *Job, stages []deadline.RemainingStage) admission.Decision {
-	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
+func (a *admissionControllers) decide(now time.Time, job *Job, stages []deadline.RemainingStage) admission.Decision {
+	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own.Decide(now, job.Deadline, stages, c.rng)
+	return c.inner.Decide(now, job.Deadline, stages, c.rng)
 }
 
-// probed tells how a job that was admitted as a probe ended.
-func (a *admissions) probed(job *Job, made bool) {
-	c := a.controller(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
+// probeEnded records whether a job that was admitted as a probe met its deadline.
+func (a *admissionControllers) probeEnded(job *Job, metDeadline bool) {
+	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own.ProbeEnded(made)
+	c.inner.ProbeEnded(metDeadline)
 }
 
-func (a *admissions) controller(key admissionKey) *controller {
+// get returns the controller of a key; it creates a missing one.
+func (a *admissionControllers) get(key admissionKey) *lockedController {
 	a.mu.RLock()
-	c, ok := a.controllers[key]
+	c, ok := a.byKey[key]
 	a.mu.RUnlock()
 	if ok {
 		return c
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if c, ok := a.controllers[key]; ok {
+	if c, ok := a.byKey[key]; ok {
 		return c
 	}
-	if len(a.controllers) >= maxControllers {
-		clear(a.controllers)
+	if len(a.byKey) >= maxControllers {
+		clear(a.byKey)
 	}
-	c = &controller{own: admission.New(admission.Config{}), rng: newRand()}
-	a.controllers[key] = c
+	c = &lockedController{inner: admission.New(admission.Config{}), rng: newRand()}
+	a.byKey[key] = c
 	return c
 }
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -13,52 +13,52 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// reportAge stands for the age of the load in a reply's headers, which targets
-// do not tell. Taken for new, a report would count over what is known to have
-// been sent since it was made.
-const reportAge = 300 * time.Millisecond
+// assumedLoadAge is the assumed age of the load report in a response's headers, since
+// targets don't send its age. If the report counted as new, it would override the attempts
+// that are known to have been sent since the target wrote it.
+const assumedLoadAge = 300 * time.Millisecond
 
-// errSealed forbids a dispatch after the request's final answer.
+// errSealed prevents a dispatch after the request's final response.
 var errSealed = errors.New("the request has had its final answer")
 
-// attemptResult is the fate of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
-	answer     targetapi.RunAnswer
+	response   targetapi.RunAnswer
 	peer       string
 	err        error
 	verdict    outcome.Verdict
 	retryAfter time.Duration
-	// preempted tells that a higher tier took the slot: the stage goes on
-	// later from the tokens it has.
+	// preempted is true if the attempt was cancelled in favour of a higher tier. The
+	// stage resumes later after the tokens it has.
 	preempted bool
 }
 
-// attempt is one attempt under way.
+// attempt is one attempt in flight.
 type attempt struct {
 	*stageRun
-	id      string
-	choice  routing.Choice
-	started time.Time
-	handle  *routing.Attempt
-	// number is the attempt's place in the status of its request.
+	id             string
+	choice         routing.Choice
+	started        time.Time
+	routingAttempt *routing.Attempt
+	// number identifies the attempt in the status of its request.
 	number int
-	// stream tells that tokens are delivered as they come.
+	// stream is true if tokens are delivered as they arrive.
 	stream bool
 }
 
-// newAttempt enters the attempt in the ledger before anything can leave.
+// newAttempt records an attempt in the ledgers before anything is sent.
 func (s *stageRun) newAttempt(choice routing.Choice) (*attempt, error) {
 	if !s.ledger.Dispatch() {
 		return nil, errSealed
 	}
 	if !s.stage.Repeatable {
-		s.once.Dispatch() // sealed after the ledger, so it can't be sealed here
+		s.nonRepeatable.Dispatch() // sealed after the ledger, so it can't be sealed here
 	}
 	s.tried = append(s.tried, choice.Target.Incarnation)
 	now := s.opts.Now()
 	a := &attempt{
 		stageRun: s,
-		id:       s.nextAttempt(),
+		id:       s.nextAttemptID(),
 		choice:   choice,
 		started:  now,
 		stream:   s.streams(),
@@ -66,34 +66,34 @@
 	a.number = s.opts.Status.StartAttempt(s.job.Ref, requests.AttemptStart{
 		Stage: s.index, ID: a.id, Target: choice.Target.Address, At: now,
 	})
-	a.handle = s.opts.Router.Started(now, choice.Target.Incarnation, 0)
+	a.routingAttempt = s.opts.Router.Started(now, choice.Target.Incarnation, 0)
 	return a, nil
 }
 
-// failedUnknown is the fate of an attempt that may have run.
-func failedUnknown(peer string, err error) attemptResult {
+// unknownResult returns the result of an attempt that may have run.
+func unknownResult(peer string, err error) attemptResult {
 	return attemptResult{peer: peer, err: err, verdict: outcome.Unknown}
 }
 
-// do makes the attempt, settles it in the ledger and teaches the router.
-func (a *attempt) do(ctx context.Context) (result attemptResult) {
-	defer a.contain(&result)
+// run sends the attempt, settles it in the ledgers and records its result.
+func (a *attempt) run(ctx context.Context) (result attemptResult) {
+	defer a.recoverPanic(&result)
 	call := a.call()
-	answer, meta, err := a.send(ctx, call)
-	a.noteCrash(ctx, err)
-	result = attemptResult{answer: answer, peer: call.Address, err: err}
-	a.classify(&result)
+	response, meta, err := a.send(ctx, call)
+	a.recordCrash(ctx, err)
+	result = attemptResult{response: response, peer: call.Address, err: err}
+	a.setVerdict(&result)
 	a.ledger.Settle(result.verdict)
 	if !a.stage.Repeatable {
-		a.once.Settle(result.verdict)
+		a.nonRepeatable.Settle(result.verdict)
 	}
-	a.learn(ctx, meta, &result)
+	a.recordResult(ctx, meta, &result)
 	return result
 }
 
-// send makes the call. A panic on its answer is contained here already, so that
-// the attempt is settled and the router learns that it ended.
-func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunAnswer, meta target.Meta, err error) {
+// send makes the call. It recovers from a panic that the response causes, so that the
+// attempt is settled and the router is notified of its end.
+func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunAnswer, meta target.Meta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
@@ -128,15 +128,15 @@
 	}
 }
 
-// headerTimeout bounds the wait for the first byte of a stream that may be
-// started again elsewhere, so that a silent target leaves time for another one.
-// What may not be repeated waits until the deadline: giving up sooner would turn
-// a late answer into an unknown outcome.
+// headerTimeout limits the wait for the first byte of a repeatable stream to half of the
+// remaining time, so that after a target that doesn't respond there is time for another
+// one. Other attempts may wait until the deadline: for a stage that is not repeatable, an
+// earlier timeout would turn a late response into an unknown outcome.
 func (a *attempt) headerTimeout() time.Duration {
 	if a.stream && a.stage.Repeatable {
-		return a.left() / 2
+		return a.remainingTime() / 2
 	}
-	return a.left()
+	return a.remainingTime()
 }
 
 func targetParts(parts []Part) []targetapi.Part {
@@ -147,22 +147,23 @@
 	return out
 }
 
-// deliver keeps a token and passes it on. Only the token that comes next is
-// taken: a resumed target that repeats or skips one would double or lose it.
+// deliver stores a token and passes it to the caller. It accepts only the token at the next
+// offset: if a resumed target repeated or skipped a token, the caller would get it twice or
+// never.
 func (a *attempt) deliver(offset int, token string) error {
 	if offset != a.offset {
 		return errors.New("stream: token out of order")
 	}
 	a.offset++
 	a.text.WriteString(token)
-	if a.job.OnToken == nil || !a.last() {
+	if a.job.OnToken == nil || !a.isLast() {
 		return nil
 	}
 	return a.job.OnToken(offset, token)
 }
 
-// classify says what the attempt's end means for the request.
-func (a *attempt) classify(r *attemptResult) {
+// setVerdict sets the verdict of an attempt that ended.
+func (a *attempt) setVerdict(r *attemptResult) {
 	if r.err == nil {
 		r.verdict = outcome.Ran
 		if a.stream {
@@ -184,26 +185,27 @@
 	}
 }
 
-// joinStream makes the whole answer of all parts of a resumed stream.
+// joinStream sets the response to all tokens of the stage, including those that earlier
+// attempts of a resumed stream delivered.
 func (a *attempt) joinStream(r *attemptResult) {
-	r.answer.Output = a.text.String()
-	r.answer.Tokens = a.offset
+	r.response.Output = a.text.String()
+	r.response.Tokens = a.offset
 }
 
-// learn tells the router, the learned times and the status how it ended.
-func (a *attempt) learn(ctx context.Context, meta target.Meta, r *attemptResult) {
+// recordResult records the result in the router, the learned times and the status.
+func (a *attempt) recordResult(ctx context.Context, meta target.Meta, r *attemptResult) {
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
 	incarnation := a.choice.Target.Incarnation
 	p50, _ := a.opts.Times.Estimate(a.stageKey(a.index), a.stage.Expected)
 	end := a.routingOutcome(ctx, r)
-	a.handle.Done(now, routing.Result{
+	a.routingAttempt.Done(now, routing.Result{
 		Outcome:  end,
 		Latency:  elapsed,
 		Expected: p50,
 	})
 	if meta.HasLoad {
-		load := routing.Load{Active: meta.Active, Queued: meta.Queued, Slots: meta.Slots, Age: reportAge}
+		load := routing.Load{Active: meta.Active, Queued: meta.Queued, Slots: meta.Slots, Age: assumedLoadAge}
 		a.opts.Router.Report(now, incarnation, load)
 	}
 	if meta.Leaving {
@@ -212,7 +214,7 @@
 	if r.err == nil {
 		a.opts.Times.Observe(now, a.stageKey(a.index), a.stage.Expected, elapsed)
 	}
-	a.record(now, end, r)
+	a.recordStatus(now, end, r)
 }
 
 func (a *attempt) routingOutcome(ctx context.Context, r *attemptResult) routing.Outcome {
@@ -230,13 +232,13 @@
 	}
 }
 
-// record keeps the attempt's fate in the status of its request.
-func (a *attempt) record(now time.Time, end routing.Outcome, r *attemptResult) {
+// recordStatus records the result in the status of the request.
+func (a *attempt) recordStatus(now time.Time, end routing.Outcome, r *attemptResult) {
 	entry := requests.AttemptEnd{
 		Result:        statusResult(end),
-		Work:          time.Duration(r.answer.WorkMS) * time.Millisecond,
-		Tokens:        r.answer.Tokens,
-		PrefillTokens: r.answer.PrefillTokens,
+		Work:          time.Duration(r.response.WorkMS) * time.Millisecond,
+		Tokens:        r.response.Tokens,
+		PrefillTokens: r.response.PrefillTokens,
 		At:            now,
 	}
 	if r.err != nil {
--- a/daemon/execute/content.go
+++ b/daemon/execute/content.go
@@ -9,38 +9,38 @@
 )
 
 // errCrashes is the cause of a failure with ReasonCrashes.
-var errCrashes = errors.New("the request crashes targets")
+var errCrashesTargets = errors.New("the request crashes targets")
 
-// admitContent refuses a job that crashes targets, before it costs a stage.
-func (r *run) admitContent(ctx context.Context) *Failure {
+// admitContent refuses a job that crashes targets before any stage runs.
+func (r *jobRun) admitContent(ctx context.Context) *Failure {
 	if r.opts.Blocklist.Empty() {
 		return nil
 	}
 	v := r.opts.Blocklist.Admit(ctx, r.content, r.job.Deadline.Sub(r.opts.Now()))
-	r.onTrial = v.State == quarantine.OnTrial
+	r.trialGranted = v.State == quarantine.OnTrial
 	if v.State != quarantine.Blocked {
 		return nil
 	}
-	return r.crashes(r.job.Pipeline.Stages[0].Name, v)
+	return r.crashFailure(r.job.Pipeline.Stages[0].Name, v)
 }
 
-// contentBlocked is the failure of a job that was found to crash targets since it was
-// admitted; nil if it wasn't.
-func (r *run) contentBlocked(step string) *Failure {
+// checkContent returns a failure if the job was found to crash targets since it was admitted,
+// and nil otherwise.
+func (r *jobRun) checkContent(step string) *Failure {
 	v := r.opts.Blocklist.Judge(r.content)
-	if v.State == quarantine.Allowed || v.State == quarantine.OnTrial && r.onTrial {
+	if v.State == quarantine.Allowed || v.State == quarantine.OnTrial && r.trialGranted {
 		return nil
 	}
-	return r.crashes(step, v)
+	return r.crashFailure(step, v)
 }
 
-func (r *run) crashes(step string, v quarantine.Verdict) *Failure {
-	return &Failure{Reason: ReasonCrashes, Step: step, RetryAfter: v.Remaining, Cause: errCrashes}
+func (r *jobRun) crashFailure(step string, v quarantine.Verdict) *Failure {
+	return &Failure{Reason: ReasonCrashes, Step: step, RetryAfter: v.Remaining, Cause: errCrashesTargets}
 }
 
-// noteCrash records a target that ended under the attempt: it broke the connection, and
-// nothing listens at its address.
-func (a *attempt) noteCrash(ctx context.Context, err error) {
+// recordCrash records that the target crashed during the attempt, if it broke the connection
+// and nothing listens at its address any more.
+func (a *attempt) recordCrash(ctx context.Context, err error) {
 	var failed *target.AttemptError
 	if !errors.As(err, &failed) || failed.Outcome != target.Unknown || a.opts.NothingListens == nil {
 		return
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -16,77 +16,79 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// records are a table without other instances.
-type records struct {
+// fakeRecords is a quarantine table that is shared with no other instance.
+type fakeRecords struct {
 	mu    sync.Mutex
 	table *quarantine.Table
-	// seen counts the crashes that were recorded.
-	seen int
+	// crashes counts the crashes that were recorded.
+	crashes int
 }
 
-func newRecords() *records { return &records{table: quarantine.New(quarantine.DefaultConfig())} }
+func newFakeRecords() *fakeRecords {
+	return &fakeRecords{table: quarantine.New(quarantine.DefaultConfig())}
+}
 
-func (r *records) Empty() bool { return false }
+func (r *fakeRecords) Empty() bool { return false }
 
-func (r *records) Admit(_ context.Context, d quarantine.Digest, _ time.Duration) quarantine.Verdict {
+func (r *fakeRecords) Admit(_ context.Context, d quarantine.Digest, _ time.Duration) quarantine.Verdict {
 	return r.Judge(d)
 }
 
-func (r *records) Judge(d quarantine.Digest) quarantine.Verdict {
+func (r *fakeRecords) Judge(d quarantine.Digest) quarantine.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Judge(time.Now(), d)
 }
 
-// Crashed counts each as that of another start of its target.
-func (r *records) Crashed(d quarantine.Digest, target string) {
+// Crashed records each crash as that of another incarnation of the target.
+func (r *fakeRecords) Crashed(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen++
-	r.table.RecordCrash(time.Now(), d, fmt.Sprint(target, r.seen))
+	r.crashes++
+	r.table.RecordCrash(time.Now(), d, fmt.Sprint(target, r.crashes))
 }
 
-func (r *records) EndedWell(d quarantine.Digest) {
+func (r *fakeRecords) EndedWell(d quarantine.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.RecordCompletion(time.Now(), d)
 }
 
-// crashRig is a rig whose targets break all connections off and are gone then.
-func crashRig(t *testing.T) (*rig, *records) {
+// newCrashRig returns a rig whose targets break off all connections and count as crashed then.
+func newCrashRig(t *testing.T) (*rig, *fakeRecords) {
 	r := newRig(t, catalog.KindEncoder, catalog.ObjectiveAttainment)
-	known := newRecords()
-	r.opts.Blocklist = known
+	records := newFakeRecords()
+	r.opts.Blocklist = records
 	r.opts.NothingListens = func(context.Context, string) bool { return true }
 	r.setFaults(emulated.Fault{Kind: emulated.FaultLost})
-	return r, known
+	return r, records
 }
 
-// setFaults has all targets misbehave alike.
+// setFaults sets the faults of all targets.
 func (r *rig) setFaults(faults ...emulated.Fault) {
 	for _, e := range r.targets {
 		e.SetFaults(faults...)
 	}
 }
 
-// TestJobThatCrashesTargetsIsRefused guards against a job that ends one target after the
-// other, by its attempts and as its caller repeats it.
+// Prevents a job from crashing one target after the other, by its own retries and by those of
+// its caller.
 func TestJobThatCrashesTargetsIsRefused(t *testing.T) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "at most once": false} {
 		t.Run(name, func(t *testing.T) {
-			r, known := crashRig(t)
+			r, records := newCrashRig(t)
 			for range 4 {
 				_, err := r.do(r.job(oneStage(repeatable, false, 0), time.Second))
 				require.Error(t, err)
 			}
-			require.Equal(t, 3, known.seen)
+			require.Equal(t, 3, records.crashes)
 			_, err := r.do(r.job(oneStage(repeatable, false, 0), time.Second))
 			var failure *Failure
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, ReasonCrashes, failure.Reason)
 			require.Equal(t, outcome.NotRun, failure.Verdict)
 			require.Positive(t, failure.RetryAfter)
-			require.Equal(t, 3, known.seen)
+			require.Equal(t, 3, records.crashes)
 
 			other := r.job(oneStage(repeatable, false, 0), time.Second)
 			other.Account = "other"
@@ -97,39 +99,38 @@
 	}
 }
 
-// verdicts are records that tell other things at the begin and later.
-type verdicts struct {
+// fixedVerdicts are records with one state at admission and one afterwards.
+type fixedVerdicts struct {
 	blocklist.None
 	admit, judge quarantine.State
 }
 
-func (v verdicts) Empty() bool { return false }
+func (v fixedVerdicts) Empty() bool { return false }
 
-func (v verdicts) Admit(context.Context, quarantine.Digest, time.Duration) quarantine.Verdict {
+func (v fixedVerdicts) Admit(context.Context, quarantine.Digest, time.Duration) quarantine.Verdict {
 	return quarantine.Verdict{State: v.admit}
 }
 
-func (v verdicts) Judge(quarantine.Digest) quarantine.Verdict {
+func (v fixedVerdicts) Judge(quarantine.Digest) quarantine.Verdict {
 	return quarantine.Verdict{State: v.judge}
 }
 
-// TestJobIsRefusedWheneverItIsBlocked guards against a job that is sent though it was blocked
-// at its begin or is blocked while it waits.
-func TestJobIsRefusedWheneverItIsBlocked(t *testing.T) {
+// Prevents a job from being sent that was blocked at admission or is blocked while it waits.
+func TestBlockedJobIsRefusedAtAnyTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		verdicts
+		fixedVerdicts
 		runs int
 	}{
-		"at its begin":     {verdicts{admit: quarantine.Blocked}, 0},
-		"while it waits":   {verdicts{judge: quarantine.Blocked}, 0},
-		"others on trial":  {verdicts{judge: quarantine.OnTrial}, 0},
-		"itself on trial":  {verdicts{admit: quarantine.OnTrial, judge: quarantine.OnTrial}, 1},
-		"never":            {verdicts{}, 1},
-		"again, its trial": {verdicts{admit: quarantine.OnTrial, judge: quarantine.Blocked}, 0},
+		"at admission":                   {fixedVerdicts{admit: quarantine.Blocked}, 0},
+		"while it waits":                 {fixedVerdicts{judge: quarantine.Blocked}, 0},
+		"another run on trial":           {fixedVerdicts{judge: quarantine.OnTrial}, 0},
+		"this run on trial":              {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.OnTrial}, 1},
+		"never":                          {fixedVerdicts{}, 1},
+		"blocked again during its trial": {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.Blocked}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindEncoder, catalog.ObjectiveAttainment)
-			r.opts.Blocklist = c.verdicts
+			r.opts.Blocklist = c.fixedVerdicts
 			job := r.job(oneStage(false, false, 0), time.Second)
 			_, err := r.do(job)
 			require.Equal(t, c.runs, r.runs(job.ID))
@@ -144,16 +145,16 @@
 	}
 }
 
-// TestJobOfATargetThatLivesIsNotBlamed guards against a broken connection being taken for a
-// crash, and against crashes that a good end doesn't clear.
-func TestJobOfATargetThatLivesIsNotBlamed(t *testing.T) {
-	r, known := crashRig(t)
+// A broken connection must not count as a crash while a process listens at the target's
+// address, and a run that ends well must clear the crashes before it.
+func TestBrokenConnectionIsNotACrash(t *testing.T) {
+	r, records := newCrashRig(t)
 	r.opts.NothingListens = func(context.Context, string) bool { return false }
 	for range 4 {
 		_, err := r.do(r.job(oneStage(false, false, 0), time.Second))
 		require.Error(t, err)
 	}
-	require.Zero(t, known.seen)
+	require.Zero(t, records.crashes)
 
 	r.opts.NothingListens = func(context.Context, string) bool { return true }
 	for range 2 {
@@ -162,5 +163,5 @@
 	r.setFaults()
 	_, err := r.do(r.job(oneStage(false, false, 0), time.Second))
 	require.NoError(t, err)
-	require.Zero(t, known.Judge(quarantine.DigestOf("", "p", "", []byte("in"))).Crashes)
+	require.Zero(t, records.Judge(quarantine.DigestOf("", "p", "", []byte("in"))).Crashes)
 }
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -6,8 +6,8 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// stageKey names the learned times of stage i for this job's size.
-func (r *run) stageKey(i int) deadline.StageKey {
+// stageKey returns the key of the learned times of stage i for this job's size.
+func (r *jobRun) stageKey(i int) deadline.StageKey {
 	return deadline.StageKey{
 		Pipeline: r.job.Pipeline.Key,
 		Stage:    r.job.Pipeline.Stages[i].Name,
@@ -15,8 +15,8 @@
 	}
 }
 
-// size is the work of stage i in tokens: those to read and those to generate.
-func (r *run) size(i int) int {
+// size returns the work of stage i in tokens, those of the prompt and those to generate.
+func (r *jobRun) size(i int) int {
 	total := r.maxTokens(i)
 	if total == 0 {
 		return 0
@@ -27,26 +27,28 @@
 	return total
 }
 
-// maxTokens bounds what stage i may generate: the caller's wish within the
-// stage's own bound.
-func (r *run) maxTokens(i int) int {
-	own := r.job.Pipeline.Stages[i].MaxTokens
-	if own == 0 || r.job.MaxTokens == 0 {
-		return own
+// maxTokens returns how many tokens stage i may generate: the lower of the caller's limit and
+// the stage's own.
+func (r *jobRun) maxTokens(i int) int {
+	limit := r.job.Pipeline.Stages[i].MaxTokens
+	if limit == 0 || r.job.MaxTokens == 0 {
+		return limit
 	}
-	return min(own, r.job.MaxTokens)
+	return min(limit, r.job.MaxTokens)
 }
 
-func (r *run) estimate(i int) deadline.RemainingStage {
+// estimate returns the learned time of stage i and its expected wait at the gate.
+func (r *jobRun) estimate(i int) deadline.RemainingStage {
 	stage := &r.job.Pipeline.Stages[i]
 	p50, p95 := r.opts.Times.Estimate(r.stageKey(i), stage.Expected)
 	wait := r.opts.Gate.Wait(stage.Pool, r.rank)
 	return deadline.RemainingStage{Stage: i, After: stage.After, P50: p50, P95: p95, Wait: wait}
 }
 
-// place returns a tier's place among the tiers in force. Gates order by it:
-// records may have ranks such as 10, 20 and 30, of which a gate keeps eight.
-func (e *Executor) place(t *catalog.Tier) int {
+// gateRank returns the position of a tier among the tiers in force. Gates order by it instead
+// of the rank in the tier's record: records may have ranks such as 10, 20 and 30, but a gate
+// has only eight ranks.
+func (e *Executor) gateRank(t *catalog.Tier) int {
 	snapshot := e.opts.Config()
 	if snapshot == nil {
 		return t.Rank
@@ -61,9 +63,9 @@
 	return tiers.Place(ranks, t.Rank)
 }
 
-// attainmentFirst tells whether the stage's pool weighs answers in time more
-// than the work they cost: only then is a hedge worth its price.
-func (r *run) attainmentFirst(pool string) bool {
+// attainmentFirst reports whether the pool's objective puts meeting deadlines before the cost
+// of the work. Only then is a hedge worth its cost.
+func (r *jobRun) attainmentFirst(pool string) bool {
 	snapshot := r.opts.Config()
 	if snapshot == nil {
 		return false
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -24,23 +24,23 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// Options are the parts an Executor works with; all are required but Now.
+// Options configures an Executor. Blocklist, NothingListens, Tracer and Now are optional.
 type Options struct {
 	Router  Router
 	Targets Caller
 	Gate    Gate
 	Budgets Budgets
 	Times   *deadline.Times
-	// Status keeps the fate of each attempt.
+	// Status records the result of each attempt.
 	Status *requests.Table
-	// Blocklist refuses requests that crash their targets; nil refuses none.
+	// Blocklist blocks requests that crash their targets; nil blocks none.
 	Blocklist blocklist.Records
-	// NothingListens tells whether an address has no process that listens, by which a
-	// target that crashed is known; nil knows none.
+	// NothingListens reports whether no process listens at an address, which identifies
+	// a target that crashed; with nil no crash is detected.
 	NothingListens func(ctx context.Context, address string) bool
-	// Config returns the configuration in force, for the pools' records.
+	// Config returns the configuration in force, with the records of pools and tiers.
 	Config func() *catalog.Snapshot
-	// Tracer starts a span for each stage; nil means none.
+	// Tracer starts a span for each stage; nil means no tracing.
 	Tracer trace.Tracer
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -49,10 +49,10 @@
 // Executor runs jobs. It is safe for concurrent use.
 type Executor struct {
 	opts       Options
-	admissions *admissions
+	admissions *admissionControllers
 }
 
-// New makes an executor.
+// New returns an executor.
 func New(o Options) *Executor {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -63,55 +63,57 @@
 	if o.Blocklist == nil {
 		o.Blocklist = blocklist.None{}
 	}
-	return &Executor{opts: o, admissions: newAdmissions()}
+	return &Executor{opts: o, admissions: newAdmissionControllers()}
 }
 
-// run is the state of one job.
-type run struct {
+// jobRun is the state of one job.
+type jobRun struct {
 	*Executor
 	job    *Job
 	ledger outcome.Ledger
-	// once counts only the attempts of stages that may not be repeated.
-	once outcome.Ledger
-	// outputs holds each finished stage's output; done is closed with it.
+	// nonRepeatable records only the attempts of stages that are not repeatable.
+	nonRepeatable outcome.Ledger
+	// outputs holds each finished stage's output. The stage's done channel is closed once
+	// it is set.
 	outputs []string
 	tokens  []int
 	done    []chan struct{}
 
-	// rank is the tier's place among the tiers in force; 0 is the highest.
+	// rank is the position of the tier among the tiers in force; 0 is the highest.
 	rank int
-	// content is the digest of what the job's repeats have in common; onTrial tells that
-	// this is the one run of it that is allowed.
-	content quarantine.Digest
-	onTrial bool
-	// probe tells that the job was admitted to measure its stages anew.
+	// content is the digest of what the job's repetitions have in common. trialGranted is
+	// true if this is the one run of it that is allowed as a trial.
+	content      quarantine.Digest
+	trialGranted bool
+	// probe is true if the job was admitted to measure its stages again.
 	probe bool
 
-	mu        sync.Mutex
-	remaining []deadline.RemainingStage
+	mu sync.Mutex
+	// estimates holds the estimated time of each stage.
+	estimates []deadline.RemainingStage
 	finished  []bool
 	claimed   bool
 }
 
-// Run runs the job's stages and returns the whole answer of the last one. Its
-// error is always a *Failure, whose verdict is final: nothing of the job leaves
-// for a target after Run returned.
+// Run runs the job's stages and returns the complete response of the last one. Its
+// error is always a *Failure, whose verdict is final: nothing of the job is sent to
+// a target after Run returned.
 func (e *Executor) Run(ctx context.Context, job Job) (result Result, err error) {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
 	r := e.newRun(&job)
-	defer func() { r.probed(err == nil) }()
+	defer func() { r.probeEnded(err == nil) }()
 	if failure := r.admitContent(ctx); failure != nil {
 		return Result{}, r.seal(failure)
 	}
-	if failure := r.hopeless(); failure != nil {
+	if failure := r.admit(); failure != nil {
 		return Result{}, r.seal(failure)
 	}
 	group, stageCtx := errgroup.WithContext(ctx)
 	for i := range job.Pipeline.Stages {
 		group.Go(func() error { return r.stageWhenReady(stageCtx, i) })
 	}
-	if err = group.Wait(); err != nil || !r.whole() {
+	if err = group.Wait(); err != nil || !r.complete() {
 		return Result{}, r.seal(r.asFailure(ctx, err))
 	}
 	r.ledger.Seal()
@@ -120,28 +122,28 @@
 	return Result{Output: r.outputs[last], Tokens: r.tokens[last]}, nil
 }
 
-func (e *Executor) newRun(job *Job) *run {
+func (e *Executor) newRun(job *Job) *jobRun {
 	n := len(job.Pipeline.Stages)
-	r := &run{
+	r := &jobRun{
 		Executor: e,
 		job:      job,
 		outputs:  make([]string, n),
 		tokens:   make([]int, n),
 		done:     make([]chan struct{}, n),
 		finished: make([]bool, n),
-		rank:     e.place(job.Tier),
+		rank:     e.gateRank(job.Tier),
 		content:  quarantine.DigestOf("", job.Pipeline.Key.Name, job.Account, []byte(job.Input)),
 	}
 	for i := range job.Pipeline.Stages {
 		r.done[i] = make(chan struct{})
-		r.remaining = append(r.remaining, r.estimate(i))
+		r.estimates = append(r.estimates, r.estimate(i))
 	}
 	return r
 }
 
-// hopeless refuses a job that can't make its deadline, or that a later stage
-// has no target for, before it costs a stage.
-func (r *run) hopeless() *Failure {
+// admit refuses a job that can't meet its deadline, or for one of whose stages there is
+// no target, before any stage runs.
+func (r *jobRun) admit() *Failure {
 	for i := range r.job.Pipeline.Stages {
 		stage := &r.job.Pipeline.Stages[i]
 		query := routing.Query{Pool: stage.Pool, Model: stage.Model, Adapter: stage.Adapter}
@@ -149,7 +151,7 @@
 			return &Failure{Reason: ReasonNoTarget, Step: stage.Name}
 		}
 	}
-	decision := r.admissions.decide(r.opts.Now(), r.job, r.remaining)
+	decision := r.admissions.decide(r.opts.Now(), r.job, r.estimates)
 	if decision.Admit {
 		r.probe = decision.Probe
 		return nil
@@ -162,20 +164,20 @@
 	return f
 }
 
-// probed tells the admission how a probe ended, so that refusals by learned
-// times end once the stages are fast again.
-func (r *run) probed(made bool) {
+// probeEnded reports the result of a probe to the admission controller, so that refusals
+// by learned times end once the stages are fast again.
+func (r *jobRun) probeEnded(metDeadline bool) {
 	if r.probe {
-		r.admissions.probed(r.job, made)
+		r.admissions.probeEnded(r.job, metDeadline)
 	}
 }
 
-// stageWhenReady waits for the stages before, then runs stage i. A stage that
-// waits in vain reports nothing: the one that it waits for says why, and where.
-func (r *run) stageWhenReady(ctx context.Context, i int) (err error) {
+// stageWhenReady waits for the predecessors of stage i, then runs it. If a predecessor
+// fails, it returns nil: the predecessor reports the cause and its own name.
+func (r *jobRun) stageWhenReady(ctx context.Context, i int) (err error) {
 	s := newStageRun(r, i)
-	defer s.contain(&err)
-	inputs, ok := r.inputs(ctx, i)
+	defer s.recoverPanic(&err)
+	inputs, ok := r.awaitInputs(ctx, i)
 	if !ok {
 		return nil
 	}
@@ -191,17 +193,18 @@
 	return nil
 }
 
-// inputs waits for what stage i reads; false tells that the context ended first.
-func (r *run) inputs(ctx context.Context, i int) ([]string, bool) {
-	after := r.job.Pipeline.Stages[i].After
-	if len(after) == 0 {
+// awaitInputs waits for the outputs that stage i reads. It returns false if the context
+// ended first.
+func (r *jobRun) awaitInputs(ctx context.Context, i int) ([]string, bool) {
+	predecessors := r.job.Pipeline.Stages[i].After
+	if len(predecessors) == 0 {
 		return []string{r.job.Input}, true
 	}
-	inputs := make([]string, 0, len(after))
-	for _, before := range after {
+	inputs := make([]string, 0, len(predecessors))
+	for _, predecessor := range predecessors {
 		select {
-		case <-r.done[before]:
-			inputs = append(inputs, r.outputs[before])
+		case <-r.done[predecessor]:
+			inputs = append(inputs, r.outputs[predecessor])
 		case <-ctx.Done():
 			return nil, false
 		}
@@ -209,7 +212,7 @@
 	return inputs, true
 }
 
-func (r *run) finish(i int, s *stageRun) {
+func (r *jobRun) finish(i int, s *stageRun) {
 	r.outputs[i] = s.output
 	r.tokens[i] = s.tokens
 	r.mu.Lock()
@@ -218,26 +221,27 @@
 	close(r.done[i])
 }
 
-// share recomputes stage i's part of what is left of the deadline.
-func (r *run) share(now time.Time, i int) deadline.StageBudget {
+// stageBudget computes stage i's budget of the time remaining until the deadline.
+func (r *jobRun) stageBudget(now time.Time, i int) deadline.StageBudget {
 	r.mu.Lock()
-	var left []deadline.RemainingStage
-	for j := range r.remaining {
+	var unfinished []deadline.RemainingStage
+	for j := range r.estimates {
 		if !r.finished[j] {
-			left = append(left, r.remaining[j])
+			unfinished = append(unfinished, r.estimates[j])
 		}
 	}
 	r.mu.Unlock()
-	for _, share := range deadline.Plan(now, r.job.Deadline, left) {
-		if share.Stage == i {
-			return share
+	for _, budget := range deadline.Plan(now, r.job.Deadline, unfinished) {
+		if budget.Stage == i {
+			return budget
 		}
 	}
 	return deadline.StageBudget{Stage: i, Due: r.job.Deadline, LatestStart: r.job.Deadline}
 }
 
-// claimDispatch asks once for leave to send stages that may not be repeated.
-func (r *run) claimDispatch() error {
+// claimDispatch calls BeforeDispatch unless it has succeeded already. It is called before
+// a stage that is not repeatable is sent.
+func (r *jobRun) claimDispatch() error {
 	if r.job.BeforeDispatch == nil {
 		return nil
 	}
@@ -253,27 +257,28 @@
 	return nil
 }
 
-// seal makes the failure's verdict final.
-func (r *run) seal(f *Failure) *Failure {
+// seal seals the ledgers and sets what the failure promises.
+func (r *jobRun) seal(f *Failure) *Failure {
 	f.Verdict = r.ledger.Seal()
-	f.MayRunAgain = r.once.Seal() == outcome.NotRun
+	f.MayRunAgain = r.nonRepeatable.Seal() == outcome.NotRun
 	return f
 }
 
-// whole tells whether every stage was answered. The failure: the context ends at
-// the moment at which a stage is answered, the next one still waits and reports
-// nothing, and the caller gets an empty answer for a whole one.
-func (r *run) whole() bool {
+// complete reports whether every stage finished. It prevents an empty response from being
+// returned as a complete one: if the context ends at the moment a stage finishes, the next
+// stage still waits and reports no failure.
+func (r *jobRun) complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.Contains(r.finished, false)
 }
 
-// ErrStopping is the cause of a context that ends since the instance stops.
+// ErrStopping is the cause of a context that ends because the instance stops.
 var ErrStopping = errors.New("the instance stops")
 
-// asFailure names the cause of an end that no stage reported.
-func (r *run) asFailure(ctx context.Context, err error) *Failure {
+// asFailure returns err if it is a *Failure, and otherwise a failure with the cause of the
+// context's end.
+func (r *jobRun) asFailure(ctx context.Context, err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
 		return failure
@@ -296,7 +301,7 @@
 	return ReasonDeadline
 }
 
-func (r *run) firstUnfinished() string {
+func (r *jobRun) firstUnfinished() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, finished := range r.finished {
@@ -307,7 +312,7 @@
 	return ""
 }
 
-// newRand gives each stage its own source, so that no lock is shared.
+// newRand returns a random source. Each stage has its own, so that no lock is shared.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
--- a/daemon/execute/executor_test.go
+++ b/daemon/execute/executor_test.go
@@ -16,19 +16,19 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// once hits one call, wherever it is routed first; the faults of both targets
-// are set, so the second attempt meets a fault too unless Limit spares it.
-func hitOne(r *rig, kind emulated.FaultKind, after int) {
+// setFaultOnFirst gives the first target one fault, which affects one call, and the second
+// target none.
+func setFaultOnFirst(r *rig, kind emulated.FaultKind, after int) {
 	f := emulated.Fault{Kind: kind, Limit: 1, AfterTokens: after}
 	r.targets[0].SetFaults(f)
 	r.targets[1].SetFaults()
 }
 
-// A clerk posts a work order and one attempt fails in some way at the target.
-// Sent again after it may have run, the order sends two crews; promised as "not
-// run" though it ran, the clerk's own retry does.
-func TestFaultTable(t *testing.T) {
-	whole := outcome.Verdict(-1)
+// One attempt fails at the target. If a request that is not repeatable were sent again after
+// it may have run, or reported as "not run" although it ran, its work would be done twice:
+// by the retry of the instance or by that of the caller.
+func TestTargetFaults(t *testing.T) {
+	complete := outcome.Verdict(-1)
 	cases := []struct {
 		fault                 emulated.FaultKind
 		repeatable, resumable bool
@@ -42,20 +42,20 @@
 		{fault: emulated.FaultCrossed, want: outcome.Unknown},
 		{fault: emulated.FaultGrey, want: outcome.Ran},
 		{fault: emulated.FaultFailFast, want: outcome.Ran},
-		{fault: emulated.FaultDuplicate, want: whole},
-		{fault: emulated.FaultLost, repeatable: true, want: whole},
-		{fault: emulated.FaultReset, repeatable: true, want: whole},
-		{fault: emulated.FaultTruncate, repeatable: true, want: whole},
-		{fault: emulated.FaultGarble, repeatable: true, want: whole},
-		{fault: emulated.FaultCrossed, repeatable: true, want: whole},
-		{fault: emulated.FaultGrey, repeatable: true, want: whole},
-		{fault: emulated.FaultFailFast, repeatable: true, want: whole},
-		{fault: emulated.FaultSilent, repeatable: true, want: whole},
-		{fault: emulated.FaultDuplicate, repeatable: true, want: whole},
-		{fault: emulated.FaultCrash, repeatable: true, resumable: true, tokens: rigTokens, after: 3, want: whole},
-		{fault: emulated.FaultReset, repeatable: true, resumable: true, tokens: rigTokens, after: 2, want: whole},
-		{fault: emulated.FaultDuplicate, repeatable: true, resumable: true, tokens: rigTokens, want: whole},
-		{fault: emulated.FaultSilent, repeatable: true, resumable: true, tokens: rigTokens, want: whole},
+		{fault: emulated.FaultDuplicate, want: complete},
+		{fault: emulated.FaultLost, repeatable: true, want: complete},
+		{fault: emulated.FaultReset, repeatable: true, want: complete},
+		{fault: emulated.FaultTruncate, repeatable: true, want: complete},
+		{fault: emulated.FaultGarble, repeatable: true, want: complete},
+		{fault: emulated.FaultCrossed, repeatable: true, want: complete},
+		{fault: emulated.FaultGrey, repeatable: true, want: complete},
+		{fault: emulated.FaultFailFast, repeatable: true, want: complete},
+		{fault: emulated.FaultSilent, repeatable: true, want: complete},
+		{fault: emulated.FaultDuplicate, repeatable: true, want: complete},
+		{fault: emulated.FaultCrash, repeatable: true, resumable: true, tokens: rigTokens, after: 3, want: complete},
+		{fault: emulated.FaultReset, repeatable: true, resumable: true, tokens: rigTokens, after: 2, want: complete},
+		{fault: emulated.FaultDuplicate, repeatable: true, resumable: true, tokens: rigTokens, want: complete},
+		{fault: emulated.FaultSilent, repeatable: true, resumable: true, tokens: rigTokens, want: complete},
 		{fault: emulated.FaultCrash, repeatable: true, tokens: rigTokens, after: 3, want: outcome.Unknown},
 		{fault: emulated.FaultCrash, tokens: rigTokens, after: 3, want: outcome.Unknown},
 	}
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, kindFor(c.tokens), catalog.ObjectiveAttainment)
-			hitEither(t, r, c.fault, c.after, c.repeatable, c.resumable, c.tokens, c.want)
+			runUntilFaultHit(t, r, c.fault, c.after, c.repeatable, c.resumable, c.tokens, c.want)
 		})
 	}
 }
@@ -85,10 +85,10 @@
 	return catalog.KindService
 }
 
-// hitEither makes the call until it met the faulty target, which routing picks
-// by chance, and checks what the caller is told each time.
-func hitEither(t *testing.T, r *rig, kind emulated.FaultKind, after int, repeatable, resumable bool, tokens int, want outcome.Verdict) {
-	hitOne(r, kind, after)
+// runUntilFaultHit runs jobs until one is routed to the faulty target, which routing selects at
+// random, and checks the result of each.
+func runUntilFaultHit(t *testing.T, r *rig, kind emulated.FaultKind, after int, repeatable, resumable bool, tokens int, want outcome.Verdict) {
+	setFaultOnFirst(r, kind, after)
 	expected, _ := emulated.Output("s", []string{"in"}, "", tokens)
 	for hit := false; !hit; {
 		job := r.job(oneStage(repeatable, resumable, tokens), 2*time.Second)
@@ -121,12 +121,12 @@
 		}
 	}
 	if want != outcome.Verdict(-1) && kind != emulated.FaultSilent && kind != emulated.FaultFailFast {
-		t.Fatal("the fault was met and the caller was told of a whole answer")
+		t.Fatal("the fault occurred but the caller got a complete response")
 	}
 }
 
-// Both targets were replaced and the list lags, so every one refuses: nothing
-// ran. A false "unknown" here would keep a clerk from sending the order again.
+// Both targets were replaced but are still listed under their old incarnations, so each
+// refuses and nothing runs. A false "unknown" would keep the caller from retrying.
 func TestRefusedEverywhereIsNotRun(t *testing.T) {
 	r := newRigListed(t, catalog.KindService, catalog.ObjectiveAttainment, "-old")
 	job := r.job(oneStage(false, false, 0), time.Second)
@@ -137,7 +137,7 @@
 	require.Zero(t, r.runs(job.ID))
 }
 
-// The claim is gone when the dispatch is due: nothing may leave.
+// If the claim was lost by the time of the dispatch, nothing may be sent.
 func TestForbiddenDispatchSendsNothing(t *testing.T) {
 	r := newRig(t, catalog.KindService, catalog.ObjectiveAttainment)
 	job := r.job(oneStage(false, false, 0), time.Second)
@@ -150,11 +150,10 @@
 	require.Zero(t, r.runs(job.ID))
 }
 
-// An order's text is encoded, then the order itself meets a target in some state.
-// "Ran" is true of the encoding; whether the clerk may send the order again
-// depends on the order alone.
-func TestMayRunAgainLooksAtWhatMayNotBeRepeated(t *testing.T) {
-	const forbidden emulated.FaultKind = "the claim forbids the order"
+// A repeatable stage runs, then one that is not repeatable fails. The verdict "ran" is true of
+// the first, but whether the caller may retry depends only on the second.
+func TestMayRunAgainDependsOnNonRepeatableStages(t *testing.T) {
+	const forbidden emulated.FaultKind = "the claim prevents the dispatch"
 	cases := map[emulated.FaultKind]bool{emulated.FaultReset: false, emulated.FaultFailFast: false, forbidden: true}
 	for fault, again := range cases {
 		r := newRig(t, catalog.KindService, catalog.ObjectiveCost)
@@ -179,8 +178,8 @@
 	}
 }
 
-// One answer makes the code that passes it on panic. Not contained it ends the
-// process and every caller's request with it; contained it may have run.
+// The code that delivers a response panics. Without recovery this would end the process and
+// the requests of all callers; recovered, the attempt may have run.
 func TestPanickingAttemptIsUnknown(t *testing.T) {
 	r := newRig(t, catalog.KindEngine, catalog.ObjectiveCost)
 	job := r.job(oneStage(false, false, rigTokens), time.Second)
@@ -192,14 +191,14 @@
 	require.Equal(t, 1, r.runs(job.ID))
 }
 
-// A guest's chat holds the only slots when an allergy check of a higher tier
-// comes. The chat is interrupted and goes on later; its text must be one text.
-func TestPreemptedStreamGoesOnWhole(t *testing.T) {
+// A stream holds the only slot when a request of a higher tier arrives. The stream is
+// preempted and resumed later, and no token may be lost or repeated.
+func TestPreemptedStreamResumesCompletely(t *testing.T) {
 	r := newRig(t, catalog.KindEngine, catalog.ObjectiveCost)
 	r.opts.Gate.(*gate.Group).SetCapacity(rigPool, 1, true)
-	const tokens = 500 // far more than are generated before the interruption
+	const tokens = 500 // far more than are generated before the preemption
 	low := r.job(oneStage(true, true, tokens), 20*time.Second)
-	low.Pipeline.MaxAttempts = 1 // a preemption is no attempt of its own
+	low.Pipeline.MaxAttempts = 1 // a preempted attempt doesn't count
 	low.Tier = &catalog.Tier{Name: "low", Rank: 3}
 	expected, _ := emulated.Output("s", []string{"in"}, "", tokens)
 	warm := low
@@ -207,7 +206,7 @@
 	_, err := r.do(warm)
 	require.NoError(t, err)
 	for r.budgets.Retry(time.Now(), rigPool) {
-		continue // nor is it paid from the budget of retries
+		continue // empties the retry budget, from which resuming isn't paid
 	}
 	highDone := make(chan error, 1)
 	next := 0
@@ -228,13 +227,13 @@
 	require.NoError(t, err)
 	require.Equal(t, expected, got.Output)
 	require.NoError(t, <-highDone)
-	require.Equal(t, 2, r.runs(low.ID), "interrupted once and resumed")
+	require.Equal(t, 2, r.runs(low.ID), "preempted once and resumed")
 }
 
-// A stage was slow for a while, so its learned times say that no deadline can be
-// made and every request is refused. Nothing would measure the stage again, and
-// callers were refused for ever though the targets are fast: a probe has to get
-// through the gate too, where its latest start has passed by the same times.
+// A stage was slow for a while, so by its learned times no deadline can be met and every
+// request is refused. Without probes the stage would never be measured again, and requests
+// would be refused for ever although the targets are fast. The probe must also pass the gate,
+// although its latest start has passed by the same times.
 func TestRefusalsByLearnedTimesEnd(t *testing.T) {
 	r := newRig(t, catalog.KindService, catalog.ObjectiveAttainment)
 	p := oneStage(true, false, 0)
@@ -246,9 +245,10 @@
 	require.NoError(t, err)
 }
 
-// A plan's last stage needs a model that no engine has loaded. The stages before
-// it were run and paid for, and the guest was told that the work may have run.
-func TestAModelNobodyHasCostsNoStage(t *testing.T) {
+// The last stage needs a model that no engine has loaded. The job must be refused before its
+// other stages run: their work would be wasted, and the caller would learn only that the
+// request may have run.
+func TestModelWithoutTargetRunsNoStage(t *testing.T) {
 	r := newRig(t, catalog.KindEngine, catalog.ObjectiveAttainment)
 	r.opts.Router.(*routing.Table).SetTargets(time.Now(), routing.Pool{Name: "small"}, []routing.Target{
 		{Incarnation: "c", Pool: "small", Models: []string{"small"}},
--- a/daemon/execute/hedge.go
+++ b/daemon/execute/hedge.go
@@ -9,33 +9,34 @@
 	"github.com/ivyhollow/ivyhollow/daemon/gate"
 )
 
-// errLostHedge cancels the attempt whose answer came second.
+// errLostHedge is the cause with which an attempt is cancelled after the other one succeeded.
 var errLostHedge = errors.New("another attempt answered first")
 
-// doHedged makes an attempt and, where it is late, a second one beside it. The
-// first whole answer wins; the other attempt is cancelled so that it frees its
-// slot.
-func (s *stageRun) doHedged(ctx context.Context, first *attempt, grant *gate.Grant, request gate.Request) attemptResult {
+// runHedged runs an attempt and, if it is slow, a second one concurrently. It returns the
+// first complete response and cancels the other attempt, which then releases its slot.
+func (s *stageRun) runHedged(ctx context.Context, first *attempt, grant *gate.Grant, request gate.Request) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(errLostHedge)
-	results := make(chan attemptResult, maxParallel)
+	results := make(chan attemptResult, maxConcurrentAttempts)
 	go func() {
 		defer grant.Release()
-		results <- first.do(ctx)
+		results <- first.run(ctx)
 	}()
-	return s.race(ctx, results, request)
+	return s.awaitHedged(ctx, results, request)
 }
 
-// maxParallel is an attempt and its hedge.
-const maxParallel = 2
+// maxConcurrentAttempts counts an attempt and its hedge.
+const maxConcurrentAttempts = 2
 
+// hedgeAfter returns the delay after which the hedge starts.
 func (s *stageRun) hedgeAfter() time.Duration {
 	_, p95 := s.opts.Times.Estimate(s.stageKey(s.index), s.stage.Expected)
-	return retry.HedgeAfter(p95, s.left(), s.attainmentFirst(s.stage.Pool))
+	return retry.HedgeAfter(p95, s.remainingTime(), s.attainmentFirst(s.stage.Pool))
 }
 
-// race waits for the first whole answer among the attempt and its hedge.
-func (s *stageRun) race(ctx context.Context, results chan attemptResult, request gate.Request) attemptResult {
+// awaitHedged waits for the first complete response of the attempt and its hedge, which it
+// starts when it is due. If all running attempts fail, it returns the last result.
+func (s *stageRun) awaitHedged(ctx context.Context, results chan attemptResult, request gate.Request) attemptResult {
 	timer := time.NewTimer(s.hedgeAfter())
 	defer timer.Stop()
 	running := 1
@@ -54,7 +55,8 @@
 	}
 }
 
-// startHedge sends the second attempt, unless a slot or the budget is missing.
+// startHedge starts the second attempt and reports whether it did. It doesn't if there is no
+// free slot, no further target or no budget.
 func (s *stageRun) startHedge(ctx context.Context, results chan<- attemptResult, request gate.Request) bool {
 	if !s.attempts.MayHedge() {
 		return false
@@ -69,20 +71,20 @@
 	}
 	go func() {
 		defer grant.Release()
-		results <- second.do(ctx)
+		results <- second.run(ctx)
 	}()
 	return true
 }
 
-// hedgeAttempt enters an attempt at a target that was not tried yet. Without
-// one, be it by a panic, the slot is given back.
+// hedgeAttempt records an attempt at a target that was not tried yet. If it returns nil or
+// panics, it releases the slot.
 func (s *stageRun) hedgeAttempt(grant *gate.Grant) (second *attempt) {
 	defer func() {
 		if second == nil {
 			grant.Release()
 		}
 	}()
-	choice, failure := s.pickOther()
+	choice, failure := s.pickUntried()
 	if failure != nil {
 		return nil
 	}
--- a/daemon/execute/panic.go
+++ b/daemon/execute/panic.go
@@ -7,31 +7,30 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// contain makes a panic of the stage its failure; deferred where the stage's
-// goroutine begins.
+// recoverPanic turns a panic of the stage into its failure. It is deferred at the start of the
+// stage's goroutine.
 //
-// The failure: a fault in one request's stage panics outside an attempt, on a
-// goroutine that net/http does not guard, and ends the process: every caller of
-// the instance loses their request, and as the request is tried again elsewhere,
-// those of the next instance too. Contained, it fails this request alone. What
-// the stage had done is not known then, so an attempt that never settles is
-// entered in the ledgers: it keeps "not run" from being said.
-func (s *stageRun) contain(err *error) {
+// Without it, a panic outside an attempt would end the process, since net/http recovers only
+// on its own goroutines. All callers of the instance would lose their requests, and when the
+// request is retried elsewhere, so would those of the next instance. Recovered, the panic
+// fails this request alone. What the stage has done is not known then, so an attempt that
+// never settles is recorded in the ledgers: it prevents the verdict "not run".
+func (s *stageRun) recoverPanic(err *error) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	s.ledger.Dispatch()
-	s.once.Dispatch()
+	s.nonRepeatable.Dispatch()
 	panicked := fmt.Errorf("stage %s panicked: %v", s.stage.Name, cause)
 	s.logPanic(panicked, "")
-	*err = s.failure(ReasonFault, "", panicked)
+	*err = s.newFailure(ReasonFault, "", panicked)
 }
 
-// contain makes a panic of the attempt its failure with an outcome unknown; it
-// is deferred because a hedged attempt has a goroutine of its own. An attempt
-// that had not settled stays open in the ledgers, which is the same verdict.
-func (a *attempt) contain(result *attemptResult) {
+// recoverPanic turns a panic of the attempt into a result with an unknown outcome. It is
+// needed besides that of the stage because a hedged attempt has its own goroutine. An attempt
+// that was not settled remains open in the ledgers, which results in the same verdict.
+func (a *attempt) recoverPanic(result *attemptResult) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -39,7 +38,7 @@
 	peer := a.choice.Target.Address
 	err := fmt.Errorf("attempt %s at %s panicked: %v", a.id, peer, cause)
 	a.logPanic(err, peer)
-	*result = failedUnknown(peer, err)
+	*result = unknownResult(peer, err)
 }
 
 func (s *stageRun) logPanic(err error, peer string) {
--- a/daemon/execute/panic_test.go
+++ b/daemon/execute/panic_test.go
@@ -15,62 +15,62 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// fault panics once, at the n-th call of the method it is set for.
-type fault struct {
+// panicInjector panics once, at the n-th call of the method it is set for.
+type panicInjector struct {
 	Router
 	Gate
 	Budgets
-	method string
-	after  int
+	method    string
+	remaining int
 }
 
-func (f *fault) hit(method string) {
-	if f.method != method || f.after == 0 {
+func (f *panicInjector) maybePanic(method string) {
+	if f.method != method || f.remaining == 0 {
 		return
 	}
-	if f.after--; f.after == 0 {
+	if f.remaining--; f.remaining == 0 {
 		panic("fault in " + method)
 	}
 }
 
-func (f *fault) Pick(now time.Time, rng *rand.Rand, q routing.Query) (routing.Choice, error) {
-	f.hit("Pick")
+func (f *panicInjector) Pick(now time.Time, rng *rand.Rand, q routing.Query) (routing.Choice, error) {
+	f.maybePanic("Pick")
 	return f.Router.Pick(now, rng, q)
 }
 
-func (f *fault) Started(now time.Time, incarnation string, cost float64) *routing.Attempt {
-	f.hit("Started")
+func (f *panicInjector) Started(now time.Time, incarnation string, cost float64) *routing.Attempt {
+	f.maybePanic("Started")
 	return f.Router.Started(now, incarnation, cost)
 }
 
-func (f *fault) Report(now time.Time, incarnation string, load routing.Load) {
-	f.hit("Report")
+func (f *panicInjector) Report(now time.Time, incarnation string, load routing.Load) {
+	f.maybePanic("Report")
 	f.Router.Report(now, incarnation, load)
 }
 
-func (f *fault) Enter(ctx context.Context, pool string, r gate.Request) (*gate.Grant, error) {
-	f.hit("Enter")
+func (f *panicInjector) Enter(ctx context.Context, pool string, r gate.Request) (*gate.Grant, error) {
+	f.maybePanic("Enter")
 	return f.Gate.Enter(ctx, pool, r)
 }
 
-func (f *fault) Retry(now time.Time, pool string) bool {
-	f.hit("Retry")
+func (f *panicInjector) Retry(now time.Time, pool string) bool {
+	f.maybePanic("Retry")
 	return f.Budgets.Retry(now, pool)
 }
 
-func (f *fault) Succeeded(now time.Time, pool string) {
-	f.hit("Succeeded")
+func (f *panicInjector) Succeeded(now time.Time, pool string) {
+	f.maybePanic("Succeeded")
 	f.Budgets.Succeeded(now, pool)
 }
 
-// One request's stage panics outside a call to a target. Not contained it ends
-// the process and every caller's request with it; contained it fails that one
-// request, whose outcome nobody knows, and the only slot serves the next one.
-func TestPanickingStageFailsItsRequestAlone(t *testing.T) {
+// A stage panics outside a call to a target. Without recovery this would end the process and
+// the requests of all callers. Recovered, it fails only its own request, with an unknown
+// outcome, and the only slot is free for the next request.
+func TestPanickingStageFailsOnlyItsRequest(t *testing.T) {
 	cases := []struct {
 		method  string
 		after   int
-		failing bool // all targets fail, so that a retry is decided on
+		failing bool // all targets fail, so that retries are attempted
 	}{
 		{method: "Enter", after: 1},
 		{method: "Pick", after: 1},
@@ -85,7 +85,7 @@
 			t.Parallel()
 			r := newRig(t, catalog.KindService, catalog.ObjectiveCost)
 			r.opts.Gate.(*gate.Group).SetCapacity(rigPool, 1, false)
-			f := &fault{Router: r.opts.Router, Gate: r.opts.Gate, Budgets: r.opts.Budgets, method: c.method, after: c.after}
+			f := &panicInjector{Router: r.opts.Router, Gate: r.opts.Gate, Budgets: r.opts.Budgets, method: c.method, remaining: c.after}
 			r.opts.Router, r.opts.Gate, r.opts.Budgets = f, f, f
 			if c.failing {
 				for _, target := range r.targets {
@@ -94,14 +94,14 @@
 			}
 			repeatable := c.failing || c.method == "Succeeded"
 			_, err := r.do(r.job(oneStage(repeatable, false, 0), 10*time.Second))
-			require.Zero(t, f.after, "the fault was not met")
+			require.Zero(t, f.remaining, "there was no panic")
 			var failure *Failure
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, "s", failure.Step)
 			require.False(t, failure.MayRunAgain)
 			want := outcome.Unknown
 			if c.method == "Report" {
-				want = outcome.Ran // its answer had come and was settled
+				want = outcome.Ran // its response had arrived and was settled
 			}
 			require.Equal(t, want, failure.Verdict, "%v", err)
 
@@ -116,15 +116,15 @@
 	}
 }
 
-// The answer of an attempt that may be repeated makes the code that learns from
-// it panic, on the attempt's own goroutine. The stage is sent once more.
+// The code that records the response of a repeatable attempt panics, on the attempt's own
+// goroutine. The stage is sent once more.
 func TestPanickingAttemptIsRepeated(t *testing.T) {
 	r := newRig(t, catalog.KindService, catalog.ObjectiveAttainment)
-	f := &fault{Router: r.opts.Router, method: "Report", after: 1}
+	f := &panicInjector{Router: r.opts.Router, method: "Report", remaining: 1}
 	r.opts.Router = f
 	job := r.job(oneStage(true, false, 0), 10*time.Second)
 	_, err := r.do(job)
 	require.NoError(t, err)
-	require.Zero(t, f.after, "the fault was not met")
+	require.Zero(t, f.remaining, "there was no panic")
 	require.Equal(t, 2, r.runs(job.ID))
 }
--- a/daemon/execute/pick.go
+++ b/daemon/execute/pick.go
@@ -2,22 +2,22 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/routing"
 
-// pick chooses the target of a first attempt or of a retry. Where every target
-// not yet tried is gone, one that failed once is better than none.
+// pick chooses the target of a first attempt or of a retry. If there is no untried target, it
+// chooses among the tried ones: a target that failed once is better than none.
 func (s *stageRun) pick() (routing.Choice, *Failure) {
-	choice, failure := s.pickOther()
+	choice, failure := s.pickUntried()
 	if failure == nil || len(s.tried) == 0 {
 		return choice, failure
 	}
 	tried := s.tried
 	s.tried = nil
-	choice, failure = s.pickOther()
+	choice, failure = s.pickUntried()
 	s.tried = tried
 	return choice, failure
 }
 
-// pickOther chooses a target that the stage was not sent to yet.
-func (s *stageRun) pickOther() (routing.Choice, *Failure) {
+// pickUntried chooses a target to which the stage has not been sent yet.
+func (s *stageRun) pickUntried() (routing.Choice, *Failure) {
 	query := routing.Query{
 		Pool:    s.stage.Pool,
 		Model:   s.stage.Model,
@@ -30,12 +30,13 @@
 	}
 	choice, err := s.opts.Router.Pick(s.opts.Now(), s.rng, query)
 	if err != nil {
-		return choice, s.failure(ReasonNoTarget, "", err)
+		return choice, s.newFailure(ReasonNoTarget, "", err)
 	}
 	return choice, nil
 }
 
-// prefix is the caller's prompt, which only generation reads.
+// prefix returns the shared prefix of the caller's prompt, which only stages that generate
+// tokens read.
 func (s *stageRun) prefix() []Part {
 	if s.maxTokens(s.index) == 0 {
 		return nil
--- a/daemon/execute/retry.go
+++ b/daemon/execute/retry.go
@@ -11,14 +11,14 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// beforeRetry decides whether a failed attempt is followed by another one, pays
-// for it and waits until it is due. Its error ends the stage.
-func (s *stageRun) beforeRetry(ctx context.Context, result attemptResult) error {
+// awaitRetry decides whether a failed attempt is followed by another one, pays for it from
+// the retry budget and waits until it is due. If it returns an error, the stage ends.
+func (s *stageRun) awaitRetry(ctx context.Context, result attemptResult) error {
 	if ctx.Err() != nil {
-		return s.unfinished(ctx, result.peer, ctx.Err())
+		return s.interruptedFailure(ctx, result.peer, ctx.Err())
 	}
 	now := s.opts.Now()
-	decision := s.attempts.Ended(now, s.share(now, s.index).LatestStart, s.rng, retry.End{
+	decision := s.attempts.Ended(now, s.stageBudget(now, s.index).LatestStart, s.rng, retry.End{
 		Result:     retryResult(result),
 		RetryAfter: result.retryAfter,
 		Delivered:  s.offset > 0,
@@ -29,8 +29,8 @@
 	if decision.Paid && !s.opts.Budgets.Retry(now, s.stage.Pool) {
 		return s.targetFailure(result, retry.ReasonBudget)
 	}
-	if err := wait(ctx, decision.Delay); err != nil {
-		return s.unfinished(ctx, result.peer, err)
+	if err := sleep(ctx, decision.Delay); err != nil {
+		return s.interruptedFailure(ctx, result.peer, err)
 	}
 	return nil
 }
@@ -48,15 +48,16 @@
 	}
 }
 
-// noConnection tells whether an attempt ended before it had a connection.
+// noConnection reports whether an attempt failed before it had a connection.
 func noConnection(err error) bool {
 	var failed *target.AttemptError
 	return errors.As(err, &failed) && failed.Outcome == target.NotRun && failed.Step == target.StepConnect
 }
 
-// targetFailure tells how the last attempt ended, and why it was the last.
-func (s *stageRun) targetFailure(result attemptResult, why retry.Reason) *Failure {
-	f := s.failure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, why))
+// targetFailure returns the failure of a stage whose last attempt had the given result.
+// noRetry is why no further attempt follows.
+func (s *stageRun) targetFailure(result attemptResult, noRetry retry.Reason) *Failure {
+	f := s.newFailure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, noRetry))
 	f.RetryAfter = result.retryAfter
 	if result.verdict == outcome.NotRun && f.RetryAfter > 0 {
 		f.Reason = ReasonOverload
@@ -64,8 +65,8 @@
 	return f
 }
 
-// wait blocks for the delay or until the context's end, whose error it returns.
-func wait(ctx context.Context, delay time.Duration) error {
+// sleep waits for the delay. If the context ends first, it returns the context's error.
+func sleep(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
 	}
--- a/daemon/execute/rig_test.go
+++ b/daemon/execute/rig_test.go
@@ -24,7 +24,7 @@
 	rigTokens = 6
 )
 
-// rig is an executor before two emulated targets of one pool.
+// rig is an executor with two emulated targets of one pool.
 type rig struct {
 	*Executor
 	targets []*emulated.Target
@@ -36,7 +36,7 @@
 	return newRigListed(t, kind, objective, "")
 }
 
-// newRigListed has the targets listed under their incarnation with a suffix.
+// newRigListed returns a rig whose targets are listed under their incarnations plus a suffix.
 func newRigListed(t *testing.T, kind catalog.PoolKind, objective catalog.Objective, suffix string) *rig {
 	t.Helper()
 	r := &rig{budgets: retrybudget.New(retry.Config{Reserve: 100})}
@@ -66,7 +66,7 @@
 	return r
 }
 
-// runs counts the work started for a request over all targets.
+// runs counts the runs that were started for a request on all targets.
 func (r *rig) runs(id string) int {
 	total := 0
 	for _, e := range r.targets {
@@ -75,7 +75,7 @@
 	return total
 }
 
-// stages makes the one stage of a job; tokens above 0 make it a generation.
+// oneStage returns a pipeline with one stage. With tokens above 0 the stage generates tokens.
 func oneStage(repeatable, resumable bool, tokens int) *catalog.Pipeline {
 	return &catalog.Pipeline{
 		Key: catalog.PipelineKey{Name: "p", SchemaVersion: 1},
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -24,33 +24,33 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// step is how one attempt ends, after a time.
+// step is the result of one attempt and the time after which it ends.
 type step struct {
-	after time.Duration
-	err   *target.AttemptError // nil: a whole answer
-	deaf  bool                 // to a cancel
+	after         time.Duration
+	err           *target.AttemptError // nil means a complete response
+	ignoresCancel bool                 // to a cancel
 }
 
-// script is a Caller whose n-th attempt ends as the n-th step says; the ones
-// behind the last step are refused at once.
-type script struct {
+// scriptedCaller is a Caller whose n-th attempt ends as described by the n-th step. Attempts
+// after the last step are refused at once.
+type scriptedCaller struct {
 	steps []step
 
-	mu           sync.Mutex
-	open, most   int
-	sent         []time.Time
-	targets      []string
-	ended        []error
-	answered     []string
-	lostCauses   []error
-	mayHaveRunAt int // attempts sent when the first one ended that may have run
+	mu                    sync.Mutex
+	inFlight, maxInFlight int
+	sent                  []time.Time
+	targets               []string
+	ended                 []error
+	answered              []string
+	cancelCauses          []error
+	sentWhenMayHaveRun    int // number of attempts sent when the first one that may have run ended
 }
 
-func (s *script) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
+func (s *scriptedCaller) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
 	next := s.begin(call)
 	var err error
 	cancelled := ctx.Done()
-	if next.deaf {
+	if next.ignoresCancel {
 		cancelled = nil
 	}
 	select {
@@ -65,37 +65,37 @@
 	return targetapi.RunAnswer{Output: call.AttemptID}, target.Meta{}, err
 }
 
-func (s *script) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.Meta, error) {
+func (s *scriptedCaller) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.Meta, error) {
 	return s.Run(ctx, call)
 }
 
-func (s *script) begin(call target.Call) step {
+func (s *scriptedCaller) begin(call target.Call) step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := len(s.sent)
 	s.sent = append(s.sent, time.Now())
 	s.targets = append(s.targets, call.Incarnation)
-	s.open++
-	s.most = max(s.most, s.open)
+	s.inFlight++
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
 	if n < len(s.steps) {
 		return s.steps[n]
 	}
 	return step{err: notRun(0)}
 }
 
-func (s *script) end(ctx context.Context, call target.Call, err error) {
+func (s *scriptedCaller) end(ctx context.Context, call target.Call, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.inFlight--
 	s.ended = append(s.ended, err)
 	var failed *target.AttemptError
 	switch {
 	case err == nil:
 		s.answered = append(s.answered, call.AttemptID)
 	case ctx.Err() != nil:
-		s.lostCauses = append(s.lostCauses, context.Cause(ctx))
-	case errors.As(err, &failed) && failed.Outcome != target.NotRun && s.mayHaveRunAt == 0:
-		s.mayHaveRunAt = len(s.sent)
+		s.cancelCauses = append(s.cancelCauses, context.Cause(ctx))
+	case errors.As(err, &failed) && failed.Outcome != target.NotRun && s.sentWhenMayHaveRun == 0:
+		s.sentWhenMayHaveRun = len(s.sent)
 	}
 }
 
@@ -104,12 +104,12 @@
 }
 
 var (
-	lost        = &target.AttemptError{Step: target.StepHeaders, Outcome: target.Unknown, Reason: target.ReasonReset}
-	unconnected = &target.AttemptError{Step: target.StepConnect, Outcome: target.NotRun, Reason: target.ReasonRefused}
+	connectionReset = &target.AttemptError{Step: target.StepHeaders, Outcome: target.Unknown, Reason: target.ReasonReset}
+	notConnected    = &target.AttemptError{Step: target.StepConnect, Outcome: target.NotRun, Reason: target.ReasonRefused}
 )
 
-// scripted is an executor before three targets that follow the script.
-func scripted(s *script, budget retry.Config) *rig {
+// newScriptedRig returns a rig with three targets whose attempts end as scripted.
+func newScriptedRig(s *scriptedCaller, budget retry.Config) *rig {
 	r := &rig{budgets: retrybudget.New(budget)}
 	table := routing.New(routing.Config{Instance: "test"})
 	listed := []routing.Target{}
@@ -130,13 +130,14 @@
 	return r
 }
 
-// Answers come late, twice or for nobody while attempts, retries and hedges are
-// under way. The caller gets one answer in time, what may run once is never sent
-// beside or behind a run, and nothing runs on for no one.
-func TestRaceEndsOnce(t *testing.T) {
-	faults := []*target.AttemptError{nil, notRun(0), notRun(3), lost, unconnected}
+// Responses arrive late, twice or after the caller's request has ended, while attempts, retries
+// and hedges are in flight. The caller must get one response before the deadline. A stage that
+// is not repeatable must not be sent while an attempt is in flight or after one that may have
+// run, and no attempt may outlive the request.
+func TestAttemptsEndInOneResponse(t *testing.T) {
+	faults := []*target.AttemptError{nil, notRun(0), notRun(3), connectionReset, notConnected}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &script{}
+		s := &scriptedCaller{}
 		for range rapid.IntRange(0, 5).Draw(rt, "steps") {
 			s.steps = append(s.steps, step{
 				after: time.Duration(rapid.IntRange(0, 1500).Draw(rt, "after ms")) * time.Millisecond,
@@ -149,24 +150,24 @@
 		var err error
 		inTime := false
 		synctest.Test(t, func(*testing.T) {
-			r := scripted(s, retry.Config{Reserve: 5})
+			r := newScriptedRig(s, retry.Config{Reserve: 5})
 			job := r.job(p, time.Second)
 			got, err = r.do(job)
 			inTime = !time.Now().After(job.Deadline)
 			synctest.Wait()
 		})
 		require.True(rt, inTime, "ended after its deadline")
-		require.Zero(rt, s.open, "an attempt runs on for no one")
+		require.Zero(rt, s.inFlight, "an attempt outlived the request")
 		require.LessOrEqual(rt, len(s.sent), p.MaxAttempts)
 		if !p.Stages[0].Repeatable {
-			require.LessOrEqual(rt, s.most, 1, "sent beside itself")
-			require.True(rt, s.mayHaveRunAt == 0 || s.mayHaveRunAt == len(s.sent), "sent again although it may have run")
+			require.LessOrEqual(rt, s.maxInFlight, 1, "two attempts in flight")
+			require.True(rt, s.sentWhenMayHaveRun == 0 || s.sentWhenMayHaveRun == len(s.sent), "sent again although it may have run")
 		}
 		if err == nil {
 			require.Contains(rt, s.answered, got.Output)
 			return
 		}
-		require.Empty(rt, s.answered, "an answer was lost: %v", err)
+		require.Empty(rt, s.answered, "a response was lost: %v", err)
 		var failure *Failure
 		require.ErrorAs(rt, err, &failure)
 		for _, end := range s.ended {
@@ -177,52 +178,52 @@
 	})
 }
 
-// A target is silent, or full for a moment, and other targets of its pool are
-// well. A caller sees the answer of one of them, soon; the work at the slow one
-// is stopped.
-func TestAttemptsInTime(t *testing.T) {
+// A target doesn't respond, or is full for a moment, while other targets of its pool work. The
+// caller must get the response of one of them soon, and the attempt at the slow one must be
+// cancelled.
+func TestAttemptTiming(t *testing.T) {
 	const hour, learned = time.Hour, 20 * time.Millisecond // oneStage's expected time
 	full := step{err: notRun(0)}
 	cases := map[string]struct {
 		once    bool
 		steps   []step
-		empty   bool            // no token is left
+		empty   bool            // the retry budget is empty
 		within  []time.Duration // the latest start of each attempt
 		reason  Reason          // of the failure, if any
 		retried string          // why it was not sent again
 		waits   bool            // before its retries
 	}{
-		"the hedge wins, the loser is cancelled": {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
-		"no hedge of what may run once":          {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
-		"no hedge without a token":               {empty: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
-		"a failure is followed at once":          {steps: []step{{err: lost}, {}}, within: []time.Duration{0, 0}},
-		"a refusal after a back-off":             {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
-		"no longer than the target asks":         {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
-		"no retry without a token":               {empty: true, steps: []step{{err: lost}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudget)},
-		"no connection needs no token":           {empty: true, once: true, steps: []step{{err: unconnected}, {err: unconnected}, {}}, within: []time.Duration{0, 0, 0}},
-		"full everywhere":                        {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttempts)},
+		"the hedge wins, the loser is cancelled":  {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
+		"no hedge if not repeatable":              {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
+		"no hedge without budget":                 {empty: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
+		"a failure is retried at once":            {steps: []step{{err: connectionReset}, {}}, within: []time.Duration{0, 0}},
+		"a refusal is retried after a backoff":    {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
+		"no longer than the target's Retry-After": {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
+		"no retry without budget":                 {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudget)},
+		"no connection needs no budget":           {empty: true, once: true, steps: []step{{err: notConnected}, {err: notConnected}, {}}, within: []time.Duration{0, 0, 0}},
+		"full everywhere":                         {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttempts)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{steps: c.steps}
-				r := scripted(s, retry.Config{Reserve: 5})
+				s := &scriptedCaller{steps: c.steps}
+				r := newScriptedRig(s, retry.Config{Reserve: 5})
 				for c.empty && (r.budgets.Retry(time.Now(), rigPool) || r.budgets.Hedge(time.Now(), rigPool)) {
 					continue
 				}
 				start := time.Now()
 				_, err := r.do(r.job(oneStage(!c.once, false, 0), time.Second))
 				synctest.Wait()
-				require.Zero(t, s.open)
+				require.Zero(t, s.inFlight)
 				require.Len(t, s.sent, len(c.within))
 				tried := map[string]bool{}
 				for i, latest := range c.within {
 					require.LessOrEqual(t, s.sent[i].Sub(start), latest, "attempt %d", i)
-					require.False(t, tried[s.targets[i]], "sent to a tried target while others are left")
+					require.False(t, tried[s.targets[i]], "sent to a tried target although others remain")
 					tried[s.targets[i]] = true
 				}
 				require.False(t, c.waits && s.sent[len(s.sent)-1].Equal(start), "sent again at once")
-				for _, cause := range s.lostCauses {
+				for _, cause := range s.cancelCauses {
 					require.ErrorIs(t, cause, errLostHedge)
 				}
 				if c.reason == "" {
@@ -238,16 +239,16 @@
 	}
 }
 
-// brokenGate is a gate that fails in a way it does not promise to.
+// brokenGate is a gate that fails with an error that is no *gate.RefusedError.
 type brokenGate struct{ Gate }
 
 func (brokenGate) Enter(context.Context, string, gate.Request) (*gate.Grant, error) {
 	return nil, errors.New("gate is broken")
 }
 
-// The only target is silent until the deadline, while another stage waits for
-// the answer; or the gate fails. An operator reads which stage and which target
-// it was; a caller is never given an empty answer for a whole one.
+// A target doesn't respond until the deadline while another stage waits for its output, or the
+// gate fails. The failure must name the stage and the target, and the caller must never get an
+// empty response instead of a failure.
 func TestFailuresNameStageAndTarget(t *testing.T) {
 	cases := map[string]struct {
 		steps     []step
@@ -256,22 +257,22 @@
 		stage     string
 		attempted bool
 	}{
-		"silent until the deadline":             {steps: []step{{after: time.Hour}}, reason: ReasonDeadline, stage: "s", attempted: true},
-		"a gate that fails":                     {gate: func(g Gate) Gate { return brokenGate{g} }, reason: ReasonFault, stage: "s"},
-		"answered late, the next one never ran": {steps: []step{{after: 2 * time.Second, deaf: true}}, reason: ReasonDeadline, stage: "last"},
+		"no response until the deadline":                    {steps: []step{{after: time.Hour}}, reason: ReasonDeadline, stage: "s", attempted: true},
+		"a gate that fails":                                 {gate: func(g Gate) Gate { return brokenGate{g} }, reason: ReasonFault, stage: "s"},
+		"response after the deadline, last stage never ran": {steps: []step{{after: 2 * time.Second, ignoresCancel: true}}, reason: ReasonDeadline, stage: "last"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{steps: c.steps}
-				r := scripted(s, retry.Config{})
+				s := &scriptedCaller{steps: c.steps}
+				r := newScriptedRig(s, retry.Config{})
 				if c.gate != nil {
 					r.opts.Gate = c.gate(r.opts.Gate)
 				}
 				p := oneStage(false, false, 0)
 				last := p.Stages[0]
 				last.Name, last.After = "last", []int{1}
-				p.Stages = []catalog.Stage{last, p.Stages[0]} // the one that fails is not the first of the list
+				p.Stages = []catalog.Stage{last, p.Stages[0]} // the stage that fails is not the first of the list
 				_, err := r.do(r.job(p, time.Second))
 				synctest.Wait()
 				var failure *Failure
--- a/daemon/execute/stage.go
+++ b/daemon/execute/stage.go
@@ -14,37 +14,37 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// defaultMaxAttempts bounds the attempts of a stage whose pipeline names none.
+// defaultMaxAttempts limits the attempts of a stage whose pipeline sets no limit.
 const defaultMaxAttempts = 3
 
 // stageRun is the state of one stage of a job.
 type stageRun struct {
-	*run
+	*jobRun
 	index  int
 	stage  *catalog.Stage
 	inputs []string
 	rng    *rand.Rand
-	// text and offset are the tokens that were delivered so far: a resumed
-	// stream goes on behind them.
+	// text and offset are the text and the number of the tokens delivered so far. A
+	// resumed stream continues after them.
 	text   strings.Builder
 	offset int
-	// tried holds the incarnations that an attempt was sent to.
+	// tried holds the incarnations of the targets to which an attempt was sent.
 	tried       []string
 	attempts    *retry.Attempts
 	preemptions int
-	// serial numbers the attempts, preempted ones too.
-	serial int
+	// lastAttemptNumber is the number of the latest attempt. Preempted ones count.
+	lastAttemptNumber int
 
 	output string
 	tokens int
 }
 
-func newStageRun(r *run, i int) *stageRun {
+func newStageRun(r *jobRun, i int) *stageRun {
 	s := &stageRun{
-		run:   r,
-		index: i,
-		stage: &r.job.Pipeline.Stages[i],
-		rng:   newRand(),
+		jobRun: r,
+		index:  i,
+		stage:  &r.job.Pipeline.Stages[i],
+		rng:    newRand(),
 	}
 	s.attempts = retry.NewAttempts(retry.Stage{
 		Repeatable:  s.stage.Repeatable,
@@ -55,38 +55,39 @@
 	return s
 }
 
-// streams tells whether this stage's tokens go to the caller as they come, or
-// can be kept so that a broken stream resumes.
+// streams reports whether the stage's tokens are received as a stream: to pass them to the
+// caller as they arrive, or to resume a stream that broke off.
 func (s *stageRun) streams() bool {
-	toCaller := s.job.OnToken != nil && s.last()
+	toCaller := s.job.OnToken != nil && s.isLast()
 	return s.maxTokens(s.index) > 0 && (toCaller || s.stage.Resumable)
 }
 
-func (s *stageRun) last() bool { return s.index == len(s.job.Pipeline.Stages)-1 }
+// isLast reports whether this is the last stage of the pipeline.
+func (s *stageRun) isLast() bool { return s.index == len(s.job.Pipeline.Stages)-1 }
 
-// execute sends the stage to targets until one answers whole or nothing more may
-// be tried. Its error is a *Failure.
+// execute sends the stage to targets until one returns a complete response or no further
+// attempt is allowed. Its error is a *Failure.
 func (s *stageRun) execute(ctx context.Context) error {
 	for {
-		result, err := s.turn(ctx)
+		result, err := s.runAttempt(ctx)
 		if err != nil {
 			return err
 		}
 		if result.err == nil {
 			s.opts.Budgets.Succeeded(s.opts.Now(), s.stage.Pool)
-			s.output = result.answer.Output
-			s.tokens = result.answer.Tokens
+			s.output = result.response.Output
+			s.tokens = result.response.Tokens
 			return nil
 		}
-		if err := s.beforeRetry(ctx, result); err != nil {
+		if err := s.awaitRetry(ctx, result); err != nil {
 			return err
 		}
 	}
 }
 
-// turn waits for the gate, picks a target and makes one attempt, with a hedge
-// beside it where it is slow and may run twice.
-func (s *stageRun) turn(ctx context.Context) (attemptResult, error) {
+// runAttempt waits for a slot, picks a target and runs one attempt. If the stage may be
+// hedged and the attempt is slow, it starts a second one.
+func (s *stageRun) runAttempt(ctx context.Context) (attemptResult, error) {
 	request := s.gateRequest()
 	grant, err := s.opts.Gate.Enter(ctx, s.stage.Pool, request)
 	if err != nil {
@@ -97,21 +98,21 @@
 		return attemptResult{}, failure
 	}
 	if s.attempts.MayHedge() {
-		return s.doHedged(ctx, first, grant, request), nil
+		return s.runHedged(ctx, first, grant, request), nil
 	}
-	return s.doPreemptible(ctx, first, grant), nil
+	return s.runPreemptible(ctx, first, grant), nil
 }
 
-// firstAttempt picks the target of a turn's first attempt, asks for leave to
-// send what may not be repeated, and enters the attempt. Without an attempt, be
-// it by a panic, the slot is given back.
+// firstAttempt picks the target of an attempt that is not a hedge, claims the dispatch of a
+// stage that is not repeatable, and records the attempt. If it returns no attempt or
+// panics, it releases the slot.
 func (s *stageRun) firstAttempt(grant *gate.Grant) (first *attempt, failure *Failure) {
 	defer func() {
 		if first == nil {
 			grant.Release()
 		}
 	}()
-	if failure := s.contentBlocked(s.stage.Name); failure != nil {
+	if failure := s.checkContent(s.stage.Name); failure != nil {
 		return nil, failure
 	}
 	choice, failure := s.pick()
@@ -120,12 +121,12 @@
 	}
 	if !s.stage.Repeatable {
 		if err := s.claimDispatch(); err != nil {
-			return nil, s.failure(ReasonClaim, choice.Target.Address, err)
+			return nil, s.newFailure(ReasonClaim, choice.Target.Address, err)
 		}
 	}
 	first, err := s.newAttempt(choice)
 	if err != nil {
-		return nil, s.failure(ReasonDeadline, choice.Target.Address, err)
+		return nil, s.newFailure(ReasonDeadline, choice.Target.Address, err)
 	}
 	return first, nil
 }
@@ -133,9 +134,9 @@
 // errPreempted cancels an attempt in favour of a higher tier.
 var errPreempted = errors.New("preempted by a higher tier")
 
-// doPreemptible makes an attempt that a higher tier may interrupt. The slot is
-// given back only once the attempt has ended, so that it is truly free.
-func (s *stageRun) doPreemptible(ctx context.Context, a *attempt, grant *gate.Grant) attemptResult {
+// runPreemptible runs an attempt that may be preempted by a higher tier. It releases the
+// slot only after the attempt has ended, so that the target's slot is free as well.
+func (s *stageRun) runPreemptible(ctx context.Context, a *attempt, grant *gate.Grant) attemptResult {
 	defer grant.Release()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -146,7 +147,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	result := a.do(ctx)
+	result := a.run(ctx)
 	result.preempted = result.err != nil && errors.Is(context.Cause(ctx), errPreempted)
 	if result.preempted {
 		s.preemptions++
@@ -155,20 +156,21 @@
 	return result
 }
 
-// probeWait is how long a probe waits for a slot: the time to get to the gate.
-const probeWait = 20 * time.Millisecond
+// maxProbeWait limits how long a probe may take to get a slot. It covers only the time
+// until the probe arrives at the gate.
+const maxProbeWait = 20 * time.Millisecond
 
 func (s *stageRun) gateRequest() gate.Request {
 	now := s.opts.Now()
-	latest := s.share(now, s.index).LatestStart
+	latestStart := s.stageBudget(now, s.index).LatestStart
 	if s.probe {
-		// The times that a probe is to correct have let its latest start pass:
-		// it goes if a slot is free, and waits for none.
-		latest = now.Add(probeWait)
+		// By the learned times, which the probe is to correct, its latest start has
+		// passed. It runs if a slot is free and doesn't wait for one.
+		latestStart = now.Add(maxProbeWait)
 	}
 	return gate.Request{
 		Rank:        s.rank,
-		LatestStart: latest,
+		LatestStart: latestStart,
 		Resumable:   s.stage.Repeatable && s.stage.Resumable && s.streams(),
 		Preemptions: s.preemptions,
 	}
@@ -177,13 +179,13 @@
 func (s *stageRun) gateFailure(ctx context.Context, err error) *Failure {
 	var refused *gate.RefusedError
 	if !errors.As(err, &refused) {
-		return s.unfinished(ctx, "", err)
+		return s.interruptedFailure(ctx, "", err)
 	}
 	reason := ReasonOverload
 	if refused.Reason == tiers.ReasonTooLate {
 		reason = ReasonDeadline
 	}
-	f := s.failure(reason, "", err)
+	f := s.newFailure(reason, "", err)
 	f.RetryAfter = refused.RetryAfter
 	return f
 }
@@ -195,15 +197,15 @@
 	return defaultMaxAttempts
 }
 
-func (s *stageRun) failure(reason Reason, peer string, cause error) *Failure {
+func (s *stageRun) newFailure(reason Reason, peer string, cause error) *Failure {
 	return &Failure{Reason: reason, Step: s.stage.Name, Peer: peer, Cause: cause}
 }
 
-// unfinished is the failure of a stage that err stopped, mostly the end of its
-// context: the deadline passed, the caller went away or another stage failed.
-func (s *stageRun) unfinished(ctx context.Context, peer string, err error) *Failure {
+// interruptedFailure returns the failure of a stage that err ended. This is usually the end
+// of its context: the deadline passed, the caller disconnected or another stage failed.
+func (s *stageRun) interruptedFailure(ctx context.Context, peer string, err error) *Failure {
 	if ctx.Err() == nil {
-		return s.failure(ReasonFault, peer, err)
+		return s.newFailure(ReasonFault, peer, err)
 	}
 	f := s.asFailure(ctx, ctx.Err())
 	f.Step = s.stage.Name
@@ -211,12 +213,12 @@
 	return f
 }
 
-// nextAttempt makes the id of the next attempt; it is unique to the request.
-func (s *stageRun) nextAttempt() string {
+// nextAttemptID counts an attempt and returns its ID, which is unique within the request.
+func (s *stageRun) nextAttemptID() string {
 	s.attempts.Sent()
-	s.serial++
-	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.serial)
+	s.lastAttemptNumber++
+	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.lastAttemptNumber)
 }
 
-// left is what is left of the job's deadline.
-func (s *stageRun) left() time.Duration { return s.job.Deadline.Sub(s.opts.Now()) }
+// remainingTime returns the time until the job's deadline.
+func (s *stageRun) remainingTime() time.Duration { return s.job.Deadline.Sub(s.opts.Now()) }
