--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// stageWhenReady waits for the predecessors of stage i, then runs it. If a predecessor
-// fails, it returns nil: the predecessor reports the cause and its own name.
+// stageWhenReady waits for the predecessors of stage i, then runs it. If the context ends while
+// it waits, it returns nil: the stage that failed reports the cause and its own name.
 func (r *jobRun) stageWhenReady(ctx context.Context, i int) (err error) {
 	s := newStageRun(r, i)
 	defer s.recoverPanic(&err)
--- a/daemon/execute/rig_test.go
+++ b/daemon/execute/rig_test.go
@@ -51,7 +51,7 @@
 	}
 	table.SetTargets(time.Now(), routing.Pool{Name: rigPool, Objective: objective, EjectionFloor: 1}, listed)
 	gates := gate.NewGroup(gate.GroupConfig{
-		Tiers: tiers.Config{Preempt: true, MinRun: time.Nanosecond}, FillOrdered: 1, FillPlain: 1,
+		Tiers: tiers.Config{Preempt: true, MinRun: time.Nanosecond}, OvercommitOrdered: 1, OvercommitUnordered: 1,
 	}, time.Now)
 	gates.SetCapacity(rigPool, 8, kind == catalog.KindEngine)
 	client := target.New(target.Options{EventGap: 200 * time.Millisecond})
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -118,7 +118,7 @@
 	}
 	objective := catalog.ObjectiveAttainment
 	table.SetTargets(time.Now(), routing.Pool{Name: rigPool, Objective: objective, EjectionFloor: 1}, listed)
-	gates := gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{}, FillOrdered: 1, FillPlain: 1}, time.Now)
+	gates := gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{}, OvercommitOrdered: 1, OvercommitUnordered: 1}, time.Now)
 	gates.SetCapacity(rigPool, 12, false)
 	snapshot := &catalog.Snapshot{Pools: map[string]*catalog.Pool{rigPool: {Name: rigPool, Objective: objective}}}
 	r.Executor = New(Options{
--- a/daemon/gate/gate.go
+++ b/daemon/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate lets goroutines wait at a pool's tier gate. It drives the state
-// machine of coordination/tiers under one lock, which is never held while a
-// goroutine waits or while a target is called.
+// Package gate lets goroutines wait at the tier gates of pools. Each gate drives the state
+// machine of coordination/tiers under a lock, which is never held while a goroutine waits or
+// while a target is called.
 package gate
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// RefusedError tells that work was not started.
+// RefusedError is the error of work that the gate refused and that was not started.
 type RefusedError struct {
 	// Pool is the pool whose gate refused.
 	Pool   string
 	Reason tiers.Reason
-	// RetryAfter is when to come back.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
 }
 
@@ -27,15 +27,15 @@
 	return fmt.Sprintf("pool %s: refused: %s, retry after %v", e.Pool, e.Reason, e.RetryAfter)
 }
 
-// Request is the work that wants a slot.
+// Request describes work that needs a slot.
 type Request struct {
 	// Rank is the rank of the tier; 0 is the highest.
 	Rank int
-	// LatestStart is the last moment at which starting is of use.
+	// LatestStart is the latest time at which starting is useful.
 	LatestStart time.Time
 	// Resumable work may be preempted.
 	Resumable bool
-	// Preemptions counts how often this work was preempted.
+	// Preemptions is how often this work has been preempted.
 	Preemptions int
 }
 
@@ -43,19 +43,20 @@
 type Gate struct {
 	pool  string
 	clock func() time.Time
-	// slots is the number of the pool's slots, of which the machine's capacity
-	// is a multiple.
+	// slots is the number of slots of the pool's targets. The machine's capacity is a
+	// multiple of it.
 	slots atomic.Int64
 
 	mu      sync.Mutex
 	machine *tiers.Gate
 	nextID  uint64
 	grants  map[uint64]*Grant
-	// refused counts the refusals by reason, since the start.
+	// refused counts the refusals since the start, by reason.
 	refused map[tiers.Reason]uint64
 }
 
-// Grant is the right to use a slot until Release.
+// Grant is the permission to use a slot until Release. It is pending until the gate sends to
+// ready: nil for a slot, or a *RefusedError.
 type Grant struct {
 	gate      *Gate
 	id        uint64
@@ -63,7 +64,7 @@
 	preempted chan struct{}
 }
 
-// New makes the gate of a pool with the given slots; clock tells the time.
+// New returns the gate of a pool with the given slots; clock returns the current time.
 func New(pool string, c tiers.Config, slots int, clock func() time.Time) *Gate {
 	return &Gate{
 		pool:    pool,
@@ -74,9 +75,9 @@
 	}
 }
 
-// Acquire waits for a slot. It ends with the context's error when the context
-// ends first, and with a *RefusedError when the gate refuses. The caller has to
-// call Release on the grant once the target is done or its attempt cancelled.
+// Acquire waits for a slot. It returns the context's error if the context ends first, and a
+// *RefusedError if the gate refuses the work. The caller must call Release on the grant once
+// the target is done or the attempt is cancelled.
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	grant := g.enqueue(r)
 	select {
@@ -91,8 +92,8 @@
 	}
 }
 
-// TryAcquire takes a slot if the gate gives one at once, and else leaves the
-// queue again.
+// TryAcquire acquires a slot if the gate grants one at once, and otherwise leaves the queue
+// again.
 func (g *Gate) TryAcquire(r Request) (*Grant, bool) {
 	grant := g.enqueue(r)
 	select {
@@ -104,60 +105,63 @@
 	}
 }
 
-// Release gives the slot back. Only the first call counts.
-func (t *Grant) Release() { t.gate.finish(t) }
+// Release releases the slot. Further calls do nothing.
+func (t *Grant) Release() { t.gate.release(t) }
 
-// Preempted is closed when the work is to be cancelled and resumed later, in
-// favour of a higher tier.
+// Preempted returns a channel that is closed when the work must be cancelled in favour of a
+// higher tier, to be resumed later.
 func (t *Grant) Preempted() <-chan struct{} { return t.preempted }
 
-// Tick refuses what waited too long; call it some ten times a second.
-func (g *Gate) Tick() { g.step((*tiers.Gate).Tick) }
+// Tick refuses work whose latest start has passed, and starts work that has become able to
+// start. It should be called about ten times a second.
+func (g *Gate) Tick() { g.update((*tiers.Gate).Tick) }
 
-// SetCapacity tells how many slots the pool's routable targets have in all.
+// SetCapacity sets the number of requests that may run at the pool's targets at a time.
 func (g *Gate) SetCapacity(slots int) {
-	g.step(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetCapacity(now, slots) })
+	g.update(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetCapacity(now, slots) })
 }
 
-// SetPeers tells what the peers' newest digests add up to.
+// SetPeers sets the load that the peers' latest digests add up to.
 func (g *Gate) SetPeers(load tiers.PeerLoad) {
-	g.step(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetPeers(now, load) })
+	g.update(func(m *tiers.Gate, now time.Time) []tiers.Action { return m.SetPeers(now, load) })
 }
 
-// Digest returns what the peers have to know.
+// Digest returns this instance's load, to be sent to the peers.
 func (g *Gate) Digest() tiers.Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.Digest(g.clock())
 }
 
-// Wait is how long work of the rank that came now would queue.
+// Wait returns how long work of the rank would queue if it arrived now.
 func (g *Gate) Wait(rank int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.Wait(g.clock(), rank)
 }
 
-// Stats returns a reading for metrics.
+// Stats returns the current state for metrics.
 func (g *Gate) Stats() tiers.Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.Stats()
 }
 
-// Refused returns how many requests were refused by reason, since the start.
+// Refused returns the number of refusals since the start, by reason.
 func (g *Gate) Refused() map[tiers.Reason]uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return maps.Clone(g.refused)
 }
 
-func (g *Gate) step(event func(*tiers.Gate, time.Time) []tiers.Action) {
+// update passes an event to the state machine and carries out the resulting actions.
+func (g *Gate) update(event func(*tiers.Gate, time.Time) []tiers.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(event(g.machine, g.clock()))
 }
 
+// enqueue adds work to the queue and returns its pending grant.
 func (g *Gate) enqueue(r Request) *Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -179,16 +183,16 @@
 	return t
 }
 
-func (g *Gate) finish(t *Grant) {
+func (g *Gate) release(t *Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.grants, t.id)
 	g.apply(g.machine.Finished(g.clock(), t.id))
 }
 
-// abandon takes back a request whose caller gave up. The slot may have been
-// given a moment before, in the order: dispatch, end of the context, abandon.
-// Giving it back both ways keeps it from being lost for good.
+// abandon withdraws a request whose caller gave up. The gate may have granted the slot after
+// the caller's context ended but before abandon took the lock. It therefore both removes the
+// request from the queue and releases its slot; otherwise the slot would be lost for good.
 func (g *Gate) abandon(t *Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -198,8 +202,8 @@
 	g.apply(g.machine.Finished(now, t.id))
 }
 
-// apply carries out actions. No channel here ever blocks: ready has room for
-// the one word that each grant is told.
+// apply carries out actions. It never blocks: each grant gets one message at most on ready,
+// which has a buffer of one.
 func (g *Gate) apply(actions []tiers.Action) {
 	for _, a := range actions {
 		t, ok := g.grants[a.ID]
--- a/daemon/gate/gate_test.go
+++ b/daemon/gate/gate_test.go
@@ -22,7 +22,7 @@
 	return Request{Rank: rank, LatestStart: time.Now().Add(time.Hour)}
 }
 
-func hold(t *testing.T, g *Gate, r Request) *Grant {
+func acquire(t *testing.T, g *Gate, r Request) *Grant {
 	grant, err := g.Acquire(t.Context(), r)
 	require.NoError(t, err)
 	return grant
@@ -31,11 +31,11 @@
 func TestAcquireWaitsForRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("engines", tiers.Config{}, 1, time.Now)
-		first := hold(t, g, request(0))
+		first := acquire(t, g, request(0))
 		order := make(chan int, 2)
 		for _, rank := range []int{2, 1} {
 			go func() {
-				grant := hold(t, g, request(rank))
+				grant := acquire(t, g, request(rank))
 				order <- rank
 				grant.Release()
 			}()
@@ -44,13 +44,13 @@
 		require.Empty(t, order)
 		require.Equal(t, 2, g.Stats().Queued[1]+g.Stats().Queued[2])
 		first.Release()
-		first.Release() // a second call gives nothing back
+		first.Release() // a second call releases nothing
 		synctest.Wait()
 		require.Equal(t, []int{1, 2}, []int{<-order, <-order})
 	})
 }
 
-func TestWaitEnds(t *testing.T) {
+func TestAcquireFails(t *testing.T) {
 	tests := map[string]struct {
 		run  func(t *testing.T, g *Gate) error
 		want func(t *testing.T, err error)
@@ -64,7 +64,7 @@
 			},
 			want: func(t *testing.T, err error) { require.ErrorIs(t, err, context.DeadlineExceeded) },
 		},
-		"past the point of use": {
+		"past the latest start": {
 			run: func(t *testing.T, g *Gate) error {
 				ticker := time.AfterFunc(2*time.Second, g.Tick)
 				defer ticker.Stop()
@@ -80,7 +80,7 @@
 				require.Positive(t, refused.RetryAfter)
 			},
 		},
-		"at once when it must not wait": {
+		"at once without waiting": {
 			run: func(_ *testing.T, g *Gate) error {
 				if _, ok := g.TryAcquire(request(0)); ok {
 					return nil
@@ -94,10 +94,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := New("engines", tiers.Config{}, 1, time.Now)
-				held := hold(t, g, request(0))
+				held := acquire(t, g, request(0))
 				tt.want(t, tt.run(t, g))
 				held.Release()
-				hold(t, g, request(0)).Release()
+				acquire(t, g, request(0)).Release()
 				require.Zero(t, g.Stats().InFlight[0])
 			})
 		})
@@ -107,10 +107,10 @@
 func TestPreempted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New("engines", tiers.Config{Preempt: true}, 1, time.Now)
-		warm := hold(t, g, request(0))
+		warm := acquire(t, g, request(0))
 		time.Sleep(8 * time.Second)
 		warm.Release() // a slot is held for 8 s
-		low := hold(t, g, Request{Rank: 1, LatestStart: time.Now().Add(time.Hour), Resumable: true})
+		low := acquire(t, g, Request{Rank: 1, LatestStart: time.Now().Add(time.Hour), Resumable: true})
 		time.Sleep(time.Second)
 		g.SetPeers(tiers.PeerLoad{Instances: 1})
 		g.SetCapacity(1)
@@ -125,14 +125,13 @@
 	})
 }
 
-// A caller gives up in the very moment in which its slot comes. If the slot is
-// then given back by neither side, the pool serves one request less for ever,
-// and after some such moments none.
+// A caller gives up at the moment its slot is granted. If neither side released the slot, the
+// pool would permanently serve one request less each time, and finally none.
 func TestNoSlotIsLost(t *testing.T) {
 	const slots, callers, rounds = 3, 16, 300
 	g := New("engines", tiers.Config{Queue: 8}, slots, time.Now)
-	var inside atomic.Int64
-	var over atomic.Bool
+	var granted atomic.Int64
+	var exceeded atomic.Bool
 	var wg sync.WaitGroup
 	for c := range callers {
 		rng := rand.New(rand.NewPCG(uint64(c), 1))
@@ -144,10 +143,10 @@
 				}
 				grant, err := g.Acquire(ctx, request(rng.IntN(3)))
 				if err == nil {
-					if inside.Add(1) > slots {
-						over.Store(true)
+					if granted.Add(1) > slots {
+						exceeded.Store(true)
 					}
-					inside.Add(-1)
+					granted.Add(-1)
 					grant.Release()
 				}
 				cancel()
@@ -155,7 +154,7 @@
 		})
 	}
 	wg.Wait()
-	require.False(t, over.Load(), "more inside than slots")
+	require.False(t, exceeded.Load(), "more grants than slots")
 	stats := g.Stats()
 	for r := range stats.Queued {
 		require.Zero(t, stats.Queued[r]+stats.InFlight[r], "rank %d", r)
@@ -165,7 +164,7 @@
 
 func TestGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := NewGroup(GroupConfig{FillOrdered: 1}, time.Now)
+		group := NewGroup(GroupConfig{OvercommitOrdered: 1}, time.Now)
 		_, err := group.Enter(t.Context(), "engines", request(0))
 		var refused *RefusedError
 		require.True(t, errors.As(err, &refused))
@@ -202,9 +201,9 @@
 	})
 }
 
-// A stage is slow because its pool is full. A hedge for each of its requests
-// would fill the pool further and make every other request late.
-func TestHedgesNeedRoomToSpare(t *testing.T) {
+// A stage is slow because its pool is full. Hedging each of its requests would add load to the
+// pool and make other requests miss their deadlines.
+func TestHedgesNeedSpareCapacity(t *testing.T) {
 	group := NewGroup(GroupConfig{}, time.Now)
 	group.SetCapacity("services", 10, false)
 	for range 6 {
@@ -217,5 +216,5 @@
 	_, ok = group.TryEnter("services", request)
 	require.False(t, ok, "seven of ten are")
 	_, err := group.Enter(t.Context(), "services", request)
-	require.NoError(t, err, "what is needed goes all the same")
+	require.NoError(t, err, "attempts other than hedges are still admitted")
 }
