--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -1,9 +1,9 @@
-// Package blocklist keeps an instance's records of requests that crash their targets, and
+// Package blocklist holds an instance's records of requests that crash their targets, and
 // exchanges them with the other instances.
 //
-// Nothing is sent while there are no records. News goes to a few neighbours at once, who
-// pass it on; what is missed by that is found by samples, which an instance also asks for
-// after its start and after it stood still.
+// Nothing is sent while there are no records. A new record is gossiped to a few neighbours,
+// which pass it on. An instance learns records that it missed from samples of its neighbours'
+// records, which it also requests after its start and after it was paused.
 package blocklist
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Cluster is what the records travel by.
+// Cluster connects the instances, which exchange records through it.
 type Cluster interface {
 	Handle(method string, h peer.Handler, opts ...peer.HandleOption)
 	Call(ctx context.Context, address, method string, body []byte) ([]byte, error)
@@ -34,57 +34,57 @@
 	cluster Cluster
 	metrics metrics
 	// requests is the number of requests with records.
-	requests atomic.Int64
-	// wake is sent to when there is news.
+	requestCount atomic.Int64
+	// wake receives a value when there are records to send.
 	wake chan struct{}
-	// heard is closed once this instance knows what others knew at its start.
-	heard chan struct{}
+	// synced is closed once the exchange of records at the start is over.
+	synced chan struct{}
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// blocked are the digests that were last logged as blocked.
-	blocked map[quarantine.Digest]bool
-	// denied is until when no trial of a request is asked for again.
-	denied map[quarantine.Digest]time.Time
+	// loggedBlocked holds the digests that were last logged as blocked.
+	loggedBlocked map[quarantine.Digest]bool
+	// deniedUntil holds until when no further trial of a request is requested.
+	deniedUntil map[quarantine.Digest]time.Time
 }
 
-// New returns an empty blocklist, and registers the methods by which the instances
-// exchange them.
+// New returns an empty blocklist and registers the methods by which instances exchange
+// records and request trials.
 func New(cluster Cluster, config quarantine.Config, scope tally.Scope) *Blocklist {
 	b := &Blocklist{
-		cluster: cluster, metrics: newMetrics(scope), wake: make(chan struct{}, 1), heard: make(chan struct{}),
-		table: quarantine.New(config), blocked: map[quarantine.Digest]bool{}, denied: map[quarantine.Digest]time.Time{},
+		cluster: cluster, metrics: newMetrics(scope), wake: make(chan struct{}, 1), synced: make(chan struct{}),
+		table: quarantine.New(config), loggedBlocked: map[quarantine.Digest]bool{}, deniedUntil: map[quarantine.Digest]time.Time{},
 	}
 	cluster.Handle(methodExchange, b.handleExchange, peer.Idempotent())
 	cluster.Handle(methodTrial, b.handleTrial)
 	return b
 }
 
-// Empty tells whether there are no records, so that no request can be blocked.
-func (b *Blocklist) Empty() bool { return b.requests.Load() == 0 }
+// Empty reports whether there are no records, so that no request can be blocked.
+func (b *Blocklist) Empty() bool { return b.requestCount.Load() == 0 }
 
-// Crashed records that a target ended under a request.
+// Crashed records that a target ended while it ran a request.
 func (b *Blocklist) Crashed(digest quarantine.Digest, target string) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table.RecordCrash(now, digest, target) {
 		b.metrics.crashes[sourceLocal].Inc(1)
-		b.changed(now, digest, sourceLocal, target)
+		b.recordChanged(now, digest, sourceLocal, target)
 	}
 }
 
-// EndedWell records that a target ran a request to an end of its own.
+// EndedWell records that a run of a request ended without a crash of its target.
 func (b *Blocklist) EndedWell(digest quarantine.Digest) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table.RecordCompletion(now, digest) {
-		b.changed(now, digest, sourceLocal, "")
+		b.recordChanged(now, digest, sourceLocal, "")
 	}
 }
 
-// Judge tells what this instance knows of a request.
+// Judge returns the verdict on a request by the records of this instance.
 func (b *Blocklist) Judge(digest quarantine.Digest) quarantine.Verdict {
 	if b.Empty() {
 		return quarantine.Verdict{}
@@ -94,58 +94,58 @@
 	return b.table.Judge(time.Now(), digest)
 }
 
-// Blocked returns what is known of the requests that are blocked or on trial.
+// Blocked returns the verdicts on the requests that are blocked or on trial.
 func (b *Blocklist) Blocked() map[quarantine.Digest]quarantine.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.table.Blocked(time.Now())
 }
 
-// changed logs and counts what a new record means; mu is held.
-func (b *Blocklist) changed(now time.Time, digest quarantine.Digest, source, target string) {
-	b.requests.Store(int64(b.table.Len()))
+// recordChanged logs and counts the change that a new record causes. The caller holds mu.
+func (b *Blocklist) recordChanged(now time.Time, digest quarantine.Digest, source, target string) {
+	b.requestCount.Store(int64(b.table.Len()))
 	v := b.table.Judge(now, digest)
 	event := telemetry.Event{
 		Digest: digest.String(), Target: target, Reason: source, Count: v.Crashes, Elapsed: v.SinceLastCrash, RetryAfter: v.Remaining,
 	}
 	switch {
-	case v.State == quarantine.Blocked && (source == sourceLocal || !b.blocked[digest]):
-		b.blocked[digest] = true
+	case v.State == quarantine.Blocked && (source == sourceLocal || !b.loggedBlocked[digest]):
+		b.loggedBlocked[digest] = true
 		telemetry.InfoS("Request blocked, it crashes targets", event)
-	case v.State == quarantine.Allowed && b.blocked[digest]:
-		delete(b.blocked, digest)
+	case v.State == quarantine.Allowed && b.loggedBlocked[digest]:
+		delete(b.loggedBlocked, digest)
 		telemetry.InfoS("Request no longer blocked", event)
 	case target != "" && source == sourceLocal:
 		telemetry.InfoS("Target crashed under a request", event)
 	}
-	b.metrics.sizes(b.table.Len(), len(b.blocked))
+	b.metrics.updateSizes(b.table.Len(), len(b.loggedBlocked))
 	b.signal()
 }
 
-// signal has the next round begin soon.
+// signal wakes the loop that exchanges records.
 func (b *Blocklist) signal() {
 	select {
 	case b.wake <- struct{}{}:
-	default: // it does already
+	default: // it was woken already
 	}
 }
 
-// expire drops what is too old.
+// expire drops records that are too old and denials that have ended.
 func (b *Blocklist) expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table.Expire(now)
-	b.requests.Store(int64(b.table.Len()))
-	for digest := range b.blocked {
+	b.requestCount.Store(int64(b.table.Len()))
+	for digest := range b.loggedBlocked {
 		if b.table.Judge(now, digest).State == quarantine.Allowed {
-			delete(b.blocked, digest)
+			delete(b.loggedBlocked, digest)
 			telemetry.InfoS("Request no longer blocked", telemetry.Event{Digest: digest.String(), Reason: "expired"})
 		}
 	}
-	for digest, until := range b.denied {
+	for digest, until := range b.deniedUntil {
 		if now.After(until) {
-			delete(b.denied, digest)
+			delete(b.deniedUntil, digest)
 		}
 	}
-	b.metrics.sizes(b.table.Len(), len(b.blocked))
+	b.metrics.updateSizes(b.table.Len(), len(b.loggedBlocked))
 }
--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -34,20 +34,20 @@
 	os.Exit(m.Run())
 }
 
-// heardWithin is the bound of news among instances.
-const heardWithin = 3 * time.Second
+// gossipBound is the time within which a record reaches all instances.
+const gossipBound = 3 * time.Second
 
 var digest = quarantine.DigestOf("host", "/path", "account", nil)
 
-// fleet are instances in one process whose calls take no time.
+// fleet is a set of instances in one process whose calls take no time.
 type fleet struct {
 	mu        sync.Mutex
 	instances map[string]*member
 	calls     atomic.Int64
-	// lost is one in how many calls is lost; 0 for none.
-	lost int64
-	// cut is the address of an instance that no call reaches or leaves.
-	cut atomic.Pointer[string]
+	// lossInterval is the number of calls of which one is lost; 0 means no loss.
+	lossInterval int64
+	// isolated is the address of an instance that can neither call others nor be called.
+	isolated atomic.Pointer[string]
 }
 
 // member is one instance of a fleet.
@@ -58,12 +58,12 @@
 	*Blocklist
 }
 
-var errLost = errors.New("lost")
+var errUnreachable = errors.New("lost")
 
-// newFleet starts so many instances, each of which knows some others. One in lost calls is
-// lost; 0 for none.
-func newFleet(ctx context.Context, n int, lost int64) *fleet {
-	f := &fleet{instances: map[string]*member{}, lost: lost}
+// newFleet starts n instances, each of which knows some others. One in lossInterval calls is
+// lost; 0 means no loss.
+func newFleet(ctx context.Context, n int, lossInterval int64) *fleet {
+	f := &fleet{instances: map[string]*member{}, lossInterval: lossInterval}
 	for range n {
 		f.add(ctx)
 	}
@@ -76,7 +76,7 @@
 	m.Blocklist = New(m, quarantine.DefaultConfig(), tally.NoopScope)
 	f.instances[m.address] = m
 	f.mu.Unlock()
-	go func() { _ = m.Run(ctx) }() // it ends with the context
+	go func() { _ = m.Run(ctx) }() // returns nil when the context ends
 	return m
 }
 
@@ -85,11 +85,11 @@
 }
 
 func (m *member) Call(ctx context.Context, address, method string, body []byte) ([]byte, error) {
-	if n := m.fleet.calls.Add(1); m.fleet.lost > 0 && n%m.fleet.lost == 0 {
-		return nil, errLost
+	if n := m.fleet.calls.Add(1); m.fleet.lossInterval > 0 && n%m.fleet.lossInterval == 0 {
+		return nil, errUnreachable
 	}
-	if cut := m.fleet.cut.Load(); cut != nil && (*cut == address || *cut == m.address) {
-		return nil, errLost
+	if isolated := m.fleet.isolated.Load(); isolated != nil && (*isolated == address || *isolated == m.address) {
+		return nil, errUnreachable
 	}
 	m.fleet.mu.Lock()
 	other := m.fleet.instances[address]
@@ -97,17 +97,17 @@
 	return other.handlers[method](ctx, peer.Peer{}, body)
 }
 
-// View is of the first instance alone, which so decides on all trials.
+// View contains only the first instance, which thus decides on all trials.
 func (m *member) View() *membership.View {
 	return membership.New(membership.DefaultConfig(), membership.Member{Name: m.address, Address: "at-0"}, nil).View()
 }
 
-// Neighbours are some instances before and behind this one in a ring.
+// Neighbours returns some instances before and after this one in a ring.
 func (m *member) Neighbours() []string {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	var n int
-	_, _ = fmt.Sscanf(m.address, "at-%d", &n) // its own form
+	_, _ = fmt.Sscanf(m.address, "at-%d", &n) // parses the form that add uses
 	size := len(m.fleet.instances)
 	near := map[int]bool{}
 	for i := 1; i <= 5; i++ {
@@ -124,17 +124,17 @@
 
 func (m *member) AwaitPeer(context.Context) {}
 
-// playFleet plays a fleet in virtual time, in which all sleeps of these tests are.
-func playFleet(t *testing.T, n int, lost int64, play func(ctx context.Context, f *fleet)) {
+// runFleet runs a fleet in virtual time. All sleeps of these tests are in virtual time.
+func runFleet(t *testing.T, n int, lossInterval int64, test func(ctx context.Context, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		play(ctx, newFleet(ctx, n, lost))
+		test(ctx, newFleet(ctx, n, lossInterval))
 	})
 }
 
-// crash records so many crashes of the request, a second apart, each at another instance.
+// crash records n crashes of the request, one second apart, each at another instance.
 func (f *fleet) crash(n int) {
 	for i := range n {
 		time.Sleep(time.Second)
@@ -142,7 +142,7 @@
 	}
 }
 
-// blocked counts the instances that refuse the request.
+// blocked counts the instances that block the request.
 func (f *fleet) blocked() int {
 	n := 0
 	for _, m := range f.instances {
@@ -153,26 +153,26 @@
 	return n
 }
 
-// TestNewsReachesAllInstances guards against instances that send on what others know to
-// crash targets, in large fleets and where calls are lost.
-func TestNewsReachesAllInstances(t *testing.T) {
+// Prevents instances from sending requests that others know to crash targets, in large fleets
+// and if calls are lost.
+func TestRecordsReachAllInstances(t *testing.T) {
 	for _, size := range []int{2, 8, 60, 295} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, 10, func(ctx context.Context, f *fleet) {
+			runFleet(t, size, 10, func(ctx context.Context, f *fleet) {
 				f.crash(3)
-				time.Sleep(heardWithin)
+				time.Sleep(gossipBound)
 				require.Equal(t, size, f.blocked())
 				f.instances["at-0"].EndedWell(digest)
-				time.Sleep(heardWithin)
+				time.Sleep(gossipBound)
 				require.Zero(t, f.blocked())
 			})
 		})
 	}
 }
 
-// TestNothingIsSentWithoutCrashes guards against a cost where no target crashes.
+// Prevents the exchange from costing anything while no target crashes.
 func TestNothingIsSentWithoutCrashes(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
 		time.Sleep(time.Minute)
 		before := f.calls.Load()
 		time.Sleep(time.Hour)
@@ -180,37 +180,35 @@
 	})
 }
 
-// TestInstanceThatJoinsHasHeard guards against an instance that serves its first requests
-// before it knows what the others refuse.
-func TestInstanceThatJoinsHasHeard(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+// Prevents a new instance from serving requests before it has the records of the others.
+func TestJoiningInstanceHasRecords(t *testing.T) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
 		f.crash(3)
-		time.Sleep(heardWithin)
+		time.Sleep(gossipBound)
 		joined := f.add(ctx)
-		joined.AwaitHeard(ctx)
+		joined.AwaitInitialSync(ctx)
 		require.Equal(t, quarantine.Blocked, joined.Judge(digest).State)
 	})
 }
 
-// TestInstanceThatWasCutOffHears guards against an instance that missed all news, and knows
-// of nothing to ask for.
-func TestInstanceThatWasCutOffHears(t *testing.T) {
-	playFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
-		cut := "at-7"
-		f.cut.Store(&cut)
+// An instance that was isolated has missed all records and has none itself, so it doesn't
+// request samples. It must receive the records once it is reachable again.
+func TestIsolatedInstanceRecovers(t *testing.T) {
+	runFleet(t, 8, 0, func(ctx context.Context, f *fleet) {
+		isolated := "at-7"
+		f.isolated.Store(&isolated)
 		f.crash(3)
 		time.Sleep(time.Minute)
-		require.Equal(t, 0, f.instances[cut].table.Len())
-		f.cut.Store(nil)
-		time.Sleep(heardWithin)
-		require.Equal(t, 1, f.instances[cut].table.Len())
+		require.Equal(t, 0, f.instances[isolated].table.Len())
+		f.isolated.Store(nil)
+		time.Sleep(gossipBound)
+		require.Equal(t, 1, f.instances[isolated].table.Len())
 	})
 }
 
-// TestBlockEndsByOneRun guards against a block that never ends, and against many runs at
-// once as it ends.
-func TestBlockEndsByOneRun(t *testing.T) {
-	playFleet(t, 1, 0, func(ctx context.Context, f *fleet) {
+// Prevents a block from never ending, and many runs from starting at once when it ends.
+func TestBlockEndsAfterOneTrial(t *testing.T) {
+	runFleet(t, 1, 0, func(ctx context.Context, f *fleet) {
 		f.crash(3)
 		only := f.instances["at-0"]
 		require.Equal(t, quarantine.Blocked, only.Admit(ctx, digest, time.Second).State)
@@ -218,15 +216,14 @@
 		require.Equal(t, quarantine.OnTrial, only.Admit(ctx, digest, time.Second).State)
 		second := only.Admit(ctx, digest, time.Second)
 		require.Equal(t, quarantine.Blocked, second.State)
-		require.Positive(t, second.Remaining, "its caller is told when to come back")
+		require.Positive(t, second.Remaining, "the caller needs a delay after which to retry")
 		only.EndedWell(digest)
 		require.Equal(t, quarantine.Allowed, only.Admit(ctx, digest, time.Second).State)
 	})
 }
 
-// TestDeniedTrialIsNotAskedForEachTime guards against a question to another instance for
-// each request of a kind that comes often.
-func TestDeniedTrialIsNotAskedForEachTime(t *testing.T) {
+// Prevents a frequent request from causing a call to another instance each time.
+func TestDeniedTrialIsNotRequestedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scope := tally.NewTestScope("", nil)
 		f := &fleet{instances: map[string]*member{}}
@@ -243,14 +240,13 @@
 			require.Equal(t, quarantine.Blocked, m.Admit(t.Context(), digest, time.Second).State)
 		}
 		require.Equal(t, int64(1), denied())
-		time.Sleep(askAgain)
+		time.Sleep(trialRetryInterval)
 		m.Admit(t.Context(), digest, time.Second)
 		require.Equal(t, int64(2), denied())
 	})
 }
 
-// TestMalformedRecordsAreIgnored guards against an instance that another one makes block
-// a request, or fail, by a message that is none.
+// Prevents a malformed message from making an instance fail or block a request.
 func TestMalformedRecordsAreIgnored(t *testing.T) {
 	f := &fleet{instances: map[string]*member{}}
 	m := &member{fleet: f, handlers: map[string]peer.Handler{}}
@@ -259,7 +255,7 @@
 	require.Error(t, err)
 	_, err = m.handlers[methodTrial](t.Context(), peer.Peer{}, []byte("none"))
 	require.Error(t, err)
-	body, err := msgpack.Marshal(&exchange{Crashes: []crashMessage{
+	body, err := msgpack.Marshal(&exchangeMessage{Crashes: []crashMessage{
 		{Digest: []byte("short"), Target: "a"}, {Digest: digest[:]}, {Digest: digest[:], Target: "a", AgeMillis: 1 << 31},
 	}})
 	require.NoError(t, err)
@@ -268,7 +264,7 @@
 	require.True(t, m.Empty())
 }
 
-// TestBlockedRequestsAreListed guards against an operator who can't see what is refused.
+// Operators must be able to see which requests are blocked.
 func TestBlockedRequestsAreListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{instances: map[string]*member{}}
@@ -280,6 +276,6 @@
 		m.ServeHTTP(w, httptest.NewRequest("GET", "/quarantine", nil))
 		var entries []entry
 		require.NoError(t, json.Unmarshal(w.Body.Bytes(), &entries))
-		require.Equal(t, []entry{{Digest: digest.String(), State: "blocked", Crashes: 3, LeftSeconds: 30}}, entries)
+		require.Equal(t, []entry{{Digest: digest.String(), State: "blocked", Crashes: 3, RemainingSeconds: 30}}, entries)
 	})
 }
--- a/daemon/blocklist/exchange.go
+++ b/daemon/blocklist/exchange.go
@@ -16,69 +16,73 @@
 // methodExchange is the method by which two instances exchange records.
 const methodExchange = "quarantine.exchange"
 
-// Times and bounds of the exchange.
+// Intervals and limits of the exchange.
 const (
-	// roundEvery is the least time between two rounds.
-	roundEvery = 100 * time.Millisecond
-	// sampleEvery is the time between two exchanges of samples while there are records.
-	sampleEvery = time.Second
-	// joinWithin bounds the wait for another instance after the start. The first one is
-	// known within some ways there and back.
-	joinWithin = 300 * time.Millisecond
-	// joinAsks is how many neighbours an instance asks at its start.
-	joinAsks = 3
-	// fanout is how many neighbours get news in one round.
+	// minExchangeInterval is the minimum time between two exchanges.
+	minExchangeInterval = 100 * time.Millisecond
+	// sampleInterval is the time between two exchanges of samples while there are records.
+	sampleInterval = time.Second
+	// joinTimeout limits the wait for another instance after the start. The first one is
+	// known within a few round trips.
+	joinTimeout = 300 * time.Millisecond
+	// joinFanout is how many neighbours an instance requests records from at its start.
+	joinFanout = 3
+	// fanout is the number of neighbours of one exchange.
 	fanout = 2
-	// extraCopies, added to the natural logarithm of the number of instances, is how often
-	// an instance passes a record on.
+	// extraCopies plus the natural logarithm of the number of instances is how often an
+	// instance sends a record.
 	extraCopies     = 4
 	exchangeTimeout = time.Second
-	// startSamples is how often an instance asks for samples after its start or after it
-	// stood still, whether it has records or not.
-	startSamples = 5
-	// stoodStill is the time between two rounds that tells of an instance which stood still.
-	stoodStill = 3 * time.Second
+	// initialSamples is how often an instance requests samples after its start or after
+	// a pause, even if it has no records.
+	initialSamples = 5
+	// pauseThreshold is the time between two exchanges above which the instance is assumed
+	// to have been paused.
+	pauseThreshold = 3 * time.Second
 )
 
-// rounds are the state of the loop that sends records.
-type rounds struct {
-	// samples is how many samples are still asked for without records.
-	samples int
-	// latest is when the latest round was, by the time of day, which goes on while an
-	// instance is suspended; sampled is when it asked for a sample.
-	latest, sampled time.Time
+// exchangeState is the state of the loop that exchanges records.
+type exchangeState struct {
+	// samplesDue is how many more samples are requested even without records.
+	samplesDue int
+	// lastExchange is the wall-clock time of the latest exchange: unlike the monotonic
+	// clock, the wall clock advances while the instance is suspended. lastSample is the
+	// time of the latest exchange of samples.
+	lastExchange, lastSample time.Time
 }
 
-// AwaitHeard waits until this instance knows what others knew at its start, or the context
-// ends. Whoever is alone knows all there is.
-func (b *Blocklist) AwaitHeard(ctx context.Context) {
+// AwaitInitialSync waits until this instance has received the records of another one after
+// its start, or the context ends. It also returns if there is no other instance, since then
+// there are no further records, or if none responds.
+func (b *Blocklist) AwaitInitialSync(ctx context.Context) {
 	select {
-	case <-b.heard:
+	case <-b.synced:
 	case <-ctx.Done():
 	}
 }
 
-// join asks neighbours for their records, and returns with the first answer or without any.
-func (b *Blocklist) join(ctx context.Context) {
-	defer close(b.heard)
-	known, cancel := context.WithTimeout(ctx, joinWithin)
+// syncAtStart requests records from neighbours. It returns at the first response, or once all
+// requests have failed.
+func (b *Blocklist) syncAtStart(ctx context.Context) {
+	defer close(b.synced)
+	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	b.cluster.AwaitPeer(known)
-	peers := b.shuffled()
-	peers = peers[:min(joinAsks, len(peers))]
-	answers := make(chan bool, len(peers))
+	b.cluster.AwaitPeer(joinCtx)
+	peers := b.shuffledNeighbours()
+	peers = peers[:min(joinFanout, len(peers))]
+	responses := make(chan bool, len(peers))
 	for _, address := range peers {
-		go func() { answers <- b.exchange(ctx, address, exchange{Ask: true}) }()
+		go func() { responses <- b.exchangeWith(ctx, address, exchangeMessage{Ask: true}) }()
 	}
 	for range peers {
-		if <-answers {
+		if <-responses {
 			return
 		}
 	}
 }
 
-// shuffled returns the neighbours in a random order.
-func (b *Blocklist) shuffled() []string {
+// shuffledNeighbours returns the neighbours in random order.
+func (b *Blocklist) shuffledNeighbours() []string {
 	peers := b.cluster.Neighbours()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers
@@ -86,30 +90,31 @@
 
 // Run exchanges records until ctx ends.
 func (b *Blocklist) Run(ctx context.Context) error {
-	b.join(ctx)
-	r := rounds{samples: startSamples, latest: time.Now().Round(0)}
-	for b.await(ctx) {
+	b.syncAtStart(ctx)
+	r := exchangeState{samplesDue: initialSamples, lastExchange: time.Now().Round(0)}
+	for b.awaitNextExchange(ctx) {
 		now := time.Now()
-		if now.Round(0).Sub(r.latest) > stoodStill {
-			r.samples = startSamples
+		if now.Round(0).Sub(r.lastExchange) > pauseThreshold {
+			r.samplesDue = initialSamples
 		}
-		r.latest = now.Round(0)
+		r.lastExchange = now.Round(0)
 		b.expire(now)
-		b.round(ctx, now, &r)
+		b.exchangeWithNeighbours(ctx, now, &r)
 	}
 	return nil
 }
 
-// await waits for news, or until a sample may be due. It returns false at the end of ctx.
-func (b *Blocklist) await(ctx context.Context) bool {
-	rest := time.NewTimer(roundEvery)
-	defer rest.Stop()
+// awaitNextExchange waits for at least minExchangeInterval, and then until there are records to
+// send or a sample may be due. It returns false if ctx ends first.
+func (b *Blocklist) awaitNextExchange(ctx context.Context) bool {
+	pause := time.NewTimer(minExchangeInterval)
+	defer pause.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-rest.C:
+	case <-pause.C:
 	}
-	sample := time.NewTimer(sampleEvery - roundEvery)
+	sample := time.NewTimer(sampleInterval - minExchangeInterval)
 	defer sample.Stop()
 	select {
 	case <-ctx.Done():
@@ -120,20 +125,21 @@
 	return true
 }
 
-// round sends news to a few neighbours, and exchanges samples with them if that is due.
-func (b *Blocklist) round(ctx context.Context, now time.Time, r *rounds) {
-	peers := b.shuffled()
-	sample := now.Sub(r.sampled) >= sampleEvery && (r.samples > 0 || !b.Empty())
+// exchangeWithNeighbours gossips records to a few neighbours, and exchanges samples with them if
+// that is due.
+func (b *Blocklist) exchangeWithNeighbours(ctx context.Context, now time.Time, r *exchangeState) {
+	peers := b.shuffledNeighbours()
+	sample := now.Sub(r.lastSample) >= sampleInterval && (r.samplesDue > 0 || !b.Empty())
 	for _, address := range peers[:min(fanout, len(peers))] {
-		message := b.message(now, sample)
+		message := b.newMessage(now, sample)
 		if len(message.Crashes) == 0 && !message.Ask {
 			break
 		}
-		go b.exchange(ctx, address, message)
+		go b.exchangeWith(ctx, address, message)
 	}
 	if sample && len(peers) > 0 {
-		r.sampled = now
-		r.samples = max(r.samples-1, 0)
+		r.lastSample = now
+		r.samplesDue = max(r.samplesDue-1, 0)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,67 +148,68 @@
 	}
 }
 
-// message returns what a neighbour is told, and with sample also asked for.
-func (b *Blocklist) message(now time.Time, sample bool) exchange {
+// newMessage returns the message for a neighbour. With sample it contains a sample and requests
+// one.
+func (b *Blocklist) newMessage(now time.Time, sample bool) exchangeMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	size := len(b.cluster.View().Live())
 	copies := int(math.Ceil(math.Log(float64(max(size, 1))))) + extraCopies
-	m := exchange{Ask: sample, Crashes: encodeCrashes(b.table.Gossip(now, newsPerMessage, copies))}
+	m := exchangeMessage{Ask: sample, Crashes: encodeCrashes(b.table.Gossip(now, maxGossipRecords, copies))}
 	if sample {
-		m.Crashes = append(m.Crashes, encodeCrashes(b.table.Sample(now, samplePerMessage))...)
+		m.Crashes = append(m.Crashes, encodeCrashes(b.table.Sample(now, maxSampleRecords))...)
 	}
 	return m
 }
 
-// exchange tells another instance, and takes in what it answers. It tells whether it
-// answered.
-func (b *Blocklist) exchange(running context.Context, address string, m exchange) bool {
-	ctx, cancel := context.WithTimeout(running, exchangeTimeout)
+// exchangeWith sends a message to another instance and merges the records of its response. It
+// reports whether there was a response.
+func (b *Blocklist) exchangeWith(parent context.Context, address string, m exchangeMessage) bool {
+	ctx, cancel := context.WithTimeout(parent, exchangeTimeout)
 	defer cancel()
-	var answer exchange
+	var response exchangeMessage
 	body, err := msgpack.Marshal(&m)
 	if err == nil {
 		body, err = b.cluster.Call(ctx, address, methodExchange, body)
 	}
 	if err == nil {
-		err = msgpack.Unmarshal(body, &answer)
+		err = msgpack.Unmarshal(body, &response)
 	}
 	if err != nil {
-		if !errors.Is(err, peer.ErrNoMethod) && running.Err() == nil {
+		if !errors.Is(err, peer.ErrNoMethod) && parent.Err() == nil {
 			telemetry.ErrorS(err, "Records of crashes were not exchanged", telemetry.Event{Peer: address})
 		}
 		return false
 	}
-	b.merge(answer.Crashes)
+	b.merge(response.Crashes)
 	return true
 }
 
 func (b *Blocklist) handleExchange(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var m exchange
+	var m exchangeMessage
 	if err := msgpack.Unmarshal(body, &m); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	var answer exchange
+	var response exchangeMessage
 	if m.Ask {
 		b.mu.Lock()
-		answer.Crashes = encodeCrashes(b.table.Sample(time.Now(), samplePerMessage))
+		response.Crashes = encodeCrashes(b.table.Sample(time.Now(), maxSampleRecords))
 		b.mu.Unlock()
 	}
 	b.merge(m.Crashes)
-	return msgpack.Marshal(&answer)
+	return msgpack.Marshal(&response)
 }
 
-// merge takes in records of another instance.
+// merge adds records of another instance.
 func (b *Blocklist) merge(crashes []crashMessage) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, m := range crashes[:min(len(crashes), newsPerMessage+samplePerMessage)] {
+	for _, m := range crashes[:min(len(crashes), maxGossipRecords+maxSampleRecords)] {
 		c, ok := m.decode()
 		if ok && b.table.Merge(now, c) {
 			b.metrics.crashes[sourcePeer].Inc(1)
-			b.changed(now, c.Digest, sourcePeer, c.Target)
+			b.recordChanged(now, c.Digest, sourcePeer, c.Target)
 		}
 	}
 }
--- a/daemon/blocklist/listing.go
+++ b/daemon/blocklist/listing.go
@@ -9,25 +9,25 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// entry is a request that is blocked, as operators see it.
+// entry is a request that is blocked or on trial, as it is listed for operators.
 type entry struct {
 	Digest  string `json:"digest"`
 	State   string `json:"state"`
 	Crashes int    `json:"crashes"`
-	// SinceSeconds is the time since the latest crash, LeftSeconds the time until one run
-	// is tried.
-	SinceSeconds float64 `json:"since_s"`
-	LeftSeconds  float64 `json:"left_s"`
+	// SinceSeconds is the time since the latest crash, RemainingSeconds the time until one
+	// run is allowed as a trial.
+	SinceSeconds     float64 `json:"since_s"`
+	RemainingSeconds float64 `json:"left_s"`
 }
 
-// ServeHTTP lists the requests that are blocked or on trial, those of the latest crash
+// ServeHTTP lists the requests that are blocked or on trial, those with the most recent crash
 // first.
 func (b *Blocklist) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	entries := []entry{}
 	for digest, v := range b.Blocked() {
 		entries = append(entries, entry{
 			Digest: digest.String(), State: v.State.String(), Crashes: v.Crashes,
-			SinceSeconds: v.SinceLastCrash.Seconds(), LeftSeconds: max(v.Remaining.Seconds(), 0),
+			SinceSeconds: v.SinceLastCrash.Seconds(), RemainingSeconds: max(v.Remaining.Seconds(), 0),
 		})
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.SinceSeconds, b.SinceSeconds) })
--- a/daemon/blocklist/listing_wire_test.go
+++ b/daemon/blocklist/listing_wire_test.go
@@ -13,8 +13,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// A renamed field or state changes what an operator's tools read: they list no
-// request, though some are refused.
+// If a field or state were renamed, an operator's tools would list no requests although some
+// are blocked.
 func TestBytesOfListedRequests(t *testing.T) {
 	rows := []struct {
 		name    string
--- a/daemon/blocklist/messages.go
+++ b/daemon/blocklist/messages.go
@@ -6,22 +6,22 @@
 	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
 )
 
-// newsPerMessage and samplePerMessage bound the records of one message, which take some
-// 50 bytes each.
+// maxGossipRecords and maxSampleRecords limit the records of one message. A record takes about
+// 50 bytes.
 const (
-	newsPerMessage   = 64
-	samplePerMessage = 12
+	maxGossipRecords = 64
+	maxSampleRecords = 12
 )
 
-// exchange is the body and the answer of methodExchange.
-type exchange struct {
-	// Ask asks for a sample.
+// exchangeMessage is the request and the response of methodExchange. Its fields are sent by name.
+type exchangeMessage struct {
+	// Ask requests a sample.
 	Ask     bool
 	Crashes []crashMessage
 }
 
-// crashMessage is one record. Its fields have names on the wire, so that a later version may
-// add some.
+// crashMessage is one record. Its fields are sent by name, so that a later version can add
+// fields.
 type crashMessage struct {
 	Digest    []byte `msgpack:"d"`
 	Target    string `msgpack:"t"`
@@ -50,11 +50,12 @@
 	return quarantine.Crash{Digest: digest, Target: m.Target, Age: age, Cleared: m.Cleared}, true
 }
 
-// trialAsk is the body of methodTrial: LeftMillis is how long the run takes at most.
-type trialAsk struct {
+// trialRequest is the request of methodTrial. LeftMillis is the maximum time of the run. Its
+// fields are sent by name.
+type trialRequest struct {
 	Digest     []byte
 	LeftMillis uint32
 }
 
-// trialAnswer is its answer.
-type trialAnswer struct{ Granted bool }
+// trialResponse is the response of methodTrial.
+type trialResponse struct{ Granted bool }
--- a/daemon/blocklist/metrics.go
+++ b/daemon/blocklist/metrics.go
@@ -8,18 +8,18 @@
 	sourcePeer  = "told_by_peer"
 )
 
-// The answers to the question for a trial.
+// The outcomes of requests for a trial.
 const (
 	trialGranted    = "granted"
 	trialDenied     = "denied"
 	trialUnanswered = "unanswered"
 )
 
-// metrics count the records and what follows from them. The series are made at the start,
-// so that they are served before the first crash.
+// metrics counts crashes, trials and the requests with records. The series are created at the
+// start, so that they are served before the first crash.
 type metrics struct {
 	requests, blocked tally.Gauge
-	// crashes are by source, trials by outcome.
+	// crashes is keyed by source, trials by outcome.
 	crashes, trials map[string]tally.Counter
 }
 
@@ -38,8 +38,8 @@
 	return m
 }
 
-// sizes tells how many requests have records and how many of them are blocked.
-func (m metrics) sizes(requests, blocked int) {
+// updateSizes sets how many requests have records and how many of them are blocked.
+func (m metrics) updateSizes(requests, blocked int) {
 	m.requests.Update(float64(requests))
 	m.blocked.Update(float64(blocked))
 }
--- a/daemon/blocklist/records.go
+++ b/daemon/blocklist/records.go
@@ -7,21 +7,22 @@
 	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
 )
 
-// Records are what those need who send requests to targets. *Blocklist is one.
+// Records is what the senders of requests to targets use of the blocklist; *Blocklist
+// implements it.
 type Records interface {
-	// Empty tells whether no request can be blocked.
+	// Empty reports whether there are no records, so that no request can be blocked.
 	Empty() bool
-	// Admit tells whether a request may be sent to targets, within left.
-	Admit(ctx context.Context, digest quarantine.Digest, left time.Duration) quarantine.Verdict
-	// Judge tells what is known of a request here, without a word to other instances.
+	// Admit decides whether a request with the remaining time may be sent to targets.
+	Admit(ctx context.Context, digest quarantine.Digest, remaining time.Duration) quarantine.Verdict
+	// Judge returns the verdict by the records of this instance, without contacting others.
 	Judge(digest quarantine.Digest) quarantine.Verdict
-	// Crashed records that a target ended under a request.
+	// Crashed records that a target ended while it ran a request.
 	Crashed(digest quarantine.Digest, target string)
-	// EndedWell records that a target ran a request to an end of its own.
+	// EndedWell records that a run of a request ended without a crash of its target.
 	EndedWell(digest quarantine.Digest)
 }
 
-// None are records without any, which keep none.
+// None is a Records that keeps no records.
 type None struct{}
 
 var _ Records = None{}
--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -13,100 +13,103 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// methodTrial is the method by which an instance asks to run a request that is on trial.
+// methodTrial is the method by which an instance requests a run of a request on trial.
 const methodTrial = "quarantine.trial"
 
 const (
-	// trialAnswerWithin bounds that question: the caller waits.
-	trialAnswerWithin = 200 * time.Millisecond
-	// trialMargin, added to the time that a run may take, is for the news of its end to
-	// reach the others.
+	// trialTimeout limits the request for a trial, since the caller waits for it.
+	trialTimeout = 200 * time.Millisecond
+	// trialMargin is added to the time that a run may take, so that the record of its end
+	// can reach the other instances.
 	trialMargin = 2 * time.Second
-	// maxTrial bounds the time that a run may take.
-	maxTrial = time.Minute
-	// askAgain is when a caller may come back whose request another run decides on.
-	askAgain = time.Second
+	// maxTrialTime limits the time that a run may take.
+	maxTrialTime = time.Minute
+	// trialRetryInterval is the delay after which a caller may retry a request while
+	// another run of it is on trial.
+	trialRetryInterval = time.Second
 )
 
-// Admit tells whether a request may be sent to targets, within left. A request on trial
-// may if no other run of it is under way on any instance.
-func (b *Blocklist) Admit(ctx context.Context, digest quarantine.Digest, left time.Duration) quarantine.Verdict {
+// Admit decides whether a request with the remaining time may be sent to targets. A request
+// on trial may be sent if no other run of it is in progress on any instance.
+func (b *Blocklist) Admit(ctx context.Context, digest quarantine.Digest, remaining time.Duration) quarantine.Verdict {
 	v := b.Judge(digest)
 	if v.State != quarantine.OnTrial {
 		return v
 	}
-	if !b.wasDenied(digest) && b.askTrial(ctx, digest, left) {
+	if !b.recentlyDenied(digest) && b.requestTrial(ctx, digest, remaining) {
 		return v
 	}
 	b.deny(digest)
-	v.State, v.Remaining = quarantine.Blocked, askAgain
+	v.State, v.Remaining = quarantine.Blocked, trialRetryInterval
 	return v
 }
 
-// wasDenied tells whether a trial of the request was denied within the last askAgain, so that
-// a request that comes often doesn't ask each time.
-func (b *Blocklist) wasDenied(digest quarantine.Digest) bool {
+// recentlyDenied reports whether a trial of the request was denied within the last
+// trialRetryInterval. It prevents a frequent request from causing a call to the owner each time.
+func (b *Blocklist) recentlyDenied(digest quarantine.Digest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().Before(b.denied[digest])
+	return time.Now().Before(b.deniedUntil[digest])
 }
 
+// deny records that a trial of the request was denied.
 func (b *Blocklist) deny(digest quarantine.Digest) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !now.Before(b.denied[digest]) {
-		b.denied[digest] = now.Add(askAgain)
+	if !now.Before(b.deniedUntil[digest]) {
+		b.deniedUntil[digest] = now.Add(trialRetryInterval)
 	}
 }
 
-// askTrial asks the instance that decides on trials of a request.
-func (b *Blocklist) askTrial(ctx context.Context, digest quarantine.Digest, left time.Duration) bool {
-	left = min(max(left, 0), maxTrial)
+// requestTrial requests a trial from the instance that decides on the trials of a request, its
+// owner by hashing.
+func (b *Blocklist) requestTrial(ctx context.Context, digest quarantine.Digest, remaining time.Duration) bool {
+	remaining = min(max(remaining, 0), maxTrialTime)
 	owners := membership.Owners(b.cluster.View(), digest.String(), 1)
 	if len(owners) == 0 || owners[0].Name == b.cluster.View().Self {
-		return b.grantTrial(digest, left)
+		return b.grantTrial(digest, remaining)
 	}
-	ctx, cancel := context.WithTimeout(ctx, trialAnswerWithin)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	var answer trialAnswer
-	body, err := msgpack.Marshal(&trialAsk{digest[:], uint32(left.Milliseconds())})
+	var response trialResponse
+	body, err := msgpack.Marshal(&trialRequest{digest[:], uint32(remaining.Milliseconds())})
 	if err == nil {
 		body, err = b.cluster.Call(ctx, owners[0].Address, methodTrial, body)
 	}
 	if err == nil {
-		err = msgpack.Unmarshal(body, &answer)
+		err = msgpack.Unmarshal(body, &response)
 	}
 	if err != nil {
 		telemetry.ErrorS(err, "Trial of a request not decided, it stays blocked", telemetry.Event{Digest: digest.String(), Peer: owners[0].Address})
 		b.metrics.trials[trialUnanswered].Inc(1)
 	}
-	return answer.Granted
+	return response.Granted
 }
 
 func (b *Blocklist) handleTrial(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) {
-	var ask trialAsk
+	var request trialRequest
 	var digest quarantine.Digest
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	if len(ask.Digest) != len(digest) {
-		return nil, errors.Newf("a digest of %d bytes", len(ask.Digest))
+	if len(request.Digest) != len(digest) {
+		return nil, errors.Newf("a digest of %d bytes", len(request.Digest))
 	}
-	copy(digest[:], ask.Digest)
-	left := min(time.Duration(ask.LeftMillis)*time.Millisecond, maxTrial)
-	return msgpack.Marshal(&trialAnswer{b.grantTrial(digest, left)})
+	copy(digest[:], request.Digest)
+	remaining := min(time.Duration(request.LeftMillis)*time.Millisecond, maxTrialTime)
+	return msgpack.Marshal(&trialResponse{b.grantTrial(digest, remaining)})
 }
 
-// grantTrial decides on a run that ends within left.
-func (b *Blocklist) grantTrial(digest quarantine.Digest, left time.Duration) bool {
+// grantTrial decides whether to allow a run that ends within the remaining time.
+func (b *Blocklist) grantTrial(digest quarantine.Digest, remaining time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	granted := b.table.GrantTrial(time.Now(), digest, left+trialMargin)
+	granted := b.table.GrantTrial(time.Now(), digest, remaining+trialMargin)
 	outcome := trialDenied
 	if granted {
 		outcome = trialGranted
-		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Left: left})
+		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Left: remaining})
 	}
 	b.metrics.trials[outcome].Inc(1)
 	return granted
--- a/daemon/blocklist/wire_test.go
+++ b/daemon/blocklist/wire_test.go
@@ -11,20 +11,20 @@
 	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
 )
 
-// A field gets another name or type: instances of two builds stand side by side for
-// minutes, and the other would read no record of a crash.
+// Instances of two builds run side by side for minutes during an update. If a field got another
+// name or type, one build couldn't read the other's records of crashes.
 func TestBytesOfCrashRecords(t *testing.T) {
 	cases := []struct {
 		name    string
 		message any
 		want    string
 	}{
-		{"exchange", &exchange{Ask: true, Crashes: encodeCrashes([]quarantine.Crash{
+		{"exchange", &exchangeMessage{Ask: true, Crashes: encodeCrashes([]quarantine.Crash{
 			{Digest: quarantine.Digest{0: 1, 15: 2}, Target: "target", Age: 3 * time.Millisecond, Cleared: true},
 		})}, "82a341736bc3a7437261736865739184a164c41001000000000000000000000000000002a174a6746172676574a161ce0000" +
 			"0003a163c3"},
-		{"trial", &trialAsk{Digest: []byte{4, 5}, LeftMillis: 6}, "82a6446967657374c4020405aa4c6566744d696c6c6973ce00000006"},
-		{"trial granted", &trialAnswer{Granted: true}, "81a74772616e746564c3"},
+		{"trial", &trialRequest{Digest: []byte{4, 5}, LeftMillis: 6}, "82a6446967657374c4020405aa4c6566744d696c6c6973ce00000006"},
+		{"trial granted", &trialResponse{Granted: true}, "81a74772616e746564c3"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -275,7 +275,7 @@
 // configuration, the targets, and which requests the others refuse.
 func (g *Gateway) awaitReady(ctx context.Context) {
 	g.follower.AwaitReady(ctx)
-	g.blocklist.AwaitHeard(ctx)
+	g.blocklist.AwaitInitialSync(ctx)
 }
 
 // sharesOf returns the shares of a service's targets that data centres have.
