--- a/daemon/blocklist/exchange.go
+++ b/daemon/blocklist/exchange.go
@@ -16,41 +16,44 @@
 // methodExchange is the method by which two instances exchange records.
 const methodExchange = "quarantine.exchange"
 
-// Times and bounds of the exchange.
+// Intervals and limits of the exchange.
 const (
-	// roundEvery is the least time between two rounds.
+	// minExchangeInterval is the minimum time between two exchanges.
 	minExchangeInterval = 100 * time.Millisecond
-	// sampleEvery is the time between two exchanges of samples while there are records.
+	// sampleInterval is the time between two exchanges of samples while there are records.
 	sampleInterval = time.Second
-	// joinWithin bounds the wait for another instance after the start. The first one is
-	// known within some ways there and back.
+	// joinTimeout limits the wait for another instance after the start. The first one is
+	// known within a few round trips.
 	joinTimeout = 300 * time.Millisecond
-	// joinAsks is how many neighbours an instance asks at its start.
+	// joinFanout is how many neighbours an instance requests records from at its start.
 	joinFanout = 3
-	// fanout is how many neighbours get news in one round.
+	// fanout is the number of neighbours of one exchange.
 	fanout = 2
-	// extraCopies, added to the natural logarithm of the number of instances, is how often
-	// an instance passes a record on.
+	// extraCopies plus the natural logarithm of the number of instances is how often an
+	// instance sends a record.
 	extraCopies     = 4
 	exchangeTimeout = time.Second
-	// startSamples is how often an instance asks for samples after its start or after it
-	// stood still, whether it has records or not.
+	// initialSamples is how often an instance requests samples after its start or after
+	// a pause, even if it has no records.
 	initialSamples = 5
-	// stoodStill is the time between two rounds that tells of an instance which stood still.
+	// pauseThreshold is the time between two exchanges above which the instance is assumed
+	// to have been paused.
 	pauseThreshold = 3 * time.Second
 )
 
-// rounds are the state of the loop that sends records.
+// exchangeState is the state of the loop that exchanges records.
 type exchangeState struct {
-	// samples is how many samples are still asked for without records.
+	// samplesDue is how many more samples are requested even without records.
 	samplesDue int
-	// latest is when the latest round was, by the time of day, which goes on while an
-	// instance is suspended; sampled is when it asked for a sample.
+	// lastExchange is the wall-clock time of the latest exchange: unlike the monotonic
+	// clock, the wall clock advances while the instance is suspended. lastSample is the
+	// time of the latest exchange of samples.
 	lastExchange, lastSample time.Time
 }
 
-// AwaitHeard waits until this instance knows what others knew at its start, or the context
-// ends. Whoever is alone knows all there is.
+// AwaitInitialSync waits until this instance has received the records of another one after
+// its start, or the context ends. It also returns if there is no other instance, since then
+// there are no further records, or if none responds.
 func (b *Blocklist) AwaitInitialSync(ctx context.Context) {
 	select {
 	case <-b.synced:
@@ -58,26 +61,27 @@
 	}
 }
 
-// join asks neighbours for their records, and returns with the first answer or without any.
+// syncAtStart requests records from neighbours. It returns at the first response, or once all
+// requests have failed.
 func (b *Blocklist) syncAtStart(ctx context.Context) {
 	defer close(b.synced)
-	known, cancel := context.WithTimeout(ctx, joinTimeout)
+	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	b.cluster.AwaitPeer(known)
+	b.cluster.AwaitPeer(joinCtx)
 	peers := b.shuffledNeighbours()
 	peers = peers[:min(joinFanout, len(peers))]
-	answers := make(chan bool, len(peers))
+	responses := make(chan bool, len(peers))
 	for _, address := range peers {
-		go func() { answers <- b.exchangeWith(ctx, address, exchangeMessage{Ask: true}) }()
+		go func() { responses <- b.exchangeWith(ctx, address, exchangeMessage{Ask: true}) }()
 	}
 	for range peers {
-		if <-answers {
+		if <-responses {
 			return
 		}
 	}
 }
 
-// shuffled returns the neighbours in a random order.
+// shuffledNeighbours returns the neighbours in random order.
 func (b *Blocklist) shuffledNeighbours() []string {
 	peers := b.cluster.Neighbours()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -100,14 +104,15 @@
 	return nil
 }
 
-// await waits for news, or until a sample may be due. It returns false at the end of ctx.
+// awaitNextExchange waits for at least minExchangeInterval, and then until there are records to
+// send or a sample may be due. It returns false if ctx ends first.
 func (b *Blocklist) awaitNextExchange(ctx context.Context) bool {
-	rest := time.NewTimer(minExchangeInterval)
-	defer rest.Stop()
+	pause := time.NewTimer(minExchangeInterval)
+	defer pause.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-rest.C:
+	case <-pause.C:
 	}
 	sample := time.NewTimer(sampleInterval - minExchangeInterval)
 	defer sample.Stop()
@@ -120,7 +125,8 @@
 	return true
 }
 
-// round sends news to a few neighbours, and exchanges samples with them if that is due.
+// exchangeWithNeighbours gossips records to a few neighbours, and exchanges samples with them if
+// that is due.
 func (b *Blocklist) exchangeWithNeighbours(ctx context.Context, now time.Time, r *exchangeState) {
 	peers := b.shuffledNeighbours()
 	sample := now.Sub(r.lastSample) >= sampleInterval && (r.samplesDue > 0 || !b.Empty())
@@ -142,7 +148,8 @@
 	}
 }
 
-// message returns what a neighbour is told, and with sample also asked for.
+// newMessage returns the message for a neighbour. With sample it contains a sample and requests
+// one.
 func (b *Blocklist) newMessage(now time.Time, sample bool) exchangeMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,26 +162,26 @@
 	return m
 }
 
-// exchange tells another instance, and takes in what it answers. It tells whether it
-// answered.
-func (b *Blocklist) exchangeWith(running context.Context, address string, m exchangeMessage) bool {
-	ctx, cancel := context.WithTimeout(running, exchangeTimeout)
+// exchangeWith sends a message to another instance and merges the records of its response. It
+// reports whether there was a response.
+func (b *Blocklist) exchangeWith(parent context.Context, address string, m exchangeMessage) bool {
+	ctx, cancel := context.WithTimeout(parent, exchangeTimeout)
 	defer cancel()
-	var answer exchangeMessage
+	var response exchangeMessage
 	body, err := msgpack.Marshal(&m)
 	if err == nil {
 		body, err = b.cluster.Call(ctx, address, methodExchange, body)
 	}
 	if err == nil {
-		err = msgpack.Unmarshal(body, &answer)
+		err = msgpack.Unmarshal(body, &response)
 	}
 	if err != nil {
-		if !errors.Is(err, peer.ErrNoMethod) && running.Err() == nil {
+		if !errors.Is(err, peer.ErrNoMethod) && parent.Err() == nil {
 			telemetry.ErrorS(err, "Records of crashes were not exchanged", telemetry.Event{Peer: address})
 		}
 		return false
 	}
-	b.merge(answer.Crashes)
+	b.merge(response.Crashes)
 	return true
 }
 
@@ -183,17 +190,17 @@
 	if err := msgpack.Unmarshal(body, &m); err != nil {
 		return nil, errors.Wrap(err, "decode")
 	}
-	var answer exchangeMessage
+	var response exchangeMessage
 	if m.Ask {
 		b.mu.Lock()
-		answer.Crashes = encodeCrashes(b.table.Sample(time.Now(), maxSampleRecords))
+		response.Crashes = encodeCrashes(b.table.Sample(time.Now(), maxSampleRecords))
 		b.mu.Unlock()
 	}
 	b.merge(m.Crashes)
-	return msgpack.Marshal(&answer)
+	return msgpack.Marshal(&response)
 }
 
-// merge takes in records of another instance.
+// merge adds records of another instance.
 func (b *Blocklist) merge(crashes []crashMessage) {
 	now := time.Now()
 	b.mu.Lock()
--- a/daemon/blocklist/wire_test.go
+++ b/daemon/blocklist/wire_test.go
@@ -11,8 +11,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
 )
 
-// A field gets another name or type: instances of two builds stand side by side for
-// minutes, and the other would read no record of a crash.
+// Instances of two builds run side by side for minutes during an update. If a field got another
+// name or type, one build couldn't read the other's records of crashes.
 func TestBytesOfCrashRecords(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/daemon/execute/admissions.go
+++ b/daemon/execute/admissions.go
@@ -10,22 +10,24 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// admissionKey names one controller: requests of one pipeline and tier.
+// admissionKey identifies a controller, which decides on the requests of one pipeline and
+// tier.
 type admissionKey struct {
 	pipeline catalog.PipelineKey
 	tier     string
 }
 
-// maxControllers bounds the controllers kept; definitions that are gone make
-// room when it is reached.
+// maxControllers limits the number of controllers. When it is reached, all are dropped, so
+// that those of removed definitions don't accumulate.
 const maxControllers = 4096
 
-// admissions holds the controllers of one instance, each under its own lock.
+// admissionControllers holds the admission controllers of one instance.
 type admissionControllers struct {
 	mu    sync.RWMutex
 	byKey map[admissionKey]*lockedController
 }
 
+// lockedController is a controller with its lock and random source.
 type lockedController struct {
 	mu    sync.Mutex
 	inner *admission.Controller
@@ -43,14 +45,15 @@
 	return c.inner.Decide(now, job.Deadline, stages, c.rng)
 }
 
-// probed tells how a job that was admitted as a probe ended.
-func (a *admissionControllers) probeEnded(job *Job, made bool) {
+// probeEnded records whether a job that was admitted as a probe met its deadline.
+func (a *admissionControllers) probeEnded(job *Job, metDeadline bool) {
 	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inner.ProbeEnded(made)
+	c.inner.ProbeEnded(metDeadline)
 }
 
+// get returns the controller of a key; it creates a missing one.
 func (a *admissionControllers) get(key admissionKey) *lockedController {
 	a.mu.RLock()
 	c, ok := a.byKey[key]
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -13,40 +13,40 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// reportAge stands for the age of the load in a reply's headers, which targets
-// do not tell. Taken for new, a report would count over what is known to have
-// been sent since it was made.
+// assumedLoadAge is the assumed age of the load report in a response's headers, since
+// targets don't send its age. If the report counted as new, it would override the attempts
+// that are known to have been sent since the target wrote it.
 const assumedLoadAge = 300 * time.Millisecond
 
-// errSealed forbids a dispatch after the request's final answer.
+// errSealed prevents a dispatch after the request's final response.
 var errSealed = errors.New("the request has had its final answer")
 
-// attemptResult is the fate of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	response   targetapi.RunAnswer
 	peer       string
 	err        error
 	verdict    outcome.Verdict
 	retryAfter time.Duration
-	// preempted tells that a higher tier took the slot: the stage goes on
-	// later from the tokens it has.
+	// preempted is true if the attempt was cancelled in favour of a higher tier. The
+	// stage resumes later after the tokens it has.
 	preempted bool
 }
 
-// attempt is one attempt under way.
+// attempt is one attempt in flight.
 type attempt struct {
 	*stageRun
 	id             string
 	choice         routing.Choice
 	started        time.Time
 	routingAttempt *routing.Attempt
-	// number is the attempt's place in the status of its request.
+	// number identifies the attempt in the status of its request.
 	number int
-	// stream tells that tokens are delivered as they come.
+	// stream is true if tokens are delivered as they arrive.
 	stream bool
 }
 
-// newAttempt enters the attempt in the ledger before anything can leave.
+// newAttempt records an attempt in the ledgers before anything is sent.
 func (s *stageRun) newAttempt(choice routing.Choice) (*attempt, error) {
 	if !s.ledger.Dispatch() {
 		return nil, errSealed
@@ -70,18 +70,18 @@
 	return a, nil
 }
 
-// failedUnknown is the fate of an attempt that may have run.
+// unknownResult returns the result of an attempt that may have run.
 func unknownResult(peer string, err error) attemptResult {
 	return attemptResult{peer: peer, err: err, verdict: outcome.Unknown}
 }
 
-// do makes the attempt, settles it in the ledger and teaches the router.
+// run sends the attempt, settles it in the ledgers and records its result.
 func (a *attempt) run(ctx context.Context) (result attemptResult) {
 	defer a.recoverPanic(&result)
 	call := a.call()
-	answer, meta, err := a.send(ctx, call)
+	response, meta, err := a.send(ctx, call)
 	a.recordCrash(ctx, err)
-	result = attemptResult{response: answer, peer: call.Address, err: err}
+	result = attemptResult{response: response, peer: call.Address, err: err}
 	a.setVerdict(&result)
 	a.ledger.Settle(result.verdict)
 	if !a.stage.Repeatable {
@@ -91,9 +91,9 @@
 	return result
 }
 
-// send makes the call. A panic on its answer is contained here already, so that
-// the attempt is settled and the router learns that it ended.
-func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunAnswer, meta target.Meta, err error) {
+// send makes the call. It recovers from a panic that the response causes, so that the
+// attempt is settled and the router is notified of its end.
+func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunAnswer, meta target.Meta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
@@ -128,10 +128,10 @@
 	}
 }
 
-// headerTimeout bounds the wait for the first byte of a stream that may be
-// started again elsewhere, so that a silent target leaves time for another one.
-// What may not be repeated waits until the deadline: giving up sooner would turn
-// a late answer into an unknown outcome.
+// headerTimeout limits the wait for the first byte of a repeatable stream to half of the
+// remaining time, so that after a target that doesn't respond there is time for another
+// one. Other attempts may wait until the deadline: for a stage that is not repeatable, an
+// earlier timeout would turn a late response into an unknown outcome.
 func (a *attempt) headerTimeout() time.Duration {
 	if a.stream && a.stage.Repeatable {
 		return a.remainingTime() / 2
@@ -147,8 +147,9 @@
 	return out
 }
 
-// deliver keeps a token and passes it on. Only the token that comes next is
-// taken: a resumed target that repeats or skips one would double or lose it.
+// deliver stores a token and passes it to the caller. It accepts only the token at the next
+// offset: if a resumed target repeated or skipped a token, the caller would get it twice or
+// never.
 func (a *attempt) deliver(offset int, token string) error {
 	if offset != a.offset {
 		return errors.New("stream: token out of order")
@@ -161,7 +162,7 @@
 	return a.job.OnToken(offset, token)
 }
 
-// classify says what the attempt's end means for the request.
+// setVerdict sets the verdict of an attempt that ended.
 func (a *attempt) setVerdict(r *attemptResult) {
 	if r.err == nil {
 		r.verdict = outcome.Ran
@@ -184,13 +185,14 @@
 	}
 }
 
-// joinStream makes the whole answer of all parts of a resumed stream.
+// joinStream sets the response to all tokens of the stage, including those that earlier
+// attempts of a resumed stream delivered.
 func (a *attempt) joinStream(r *attemptResult) {
 	r.response.Output = a.text.String()
 	r.response.Tokens = a.offset
 }
 
-// learn tells the router, the learned times and the status how it ended.
+// recordResult records the result in the router, the learned times and the status.
 func (a *attempt) recordResult(ctx context.Context, meta target.Meta, r *attemptResult) {
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
@@ -230,7 +232,7 @@
 	}
 }
 
-// record keeps the attempt's fate in the status of its request.
+// recordStatus records the result in the status of the request.
 func (a *attempt) recordStatus(now time.Time, end routing.Outcome, r *attemptResult) {
 	entry := requests.AttemptEnd{
 		Result:        statusResult(end),
--- a/daemon/execute/content.go
+++ b/daemon/execute/content.go
@@ -11,7 +11,7 @@
 // errCrashes is the cause of a failure with ReasonCrashes.
 var errCrashesTargets = errors.New("the request crashes targets")
 
-// admitContent refuses a job that crashes targets, before it costs a stage.
+// admitContent refuses a job that crashes targets before any stage runs.
 func (r *jobRun) admitContent(ctx context.Context) *Failure {
 	if r.opts.Blocklist.Empty() {
 		return nil
@@ -24,8 +24,8 @@
 	return r.crashFailure(r.job.Pipeline.Stages[0].Name, v)
 }
 
-// contentBlocked is the failure of a job that was found to crash targets since it was
-// admitted; nil if it wasn't.
+// checkContent returns a failure if the job was found to crash targets since it was admitted,
+// and nil otherwise.
 func (r *jobRun) checkContent(step string) *Failure {
 	v := r.opts.Blocklist.Judge(r.content)
 	if v.State == quarantine.Allowed || v.State == quarantine.OnTrial && r.trialGranted {
@@ -38,8 +38,8 @@
 	return &Failure{Reason: ReasonCrashes, Step: step, RetryAfter: v.Remaining, Cause: errCrashesTargets}
 }
 
-// noteCrash records a target that ended under the attempt: it broke the connection, and
-// nothing listens at its address.
+// recordCrash records that the target crashed during the attempt, if it broke the connection
+// and nothing listens at its address any more.
 func (a *attempt) recordCrash(ctx context.Context, err error) {
 	var failed *target.AttemptError
 	if !errors.As(err, &failed) || failed.Outcome != target.Unknown || a.opts.NothingListens == nil {
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -16,11 +16,11 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// records are a table without other instances.
+// fakeRecords is a quarantine table that is shared with no other instance.
 type fakeRecords struct {
 	mu    sync.Mutex
 	table *quarantine.Table
-	// seen counts the crashes that were recorded.
+	// crashes counts the crashes that were recorded.
 	crashes int
 }
 
@@ -40,7 +40,7 @@
 	return r.table.Judge(time.Now(), d)
 }
 
-// Crashed counts each as that of another start of its target.
+// Crashed records each crash as that of another incarnation of the target.
 func (r *fakeRecords) Crashed(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,41 +54,41 @@
 	r.table.RecordCompletion(time.Now(), d)
 }
 
-// crashRig is a rig whose targets break all connections off and are gone then.
+// newCrashRig returns a rig whose targets break off all connections and count as crashed then.
 func newCrashRig(t *testing.T) (*rig, *fakeRecords) {
 	r := newRig(t, catalog.KindEncoder, catalog.ObjectiveAttainment)
-	known := newFakeRecords()
-	r.opts.Blocklist = known
+	records := newFakeRecords()
+	r.opts.Blocklist = records
 	r.opts.NothingListens = func(context.Context, string) bool { return true }
 	r.setFaults(emulated.Fault{Kind: emulated.FaultLost})
-	return r, known
+	return r, records
 }
 
-// setFaults has all targets misbehave alike.
+// setFaults sets the faults of all targets.
 func (r *rig) setFaults(faults ...emulated.Fault) {
 	for _, e := range r.targets {
 		e.SetFaults(faults...)
 	}
 }
 
-// TestJobThatCrashesTargetsIsRefused guards against a job that ends one target after the
-// other, by its attempts and as its caller repeats it.
+// Prevents a job from crashing one target after the other, by its own retries and by those of
+// its caller.
 func TestJobThatCrashesTargetsIsRefused(t *testing.T) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "at most once": false} {
 		t.Run(name, func(t *testing.T) {
-			r, known := newCrashRig(t)
+			r, records := newCrashRig(t)
 			for range 4 {
 				_, err := r.do(r.job(oneStage(repeatable, false, 0), time.Second))
 				require.Error(t, err)
 			}
-			require.Equal(t, 3, known.crashes)
+			require.Equal(t, 3, records.crashes)
 			_, err := r.do(r.job(oneStage(repeatable, false, 0), time.Second))
 			var failure *Failure
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, ReasonCrashes, failure.Reason)
 			require.Equal(t, outcome.NotRun, failure.Verdict)
 			require.Positive(t, failure.RetryAfter)
-			require.Equal(t, 3, known.crashes)
+			require.Equal(t, 3, records.crashes)
 
 			other := r.job(oneStage(repeatable, false, 0), time.Second)
 			other.Account = "other"
@@ -99,7 +99,7 @@
 	}
 }
 
-// verdicts are records that tell other things at the begin and later.
+// fixedVerdicts are records with one state at admission and one afterwards.
 type fixedVerdicts struct {
 	blocklist.None
 	admit, judge quarantine.State
@@ -115,19 +115,18 @@
 	return quarantine.Verdict{State: v.judge}
 }
 
-// TestJobIsRefusedWheneverItIsBlocked guards against a job that is sent though it was blocked
-// at its begin or is blocked while it waits.
+// Prevents a job from being sent that was blocked at admission or is blocked while it waits.
 func TestBlockedJobIsRefusedAtAnyTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		fixedVerdicts
 		runs int
 	}{
-		"at its begin":     {fixedVerdicts{admit: quarantine.Blocked}, 0},
-		"while it waits":   {fixedVerdicts{judge: quarantine.Blocked}, 0},
-		"others on trial":  {fixedVerdicts{judge: quarantine.OnTrial}, 0},
-		"itself on trial":  {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.OnTrial}, 1},
-		"never":            {fixedVerdicts{}, 1},
-		"again, its trial": {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.Blocked}, 0},
+		"at admission":                   {fixedVerdicts{admit: quarantine.Blocked}, 0},
+		"while it waits":                 {fixedVerdicts{judge: quarantine.Blocked}, 0},
+		"another run on trial":           {fixedVerdicts{judge: quarantine.OnTrial}, 0},
+		"this run on trial":              {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.OnTrial}, 1},
+		"never":                          {fixedVerdicts{}, 1},
+		"blocked again during its trial": {fixedVerdicts{admit: quarantine.OnTrial, judge: quarantine.Blocked}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindEncoder, catalog.ObjectiveAttainment)
@@ -146,16 +145,16 @@
 	}
 }
 
-// TestJobOfATargetThatLivesIsNotBlamed guards against a broken connection being taken for a
-// crash, and against crashes that a good end doesn't clear.
+// A broken connection must not count as a crash while a process listens at the target's
+// address, and a run that ends well must clear the crashes before it.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
-	r, known := newCrashRig(t)
+	r, records := newCrashRig(t)
 	r.opts.NothingListens = func(context.Context, string) bool { return false }
 	for range 4 {
 		_, err := r.do(r.job(oneStage(false, false, 0), time.Second))
 		require.Error(t, err)
 	}
-	require.Zero(t, known.crashes)
+	require.Zero(t, records.crashes)
 
 	r.opts.NothingListens = func(context.Context, string) bool { return true }
 	for range 2 {
@@ -164,5 +163,5 @@
 	r.setFaults()
 	_, err := r.do(r.job(oneStage(false, false, 0), time.Second))
 	require.NoError(t, err)
-	require.Zero(t, known.Judge(quarantine.DigestOf("", "p", "", []byte("in"))).Crashes)
+	require.Zero(t, records.Judge(quarantine.DigestOf("", "p", "", []byte("in"))).Crashes)
 }
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -24,23 +24,23 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// Options are the parts an Executor works with; all are required but Now.
+// Options configures an Executor. Blocklist, NothingListens, Tracer and Now are optional.
 type Options struct {
 	Router  Router
 	Targets Caller
 	Gate    Gate
 	Budgets Budgets
 	Times   *deadline.Times
-	// Status keeps the fate of each attempt.
+	// Status records the result of each attempt.
 	Status *requests.Table
-	// Blocklist refuses requests that crash their targets; nil refuses none.
+	// Blocklist blocks requests that crash their targets; nil blocks none.
 	Blocklist blocklist.Records
-	// NothingListens tells whether an address has no process that listens, by which a
-	// target that crashed is known; nil knows none.
+	// NothingListens reports whether no process listens at an address, which identifies
+	// a target that crashed; with nil no crash is detected.
 	NothingListens func(ctx context.Context, address string) bool
-	// Config returns the configuration in force, for the pools' records.
+	// Config returns the configuration in force, with the records of pools and tiers.
 	Config func() *catalog.Snapshot
-	// Tracer starts a span for each stage; nil means none.
+	// Tracer starts a span for each stage; nil means no tracing.
 	Tracer trace.Tracer
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
@@ -52,7 +52,7 @@
 	admissions *admissionControllers
 }
 
-// New makes an executor.
+// New returns an executor.
 func New(o Options) *Executor {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -66,36 +66,38 @@
 	return &Executor{opts: o, admissions: newAdmissionControllers()}
 }
 
-// run is the state of one job.
+// jobRun is the state of one job.
 type jobRun struct {
 	*Executor
 	job    *Job
 	ledger outcome.Ledger
-	// once counts only the attempts of stages that may not be repeated.
+	// nonRepeatable records only the attempts of stages that are not repeatable.
 	nonRepeatable outcome.Ledger
-	// outputs holds each finished stage's output; done is closed with it.
+	// outputs holds each finished stage's output. The stage's done channel is closed once
+	// it is set.
 	outputs []string
 	tokens  []int
 	done    []chan struct{}
 
-	// rank is the tier's place among the tiers in force; 0 is the highest.
+	// rank is the position of the tier among the tiers in force; 0 is the highest.
 	rank int
-	// content is the digest of what the job's repeats have in common; onTrial tells that
-	// this is the one run of it that is allowed.
+	// content is the digest of what the job's repetitions have in common. trialGranted is
+	// true if this is the one run of it that is allowed as a trial.
 	content      quarantine.Digest
 	trialGranted bool
-	// probe tells that the job was admitted to measure its stages anew.
+	// probe is true if the job was admitted to measure its stages again.
 	probe bool
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// estimates holds the estimated time of each stage.
 	estimates []deadline.RemainingStage
 	finished  []bool
 	claimed   bool
 }
 
-// Run runs the job's stages and returns the whole answer of the last one. Its
-// error is always a *Failure, whose verdict is final: nothing of the job leaves
-// for a target after Run returned.
+// Run runs the job's stages and returns the complete response of the last one. Its
+// error is always a *Failure, whose verdict is final: nothing of the job is sent to
+// a target after Run returned.
 func (e *Executor) Run(ctx context.Context, job Job) (result Result, err error) {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
@@ -139,8 +141,8 @@
 	return r
 }
 
-// hopeless refuses a job that can't make its deadline, or that a later stage
-// has no target for, before it costs a stage.
+// admit refuses a job that can't meet its deadline, or for one of whose stages there is
+// no target, before any stage runs.
 func (r *jobRun) admit() *Failure {
 	for i := range r.job.Pipeline.Stages {
 		stage := &r.job.Pipeline.Stages[i]
@@ -162,16 +164,16 @@
 	return f
 }
 
-// probed tells the admission how a probe ended, so that refusals by learned
-// times end once the stages are fast again.
-func (r *jobRun) probeEnded(made bool) {
+// probeEnded reports the result of a probe to the admission controller, so that refusals
+// by learned times end once the stages are fast again.
+func (r *jobRun) probeEnded(metDeadline bool) {
 	if r.probe {
-		r.admissions.probeEnded(r.job, made)
+		r.admissions.probeEnded(r.job, metDeadline)
 	}
 }
 
-// stageWhenReady waits for the stages before, then runs stage i. A stage that
-// waits in vain reports nothing: the one that it waits for says why, and where.
+// stageWhenReady waits for the predecessors of stage i, then runs it. If the context ends while
+// it waits, it returns nil: the stage that failed reports the cause and its own name.
 func (r *jobRun) stageWhenReady(ctx context.Context, i int) (err error) {
 	s := newStageRun(r, i)
 	defer s.recoverPanic(&err)
@@ -191,17 +193,18 @@
 	return nil
 }
 
-// inputs waits for what stage i reads; false tells that the context ended first.
+// awaitInputs waits for the outputs that stage i reads. It returns false if the context
+// ended first.
 func (r *jobRun) awaitInputs(ctx context.Context, i int) ([]string, bool) {
-	after := r.job.Pipeline.Stages[i].After
-	if len(after) == 0 {
+	predecessors := r.job.Pipeline.Stages[i].After
+	if len(predecessors) == 0 {
 		return []string{r.job.Input}, true
 	}
-	inputs := make([]string, 0, len(after))
-	for _, before := range after {
+	inputs := make([]string, 0, len(predecessors))
+	for _, predecessor := range predecessors {
 		select {
-		case <-r.done[before]:
-			inputs = append(inputs, r.outputs[before])
+		case <-r.done[predecessor]:
+			inputs = append(inputs, r.outputs[predecessor])
 		case <-ctx.Done():
 			return nil, false
 		}
@@ -218,25 +221,26 @@
 	close(r.done[i])
 }
 
-// share recomputes stage i's part of what is left of the deadline.
+// stageBudget computes stage i's budget of the time remaining until the deadline.
 func (r *jobRun) stageBudget(now time.Time, i int) deadline.StageBudget {
 	r.mu.Lock()
-	var left []deadline.RemainingStage
+	var unfinished []deadline.RemainingStage
 	for j := range r.estimates {
 		if !r.finished[j] {
-			left = append(left, r.estimates[j])
+			unfinished = append(unfinished, r.estimates[j])
 		}
 	}
 	r.mu.Unlock()
-	for _, share := range deadline.Plan(now, r.job.Deadline, left) {
-		if share.Stage == i {
-			return share
+	for _, budget := range deadline.Plan(now, r.job.Deadline, unfinished) {
+		if budget.Stage == i {
+			return budget
 		}
 	}
 	return deadline.StageBudget{Stage: i, Due: r.job.Deadline, LatestStart: r.job.Deadline}
 }
 
-// claimDispatch asks once for leave to send stages that may not be repeated.
+// claimDispatch calls BeforeDispatch unless it has succeeded already. It is called before
+// a stage that is not repeatable is sent.
 func (r *jobRun) claimDispatch() error {
 	if r.job.BeforeDispatch == nil {
 		return nil
@@ -253,26 +257,27 @@
 	return nil
 }
 
-// seal makes the failure's verdict final.
+// seal seals the ledgers and sets what the failure promises.
 func (r *jobRun) seal(f *Failure) *Failure {
 	f.Verdict = r.ledger.Seal()
 	f.MayRunAgain = r.nonRepeatable.Seal() == outcome.NotRun
 	return f
 }
 
-// whole tells whether every stage was answered. The failure: the context ends at
-// the moment at which a stage is answered, the next one still waits and reports
-// nothing, and the caller gets an empty answer for a whole one.
+// complete reports whether every stage finished. It prevents an empty response from being
+// returned as a complete one: if the context ends at the moment a stage finishes, the next
+// stage still waits and reports no failure.
 func (r *jobRun) complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.Contains(r.finished, false)
 }
 
-// ErrStopping is the cause of a context that ends since the instance stops.
+// ErrStopping is the cause of a context that ends because the instance stops.
 var ErrStopping = errors.New("the instance stops")
 
-// asFailure names the cause of an end that no stage reported.
+// asFailure returns err if it is a *Failure, and otherwise a failure with the cause of the
+// context's end.
 func (r *jobRun) asFailure(ctx context.Context, err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -307,7 +312,7 @@
 	return ""
 }
 
-// newRand gives each stage its own source, so that no lock is shared.
+// newRand returns a random source. Each stage has its own, so that no lock is shared.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
--- a/daemon/execute/panic_test.go
+++ b/daemon/execute/panic_test.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// fault panics once, at the n-th call of the method it is set for.
+// panicInjector panics once, at the n-th call of the method it is set for.
 type panicInjector struct {
 	Router
 	Gate
@@ -63,14 +63,14 @@
 	f.Budgets.Succeeded(now, pool)
 }
 
-// One request's stage panics outside a call to a target. Not contained it ends
-// the process and every caller's request with it; contained it fails that one
-// request, whose outcome nobody knows, and the only slot serves the next one.
+// A stage panics outside a call to a target. Without recovery this would end the process and
+// the requests of all callers. Recovered, it fails only its own request, with an unknown
+// outcome, and the only slot is free for the next request.
 func TestPanickingStageFailsOnlyItsRequest(t *testing.T) {
 	cases := []struct {
 		method  string
 		after   int
-		failing bool // all targets fail, so that a retry is decided on
+		failing bool // all targets fail, so that retries are attempted
 	}{
 		{method: "Enter", after: 1},
 		{method: "Pick", after: 1},
@@ -94,14 +94,14 @@
 			}
 			repeatable := c.failing || c.method == "Succeeded"
 			_, err := r.do(r.job(oneStage(repeatable, false, 0), 10*time.Second))
-			require.Zero(t, f.remaining, "the fault was not met")
+			require.Zero(t, f.remaining, "there was no panic")
 			var failure *Failure
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, "s", failure.Step)
 			require.False(t, failure.MayRunAgain)
 			want := outcome.Unknown
 			if c.method == "Report" {
-				want = outcome.Ran // its answer had come and was settled
+				want = outcome.Ran // its response had arrived and was settled
 			}
 			require.Equal(t, want, failure.Verdict, "%v", err)
 
@@ -116,8 +116,8 @@
 	}
 }
 
-// The answer of an attempt that may be repeated makes the code that learns from
-// it panic, on the attempt's own goroutine. The stage is sent once more.
+// The code that records the response of a repeatable attempt panics, on the attempt's own
+// goroutine. The stage is sent once more.
 func TestPanickingAttemptIsRepeated(t *testing.T) {
 	r := newRig(t, catalog.KindService, catalog.ObjectiveAttainment)
 	f := &panicInjector{Router: r.opts.Router, method: "Report", remaining: 1}
@@ -125,6 +125,6 @@
 	job := r.job(oneStage(true, false, 0), 10*time.Second)
 	_, err := r.do(job)
 	require.NoError(t, err)
-	require.Zero(t, f.remaining, "the fault was not met")
+	require.Zero(t, f.remaining, "there was no panic")
 	require.Equal(t, 2, r.runs(job.ID))
 }
--- a/daemon/execute/retry.go
+++ b/daemon/execute/retry.go
@@ -11,8 +11,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// beforeRetry decides whether a failed attempt is followed by another one, pays
-// for it and waits until it is due. Its error ends the stage.
+// awaitRetry decides whether a failed attempt is followed by another one, pays for it from
+// the retry budget and waits until it is due. If it returns an error, the stage ends.
 func (s *stageRun) awaitRetry(ctx context.Context, result attemptResult) error {
 	if ctx.Err() != nil {
 		return s.interruptedFailure(ctx, result.peer, ctx.Err())
@@ -48,15 +48,16 @@
 	}
 }
 
-// noConnection tells whether an attempt ended before it had a connection.
+// noConnection reports whether an attempt failed before it had a connection.
 func noConnection(err error) bool {
 	var failed *target.AttemptError
 	return errors.As(err, &failed) && failed.Outcome == target.NotRun && failed.Step == target.StepConnect
 }
 
-// targetFailure tells how the last attempt ended, and why it was the last.
-func (s *stageRun) targetFailure(result attemptResult, why retry.Reason) *Failure {
-	f := s.newFailure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, why))
+// targetFailure returns the failure of a stage whose last attempt had the given result.
+// noRetry is why no further attempt follows.
+func (s *stageRun) targetFailure(result attemptResult, noRetry retry.Reason) *Failure {
+	f := s.newFailure(ReasonTarget, result.peer, fmt.Errorf("%w (no retry: %s)", result.err, noRetry))
 	f.RetryAfter = result.retryAfter
 	if result.verdict == outcome.NotRun && f.RetryAfter > 0 {
 		f.Reason = ReasonOverload
@@ -64,7 +65,7 @@
 	return f
 }
 
-// wait blocks for the delay or until the context's end, whose error it returns.
+// sleep waits for the delay. If the context ends first, it returns the context's error.
 func sleep(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -24,15 +24,15 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// step is how one attempt ends, after a time.
+// step is the result of one attempt and the time after which it ends.
 type step struct {
 	after         time.Duration
-	err           *target.AttemptError // nil: a whole answer
+	err           *target.AttemptError // nil means a complete response
 	ignoresCancel bool                 // to a cancel
 }
 
-// script is a Caller whose n-th attempt ends as the n-th step says; the ones
-// behind the last step are refused at once.
+// scriptedCaller is a Caller whose n-th attempt ends as described by the n-th step. Attempts
+// after the last step are refused at once.
 type scriptedCaller struct {
 	steps []step
 
@@ -43,7 +43,7 @@
 	ended                 []error
 	answered              []string
 	cancelCauses          []error
-	sentWhenMayHaveRun    int // attempts sent when the first one ended that may have run
+	sentWhenMayHaveRun    int // number of attempts sent when the first one that may have run ended
 }
 
 func (s *scriptedCaller) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
@@ -108,7 +108,7 @@
 	notConnected    = &target.AttemptError{Step: target.StepConnect, Outcome: target.NotRun, Reason: target.ReasonRefused}
 )
 
-// scripted is an executor before three targets that follow the script.
+// newScriptedRig returns a rig with three targets whose attempts end as scripted.
 func newScriptedRig(s *scriptedCaller, budget retry.Config) *rig {
 	r := &rig{budgets: retrybudget.New(budget)}
 	table := routing.New(routing.Config{Instance: "test"})
@@ -130,9 +130,10 @@
 	return r
 }
 
-// Answers come late, twice or for nobody while attempts, retries and hedges are
-// under way. The caller gets one answer in time, what may run once is never sent
-// beside or behind a run, and nothing runs on for no one.
+// Responses arrive late, twice or after the caller's request has ended, while attempts, retries
+// and hedges are in flight. The caller must get one response before the deadline. A stage that
+// is not repeatable must not be sent while an attempt is in flight or after one that may have
+// run, and no attempt may outlive the request.
 func TestAttemptsEndInOneResponse(t *testing.T) {
 	faults := []*target.AttemptError{nil, notRun(0), notRun(3), connectionReset, notConnected}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -156,17 +157,17 @@
 			synctest.Wait()
 		})
 		require.True(rt, inTime, "ended after its deadline")
-		require.Zero(rt, s.inFlight, "an attempt runs on for no one")
+		require.Zero(rt, s.inFlight, "an attempt outlived the request")
 		require.LessOrEqual(rt, len(s.sent), p.MaxAttempts)
 		if !p.Stages[0].Repeatable {
-			require.LessOrEqual(rt, s.maxInFlight, 1, "sent beside itself")
+			require.LessOrEqual(rt, s.maxInFlight, 1, "two attempts in flight")
 			require.True(rt, s.sentWhenMayHaveRun == 0 || s.sentWhenMayHaveRun == len(s.sent), "sent again although it may have run")
 		}
 		if err == nil {
 			require.Contains(rt, s.answered, got.Output)
 			return
 		}
-		require.Empty(rt, s.answered, "an answer was lost: %v", err)
+		require.Empty(rt, s.answered, "a response was lost: %v", err)
 		var failure *Failure
 		require.ErrorAs(rt, err, &failure)
 		for _, end := range s.ended {
@@ -177,30 +178,30 @@
 	})
 }
 
-// A target is silent, or full for a moment, and other targets of its pool are
-// well. A caller sees the answer of one of them, soon; the work at the slow one
-// is stopped.
+// A target doesn't respond, or is full for a moment, while other targets of its pool work. The
+// caller must get the response of one of them soon, and the attempt at the slow one must be
+// cancelled.
 func TestAttemptTiming(t *testing.T) {
 	const hour, learned = time.Hour, 20 * time.Millisecond // oneStage's expected time
 	full := step{err: notRun(0)}
 	cases := map[string]struct {
 		once    bool
 		steps   []step
-		empty   bool            // no token is left
+		empty   bool            // the retry budget is empty
 		within  []time.Duration // the latest start of each attempt
 		reason  Reason          // of the failure, if any
 		retried string          // why it was not sent again
 		waits   bool            // before its retries
 	}{
-		"the hedge wins, the loser is cancelled": {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
-		"no hedge of what may run once":          {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
-		"no hedge without a token":               {empty: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
-		"a failure is followed at once":          {steps: []step{{err: connectionReset}, {}}, within: []time.Duration{0, 0}},
-		"a refusal after a back-off":             {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
-		"no longer than the target asks":         {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
-		"no retry without a token":               {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
-		"no connection needs no token":           {empty: true, once: true, steps: []step{{err: notConnected}, {err: notConnected}, {}}, within: []time.Duration{0, 0, 0}},
-		"full everywhere":                        {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttemptsUsedUp)},
+		"the hedge wins, the loser is cancelled":  {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
+		"no hedge if not repeatable":              {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
+		"no hedge without budget":                 {empty: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
+		"a failure is retried at once":            {steps: []step{{err: connectionReset}, {}}, within: []time.Duration{0, 0}},
+		"a refusal is retried after a backoff":    {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
+		"no longer than the target's Retry-After": {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
+		"no retry without budget":                 {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
+		"no connection needs no budget":           {empty: true, once: true, steps: []step{{err: notConnected}, {err: notConnected}, {}}, within: []time.Duration{0, 0, 0}},
+		"full everywhere":                         {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttemptsUsedUp)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -218,7 +219,7 @@
 				tried := map[string]bool{}
 				for i, latest := range c.within {
 					require.LessOrEqual(t, s.sent[i].Sub(start), latest, "attempt %d", i)
-					require.False(t, tried[s.targets[i]], "sent to a tried target while others are left")
+					require.False(t, tried[s.targets[i]], "sent to a tried target although others remain")
 					tried[s.targets[i]] = true
 				}
 				require.False(t, c.waits && s.sent[len(s.sent)-1].Equal(start), "sent again at once")
@@ -238,16 +239,16 @@
 	}
 }
 
-// brokenGate is a gate that fails in a way it does not promise to.
+// brokenGate is a gate that fails with an error that is no *gate.RefusedError.
 type brokenGate struct{ Gate }
 
 func (brokenGate) Enter(context.Context, string, gate.Request) (*gate.Grant, error) {
 	return nil, errors.New("gate is broken")
 }
 
-// The only target is silent until the deadline, while another stage waits for
-// the answer; or the gate fails. An operator reads which stage and which target
-// it was; a caller is never given an empty answer for a whole one.
+// A target doesn't respond until the deadline while another stage waits for its output, or the
+// gate fails. The failure must name the stage and the target, and the caller must never get an
+// empty response instead of a failure.
 func TestFailuresNameStageAndTarget(t *testing.T) {
 	cases := map[string]struct {
 		steps     []step
@@ -256,9 +257,9 @@
 		stage     string
 		attempted bool
 	}{
-		"silent until the deadline":             {steps: []step{{after: time.Hour}}, reason: ReasonDeadline, stage: "s", attempted: true},
-		"a gate that fails":                     {gate: func(g Gate) Gate { return brokenGate{g} }, reason: ReasonFault, stage: "s"},
-		"answered late, the next one never ran": {steps: []step{{after: 2 * time.Second, ignoresCancel: true}}, reason: ReasonDeadline, stage: "last"},
+		"no response until the deadline":                    {steps: []step{{after: time.Hour}}, reason: ReasonDeadline, stage: "s", attempted: true},
+		"a gate that fails":                                 {gate: func(g Gate) Gate { return brokenGate{g} }, reason: ReasonFault, stage: "s"},
+		"response after the deadline, last stage never ran": {steps: []step{{after: 2 * time.Second, ignoresCancel: true}}, reason: ReasonDeadline, stage: "last"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -271,7 +272,7 @@
 				p := oneStage(false, false, 0)
 				last := p.Stages[0]
 				last.Name, last.After = "last", []int{1}
-				p.Stages = []catalog.Stage{last, p.Stages[0]} // the one that fails is not the first of the list
+				p.Stages = []catalog.Stage{last, p.Stages[0]} // the stage that fails is not the first of the list
 				_, err := r.do(r.job(p, time.Second))
 				synctest.Wait()
 				var failure *Failure
--- a/daemon/execute/stage.go
+++ b/daemon/execute/stage.go
@@ -14,7 +14,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// defaultMaxAttempts bounds the attempts of a stage whose pipeline names none.
+// defaultMaxAttempts limits the attempts of a stage whose pipeline sets no limit.
 const defaultMaxAttempts = 3
 
 // stageRun is the state of one stage of a job.
@@ -24,15 +24,15 @@
 	stage  *catalog.Stage
 	inputs []string
 	rng    *rand.Rand
-	// text and offset are the tokens that were delivered so far: a resumed
-	// stream goes on behind them.
+	// text and offset are the text and the number of the tokens delivered so far. A
+	// resumed stream continues after them.
 	text   strings.Builder
 	offset int
-	// tried holds the incarnations that an attempt was sent to.
+	// tried holds the incarnations of the targets to which an attempt was sent.
 	tried       []string
 	attempts    *retry.Attempts
 	preemptions int
-	// serial numbers the attempts, preempted ones too.
+	// lastAttemptNumber is the number of the latest attempt. Preempted ones count.
 	lastAttemptNumber int
 
 	output string
@@ -55,17 +55,18 @@
 	return s
 }
 
-// streams tells whether this stage's tokens go to the caller as they come, or
-// can be kept so that a broken stream resumes.
+// streams reports whether the stage's tokens are received as a stream: to pass them to the
+// caller as they arrive, or to resume a stream that broke off.
 func (s *stageRun) streams() bool {
 	toCaller := s.job.OnToken != nil && s.isLast()
 	return s.maxTokens(s.index) > 0 && (toCaller || s.stage.Resumable)
 }
 
+// isLast reports whether this is the last stage of the pipeline.
 func (s *stageRun) isLast() bool { return s.index == len(s.job.Pipeline.Stages)-1 }
 
-// execute sends the stage to targets until one answers whole or nothing more may
-// be tried. Its error is a *Failure.
+// execute sends the stage to targets until one returns a complete response or no further
+// attempt is allowed. Its error is a *Failure.
 func (s *stageRun) execute(ctx context.Context) error {
 	for {
 		result, err := s.runAttempt(ctx)
@@ -84,8 +85,8 @@
 	}
 }
 
-// turn waits for the gate, picks a target and makes one attempt, with a hedge
-// beside it where it is slow and may run twice.
+// runAttempt waits for a slot, picks a target and runs one attempt. If the stage may be
+// hedged and the attempt is slow, it starts a second one.
 func (s *stageRun) runAttempt(ctx context.Context) (attemptResult, error) {
 	request := s.gateRequest()
 	grant, err := s.opts.Gate.Enter(ctx, s.stage.Pool, request)
@@ -102,9 +103,9 @@
 	return s.runPreemptible(ctx, first, grant), nil
 }
 
-// firstAttempt picks the target of a turn's first attempt, asks for leave to
-// send what may not be repeated, and enters the attempt. Without an attempt, be
-// it by a panic, the slot is given back.
+// firstAttempt picks the target of an attempt that is not a hedge, claims the dispatch of a
+// stage that is not repeatable, and records the attempt. If it returns no attempt or
+// panics, it releases the slot.
 func (s *stageRun) firstAttempt(grant *gate.Grant) (first *attempt, failure *Failure) {
 	defer func() {
 		if first == nil {
@@ -133,8 +134,8 @@
 // errPreempted cancels an attempt in favour of a higher tier.
 var errPreempted = errors.New("preempted by a higher tier")
 
-// doPreemptible makes an attempt that a higher tier may interrupt. The slot is
-// given back only once the attempt has ended, so that it is truly free.
+// runPreemptible runs an attempt that may be preempted by a higher tier. It releases the
+// slot only after the attempt has ended, so that the target's slot is free as well.
 func (s *stageRun) runPreemptible(ctx context.Context, a *attempt, grant *gate.Grant) attemptResult {
 	defer grant.Release()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -155,20 +156,21 @@
 	return result
 }
 
-// probeWait is how long a probe waits for a slot: the time to get to the gate.
+// maxProbeWait limits how long a probe may take to get a slot. It covers only the time
+// until the probe arrives at the gate.
 const maxProbeWait = 20 * time.Millisecond
 
 func (s *stageRun) gateRequest() gate.Request {
 	now := s.opts.Now()
-	latest := s.stageBudget(now, s.index).LatestStart
+	latestStart := s.stageBudget(now, s.index).LatestStart
 	if s.probe {
-		// The times that a probe is to correct have let its latest start pass:
-		// it goes if a slot is free, and waits for none.
-		latest = now.Add(maxProbeWait)
+		// By the learned times, which the probe is to correct, its latest start has
+		// passed. It runs if a slot is free and doesn't wait for one.
+		latestStart = now.Add(maxProbeWait)
 	}
 	return gate.Request{
 		Rank:        s.rank,
-		LatestStart: latest,
+		LatestStart: latestStart,
 		Resumable:   s.stage.Repeatable && s.stage.Resumable && s.streams(),
 		Preemptions: s.preemptions,
 	}
@@ -199,8 +201,8 @@
 	return &Failure{Reason: reason, Step: s.stage.Name, Peer: peer, Cause: cause}
 }
 
-// unfinished is the failure of a stage that err stopped, mostly the end of its
-// context: the deadline passed, the caller went away or another stage failed.
+// interruptedFailure returns the failure of a stage that err ended. This is usually the end
+// of its context: the deadline passed, the caller disconnected or another stage failed.
 func (s *stageRun) interruptedFailure(ctx context.Context, peer string, err error) *Failure {
 	if ctx.Err() == nil {
 		return s.newFailure(ReasonFault, peer, err)
@@ -211,12 +213,12 @@
 	return f
 }
 
-// nextAttempt makes the id of the next attempt; it is unique to the request.
+// nextAttemptID counts an attempt and returns its ID, which is unique within the request.
 func (s *stageRun) nextAttemptID() string {
 	s.attempts.AddAttempt()
 	s.lastAttemptNumber++
 	return s.job.ID + "/" + s.stage.Name + "/" + strconv.Itoa(s.lastAttemptNumber)
 }
 
-// left is what is left of the job's deadline.
+// remainingTime returns the time until the job's deadline.
 func (s *stageRun) remainingTime() time.Duration { return s.job.Deadline.Sub(s.opts.Now()) }
