--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -138,7 +138,7 @@
 func (f *fleet) crash(n int) {
 	for i := range n {
 		time.Sleep(time.Second)
-		f.instances[fmt.Sprint("at-", i%len(f.instances))].Crashed(digest, fmt.Sprint("target-", i))
+		f.instances[fmt.Sprint("at-", i%len(f.instances))].RecordCrash(digest, fmt.Sprint("target-", i))
 	}
 }
 
@@ -162,7 +162,7 @@
 				f.crash(3)
 				time.Sleep(gossipBound)
 				require.Equal(t, size, f.blocked())
-				f.instances["at-0"].EndedWell(digest)
+				f.instances["at-0"].RecordCompletion(digest)
 				time.Sleep(gossipBound)
 				require.Zero(t, f.blocked())
 			})
@@ -217,7 +217,7 @@
 		second := only.Admit(ctx, digest, time.Second)
 		require.Equal(t, quarantine.Blocked, second.State)
 		require.Positive(t, second.Remaining, "the caller needs a delay after which to retry")
-		only.EndedWell(digest)
+		only.RecordCompletion(digest)
 		require.Equal(t, quarantine.Allowed, only.Admit(ctx, digest, time.Second).State)
 	})
 }
--- a/daemon/blocklist/records.go
+++ b/daemon/blocklist/records.go
@@ -17,9 +17,9 @@
 	// Judge returns the verdict by the records of this instance, without contacting others.
 	Judge(digest quarantine.Digest) quarantine.Verdict
 	// Crashed records that a target ended while it ran a request.
-	Crashed(digest quarantine.Digest, target string)
+	RecordCrash(digest quarantine.Digest, target string)
 	// EndedWell records that a run of a request ended without a crash of its target.
-	EndedWell(digest quarantine.Digest)
+	RecordCompletion(digest quarantine.Digest)
 }
 
 // None is a Records that keeps no records.
@@ -40,7 +40,7 @@
 func (None) Judge(quarantine.Digest) quarantine.Verdict { return quarantine.Verdict{} }
 
 // Crashed implements Records.
-func (None) Crashed(quarantine.Digest, string) {}
+func (None) RecordCrash(quarantine.Digest, string) {}
 
 // EndedWell implements Records.
-func (None) EndedWell(quarantine.Digest) {}
+func (None) RecordCompletion(quarantine.Digest) {}
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -41,14 +41,14 @@
 }
 
 // Crashed records each crash as that of another incarnation of the target.
-func (r *fakeRecords) Crashed(d quarantine.Digest, target string) {
+func (r *fakeRecords) RecordCrash(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashes++
 	r.table.RecordCrash(time.Now(), d, fmt.Sprint(target, r.crashes))
 }
 
-func (r *fakeRecords) EndedWell(d quarantine.Digest) {
+func (r *fakeRecords) RecordCompletion(d quarantine.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.RecordCompletion(time.Now(), d)
--- a/daemon/follow/age.go
+++ b/daemon/follow/age.go
@@ -11,13 +11,13 @@
 func (f *Follower) TargetsAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watching.Age(time.Now(), watching.Targets)
+	return f.tracker.Age(time.Now(), watching.Targets)
 }
 
 // measureAges tells the ages of what is known; mu is held.
-func (f *Follower) measureAges(now time.Time) {
+func (f *Follower) recordAges(now time.Time) {
 	for _, part := range []watching.Part{watching.Configuration, watching.Targets} {
 		scope := f.scope.Tagged(map[string]string{"kind": string(part)})
-		scope.Gauge("known_age").Update(f.watching.Age(now, part).Seconds())
+		scope.Gauge("known_age").Update(f.tracker.Age(now, part).Seconds())
 	}
 }
--- a/daemon/follow/confirm.go
+++ b/daemon/follow/confirm.go
@@ -15,10 +15,10 @@
 	// confirmedFor is how long the store's word on the newest configuration holds:
 	// half the time in which a new version is to be in force. It also bounds the
 	// calls that requests with keys of nobody can cause.
-	confirmedFor = time.Second
+	confirmationTTL = time.Second
 	// unconfirmedFor is how long the store isn't asked again after it didn't
 	// answer.
-	unconfirmedFor = 300 * time.Millisecond
+	confirmRetryDelay = 300 * time.Millisecond
 	// confirmerTimeout bounds the question to the instance that confirms for all:
 	// its own question to the store and the way there, in usual times.
 	confirmerTimeout = 150 * time.Millisecond
@@ -32,11 +32,11 @@
 // Requests that ask at the same time share one question, and none of them holds
 // it up for the others: it goes on when the one that put it leaves.
 func (f *Follower) Confirm(ctx context.Context) bool {
-	if known, recent := f.confirmed(time.Now()); recent {
+	if known, recent := f.lastConfirmation(time.Now()); recent {
 		return known
 	}
-	answer := f.confirming.DoChan(configName, func() (any, error) {
-		return f.askConfirmer() || f.askStore(), nil
+	answer := f.confirming.DoChan(recordConfigName, func() (any, error) {
+		return f.confirmByPeer() || f.confirmByStore(), nil
 	})
 	select {
 	case a := <-answer:
@@ -49,11 +49,11 @@
 
 // confirmed tells whether the store has told, or was asked in vain, so lately that
 // it isn't asked now.
-func (f *Follower) confirmed(now time.Time) (known, recent bool) {
+func (f *Follower) lastConfirmation(now time.Time) (known, recent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known = now.Sub(f.heard) < confirmedFor
-	return known, known || now.Sub(f.unconfirmed) < unconfirmedFor
+	known = now.Sub(f.confirmedAt) < confirmationTTL
+	return known, known || now.Sub(f.confirmFailedAt) < confirmRetryDelay
 }
 
 // askConfirmer asks the instance that confirms for all others whether the
@@ -62,24 +62,24 @@
 //
 // Without it each instance of a large fleet that meets a request for a route that
 // doesn't exist asks the store.
-func (f *Follower) askConfirmer() bool {
-	if f.options.AskConfirmer == nil {
+func (f *Follower) confirmByPeer() bool {
+	if f.options.ConfirmerRevision == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), confirmerTimeout)
 	defer cancel()
 	start := time.Now()
-	revision, known := f.options.AskConfirmer(ctx)
+	revision, known := f.options.ConfirmerRevision(ctx)
 	table := f.table.Load()
 	if !known || table == nil || table.Revision < revision {
 		return false
 	}
-	f.noteHeard(start)
+	f.recordConfirmed(start)
 	return true
 }
 
 // ConfirmFor answers another instance's question for the newest revision.
-func (f *Follower) ConfirmFor(ctx context.Context) (revision uint64, known bool) {
+func (f *Follower) NewestRevision(ctx context.Context) (revision uint64, known bool) {
 	if !f.Confirm(ctx) {
 		return 0, false
 	}
@@ -91,17 +91,17 @@
 }
 
 // noteHeard notes that the store's word is known as of a time.
-func (f *Follower) noteHeard(at time.Time) {
+func (f *Follower) recordConfirmed(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.After(f.heard) {
-		f.heard = at
+	if at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 }
 
 // askStore reads the configuration at the store and puts it in force if it is
 // newer. It tells whether the store answered.
-func (f *Follower) askStore() bool {
+func (f *Follower) confirmByStore() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	start := time.Now()
@@ -109,11 +109,11 @@
 	if err != nil {
 		telemetry.ErrorS(err, "Configuration could not be confirmed", telemetry.Event{})
 		f.mu.Lock()
-		f.unconfirmed = time.Now()
+		f.confirmFailedAt = time.Now()
 		f.mu.Unlock()
 		return false
 	}
-	f.configObject(*o)
-	f.noteHeard(start)
+	f.applyConfigObject(*o)
+	f.recordConfirmed(start)
 	return true
 }
--- a/daemon/follow/confirm_test.go
+++ b/daemon/follow/confirm_test.go
@@ -22,17 +22,17 @@
 // slowStore answers Get after a while, and counts the questions.
 type slowStore struct {
 	platform.Store
-	takes     time.Duration
-	down      bool
-	questions atomic.Int32
+	delay time.Duration
+	down  bool
+	calls atomic.Int32
 }
 
 func (s *slowStore) Get(ctx context.Context, _, name string) (*platformapi.Object, error) {
-	s.questions.Add(1)
+	s.calls.Add(1)
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(s.takes):
+	case <-time.After(s.delay):
 	}
 	if s.down {
 		return nil, errors.New("store is down")
@@ -40,7 +40,7 @@
 	return &platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: 7}}, nil
 }
 
-func newConfirming(s *slowStore) *Follower {
+func newConfirmFollower(s *slowStore) *Follower {
 	return New(Options{
 		Store: s,
 		Source: Source{
@@ -49,7 +49,7 @@
 				return &routes.Table{Revision: revision}, nil
 			},
 		},
-		Spread:   func(spread.Record) {},
+		Gossip:   func(spread.Record) {},
 		OnChange: func(time.Time, *routes.Table, map[string][]routes.Target) {},
 		Scope:    tally.NoopScope,
 	})
@@ -66,16 +66,16 @@
 		questions int32
 		longest   time.Duration
 	}{
-		"answers":                   {&slowStore{takes: 100 * time.Millisecond}, time.Hour, 41, 1, 100 * time.Millisecond},
-		"answers, the asker left":   {&slowStore{takes: 100 * time.Millisecond}, 10 * time.Millisecond, 40, 1, 100 * time.Millisecond},
-		"silent":                    {&slowStore{takes: time.Hour}, time.Hour, 0, 1, confirmTimeout},
+		"answers":                   {&slowStore{delay: 100 * time.Millisecond}, time.Hour, 41, 1, 100 * time.Millisecond},
+		"answers, the asker left":   {&slowStore{delay: 100 * time.Millisecond}, 10 * time.Millisecond, 40, 1, 100 * time.Millisecond},
+		"silent":                    {&slowStore{delay: time.Hour}, time.Hour, 0, 1, confirmTimeout},
 		"fails, then isn't asked":   {&slowStore{down: true}, time.Hour, 0, 1, 0},
-		"silent and the asker left": {&slowStore{takes: time.Hour}, 10 * time.Millisecond, 0, 1, confirmTimeout},
+		"silent and the asker left": {&slowStore{delay: time.Hour}, 10 * time.Millisecond, 0, 1, confirmTimeout},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newConfirming(c.store)
+				f := newConfirmFollower(c.store)
 				var known atomic.Int32
 				var wg sync.WaitGroup
 				ask := func(ctx context.Context) {
@@ -94,7 +94,7 @@
 				wg.Wait()
 				require.Equal(t, c.longest, time.Since(begin))
 				require.Equal(t, c.known, known.Load())
-				require.Equal(t, c.questions, c.store.questions.Load())
+				require.Equal(t, c.questions, c.store.calls.Load())
 			})
 		})
 	}
@@ -104,16 +104,16 @@
 // must not look older than it is, else the next denial asks again.
 func TestConfirmKeepsTheNewerWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &slowStore{takes: 300 * time.Millisecond}
-		f := newConfirming(store)
+		store := &slowStore{delay: 300 * time.Millisecond}
+		f := newConfirmFollower(store)
 		go func() {
 			time.Sleep(200 * time.Millisecond) // virtual: the watch answers meanwhile
-			f.noteTaken(followed{part: watching.Configuration}, time.Now())
+			f.recordApplied(watchedKind{part: watching.Configuration}, time.Now())
 		}()
 		require.True(t, f.Confirm(t.Context()))
 		time.Sleep(800 * time.Millisecond) // virtual
 		require.True(t, f.Confirm(t.Context()))
-		require.EqualValues(t, 1, store.questions.Load())
+		require.EqualValues(t, 1, store.calls.Load())
 	})
 }
 
@@ -135,15 +135,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &slowStore{takes: 4 * time.Millisecond}
-				f := newConfirming(store)
-				f.options.AskConfirmer = func(context.Context) (uint64, bool) { return c.revision, c.known }
+				store := &slowStore{delay: 4 * time.Millisecond}
+				f := newConfirmFollower(store)
+				f.options.ConfirmerRevision = func(context.Context) (uint64, bool) { return c.revision, c.known }
 				f.table.Store(&routes.Table{Revision: 6})
 				require.True(t, f.Confirm(t.Context()))
-				require.Equal(t, c.questions, store.questions.Load())
+				require.Equal(t, c.questions, store.calls.Load())
 				require.True(t, f.Confirm(t.Context()), "its word holds for a while")
-				require.Equal(t, c.questions, store.questions.Load())
-				revision, known := f.ConfirmFor(t.Context())
+				require.Equal(t, c.questions, store.calls.Load())
+				revision, known := f.NewestRevision(t.Context())
 				require.True(t, known)
 				require.Equal(t, f.Table().Revision, revision)
 			})
@@ -158,19 +158,19 @@
 	store.put("config", "main", "1")
 	f := New(Options{Store: store, Scope: tally.NoopScope})
 	known := func() bool {
-		known, _ := f.confirmed(time.Now())
+		known, _ := f.lastConfirmation(time.Now())
 		return known
 	}
 	taken := 0
-	k := followed{
+	k := watchedKind{
 		part: watching.Configuration, kind: "config",
-		event: func(platformapi.Event) { taken++; require.False(t, known()) },
-		list:  func(platformapi.List) { taken++; require.False(t, known()) },
+		onEvent: func(platformapi.Event) { taken++; require.False(t, known()) },
+		onList:  func(platformapi.List) { taken++; require.False(t, known()) },
 	}
 	_, _, err := f.callStore(t.Context(), k, 0, 0)
 	require.NoError(t, err)
 	require.True(t, known())
-	f.heard = time.Time{}
+	f.confirmedAt = time.Time{}
 	store.put("config", "main", "2")
 	_, news, err := f.callStore(t.Context(), k, 1, 0)
 	require.NoError(t, err)
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -33,17 +33,17 @@
 	retryMax = 700 * time.Millisecond
 	// standInRetryMax bounds it where the watchers do the same: many instances that
 	// call a store which is away add nothing.
-	standInRetryMax = 2 * time.Second
+	nonWatcherRetryMax = 2 * time.Second
 	// rosterTick is how often entries are looked at whose grace may be over.
-	rosterTick = 200 * time.Millisecond
+	rosterInterval = 200 * time.Millisecond
 )
 
 // Kinds of the records that instances tell one another.
 const (
-	recordConfig  = "config"
-	recordTarget  = "target"
-	recordLeaving = "leaving"
-	configName    = "current"
+	recordConfig     = "config"
+	recordTarget     = "target"
+	recordLeaving    = "leaving"
+	recordConfigName = "current"
 )
 
 // Source is where a platform keeps its configuration and targets, and how they
@@ -63,7 +63,7 @@
 	Store  platform.Store
 	Source Source
 	// Spread tells the other instances a record.
-	Spread func(r spread.Record)
+	Gossip func(r spread.Record)
 	// OnChange is told the configuration and the usable targets after each
 	// change of either. Calls don't overlap.
 	OnChange func(now time.Time, t *routes.Table, usable map[string][]routes.Target)
@@ -72,7 +72,7 @@
 	// AskConfirmer asks the instance that confirms for all others for the newest
 	// revision that the store tells it; false if this is that instance, or if it
 	// doesn't know. Nil if each asks for itself.
-	AskConfirmer func(ctx context.Context) (revision uint64, known bool)
+	ConfirmerRevision func(ctx context.Context) (revision uint64, known bool)
 	// OnLeaving is told of each incarnation that takes nothing new from now on.
 	OnLeaving func(now time.Time, incarnation string)
 	Scope     tally.Scope
@@ -80,37 +80,37 @@
 
 // Follower holds what is in force.
 type Follower struct {
-	options Options
-	scope   tally.Scope
-	table   atomic.Pointer[routes.Table]
-	listed  atomic.Bool
-	ready   chan struct{}
+	options       Options
+	scope         tally.Scope
+	table         atomic.Pointer[routes.Table]
+	targetsListed atomic.Bool
+	ready         chan struct{}
 
 	mu     sync.Mutex
 	roster *roster.Roster
 	// refusals are the entries that name no target, as far as they were logged.
-	refusals refusals
+	rejectionLog rejectionLog
 	// watching decides how the store is watched.
-	watching *watching.Tracker
+	tracker *watching.Tracker
 	// sent ends the calls in progress, by what they are about.
-	sent map[watching.Part]context.CancelCauseFunc
+	cancelCalls map[watching.Part]context.CancelCauseFunc
 	// heard is when the store last told of the configuration.
-	heard time.Time
+	confirmedAt time.Time
 
 	confirming singleflight.Group
 	// unconfirmed is when the store was last asked in vain whether a newer
 	// version exists.
-	unconfirmed time.Time
+	confirmFailedAt time.Time
 }
 
 // New returns a follower that knows nothing yet.
 func New(o Options) *Follower {
 	if o.Fleet == nil {
-		o.Fleet = alone{}
+		o.Fleet = singleInstance{}
 	}
 	return &Follower{
 		ready: make(chan struct{}), options: o, scope: o.Scope.SubScope("follow"), roster: roster.New(),
-		watching: watching.New(), sent: map[watching.Part]context.CancelCauseFunc{},
+		tracker: watching.New(), cancelCalls: map[watching.Part]context.CancelCauseFunc{},
 	}
 }
 
@@ -141,40 +141,40 @@
 	var wg sync.WaitGroup
 	source := &f.options.Source
 	wg.Go(func() {
-		f.follow(ctx, followed{watching.Configuration, source.ConfigKind, f.configEvent, f.configList})
+		f.watchKind(ctx, watchedKind{watching.Configuration, source.ConfigKind, f.applyConfigEvent, f.applyConfigList})
 	})
 	wg.Go(func() {
-		f.follow(ctx, followed{watching.Targets, source.TargetKind, f.targetEvent, f.targetList})
+		f.watchKind(ctx, watchedKind{watching.Targets, source.TargetKind, f.applyTargetEvent, f.applyTargetList})
 	})
-	wg.Go(func() { f.tick(ctx) })
-	wg.Go(func() { f.patrol(ctx) })
+	wg.Go(func() { f.tickRoster(ctx) })
+	wg.Go(func() { f.pollWatchers(ctx) })
 	wg.Wait()
 	return nil
 }
 
 // followed is a kind of object that is followed, and who takes in what is told of it.
-type followed struct {
-	part  watching.Part
-	kind  string
-	event func(platformapi.Event)
-	list  func(platformapi.List)
+type watchedKind struct {
+	part    watching.Part
+	kind    string
+	onEvent func(platformapi.Event)
+	onList  func(platformapi.List)
 }
 
 // errResend ends a watch that is sent again, since its silence proves nothing.
 var errResend = errors.New("the watch is sent again")
 
 // follow lists a kind and then watches it.
-func (f *Follower) follow(ctx context.Context, k followed) {
+func (f *Follower) watchKind(ctx context.Context, k watchedKind) {
 	var revision uint64
 	for ctx.Err() == nil {
 		if revision != 0 {
 			// Before it knows the others an instance takes itself for a watcher.
 			f.options.Fleet.AwaitJoin(ctx)
-			f.awaitDuty(ctx)
+			f.awaitWatchDuty(ctx)
 		}
 		started := time.Now()
 		call, cancel := context.WithCancelCause(ctx)
-		next, news, err := f.callStore(call, k, revision, f.begin(started, k.part, cancel))
+		next, news, err := f.callStore(call, k, revision, f.beginCall(started, k.part, cancel))
 		resent := errors.Is(context.Cause(call), errResend)
 		cancel(nil)
 		switch {
@@ -183,10 +183,10 @@
 			revision = 0
 		case err != nil && resent:
 		case err != nil:
-			f.noteFailure(ctx, k, started, err)
+			f.handleFailure(ctx, k, started, err)
 		default:
 			revision = next
-			f.gather(ctx, news)
+			f.awaitBatch(ctx, news)
 		}
 	}
 }
@@ -194,63 +194,63 @@
 // gather puts the next watch off after news, in a fleet most of which hears of news by
 // the word of others. Where all watch, each hears at once: a target that starts again
 // under its name is sent to on connections of the process before until that is known.
-func (f *Follower) gather(ctx context.Context, news int) {
+func (f *Follower) awaitBatch(ctx context.Context, news int) {
 	if news == 0 || f.options.Fleet.AllWatch() {
 		return
 	}
 	f.mu.Lock()
-	d := f.watching.Pause(time.Now())
+	d := f.tracker.Pause(time.Now())
 	f.mu.Unlock()
-	pause(ctx, d)
+	sleep(ctx, d)
 }
 
 // callStore lists a kind, or watches it from a revision on, and takes in what is told. It
 // returns the revision to go on from, and how many changes the store told.
-func (f *Follower) callStore(ctx context.Context, k followed, revision uint64, wait time.Duration) (next uint64, news int, err error) {
+func (f *Follower) callStore(ctx context.Context, k watchedKind, revision uint64, wait time.Duration) (next uint64, news int, err error) {
 	if revision == 0 {
 		l, err := f.options.Store.List(ctx, k.kind)
 		if err != nil {
 			return 0, 0, err
 		}
-		answered := f.noteAnswer(k)
-		f.noteUnreadable(k.kind, l.Unreadable)
-		k.list(l)
-		f.noteTaken(k, answered)
+		answered := f.recordResponse(k)
+		f.logUnreadable(k.kind, l.Unreadable)
+		k.onList(l)
+		f.recordApplied(k, answered)
 		return l.Revision, 0, nil
 	}
 	w, err := f.options.Store.Watch(ctx, []string{k.kind}, revision, wait)
 	if err != nil {
 		return 0, 0, err
 	}
-	answered := f.noteAnswer(k)
-	f.noteUnreadable(k.kind, w.Unreadable)
+	answered := f.recordResponse(k)
+	f.logUnreadable(k.kind, w.Unreadable)
 	for _, e := range w.Events {
-		k.event(e)
+		k.onEvent(e)
 	}
-	f.noteTaken(k, answered)
+	f.recordApplied(k, answered)
 	return max(revision, w.Revision), len(w.Events), nil
 }
 
 // begin notes that a call begins, which cancel ends, and returns how long a watch waits.
-func (f *Follower) begin(now time.Time, part watching.Part, cancel context.CancelCauseFunc) time.Duration {
+func (f *Follower) beginCall(now time.Time, part watching.Part, cancel context.CancelCauseFunc) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sent[part] = cancel
-	return f.watching.BeginCall(now, part)
+	f.cancelCalls[part] = cancel
+	return f.tracker.BeginCall(now, part)
 }
 
 // noteAnswer notes that the store answered, before what it told is taken in: entries that
 // vanished while the store was away are kept for a while from its return on. It returns
 // the time.
-func (f *Follower) noteAnswer(k followed) time.Time {
+func (f *Follower) recordResponse(k watchedKind) time.Time {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.sent, k.part)
-	told := telemetry.Event{Record: k.kind, Count: f.watching.Failures(k.part), Known: f.watching.Age(now, k.part)}
-	if f.watching.RecordResponse(now, k.part) {
+	delete(f.cancelCalls, k.part)
+	told := telemetry.Event{Record: k.kind, Count: f.tracker.Failures(k.part), Known: f.tracker.Age(now, k.part)}
+	if f.tracker.RecordResponse(now, k.part) {
 		f.roster.RecordStoreFailure(now)
-		f.resend(now)
+		f.resendWatches(now)
 		telemetry.InfoS("Store answers again", told)
 	}
 	return now
@@ -258,26 +258,26 @@
 
 // noteTaken notes that what the store answered at a time is in force. Were it noted
 // before, a key that the answer brings could be denied as one that the store doesn't know.
-func (f *Follower) noteTaken(k followed, answered time.Time) {
+func (f *Follower) recordApplied(k watchedKind, answered time.Time) {
 	if k.part == watching.Configuration {
-		f.noteHeard(answered)
+		f.recordConfirmed(answered)
 	}
 }
 
 // noteFailure notes that the store didn't answer a call that began at a time, and pauses.
-func (f *Follower) noteFailure(ctx context.Context, k followed, started time.Time, err error) {
+func (f *Follower) handleFailure(ctx context.Context, k watchedKind, started time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	now := time.Now()
 	f.mu.Lock()
-	delete(f.sent, k.part)
-	failed := f.watching.Failures(k.part)
-	told := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), Known: f.watching.Age(now, k.part)}
+	delete(f.cancelCalls, k.part)
+	failed := f.tracker.Failures(k.part)
+	told := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), Known: f.tracker.Age(now, k.part)}
 	switch {
 	case errors.Is(err, platform.ErrBudget):
-		f.watching.RecordNotSent(k.part)
-	case f.watching.RecordFailure(k.part) && !errors.Is(err, platform.ErrOutage):
+		f.tracker.RecordNotSent(k.part)
+	case f.tracker.RecordFailure(k.part) && !errors.Is(err, platform.ErrOutage):
 		f.roster.RecordStoreFailure(now)
 	}
 	f.mu.Unlock()
@@ -288,13 +288,13 @@
 		telemetry.ErrorS(err, "Store still doesn't answer", told)
 	}
 	most := retryMax
-	if f.options.Fleet.Place() == watching.NoRank {
-		most = standInRetryMax
+	if f.options.Fleet.Rank() == watching.NoRank {
+		most = nonWatcherRetryMax
 	}
-	pause(ctx, min(retryMin<<min(failed, 4), most)+rand.N(retryMin))
+	sleep(ctx, min(retryMin<<min(failed, 4), most)+rand.N(retryMin))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -303,33 +303,33 @@
 	}
 }
 
-func (f *Follower) configList(l platformapi.List) {
+func (f *Follower) applyConfigList(l platformapi.List) {
 	for _, o := range l.Items {
-		f.configObject(o)
+		f.applyConfigObject(o)
 	}
 }
 
-func (f *Follower) configEvent(e platformapi.Event) {
+func (f *Follower) applyConfigEvent(e platformapi.Event) {
 	if !e.Deleted {
-		f.configObject(e.Object)
+		f.applyConfigObject(e.Object)
 	}
 }
 
-func (f *Follower) configObject(o platformapi.Object) {
+func (f *Follower) applyConfigObject(o platformapi.Object) {
 	if o.Metadata.Name == f.options.Source.ConfigName {
-		f.accept(o.Metadata.Revision, o.Spec, true)
+		f.applyConfig(o.Metadata.Revision, o.Spec, true)
 	}
 }
 
 // accept puts a version in force that is newer than the present one. One that
 // doesn't decode leaves the present one in force.
-func (f *Follower) accept(revision uint64, spec []byte, direct bool) {
-	if f.putInForce(revision, spec, direct) && direct {
-		f.options.Spread(spread.Record{Kind: recordConfig, Name: configName, Revision: revision, Body: spec})
+func (f *Follower) applyConfig(revision uint64, spec []byte, direct bool) {
+	if f.activateConfig(revision, spec, direct) && direct {
+		f.options.Gossip(spread.Record{Kind: recordConfig, Name: recordConfigName, Revision: revision, Body: spec})
 	}
 }
 
-func (f *Follower) putInForce(revision uint64, spec []byte, direct bool) bool {
+func (f *Follower) activateConfig(revision uint64, spec []byte, direct bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if current := f.table.Load(); current != nil && revision <= current.Revision {
@@ -342,9 +342,9 @@
 	}
 	// The targets first: by a configuration that names a new service, requests would
 	// else be refused for want of a target until those of the service are handed on.
-	f.handOn(time.Now(), table)
+	f.publishTargetsFor(time.Now(), table)
 	f.table.Store(table)
-	f.noteReady()
+	f.markReady()
 	reason := "from a peer"
 	if direct {
 		reason = "from the store"
@@ -354,23 +354,23 @@
 }
 
 // publish hands the targets on by the configuration in force; mu is held.
-func (f *Follower) publish(now time.Time) {
+func (f *Follower) publishTargets(now time.Time) {
 	if table := f.table.Load(); table != nil {
-		f.handOn(now, table)
-		f.noteReady()
+		f.publishTargetsFor(now, table)
+		f.markReady()
 	}
 }
 
 // handOn tells the targets that are usable by a configuration; mu is held.
-func (f *Follower) handOn(now time.Time, table *routes.Table) {
+func (f *Follower) publishTargetsFor(now time.Time, table *routes.Table) {
 	f.scope.Gauge("revision").Update(float64(table.Revision))
 	f.scope.Gauge("targets").Update(float64(f.roster.Len()))
 	f.options.OnChange(now, table, f.roster.Usable())
 }
 
 // noteReady notes that a configuration is in force whose targets were handed on.
-func (f *Follower) noteReady() {
-	if f.listed.Load() && !f.Ready() {
+func (f *Follower) markReady() {
+	if f.targetsListed.Load() && !f.Ready() {
 		close(f.ready)
 	}
 }
--- a/daemon/follow/patrol.go
+++ b/daemon/follow/patrol.go
@@ -15,19 +15,19 @@
 // knowledge is.
 const (
 	// patrolEvery is the time between two questions.
-	patrolEvery = 700 * time.Millisecond
+	pollInterval = 700 * time.Millisecond
 	// patrolTimeout bounds one question.
-	patrolTimeout = 400 * time.Millisecond
+	pollTimeout = 400 * time.Millisecond
 	// dutyPoll is how often an instance looks whether it is to watch.
-	dutyPoll = 150 * time.Millisecond
+	rankCheckInterval = 150 * time.Millisecond
 )
 
 // Fleet is what a follower needs of the other instances.
 type Fleet interface {
 	// Watchers is how many instances are watchers, Place this one's place among them;
 	// watching.NoWatcher if it is none.
-	Watchers() int
-	Place() int
+	WatcherCount() int
+	Rank() int
 	// AllWatch tells whether all instances watch: none of them hears of news by the word
 	// of others alone.
 	AllWatch() bool
@@ -36,82 +36,82 @@
 	AwaitJoin(ctx context.Context)
 	// AskWatcher asks the watcher of a place for its word; a zero Word if it doesn't
 	// answer.
-	AskWatcher(ctx context.Context, place int) watching.Report
+	PollWatcher(ctx context.Context, place int) watching.Report
 }
 
 // alone is a fleet of one instance.
-type alone struct{}
+type singleInstance struct{}
 
-func (alone) Watchers() int { return 1 }
+func (singleInstance) WatcherCount() int { return 1 }
 
-func (alone) Place() int { return 0 }
+func (singleInstance) Rank() int { return 0 }
 
-func (alone) AllWatch() bool { return true }
+func (singleInstance) AllWatch() bool { return true }
 
-func (alone) AwaitJoin(context.Context) {}
+func (singleInstance) AwaitJoin(context.Context) {}
 
-func (alone) AskWatcher(context.Context, int) watching.Report { return watching.Report{} }
+func (singleInstance) PollWatcher(context.Context, int) watching.Report { return watching.Report{} }
 
 // Word returns what this instance tells another of its knowledge.
-func (f *Follower) Word() watching.Report {
+func (f *Follower) Report() watching.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watching.Report(time.Now())
+	return f.tracker.Report(time.Now())
 }
 
 // watches tells whether this instance is to call the store now.
-func (f *Follower) watches() bool {
-	place := f.options.Fleet.Place()
+func (f *Follower) shouldWatch() bool {
+	place := f.options.Fleet.Rank()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watching.SetRank(place)
-	return f.watching.ShouldWatch(time.Now())
+	f.tracker.SetRank(place)
+	return f.tracker.ShouldWatch(time.Now())
 }
 
 // awaitDuty waits until this instance is to call the store.
-func (f *Follower) awaitDuty(ctx context.Context) {
-	for ctx.Err() == nil && !f.watches() {
-		pause(ctx, dutyPoll)
+func (f *Follower) awaitWatchDuty(ctx context.Context) {
+	for ctx.Err() == nil && !f.shouldWatch() {
+		sleep(ctx, rankCheckInterval)
 	}
 }
 
 // patrol asks the watchers for their word.
-func (f *Follower) patrol(ctx context.Context) {
+func (f *Follower) pollWatchers(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, patrolEvery/2+rand.N(patrolEvery))
-		f.patrolOnce(ctx)
+		sleep(ctx, pollInterval/2+rand.N(pollInterval))
+		f.pollOnce(ctx)
 	}
 }
 
 // patrolOnce asks one watcher, and sends those watches again that its word, or this
 // instance's place by now, leaves without worth.
-func (f *Follower) patrolOnce(ctx context.Context) {
-	f.watches()
-	watchers := f.options.Fleet.Watchers()
+func (f *Follower) pollOnce(ctx context.Context) {
+	f.shouldWatch()
+	watchers := f.options.Fleet.WatcherCount()
 	f.mu.Lock()
-	place, ask := f.watching.NextPoll(watchers, rand.IntN)
+	place, ask := f.tracker.NextPoll(watchers, rand.IntN)
 	f.mu.Unlock()
 	if ask {
-		f.hear(ctx, place)
+		f.pollWatcher(ctx, place)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.resend(time.Now())
+	f.resendWatches(time.Now())
 }
 
 // hear asks the watcher of a place.
-func (f *Follower) hear(ctx context.Context, place int) {
+func (f *Follower) pollWatcher(ctx context.Context, place int) {
 	asked := time.Now()
-	limited, cancel := context.WithTimeout(ctx, patrolTimeout)
-	word := f.options.Fleet.AskWatcher(limited, place)
+	limited, cancel := context.WithTimeout(ctx, pollTimeout)
+	word := f.options.Fleet.PollWatcher(limited, place)
 	cancel()
 	if ctx.Err() != nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before := f.watching.Recovered()
-	if f.watching.RecordReport(asked, time.Now(), word) {
+	before := f.tracker.Recovered()
+	if f.tracker.RecordReport(asked, time.Now(), word) {
 		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: word.Age})
 		if word.Known {
 			// The store is away for a watcher that lives. What this instance hears first,
@@ -119,15 +119,15 @@
 			f.roster.RecordStoreFailure(time.Now())
 		}
 	}
-	if recovered := f.watching.Recovered(); recovered.After(before) {
+	if recovered := f.tracker.Recovered(); recovered.After(before) {
 		f.roster.RecordStoreFailure(recovered)
 	}
 }
 
 // resend ends the watches that are to be sent again; mu is held.
-func (f *Follower) resend(now time.Time) {
-	for part, cancel := range f.sent {
-		if f.watching.ShouldResend(now, part) {
+func (f *Follower) resendWatches(now time.Time) {
+	for part, cancel := range f.cancelCalls {
+		if f.tracker.ShouldResend(now, part) {
 			cancel(errResend)
 		}
 	}
--- a/daemon/follow/patrol_test.go
+++ b/daemon/follow/patrol_test.go
@@ -21,82 +21,82 @@
 
 // seat is a follower's view of its fleet. Views don't follow what happens: an instance that
 // is gone keeps its place.
-type seat struct {
-	fl *fleet
-	i  int
+type fleetView struct {
+	fleet *fleet
+	index int
 	// all tells that followers beyond the watchers watch as well, behind them.
-	all bool
+	allWatch bool
 }
 
-func (s seat) Watchers() int { return min(fleetWatchers, len(s.fl.followers)) }
+func (s fleetView) WatcherCount() int { return min(fleetWatchers, len(s.fleet.followers)) }
 
-func (s seat) Place() int {
-	if s.i < fleetWatchers || s.all {
-		return min(s.i, fleetWatchers)
+func (s fleetView) Rank() int {
+	if s.index < fleetWatchers || s.allWatch {
+		return min(s.index, fleetWatchers)
 	}
 	return watching.NoRank
 }
 
-func (s seat) AllWatch() bool { return s.all }
+func (s fleetView) AllWatch() bool { return s.allWatch }
 
-func (s seat) AwaitJoin(context.Context) {}
+func (s fleetView) AwaitJoin(context.Context) {}
 
 // newcomer is a seat whose instance takes itself for alone until it has joined.
-type newcomer struct {
-	seat
+type joiningView struct {
+	fleetView
 	joins time.Time
 }
 
-func (n newcomer) joined() bool { return !time.Now().Before(n.joins) }
+func (n joiningView) joined() bool { return !time.Now().Before(n.joins) }
 
-func (n newcomer) Place() int {
+func (n joiningView) Rank() int {
 	if !n.joined() {
 		return 0
 	}
-	return n.seat.Place()
+	return n.fleetView.Rank()
 }
 
-func (n newcomer) AllWatch() bool { return !n.joined() || n.seat.AllWatch() }
+func (n joiningView) AllWatch() bool { return !n.joined() || n.fleetView.AllWatch() }
 
-func (n newcomer) AwaitJoin(context.Context) { time.Sleep(time.Until(n.joins)) }
+func (n joiningView) AwaitJoin(context.Context) { time.Sleep(time.Until(n.joins)) }
 
-func (s seat) AskWatcher(ctx context.Context, place int) watching.Report {
-	if s.fl.isCut(s.i) || s.fl.isCut(place) {
+func (s fleetView) PollWatcher(ctx context.Context, place int) watching.Report {
+	if s.fleet.isIsolated(s.index) || s.fleet.isIsolated(place) {
 		<-ctx.Done()
 		return watching.Report{}
 	}
 	time.Sleep(time.Millisecond) // virtual
-	return s.fl.followers[place].Word()
+	return s.fleet.followers[place].Report()
 }
 
 // refusing is a store that answers one instance nothing while it is told to.
-type refusing struct {
+type refusingStore struct {
 	*timedStore
 	refuses func() bool
 }
 
-func (r refusing) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (r refusingStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
 	if r.refuses() {
 		return platformapi.Watch{}, errNoAnswer
 	}
 	return r.timedStore.Watch(ctx, kinds, from, wait)
 }
 
-var _ platform.Store = refusing{}
+var _ platform.Store = refusingStore{}
 
 // seated gives each follower of a fleet its seat.
-func seated(all bool) func(fl *fleet, i int, o *Options) {
-	return func(fl *fleet, i int, o *Options) { o.Fleet = seat{fl, i, all} }
+func withFleetView(all bool) func(fl *fleet, i int, o *Options) {
+	return func(fl *fleet, i int, o *Options) { o.Fleet = fleetView{fl, i, all} }
 }
 
 // requireLeavingHeard has a target leave with a word and another without, and requires that no
 // follower which can be reached has them in use when the bound is over.
-func (fl *fleet) requireLeavingHeard() {
+func (fl *fleet) requireLeavingApplied() {
 	fl.store.put("targets", "a", "leaving")
 	fl.store.put("targets", "b", "")
 	fl.sleep(leavingBound)
 	for i := range fl.followers {
-		if !fl.isCut(i) {
+		if !fl.isIsolated(i) {
 			require.Equal(fl.t, []string{"c"}, fl.usableAt(i), "follower %d", i)
 		}
 	}
@@ -115,12 +115,12 @@
 		silences(coarseStep, func(begins, lasts time.Duration) {
 			t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					fl := newFleet(t, c.size, seated(c.all))
+					fl := newFleet(t, c.size, withFleetView(c.all))
 					fl.sleep(begins)
 					fl.store.silent(lasts)
 					fl.sleep(lasts + settledAfter)
-					require.Equal(t, 3, fl.least)
-					fl.requireLeavingHeard()
+					require.Equal(t, 3, fl.minUsable)
+					fl.requireLeavingApplied()
 				})
 			})
 		})
@@ -135,12 +135,12 @@
 		silences(coarseStep, func(begins, lasts time.Duration) {
 			t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					fl := newFleet(t, c.size, seated(c.all))
+					fl := newFleet(t, c.size, withFleetView(c.all))
 					fl.sleep(begins)
-					fl.runOut(lasts)
+					fl.expireEntries(lasts)
 					fl.sleep(3 * time.Second)
-					require.Equal(t, 3, fl.least)
-					fl.requireLeavingHeard()
+					require.Equal(t, 3, fl.minUsable)
+					fl.requireLeavingApplied()
 				})
 			})
 		})
@@ -160,13 +160,13 @@
 			for begins := 10 * time.Second; begins < 19*time.Second; begins += fineStep {
 				t.Run(fmt.Sprint(c.size, " at ", begins, " dies ", dies), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						fl := newFleet(t, c.size, seated(c.all))
+						fl := newFleet(t, c.size, withFleetView(c.all))
 						fl.sleep(begins)
-						fl.store.forget()
-						time.AfterFunc(dies, func() { fl.cutOff(0) })
+						fl.store.loseWatches()
+						time.AfterFunc(dies, func() { fl.isolate(0) })
 						fl.sleep(settledAfter)
 						if dies == never {
-							fl.requireLeavingHeard()
+							fl.requireLeavingApplied()
 							return
 						}
 						fl.store.put("targets", "a", "leaving")
@@ -192,13 +192,13 @@
 				}
 				t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts, " dies ", after), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						fl := newFleet(t, c.size, seated(c.all))
+						fl := newFleet(t, c.size, withFleetView(c.all))
 						fl.sleep(begins)
 						fl.store.silent(lasts)
 						fl.sleep(lasts + after)
-						fl.cutOff(0)
+						fl.isolate(0)
 						fl.sleep(settledAfter - after)
-						fl.requireLeavingHeard()
+						fl.requireLeavingApplied()
 					})
 				})
 			})
@@ -216,9 +216,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					var refuses atomic.Bool
 					fl := newFleet(t, c.size, func(fl *fleet, i int, o *Options) {
-						seated(c.all)(fl, i, o)
+						withFleetView(c.all)(fl, i, o)
 						if i < 2 {
-							o.Store = refusing{fl.store, refuses.Load}
+							o.Store = refusingStore{fl.store, refuses.Load}
 						}
 					})
 					fl.sleep(time.Second)
@@ -226,7 +226,7 @@
 					fl.sleep(begins - time.Second)
 					fl.store.silent(lasts)
 					fl.sleep(lasts + settledAfter)
-					fl.requireLeavingHeard()
+					fl.requireLeavingApplied()
 				})
 			})
 		})
@@ -238,10 +238,10 @@
 func TestInstanceWithoutOthersWatches(t *testing.T) {
 	for _, c := range fleets {
 		synctest.Test(t, func(t *testing.T) {
-			fl := newFleet(t, c.size, seated(c.all))
+			fl := newFleet(t, c.size, withFleetView(c.all))
 			fl.sleep(10 * time.Second)
 			last := c.size - 1
-			fl.cutOff(last)
+			fl.isolate(last)
 			fl.store.silent(300 * time.Millisecond)
 			fl.sleep(settledAfter)
 			fl.store.put("targets", "a", "leaving")
@@ -256,7 +256,7 @@
 func TestCalmFleetMakesFewCalls(t *testing.T) {
 	for _, c := range fleets {
 		synctest.Test(t, func(t *testing.T) {
-			fl := newFleet(t, c.size, seated(c.all))
+			fl := newFleet(t, c.size, withFleetView(c.all))
 			fl.sleep(time.Second)
 			before := fl.store.calls()
 			fl.sleep(80 * time.Second)
@@ -277,7 +277,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const size, changes = 60, 10
 		joins := time.Now().Add(300 * time.Millisecond)
-		fl := newFleet(t, size, func(fl *fleet, i int, o *Options) { o.Fleet = newcomer{seat{fl, i, false}, joins} })
+		fl := newFleet(t, size, func(fl *fleet, i int, o *Options) { o.Fleet = joiningView{fleetView{fl, i, false}, joins} })
 		for i := range changes {
 			fl.store.put("targets", fmt.Sprint("new-", i), "ready")
 			fl.sleep(20 * time.Millisecond)
@@ -291,7 +291,7 @@
 // watch is well, and leave again.
 func TestLargeFleetLeavesTheStoreAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet(t, 60, seated(false))
+		fl := newFleet(t, 60, withFleetView(false))
 		fl.sleep(10 * time.Second)
 		fl.store.silent(6 * time.Second)
 		fl.sleep(30 * time.Second)
@@ -307,13 +307,13 @@
 // instance of a small fleet that put its next watch off after the first word.
 func TestSmallFleetHearsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet(t, 8, seated(true))
+		fl := newFleet(t, 8, withFleetView(true))
 		fl.sleep(10 * time.Second)
-		fl.cutOff(7) // by its own watch alone
+		fl.isolate(7) // by its own watch alone
 		fl.store.put("targets", "a", "leaving")
-		fl.sleep(3 * answerTime)
+		fl.sleep(3 * responseTime)
 		fl.store.put("targets", "b", "leaving")
-		fl.sleep(3 * answerTime)
+		fl.sleep(3 * responseTime)
 		require.Equal(t, []string{"c"}, fl.usableAt(7))
 	})
 }
--- a/daemon/follow/refusals.go
+++ b/daemon/follow/refusals.go
@@ -12,57 +12,57 @@
 // may write it again with each heartbeat, and any number of them.
 const (
 	// maxRefusals is the number of lines in a refusalPeriod.
-	maxRefusals   = 64
-	refusalPeriod = time.Hour
+	maxRejectionLogs   = 64
+	rejectionLogPeriod = time.Hour
 )
 
 // refusals remembers what was logged of entries that name no target, so that each
 // fault is told once in a period. Its zero value has logged nothing.
-type refusals struct {
-	since time.Time
-	told  map[string]struct{}
+type rejectionLog struct {
+	periodStart time.Time
+	logged      map[string]struct{}
 }
 
 // tell tells whether a fault is to be logged, and whether it is the last one of this
 // period.
-func (r *refusals) tell(now time.Time, fault string) (tell, last bool) {
-	if r.told == nil || now.Sub(r.since) >= refusalPeriod {
-		r.since, r.told = now, map[string]struct{}{}
+func (r *rejectionLog) shouldLog(now time.Time, fault string) (tell, last bool) {
+	if r.logged == nil || now.Sub(r.periodStart) >= rejectionLogPeriod {
+		r.periodStart, r.logged = now, map[string]struct{}{}
 	}
-	if _, known := r.told[fault]; known || len(r.told) >= maxRefusals {
+	if _, known := r.logged[fault]; known || len(r.logged) >= maxRejectionLogs {
 		return false, false
 	}
-	r.told[fault] = struct{}{}
-	return true, len(r.told) == maxRefusals
+	r.logged[fault] = struct{}{}
+	return true, len(r.logged) == maxRejectionLogs
 }
 
 // noteRefusal logs that an entry names no target.
-func (f *Follower) noteRefusal(err error) {
+func (f *Follower) logRejection(err error) {
 	f.scope.Counter("refused_entries").Inc(1)
-	f.logRefusal(err.Error(), func() { klog.ErrorS(err, "Entry of a target refused") })
+	f.logOnce(err.Error(), func() { klog.ErrorS(err, "Entry of a target refused") })
 }
 
 // noteUnreadable logs that objects of a kind couldn't be read.
-func (f *Follower) noteUnreadable(kind string, count int) {
+func (f *Follower) logUnreadable(kind string, count int) {
 	if count == 0 {
 		return
 	}
 	f.scope.Counter("refused_entries").Inc(int64(count))
-	f.logRefusal("kind "+kind, func() {
+	f.logOnce("kind "+kind, func() {
 		telemetry.InfoS("Objects can't be read", telemetry.Event{Record: kind, Count: count})
 	})
 }
 
 // logRefusal writes a line unless the same was told, or the bound is reached.
-func (f *Follower) logRefusal(fault string, write func()) {
+func (f *Follower) logOnce(fault string, write func()) {
 	f.mu.Lock()
-	tell, last := f.refusals.tell(time.Now(), fault)
+	tell, last := f.rejectionLog.shouldLog(time.Now(), fault)
 	f.mu.Unlock()
 	if !tell {
 		return
 	}
 	write()
 	if last {
-		telemetry.InfoS("Refused entries are only counted from now on", telemetry.Event{Count: maxRefusals, Elapsed: refusalPeriod})
+		telemetry.InfoS("Refused entries are only counted from now on", telemetry.Event{Count: maxRejectionLogs, Elapsed: rejectionLogPeriod})
 	}
 }
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -34,9 +34,9 @@
 
 // Times of the store of these tests and of its client.
 const (
-	answerTime  = 4 * time.Millisecond
-	watchSlack  = time.Second
-	callTimeout = 2 * time.Second
+	responseTime = 4 * time.Millisecond
+	watchSlack   = time.Second
+	callTimeout  = 2 * time.Second
 )
 
 // silence is a time in which the store answers nobody.
@@ -54,8 +54,8 @@
 	objects  map[string]map[string]platformapi.Object
 	changed  chan struct{}
 	// forgotten is when the store last lost all watches that waited.
-	forgotten time.Time
-	watches   int
+	watchesLostAt time.Time
+	watches       int
 }
 
 type change struct {
@@ -81,19 +81,19 @@
 }
 
 // forget loses all watches that wait: they are never answered, and nothing else fails.
-func (s *timedStore) forget() {
+func (s *timedStore) loseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = time.Now()
+	s.watchesLostAt = time.Now()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // forgets tells whether a watch that began at a time was lost.
-func (s *timedStore) forgets(begun time.Time) bool {
+func (s *timedStore) lostWatch(begun time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return begun.Before(s.forgotten)
+	return begun.Before(s.watchesLostAt)
 }
 
 // put writes an object; an empty spec removes it.
@@ -129,7 +129,7 @@
 	if s.isSilent(time.Now()) {
 		return platformapi.List{}, unanswered(ctx, time.Now().Add(callTimeout))
 	}
-	time.Sleep(answerTime) // virtual
+	time.Sleep(responseTime) // virtual
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := platformapi.List{Revision: s.revision}
@@ -143,7 +143,7 @@
 	if s.isSilent(time.Now()) {
 		return nil, unanswered(ctx, time.Now().Add(callTimeout))
 	}
-	time.Sleep(answerTime) // virtual
+	time.Sleep(responseTime) // virtual
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.objects[kind][name]
@@ -161,7 +161,7 @@
 	over := time.After(wait)
 	for {
 		w, changed := s.since(kinds, from)
-		if s.forgets(begun) {
+		if s.lostWatch(begun) {
 			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		if len(w.Events) == 0 {
@@ -174,8 +174,8 @@
 			}
 			w, _ = s.since(kinds, from)
 		}
-		time.Sleep(answerTime) // virtual
-		if s.isSilent(time.Now()) || s.forgets(begun) {
+		time.Sleep(responseTime) // virtual
+		if s.isSilent(time.Now()) || s.lostWatch(begun) {
 			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		return w, nil
@@ -212,15 +212,15 @@
 	// usable are the names of the targets in use at each follower.
 	usable [][]string
 	// least is the lowest number of targets that any follower ever had since it had all.
-	least int
+	minUsable int
 	// cut are the followers that the others can't reach.
-	cut map[int]bool
+	isolated map[int]bool
 }
 
 // newFleet starts followers that know targets a, b and c and a configuration. change may
 // alter the options of each.
 func newFleet(t *testing.T, size int, change func(fl *fleet, i int, o *Options)) *fleet {
-	fl := &fleet{t: t, store: newTimedStore(), usable: make([][]string, size), cut: map[int]bool{}}
+	fl := &fleet{t: t, store: newTimedStore(), usable: make([][]string, size), isolated: map[int]bool{}}
 	fl.store.put("config", "main", "1")
 	for _, name := range []string{"a", "b", "c"} {
 		fl.store.put("targets", name, "ready")
@@ -243,7 +243,7 @@
 	})
 	fl.sleep(100 * time.Millisecond)
 	fl.mu.Lock()
-	fl.least = 3
+	fl.minUsable = 3
 	fl.mu.Unlock()
 	for i := range size {
 		require.Equal(t, []string{"a", "b", "c"}, fl.usableAt(i))
@@ -263,8 +263,8 @@
 				return routes.Target{Name: name, Service: "s", Leaving: string(spec) == "leaving"}, nil
 			},
 		},
-		Spread: func(r spread.Record) {
-			go fl.tell(i, r)
+		Gossip: func(r spread.Record) {
+			go fl.gossip(i, r)
 		},
 		OnChange: func(_ time.Time, _ *routes.Table, usable map[string][]routes.Target) {
 			var names []string
@@ -274,7 +274,7 @@
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			fl.usable[i] = names
-			fl.least = min(fl.least, len(names))
+			fl.minUsable = min(fl.minUsable, len(names))
 		},
 		OnLeaving: func(time.Time, string) {},
 		Scope:     tally.NoopScope,
@@ -282,25 +282,25 @@
 }
 
 // tell has the other followers hear what one learned.
-func (fl *fleet) tell(from int, r spread.Record) {
+func (fl *fleet) gossip(from int, r spread.Record) {
 	for i, f := range fl.followers {
-		if i != from && !fl.isCut(i) && !fl.isCut(from) {
+		if i != from && !fl.isIsolated(i) && !fl.isIsolated(from) {
 			f.Receive(r)
 		}
 	}
 }
 
 // cutOff has a follower and the others hear nothing of one another from now on.
-func (fl *fleet) cutOff(i int) {
+func (fl *fleet) isolate(i int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.cut[i] = true
+	fl.isolated[i] = true
 }
 
-func (fl *fleet) isCut(i int) bool {
+func (fl *fleet) isIsolated(i int) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.cut[i]
+	return fl.isolated[i]
 }
 
 func (fl *fleet) usableAt(i int) []string {
@@ -311,7 +311,7 @@
 
 // runOut has the store silent for a while in which all entries run out, and which are back
 // as late as they may be.
-func (fl *fleet) runOut(lasts time.Duration) {
+func (fl *fleet) expireEntries(lasts time.Duration) {
 	names := []string{"a", "b", "c"}
 	fl.store.silent(lasts)
 	fl.sleep(lasts - 100*time.Millisecond)
@@ -414,9 +414,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				fl := newFleet(t, 1, nil)
 				fl.sleep(begins)
-				fl.runOut(lasts)
+				fl.expireEntries(lasts)
 				fl.sleep(12 * time.Second)
-				require.Equal(t, 3, fl.least)
+				require.Equal(t, 3, fl.minUsable)
 			})
 		})
 	})
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -14,42 +14,42 @@
 
 // targetList takes in a whole list of entries. One that names no target is none of
 // the list, so what stood under its name is removed; the others hold.
-func (f *Follower) targetList(l platformapi.List) {
+func (f *Follower) applyTargetList(l platformapi.List) {
 	targets := make([]routes.Target, 0, len(l.Items))
 	records := make([]spread.Record, 0, len(l.Items))
 	for _, o := range l.Items {
 		r := spread.Record{Kind: recordTarget, Name: o.Metadata.Name, Revision: o.Metadata.Revision, Body: o.Spec}
 		t, err := f.decodeTarget(r.Name, r.Body)
 		if err != nil {
-			f.refuseEntry(r, err)
+			f.rejectEntry(r, err)
 			continue
 		}
 		targets, records = append(targets, t), append(records, r)
 	}
-	f.takeList(targets, l.Revision)
+	f.applyTargets(targets, l.Revision)
 	// Spread tells them back one by one: as those in the list they are no changes any
 	// more, which would each have all targets handed on.
 	for _, r := range records {
-		f.options.Spread(r)
+		f.options.Gossip(r)
 	}
-	f.spreadGone()
+	f.gossipRemovals()
 }
 
 // takeList puts the targets of a whole list in force.
-func (f *Follower) takeList(targets []routes.Target, revision uint64) {
+func (f *Follower) applyTargets(targets []routes.Target, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	f.roster.ApplyList(now, targets, revision)
-	f.listed.Store(true)
+	f.targetsListed.Store(true)
 	telemetry.InfoS("Targets listed", telemetry.Event{Revision: revision, Count: len(targets)})
 	f.roster.Tick(now)
 	f.roster.TakeChanged()
-	f.publish(now)
+	f.publishTargets(now)
 }
 
 // errNoStart tells of an entry without the start that its target told before.
-var errNoStart = errors.New("the start of the target is missing")
+var errStartMissing = errors.New("the start of the target is missing")
 
 // decodeTarget reads an entry. Where a start was told under its name, one without is
 // from another writer than the target.
@@ -61,12 +61,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.roster.KnowsStart(name) {
-		return routes.Target{}, errors.Wrapf(errNoStart, "entry of target %.40q", name)
+		return routes.Target{}, errors.Wrapf(errStartMissing, "entry of target %.40q", name)
 	}
 	return t, nil
 }
 
-func (f *Follower) targetEvent(e platformapi.Event) {
+func (f *Follower) applyTargetEvent(e platformapi.Event) {
 	r := spread.Record{
 		Kind: recordTarget, Name: e.Object.Metadata.Name, Revision: e.Object.Metadata.Revision,
 		Deleted: e.Deleted, Body: e.Object.Spec,
@@ -77,23 +77,23 @@
 	}
 	t, err := f.decodeTarget(r.Name, r.Body)
 	if err != nil {
-		f.refuseEntry(r, err)
+		f.rejectEntry(r, err)
 		return
 	}
 	// The record comes back by Receive if no peer told it before.
-	f.options.Spread(r)
+	f.options.Gossip(r)
 	f.putEntry(r, t)
 }
 
 // targetReceived takes in what another instance told of an entry.
-func (f *Follower) targetReceived(r spread.Record) {
+func (f *Follower) applyPeerTarget(r spread.Record) {
 	if r.Deleted {
 		f.removeEntry(r, true)
 		return
 	}
 	t, err := f.decodeTarget(r.Name, r.Body)
 	if err != nil {
-		f.noteRefusal(err)
+		f.logRejection(err)
 		f.removeEntry(r, true)
 		return
 	}
@@ -104,10 +104,10 @@
 // its name takes nothing new from now on, as after a removal that has taken effect: a
 // later entry brings it back. The other instances are told it as that removal, which
 // they understand whatever entries they can read.
-func (f *Follower) refuseEntry(r spread.Record, err error) {
-	f.noteRefusal(err)
+func (f *Follower) rejectEntry(r spread.Record, err error) {
+	f.logRejection(err)
 	r.Deleted, r.Body = true, nil
-	f.options.Spread(r)
+	f.options.Gossip(r)
 	f.removeEntry(r, true)
 }
 
@@ -119,14 +119,14 @@
 		if t.Leaving {
 			f.options.OnLeaving(now, t.Incarnation())
 		}
-		telemetry.InfoS("Entry of a target", telemetry.Event{Target: t.Incarnation(), Revision: r.Revision, Reason: state(t)})
+		telemetry.InfoS("Entry of a target", telemetry.Event{Target: t.Incarnation(), Revision: r.Revision, Reason: targetState(t)})
 	}
-	f.rosterChanged(now)
+	f.publishIfChanged(now)
 }
 
 // removeEntry takes in a removal, one that has taken effect or one that was just seen.
 func (f *Follower) removeEntry(r spread.Record, settled bool) {
-	defer f.spreadGone()
+	defer f.gossipRemovals()
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,10 +137,10 @@
 	if remove(now, r.Name, r.Revision) {
 		telemetry.InfoS("Entry of a target removed", telemetry.Event{Target: r.Name, Revision: r.Revision})
 	}
-	f.rosterChanged(now)
+	f.publishIfChanged(now)
 }
 
-func state(t routes.Target) string {
+func targetState(t routes.Target) string {
 	if t.Leaving {
 		return "leaving"
 	}
@@ -156,11 +156,11 @@
 	if news {
 		now := time.Now()
 		f.options.OnLeaving(now, incarnation)
-		f.rosterChanged(now)
+		f.publishIfChanged(now)
 	}
 	f.mu.Unlock()
 	if news {
-		f.options.Spread(spread.Record{Kind: recordLeaving, Name: incarnation, Revision: 1})
+		f.options.Gossip(spread.Record{Kind: recordLeaving, Name: incarnation, Revision: 1})
 	}
 }
 
@@ -168,22 +168,22 @@
 func (f *Follower) Receive(r spread.Record) {
 	switch r.Kind {
 	case recordConfig:
-		f.accept(r.Revision, r.Body, false)
+		f.applyConfig(r.Revision, r.Body, false)
 	case recordTarget:
-		f.targetReceived(r)
+		f.applyPeerTarget(r)
 	case recordLeaving:
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.roster.MarkLeaving(r.Name) {
 			f.options.OnLeaving(time.Now(), r.Name)
-			f.rosterChanged(time.Now())
+			f.publishIfChanged(time.Now())
 		}
 	}
 }
 
 // tick drops entries whose grace is over.
-func (f *Follower) tick(ctx context.Context) {
-	ticker := time.NewTicker(rosterTick)
+func (f *Follower) tickRoster(ctx context.Context) {
+	ticker := time.NewTicker(rosterInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -192,29 +192,29 @@
 		case now := <-ticker.C:
 			f.mu.Lock()
 			f.roster.Tick(now)
-			f.rosterChanged(now)
-			f.measureAges(now)
+			f.publishIfChanged(now)
+			f.recordAges(now)
 			f.mu.Unlock()
-			f.spreadGone()
+			f.gossipRemovals()
 		}
 	}
 }
 
 // spreadGone tells the other instances the removals that took effect here. They
 // are not told before: an entry may be missing because the store was away.
-func (f *Follower) spreadGone() {
+func (f *Follower) gossipRemovals() {
 	f.mu.Lock()
 	gone := f.roster.TakeRemovals()
 	f.mu.Unlock()
 	for _, g := range gone {
-		f.options.Spread(spread.Record{Kind: recordTarget, Name: g.Name, Revision: g.Revision, Deleted: true})
+		f.options.Gossip(spread.Record{Kind: recordTarget, Name: g.Name, Revision: g.Revision, Deleted: true})
 	}
 }
 
 // rosterChanged publishes the targets if they changed; mu is held.
-func (f *Follower) rosterChanged(now time.Time) {
+func (f *Follower) publishIfChanged(now time.Time) {
 	f.roster.Tick(now)
 	if f.roster.TakeChanged() {
-		f.publish(now)
+		f.publishTargets(now)
 	}
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -133,39 +133,39 @@
 	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, SubsetSize: knownTargets})
 	g.follower = follow.New(follow.Options{
 		Store: store, Source: p.Source,
-		Spread:    g.cluster.Put,
+		Gossip:    g.cluster.Put,
 		OnChange:  g.setTargets,
 		OnLeaving: g.router.Leaving,
 		Scope:     t.Scope,
 		Fleet:     fleet{g},
 
-		AskConfirmer: g.askConfirmer,
+		ConfirmerRevision: g.askConfirmer,
 	})
 	g.cluster.Handle(methodConfirm, g.handleConfirm, peer.Idempotent())
 	g.cluster.Handle(methodWord, func(context.Context, peer.Peer, []byte) ([]byte, error) {
-		return msgpack.Marshal(g.follower.Word())
+		return msgpack.Marshal(g.follower.Report())
 	}, peer.Idempotent())
 	g.cluster.Handle(methodHears, func(context.Context, peer.Peer, []byte) ([]byte, error) {
-		return msgpack.Marshal(g.follower.Word().IsFresh())
+		return msgpack.Marshal(g.follower.Report().IsFresh())
 	}, peer.Idempotent())
 	g.stages = stages.New(g.cluster, p.Dialect, g.client, g.follower, t.Scope)
 	g.blocklist = blocklist.New(g.cluster, quarantine.DefaultConfig(), t.Scope)
 	g.relay = relay.New(relay.Options{
-		Dialect:    p.Dialect,
-		Table:      g.follower.Table,
-		AwaitReady: g.awaitReady,
-		Confirm:    g.follower.Confirm,
-		Known:      g.follower.TargetsAge,
-		Router:     g.router,
-		Client:     g.client,
-		Shares:     g.sharesOf,
-		Stages:     g.stages,
-		Budgets:    retrybudget.New(g.retryConfig()),
-		Blocklist:  g.blocklist,
-		Leaving:    g.follower.Leaving,
-		InUse:      func(name string) bool { return has(&g.namesInUse, name) },
-		Tracer:     t.Tracer,
-		Scope:      t.Scope,
+		Dialect:      p.Dialect,
+		Table:        g.follower.Table,
+		AwaitReady:   g.awaitReady,
+		Confirm:      g.follower.Confirm,
+		KnowledgeAge: g.follower.TargetsAge,
+		Router:       g.router,
+		Client:       g.client,
+		TargetShares: g.sharesOf,
+		Stages:       g.stages,
+		Budgets:      retrybudget.New(g.retryConfig()),
+		Blocklist:    g.blocklist,
+		OnLeaving:    g.follower.Leaving,
+		InUse:        func(name string) bool { return has(&g.namesInUse, name) },
+		Tracer:       t.Tracer,
+		Scope:        t.Scope,
 	})
 	return g, nil
 }
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -23,35 +23,35 @@
 const readBuffer = 16 << 10
 
 // passOn gives the target's answer to the caller.
-func (q *request) passOn(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+func (q *request) forwardReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	switch {
-	case q.streams() && reply.Status == http.StatusOK:
-		return q.passEvents(ctx, reply, silence)
+	case q.isStream() && reply.Status == http.StatusOK:
+		return q.forwardStream(ctx, reply, silence)
 	case q.headerSent:
 		// The caller has a part of a stream: no other answer can end it.
 		return routing.OutcomeOK, &failure{cause: errors.Newf("target continued the stream with status %d", reply.Status)}
 	default:
-		return q.passWhole(ctx, reply, silence)
+		return q.forwardPlainReply(ctx, reply, silence)
 	}
 }
 
 // passWhole passes an answer on that is no stream of events. What is not too
 // long is read whole before its head is sent.
-func (q *request) passWhole(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(reply, bufferedAnswer))
+func (q *request) forwardPlainReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedReply))
 	if err != nil {
-		return q.brokenOff(ctx, err)
+		return q.classifyReplyError(ctx, err)
 	}
-	q.dropResults()
-	q.parts.event(time.Now())
-	if reply.Status >= http.StatusInternalServerError && q.mayBetter() {
+	q.freeResults()
+	q.timings.recordEvent(time.Now())
+	if reply.Status >= http.StatusInternalServerError && q.mayRetry() {
 		return routing.OutcomeOK, &failure{
 			cause: errors.Newf("target failed with status %d", reply.Status),
-			reply: &heldReply{reply.Status, reply.Header, body},
+			reply: &bufferedReply{reply.Status, reply.Header, body},
 		}
 	}
-	if len(body) < bufferedAnswer {
-		q.sendHeld(&heldReply{reply.Status, reply.Header, body})
+	if len(body) < maxBufferedReply {
+		q.sendBuffered(&bufferedReply{reply.Status, reply.Header, body})
 		return routing.OutcomeOK, nil
 	}
 	silence.Stop() // no other target can better an answer whose caller has a part of it
@@ -64,8 +64,8 @@
 		}
 		var f *forward.Error
 		if errors.As(err, &f) {
-			_, err = q.brokenOff(ctx, err)
-			q.noteEnd(ctx, err)
+			_, err = q.classifyReplyError(ctx, err)
+			q.recordAttemptEnd(ctx, err)
 		}
 	}
 	q.abort("answer_broken_off")
@@ -73,7 +73,7 @@
 }
 
 // sendHeld sends a whole answer of a target.
-func (q *request) sendHeld(h *heldReply) {
+func (q *request) sendBuffered(h *bufferedReply) {
 	q.sendHead(h.status, h.header, int64(len(h.body)))
 	if _, err := q.w.Write(h.body); err != nil {
 		q.reason = "caller_left"
@@ -84,7 +84,7 @@
 // sendHead sends the head of a target's answer.
 func (q *request) sendHead(status int, header http.Header, length int64) {
 	h := q.w.Header()
-	q.announceStop(h)
+	q.closeIfStopping(h)
 	for name, values := range q.relay.options.Dialect.CallerHeader(header) {
 		h[name] = values
 	}
@@ -109,32 +109,32 @@
 
 // announceStop tells the caller of an instance that stops to go elsewhere with its next
 // request.
-func (q *request) announceStop(h http.Header) {
-	if _, stopping := q.relay.draining(); stopping {
+func (q *request) closeIfStopping(h http.Header) {
+	if _, stopping := q.relay.stopWindow(); stopping {
 		h.Set("Connection", "close")
 	}
 }
 
 // passEvents passes a stream on, event by event: a target may stop in the middle
 // of one, and what goes on elsewhere begins with a whole one.
-func (q *request) passEvents(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
-	events := sse.NewSplitter(0, q.behind())
+func (q *request) forwardStream(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+	events := sse.NewSplitter(0, q.requiredResumeID())
 	buffer := make([]byte, readBuffer)
 	controller := http.NewResponseController(q.w)
 	for {
 		n, readErr := reply.Read(buffer)
 		if n > 0 {
-			if q.handles != nil {
-				q.release(time.Since(q.parts.sent))
-				q.handles = []string{}
+			if q.resultHandles != nil {
+				q.releaseResults(time.Since(q.timings.attemptStart))
+				q.resultHandles = []string{}
 			}
-			err := q.takeEvents(reply, events, buffer[:n], controller)
-			silence.Reset(q.gapBound())
+			err := q.forwardEvents(reply, events, buffer[:n], controller)
+			silence.Reset(q.eventTimeout())
 			if err != nil {
-				return q.brokenOff(ctx, err)
+				return q.classifyReplyError(ctx, err)
 			}
 		}
-		if readErr == io.EOF && q.endsStream(events) {
+		if readErr == io.EOF && q.completesStream(events) {
 			if !q.headerSent {
 				q.sendHead(reply.Status, reply.Header, -1)
 			}
@@ -145,21 +145,21 @@
 			readErr = io.ErrUnexpectedEOF
 		}
 		if readErr != nil {
-			return q.brokenOff(ctx, readErr)
+			return q.classifyReplyError(ctx, readErr)
 		}
 	}
 }
 
 // takeEvents takes in bytes of a stream and sends the whole events. The error tells of what
 // is no event or doesn't follow those before it.
-func (q *request) takeEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
+func (q *request) forwardEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
 	before := events.Events()
 	whole, err := events.Add(p)
 	q.notResumable = !events.Resumable()
 	if len(whole) > 0 {
-		q.parts.event(time.Now())
+		q.timings.recordEvent(time.Now())
 		q.sendEvents(reply, whole, controller)
-		q.lastEvent = events.LastID()
+		q.lastEventID = events.LastID()
 	}
 	if before == 0 && events.Events() > 0 {
 		q.sources++
@@ -170,29 +170,29 @@
 // behind is the id of the event that a target's stream must go on behind; empty if it
 // begins anew. Where streams aren't resumed, what a caller says of that is for the target
 // alone.
-func (q *request) behind() string {
+func (q *request) requiredResumeID() string {
 	if !q.route.Repeatable() {
 		return ""
 	}
-	return q.lastID()
+	return q.resumeID()
 }
 
 // endsStream tells whether a target's stream that has ended is the rest of the caller's.
 // One that brought no event may have nothing left, if it says so by more than the end of
 // its connection.
-func (q *request) endsStream(events *sse.Splitter) bool {
+func (q *request) completesStream(events *sse.Splitter) bool {
 	if len(events.Torn()) > 0 {
 		return false
 	}
-	return events.Events() > 0 || q.behind() != "" && q.framing != forward.FramedByClose
+	return events.Events() > 0 || q.requiredResumeID() != "" && q.framing != forward.FramedByClose
 }
 
 // gapBound is how long a stream may pause before it goes on elsewhere.
-func (q *request) gapBound() time.Duration {
-	if !q.mayBetter() {
-		return unbounded
+func (q *request) eventTimeout() time.Duration {
+	if !q.mayRetry() {
+		return noTimeout
 	}
-	return silentGap
+	return maxEventGap
 }
 
 // sendEvents sends whole events at once.
@@ -212,8 +212,8 @@
 }
 
 // brokenOff tells what an answer means that ended early.
-func (q *request) brokenOff(ctx context.Context, err error) (routing.Outcome, error) {
-	outcome, failed := q.failed(ctx, err)
+func (q *request) classifyReplyError(ctx context.Context, err error) (routing.Outcome, error) {
+	outcome, failed := q.classifyError(ctx, err)
 	var f *failure
 	if errors.As(failed, &f) {
 		f.notRun = false
@@ -222,10 +222,10 @@
 }
 
 // answerFailure sends the final answer of a request that no target answered.
-func (q *request) answerFailure(ctx context.Context, err error) {
+func (q *request) sendFailure(ctx context.Context, err error) {
 	var f *failure
 	if errors.As(err, &f) && f.reply != nil && !q.headerSent {
-		q.sendHeld(f.reply)
+		q.sendBuffered(f.reply)
 		return
 	}
 	if q.headerSent {
@@ -239,7 +239,7 @@
 	var refused *stages.RefusedError
 	var none *routing.NoTargetError
 	var blocked *blockedError
-	stopped := errors.Is(err, errNoTimeToSend) || errors.Is(err, errStopOver)
+	stopped := errors.Is(err, errNoTimeToSend) || errors.Is(err, errStopEnded)
 	late := errors.Is(err, errDeadline) || ctx.Err() != nil
 	switch {
 	case isIDInUse(err) && !q.mayHaveRun:
@@ -249,7 +249,7 @@
 	case stopped:
 		q.fail(http.StatusGatewayTimeout, "stopping")
 	case errors.As(err, &blocked) && !q.mayHaveRun:
-		q.refuse(reasonCrashes, blocked.left)
+		q.refuse(reasonCrashes, blocked.remaining)
 	case errors.As(err, &refused) && !q.mayHaveRun:
 		q.refuse(string(refused.Reason), refused.RetryAfter)
 	case errors.As(err, &none) && !q.mayHaveRun:
@@ -280,24 +280,24 @@
 // refuse says that the request has not run and when to come back.
 func (q *request) refuse(reason string, after time.Duration) {
 	q.w.Header().Set("Retry-After", strconv.FormatFloat(max(after, minRetryAfter).Seconds(), 'f', 2, 64))
-	q.answer(http.StatusServiceUnavailable, reason, "not run: "+reason)
+	q.respond(http.StatusServiceUnavailable, reason, "not run: "+reason)
 }
 
 // fail says that the request may have run.
 func (q *request) fail(status int, reason string) {
-	q.answer(status, reason, "the request may have run: "+reason)
+	q.respond(status, reason, "the request may have run: "+reason)
 }
 
 // deny refuses what is not allowed or not well formed.
 func (q *request) deny(status int, text string) {
-	q.answer(status, "denied", text)
+	q.respond(status, "denied", text)
 }
 
 // answer sends an answer of the system's own.
-func (q *request) answer(status int, reason, text string) {
+func (q *request) respond(status int, reason, text string) {
 	q.reason = reason
 	h := q.w.Header()
-	q.announceStop(h)
+	q.closeIfStopping(h)
 	q.relay.options.Dialect.StampAnswer(h, q.call.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	body := text + "\n"
@@ -312,7 +312,7 @@
 func (q *request) abort(reason string) {
 	q.reason = reason
 	q.logEnd(0)
-	q.dropResults()
+	q.freeResults()
 	panic(http.ErrAbortHandler)
 }
 
@@ -323,7 +323,7 @@
 	if q.route != nil {
 		route = q.route.Name
 	}
-	if q.sent+q.refused > 0 {
+	if q.possibleRuns+q.refusals > 0 {
 		digest = q.digest().String()
 	}
 	if q.reason == "caller_left" && inbound.ClosedHere(q.r.Context()) {
@@ -331,12 +331,12 @@
 	}
 	telemetry.InfoS("Request ended", telemetry.Event{
 		RequestID: q.call.ID, Digest: digest, Pipeline: route, Target: q.target, Reason: q.reason,
-		Status: status, Elapsed: time.Since(q.arrived), Count: q.sent + q.refused, Head: q.head,
-		Stages: q.parts.stages, First: q.parts.first, Pause: q.parts.pause, Known: q.known,
-		LastEvent: q.lastEvent, Sources: q.sources, Framing: string(q.framing),
+		Status: status, Elapsed: time.Since(q.arrived), Count: q.possibleRuns + q.refusals, Head: q.headTime,
+		Stages: q.timings.stagesWait, First: q.timings.firstEvent, Pause: q.timings.longestPause, Known: q.knowledgeAge,
+		LastEvent: q.lastEventID, Sources: q.sources, Framing: string(q.framing),
 	})
-	q.relay.metrics.ended(status, q.reason, time.Since(q.arrived))
-	q.relay.metrics.took(&q.parts)
+	q.relay.metrics.recordResponse(status, q.reason, time.Since(q.arrived))
+	q.relay.metrics.recordTimings(&q.timings)
 	if status == http.StatusOK && q.service != "" {
 		q.relay.options.Budgets.Succeeded(time.Now(), q.service)
 	}
--- a/daemon/relay/answer_test.go
+++ b/daemon/relay/answer_test.go
@@ -18,7 +18,7 @@
 // TestLongAnswerIsNotCutForASecondAttempt guards against an answer that is cut by our own
 // bound of its target's silence, when its caller has a part of it.
 func TestLongAnswerIsNotCutForASecondAttempt(t *testing.T) {
-	body := strings.Repeat("x", 2*bufferedAnswer)
+	body := strings.Repeat("x", 2*maxBufferedReply)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, body) // a failure shows in what the caller gets
 	}))
@@ -35,7 +35,7 @@
 		route: &routes.Route{Kind: routes.KindIdempotent, MaxAttempts: 2}, arrived: time.Now(),
 	}
 	silence := time.NewTimer(time.Hour)
-	_, err = q.passOn(t.Context(), reply, silence)
+	_, err = q.forwardReply(t.Context(), reply, silence)
 	require.NoError(t, err)
 	require.Equal(t, body, w.Body.String())
 	require.False(t, silence.Stop(), "the bound of the silence still holds")
--- a/daemon/relay/content.go
+++ b/daemon/relay/content.go
@@ -14,22 +14,22 @@
 )
 
 // blockedError refuses a request since it crashes targets.
-type blockedError struct{ left time.Duration }
+type blockedError struct{ remaining time.Duration }
 
 func (e *blockedError) Error() string { return "the request crashes targets" }
 
 // digest returns the digest of what the request's repeats have in common. It must not be
 // called before the body was read.
 func (q *request) digest() quarantine.Digest {
-	if q.content == nil {
+	if q.contentDigest == nil {
 		content := quarantine.DigestOf(q.route.Host, q.r.URL.RequestURI(), q.account, q.body)
-		q.content = &content
+		q.contentDigest = &content
 	}
-	return *q.content
+	return *q.contentDigest
 }
 
 // admitContent tells whether the request may be sent to a target: a *blockedError if not.
-func (q *request) admitContent(ctx context.Context) error {
+func (q *request) checkBlocklist(ctx context.Context) error {
 	known := q.relay.options.Blocklist
 	if known.Empty() {
 		return nil
@@ -50,28 +50,28 @@
 // A target that ends takes all its connections with it, and then nothing listens at its
 // address. One that breaks a single answer off, or whose connection something on the way
 // has reset, still listens. One that was to leave has ended as planned.
-func (q *request) noteEnd(ctx context.Context, err error) {
+func (q *request) recordAttemptEnd(ctx context.Context, err error) {
 	known := q.relay.options.Blocklist
 	var f *failure
 	switch {
 	case err == nil, errors.As(err, &f) && f.reply != nil:
-		known.EndedWell(q.digest())
-	case f != nil && f.broken && forward.NothingListens(ctx, q.address):
+		known.RecordCompletion(q.digest())
+	case f != nil && f.connectionBroken && forward.NothingListens(ctx, q.address):
 		f.nothingListens = true
 		if q.relay.options.InUse(q.targetName) {
-			known.Crashed(q.digest(), q.target)
+			known.RecordCrash(q.digest(), q.target)
 		}
 	}
 }
 
 // noteStages records that stage targets ended under calls of the request, the last of them
 // under one that had no pieces of others.
-func (q *request) noteStages(err error) {
+func (q *request) recordStageCrashes(err error) {
 	var refused *stages.RefusedError
 	if !errors.As(err, &refused) || refused.Reason != gather.ReasonCrashesStageTargets {
 		return
 	}
 	for i := range gather.MaxCrashes {
-		q.relay.options.Blocklist.Crashed(q.digest(), fmt.Sprintf("stages of %.32s, %d", q.call.ID, i+1))
+		q.relay.options.Blocklist.RecordCrash(q.digest(), fmt.Sprintf("stages of %.32s, %d", q.call.ID, i+1))
 	}
 }
--- a/daemon/relay/durations.go
+++ b/daemon/relay/durations.go
@@ -9,7 +9,7 @@
 
 // maxKinds bounds the kinds of request that durations are known of: several times the
 // routes of a configuration.
-const maxKinds = 1024
+const maxRoutes = 1024
 
 // durations are the usual times of answers by route, from the sending of the request
 // to the answer's end.
@@ -26,7 +26,7 @@
 	defer d.mu.Unlock()
 	u := d.byRoute[route]
 	if u == nil {
-		if len(d.byRoute) >= maxKinds {
+		if len(d.byRoute) >= maxRoutes {
 			clear(d.byRoute)
 		}
 		u = &drain.DurationEstimate{}
@@ -36,7 +36,7 @@
 }
 
 // usual is how long an answer of a route usually takes.
-func (d *durations) usual(route string) time.Duration {
+func (d *durations) estimate(route string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if u := d.byRoute[route]; u != nil {
--- a/daemon/relay/metrics.go
+++ b/daemon/relay/metrics.go
@@ -27,7 +27,7 @@
 
 // ended counts a final answer. Reason is one of this package's own; an answer of a
 // target has none.
-func (m metrics) ended(status int, reason string, elapsed time.Duration) {
+func (m metrics) recordResponse(status int, reason string, elapsed time.Duration) {
 	result := resultOf(status, reason)
 	if reason == "" {
 		reason = "none"
@@ -37,15 +37,15 @@
 }
 
 // took takes in the times of a request's parts.
-func (m metrics) took(p *parts) {
-	if p.stages > 0 {
-		m.stagesWait.Record(p.stages)
+func (m metrics) recordTimings(p *timings) {
+	if p.stagesWait > 0 {
+		m.stagesWait.Record(p.stagesWait)
 	}
-	if p.first > 0 {
-		m.firstEvent.Record(p.first)
+	if p.firstEvent > 0 {
+		m.firstEvent.Record(p.firstEvent)
 	}
-	if p.pause > 0 {
-		m.longestPause.Record(p.pause)
+	if p.longestPause > 0 {
+		m.longestPause.Record(p.longestPause)
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // attempt counts the end of an attempt that brought no answer.
-func (m metrics) attempt(notRun bool) {
+func (m metrics) recordFailedAttempt(notRun bool) {
 	outcome := "may_have_run"
 	if notRun {
 		outcome = "not_run"
--- a/daemon/relay/parts.go
+++ b/daemon/relay/parts.go
@@ -3,26 +3,26 @@
 import "time"
 
 // parts are the times that the parts of a request took.
-type parts struct {
+type timings struct {
 	// stages is the wait for the results of its stages, in all attempts together.
-	stages time.Duration
+	stagesWait time.Duration
 	// sent is when the latest attempt began.
-	sent time.Time
+	attemptStart time.Time
 	// first is the time from the sending of an attempt to its first event, or to its
 	// whole answer where that is no stream.
-	first time.Duration
+	firstEvent time.Duration
 	// pause is the longest time between two events that followed one another.
-	pause time.Duration
+	longestPause time.Duration
 	// latest is when the latest event came.
-	latest time.Time
+	latestEvent time.Time
 }
 
 // event notes that events, or a whole answer, came.
-func (p *parts) event(now time.Time) {
-	if p.latest.IsZero() {
-		p.first = now.Sub(p.sent)
+func (p *timings) recordEvent(now time.Time) {
+	if p.latestEvent.IsZero() {
+		p.firstEvent = now.Sub(p.attemptStart)
 	} else {
-		p.pause = max(p.pause, now.Sub(p.latest))
+		p.longestPause = max(p.longestPause, now.Sub(p.latestEvent))
 	}
-	p.latest = now
+	p.latestEvent = now
 }
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -33,7 +33,7 @@
 )
 
 // Maker has the stages of a request run.
-type Maker interface {
+type StageRunner interface {
 	Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Result, error)
 	Drop(owner string, served placing.RequestEnd)
 	// EngineGone tells an owner that nothing listens at an engine's address.
@@ -54,17 +54,17 @@
 	// Confirm asks whether a newer configuration exists.
 	Confirm func(ctx context.Context) bool
 	// Known tells how old the knowledge of the targets is.
-	Known  func() time.Duration
-	Router *routing.Table
-	Client *forward.Client
+	KnowledgeAge func() time.Duration
+	Router       *routing.Table
+	Client       *forward.Client
 	// Shares tells which share of a service's targets each data centre has.
-	Shares  func(service string) map[string]float64
-	Stages  Maker
-	Budgets *retrybudget.Budgets
+	TargetShares func(service string) map[string]float64
+	Stages       StageRunner
+	Budgets      *retrybudget.Budgets
 	// Blocklist refuses requests that crash their targets.
 	Blocklist blocklist.Records
 	// Leaving is told of a target that takes nothing new.
-	Leaving func(incarnation string)
+	OnLeaving func(incarnation string)
 	// InUse tells whether a target of the name may take something new, whichever its start.
 	InUse  func(name string) bool
 	Tracer trace.Tracer
@@ -76,17 +76,17 @@
 	options Options
 	metrics metrics
 	// stopping is the planned stop, begun or not.
-	stopping  *stopping
-	durations *durations
-	waiting   *waiting
-	ids       *ids
-	started   time.Time
-	inFlight  atomic.Int64
+	stop         *plannedStop
+	durations    *durations
+	stageWaiters *stageWaiters
+	activeIDs    *activeIDs
+	started      time.Time
+	inFlight     atomic.Int64
 }
 
 // New returns a relay.
 func New(o Options) *Relay {
-	return &Relay{options: o, metrics: newMetrics(o.Scope), stopping: newStopping(), durations: newDurations(), waiting: newWaiting(), ids: newIDs(), started: time.Now()}
+	return &Relay{options: o, metrics: newMetrics(o.Scope), stop: newPlannedStop(), durations: newDurations(), stageWaiters: newStageWaiters(), activeIDs: newActiveIDs(), started: time.Now()}
 }
 
 // InFlight returns the number of requests without their final answer.
@@ -106,11 +106,11 @@
 // startWithin is how long after its start an instance has requests wait for its
 // configuration and its targets. It has them sooner than a caller would come back who
 // is refused; later, only if the store is away.
-const startWithin = time.Second
+const maxStartupWait = time.Second
 
 // awaitStart waits while the instance has just started and isn't ready.
-func (s *Relay) awaitStart(ctx context.Context) {
-	left := startWithin - time.Since(s.started)
+func (s *Relay) awaitStartup(ctx context.Context) {
+	left := maxStartupWait - time.Since(s.started)
 	if s.options.AwaitReady == nil || left <= 0 {
 		return
 	}
@@ -136,14 +136,14 @@
 	body     []byte
 	// content is the digest of what the request's repeats have in common, once it was
 	// asked for.
-	content *quarantine.Digest
+	contentDigest *quarantine.Digest
 	// onTrial tells that this is the one run of its content that is allowed.
 	onTrial bool
 	service string
 
 	arrived time.Time
 	// head is how long the head took to come in.
-	head      time.Duration
+	headTime  time.Duration
 	objective time.Time
 	deadline  time.Time
 
@@ -151,26 +151,26 @@
 	// that nothing ran.
 	mayHaveRun bool
 	// sent counts the attempts that may have run, refused those that didn't.
-	sent, refused int
-	excluded      []string
+	possibleRuns, refusals int
+	excluded               []string
 	// paid tells that the budget has given the next attempt.
-	paid atomic.Bool
+	retryPaid atomic.Bool
 	// target is the incarnation of the latest attempt's target, targetName its name whichever
 	// its start, address where it listens.
 	target, targetName, address string
 	// known is how old the knowledge was by which the target was chosen.
-	known time.Duration
+	knowledgeAge time.Duration
 	// stage results
-	handles []string
-	owner   string
+	resultHandles []string
+	owner         string
 	// engine is the incarnation that the holder of the stage queue chose for the
 	// request; empty if it chose none.
-	engine string
+	preferredEngine string
 
 	// headerSent is set once the caller has the head of the answer.
 	headerSent bool
 	// lastEvent is the last whole event that the caller has.
-	lastEvent string
+	lastEventID string
 	// notResumable tells that the caller has events behind lastEvent that have no id.
 	notResumable bool
 	// sources counts the targets whose events the caller has.
@@ -178,7 +178,7 @@
 	// framing is how the latest target marks the end of its answer.
 	framing forward.Framing
 	// parts are the times that its parts took, for the log.
-	parts parts
+	timings timings
 	// reason is why an answer of our own was given, for the log.
 	reason string
 }
@@ -190,10 +190,10 @@
 	if chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{relay: s, w: w, r: r, arrived: time.Now(), head: inbound.HeadTime(r.Context())}
-	ctx, release := q.untilStopped(r.Context())
+	q := &request{relay: s, w: w, r: r, arrived: time.Now(), headTime: inbound.HeadTime(r.Context())}
+	ctx, release := q.withStopEnd(r.Context())
 	defer release()
-	defer q.giveBackID()
+	defer q.releaseID()
 	if !q.accept(ctx) {
 		return
 	}
@@ -201,7 +201,7 @@
 	defer cancel()
 	ctx, span := s.options.Tracer.Start(ctx, "request "+q.route.Name)
 	defer span.End()
-	defer q.dropResults()
+	defer q.freeResults()
 	q.run(ctx)
 }
 
@@ -220,7 +220,7 @@
 		q.deny(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 		return false
 	}
-	q.relay.awaitStart(ctx)
+	q.relay.awaitStartup(ctx)
 	table := q.relay.options.Table()
 	if table == nil {
 		q.refuse("no_configuration", time.Second)
@@ -235,14 +235,14 @@
 		q.deny(http.StatusBadRequest, "the request has no id")
 		return false
 	}
-	if q.hasID = q.relay.ids.take(q.call.ID); !q.hasID {
+	if q.hasID = q.relay.activeIDs.claim(q.call.ID); !q.hasID {
 		q.deny(http.StatusBadRequest, idInUse)
 		return false
 	}
 	if status := q.authorize(table); status != 0 {
 		// A version that allows the request may be a moment old.
 		q.relay.options.Confirm(ctx)
-		if errors.Is(context.Cause(ctx), errStopOver) {
+		if errors.Is(context.Cause(ctx), errStopEnded) {
 			q.refuse("stopping", minRetryAfter)
 			return false
 		}
@@ -251,8 +251,8 @@
 			return false
 		}
 	}
-	q.setTimes()
-	if window, stopping := q.relay.draining(); stopping && !window.Accepts(q.drainRequest()) {
+	q.setDeadlines()
+	if window, stopping := q.relay.stopWindow(); stopping && !window.Accepts(q.drainRequest()) {
 		q.refuse("stopping", minRetryAfter)
 		return false
 	}
@@ -262,9 +262,9 @@
 // idInUse denies a request under the id of another one that is in progress.
 const idInUse = "the id is that of another request in progress"
 
-func (q *request) giveBackID() {
+func (q *request) releaseID() {
 	if q.hasID {
-		q.relay.ids.giveBack(q.call.ID)
+		q.relay.activeIDs.release(q.call.ID)
 	}
 }
 
@@ -301,7 +301,7 @@
 }
 
 // setTimes works out when the answer is due.
-func (q *request) setTimes() {
+func (q *request) setDeadlines() {
 	timeout := q.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -345,16 +345,16 @@
 // It guards against a body that doesn't come: its connection would stay until the end
 // of a planned stop, and be closed then without an answer.
 func (q *request) readAll(limit int64) ([]byte, error) {
-	wait := &bodyWait{controller: http.NewResponseController(q.w)}
-	wait.until(q.deadline)
-	release := context.AfterFunc(q.relay.stopping.begun, func() {
-		window, _ := q.relay.draining()
-		wait.until(earlier(q.deadline, window.SendDeadline(q.drainRequest())))
+	wait := &bodyReadDeadline{controller: http.NewResponseController(q.w)}
+	wait.set(q.deadline)
+	release := context.AfterFunc(q.relay.stop.begun, func() {
+		window, _ := q.relay.stopWindow()
+		wait.set(earlier(q.deadline, window.SendDeadline(q.drainRequest())))
 	})
 	defer release()
 	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, limit))
 	if err == nil {
-		wait.end()
+		wait.remove()
 	}
 	return body, err
 }
@@ -373,12 +373,12 @@
 		again, err := q.attempt(ctx)
 		if !again {
 			if err != nil {
-				q.answerFailure(ctx, err)
+				q.sendFailure(ctx, err)
 			}
 			return
 		}
 		if ctx.Err() != nil {
-			q.answerFailure(ctx, context.Cause(ctx))
+			q.sendFailure(ctx, context.Cause(ctx))
 			return
 		}
 	}
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -31,17 +31,17 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			q := &request{route: &routes.Route{LatencyObjective: c.objective, MaxEventGap: c.pause}, arrived: began, deadline: began.Add(c.deadline)}
-			require.Equal(t, began.Add(c.due-answerMargin), q.nextEventDue(began))
+			require.Equal(t, began.Add(c.due-answerMargin), q.eventDeadline(began))
 		})
 	}
 }
 
 // The last part of a prompt is the request's own; what others read too is before it.
 func TestSubjectIsTheLastSharedPart(t *testing.T) {
-	require.Empty(t, subject(nil))
-	require.Equal(t, "a", subject([]routing.PrefixPart{{ID: "a"}}))
-	require.Equal(t, "a", subject([]routing.PrefixPart{{ID: "a"}, {ID: "own"}}))
-	require.Equal(t, "b", subject([]routing.PrefixPart{{ID: "a"}, {ID: "b"}, {ID: "own"}}))
+	require.Empty(t, lastSharedPart(nil))
+	require.Equal(t, "a", lastSharedPart([]routing.PrefixPart{{ID: "a"}}))
+	require.Equal(t, "a", lastSharedPart([]routing.PrefixPart{{ID: "a"}, {ID: "own"}}))
+	require.Equal(t, "b", lastSharedPart([]routing.PrefixPart{{ID: "a"}, {ID: "b"}, {ID: "own"}}))
 }
 
 // Requests are shared out by weight, and a service of weight nought gets none.
@@ -63,9 +63,9 @@
 	route := &routes.Route{LatencyObjective: 1400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond}
 	q := &request{route: route, arrived: began, deadline: began.Add(20 * time.Second)}
 	broke := began.Add(5 * time.Second)
-	require.Equal(t, began.Add(5600*time.Millisecond-answerMargin), q.nextEventDue(broke))
+	require.Equal(t, began.Add(5600*time.Millisecond-answerMargin), q.eventDeadline(broke))
 	q.headerSent = true
-	require.Equal(t, broke.Add(5600*time.Millisecond-answerMargin), q.nextEventDue(broke))
+	require.Equal(t, broke.Add(5600*time.Millisecond-answerMargin), q.eventDeadline(broke))
 }
 
 // A caller says that its prompt has more tokens than any engine holds, or fewer than
@@ -85,7 +85,7 @@
 // silence, though no other target can go on with it.
 func TestStreamThatCannotGoOnMayPause(t *testing.T) {
 	q := &request{route: &routes.Route{MaxEventGap: 300 * time.Millisecond, Kind: routes.KindStreaming, Resumable: true, MaxAttempts: 2}}
-	require.Equal(t, silentGap, q.gapBound())
+	require.Equal(t, maxEventGap, q.eventTimeout())
 	q.notResumable = true
-	require.Equal(t, unbounded, q.gapBound())
+	require.Equal(t, noTimeout, q.eventTimeout())
 }
--- a/daemon/relay/results.go
+++ b/daemon/relay/results.go
@@ -11,9 +11,9 @@
 	if !q.route.PrefixCaching {
 		return placing.Prompt{}
 	}
-	p := placing.Prompt{Pool: q.service, Tokens: boundTokens(q.call.PromptTokens), Exclude: q.excluded}
+	p := placing.Prompt{Pool: q.service, Tokens: clampTokens(q.call.PromptTokens), Exclude: q.excluded}
 	for _, part := range q.call.Prefix {
-		p.Parts = append(p.Parts, placing.Part{ID: part.ID, Tokens: boundTokens(part.Tokens)})
+		p.Parts = append(p.Parts, placing.Part{ID: part.ID, Tokens: clampTokens(part.Tokens)})
 	}
 	return p
 }
@@ -22,16 +22,16 @@
 // largest engines hold: a length that overflows would be predicted to take no time.
 const maxPromptTokens = 1 << 22
 
-func boundTokens(n int) int { return min(max(n, 0), maxPromptTokens) }
+func clampTokens(n int) int { return min(max(n, 0), maxPromptTokens) }
 
 // dropResults gives the stages' results back.
-func (q *request) dropResults() { q.release(0) }
+func (q *request) freeResults() { q.releaseResults(0) }
 
 // release gives the stages' results back and tells how the engine did that was chosen
 // with them: the time to the first event, or 0 without one.
-func (q *request) release(first time.Duration) {
+func (q *request) releaseResults(first time.Duration) {
 	if q.owner != "" {
 		q.relay.options.Stages.Drop(q.owner, placing.RequestEnd{Request: q.call.ID, Engine: q.target, FirstEvent: first})
 	}
-	q.owner, q.handles, q.engine = "", nil, ""
+	q.owner, q.resultHandles, q.preferredEngine = "", nil, ""
 }
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -44,8 +44,8 @@
 		status                   int
 	}{
 		"ready soon":            {200 * time.Millisecond, 50 * time.Millisecond, 200 * time.Millisecond, http.StatusNotFound},
-		"the store is away":     {time.Hour, 0, startWithin, http.StatusServiceUnavailable},
-		"away for a while":      {time.Hour, startWithin - time.Millisecond, startWithin, http.StatusServiceUnavailable},
+		"the store is away":     {time.Hour, 0, maxStartupWait, http.StatusServiceUnavailable},
+		"away for a while":      {time.Hour, maxStartupWait - time.Millisecond, maxStartupWait, http.StatusServiceUnavailable},
 		"away, and up for long": {time.Hour, time.Minute, time.Minute, http.StatusServiceUnavailable},
 	}
 	for name, c := range cases {
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -102,7 +102,7 @@
 }
 
 // stagedRelay is a relay with one target and one route of one stage.
-func stagedRelay(m Maker) *Relay {
+func stagedRelay(m StageRunner) *Relay {
 	route := &routes.Route{
 		Name: "r", Host: "example.com", Prefix: "/", LatencyObjective: 5 * time.Second, MaxEventGap: time.Second,
 		Timeout: 20 * time.Second, Stages: []routes.Stage{{Service: "stage"}},
@@ -216,7 +216,7 @@
 		w := httptest.NewRecorder()
 		began := time.Now()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
-		require.Equal(t, began.Add(4*time.Second+engineTime), (<-m.asked).Deadline)
+		require.Equal(t, began.Add(4*time.Second+engineFirstEventTime), (<-m.asked).Deadline)
 		// Its own deadline is 20 s, 15.75 s later.
 		require.Equal(t, "2.25", w.Header().Get("Retry-After"))
 	})
@@ -235,10 +235,10 @@
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodGet, "http://example.com/", nil)
 		q := &request{relay: s, w: w, r: r, route: route, arrived: time.Now(), deadline: time.Now().Add(time.Minute)}
-		held := &heldReply{status: http.StatusInternalServerError, body: []byte("its own")}
-		again, err := q.judge(t.Context(), &failure{cause: io.EOF, reply: held})
+		held := &bufferedReply{status: http.StatusInternalServerError, body: []byte("its own")}
+		again, err := q.decideRetry(t.Context(), &failure{cause: io.EOF, reply: held})
 		require.False(t, again)
-		q.answerFailure(t.Context(), err)
+		q.sendFailure(t.Context(), err)
 		require.Equal(t, http.StatusInternalServerError, w.Code)
 		require.Equal(t, "its own", w.Body.String())
 	})
--- a/daemon/relay/waiting.go
+++ b/daemon/relay/waiting.go
@@ -6,27 +6,27 @@
 )
 
 // waiting are the requests that wait for their stages.
-type waiting struct {
+type stageWaiters struct {
 	mu   sync.Mutex
 	byID map[string]*request
 }
 
-func newWaiting() *waiting { return &waiting{byID: map[string]*request{}} }
+func newStageWaiters() *stageWaiters { return &stageWaiters{byID: map[string]*request{}} }
 
-func (w *waiting) add(q *request) {
+func (w *stageWaiters) add(q *request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.byID[q.call.ID] = q
 }
 
-func (w *waiting) remove(q *request) {
+func (w *stageWaiters) remove(q *request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.byID, q.call.ID)
 }
 
 // due returns the requests by the time at which a planned stop needs their stages done.
-func (w *waiting) due(stop func(*request) time.Time) map[time.Time][]string {
+func (w *stageWaiters) byStageDeadline(stop func(*request) time.Time) map[time.Time][]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ids := map[time.Time][]string{}
