--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -64,7 +64,7 @@
 func (b *Blocklist) Empty() bool { return b.requests.Load() == 0 }
 
 // Crashed records that a target ended under a request.
-func (b *Blocklist) Crashed(digest quarantine.Digest, target string) {
+func (b *Blocklist) RecordCrash(digest quarantine.Digest, target string) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // EndedWell records that a target ran a request to an end of its own.
-func (b *Blocklist) EndedWell(digest quarantine.Digest) {
+func (b *Blocklist) RecordCompletion(digest quarantine.Digest) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -138,7 +138,7 @@
 func (f *fleet) crash(n int) {
 	for i := range n {
 		time.Sleep(time.Second)
-		f.instances[fmt.Sprint("at-", i%len(f.instances))].Crashed(digest, fmt.Sprint("target-", i))
+		f.instances[fmt.Sprint("at-", i%len(f.instances))].RecordCrash(digest, fmt.Sprint("target-", i))
 	}
 }
 
@@ -162,7 +162,7 @@
 				f.crash(3)
 				time.Sleep(heardWithin)
 				require.Equal(t, size, f.blocked())
-				f.instances["at-0"].EndedWell(digest)
+				f.instances["at-0"].RecordCompletion(digest)
 				time.Sleep(heardWithin)
 				require.Zero(t, f.blocked())
 			})
@@ -219,7 +219,7 @@
 		second := only.Admit(ctx, digest, time.Second)
 		require.Equal(t, quarantine.Blocked, second.State)
 		require.Positive(t, second.Remaining, "its caller is told when to come back")
-		only.EndedWell(digest)
+		only.RecordCompletion(digest)
 		require.Equal(t, quarantine.Allowed, only.Admit(ctx, digest, time.Second).State)
 	})
 }
--- a/daemon/blocklist/listing_wire_test.go
+++ b/daemon/blocklist/listing_wire_test.go
@@ -32,7 +32,7 @@
 				m := &member{fleet: &fleet{instances: map[string]*member{}}, handlers: map[string]peer.Handler{}}
 				m.Blocklist = New(m, quarantine.DefaultConfig(), tally.NoopScope)
 				for i := range row.crashes {
-					m.Crashed(quarantine.Digest{1}, string(rune('a'+i)))
+					m.RecordCrash(quarantine.Digest{1}, string(rune('a'+i)))
 				}
 				time.Sleep(row.age)
 				w := httptest.NewRecorder()
--- a/daemon/blocklist/records.go
+++ b/daemon/blocklist/records.go
@@ -16,9 +16,9 @@
 	// Judge tells what is known of a request here, without a word to other instances.
 	Judge(digest quarantine.Digest) quarantine.Verdict
 	// Crashed records that a target ended under a request.
-	Crashed(digest quarantine.Digest, target string)
+	RecordCrash(digest quarantine.Digest, target string)
 	// EndedWell records that a target ran a request to an end of its own.
-	EndedWell(digest quarantine.Digest)
+	RecordCompletion(digest quarantine.Digest)
 }
 
 // None are records without any, which keep none.
@@ -39,7 +39,7 @@
 func (None) Judge(quarantine.Digest) quarantine.Verdict { return quarantine.Verdict{} }
 
 // Crashed implements Records.
-func (None) Crashed(quarantine.Digest, string) {}
+func (None) RecordCrash(quarantine.Digest, string) {}
 
 // EndedWell implements Records.
-func (None) EndedWell(quarantine.Digest) {}
+func (None) RecordCompletion(quarantine.Digest) {}
--- a/daemon/execute/content.go
+++ b/daemon/execute/content.go
@@ -47,6 +47,6 @@
 	}
 	broken := failed.Reason == target.ReasonReset || failed.Reason == target.ReasonTruncated
 	if broken && a.opts.NothingListens(ctx, failed.Peer) {
-		a.opts.Blocklist.Crashed(a.content, a.choice.Target.Incarnation)
+		a.opts.Blocklist.RecordCrash(a.content, a.choice.Target.Incarnation)
 	}
 }
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -39,14 +39,14 @@
 }
 
 // Crashed counts each as that of another start of its target.
-func (r *records) Crashed(d quarantine.Digest, target string) {
+func (r *records) RecordCrash(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen++
 	r.table.RecordCrash(time.Now(), d, fmt.Sprint(target, r.seen))
 }
 
-func (r *records) EndedWell(d quarantine.Digest) {
+func (r *records) RecordCompletion(d quarantine.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.RecordCompletion(time.Now(), d)
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -115,7 +115,7 @@
 		return Result{}, r.seal(r.asFailure(ctx, err))
 	}
 	r.ledger.Seal()
-	r.opts.Blocklist.EndedWell(r.content)
+	r.opts.Blocklist.RecordCompletion(r.content)
 	last := len(r.outputs) - 1
 	return Result{Output: r.outputs[last], Tokens: r.tokens[last]}, nil
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -151,21 +151,21 @@
 	g.stages = stages.New(g.cluster, p.Dialect, g.client, g.follower, t.Scope)
 	g.blocklist = blocklist.New(g.cluster, quarantine.DefaultConfig(), t.Scope)
 	g.relay = relay.New(relay.Options{
-		Dialect:    p.Dialect,
-		Table:      g.follower.Table,
-		AwaitReady: g.awaitReady,
-		Confirm:    g.follower.Confirm,
-		Known:      g.follower.TargetsAge,
-		Router:     g.router,
-		Client:     g.client,
-		Shares:     g.sharesOf,
-		Stages:     g.stages,
-		Budgets:    retrybudget.New(g.retryConfig()),
-		Blocklist:  g.blocklist,
-		Leaving:    g.follower.Leaving,
-		InUse:      func(name string) bool { return has(&g.namesInUse, name) },
-		Tracer:     t.Tracer,
-		Scope:      t.Scope,
+		Dialect:      p.Dialect,
+		Table:        g.follower.Table,
+		AwaitReady:   g.awaitReady,
+		Confirm:      g.follower.Confirm,
+		KnowledgeAge: g.follower.TargetsAge,
+		Router:       g.router,
+		Client:       g.client,
+		TargetShares: g.sharesOf,
+		Stages:       g.stages,
+		Budgets:      retrybudget.New(g.retryConfig()),
+		Blocklist:    g.blocklist,
+		OnLeaving:    g.follower.Leaving,
+		InUse:        func(name string) bool { return has(&g.namesInUse, name) },
+		Tracer:       t.Tracer,
+		Scope:        t.Scope,
 	})
 	return g, nil
 }
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -19,42 +19,42 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// readBuffer is the size of one read of an answer, in bytes.
+// readBuffer is the size in bytes of one read of a reply.
 const readBuffer = 16 << 10
 
-// passOn gives the target's answer to the caller.
-func (q *request) passOn(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+// forwardReply forwards the target's reply to the caller.
+func (q *request) forwardReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	switch {
-	case q.streams() && reply.Status == http.StatusOK:
-		return q.passEvents(ctx, reply, silence)
+	case q.isStream() && reply.Status == http.StatusOK:
+		return q.forwardStream(ctx, reply, silence)
 	case q.headerSent:
-		// The caller has a part of a stream: no other answer can end it.
+		// The caller has a part of a stream, which no other kind of response can complete.
 		return routing.OutcomeOK, &failure{cause: errors.Newf("target continued the stream with status %d", reply.Status)}
 	default:
-		return q.passWhole(ctx, reply, silence)
+		return q.forwardPlainReply(ctx, reply, silence)
 	}
 }
 
-// passWhole passes an answer on that is no stream of events. What is not too
-// long is read whole before its head is sent.
-func (q *request) passWhole(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(reply, bufferedAnswer))
+// forwardPlainReply forwards a reply that isn't a stream of events. One that isn't too long is
+// read completely before its head is sent.
+func (q *request) forwardPlainReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedReply))
 	if err != nil {
-		return q.brokenOff(ctx, err)
+		return q.classifyReplyError(ctx, err)
 	}
-	q.dropResults()
-	q.parts.event(time.Now())
-	if reply.Status >= http.StatusInternalServerError && q.mayBetter() {
+	q.freeResults()
+	q.timings.recordEvent(time.Now())
+	if reply.Status >= http.StatusInternalServerError && q.mayRetry() {
 		return routing.OutcomeOK, &failure{
 			cause: errors.Newf("target failed with status %d", reply.Status),
-			reply: &heldReply{reply.Status, reply.Header, body},
+			reply: &bufferedReply{reply.Status, reply.Header, body},
 		}
 	}
-	if len(body) < bufferedAnswer {
-		q.sendHeld(&heldReply{reply.Status, reply.Header, body})
+	if len(body) < maxBufferedReply {
+		q.sendBuffered(&bufferedReply{reply.Status, reply.Header, body})
 		return routing.OutcomeOK, nil
 	}
-	silence.Stop() // no other target can better an answer whose caller has a part of it
+	silence.Stop() // the caller has a part of the response, so no other target can replace it
 	q.sendHead(reply.Status, reply.Header, reply.Length)
 	if _, err := q.w.Write(body); err == nil {
 		_, err = io.Copy(q.w, reply)
@@ -64,16 +64,16 @@
 		}
 		var f *forward.Error
 		if errors.As(err, &f) {
-			_, err = q.brokenOff(ctx, err)
-			q.noteEnd(ctx, err)
+			_, err = q.classifyReplyError(ctx, err)
+			q.recordAttemptEnd(ctx, err)
 		}
 	}
 	q.abort("answer_broken_off")
 	return routing.OutcomeFailed, nil // not reached: abort panics
 }
 
-// sendHeld sends a whole answer of a target.
-func (q *request) sendHeld(h *heldReply) {
+// sendBuffered sends a complete reply of a target to the caller.
+func (q *request) sendBuffered(h *bufferedReply) {
 	q.sendHead(h.status, h.header, int64(len(h.body)))
 	if _, err := q.w.Write(h.body); err != nil {
 		q.reason = "caller_left"
@@ -81,10 +81,10 @@
 	q.logEnd(h.status)
 }
 
-// sendHead sends the head of a target's answer.
+// sendHead sends the head of a target's reply to the caller.
 func (q *request) sendHead(status int, header http.Header, length int64) {
 	h := q.w.Header()
-	q.announceStop(h)
+	q.closeIfStopping(h)
 	for name, values := range q.relay.options.Dialect.CallerHeader(header) {
 		h[name] = values
 	}
@@ -97,8 +97,8 @@
 	q.writeHead(status)
 }
 
-// writeHead sends the one head of the answer. net/http would drop a second one, and have
-// what follows it end the answer.
+// writeHead sends the only head of the response. net/http would ignore a second one, and would
+// append what follows it to the response.
 func (q *request) writeHead(status int) {
 	if q.headerSent {
 		q.abort("stream_broken_off")
@@ -107,34 +107,34 @@
 	q.headerSent = true
 }
 
-// announceStop tells the caller of an instance that stops to go elsewhere with its next
-// request.
-func (q *request) announceStop(h http.Header) {
-	if _, stopping := q.relay.draining(); stopping {
+// closeIfStopping asks the caller of an instance that stops to open a new connection for its
+// next request, which then goes to another instance.
+func (q *request) closeIfStopping(h http.Header) {
+	if _, stopping := q.relay.stopWindow(); stopping {
 		h.Set("Connection", "close")
 	}
 }
 
-// passEvents passes a stream on, event by event: a target may stop in the middle
-// of one, and what goes on elsewhere begins with a whole one.
-func (q *request) passEvents(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
-	events := sse.NewSplitter(0, q.behind())
+// forwardStream forwards a stream event by event: a target may fail in the middle of an event,
+// and the target that resumes the stream begins with a complete one.
+func (q *request) forwardStream(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
+	events := sse.NewSplitter(0, q.requiredResumeID())
 	buffer := make([]byte, readBuffer)
 	controller := http.NewResponseController(q.w)
 	for {
 		n, readErr := reply.Read(buffer)
 		if n > 0 {
-			if q.handles != nil {
-				q.release(time.Since(q.parts.sent))
-				q.handles = []string{}
+			if q.resultHandles != nil {
+				q.releaseResults(time.Since(q.timings.attemptStart))
+				q.resultHandles = []string{}
 			}
-			err := q.takeEvents(reply, events, buffer[:n], controller)
-			silence.Reset(q.gapBound())
+			err := q.forwardEvents(reply, events, buffer[:n], controller)
+			silence.Reset(q.eventTimeout())
 			if err != nil {
-				return q.brokenOff(ctx, err)
+				return q.classifyReplyError(ctx, err)
 			}
 		}
-		if readErr == io.EOF && q.endsStream(events) {
+		if readErr == io.EOF && q.completesStream(events) {
 			if !q.headerSent {
 				q.sendHead(reply.Status, reply.Header, -1)
 			}
@@ -145,21 +145,21 @@
 			readErr = io.ErrUnexpectedEOF
 		}
 		if readErr != nil {
-			return q.brokenOff(ctx, readErr)
+			return q.classifyReplyError(ctx, readErr)
 		}
 	}
 }
 
-// takeEvents takes in bytes of a stream and sends the whole events. The error tells of what
-// is no event or doesn't follow those before it.
-func (q *request) takeEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
+// forwardEvents parses bytes of a stream and sends the complete events. It returns an error for
+// what is no event or doesn't follow the events before it.
+func (q *request) forwardEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
 	before := events.Events()
 	whole, err := events.Add(p)
 	q.notResumable = !events.Resumable()
 	if len(whole) > 0 {
-		q.parts.event(time.Now())
+		q.timings.recordEvent(time.Now())
 		q.sendEvents(reply, whole, controller)
-		q.lastEvent = events.LastID()
+		q.lastEventID = events.LastID()
 	}
 	if before == 0 && events.Events() > 0 {
 		q.sources++
@@ -167,35 +167,35 @@
 	return err
 }
 
-// behind is the id of the event that a target's stream must go on behind; empty if it
-// begins anew. Where streams aren't resumed, what a caller says of that is for the target
-// alone.
-func (q *request) behind() string {
+// requiredResumeID returns the ID of the event that a target's stream must continue after; empty
+// if the stream starts from the beginning. Where streams aren't resumed, the ID that a caller
+// sends is for the target alone.
+func (q *request) requiredResumeID() string {
 	if !q.route.MayRepeat() {
 		return ""
 	}
-	return q.lastID()
+	return q.resumeID()
 }
 
-// endsStream tells whether a target's stream that has ended is the rest of the caller's.
-// One that brought no event may have nothing left, if it says so by more than the end of
-// its connection.
-func (q *request) endsStream(events *sse.Splitter) bool {
+// completesStream reports whether a target's stream that has ended completes the caller's. A
+// stream without events may mean that nothing remained, but only if its end is marked by more
+// than the end of the connection.
+func (q *request) completesStream(events *sse.Splitter) bool {
 	if len(events.Torn()) > 0 {
 		return false
 	}
-	return events.Events() > 0 || q.behind() != "" && q.framing != forward.FramedByClose
+	return events.Events() > 0 || q.requiredResumeID() != "" && q.framing != forward.FramedByClose
 }
 
-// gapBound is how long a stream may pause before it goes on elsewhere.
-func (q *request) gapBound() time.Duration {
-	if !q.mayBetter() {
-		return unbounded
+// eventTimeout returns how long a stream may pause before it is resumed elsewhere.
+func (q *request) eventTimeout() time.Duration {
+	if !q.mayRetry() {
+		return noTimeout
 	}
-	return silentGap
+	return maxEventGap
 }
 
-// sendEvents sends whole events at once.
+// sendEvents sends complete events and flushes them.
 func (q *request) sendEvents(reply *forward.Reply, whole []byte, controller *http.ResponseController) {
 	if !q.headerSent {
 		q.sendHead(reply.Status, reply.Header, -1)
@@ -211,9 +211,10 @@
 	}
 }
 
-// brokenOff tells what an answer means that ended early.
-func (q *request) brokenOff(ctx context.Context, err error) (routing.Outcome, error) {
-	outcome, failed := q.failed(ctx, err)
+// classifyReplyError returns the outcome of an attempt whose reply ended early: the target may
+// have run the request.
+func (q *request) classifyReplyError(ctx context.Context, err error) (routing.Outcome, error) {
+	outcome, failed := q.classifyError(ctx, err)
 	var f *failure
 	if errors.As(failed, &f) {
 		f.notRun = false
@@ -221,11 +222,11 @@
 	return outcome, failed
 }
 
-// answerFailure sends the final answer of a request that no target answered.
-func (q *request) answerFailure(ctx context.Context, err error) {
+// sendFailure sends the final response to a request that no target has answered.
+func (q *request) sendFailure(ctx context.Context, err error) {
 	var f *failure
 	if errors.As(err, &f) && f.reply != nil && !q.headerSent {
-		q.sendHeld(f.reply)
+		q.sendBuffered(f.reply)
 		return
 	}
 	if q.headerSent {
@@ -239,7 +240,7 @@
 	var refused *stages.RefusedError
 	var none *routing.NoTargetError
 	var blocked *blockedError
-	stopped := errors.Is(err, errNoTimeToSend) || errors.Is(err, errStopOver)
+	stopped := errors.Is(err, errNoTimeToSend) || errors.Is(err, errStopEnded)
 	late := errors.Is(err, errDeadline) || ctx.Err() != nil
 	switch {
 	case isIDInUse(err) && !q.mayHaveRun:
@@ -249,7 +250,7 @@
 	case stopped:
 		q.fail(http.StatusGatewayTimeout, "stopping")
 	case errors.As(err, &blocked) && !q.mayHaveRun:
-		q.refuse(reasonCrashes, blocked.left)
+		q.refuse(reasonCrashes, blocked.remaining)
 	case errors.As(err, &refused) && !q.mayHaveRun:
 		q.refuse(string(refused.Reason), refused.RetryAfter)
 	case errors.As(err, &none) && !q.mayHaveRun:
@@ -265,65 +266,64 @@
 	}
 }
 
-// isIDInUse tells whether the holder of the stage queue has another request of the id.
+// isIDInUse reports whether the holder of the stage queue has another request with the ID.
 func isIDInUse(err error) bool {
 	var refused *stages.RefusedError
 	return errors.As(err, &refused) && refused.Reason == gather.ReasonIDInUse
 }
 
-// reasonCrashes is the reason of a refusal since the request crashes targets.
+// reasonCrashes is the reason of refusing a request because it crashes targets.
 const reasonCrashes = "crashes_targets"
 
-// minRetryAfter is the least time to come back: about one stage call.
+// minRetryAfter is the shortest retry delay: about one stage call.
 const minRetryAfter = 250 * time.Millisecond
 
-// refuse says that the request has not run and when to come back.
+// refuse responds that the request has not run, and when to retry.
 func (q *request) refuse(reason string, after time.Duration) {
 	q.w.Header().Set("Retry-After", strconv.FormatFloat(max(after, minRetryAfter).Seconds(), 'f', 2, 64))
-	q.answer(http.StatusServiceUnavailable, reason, "not run: "+reason)
+	q.respond(http.StatusServiceUnavailable, reason, "not run: "+reason)
 }
 
-// fail says that the request may have run.
+// fail responds that the request may have run.
 func (q *request) fail(status int, reason string) {
-	q.answer(status, reason, "the request may have run: "+reason)
+	q.respond(status, reason, "the request may have run: "+reason)
 }
 
-// deny refuses what is not allowed or not well formed.
+// deny rejects a request that is not allowed or malformed.
 func (q *request) deny(status int, text string) {
-	q.answer(status, "denied", text)
+	q.respond(status, "denied", text)
 }
 
-// answer sends an answer of the system's own.
-func (q *request) answer(status int, reason, text string) {
+// respond sends a response of the system's own.
+func (q *request) respond(status int, reason, text string) {
 	q.reason = reason
 	h := q.w.Header()
-	q.announceStop(h)
+	q.closeIfStopping(h)
 	q.relay.options.Dialect.StampAnswer(h, q.call.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	body := text + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	q.writeHead(status)
-	_, _ = fmt.Fprint(q.w, body) // a caller that left needs no answer
+	_, _ = fmt.Fprint(q.w, body) // a caller that left needs no response
 	q.logEnd(status)
 }
 
-// abort closes the caller's connection, so that an answer which isn't whole
-// can't look so.
+// abort closes the caller's connection, so that an incomplete response can't look complete.
 func (q *request) abort(reason string) {
 	q.reason = reason
 	q.logEnd(0)
-	q.dropResults()
+	q.freeResults()
 	panic(http.ErrAbortHandler)
 }
 
-// logEnd writes the line of the request's end. Status is 0 if the caller's connection is
-// closed before the end of the answer.
+// logEnd logs the end of the request. Status is 0 if the caller's connection is closed before
+// the end of the response.
 func (q *request) logEnd(status int) {
 	route, digest := "", ""
 	if q.route != nil {
 		route = q.route.Name
 	}
-	if q.sent+q.refused > 0 {
+	if q.possibleRuns+q.refusals > 0 {
 		digest = q.digest().String()
 	}
 	if q.reason == "caller_left" && inbound.ClosedHere(q.r.Context()) {
@@ -331,12 +331,12 @@
 	}
 	telemetry.InfoS("Request ended", telemetry.Event{
 		RequestID: q.call.ID, Digest: digest, Pipeline: route, Target: q.target, Reason: q.reason,
-		Status: status, Elapsed: time.Since(q.arrived), Count: q.sent + q.refused, Head: q.head,
-		Stages: q.parts.stages, First: q.parts.first, Pause: q.parts.pause, Known: q.known,
-		LastEvent: q.lastEvent, Sources: q.sources, Framing: string(q.framing),
+		Status: status, Elapsed: time.Since(q.arrived), Count: q.possibleRuns + q.refusals, Head: q.headTime,
+		Stages: q.timings.stagesWait, First: q.timings.firstEvent, Pause: q.timings.longestPause, Known: q.knowledgeAge,
+		LastEvent: q.lastEventID, Sources: q.sources, Framing: string(q.framing),
 	})
-	q.relay.metrics.ended(status, q.reason, time.Since(q.arrived))
-	q.relay.metrics.took(&q.parts)
+	q.relay.metrics.recordResponse(status, q.reason, time.Since(q.arrived))
+	q.relay.metrics.recordTimings(&q.timings)
 	if status == http.StatusOK && q.service != "" {
 		q.relay.options.Budgets.Succeeded(time.Now(), q.service)
 	}
--- a/daemon/relay/answer_test.go
+++ b/daemon/relay/answer_test.go
@@ -15,12 +15,12 @@
 	"github.com/ivyhollow/ivyhollow/transport/forward"
 )
 
-// TestLongAnswerIsNotCutForASecondAttempt guards against an answer that is cut by our own
-// bound of its target's silence, when its caller has a part of it.
-func TestLongAnswerIsNotCutForASecondAttempt(t *testing.T) {
-	body := strings.Repeat("x", 2*bufferedAnswer)
+// A reply that is too long to be buffered is forwarded in parts. The first byte timeout must not
+// cancel it while it is forwarded: its caller has a part of it, so no retry can replace it.
+func TestLongReplyIsNotCutForRetry(t *testing.T) {
+	body := strings.Repeat("x", 2*maxBufferedReply)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, body) // a failure shows in what the caller gets
+		_, _ = io.WriteString(w, body) // a failed write is detected by the length of the response
 	}))
 	defer target.Close()
 	out, err := http.NewRequest(http.MethodGet, target.URL, nil)
@@ -35,8 +35,8 @@
 		route: &routes.Route{Repeat: routes.Idempotent, MaxAttempts: 2}, arrived: time.Now(),
 	}
 	silence := time.NewTimer(time.Hour)
-	_, err = q.passOn(t.Context(), reply, silence)
+	_, err = q.forwardReply(t.Context(), reply, silence)
 	require.NoError(t, err)
 	require.Equal(t, body, w.Body.String())
-	require.False(t, silence.Stop(), "the bound of the silence still holds")
+	require.False(t, silence.Stop(), "the timer of the target's silence still runs")
 }
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -19,123 +19,121 @@
 	"github.com/ivyhollow/ivyhollow/transport/forward"
 )
 
-// Bounds of attempts.
 const (
-	// maxRefused bounds the targets that refuse one request in turn.
-	maxRefused = 3
-	// silentFirst is how long a target that may be replaced has for its first
-	// byte: several times what an engine takes for the longest prompts.
-	silentFirst = 1200 * time.Millisecond
-	// silentGap is how long a stream that may go on elsewhere may pause: a few
-	// times the pause at which it is late.
-	silentGap = 1200 * time.Millisecond
-	// hedgeShare is the share of the objective that a target which may be
-	// replaced has for a plain answer, so that a second one can be on time.
+	// maxRefusals limits the targets that refuse one request in turn.
+	maxRefusals = 3
+	// maxFirstByteDelay is the time to the first byte after which a target is replaced, if
+	// that is allowed: several times what an engine takes for the longest prompts.
+	maxFirstByteDelay = 1200 * time.Millisecond
+	// maxEventGap is the longest pause of a stream that may be resumed elsewhere: a few times
+	// the pause that misses its objective.
+	maxEventGap = 1200 * time.Millisecond
+	// hedgeShare is the share of the objective after which a plain request may be sent to
+	// another target, so that the second response can still meet the objective.
 	hedgeShare = 0.7
-	// bufferedAnswer is the size, in bytes, up to which an answer is read whole
-	// before its head is passed on: until then another target may replace one
-	// that breaks off.
-	bufferedAnswer = 64 << 10
+	// maxBufferedReply is the size, in bytes, up to which a reply is read completely before
+	// its head is forwarded. Until then another target may replace one that breaks off.
+	maxBufferedReply = 64 << 10
 )
 
-var errSilent = errors.New("the target was silent for too long")
+var errTargetSilent = errors.New("the target was silent for too long")
 
-// attempt sends the request to one target. It tells whether another attempt is
-// to follow; otherwise either the answer has been passed on or the error says
-// why there is none.
-func (q *request) attempt(ctx context.Context) (again bool, err error) {
-	if err := q.admitContent(ctx); err != nil {
+// attempt sends the request to one target. It reports whether another attempt is to follow.
+// If not, either the response has been forwarded or the error is the reason why there is
+// none.
+func (q *request) attempt(ctx context.Context) (retry bool, err error) {
+	if err := q.checkBlocklist(ctx); err != nil {
 		return false, err
 	}
-	choice, err := q.pick()
+	choice, err := q.pickTarget()
 	if err != nil {
 		return false, err
 	}
-	if len(q.route.Stages) > 0 && q.handles == nil {
-		if err := q.makeStages(ctx, choice.Target.DataCentre); err != nil {
+	if len(q.route.Stages) > 0 && q.resultHandles == nil {
+		if err := q.runStages(ctx, choice.Target.DataCentre); err != nil {
 			return false, err
 		}
-		// Seconds may have passed since the choice.
-		if err := q.admitContent(ctx); err != nil {
+		// The stages may have taken seconds, so the target is chosen again.
+		if err := q.checkBlocklist(ctx); err != nil {
 			return false, err
 		}
-		if choice, err = q.pick(); err != nil {
+		if choice, err = q.pickTarget(); err != nil {
 			return false, err
 		}
 	}
 	started := time.Now()
-	if q.tooLateToSend(started) {
+	if q.pastSendDeadline(started) {
 		return false, errNoTimeToSend
 	}
 	q.target, q.targetName, q.address = choice.Target.Incarnation, choice.Target.Name, choice.Target.Address
-	q.known = q.relay.options.Known()
-	q.parts.sent = started
-	handle := q.relay.options.Router.Started(started, q.target, 1)
-	outcome, err := q.exchange(ctx, choice.Target)
-	handle.Done(time.Now(), routing.Result{Outcome: outcome, Latency: time.Since(started)})
-	q.noteEnd(ctx, err)
+	q.knowledgeAge = q.relay.options.KnowledgeAge()
+	q.timings.attemptStart = started
+	attempt := q.relay.options.Router.Started(started, q.target, 1)
+	outcome, err := q.sendAttempt(ctx, choice.Target)
+	attempt.Done(time.Now(), routing.Result{Outcome: outcome, Latency: time.Since(started)})
+	q.recordAttemptEnd(ctx, err)
 	if err == nil {
 		if outcome == routing.OutcomeOK {
 			q.relay.durations.observe(q.route.Name, time.Since(started))
 		}
 		return false, nil
 	}
-	return q.judge(ctx, err)
+	return q.decideRetry(ctx, err)
 }
 
-// pick chooses a target for the request itself.
-func (q *request) pick() (routing.Choice, error) {
+// pickTarget chooses a target for the request itself, as opposed to its stages.
+func (q *request) pickTarget() (routing.Choice, error) {
 	query := routing.Query{
-		Pool: q.service, Model: q.call.Model, Exclude: q.excluded, Rank: q.priority, Preferred: q.engine,
+		Pool: q.service, Model: q.call.Model, Exclude: q.excluded, Rank: q.priority, Preferred: q.preferredEngine,
 	}
 	if q.route.PromptRoute {
-		query.HomeKey = subject(q.call.Prefix)
+		query.HomeKey = lastSharedPart(q.call.Prefix)
 		query.HomeShares = q.inputShares()
 	}
 	return q.relay.options.Router.Pick(time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), query)
 }
 
-// largeInput is the size in bytes from which on a stage's result is worth a nearby
-// target: crossing data centres with one costs as much as reading hundreds of
-// tokens again.
-const largeInput = 256 << 10
+// minLargeInput is the size in bytes from which on a stage's result is worth a target
+// nearby: transferring it between data centres costs as much as reading hundreds of tokens
+// again.
+const minLargeInput = 256 << 10
 
-// inputShares tells where the large inputs of the request are made, as shares of
+// inputShares returns where the large inputs of the request are produced, as shares of the
 // data centres; nil if it has none.
 func (q *request) inputShares() map[string]float64 {
 	for _, i := range q.route.FinalStages() {
-		if st := q.route.Stages[i]; st.ResultBytes >= largeInput {
-			return q.relay.options.Shares(st.Service)
+		if st := q.route.Stages[i]; st.ResultBytes >= minLargeInput {
+			return q.relay.options.TargetShares(st.Service)
 		}
 	}
 	return nil
 }
 
-// subject is the last part of a prompt that other requests read too. The last
-// part of all belongs to the request itself, or to its session, whose requests
-// have the subject in common.
-func subject(prefix []routing.PrefixPart) string {
+// lastSharedPart returns the ID of the last part of a prompt that other requests read too. The
+// very last part belongs to the request itself, or to its session, whose requests have the
+// parts before it in common.
+func lastSharedPart(prefix []routing.PrefixPart) string {
 	if len(prefix) == 0 {
 		return ""
 	}
 	return prefix[max(len(prefix)-2, 0)].ID
 }
 
-// makeStages has the stages run.
-func (q *request) makeStages(ctx context.Context, dataCentre string) error {
+// runStages runs the request's stages and waits for their results.
+func (q *request) runStages(ctx context.Context, dataCentre string) error {
 	ctx, span := q.relay.options.Tracer.Start(ctx, "stages "+q.route.Name)
 	defer span.End()
-	ctx, release := q.untilSendBy(ctx)
+	ctx, release := q.withSendDeadline(ctx)
 	defer release()
-	q.relay.waiting.add(q)
-	defer q.relay.waiting.remove(q)
+	q.relay.stageWaiters.add(q)
+	defer q.relay.stageWaiters.remove(q)
 	objective := q.objective
 	if q.headerSent {
 		objective = time.Now().Add(resumeObjective)
 	}
 	r := gather.Request{
 		ID: q.call.ID, Route: q.route.Name, Key: q.call.PieceKey, Priority: q.priority, KindPriority: q.route.Priority,
-		Objective: objective, Deadline: q.stagesDue(time.Now()), Remaining: engineTime, DataCentre: dataCentre,
+		Objective: objective, Deadline: q.stagesDeadline(time.Now()), Remaining: engineFirstEventTime, DataCentre: dataCentre,
 	}
 	for i, s := range q.route.Stages {
 		pieces := 0
@@ -144,14 +142,14 @@
 		}
 		r.Stages = append(r.Stages, gather.Stage{Service: s.Service, After: s.After, Pieces: pieces, ResultBytes: s.ResultBytes})
 	}
-	asked := time.Now()
-	made, err := q.relay.options.Stages.Make(ctx, r, q.prompt())
-	q.handles, q.owner, q.engine = made.Handles, made.Owner, made.Engine
-	q.parts.stages += time.Since(asked)
-	if err == nil && q.handles == nil {
-		q.handles = []string{}
+	started := time.Now()
+	produced, err := q.relay.options.Stages.Make(ctx, r, q.prompt())
+	q.resultHandles, q.owner, q.preferredEngine = produced.Handles, produced.Owner, produced.Engine
+	q.timings.stagesWait += time.Since(started)
+	if err == nil && q.resultHandles == nil {
+		q.resultHandles = []string{}
 	}
-	q.noteStages(err)
+	q.recordStageCrashes(err)
 	if isIDInUse(err) {
 		q.owner = "" // what the holder has under the id is another request's
 	}
@@ -160,74 +158,75 @@
 	}
 	var refused *stages.RefusedError
 	if errors.As(err, &refused) {
-		// Another instance has the time that the stop takes from this one.
-		refused.RetryAfter -= q.nextEventDue(time.Now()).Sub(r.Deadline)
+		// Another instance doesn't stop, so it has more time by the difference of the deadlines.
+		refused.RetryAfter -= q.eventDeadline(time.Now()).Sub(r.Deadline)
 	}
 	return err
 }
 
-// stagesDue is when the first event must be there that the stages are for. In a planned
-// stop it is early enough for the rest of the answer.
-func (q *request) stagesDue(now time.Time) time.Time {
-	due := q.nextEventDue(now)
-	if window, stopping := q.relay.draining(); stopping {
-		due = earlier(due, window.SendDeadline(q.drainRequest()).Add(engineTime))
+// stagesDeadline returns when the first event is due that the stages are run for. In a
+// planned stop it leaves time for the remaining response.
+func (q *request) stagesDeadline(now time.Time) time.Time {
+	due := q.eventDeadline(now)
+	if window, stopping := q.relay.stopWindow(); stopping {
+		due = earlier(due, window.SendDeadline(q.drainRequest()).Add(engineFirstEventTime))
 	}
 	return due
 }
 
-// Callers give a stream up that brings no event for so long: the longest of a least
-// time, times of the objective and times of the longest pause that is on time.
+// Callers abandon a stream without an event after the longest of a minimum time, a multiple of
+// the objective and a multiple of the longest pause that meets its objective.
 const (
-	abandonLeast      = 2 * time.Second
+	abandonMin        = 2 * time.Second
 	abandonObjectives = 4
 	abandonPauses     = 8
 )
 
-// nextEventDue is when the next event must be there, the first one or, of a stream
-// that broke off, the one it goes on with: work that ends later is of use to nobody.
-func (q *request) nextEventDue(now time.Time) time.Time {
-	if !q.streams() {
+// eventDeadline returns when the next event is due: the first one or, if a stream was broken
+// off, the one that it resumes with. Work that ends later is of no use.
+func (q *request) eventDeadline(now time.Time) time.Time {
+	if !q.isStream() {
 		return q.deadline
 	}
 	from := q.arrived
 	if q.headerSent {
 		from = now
 	}
-	wait := max(abandonLeast, abandonObjectives*q.route.Objective, abandonPauses*q.route.MaxPause)
+	wait := max(abandonMin, abandonObjectives*q.route.Objective, abandonPauses*q.route.MaxPause)
 	if due := from.Add(wait - answerMargin); due.Before(q.deadline) {
 		return due
 	}
 	return q.deadline
 }
 
-// resumeObjective is when a stream that broke off should go on. Its caller has a part
-// of the answer and waits: counted as late by the request's own objective, its stages
-// would run behind all requests that have not begun, until the caller gives up.
+// resumeObjective is when a stream that was broken off should resume. Its caller has a part of
+// the response and waits. By the request's own objective it would have missed its deadline,
+// and its stages would run after those of all requests that have not begun, until the caller
+// gives up.
 const resumeObjective = 2 * time.Second
 
-// engineTime is what an engine takes to its first event, as measured at the
+// engineFirstEventTime is how long an engine takes to its first event, as measured at the
 // usual load.
-const engineTime = 250 * time.Millisecond
+const engineFirstEventTime = 250 * time.Millisecond
 
-// failure is an attempt without a whole answer.
+// failure is an attempt without a complete response.
 type failure struct {
 	cause error
-	// notRun tells that the target certainly didn't run the request.
+	// notRun is true if the target certainly didn't run the request.
 	notRun bool
-	// unreached tells that there was no connection to the target, so that it has no part
-	// in the attempt; nothingListens that there is no process at its address.
-	unreached, nothingListens bool
-	// broken tells that the other end of the connection ended it after the request was sent.
-	broken bool
-	// inputsGone tells that the stages' results are gone.
+	// notConnected is true if there was no connection to the target, so that it had no part
+	// in the attempt; nothingListens if no process listens at its address.
+	notConnected, nothingListens bool
+	// connectionBroken is true if the peer ended the connection after the request was sent.
+	connectionBroken bool
+	// inputsGone is true if the stages' results no longer exist.
 	inputsGone bool
-	// reply is set for a target's own failure that another target may better.
-	reply *heldReply
+	// reply is an error response of the target, which is sent if no other target does better.
+	reply *bufferedReply
 }
 
-// heldReply is a target's own failure, kept in case no better answer comes.
-type heldReply struct {
+// bufferedReply is a complete reply of a target.
+type bufferedReply struct {
 	status int
 	header http.Header
 	body   []byte
@@ -238,23 +237,23 @@
 // Unwrap returns the cause.
 func (f *failure) Unwrap() error { return f.cause }
 
-// judge decides what follows a failed attempt.
-func (q *request) judge(ctx context.Context, err error) (again bool, _ error) {
+// decideRetry handles a failed attempt. It reports whether another attempt is to follow.
+func (q *request) decideRetry(ctx context.Context, err error) (retry bool, _ error) {
 	var f *failure
 	if !errors.As(err, &f) {
 		return false, err
 	}
 	telemetry.InfoS("Attempt failed", telemetry.Event{
 		RequestID: q.call.ID, Digest: q.digest().String(), Pipeline: q.route.Name, Target: q.target, Reason: f.cause.Error(),
-		Elapsed: time.Since(q.arrived), Count: q.sent + q.refused,
-		LastEvent: q.lastEvent, Framing: string(q.framing),
+		Elapsed: time.Since(q.arrived), Count: q.possibleRuns + q.refusals,
+		LastEvent: q.lastEventID, Framing: string(q.framing),
 	})
-	q.relay.metrics.attempt(f.notRun)
+	q.relay.metrics.recordFailedAttempt(f.notRun)
 	q.excluded = append(q.excluded, q.target)
 	if f.notRun {
-		q.refused++
+		q.refusals++
 	} else {
-		q.sent++
+		q.possibleRuns++
 		q.mayHaveRun = true
 	}
 	if f.nothingListens && q.owner != "" {
@@ -262,112 +261,111 @@
 	}
 	if f.inputsGone {
 		q.excluded = q.excluded[:len(q.excluded)-1]
-		q.dropResults()
+		q.freeResults()
 	}
 	switch {
-	case ctx.Err() != nil, q.refused > maxRefused, q.tooLateToSend(time.Now()):
+	case ctx.Err() != nil, q.refusals > maxRefusals, q.pastSendDeadline(time.Now()):
 		return false, err
 	case q.notResumable:
 		return false, err
-	case !f.notRun && (!q.route.MayRepeat() || q.sent >= q.route.MaxAttempts):
+	case !f.notRun && (!q.route.MayRepeat() || q.possibleRuns >= q.route.MaxAttempts):
 		return false, err
-	case !f.unreached && !q.payResend():
-		// The budget bounds what targets get beyond their share; an attempt that
-		// reached none adds nothing.
+	case !f.notConnected && !q.payForRetry():
+		// The budget limits the load beyond a target's share; an attempt that reached no target
+		// added none.
 		return false, err
 	}
-	q.paid.Store(false)
-	if q.lastEvent != "" || !f.notRun {
-		// The results were freed with the first byte, or a while ago.
-		q.dropResults()
+	q.retryPaid.Store(false)
+	if q.lastEventID != "" || !f.notRun {
+		// The results have been freed, at the first byte or some time ago.
+		q.freeResults()
 	}
 	return true, nil
 }
 
-// payResend takes one more attempt from the budget, once for each attempt. It
-// tells whether the budget allows it.
-func (q *request) payResend() bool {
-	if q.paid.Load() {
+// payForRetry takes a retry from the budget, once for each attempt. It reports whether the
+// budget allows it.
+func (q *request) payForRetry() bool {
+	if q.retryPaid.Load() {
 		return true
 	}
 	if !q.relay.options.Budgets.Retry(time.Now(), q.service) {
 		return false
 	}
-	q.paid.Store(true)
+	q.retryPaid.Store(true)
 	return true
 }
 
-// exchange is one attempt at one target.
-func (q *request) exchange(ctx context.Context, t routing.Target) (routing.Outcome, error) {
+// sendAttempt sends the request to a target and forwards its reply.
+func (q *request) sendAttempt(ctx context.Context, t routing.Target) (routing.Outcome, error) {
 	ctx, span := q.relay.options.Tracer.Start(ctx, "attempt "+t.Pool)
 	defer span.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	q.framing = ""
-	silence := time.AfterFunc(q.firstByteBound(), func() {
-		// Cut off without a second attempt the request would fail for sure.
-		if q.payResend() {
-			cancel(errSilent)
+	silence := time.AfterFunc(q.firstByteTimeout(), func() {
+		// Without a retry the cancelled request would certainly fail.
+		if q.payForRetry() {
+			cancel(errTargetSilent)
 		}
 	})
 	defer silence.Stop()
-	options := forward.Options{Process: t.Incarnation, Belongs: q.belongs, KeepIdle: q.keepIdle}
+	options := forward.Options{Process: t.Incarnation, Belongs: q.isOwnReply, KeepIdle: q.keepIdle}
 	if !q.route.MayRepeat() {
 		options.MaxIdle = forward.FreshIdle
 	}
-	reply, err := q.relay.options.Client.Do(ctx, t.Address, q.outgoing(t), options)
+	reply, err := q.relay.options.Client.Do(ctx, t.Address, q.targetRequest(t), options)
 	if err != nil {
-		return q.failed(ctx, err)
+		return q.classifyError(ctx, err)
 	}
 	defer reply.Close()
 	q.framing = reply.Framing()
-	said := q.relay.options.Dialect.ParseReply(reply.Status, reply.Header)
-	if said.WrongTarget {
-		q.relay.options.Leaving(t.Incarnation)
+	parsed := q.relay.options.Dialect.ParseReply(reply.Status, reply.Header)
+	if parsed.WrongTarget {
+		q.relay.options.OnLeaving(t.Incarnation)
 	}
 	switch {
-	case said.NotRun:
-		_, _ = io.Copy(io.Discard, io.LimitReader(reply, bufferedAnswer)) // only so that the connection can be kept
-		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: said.InputsGone}
-	case !said.Genuine:
+	case parsed.NotRun:
+		_, _ = io.Copy(io.Discard, io.LimitReader(reply, maxBufferedReply)) // allows the connection to be reused
+		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: parsed.InputsGone}
+	case !parsed.Genuine:
 		return routing.OutcomeFailed, &failure{cause: errors.Newf("reply with status %d has no signature", reply.Status)}
 	case reply.Header.Get("Content-Encoding") != "":
 		return routing.OutcomeFailed, &failure{cause: errors.New("reply is encoded")}
 	}
-	return q.passOn(ctx, reply, silence)
+	return q.forwardReply(ctx, reply, silence)
 }
 
-// unbounded is the bound of a target's silence where no other target may take over:
-// the request's own deadline comes first.
-const unbounded = 24 * time.Hour
+// noTimeout limits the silence of a target that no other one can replace: the request's own
+// deadline always comes first.
+const noTimeout = 24 * time.Hour
 
-// firstByteBound is how long the target may be silent at first.
-func (q *request) firstByteBound() time.Duration {
-	if !q.mayBetter() {
-		return unbounded
+// firstByteTimeout returns how long the target may take to its first byte.
+func (q *request) firstByteTimeout() time.Duration {
+	if !q.mayRetry() {
+		return noTimeout
 	}
-	left := time.Until(q.deadline)
-	if q.streams() {
-		return min(silentFirst, left/2)
+	remaining := time.Until(q.deadline)
+	if q.isStream() {
+		return min(maxFirstByteDelay, remaining/2)
 	}
-	return min(time.Duration(hedgeShare*float64(q.route.Objective)), left/2)
+	return min(time.Duration(hedgeShare*float64(q.route.Objective)), remaining/2)
 }
 
-// mayBetter tells whether another target may be asked if this one doesn't answer
-// well.
-func (q *request) mayBetter() bool {
-	return q.route.MayRepeat() && !q.notResumable && q.sent+1 < q.route.MaxAttempts
+// mayRetry reports whether another target may be tried if the present one fails.
+func (q *request) mayRetry() bool {
+	return q.route.MayRepeat() && !q.notResumable && q.possibleRuns+1 < q.route.MaxAttempts
 }
 
-func (q *request) streams() bool { return q.route.MaxPause > 0 }
+func (q *request) isStream() bool { return q.route.MaxPause > 0 }
 
-// failed tells what an attempt without a reply means.
-func (q *request) failed(ctx context.Context, err error) (routing.Outcome, error) {
+// classifyError returns the outcome of an attempt that ended with an error.
+func (q *request) classifyError(ctx context.Context, err error) (routing.Outcome, error) {
 	var f *forward.Error
 	notRun := errors.As(err, &f) && !f.Sent
 	switch cause := context.Cause(ctx); {
-	case errors.Is(cause, errSilent):
-		return routing.OutcomeFailed, &failure{cause: errors.CombineErrors(errSilent, err), notRun: notRun}
+	case errors.Is(cause, errTargetSilent):
+		return routing.OutcomeFailed, &failure{cause: errors.CombineErrors(errTargetSilent, err), notRun: notRun}
 	case errors.Is(cause, errDeadline):
 		return routing.OutcomeDeadlineMissed, &failure{cause: errDeadline, notRun: notRun}
 	case cause != nil:
@@ -375,21 +373,21 @@
 	}
 	unreached := f != nil && f.Step == forward.StepConnect
 	return routing.OutcomeFailed, &failure{
-		cause: err, notRun: notRun, unreached: unreached, nothingListens: unreached && f.Refused,
-		broken: !notRun && forward.EndedByPeer(err),
+		cause: err, notRun: notRun, notConnected: unreached, nothingListens: unreached && f.Refused,
+		connectionBroken: !notRun && forward.EndedByPeer(err),
 	}
 }
 
-// outgoing is the request as the target gets it.
-func (q *request) outgoing(t routing.Target) *http.Request {
+// targetRequest returns the request to send to the target.
+func (q *request) targetRequest(t routing.Target) *http.Request {
 	header := q.relay.options.Dialect.TargetHeader(q.r.Header, exchange.Send{
 		Left:        time.Until(q.deadline),
 		Target:      t.Name,
 		Account:     q.account,
 		Priority:    q.priority,
 		Prompt:      q.route.PromptRoute,
-		Inputs:      q.handles,
-		ResumeAfter: q.lastID(),
+		Inputs:      q.resultHandles,
+		ResumeAfter: q.resumeID(),
 	})
 	out := &http.Request{
 		Method: q.r.Method, URL: q.r.URL, Host: q.r.Host, Header: header,
@@ -402,12 +400,12 @@
 	return out
 }
 
-// lastID is the id of the last event that the caller has, in this answer or in an earlier
-// one that it asks to go on with.
-func (q *request) lastID() string { return cmp.Or(q.lastEvent, q.call.ResumeAfter) }
+// resumeID returns the ID of the last event that the caller has, from this response or from an
+// earlier one that it asks to resume.
+func (q *request) resumeID() string { return cmp.Or(q.lastEventID, q.call.ResumeAfter) }
 
-// belongs tells whether a reply is this request's.
-func (q *request) belongs(status int, h http.Header) bool {
+// isOwnReply reports whether a reply belongs to this request.
+func (q *request) isOwnReply(status int, h http.Header) bool {
 	id := q.relay.options.Dialect.ParseReply(status, h).ID
 	return id == "" || id == q.call.ID
 }
--- /dev/null
+++ b/daemon/relay/blocklist.go
@@ -0,0 +1,78 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/ivyhollow/ivyhollow/coordination/gather"
+	"github.com/ivyhollow/ivyhollow/coordination/quarantine"
+	"github.com/ivyhollow/ivyhollow/daemon/stages"
+	"github.com/ivyhollow/ivyhollow/transport/forward"
+)
+
+// blockedError refuses a request because it crashes targets.
+type blockedError struct{ remaining time.Duration }
+
+func (e *blockedError) Error() string { return "the request crashes targets" }
+
+// digest returns the digest of what the retries of the request have in common. It must not
+// be called before the body has been read.
+func (q *request) digest() quarantine.Digest {
+	if q.contentDigest == nil {
+		content := quarantine.DigestOf(q.route.Host, q.r.URL.RequestURI(), q.account, q.body)
+		q.contentDigest = &content
+	}
+	return *q.contentDigest
+}
+
+// checkBlocklist returns a *blockedError if the request must not be sent to a target.
+func (q *request) checkBlocklist(ctx context.Context) error {
+	records := q.relay.options.Blocklist
+	if records.Empty() {
+		return nil
+	}
+	verdict := records.Judge(q.digest())
+	if verdict.State == quarantine.OnTrial && !q.onTrial {
+		verdict = records.Admit(ctx, q.digest(), time.Until(q.deadline))
+		q.onTrial = verdict.State != quarantine.Blocked
+	}
+	if verdict.State == quarantine.Blocked {
+		return &blockedError{verdict.Remaining}
+	}
+	return nil
+}
+
+// recordAttemptEnd records in the blocklist whether the target survived an attempt that ended
+// with err.
+//
+// A target that crashes closes all its connections, and then nothing listens at its address.
+// One that breaks off a single response, or whose connection was reset on the way, still
+// listens. The end of a target that was leaving was planned, so it isn't a crash.
+func (q *request) recordAttemptEnd(ctx context.Context, err error) {
+	records := q.relay.options.Blocklist
+	var f *failure
+	switch {
+	case err == nil, errors.As(err, &f) && f.reply != nil:
+		records.RecordCompletion(q.digest())
+	case f != nil && f.connectionBroken && forward.NothingListens(ctx, q.address):
+		f.nothingListens = true
+		if q.relay.options.InUse(q.targetName) {
+			records.RecordCrash(q.digest(), q.target)
+		}
+	}
+}
+
+// recordStageCrashes records that stage targets crashed under calls of the request. The last
+// of those calls had no pieces of other requests.
+func (q *request) recordStageCrashes(err error) {
+	var refused *stages.RefusedError
+	if !errors.As(err, &refused) || refused.Reason != gather.ReasonCrashesStageTargets {
+		return
+	}
+	for i := range gather.MaxCrashes {
+		q.relay.options.Blocklist.RecordCrash(q.digest(), fmt.Sprintf("stages of %.32s, %d", q.call.ID, i+1))
+	}
+}
--- /dev/null
+++ b/daemon/relay/blocklist_test.go
@@ -0,0 +1,35 @@
+package relay
+
+import (
+	"net/http/httptest"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/ivyhollow/ivyhollow/protocol/exchange"
+	"github.com/ivyhollow/ivyhollow/state/routes"
+)
+
+// A retry must have the digest of the first request, whatever its caller may vary: the ID, headers,
+// the port of its host, the method. Otherwise a request that crashes targets would pass for another
+// one.
+func TestRetriesHaveSameDigest(t *testing.T) {
+	newRequest := func(method, url, id, account, body string) *request {
+		return &request{
+			r: httptest.NewRequest(method, url, nil), route: &routes.Route{Host: "host.example"},
+			call: exchange.Call{ID: id, ResumeAfter: id}, account: account, body: []byte(body),
+		}
+	}
+	first := newRequest("POST", "http://host.example/a?b=c", "1", "account", "body")
+	again := newRequest("PUT", "http://HOST.example:80/a?b=c", "2", "account", "body")
+	again.r.Header.Set("Anything", "else")
+	require.Equal(t, first.digest(), again.digest())
+	for _, other := range []*request{
+		newRequest("POST", "http://host.example/a?b=d", "1", "account", "body"),
+		newRequest("POST", "http://host.example/a", "1", "account", "body"),
+		newRequest("POST", "http://host.example/a?b=c", "1", "other", "body"),
+		newRequest("POST", "http://host.example/a?b=c", "1", "account", "other"),
+	} {
+		require.NotEqual(t, first.digest(), other.digest())
+	}
+}
--- a/daemon/relay/durations.go
+++ b/daemon/relay/durations.go
@@ -7,12 +7,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/drain"
 )
 
-// maxKinds bounds the kinds of request that durations are known of: several times the
-// routes of a configuration.
-const maxKinds = 1024
+// maxRoutes limits the routes whose durations are kept, to several times the routes of a
+// configuration. Beyond it all are dropped.
+const maxRoutes = 1024
 
-// durations are the usual times of answers by route, from the sending of the request
-// to the answer's end.
+// durations estimates the usual duration of responses by route, from the sending of the
+// request to the end of the response.
 type durations struct {
 	mu      sync.Mutex
 	byRoute map[string]*drain.DurationEstimate
@@ -20,27 +20,27 @@
 
 func newDurations() *durations { return &durations{byRoute: map[string]*drain.DurationEstimate{}} }
 
-// observe takes in an answer's time.
-func (d *durations) observe(route string, taken time.Duration) {
+// observe records the duration of a response.
+func (d *durations) observe(route string, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	u := d.byRoute[route]
-	if u == nil {
-		if len(d.byRoute) >= maxKinds {
+	estimate := d.byRoute[route]
+	if estimate == nil {
+		if len(d.byRoute) >= maxRoutes {
 			clear(d.byRoute)
 		}
-		u = &drain.DurationEstimate{}
-		d.byRoute[route] = u
+		estimate = &drain.DurationEstimate{}
+		d.byRoute[route] = estimate
 	}
-	u.Observe(taken)
+	estimate.Observe(duration)
 }
 
-// usual is how long an answer of a route usually takes.
-func (d *durations) usual(route string) time.Duration {
+// estimate returns a duration that most responses of a route don't exceed.
+func (d *durations) estimate(route string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if u := d.byRoute[route]; u != nil {
-		return u.Value()
+	if estimate := d.byRoute[route]; estimate != nil {
+		return estimate.Value()
 	}
 	return drain.DefaultDuration
 }
--- a/daemon/relay/ids.go
+++ b/daemon/relay/ids.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// ids are the ids of the requests in progress here. What an instance, the holder of the stage
-// queue and targets know of a request is known by its id.
-type ids struct {
+// activeIDs are the IDs of the requests in progress at this instance. An ID must be unique:
+// the instance, the holder of the stage queue and the targets identify a request by it.
+type activeIDs struct {
 	mu    sync.Mutex
 	inUse map[string]struct{}
 }
 
-func newIDs() *ids { return &ids{inUse: map[string]struct{}{}} }
+func newActiveIDs() *activeIDs { return &activeIDs{inUse: map[string]struct{}{}} }
 
-// take takes an id for a request, false if another one has it.
-func (i *ids) take(id string) bool {
+// claim reserves an ID for a request. It returns false if another request has it.
+func (i *activeIDs) claim(id string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if _, ok := i.inUse[id]; ok {
@@ -22,7 +22,7 @@
 	return true
 }
 
-func (i *ids) giveBack(id string) {
+func (i *activeIDs) release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	delete(i.inUse, id)
--- a/daemon/relay/metrics.go
+++ b/daemon/relay/metrics.go
@@ -7,11 +7,11 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics count the final answers and the attempts.
+// metrics count the final responses and the failed attempts, and record durations.
 type metrics struct {
 	scope tally.Scope
-	// The times of a request's parts; made at the start, so that they are served before
-	// the first request.
+	// Durations of the phases of a request. The timers are created at the start, so that they
+	// are served before the first request.
 	stagesWait, firstEvent, longestPause tally.Timer
 }
 
@@ -25,9 +25,9 @@
 	}
 }
 
-// ended counts a final answer. Reason is one of this package's own; an answer of a
-// target has none.
-func (m metrics) ended(status int, reason string, elapsed time.Duration) {
+// recordResponse counts a final response. The reason is one of this package's own; a
+// target's response has none.
+func (m metrics) recordResponse(status int, reason string, elapsed time.Duration) {
 	result := resultOf(status, reason)
 	if reason == "" {
 		reason = "none"
@@ -36,20 +36,20 @@
 	m.scope.Tagged(map[string]string{"result": result}).Timer("request_duration").Record(elapsed)
 }
 
-// took takes in the times of a request's parts.
-func (m metrics) took(p *parts) {
-	if p.stages > 0 {
-		m.stagesWait.Record(p.stages)
+// recordTimings records the durations of a request's phases.
+func (m metrics) recordTimings(t *timings) {
+	if t.stagesWait > 0 {
+		m.stagesWait.Record(t.stagesWait)
 	}
-	if p.first > 0 {
-		m.firstEvent.Record(p.first)
+	if t.firstEvent > 0 {
+		m.firstEvent.Record(t.firstEvent)
 	}
-	if p.pause > 0 {
-		m.longestPause.Record(p.pause)
+	if t.longestPause > 0 {
+		m.longestPause.Record(t.longestPause)
 	}
 }
 
-// resultOf names the kind of a final answer.
+// resultOf returns the label value for the kind of a final response.
 func resultOf(status int, reason string) string {
 	switch {
 	case status == 0:
@@ -65,8 +65,8 @@
 	}
 }
 
-// attempt counts the end of an attempt that brought no answer.
-func (m metrics) attempt(notRun bool) {
+// recordFailedAttempt counts an attempt without a response.
+func (m metrics) recordFailedAttempt(notRun bool) {
 	outcome := "may_have_run"
 	if notRun {
 		outcome = "not_run"
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay serves callers' requests by passing them on, as they are, to a
-// target of their route's service, after the route's stages have run.
+// Package relay serves callers' requests by forwarding them unchanged to a target of their
+// route's service, after the route's stages have run.
 //
-// Each request gets one final answer: the target's, or a refusal that it didn't
-// run with a time to come back, or an error that promises nothing. What may have
-// run and may not be repeated is never sent a second time.
+// Each request gets one final response: the target's, or a refusal that states that it didn't
+// run and when to retry, or an error that promises nothing. What may have run and may not be
+// repeated is never sent a second time.
 package relay
 
 import (
@@ -32,154 +32,153 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// Maker has the stages of a request run.
-type Maker interface {
+// StageRunner runs the stages of requests. *stages.Stages implements it.
+type StageRunner interface {
 	Make(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Made, error)
 	Drop(owner string, served placing.RequestEnd)
-	// EngineGone tells an owner that nothing listens at an engine's address.
+	// EngineGone reports to an owner that nothing listens at an engine's address.
 	EngineGone(owner, pool, engine string)
-	// Bound gives requests that wait in Make an earlier deadline, and refuses those
-	// that won't be done by then. It doesn't wait.
+	// Bound shortens the deadline of requests that wait in Make, and refuses those that won't
+	// meet it. It doesn't wait.
 	Bound(until time.Time, ids ...string)
 }
 
-// Options are the parts that a Relay works with.
+// Options are the dependencies of a Relay.
 type Options struct {
 	Dialect exchange.Dialect
-	// Table is the configuration in force; nil before the first.
+	// Table returns the configuration in force; nil before the first.
 	Table func() *routes.Table
-	// AwaitReady waits until the configuration and the targets are known; nil where
-	// they always are.
+	// AwaitReady waits until the configuration and the targets are known; nil if they
+	// always are.
 	AwaitReady func(ctx context.Context)
-	// Confirm asks whether a newer configuration exists.
+	// Confirm checks whether a newer configuration exists, and puts it in force.
 	Confirm func(ctx context.Context) bool
-	// Known tells how old the knowledge of the targets is.
-	Known  func() time.Duration
-	Router *routing.Table
-	Client *forward.Client
-	// Shares tells which share of a service's targets each data centre has.
-	Shares  func(service string) map[string]float64
-	Stages  Maker
-	Budgets *retrybudget.Budgets
+	// KnowledgeAge returns the age of what is known of the targets.
+	KnowledgeAge func() time.Duration
+	Router       *routing.Table
+	Client       *forward.Client
+	// TargetShares returns the share of a service's targets that each data centre has.
+	TargetShares func(service string) map[string]float64
+	Stages       StageRunner
+	Budgets      *retrybudget.Budgets
 	// Blocklist refuses requests that crash their targets.
 	Blocklist blocklist.Records
-	// Leaving is told of a target that takes nothing new.
-	Leaving func(incarnation string)
-	// InUse tells whether a target of the name may take something new, whichever its start.
+	// OnLeaving is called for a target that accepts no new work.
+	OnLeaving func(incarnation string)
+	// InUse reports whether a target of that name may receive new work, in any incarnation.
 	InUse  func(name string) bool
 	Tracer trace.Tracer
 	Scope  tally.Scope
 }
 
-// Relay is the callers' HTTP interface.
+// Relay is the HTTP handler for callers.
 type Relay struct {
 	options Options
 	metrics metrics
-	// stopping is the planned stop, begun or not.
-	stopping  *stopping
-	durations *durations
-	waiting   *waiting
-	ids       *ids
-	started   time.Time
-	inFlight  atomic.Int64
+	// stop is the planned stop, whether it has begun or not.
+	stop         *plannedStop
+	durations    *durations
+	stageWaiters *stageWaiters
+	activeIDs    *activeIDs
+	started      time.Time
+	inFlight     atomic.Int64
 }
 
 // New returns a relay.
 func New(o Options) *Relay {
-	return &Relay{options: o, metrics: newMetrics(o.Scope), stopping: newStopping(), durations: newDurations(), waiting: newWaiting(), ids: newIDs(), started: time.Now()}
+	return &Relay{options: o, metrics: newMetrics(o.Scope), stop: newPlannedStop(), durations: newDurations(), stageWaiters: newStageWaiters(), activeIDs: newActiveIDs(), started: time.Now()}
 }
 
-// InFlight returns the number of requests without their final answer.
+// InFlight returns the number of requests without their final response.
 func (s *Relay) InFlight() int { return int(s.inFlight.Load()) }
 
-// Bounds of a request.
 const (
-	// defaultTimeout bounds requests of routes without a timeout.
+	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 30 * time.Second
-	// answerMargin is taken off the caller's wait: an answer sent any later
-	// would reach it too late. It is a few times the way to callers.
+	// answerMargin is subtracted from the time that the caller waits: a response sent later
+	// would arrive too late. It is a few times the network delay to callers.
 	answerMargin = 25 * time.Millisecond
-	// maxBody bounds a body where the configuration doesn't, in bytes.
+	// maxBody limits a body, in bytes, where the configuration doesn't.
 	maxBody = 8 << 20
 )
 
-// startWithin is how long after its start an instance has requests wait for its
-// configuration and its targets. It has them sooner than a caller would come back who
-// is refused; later, only if the store is away.
-const startWithin = time.Second
+// maxStartupWait is how long after its start an instance lets requests wait for its
+// configuration and its targets. They are usually known before a refused caller would retry.
+// If they take longer, the store is unavailable.
+const maxStartupWait = time.Second
 
-// awaitStart waits while the instance has just started and isn't ready.
-func (s *Relay) awaitStart(ctx context.Context) {
-	left := startWithin - time.Since(s.started)
-	if s.options.AwaitReady == nil || left <= 0 {
+// awaitStartup waits while the instance has just started and isn't ready.
+func (s *Relay) awaitStartup(ctx context.Context) {
+	remaining := maxStartupWait - time.Since(s.started)
+	if s.options.AwaitReady == nil || remaining <= 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	s.options.AwaitReady(ctx)
 }
 
 var errDeadline = errors.New("the request's time is over")
 
-// request is one request on its way.
+// request is a caller's request in progress.
 type request struct {
 	relay *Relay
 	w     http.ResponseWriter
 	r     *http.Request
 	call  exchange.Call
-	// hasID tells that the request's id is its own while it is in progress.
+	// hasID is true while the request holds its ID in activeIDs.
 	hasID   bool
 	route   *routes.Route
 	account string
-	// priority is the account's or the route's; 0 goes first.
+	// priority is the account's or the route's; 0 is the highest.
 	priority int
 	body     []byte
-	// content is the digest of what the request's repeats have in common, once it was
-	// asked for.
-	content *quarantine.Digest
-	// onTrial tells that this is the one run of its content that is allowed.
+	// contentDigest is the result of digest, once computed.
+	contentDigest *quarantine.Digest
+	// onTrial is true if this is the one allowed run of its content.
 	onTrial bool
 	service string
 
 	arrived time.Time
-	// head is how long the head took to come in.
-	head      time.Duration
+	// headTime is how long the request's head took to arrive.
+	headTime  time.Duration
 	objective time.Time
 	deadline  time.Time
 
-	// mayHaveRun is set once bytes of an attempt left whose target didn't vouch
-	// that nothing ran.
+	// mayHaveRun is set once bytes of an attempt were sent whose target didn't guarantee that nothing
+	// was run.
 	mayHaveRun bool
-	// sent counts the attempts that may have run, refused those that didn't.
-	sent, refused int
-	excluded      []string
-	// paid tells that the budget has given the next attempt.
-	paid atomic.Bool
-	// target is the incarnation of the latest attempt's target, targetName its name whichever
-	// its start, address where it listens.
+	// possibleRuns counts the attempts that may have run, refusals those that didn't.
+	possibleRuns, refusals int
+	excluded               []string
+	// retryPaid is true if the next attempt has been taken from the budget.
+	retryPaid atomic.Bool
+	// target is the incarnation of the latest attempt's target, targetName its name, which all
+	// its incarnations share, and address where it listens.
 	target, targetName, address string
-	// known is how old the knowledge was by which the target was chosen.
-	known time.Duration
-	// stage results
-	handles []string
-	owner   string
-	// engine is the incarnation that the holder of the stage queue chose for the
+	// knowledgeAge is the age of the knowledge by which the target was chosen.
+	knowledgeAge time.Duration
+	// resultHandles are the handles of the stages' results; nil before the stages have run.
+	// owner is the address of the instance that holds them.
+	resultHandles []string
+	owner         string
+	// preferredEngine is the incarnation that the holder of the stage queue chose for the
 	// request; empty if it chose none.
-	engine string
+	preferredEngine string
 
-	// headerSent is set once the caller has the head of the answer.
+	// headerSent is true once the caller has the head of the response.
 	headerSent bool
-	// lastEvent is the last whole event that the caller has.
-	lastEvent string
-	// notResumable tells that the caller has events behind lastEvent that have no id.
+	// lastEventID is the ID of the last complete event that the caller has.
+	lastEventID string
+	// notResumable is true if the caller has later events without an ID.
 	notResumable bool
 	// sources counts the targets whose events the caller has.
 	sources int
-	// framing is how the latest target marks the end of its answer.
+	// framing is how the latest target marks the end of its reply.
 	framing forward.Framing
-	// parts are the times that its parts took, for the log.
-	parts parts
-	// reason is why an answer of our own was given, for the log.
+	// timings are the durations of the request's phases, for the log.
+	timings timings
+	// reason is why the response is not a target's, for the log.
 	reason string
 }
 
@@ -190,10 +189,10 @@
 	if chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{relay: s, w: w, r: r, arrived: time.Now(), head: inbound.HeadTime(r.Context())}
-	ctx, release := q.untilStopped(r.Context())
+	q := &request{relay: s, w: w, r: r, arrived: time.Now(), headTime: inbound.HeadTime(r.Context())}
+	ctx, release := q.withStopEnd(r.Context())
 	defer release()
-	defer q.giveBackID()
+	defer q.releaseID()
 	if !q.accept(ctx) {
 		return
 	}
@@ -201,26 +200,27 @@
 	defer cancel()
 	ctx, span := s.options.Tracer.Start(ctx, "request "+q.route.Name)
 	defer span.End()
-	defer q.dropResults()
+	defer q.freeResults()
 	q.run(ctx)
 }
 
-// chunked tells whether the body came in chunks.
+// chunked reports whether the body is sent in chunks.
 //
-// It guards against a request hidden behind a body that has a length as well:
-// net/http reads the chunks, forgets the length without a word, and would take what
-// the length covers for the next request, under the id that its sender chose. On a
-// connection that closes after the answer nothing follows.
+// Prevents request smuggling by a body that has a length as well: net/http reads the chunks
+// and silently ignores the length. It would then treat what the length covers as the next
+// request, under an ID chosen by its sender. A connection that closes after the response has
+// no next request.
 func chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
-// accept reads the request, and answers at once what isn't served.
+// accept validates and reads the request. It returns false if it has sent a final response.
 func (q *request) accept(ctx context.Context) bool {
 	if !q.r.ProtoAtLeast(1, 1) {
-		// An answer without a length ends with its connection there: cut, it looks whole.
+		// With HTTP/1.0 the end of the connection would mark the end of a response without a
+		// length, so one that is cut off would look complete.
 		q.deny(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 		return false
 	}
-	q.relay.awaitStart(ctx)
+	q.relay.awaitStartup(ctx)
 	table := q.relay.options.Table()
 	if table == nil {
 		q.refuse("no_configuration", time.Second)
@@ -235,14 +235,14 @@
 		q.deny(http.StatusBadRequest, "the request has no id")
 		return false
 	}
-	if q.hasID = q.relay.ids.take(q.call.ID); !q.hasID {
+	if q.hasID = q.relay.activeIDs.claim(q.call.ID); !q.hasID {
 		q.deny(http.StatusBadRequest, idInUse)
 		return false
 	}
 	if status := q.authorize(table); status != 0 {
-		// A version that allows the request may be a moment old.
+		// The request may be allowed by a version that was written a moment ago.
 		q.relay.options.Confirm(ctx)
-		if errors.Is(context.Cause(ctx), errStopOver) {
+		if errors.Is(context.Cause(ctx), errStopEnded) {
 			q.refuse("stopping", minRetryAfter)
 			return false
 		}
@@ -251,25 +251,24 @@
 			return false
 		}
 	}
-	q.setTimes()
-	if window, stopping := q.relay.draining(); stopping && !window.Accepts(q.drainRequest()) {
+	q.setDeadlines()
+	if window, stopping := q.relay.stopWindow(); stopping && !window.Accepts(q.drainRequest()) {
 		q.refuse("stopping", minRetryAfter)
 		return false
 	}
 	return q.readBody(table.Limits.BodyBytes)
 }
 
-// idInUse denies a request under the id of another one that is in progress.
+// idInUse is the reason for rejecting a request with the ID of another one in progress.
 const idInUse = "the id is that of another request in progress"
 
-func (q *request) giveBackID() {
+func (q *request) releaseID() {
 	if q.hasID {
-		q.relay.ids.giveBack(q.call.ID)
+		q.relay.activeIDs.release(q.call.ID)
 	}
 }
 
-// authorize finds the route and the client account. It returns the status of a
-// denial, or 0.
+// authorize finds the route and the client account. It returns the status of a denial, or 0.
 func (q *request) authorize(table *routes.Table) int {
 	route, ok := table.Match(hostOf(q.r.Host), q.r.URL.EscapedPath())
 	if !ok {
@@ -290,7 +289,7 @@
 	return 0
 }
 
-// hostOf drops the port of a Host header.
+// hostOf returns a Host header without its port.
 func hostOf(host string) string {
 	for i := range len(host) {
 		if host[i] == ':' {
@@ -300,8 +299,8 @@
 	return host
 }
 
-// setTimes works out when the answer is due.
-func (q *request) setTimes() {
+// setDeadlines computes when the response is due.
+func (q *request) setDeadlines() {
 	timeout := q.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -313,8 +312,8 @@
 	q.objective = q.arrived.Add(q.route.Objective)
 }
 
-// readBody takes the whole body in, so that it can be sent again where that is
-// allowed.
+// readBody reads the complete body, so that it can be sent again where that is allowed. It
+// returns false if it has sent a final response.
 func (q *request) readBody(limit int64) bool {
 	if limit <= 0 || limit > maxBody {
 		limit = maxBody
@@ -340,21 +339,21 @@
 	return true
 }
 
-// readAll reads the body, at most until its answer is due or the instance stops.
+// readAll reads the body, until the response is due or the instance stops at the latest.
 //
-// It guards against a body that doesn't come: its connection would stay until the end
-// of a planned stop, and be closed then without an answer.
+// Otherwise the connection of a body that never arrives would stay open until the end of a
+// planned stop, and would then be closed without a response.
 func (q *request) readAll(limit int64) ([]byte, error) {
-	wait := &bodyWait{controller: http.NewResponseController(q.w)}
-	wait.until(q.deadline)
-	release := context.AfterFunc(q.relay.stopping.begun, func() {
-		window, _ := q.relay.draining()
-		wait.until(earlier(q.deadline, window.SendDeadline(q.drainRequest())))
+	readDeadline := &bodyReadDeadline{controller: http.NewResponseController(q.w)}
+	readDeadline.set(q.deadline)
+	release := context.AfterFunc(q.relay.stop.begun, func() {
+		window, _ := q.relay.stopWindow()
+		readDeadline.set(earlier(q.deadline, window.SendDeadline(q.drainRequest())))
 	})
 	defer release()
 	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, limit))
 	if err == nil {
-		wait.end()
+		readDeadline.remove()
 	}
 	return body, err
 }
@@ -366,33 +365,33 @@
 	return a
 }
 
-// run serves the request to its one final answer.
+// run serves the request until its final response.
 func (q *request) run(ctx context.Context) {
 	q.service = pickService(q.route.Split)
 	for {
-		again, err := q.attempt(ctx)
-		if !again {
+		retry, err := q.attempt(ctx)
+		if !retry {
 			if err != nil {
-				q.answerFailure(ctx, err)
+				q.sendFailure(ctx, err)
 			}
 			return
 		}
 		if ctx.Err() != nil {
-			q.answerFailure(ctx, context.Cause(ctx))
+			q.sendFailure(ctx, context.Cause(ctx))
 			return
 		}
 	}
 }
 
-// pickService draws a service by weight.
+// pickService chooses a service at random by weight.
 func pickService(split []routes.WeightedService) string {
 	total := 0.0
 	for _, s := range split {
 		total += s.Weight
 	}
-	draw := rand.Float64() * total
+	sample := rand.Float64() * total
 	for _, s := range split {
-		if draw -= s.Weight; draw < 0 {
+		if sample -= s.Weight; sample < 0 {
 			return s.Service
 		}
 	}
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -15,15 +15,15 @@
 
 var began = time.Unix(1000, 0)
 
-// Callers give a stream up that brings nothing for four times its objective. Work
-// that ends later than that is for nobody.
-func TestFirstEventIsDueBeforeCallersLeave(t *testing.T) {
+// Callers abandon a stream without an event for four times its objective. Work that ends later is
+// of no use.
+func TestEventDeadlineIsBeforeCallersAbandon(t *testing.T) {
 	cases := map[string]struct {
 		objective, pause, deadline, due time.Duration
 	}{
 		"objective":     {1900 * time.Millisecond, 300 * time.Millisecond, 20 * time.Second, 7600 * time.Millisecond},
 		"pause":         {100 * time.Millisecond, 500 * time.Millisecond, 20 * time.Second, 4 * time.Second},
-		"least":         {100 * time.Millisecond, 100 * time.Millisecond, 20 * time.Second, 2 * time.Second},
+		"minimum":       {100 * time.Millisecond, 100 * time.Millisecond, 20 * time.Second, 2 * time.Second},
 		"deadline":      {1900 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second, 3*time.Second + answerMargin},
 		"not a stream":  {300 * time.Millisecond, 0, 30 * time.Second, 30*time.Second + answerMargin},
 		"deadline wins": {2000 * time.Millisecond, 300 * time.Millisecond, 6 * time.Second, 6*time.Second + answerMargin},
@@ -31,21 +31,21 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			q := &request{route: &routes.Route{Objective: c.objective, MaxPause: c.pause}, arrived: began, deadline: began.Add(c.deadline)}
-			require.Equal(t, began.Add(c.due-answerMargin), q.nextEventDue(began))
+			require.Equal(t, began.Add(c.due-answerMargin), q.eventDeadline(began))
 		})
 	}
 }
 
-// The last part of a prompt is the request's own; what others read too is before it.
-func TestSubjectIsTheLastSharedPart(t *testing.T) {
-	require.Empty(t, subject(nil))
-	require.Equal(t, "a", subject([]routing.PrefixPart{{ID: "a"}}))
-	require.Equal(t, "a", subject([]routing.PrefixPart{{ID: "a"}, {ID: "own"}}))
-	require.Equal(t, "b", subject([]routing.PrefixPart{{ID: "a"}, {ID: "b"}, {ID: "own"}}))
+// The last part of a prompt belongs to the request itself; the parts before it are shared.
+func TestLastSharedPart(t *testing.T) {
+	require.Empty(t, lastSharedPart(nil))
+	require.Equal(t, "a", lastSharedPart([]routing.PrefixPart{{ID: "a"}}))
+	require.Equal(t, "a", lastSharedPart([]routing.PrefixPart{{ID: "a"}, {ID: "own"}}))
+	require.Equal(t, "b", lastSharedPart([]routing.PrefixPart{{ID: "a"}, {ID: "b"}, {ID: "own"}}))
 }
 
-// Requests are shared out by weight, and a service of weight nought gets none.
-func TestServicesByWeight(t *testing.T) {
+// Requests are distributed by weight, and a service of weight zero gets none.
+func TestPickServiceByWeight(t *testing.T) {
 	split := []routes.WeightedService{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off", Weight: 0}}
 	count := map[string]int{}
 	for range 10000 {
@@ -56,21 +56,21 @@
 	require.Equal(t, "only", pickService([]routes.WeightedService{{Service: "only"}}))
 }
 
-// A stream broke off five seconds after its request came. Its caller waits for the
-// next event from then on; counted from the request's arrival, the stages that run
-// again would have half a second, and be refused.
+// A stream is broken off five seconds after its request arrived. Its caller waits for the next event
+// from then on. If that were due by the arrival of the request, the stages that run again would have
+// half a second, and would be refused.
 func TestResumedStreamHasTimeForItsStages(t *testing.T) {
 	route := &routes.Route{Objective: 1400 * time.Millisecond, MaxPause: 300 * time.Millisecond}
 	q := &request{route: route, arrived: began, deadline: began.Add(20 * time.Second)}
-	broke := began.Add(5 * time.Second)
-	require.Equal(t, began.Add(5600*time.Millisecond-answerMargin), q.nextEventDue(broke))
+	brokenOff := began.Add(5 * time.Second)
+	require.Equal(t, began.Add(5600*time.Millisecond-answerMargin), q.eventDeadline(brokenOff))
 	q.headerSent = true
-	require.Equal(t, broke.Add(5600*time.Millisecond-answerMargin), q.nextEventDue(broke))
+	require.Equal(t, brokenOff.Add(5600*time.Millisecond-answerMargin), q.eventDeadline(brokenOff))
 }
 
-// A caller says that its prompt has more tokens than any engine holds, or fewer than
-// none. Taken at its word its length overflows, and an engine counts as idle for it.
-func TestLengthOfAPromptIsBounded(t *testing.T) {
+// A caller declares a prompt with more tokens than any engine holds, or a negative number of them.
+// Unless the length is clamped it overflows, and an engine would count as idle for it.
+func TestPromptLengthIsClamped(t *testing.T) {
 	q := request{route: &routes.Route{PromptRoute: true}, service: "engines", call: exchange.Call{
 		PromptTokens: math.MaxInt, Prefix: []routing.PrefixPart{{ID: "a", Tokens: math.MinInt}},
 	}}
@@ -78,14 +78,13 @@
 	require.Equal(t, maxPromptTokens, p.Tokens)
 	require.Equal(t, []placing.Part{{ID: "a", Tokens: 0}}, p.Parts)
 	q.route = &routes.Route{}
-	require.Equal(t, placing.Prompt{}, q.prompt(), "no prompt, no engine to choose")
+	require.Equal(t, placing.Prompt{}, q.prompt(), "a route without prompts has no engine to choose")
 }
 
-// TestStreamThatCannotGoOnMayPause guards against the end of a stream by our own bound of its
-// silence, though no other target can go on with it.
-func TestStreamThatCannotGoOnMayPause(t *testing.T) {
+// A stream that no other target can resume must not be cancelled because it pauses.
+func TestNonResumableStreamMayPause(t *testing.T) {
 	q := &request{route: &routes.Route{MaxPause: 300 * time.Millisecond, Repeat: routes.Streaming, Resumable: true, MaxAttempts: 2}}
-	require.Equal(t, silentGap, q.gapBound())
+	require.Equal(t, maxEventGap, q.eventTimeout())
 	q.notResumable = true
-	require.Equal(t, unbounded, q.gapBound())
+	require.Equal(t, noTimeout, q.eventTimeout())
 }
--- a/daemon/relay/results.go
+++ b/daemon/relay/results.go
@@ -6,32 +6,34 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// prompt is what an engine is to read of the request.
+// prompt returns the prompt that an engine has to read for the request; empty if the route
+// has none.
 func (q *request) prompt() placing.Prompt {
 	if !q.route.PromptRoute {
 		return placing.Prompt{}
 	}
-	p := placing.Prompt{Pool: q.service, Tokens: boundTokens(q.call.PromptTokens), Exclude: q.excluded}
+	p := placing.Prompt{Pool: q.service, Tokens: clampTokens(q.call.PromptTokens), Exclude: q.excluded}
 	for _, part := range q.call.Prefix {
-		p.Parts = append(p.Parts, placing.Part{ID: part.ID, Tokens: boundTokens(part.Tokens)})
+		p.Parts = append(p.Parts, placing.Part{ID: part.ID, Tokens: clampTokens(part.Tokens)})
 	}
 	return p
 }
 
-// maxPromptTokens bounds what a caller may say of its prompt, a few times what the
-// largest engines hold: a length that overflows would be predicted to take no time.
+// maxPromptTokens limits the prompt length that a caller may declare, to a few times the
+// capacity of the largest engines. Otherwise a length that overflows would be predicted to
+// take no time.
 const maxPromptTokens = 1 << 22
 
-func boundTokens(n int) int { return min(max(n, 0), maxPromptTokens) }
+func clampTokens(n int) int { return min(max(n, 0), maxPromptTokens) }
 
-// dropResults gives the stages' results back.
-func (q *request) dropResults() { q.release(0) }
+// freeResults frees the stages' results.
+func (q *request) freeResults() { q.releaseResults(0) }
 
-// release gives the stages' results back and tells how the engine did that was chosen
-// with them: the time to the first event, or 0 without one.
-func (q *request) release(first time.Duration) {
+// releaseResults frees the stages' results, and reports how the engine that was chosen with
+// them performed: the time to the first event, or 0 without one.
+func (q *request) releaseResults(firstEvent time.Duration) {
 	if q.owner != "" {
-		q.relay.options.Stages.Drop(q.owner, placing.RequestEnd{Request: q.call.ID, Engine: q.target, FirstEvent: first})
+		q.relay.options.Stages.Drop(q.owner, placing.RequestEnd{Request: q.call.ID, Engine: q.target, FirstEvent: firstEvent})
 	}
-	q.owner, q.handles, q.engine = "", nil, ""
+	q.owner, q.resultHandles, q.preferredEngine = "", nil, ""
 }
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/state/routes"
 )
 
-// startingRelay is a relay whose configuration and targets come after a while.
+// startingRelay returns a relay whose configuration and targets become known after a while.
 func startingRelay(after time.Duration) *Relay {
 	s := stagedRelay(nil)
 	s.options.Confirm = func(context.Context) bool { return true }
@@ -36,17 +36,17 @@
 	return s
 }
 
-// TestRequestWaitsForTheStart guards against refusals of requests that come while an
-// instance reads its configuration, and against requests that wait while it can't.
-func TestRequestWaitsForTheStart(t *testing.T) {
+// Requests that arrive while an instance reads its configuration must not be refused, nor must they
+// wait for long if it can't be read.
+func TestRequestWaitsForStartup(t *testing.T) {
 	cases := map[string]struct {
 		after, arrives, answered time.Duration
 		status                   int
 	}{
-		"ready soon":            {200 * time.Millisecond, 50 * time.Millisecond, 200 * time.Millisecond, http.StatusNotFound},
-		"the store is away":     {time.Hour, 0, startWithin, http.StatusServiceUnavailable},
-		"away for a while":      {time.Hour, startWithin - time.Millisecond, startWithin, http.StatusServiceUnavailable},
-		"away, and up for long": {time.Hour, time.Minute, time.Minute, http.StatusServiceUnavailable},
+		"ready soon":                             {200 * time.Millisecond, 50 * time.Millisecond, 200 * time.Millisecond, http.StatusNotFound},
+		"store unavailable":                      {time.Hour, 0, maxStartupWait, http.StatusServiceUnavailable},
+		"store unavailable, request comes late":  {time.Hour, maxStartupWait - time.Millisecond, maxStartupWait, http.StatusServiceUnavailable},
+		"store unavailable long after the start": {time.Hour, time.Minute, time.Minute, http.StatusServiceUnavailable},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/daemon/relay/stop.go
+++ b/daemon/relay/stop.go
@@ -12,90 +12,93 @@
 )
 
 var (
-	// errNoTimeToSend ends the wait for stages that don't end in a planned stop.
+	// errNoTimeToSend ends the wait for stages that won't end before a planned stop.
 	errNoTimeToSend = errors.New("the instance stops before the request can be served")
-	// errStopOver ends what is in flight at the end of a planned stop.
-	errStopOver = errors.New("the instance stops")
+	// errStopEnded cancels what is in flight at the end of a planned stop.
+	errStopEnded = errors.New("the instance stops")
 )
 
-// stopping is the planned stop as the requests in flight see it.
-type stopping struct {
-	// begun is done once the stop began, over once its last answers are due.
-	begun, over context.Context
-	begin       context.CancelFunc
-	end         context.CancelCauseFunc
+// plannedStop is the state of a planned stop as the requests in flight see it.
+type plannedStop struct {
+	// begun is done once the stop has begun, ended once its last responses are due.
+	begun, ended context.Context
+	begin        context.CancelFunc
+	end          context.CancelCauseFunc
 	// window is valid once begun is done.
 	window drain.Window
 	once   sync.Once
 }
 
-func newStopping() *stopping {
-	s := &stopping{}
+func newPlannedStop() *plannedStop {
+	s := &plannedStop{}
 	s.begun, s.begin = context.WithCancel(context.Background())
-	s.over, s.end = context.WithCancelCause(context.Background())
+	s.ended, s.end = context.WithCancelCause(context.Background())
 	return s
 }
 
-// Drain begins the planned stop, of which the balancer has surely heard by noticed: each
-// further answer closes its connection, what can't be answered by ends is refused, and
-// what is in flight then is ended.
+// Drain begins the planned stop. The balancer has certainly noticed it by noticed. From now on
+// each response closes its connection, and requests that can't be answered by ends are
+// refused. What is still in flight then is cancelled.
 func (s *Relay) Drain(noticed, ends time.Time) {
-	s.stopping.once.Do(func() {
-		s.stopping.window = drain.Window{Start: time.Now(), BalancerNoticed: noticed, End: ends}
-		s.stopping.begin()
-		s.boundStages()
-		time.AfterFunc(time.Until(ends), func() { s.stopping.end(errStopOver) })
+	s.stop.once.Do(func() {
+		s.stop.window = drain.Window{Start: time.Now(), BalancerNoticed: noticed, End: ends}
+		s.stop.begin()
+		s.shortenStageDeadlines()
+		time.AfterFunc(time.Until(ends), func() { s.stop.end(errStopEnded) })
 	})
 }
 
-// boundStages tells whoever runs the stages of waiting requests by when they must be
-// done. Those that won't be are refused now, as long as their callers have time to be
-// served elsewhere, and not when the time is over.
-func (s *Relay) boundStages() {
-	due := s.waiting.due(func(q *request) time.Time { return s.stopping.window.SendDeadline(q.drainRequest()).Add(engineTime) })
+// shortenStageDeadlines passes the earlier deadlines on to whoever runs the stages of waiting
+// requests. Requests that won't meet them are refused now, while their callers still have
+// time to be served elsewhere, rather than when the time is over.
+func (s *Relay) shortenStageDeadlines() {
+	due := s.stageWaiters.byStageDeadline(func(q *request) time.Time {
+		return s.stop.window.SendDeadline(q.drainRequest()).Add(engineFirstEventTime)
+	})
 	for by, ids := range due {
 		s.options.Stages.Bound(by, ids...)
 	}
 }
 
-// draining returns the window of the planned stop; false before it.
-func (s *Relay) draining() (drain.Window, bool) {
-	if s.stopping.begun.Err() == nil {
+// stopWindow returns the window of the planned stop; false before it has begun.
+func (s *Relay) stopWindow() (drain.Window, bool) {
+	if s.stop.begun.Err() == nil {
 		return drain.Window{}, false
 	}
-	return s.stopping.window, true
+	return s.stop.window, true
 }
 
-// drainRequest is the request as the decisions of a stop see it.
+// drainRequest returns the request as the decisions of a stop need it.
 func (q *request) drainRequest() drain.Request {
 	return drain.Request{
-		Arrived: q.arrived, Deadline: q.deadline, Streaming: q.streams(),
-		Expected: q.relay.durations.usual(q.route.Name),
+		Arrived: q.arrived, Deadline: q.deadline, Streaming: q.isStream(),
+		Expected: q.relay.durations.estimate(q.route.Name),
 	}
 }
 
-// tooLateToSend tells that a planned stop leaves no time for another attempt.
-func (q *request) tooLateToSend(now time.Time) bool {
-	window, stopping := q.relay.draining()
+// pastSendDeadline reports whether a planned stop leaves no time for another attempt.
+func (q *request) pastSendDeadline(now time.Time) bool {
+	window, stopping := q.relay.stopWindow()
 	return stopping && now.After(window.SendDeadline(q.drainRequest()))
 }
 
-// untilStopped returns a context that ends with the planned stop too, by errStopOver.
-func (q *request) untilStopped(ctx context.Context) (context.Context, func()) {
+// withStopEnd returns a context that is also cancelled at the end of a planned stop, by
+// errStopEnded.
+func (q *request) withStopEnd(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	release := context.AfterFunc(q.relay.stopping.over, func() { cancel(errStopOver) })
+	release := context.AfterFunc(q.relay.stop.ended, func() { cancel(errStopEnded) })
 	return ctx, func() {
 		release()
 		cancel(nil)
 	}
 }
 
-// untilSendBy returns a context that ends, by errNoTimeToSend, when a planned stop leaves no
-// time to send the request.
-func (q *request) untilSendBy(ctx context.Context) (context.Context, func()) {
+// withSendDeadline returns a context that is cancelled by errNoTimeToSend once a planned stop
+// leaves no time to send the request.
+func (q *request) withSendDeadline(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	release := context.AfterFunc(q.relay.stopping.begun, func() {
-		window, _ := q.relay.draining()
+	release := context.AfterFunc(q.relay.stop.begun, func() {
+		window, _ := q.relay.stopWindow()
 		timer := time.AfterFunc(time.Until(window.SendDeadline(q.drainRequest())), func() { cancel(errNoTimeToSend) })
 		context.AfterFunc(ctx, func() { timer.Stop() })
 	})
@@ -105,28 +108,29 @@
 	}
 }
 
-// bodyWait bounds the wait for a request's body.
-type bodyWait struct {
+// bodyReadDeadline limits the wait for a request's body.
+type bodyReadDeadline struct {
 	mu         sync.Mutex
-	over       bool
+	bodyRead   bool
 	controller *http.ResponseController
 }
 
-// until sets the end of the wait, unless the body is there.
-func (b *bodyWait) until(t time.Time) {
+// set sets the deadline, unless the body has been read.
+func (b *bodyReadDeadline) set(t time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.over {
-		_ = b.controller.SetReadDeadline(t) // a closed connection shows at the read
+	if !b.bodyRead {
+		_ = b.controller.SetReadDeadline(t) // a closed connection is reported by the read
 	}
 }
 
-// end lifts the bound of a body that has been read whole: from now on net/http watches
-// whether the caller leaves. Else it stays: net/http would read the rest of the body
-// before it sends the answer, however long that takes to come.
-func (b *bodyWait) end() {
+// remove removes the deadline of a body that was read completely: from then on net/http
+// watches whether the caller leaves. If the body is incomplete the deadline stays. Without it
+// net/http would read the remaining body before it sends the response, however long that
+// takes to arrive.
+func (b *bodyReadDeadline) remove() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
-	_ = b.controller.SetReadDeadline(time.Time{}) // a closed connection shows at the next read
+	b.bodyRead = true
+	_ = b.controller.SetReadDeadline(time.Time{}) // a closed connection is reported by the next read
 }
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -27,7 +27,7 @@
 // balancerDelay is how long the balancer takes to notice a stop in these tests.
 const balancerDelay = 2500 * time.Millisecond
 
-// dialect reads nothing of a call but its id and its pieces.
+// dialect parses every call as one with the same ID and pieces.
 type dialect struct{ exchange.Dialect }
 
 func (dialect) ParseCall(*http.Request) (exchange.Call, error) {
@@ -38,19 +38,19 @@
 
 func (dialect) CallerHeader(h http.Header) http.Header { return h }
 
-// A request has a key that nobody knows, and whether a newer configuration knows it is
-// asked at a store that doesn't answer. The instance stops meanwhile. Its caller must
-// hear that the request hasn't run: not nothing, and not that the key is wrong.
-func TestStopEndsTheWaitForAConfiguration(t *testing.T) {
+// A request has an unknown key, and a store that doesn't answer is asked for a newer configuration.
+// Meanwhile the instance stops. The caller must get a response, and that must be that the request
+// hasn't run rather than that the key is wrong.
+func TestStopEndsWaitForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := &routes.Route{Name: "r", Host: "example.com", Prefix: "/"}
 		table := routes.Build(routes.Table{NeedsKeys: true}, []*routes.Route{route}, nil)
-		asked := make(chan struct{})
+		confirming := make(chan struct{})
 		s := New(Options{
 			Dialect: dialect{}, Scope: tally.NoopScope,
 			Table: func() *routes.Table { return table },
 			Confirm: func(ctx context.Context) bool {
-				close(asked)
+				close(confirming)
 				<-ctx.Done()
 				return false
 			},
@@ -61,7 +61,7 @@
 			defer close(answered)
 			s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
 		}()
-		<-asked
+		<-confirming
 		s.Drain(time.Now(), time.Now().Add(time.Second))
 		<-answered
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
@@ -70,19 +70,19 @@
 	})
 }
 
-// maker runs stages that don't end. It refuses a request as soon as it is given less
-// time, as the holder of the queue does that predicts a later end.
-type maker struct {
-	asked   chan gather.Request
+// stageRunner runs stages that don't end. It refuses a request as soon as the request gets an earlier
+// deadline, like a holder of the stage queue that predicts a later end.
+type stageRunner struct {
+	started chan gather.Request
 	refused chan time.Time
-	// deaf makers don't hear of a stop.
-	deaf bool
-	// retryAfter is when a refused request may come back.
+	// unreachable is true if the runner receives no deadlines of a stop.
+	unreachable bool
+	// retryAfter is the retry delay of a refusal.
 	retryAfter time.Duration
 }
 
-func (m *maker) Make(ctx context.Context, r gather.Request, _ placing.Prompt) (stages.Made, error) {
-	m.asked <- r
+func (m *stageRunner) Make(ctx context.Context, r gather.Request, _ placing.Prompt) (stages.Made, error) {
+	m.started <- r
 	select {
 	case <-m.refused:
 		return stages.Made{}, &stages.RefusedError{Reason: gather.ReasonStopping, RetryAfter: m.retryAfter}
@@ -91,18 +91,18 @@
 	}
 }
 
-func (m *maker) Drop(string, placing.RequestEnd) {}
+func (m *stageRunner) Drop(string, placing.RequestEnd) {}
 
-func (m *maker) EngineGone(string, string, string) {}
+func (m *stageRunner) EngineGone(string, string, string) {}
 
-func (m *maker) Bound(until time.Time, ids ...string) {
-	if !m.deaf && len(ids) == 1 && ids[0] == "a" {
+func (m *stageRunner) Bound(until time.Time, ids ...string) {
+	if !m.unreachable && len(ids) == 1 && ids[0] == "a" {
 		m.refused <- until
 	}
 }
 
-// stagedRelay is a relay with one target and one route of one stage.
-func stagedRelay(m Maker) *Relay {
+// stagedRelay returns a relay with one target and one route with one stage.
+func stagedRelay(m StageRunner) *Relay {
 	route := &routes.Route{
 		Name: "r", Host: "example.com", Prefix: "/", Objective: 5 * time.Second, MaxPause: time.Second,
 		Timeout: 20 * time.Second, Stages: []routes.Stage{{Service: "stage"}},
@@ -119,12 +119,11 @@
 	})
 }
 
-// A request waits for its stages when its instance begins to stop, and they won't be
-// done before the instance ends. Its caller must hear so at once, while another
-// instance can still serve it.
-func TestStopTellsWhoRunsTheStages(t *testing.T) {
+// A request waits for its stages when its instance begins to stop, and they won't be done before the
+// instance ends. Its caller must be refused at once, while another instance can still serve it.
+func TestStopShortensStageDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &maker{asked: make(chan gather.Request, 1), refused: make(chan time.Time, 1)}
+		m := &stageRunner{started: make(chan gather.Request, 1), refused: make(chan time.Time, 1)}
 		s := stagedRelay(m)
 		w := httptest.NewRecorder()
 		answered := make(chan struct{})
@@ -132,22 +131,22 @@
 			defer close(answered)
 			s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
 		}()
-		asked := <-m.asked
+		started := <-m.started
 		stop := time.Now()
 		s.Drain(stop.Add(balancerDelay), stop.Add(7*time.Second))
 		<-answered
-		require.Equal(t, stop, time.Now(), "the refusal was held back")
+		require.Equal(t, stop, time.Now(), "the refusal was delayed")
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Contains(t, w.Body.String(), "stopping")
-		require.True(t, asked.Deadline.After(stop.Add(7*time.Second)))
+		require.True(t, started.Deadline.After(stop.Add(7*time.Second)))
 	})
 }
 
-// The same, and whoever runs the stages doesn't hear of the stop: the request is refused
+// The same if whoever runs the stages doesn't receive the earlier deadline: the request is refused
 // when no time is left to send it.
-func TestStopRefusesWhatWaitsAtTheLastMoment(t *testing.T) {
+func TestStopRefusesWaitingRequestAtSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &maker{asked: make(chan gather.Request, 1), deaf: true}
+		m := &stageRunner{started: make(chan gather.Request, 1), unreachable: true}
 		s := stagedRelay(m)
 		w := httptest.NewRecorder()
 		answered := make(chan struct{})
@@ -155,7 +154,7 @@
 			defer close(answered)
 			s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
 		}()
-		<-m.asked
+		<-m.started
 		stop := time.Now()
 		s.Drain(stop.Add(balancerDelay), stop.Add(7*time.Second))
 		<-answered
@@ -164,14 +163,14 @@
 	})
 }
 
-// An order's body is whole only when no time is left to send it. It must not be sent: it
-// would run, and its caller be told that it may have.
-func TestStopSendsNothingAfterTheLastMoment(t *testing.T) {
+// The body of a request that must not be repeated is complete only when no time is left to send it.
+// If it were sent it would run, and its caller would be told that it may have.
+func TestStopSendsNothingAfterSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stagedRelay(&maker{})
+		s := stagedRelay(&stageRunner{})
 		route, _ := s.options.Table().Match("example.com", "/")
 		route.Stages, route.MaxPause = nil, 0
-		body, rest := io.Pipe()
+		body, writer := io.Pipe()
 		w := httptest.NewRecorder()
 		answered := make(chan struct{})
 		go func() {
@@ -180,20 +179,20 @@
 		}()
 		synctest.Wait()
 		s.Drain(time.Now().Add(balancerDelay), time.Now().Add(7*time.Second))
-		time.Sleep(5 * time.Second) // virtual: the last moment to send passes
-		_, err := rest.Write([]byte("body"))
+		time.Sleep(5 * time.Second) // virtual: the send deadline passes
+		_, err := writer.Write([]byte("body"))
 		require.NoError(t, err)
-		require.NoError(t, rest.Close())
-		<-answered // sent, it would have met a nil client
+		require.NoError(t, writer.Close())
+		<-answered // if it were sent, the client would be nil
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	})
 }
 
-// A stream comes long after the balancer has noticed a stop. It is refused at once, and no
-// stage runs for it.
+// A stream arrives long after the balancer has noticed a stop. It is refused at once, and no stage
+// runs for it.
 func TestStopRefusesLateStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stagedRelay(&maker{}) // asked, it would wait for ever
+		s := stagedRelay(&stageRunner{}) // if a stage were run, the request would wait forever
 		s.Drain(time.Now().Add(balancerDelay), time.Now().Add(7*time.Second))
 		time.Sleep(3 * time.Second) // virtual: the balancer has noticed
 		w := httptest.NewRecorder()
@@ -203,12 +202,11 @@
 	})
 }
 
-// A stream comes while the instance stops. Its stages get no more time than the stop
-// leaves, and a refusal of them names when another instance, which has that time, could
-// serve it.
-func TestStopBoundsTheStagesOfNewRequests(t *testing.T) {
+// A stream arrives while the instance stops. Its stages get no more time than the stop leaves. If they
+// are refused, the retry delay is that of another instance, which has the full time.
+func TestStopLimitsStagesOfNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &maker{asked: make(chan gather.Request, 1), refused: make(chan time.Time, 1)}
+		m := &stageRunner{started: make(chan gather.Request, 1), refused: make(chan time.Time, 1)}
 		s := stagedRelay(m)
 		s.Drain(time.Now().Add(balancerDelay), time.Now().Add(7*time.Second))
 		m.refused <- time.Time{}
@@ -216,29 +214,28 @@
 		w := httptest.NewRecorder()
 		began := time.Now()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
-		require.Equal(t, began.Add(4*time.Second+engineTime), (<-m.asked).Deadline)
+		require.Equal(t, began.Add(4*time.Second+engineFirstEventTime), (<-m.started).Deadline)
 		// Its own deadline is 20 s, 15.75 s later.
 		require.Equal(t, "2.25", w.Header().Get("Retry-After"))
 	})
 }
 
-// A target has answered with a failure of its own that another might better, when no time
-// is left to send the request again. Its caller gets that answer, and not one that says
-// less.
-func TestStopKeepsTheAnswerThatIsThere(t *testing.T) {
+// A target has answered with an error that another target might not return, when no time is left to
+// send the request again. Its caller must get that error rather than a less specific one.
+func TestStopKeepsReceivedReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stagedRelay(&maker{})
+		s := stagedRelay(&stageRunner{})
 		route, _ := s.options.Table().Match("example.com", "/")
 		route.Repeat, route.MaxAttempts = routes.Idempotent, 2
 		s.Drain(time.Now(), time.Now().Add(time.Second))
-		time.Sleep(900 * time.Millisecond) // virtual: the last moment to send passes
+		time.Sleep(900 * time.Millisecond) // virtual: the send deadline passes
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodGet, "http://example.com/", nil)
 		q := &request{relay: s, w: w, r: r, route: route, arrived: time.Now(), deadline: time.Now().Add(time.Minute)}
-		held := &heldReply{status: http.StatusInternalServerError, body: []byte("its own")}
-		again, err := q.judge(t.Context(), &failure{cause: io.EOF, reply: held})
-		require.False(t, again)
-		q.answerFailure(t.Context(), err)
+		held := &bufferedReply{status: http.StatusInternalServerError, body: []byte("its own")}
+		retry, err := q.decideRetry(t.Context(), &failure{cause: io.EOF, reply: held})
+		require.False(t, retry)
+		q.sendFailure(t.Context(), err)
 		require.Equal(t, http.StatusInternalServerError, w.Code)
 		require.Equal(t, "its own", w.Body.String())
 	})
--- /dev/null
+++ b/daemon/relay/timings.go
@@ -0,0 +1,28 @@
+package relay
+
+import "time"
+
+// timings are the durations of the phases of a request.
+type timings struct {
+	// stagesWait is the wait for the stages' results, over all attempts.
+	stagesWait time.Duration
+	// attemptStart is when the latest attempt was sent.
+	attemptStart time.Time
+	// firstEvent is the time from the start of an attempt to its first event, or to its
+	// complete response if that isn't a stream.
+	firstEvent time.Duration
+	// longestPause is the longest time between two consecutive events.
+	longestPause time.Duration
+	// latestEvent is when the latest event arrived.
+	latestEvent time.Time
+}
+
+// recordEvent records the arrival of events or of a complete response.
+func (p *timings) recordEvent(now time.Time) {
+	if p.latestEvent.IsZero() {
+		p.firstEvent = now.Sub(p.attemptStart)
+	} else {
+		p.longestPause = max(p.longestPause, now.Sub(p.latestEvent))
+	}
+	p.latestEvent = now
+}
