--- a/daemon/follow/age.go
+++ b/daemon/follow/age.go
@@ -6,18 +6,18 @@
 	"github.com/ivyhollow/ivyhollow/coordination/watching"
 )
 
-// TargetsAge returns how old this instance's knowledge of the targets is, by the store's
-// answers and the word of other instances. It is 0 before the first answer.
+// TargetsAge returns the age of this instance's knowledge of the targets, by the store's responses
+// and the reports of other instances. It is 0 before the first response.
 func (f *Follower) TargetsAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watching.Age(time.Now(), watching.Targets)
+	return f.tracker.Age(time.Now(), watching.Targets)
 }
 
-// measureAges tells the ages of what is known; mu is held.
-func (f *Follower) measureAges(now time.Time) {
+// recordAges updates the metrics of the ages; mu is held.
+func (f *Follower) recordAges(now time.Time) {
 	for _, part := range []watching.Part{watching.Configuration, watching.Targets} {
 		scope := f.scope.Tagged(map[string]string{"kind": string(part)})
-		scope.Gauge("known_age").Update(f.watching.Age(now, part).Seconds())
+		scope.Gauge("known_age").Update(f.tracker.Age(now, part).Seconds())
 	}
 }
--- a/daemon/follow/confirm_test.go
+++ b/daemon/follow/confirm_test.go
@@ -19,20 +19,20 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// slowStore answers Get after a while, and counts the questions.
+// slowStore answers Get after a delay, and counts the calls.
 type slowStore struct {
 	platform.Store
-	takes     time.Duration
-	down      bool
-	questions atomic.Int32
+	delay time.Duration
+	down  bool
+	calls atomic.Int32
 }
 
 func (s *slowStore) Get(ctx context.Context, _, name string) (*platformapi.Object, error) {
-	s.questions.Add(1)
+	s.calls.Add(1)
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(s.takes):
+	case <-time.After(s.delay):
 	}
 	if s.down {
 		return nil, errors.New("store is down")
@@ -40,7 +40,7 @@
 	return &platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: 7}}, nil
 }
 
-func newConfirming(s *slowStore) *Follower {
+func newConfirmFollower(s *slowStore) *Follower {
 	return New(Options{
 		Store: s,
 		Source: Source{
@@ -49,36 +49,36 @@
 				return &routes.Table{Revision: revision}, nil
 			},
 		},
-		Spread:   func(spread.Record) {},
+		Gossip:   func(spread.Record) {},
 		OnChange: func(time.Time, *routes.Table, map[string][]routes.Target) {},
 		Scope:    tally.NoopScope,
 	})
 }
 
-// A client account gets a new key. Forty requests with it come in the same moment,
-// and the one that put the question to the store leaves before the answer. The
-// others would be refused with it, or ask forty times, if the question were its own.
-func TestConfirmIsSharedAndOutlivesItsAsker(t *testing.T) {
+// A client account gets a new key, and forty requests with it arrive at once. The one that started
+// the check leaves before the response. If the check ended with that request, the others would be
+// refused or would each call the store.
+func TestConfirmIsSharedAndOutlivesRequester(t *testing.T) {
 	cases := map[string]struct {
-		store     *slowStore
-		leaves    time.Duration
-		known     int32
-		questions int32
-		longest   time.Duration
+		store   *slowStore
+		leaves  time.Duration
+		known   int32
+		calls   int32
+		longest time.Duration
 	}{
-		"answers":                   {&slowStore{takes: 100 * time.Millisecond}, time.Hour, 41, 1, 100 * time.Millisecond},
-		"answers, the asker left":   {&slowStore{takes: 100 * time.Millisecond}, 10 * time.Millisecond, 40, 1, 100 * time.Millisecond},
-		"silent":                    {&slowStore{takes: time.Hour}, time.Hour, 0, 1, confirmTimeout},
-		"fails, then isn't asked":   {&slowStore{down: true}, time.Hour, 0, 1, 0},
-		"silent and the asker left": {&slowStore{takes: time.Hour}, 10 * time.Millisecond, 0, 1, confirmTimeout},
+		"answers":                 {&slowStore{delay: 100 * time.Millisecond}, time.Hour, 41, 1, 100 * time.Millisecond},
+		"answers, requester left": {&slowStore{delay: 100 * time.Millisecond}, 10 * time.Millisecond, 40, 1, 100 * time.Millisecond},
+		"silent":                  {&slowStore{delay: time.Hour}, time.Hour, 0, 1, confirmTimeout},
+		"fails, not called again": {&slowStore{down: true}, time.Hour, 0, 1, 0},
+		"silent, requester left":  {&slowStore{delay: time.Hour}, 10 * time.Millisecond, 0, 1, confirmTimeout},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newConfirming(c.store)
+				f := newConfirmFollower(c.store)
 				var known atomic.Int32
 				var wg sync.WaitGroup
-				ask := func(ctx context.Context) {
+				confirm := func(ctx context.Context) {
 					if f.Confirm(ctx) {
 						known.Add(1)
 					}
@@ -86,64 +86,63 @@
 				begin := time.Now()
 				first, leave := context.WithTimeout(t.Context(), c.leaves)
 				defer leave()
-				wg.Go(func() { ask(first) })
+				wg.Go(func() { confirm(first) })
 				synctest.Wait()
 				for range 40 {
-					wg.Go(func() { ask(t.Context()) })
+					wg.Go(func() { confirm(t.Context()) })
 				}
 				wg.Wait()
 				require.Equal(t, c.longest, time.Since(begin))
 				require.Equal(t, c.known, known.Load())
-				require.Equal(t, c.questions, c.store.questions.Load())
+				require.Equal(t, c.calls, c.store.calls.Load())
 			})
 		})
 	}
 }
 
-// The store answers a question after it told of a newer state by a watch: its word
-// must not look older than it is, else the next denial asks again.
-func TestConfirmKeepsTheNewerWord(t *testing.T) {
+// The store answers a check after a watch has returned a newer state. The confirmation must not look
+// older than that watch, or the next denial would call the store again.
+func TestConfirmKeepsLatestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &slowStore{takes: 300 * time.Millisecond}
-		f := newConfirming(store)
+		store := &slowStore{delay: 300 * time.Millisecond}
+		f := newConfirmFollower(store)
 		go func() {
-			time.Sleep(200 * time.Millisecond) // virtual: the watch answers meanwhile
-			f.noteTaken(followed{part: watching.Configuration}, time.Now())
+			time.Sleep(200 * time.Millisecond) // virtual: meanwhile the watch returns
+			f.recordApplied(watchedKind{part: watching.Configuration}, time.Now())
 		}()
 		require.True(t, f.Confirm(t.Context()))
 		time.Sleep(800 * time.Millisecond) // virtual
 		require.True(t, f.Confirm(t.Context()))
-		require.EqualValues(t, 1, store.questions.Load())
+		require.EqualValues(t, 1, store.calls.Load())
 	})
 }
 
-// Ninety instances meet requests for a route that was dropped a while ago. One of
-// them asks the store for all. When it can't be asked, doesn't know, or knows of a
-// newer version than the one in force here, the store itself is asked: else a route
-// that was just added would be refused.
-func TestConfirmerSparesTheStore(t *testing.T) {
+// Ninety instances receive requests for a route that has been removed. One of them calls the store for
+// all. The store itself is asked if that instance is unreachable, doesn't know, or knows a newer version
+// than the one in force here: otherwise a route that has just been added would be refused.
+func TestConfirmerSavesStoreCalls(t *testing.T) {
 	cases := map[string]struct {
-		revision  uint64
-		known     bool
-		questions int32
+		revision uint64
+		known    bool
+		calls    int32
 	}{
-		"knows this version":            {6, true, 0},
-		"knows an older one":            {5, true, 0},
-		"knows a newer one":             {7, true, 1},
-		"doesn't know or asked in vain": {0, false, 1},
+		"knows this version":          {6, true, 0},
+		"knows an older one":          {5, true, 0},
+		"knows a newer one":           {7, true, 1},
+		"doesn't know or unreachable": {0, false, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &slowStore{takes: 4 * time.Millisecond}
-				f := newConfirming(store)
-				f.options.AskConfirmer = func(context.Context) (uint64, bool) { return c.revision, c.known }
+				store := &slowStore{delay: 4 * time.Millisecond}
+				f := newConfirmFollower(store)
+				f.options.ConfirmerRevision = func(context.Context) (uint64, bool) { return c.revision, c.known }
 				f.table.Store(&routes.Table{Revision: 6})
 				require.True(t, f.Confirm(t.Context()))
-				require.Equal(t, c.questions, store.questions.Load())
-				require.True(t, f.Confirm(t.Context()), "its word holds for a while")
-				require.Equal(t, c.questions, store.questions.Load())
-				revision, known := f.ConfirmFor(t.Context())
+				require.Equal(t, c.calls, store.calls.Load())
+				require.True(t, f.Confirm(t.Context()), "the confirmation is valid for a while")
+				require.Equal(t, c.calls, store.calls.Load())
+				revision, known := f.NewestRevision(t.Context())
 				require.True(t, known)
 				require.Equal(t, f.Table().Revision, revision)
 			})
@@ -151,30 +150,30 @@
 	}
 }
 
-// The store tells of a new key by a watch. Until that is in force, the store's word must
-// not count as known: a request with the key would be denied.
-func TestWordCountsOnceItIsInForce(t *testing.T) {
+// A watch returns a new key. The newest configuration must not count as known until that is applied:
+// a request with the key would be denied.
+func TestConfirmedOnceApplied(t *testing.T) {
 	store := newTimedStore()
 	store.put("config", "main", "1")
 	f := New(Options{Store: store, Scope: tally.NoopScope})
 	known := func() bool {
-		known, _ := f.confirmed(time.Now())
+		known, _ := f.lastConfirmation(time.Now())
 		return known
 	}
-	taken := 0
-	k := followed{
+	applied := 0
+	k := watchedKind{
 		part: watching.Configuration, kind: "config",
-		event: func(platformapi.Event) { taken++; require.False(t, known()) },
-		list:  func(platformapi.List) { taken++; require.False(t, known()) },
+		onEvent: func(platformapi.Event) { applied++; require.False(t, known()) },
+		onList:  func(platformapi.List) { applied++; require.False(t, known()) },
 	}
 	_, _, err := f.callStore(t.Context(), k, 0, 0)
 	require.NoError(t, err)
 	require.True(t, known())
-	f.heard = time.Time{}
+	f.confirmedAt = time.Time{}
 	store.put("config", "main", "2")
-	_, news, err := f.callStore(t.Context(), k, 1, 0)
+	_, changes, err := f.callStore(t.Context(), k, 1, 0)
 	require.NoError(t, err)
-	require.Equal(t, 1, news)
-	require.Equal(t, 2, taken)
+	require.Equal(t, 1, changes)
+	require.Equal(t, 2, applied)
 	require.True(t, known())
 }
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -19,31 +19,31 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Bounds that the users set, counted from the store's acknowledgement.
+// Bounds that users require, counted from the store's acknowledgement.
 const (
-	// leavingBound is the time after which a target that left gets nothing new.
+	// leavingBound is the time after which a target that has left gets no new work.
 	leavingBound = 2 * time.Second
 	// configBound is the time within which a configuration is in force.
 	configBound = 2 * time.Second
-	// settledAfter is the time after the store's return from which on both hold.
+	// settledAfter is the time after the store's recovery from which on both bounds hold.
 	settledAfter = 3 * time.Second
-	// returnBound is the time after the store's return within which entries are back
-	// that ran out meanwhile.
+	// returnBound is the time after the store's recovery within which expired entries
+	// reappear.
 	returnBound = 2 * time.Second
 )
 
-// Times of the store of these tests and of its client.
+// Timing of the test store and its client.
 const (
-	answerTime  = 4 * time.Millisecond
-	watchSlack  = time.Second
-	callTimeout = 2 * time.Second
+	responseTime = 4 * time.Millisecond
+	watchSlack   = time.Second
+	callTimeout  = 2 * time.Second
 )
 
-// silence is a time in which the store answers nobody.
+// silence is a period in which the store answers no call.
 type silence struct{ from, to time.Time }
 
-// timedStore is a store in virtual time. While it is silent it receives nothing: a
-// watch that is sent then is never answered, also not once the store is back.
+// timedStore is a store in virtual time. While it is silent it receives nothing: a watch that is
+// sent then is orphaned, that is, never answered, not even after the store's recovery.
 type timedStore struct {
 	platform.Store
 
@@ -53,9 +53,9 @@
 	history  []change
 	objects  map[string]map[string]platformapi.Object
 	changed  chan struct{}
-	// forgotten is when the store last lost all watches that waited.
-	forgotten time.Time
-	watches   int
+	// watchesLostAt is when the store last lost all pending watches.
+	watchesLostAt time.Time
+	watches       int
 }
 
 type change struct {
@@ -67,7 +67,7 @@
 	return &timedStore{objects: map[string]map[string]platformapi.Object{}, changed: make(chan struct{})}
 }
 
-// silent has the store answer nobody from now on for a while.
+// silent makes the store silent from now on for a while.
 func (s *timedStore) silent(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,20 +80,20 @@
 	return slices.ContainsFunc(s.silences, func(x silence) bool { return !now.Before(x.from) && now.Before(x.to) })
 }
 
-// forget loses all watches that wait: they are never answered, and nothing else fails.
-func (s *timedStore) forget() {
+// loseWatches loses all pending watches: they are never answered, and nothing else fails.
+func (s *timedStore) loseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = time.Now()
+	s.watchesLostAt = time.Now()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// forgets tells whether a watch that began at a time was lost.
-func (s *timedStore) forgets(begun time.Time) bool {
+// lostWatch reports whether a watch that began at a time was lost.
+func (s *timedStore) lostWatch(begun time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return begun.Before(s.forgotten)
+	return begun.Before(s.watchesLostAt)
 }
 
 // put writes an object; an empty spec removes it.
@@ -116,7 +116,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// unanswered waits until a call that is never answered is given up.
+// unanswered waits until the client gives up a call that is never answered.
 func unanswered(ctx context.Context, until time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -129,7 +129,7 @@
 	if s.isSilent(time.Now()) {
 		return platformapi.List{}, unanswered(ctx, time.Now().Add(callTimeout))
 	}
-	time.Sleep(answerTime) // virtual
+	time.Sleep(responseTime) // virtual
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := platformapi.List{Revision: s.revision}
@@ -143,7 +143,7 @@
 	if s.isSilent(time.Now()) {
 		return nil, unanswered(ctx, time.Now().Add(callTimeout))
 	}
-	time.Sleep(answerTime) // virtual
+	time.Sleep(responseTime) // virtual
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.objects[kind][name]
@@ -161,7 +161,7 @@
 	over := time.After(wait)
 	for {
 		w, changed := s.since(kinds, from)
-		if s.forgets(begun) {
+		if s.lostWatch(begun) {
 			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		if len(w.Events) == 0 {
@@ -174,15 +174,15 @@
 			}
 			w, _ = s.since(kinds, from)
 		}
-		time.Sleep(answerTime) // virtual
-		if s.isSilent(time.Now()) || s.forgets(begun) {
+		time.Sleep(responseTime) // virtual
+		if s.isSilent(time.Now()) || s.lostWatch(begun) {
 			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		return w, nil
 	}
 }
 
-// calls returns the number of watches that were sent so far.
+// calls returns the number of watches sent so far.
 func (s *timedStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,26 +201,25 @@
 	return w, s.changed
 }
 
-// fleet is a number of followers in front of one store, each of which hears at once what
-// another learned.
+// fleet is a number of followers in front of one store, which gossip to one another without delay.
 type fleet struct {
 	t         *testing.T
 	store     *timedStore
 	followers []*Follower
 
 	mu sync.Mutex
-	// usable are the names of the targets in use at each follower.
+	// usable are the names of the usable targets of each follower.
 	usable [][]string
-	// least is the lowest number of targets that any follower ever had since it had all.
-	least int
-	// cut are the followers that the others can't reach.
-	cut map[int]bool
+	// minUsable is the lowest number of targets that any follower has had since it had all.
+	minUsable int
+	// isolated are the followers that the others can't reach.
+	isolated map[int]bool
 }
 
-// newFleet starts followers that know targets a, b and c and a configuration. change may
-// alter the options of each.
+// newFleet starts followers that know the targets a, b and c and a configuration. change may modify
+// the options of each.
 func newFleet(t *testing.T, size int, change func(fl *fleet, i int, o *Options)) *fleet {
-	fl := &fleet{t: t, store: newTimedStore(), usable: make([][]string, size), cut: map[int]bool{}}
+	fl := &fleet{t: t, store: newTimedStore(), usable: make([][]string, size), isolated: map[int]bool{}}
 	fl.store.put("config", "main", "1")
 	for _, name := range []string{"a", "b", "c"} {
 		fl.store.put("targets", name, "ready")
@@ -235,7 +234,7 @@
 		fl.followers = append(fl.followers, New(o))
 	}
 	for _, f := range fl.followers {
-		running.Go(func() { _ = f.Run(ctx) }) // it has no errors
+		running.Go(func() { _ = f.Run(ctx) }) // Run always returns nil
 	}
 	t.Cleanup(func() {
 		stop()
@@ -243,7 +242,7 @@
 	})
 	fl.sleep(100 * time.Millisecond)
 	fl.mu.Lock()
-	fl.least = 3
+	fl.minUsable = 3
 	fl.mu.Unlock()
 	for i := range size {
 		require.Equal(t, []string{"a", "b", "c"}, fl.usableAt(i))
@@ -263,8 +262,8 @@
 				return routes.Target{Name: name, Service: "s", Leaving: string(spec) == "leaving"}, nil
 			},
 		},
-		Spread: func(r spread.Record) {
-			go fl.tell(i, r)
+		Gossip: func(r spread.Record) {
+			go fl.gossip(i, r)
 		},
 		OnChange: func(_ time.Time, _ *routes.Table, usable map[string][]routes.Target) {
 			var names []string
@@ -274,33 +273,33 @@
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			fl.usable[i] = names
-			fl.least = min(fl.least, len(names))
+			fl.minUsable = min(fl.minUsable, len(names))
 		},
 		OnLeaving: func(time.Time, string) {},
 		Scope:     tally.NoopScope,
 	}
 }
 
-// tell has the other followers hear what one learned.
-func (fl *fleet) tell(from int, r spread.Record) {
+// gossip passes a record of one follower to the others.
+func (fl *fleet) gossip(from int, r spread.Record) {
 	for i, f := range fl.followers {
-		if i != from && !fl.isCut(i) && !fl.isCut(from) {
+		if i != from && !fl.isIsolated(i) && !fl.isIsolated(from) {
 			f.Receive(r)
 		}
 	}
 }
 
-// cutOff has a follower and the others hear nothing of one another from now on.
-func (fl *fleet) cutOff(i int) {
+// isolate ends the communication between a follower and the others.
+func (fl *fleet) isolate(i int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.cut[i] = true
+	fl.isolated[i] = true
 }
 
-func (fl *fleet) isCut(i int) bool {
+func (fl *fleet) isIsolated(i int) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.cut[i]
+	return fl.isolated[i]
 }
 
 func (fl *fleet) usableAt(i int) []string {
@@ -309,9 +308,9 @@
 	return slices.Clone(fl.usable[i])
 }
 
-// runOut has the store silent for a while in which all entries run out, and which are back
-// as late as they may be.
-func (fl *fleet) runOut(lasts time.Duration) {
+// expireEntries makes the store silent for a while in which all entries expire, and from which they
+// reappear as late as they may.
+func (fl *fleet) expireEntries(lasts time.Duration) {
 	names := []string{"a", "b", "c"}
 	fl.store.silent(lasts)
 	fl.sleep(lasts - 100*time.Millisecond)
@@ -329,14 +328,14 @@
 	synctest.Wait()
 }
 
-// Steps between the begins of silences: for one instance, and for a fleet.
+// Steps between the starts of silences, for one instance and for a fleet.
 const (
 	fineStep   = 700 * time.Millisecond
 	coarseStep = 2300 * time.Millisecond
 )
 
-// silences are times at which a silence of the store begins, and how long it lasts: at
-// every point of a watch's term, shorter and longer than a lease.
+// silences calls test with the begin and length of silences of the store: at each phase of a watch's
+// timeout, shorter and longer than a lease.
 func silences(step time.Duration, test func(begins, lasts time.Duration)) {
 	for begins := 10 * time.Second; begins < 19*time.Second; begins += step {
 		for _, lasts := range []time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second, 9600 * time.Millisecond} {
@@ -345,12 +344,11 @@
 	}
 }
 
-// A caller's request reaches a target 2.8 s after the target's word that it leaves. The
-// platform's store had been silent for six seconds until three seconds before. A watch of
-// the targets that went out meanwhile was never received, and its silence can't be told
-// from that of a store without news: it waited out its term of 9 s, long after the store
-// was back, and the instance knew nothing of what left.
-func TestLeavingAfterASilenceIsHeard(t *testing.T) {
+// A target reports that it leaves, 3 s after the recovery of a silent store. A watch that was
+// sent during the silence was never received, and can't be told from one without changes. If it
+// waited for its full timeout of 9 s, long after the store's recovery, the instance would go on
+// sending requests to the target.
+func TestLeavingAfterSilenceTakesEffect(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -366,11 +364,10 @@
 	})
 }
 
-// The same with a target that leaves without a word: its entry is removed. The instance
-// hears of it, and goes on sending it work for 2.2 s: so long it keeps what vanishes while
-// the store is away, counted from the failure of a watch that had been deaf since before
-// the store's return.
-func TestRemovalAfterASilenceTakesEffect(t *testing.T) {
+// The same with a target whose entry is removed without a report. Entries that vanish while the store
+// is unavailable are kept for 2.2 s. If that time were counted from the failure of a watch that was
+// orphaned before the store's recovery, the instance would go on sending work to the target.
+func TestRemovalAfterSilenceTakesEffect(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -386,9 +383,9 @@
 	})
 }
 
-// The same with a version of the configuration that is written as the store is back: a key
-// that it takes away serves on for seconds.
-func TestConfigurationAfterASilenceIsInForce(t *testing.T) {
+// The same with a version of the configuration that is written at the store's recovery: a key that it
+// removes must not be accepted for seconds.
+func TestConfigurationAfterSilenceIsInForce(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -405,18 +402,18 @@
 	})
 }
 
-// Leases run out while the store is silent, though all targets live; their entries are back
-// two seconds after the store is. An instance that hears of the removals at once must keep
-// the targets until then: its callers would be refused.
-func TestEntriesThatRanOutAreKeptUntilTheyAreBack(t *testing.T) {
+// Entries expire while the store is silent, though all targets live, and reappear two seconds after
+// its recovery. An instance that receives the removals at once must keep the targets until then, or
+// it would refuse requests.
+func TestExpiredEntriesAreKeptUntilTheyReappear(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fl := newFleet(t, 1, nil)
 				fl.sleep(begins)
-				fl.runOut(lasts)
+				fl.expireEntries(lasts)
 				fl.sleep(12 * time.Second)
-				require.Equal(t, 3, fl.least)
+				require.Equal(t, 3, fl.minUsable)
 			})
 		})
 	})
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -12,47 +12,47 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// targetList takes in a whole list of entries. One that names no target is none of
-// the list, so what stood under its name is removed; the others hold.
-func (f *Follower) targetList(l platformapi.List) {
+// applyTargetList applies a complete list of entries. An entry that names no target doesn't
+// count, so the earlier entry of its name is removed; the others are applied.
+func (f *Follower) applyTargetList(l platformapi.List) {
 	targets := make([]routes.Target, 0, len(l.Items))
 	records := make([]spread.Record, 0, len(l.Items))
 	for _, o := range l.Items {
 		r := spread.Record{Kind: recordTarget, Name: o.Metadata.Name, Revision: o.Metadata.Revision, Body: o.Spec}
 		t, err := f.decodeTarget(r.Name, r.Body)
 		if err != nil {
-			f.refuseEntry(r, err)
+			f.rejectEntry(r, err)
 			continue
 		}
 		targets, records = append(targets, t), append(records, r)
 	}
-	f.takeList(targets, l.Revision)
-	// Spread tells them back one by one: as those in the list they are no changes any
-	// more, which would each have all targets handed on.
+	f.applyTargets(targets, l.Revision)
+	// Gossip passes each record back to Receive. The list has been applied, so they are no changes
+	// any more; otherwise each would publish all targets.
 	for _, r := range records {
-		f.options.Spread(r)
+		f.options.Gossip(r)
 	}
-	f.spreadGone()
+	f.gossipRemovals()
 }
 
-// takeList puts the targets of a whole list in force.
-func (f *Follower) takeList(targets []routes.Target, revision uint64) {
+// applyTargets applies the targets of a complete list.
+func (f *Follower) applyTargets(targets []routes.Target, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	f.roster.ApplyList(now, targets, revision)
-	f.listed.Store(true)
+	f.targetsListed.Store(true)
 	telemetry.InfoS("Targets listed", telemetry.Event{Revision: revision, Count: len(targets)})
 	f.roster.Tick(now)
 	f.roster.TakeChanged()
-	f.publish(now)
+	f.publishTargets(now)
 }
 
-// errNoStart tells of an entry without the start that its target told before.
-var errNoStart = errors.New("the start of the target is missing")
+// errStartMissing reports an entry without a start, though an earlier entry of the name had one.
+var errStartMissing = errors.New("the start of the target is missing")
 
-// decodeTarget reads an entry. Where a start was told under its name, one without is
-// from another writer than the target.
+// decodeTarget decodes an entry. If an earlier entry of the name had a start, an entry without
+// one was written by another writer than the target.
 func (f *Follower) decodeTarget(name string, spec []byte) (routes.Target, error) {
 	t, err := f.options.Source.DecodeTarget(name, spec)
 	if err != nil || t.Started != 0 {
@@ -61,12 +61,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.roster.KnowsStart(name) {
-		return routes.Target{}, errors.Wrapf(errNoStart, "entry of target %.40q", name)
+		return routes.Target{}, errors.Wrapf(errStartMissing, "entry of target %.40q", name)
 	}
 	return t, nil
 }
 
-func (f *Follower) targetEvent(e platformapi.Event) {
+func (f *Follower) applyTargetEvent(e platformapi.Event) {
 	r := spread.Record{
 		Kind: recordTarget, Name: e.Object.Metadata.Name, Revision: e.Object.Metadata.Revision,
 		Deleted: e.Deleted, Body: e.Object.Spec,
@@ -77,37 +77,37 @@
 	}
 	t, err := f.decodeTarget(r.Name, r.Body)
 	if err != nil {
-		f.refuseEntry(r, err)
+		f.rejectEntry(r, err)
 		return
 	}
-	// The record comes back by Receive if no peer told it before.
-	f.options.Spread(r)
+	// Gossip passes the record to Receive unless a peer has sent it before.
+	f.options.Gossip(r)
 	f.putEntry(r, t)
 }
 
-// targetReceived takes in what another instance told of an entry.
-func (f *Follower) targetReceived(r spread.Record) {
+// applyPeerTarget applies an entry that another instance has sent.
+func (f *Follower) applyPeerTarget(r spread.Record) {
 	if r.Deleted {
 		f.removeEntry(r, true)
 		return
 	}
 	t, err := f.decodeTarget(r.Name, r.Body)
 	if err != nil {
-		f.noteRefusal(err)
+		f.logRejection(err)
 		f.removeEntry(r, true)
 		return
 	}
 	f.putEntry(r, t)
 }
 
-// refuseEntry takes in an entry of the store that names no target. What stood under
-// its name takes nothing new from now on, as after a removal that has taken effect: a
-// later entry brings it back. The other instances are told it as that removal, which
-// they understand whatever entries they can read.
-func (f *Follower) refuseEntry(r spread.Record, err error) {
-	f.noteRefusal(err)
+// rejectEntry handles an entry of the store that names no target. The earlier target of its name
+// accepts no new work from now on, as after a removal that has taken effect; a later entry can
+// undo it. To the other instances it is gossiped as that removal, which they understand
+// whichever entries they can decode.
+func (f *Follower) rejectEntry(r spread.Record, err error) {
+	f.logRejection(err)
 	r.Deleted, r.Body = true, nil
-	f.options.Spread(r)
+	f.options.Gossip(r)
 	f.removeEntry(r, true)
 }
 
@@ -119,14 +119,15 @@
 		if t.Leaving {
 			f.options.OnLeaving(now, t.Incarnation())
 		}
-		telemetry.InfoS("Entry of a target", telemetry.Event{Target: t.Incarnation(), Revision: r.Revision, Reason: state(t)})
+		telemetry.InfoS("Entry of a target", telemetry.Event{Target: t.Incarnation(), Revision: r.Revision, Reason: targetState(t)})
 	}
-	f.rosterChanged(now)
+	f.publishIfChanged(now)
 }
 
-// removeEntry takes in a removal, one that has taken effect or one that was just seen.
+// removeEntry applies a removal. A settled one takes effect at once, since it already has at
+// another instance or the entry names no target; the other ones were just seen in the store.
 func (f *Follower) removeEntry(r spread.Record, settled bool) {
-	defer f.spreadGone()
+	defer f.gossipRemovals()
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,53 +138,52 @@
 	if remove(now, r.Name, r.Revision) {
 		telemetry.InfoS("Entry of a target removed", telemetry.Event{Target: r.Name, Revision: r.Revision})
 	}
-	f.rosterChanged(now)
+	f.publishIfChanged(now)
 }
 
-func state(t routes.Target) string {
+func targetState(t routes.Target) string {
 	if t.Leaving {
 		return "leaving"
 	}
 	return "ready"
 }
 
-// Leaving notes what was said at an incarnation's own address of its leaving, and
-// tells the others. It holds for that incarnation alone: one that starts later under
-// its name is another.
+// Leaving records that an incarnation is leaving, as reported at its own address, and gossips it.
+// It applies to that incarnation alone, not to one that starts later under its name.
 func (f *Follower) Leaving(incarnation string) {
 	f.mu.Lock()
-	news := f.roster.MarkLeaving(incarnation)
-	if news {
+	changed := f.roster.MarkLeaving(incarnation)
+	if changed {
 		now := time.Now()
 		f.options.OnLeaving(now, incarnation)
-		f.rosterChanged(now)
+		f.publishIfChanged(now)
 	}
 	f.mu.Unlock()
-	if news {
-		f.options.Spread(spread.Record{Kind: recordLeaving, Name: incarnation, Revision: 1})
+	if changed {
+		f.options.Gossip(spread.Record{Kind: recordLeaving, Name: incarnation, Revision: 1})
 	}
 }
 
-// Receive takes in what another instance learned.
+// Receive applies a record of another instance.
 func (f *Follower) Receive(r spread.Record) {
 	switch r.Kind {
 	case recordConfig:
-		f.accept(r.Revision, r.Body, false)
+		f.applyConfig(r.Revision, r.Body, false)
 	case recordTarget:
-		f.targetReceived(r)
+		f.applyPeerTarget(r)
 	case recordLeaving:
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.roster.MarkLeaving(r.Name) {
 			f.options.OnLeaving(time.Now(), r.Name)
-			f.rosterChanged(time.Now())
+			f.publishIfChanged(time.Now())
 		}
 	}
 }
 
-// tick drops entries whose grace is over.
-func (f *Follower) tick(ctx context.Context) {
-	ticker := time.NewTicker(rosterTick)
+// tickRoster removes entries whose grace period is over.
+func (f *Follower) tickRoster(ctx context.Context) {
+	ticker := time.NewTicker(rosterInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -192,29 +192,29 @@
 		case now := <-ticker.C:
 			f.mu.Lock()
 			f.roster.Tick(now)
-			f.rosterChanged(now)
-			f.measureAges(now)
+			f.publishIfChanged(now)
+			f.recordAges(now)
 			f.mu.Unlock()
-			f.spreadGone()
+			f.gossipRemovals()
 		}
 	}
 }
 
-// spreadGone tells the other instances the removals that took effect here. They
-// are not told before: an entry may be missing because the store was away.
-func (f *Follower) spreadGone() {
+// gossipRemovals sends the removals that took effect here to the other instances. They are not
+// sent earlier, since an entry may have vanished because the store was unavailable.
+func (f *Follower) gossipRemovals() {
 	f.mu.Lock()
-	gone := f.roster.TakeRemovals()
+	removals := f.roster.TakeRemovals()
 	f.mu.Unlock()
-	for _, g := range gone {
-		f.options.Spread(spread.Record{Kind: recordTarget, Name: g.Name, Revision: g.Revision, Deleted: true})
+	for _, removal := range removals {
+		f.options.Gossip(spread.Record{Kind: recordTarget, Name: removal.Name, Revision: removal.Revision, Deleted: true})
 	}
 }
 
-// rosterChanged publishes the targets if they changed; mu is held.
-func (f *Follower) rosterChanged(now time.Time) {
+// publishIfChanged publishes the targets if they have changed; mu is held.
+func (f *Follower) publishIfChanged(now time.Time) {
 	f.roster.Tick(now)
 	if f.roster.TakeChanged() {
-		f.publish(now)
+		f.publishTargets(now)
 	}
 }
--- a/daemon/follow/targets_test.go
+++ b/daemon/follow/targets_test.go
@@ -16,19 +16,20 @@
 	"github.com/ivyhollow/ivyhollow/state/routes"
 )
 
-// heard is a follower with what it told.
-type heard struct {
+// recordingFollower is a follower that records what it publishes and gossips.
+type recordingFollower struct {
 	*Follower
-	usable  []string
-	leaving []string
-	spread  []spread.Record
-	// inForce is the revision that was in force as a change was told.
+	usable   []string
+	leaving  []string
+	gossiped []spread.Record
+	// inForce is the revision in force at the latest change.
 	inForce uint64
 }
 
-// newHeard reads specs of the form "ready 100" or "leaving 100": a state and a start.
-func newHeard() *heard {
-	h := &heard{}
+// newRecordingFollower returns a follower that decodes specs of the form "ready 100" or
+// "leaving 100": a state and a start.
+func newRecordingFollower() *recordingFollower {
+	h := &recordingFollower{}
 	h.Follower = New(Options{
 		Source: Source{DecodeConfig: func(_ []byte, revision uint64) (*routes.Table, error) {
 			return &routes.Table{Revision: revision}, nil
@@ -40,7 +41,7 @@
 			}
 			return routes.Target{Name: name, Started: n, Service: "s", Leaving: state == "leaving"}, nil
 		}},
-		Spread: func(r spread.Record) { h.spread = append(h.spread, r) },
+		Gossip: func(r spread.Record) { h.gossiped = append(h.gossiped, r) },
 		OnChange: func(_ time.Time, _ *routes.Table, usable map[string][]routes.Target) {
 			h.usable, h.inForce = nil, h.Table().Revision
 			for _, t := range usable["s"] {
@@ -54,30 +55,29 @@
 	return h
 }
 
-// event has the store tell of an entry.
-func (h *heard) event(name string, revision uint64, spec string) {
-	h.targetEvent(platformapi.Event{Object: platformapi.Object{
+// event simulates a watch event of an entry.
+func (h *recordingFollower) event(name string, revision uint64, spec string) {
+	h.applyTargetEvent(platformapi.Event{Object: platformapi.Object{
 		Metadata: platformapi.Metadata{Name: name, Revision: revision}, Spec: []byte(spec),
 	}})
 }
 
-// An instance meets another process at a target's address and tells the others that the
-// target left. The target starts again under its name before that word has come to all,
-// and it comes once more with the records that a new instance is given. It is about the
-// start before.
-func TestWordOfLeavingIsOfOneStart(t *testing.T) {
-	h := newHeard()
+// An instance finds another process at a target's address and gossips that the target left. The target
+// restarts under its name before all instances have received that, and an instance that joins receives
+// the record later. It must apply to the earlier incarnation only.
+func TestLeavingReportIsOfOneIncarnation(t *testing.T) {
+	h := newRecordingFollower()
 	h.event("a", 1, "ready 100")
 	h.event("b", 2, "ready 100")
 	h.Leaving("a@100")
 	require.Equal(t, []string{"b@100"}, h.usable)
-	word := h.spread[len(h.spread)-1]
-	require.Equal(t, recordLeaving, word.Kind)
+	report := h.gossiped[len(h.gossiped)-1]
+	require.Equal(t, recordLeaving, report.Kind)
 
-	other := newHeard()
+	other := newRecordingFollower()
 	other.event("a", 1, "ready 100")
 	other.event("a", 3, "ready 200")
-	other.Receive(word)
+	other.Receive(report)
 	require.Equal(t, []string{"a@200"}, other.usable)
 
 	h.event("a", 3, "ready 200")
@@ -85,13 +85,13 @@
 	h.Leaving("a@200")
 	require.Equal(t, []string{"b@100"}, h.usable)
 	require.Equal(t, []string{"a@100", "a@200"}, h.leaving)
-	require.NotEqual(t, word.Name, h.spread[len(h.spread)-1].Name, "the second word is a record of its own")
+	require.NotEqual(t, report.Name, h.gossiped[len(h.gossiped)-1].Name, "the second report is a separate record")
 }
 
-// An entry's removal is told by an instance whose store was away, after the target has
-// started again. Revisions order the two.
-func TestRemovalToldAfterTheNextStart(t *testing.T) {
-	h := newHeard()
+// An instance whose store was unavailable gossips the removal of an entry after the target has
+// restarted. Revisions order the two.
+func TestLateRemovalIsIgnored(t *testing.T) {
+	h := newRecordingFollower()
 	h.event("a", 1, "ready 100")
 	h.event("a", 5, "ready 200")
 	h.Receive(spread.Record{Kind: recordTarget, Name: "a", Revision: 3, Deleted: true})
@@ -99,20 +99,20 @@
 	require.Equal(t, []string{"a@200"}, h.usable)
 }
 
-// Another writer replaces a target's entry. It is told to the other instances as a
-// removal, which takes effect at once and isn't final.
-func TestEntryThatNamesNoTargetIsARemoval(t *testing.T) {
-	for _, bad := range []string{"rubbish", "ready 0"} { // without the start that was told before
-		h := newHeard()
+// Another writer replaces a target's entry by one that names no target. It is gossiped as a removal,
+// which takes effect at once and isn't final.
+func TestInvalidEntryIsRemoval(t *testing.T) {
+	for _, bad := range []string{"rubbish", "ready 0"} { // the second lacks the start that the first entry had
+		h := newRecordingFollower()
 		h.event("a", 1, "ready 100")
 		h.event("a", 2, bad)
 		require.Empty(t, h.usable)
 		require.Empty(t, h.leaving)
-		require.Contains(t, h.spread, spread.Record{Kind: recordTarget, Name: "a", Revision: 2, Deleted: true})
+		require.Contains(t, h.gossiped, spread.Record{Kind: recordTarget, Name: "a", Revision: 2, Deleted: true})
 		h.event("a", 3, "ready 100")
 		require.Equal(t, []string{"a@100"}, h.usable)
 
-		h.targetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
+		h.applyTargetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
 			{Metadata: platformapi.Metadata{Name: "a", Revision: 4}, Spec: []byte(bad)},
 			{Metadata: platformapi.Metadata{Name: "b", Revision: 4}, Spec: []byte("ready 100")},
 		}})
@@ -120,71 +120,69 @@
 	}
 }
 
-// The same, at an instance that starts after it and lists. It never knew the target,
-// and an instance that the store refuses still does: it has to be told all the same.
-func TestEntryThatNamesNoTargetIsToldUnknown(t *testing.T) {
-	h := newHeard()
-	h.targetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
+// The same at an instance that starts later and lists the entries. It has never known the target, but
+// an instance that the store refuses still does, so the removal has to be gossiped.
+func TestInvalidEntryOfUnknownTargetIsGossiped(t *testing.T) {
+	h := newRecordingFollower()
+	h.applyTargetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
 		{Metadata: platformapi.Metadata{Name: "a", Revision: 2}, Spec: []byte("rubbish")},
 	}})
-	told := spread.Record{Kind: recordTarget, Name: "a", Revision: 2, Deleted: true}
-	require.Equal(t, []spread.Record{told}, h.spread)
-	refused := newHeard()
+	removal := spread.Record{Kind: recordTarget, Name: "a", Revision: 2, Deleted: true}
+	require.Equal(t, []spread.Record{removal}, h.gossiped)
+	refused := newRecordingFollower()
 	refused.Receive(spread.Record{Kind: recordTarget, Name: "a", Revision: 1, Body: []byte("ready 100")})
-	refused.Receive(told)
+	refused.Receive(removal)
 	require.Empty(t, refused.usable)
 }
 
-// Somebody writes bad entries with every heartbeat, under ever new names. Each fault is
-// logged once, and all of them in a bounded number of lines.
-func TestRefusalsAreLoggedWithinBounds(t *testing.T) {
-	var r refusals
+// Invalid entries are written with each heartbeat, under ever new names. Each fault is logged once, and
+// the number of logs is limited.
+func TestRejectionLogIsBounded(t *testing.T) {
+	var r rejectionLog
 	now := time.Unix(1000, 0)
-	tell, last := r.tell(now, "entry a: slots")
-	require.True(t, tell)
+	log, last := r.shouldLog(now, "entry a: slots")
+	require.True(t, log)
 	require.False(t, last)
-	tell, _ = r.tell(now, "entry a: slots")
-	require.False(t, tell, "the same again")
+	log, _ = r.shouldLog(now, "entry a: slots")
+	require.False(t, log, "the same again")
 	lines, lasts := 1, 0
-	for i := range 10 * maxRefusals {
-		tell, last := r.tell(now, fmt.Sprint("entry ", i))
-		if tell {
+	for i := range 10 * maxRejectionLogs {
+		log, last := r.shouldLog(now, fmt.Sprint("entry ", i))
+		if log {
 			lines++
 		}
 		if last {
 			lasts++
 		}
 	}
-	require.Equal(t, maxRefusals, lines)
+	require.Equal(t, maxRejectionLogs, lines)
 	require.Equal(t, 1, lasts)
-	require.Len(t, r.told, maxRefusals)
-	tell, _ = r.tell(now.Add(refusalPeriod), "entry a: slots")
-	require.True(t, tell, "what lasts is told again")
+	require.Len(t, r.logged, maxRejectionLogs)
+	log, _ = r.shouldLog(now.Add(rejectionLogPeriod), "entry a: slots")
+	require.True(t, log, "a lasting fault is logged again")
 }
 
-// A configuration names a service for the first time, whose targets have been there for
-// a while. Were it in force before they are handed on, requests that come between would
-// be refused for want of a target.
-func TestTargetsAreHandedOnBeforeTheConfiguration(t *testing.T) {
-	h := newHeard()
+// A configuration names a service for the first time, whose targets have long been known. If it were in
+// force before they are published, requests in between would be refused for lack of a target.
+func TestTargetsArePublishedBeforeConfiguration(t *testing.T) {
+	h := newRecordingFollower()
 	h.event("a", 1, "ready 100")
-	h.accept(2, nil, true)
+	h.applyConfig(2, nil, true)
 	require.Equal(t, []string{"a@100"}, h.usable)
 	require.EqualValues(t, 0, h.inForce)
 	require.EqualValues(t, 2, h.Table().Revision)
 }
 
-// TestListIsHandedOnOnce guards against a start whose work grows with the square of the
-// number of targets.
-func TestListIsHandedOnOnce(t *testing.T) {
-	h := newHeard()
-	handedOn := 0
+// The work of a start must not grow with the square of the number of targets.
+func TestListIsPublishedOnce(t *testing.T) {
+	h := newRecordingFollower()
+	published := 0
 	onChange := h.options.OnChange
 	h.options.OnChange = func(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
-		handedOn++
+		published++
 		onChange(now, table, usable)
 	}
-	h.options.Spread = h.Receive
+	h.options.Gossip = h.Receive
 	var list platformapi.List
 	for i := range 300 {
 		list.Items = append(list.Items, platformapi.Object{
@@ -192,7 +190,7 @@
 		})
 	}
 	list.Revision = 300
-	h.targetList(list)
+	h.applyTargetList(list)
 	require.Len(t, h.usable, 300)
-	require.Equal(t, 1, handedOn)
+	require.Equal(t, 1, published)
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -133,20 +133,20 @@
 	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, SubsetSize: knownTargets})
 	g.follower = follow.New(follow.Options{
 		Store: store, Source: p.Source,
-		Spread:    g.cluster.Put,
+		Gossip:    g.cluster.Put,
 		OnChange:  g.setTargets,
 		OnLeaving: g.router.Leaving,
 		Scope:     t.Scope,
 		Fleet:     fleet{g},
 
-		AskConfirmer: g.askConfirmer,
+		ConfirmerRevision: g.askConfirmer,
 	})
 	g.cluster.Handle(methodConfirm, g.handleConfirm, peer.Idempotent())
 	g.cluster.Handle(methodWord, func(context.Context, peer.Peer, []byte) ([]byte, error) {
-		return msgpack.Marshal(g.follower.Word())
+		return msgpack.Marshal(g.follower.Report())
 	}, peer.Idempotent())
 	g.cluster.Handle(methodHears, func(context.Context, peer.Peer, []byte) ([]byte, error) {
-		return msgpack.Marshal(g.follower.Word().IsFresh())
+		return msgpack.Marshal(g.follower.Report().IsFresh())
 	}, peer.Idempotent())
 	g.stages = stages.New(g.cluster, p.Dialect, g.client, g.follower, t.Scope)
 	g.blocklist = blocklist.New(g.cluster, quarantine.DefaultConfig(), t.Scope)
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -35,7 +35,7 @@
 type fleet struct{ g *Gateway }
 
 // Watchers implements follow.Fleet.
-func (f fleet) Watchers() int { return len(f.owners()) }
+func (f fleet) WatcherCount() int { return len(f.owners()) }
 
 // owners are the watchers, in the order in which one takes another's place.
 func (f fleet) owners() []membership.Member {
@@ -44,7 +44,7 @@
 
 // Place implements follow.Fleet. Where all watch, those beyond the owners stand behind
 // them.
-func (f fleet) Place() int {
+func (f fleet) Rank() int {
 	owners := f.owners()
 	for place, m := range owners {
 		if m.Name == f.g.self.Name {
@@ -69,7 +69,7 @@
 }
 
 // AskWatcher implements follow.Fleet.
-func (f fleet) AskWatcher(ctx context.Context, place int) watching.Report {
+func (f fleet) PollWatcher(ctx context.Context, place int) watching.Report {
 	owners := f.owners()
 	if place >= len(owners) {
 		return watching.Report{}
@@ -113,6 +113,6 @@
 
 // handleConfirm answers methodConfirm.
 func (g *Gateway) handleConfirm(ctx context.Context, _ peer.Peer, _ []byte) ([]byte, error) {
-	revision, known := g.follower.ConfirmFor(ctx)
+	revision, known := g.follower.NewestRevision(ctx)
 	return msgpack.Marshal(confirmed{Revision: revision, Known: known})
 }
