--- a/daemon/follow/patrol_test.go
+++ b/daemon/follow/fleet_test.go
@@ -16,15 +16,15 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// fleetWatchers is how many followers of a fleet watch, the first ones.
+// fleetWatchers is the number of watchers of a fleet; they are its first followers.
 const fleetWatchers = 6
 
-// seat is a follower's view of its fleet. Views don't follow what happens: an instance that
-// is gone keeps its place.
+// fleetView is a follower's view of its fleet. It doesn't change: an instance that has failed keeps
+// its rank.
 type fleetView struct {
 	fleet *fleet
 	index int
-	// all tells that followers beyond the watchers watch as well, behind them.
+	// allWatch is true if followers beyond the watchers watch too, with a higher rank.
 	allWatch bool
 }
 
@@ -41,7 +41,7 @@
 
 func (s fleetView) AwaitJoin(context.Context) {}
 
-// newcomer is a seat whose instance takes itself for alone until it has joined.
+// joiningView is the view of an instance that considers itself alone until it has joined.
 type joiningView struct {
 	fleetView
 	joins time.Time
@@ -60,16 +60,16 @@
 
 func (n joiningView) AwaitJoin(context.Context) { time.Sleep(time.Until(n.joins)) }
 
-func (s fleetView) PollWatcher(ctx context.Context, place int) watching.Report {
-	if s.fleet.isIsolated(s.index) || s.fleet.isIsolated(place) {
+func (s fleetView) PollWatcher(ctx context.Context, index int) watching.Report {
+	if s.fleet.isIsolated(s.index) || s.fleet.isIsolated(index) {
 		<-ctx.Done()
 		return watching.Report{}
 	}
 	time.Sleep(time.Millisecond) // virtual
-	return s.fleet.followers[place].Report()
+	return s.fleet.followers[index].Report()
 }
 
-// refusing is a store that answers one instance nothing while it is told to.
+// refusingStore doesn't answer the watches of one instance while refuses returns true.
 type refusingStore struct {
 	*timedStore
 	refuses func() bool
@@ -84,13 +84,13 @@
 
 var _ platform.Store = refusingStore{}
 
-// seated gives each follower of a fleet its seat.
+// withFleetView gives each follower of a fleet its view.
 func withFleetView(all bool) func(fl *fleet, i int, o *Options) {
 	return func(fl *fleet, i int, o *Options) { o.Fleet = fleetView{fl, i, all} }
 }
 
-// requireLeavingHeard has a target leave with a word and another without, and requires that no
-// follower which can be reached has them in use when the bound is over.
+// requireLeavingApplied has one target report that it leaves and another one's entry removed, and
+// requires that no reachable follower uses them after leavingBound.
 func (fl *fleet) requireLeavingApplied() {
 	fl.store.put("targets", "a", "leaving")
 	fl.store.put("targets", "b", "")
@@ -108,9 +108,9 @@
 	all  bool
 }{{8, true}, {10, false}}
 
-// The same silence before a whole fleet. The watch of each instance may be deaf after it,
-// and that of the first is not for longer than a short term.
-func TestFleetHearsAfterASilence(t *testing.T) {
+// As TestLeavingAfterSilenceTakesEffect, for a whole fleet. Each instance's watch may be orphaned by
+// the silence, but the first watcher's for no longer than a short timeout.
+func TestFleetLearnsOfLeavingAfterSilence(t *testing.T) {
 	for _, c := range fleets {
 		silences(coarseStep, func(begins, lasts time.Duration) {
 			t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts), func(t *testing.T) {
@@ -127,10 +127,10 @@
 	}
 }
 
-// Leases run out in a silence, and are back two seconds after it. Those whose watch went
-// through the silence without a failure learn of it by the first watcher's word alone, and
-// must keep the targets as well.
-func TestFleetKeepsEntriesThatRanOut(t *testing.T) {
+// Entries expire during a silence and reappear two seconds after it. Instances whose watch survived
+// the silence without a failure learn of it only from the first watcher's report, and must keep the
+// targets too.
+func TestFleetKeepsExpiredEntries(t *testing.T) {
 	for _, c := range fleets {
 		silences(coarseStep, func(begins, lasts time.Duration) {
 			t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts), func(t *testing.T) {
@@ -147,25 +147,24 @@
 	}
 }
 
-// The store loses all watches that wait, as when another of its machines takes over, and
-// answers all that is sent from then on. No call fails before its term is over.
+// The store loses all pending watches, for example in a failover, and answers all later calls. No
+// call fails before its timeout is over.
 //
-// The first watcher may die before or after it has noticed. Then the others can't tell a
-// store that was away from watches that were lost, and only the word of leaving, which is
-// final, is held to the bound.
-func TestStoreForgetsTheWatches(t *testing.T) {
+// The first watcher may fail before or after it has noticed. Then the others can't tell an unavailable
+// store from lost watches, and only the report of leaving, which is final, must meet the bound.
+func TestStoreLosesWatches(t *testing.T) {
 	const never = time.Hour
 	for _, c := range fleets {
-		for _, dies := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 2800 * time.Millisecond, never} {
+		for _, failsAfter := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 2800 * time.Millisecond, never} {
 			for begins := 10 * time.Second; begins < 19*time.Second; begins += fineStep {
-				t.Run(fmt.Sprint(c.size, " at ", begins, " dies ", dies), func(t *testing.T) {
+				t.Run(fmt.Sprint(c.size, " at ", begins, " fails ", failsAfter), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						fl := newFleet(t, c.size, withFleetView(c.all))
 						fl.sleep(begins)
 						fl.store.loseWatches()
-						time.AfterFunc(dies, func() { fl.isolate(0) })
+						time.AfterFunc(failsAfter, func() { fl.isolate(0) })
 						fl.sleep(settledAfter)
-						if dies == never {
+						if failsAfter == never {
 							fl.requireLeavingApplied()
 							return
 						}
@@ -181,16 +180,16 @@
 	}
 }
 
-// The first watcher dies around the store's return. Nobody else has a short watch, and
-// those of the others may be deaf: another has to take its place in time.
-func TestFirstWatcherDiesAtTheStoresReturn(t *testing.T) {
+// The first watcher fails around the store's recovery. No other instance has a short watch, and those
+// of the others may be orphaned: one of them has to take over in time.
+func TestFirstWatcherFailsAtStoreRecovery(t *testing.T) {
 	for _, c := range fleets {
 		for _, after := range []time.Duration{-2 * time.Second, -300 * time.Millisecond, 0, 500 * time.Millisecond, 2 * time.Second} {
 			silences(coarseStep, func(begins, lasts time.Duration) {
 				if lasts+after < 0 {
 					return
 				}
-				t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts, " dies ", after), func(t *testing.T) {
+				t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts, " fails ", after), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						fl := newFleet(t, c.size, withFleetView(c.all))
 						fl.sleep(begins)
@@ -206,10 +205,10 @@
 	}
 }
 
-// The store turns the first two watchers away and serves the others. They find out that
-// nobody has a short watch, and one of them takes one: a leaving target is heard of also
-// after a silence that the refused ones can't tell from their own trouble.
-func TestStoreRefusesTheFirstWatchers(t *testing.T) {
+// The store refuses the first two watchers and serves the others. They detect that no instance has a
+// short watch, and one of them takes over. A leaving target is then detected also after a silence
+// that the refused watchers can't tell from their own refusal.
+func TestStoreRefusesFirstWatchers(t *testing.T) {
 	for _, c := range fleets {
 		silences(coarseStep, func(begins, lasts time.Duration) {
 			t.Run(fmt.Sprint(c.size, " at ", begins, " for ", lasts), func(t *testing.T) {
@@ -233,9 +232,9 @@
 	}
 }
 
-// An instance that nobody watches for any more, since it reaches no other one, watches for
-// itself: a large fleet's instance had no watch at all before.
-func TestInstanceWithoutOthersWatches(t *testing.T) {
+// An instance that reaches no other one watches by itself. Otherwise an instance of a large fleet
+// would have no watch at all.
+func TestIsolatedInstanceWatches(t *testing.T) {
 	for _, c := range fleets {
 		synctest.Test(t, func(t *testing.T) {
 			fl := newFleet(t, c.size, withFleetView(c.all))
@@ -251,28 +250,28 @@
 	}
 }
 
-// A calm fleet: what keeps its knowledge fresh costs the calls of one instance, and grows
-// with the fleet by long watches of the watchers alone.
-func TestCalmFleetMakesFewCalls(t *testing.T) {
+// In an idle fleet only one instance uses short watches. The number of calls grows with the fleet only
+// by the long watches of the watchers.
+func TestIdleFleetMakesFewCalls(t *testing.T) {
 	for _, c := range fleets {
 		synctest.Test(t, func(t *testing.T) {
 			fl := newFleet(t, c.size, withFleetView(c.all))
 			fl.sleep(time.Second)
 			before := fl.store.calls()
 			fl.sleep(80 * time.Second)
-			made := fl.store.calls() - before
+			calls := fl.store.calls() - before
 			watchers := fleetWatchers
 			if c.all {
 				watchers = c.size
 			}
-			// Two parts: a short term is 0.8 s, a long one 8 s.
-			require.LessOrEqual(t, made, 2*(100+10*(watchers-1)+watchers))
+			// Two parts: a short timeout is 0.8 s, a long one 8 s.
+			require.LessOrEqual(t, calls, 2*(100+10*(watchers-1)+watchers))
 		})
 	}
 }
 
-// TestStartingFleetMakesFewCalls guards against watches of all instances of a large fleet
-// that starts, each woken by every change until it knows that others watch.
+// The instances of a large fleet that starts must not all watch, each woken by every change, until
+// they know that others do.
 func TestStartingFleetMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, changes = 60, 10
@@ -287,9 +286,9 @@
 	})
 }
 
-// A silence before a large fleet: those who don't watch come in to help only if nobody's
-// watch is well, and leave again.
-func TestLargeFleetLeavesTheStoreAgain(t *testing.T) {
+// A silence in front of a large fleet: instances that aren't watchers take over only if no watcher is
+// up to date, and stop watching afterwards.
+func TestLargeFleetStopsWatchingAfterSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 60, withFleetView(false))
 		fl.sleep(10 * time.Second)
@@ -302,10 +301,10 @@
 	})
 }
 
-// A target says that it leaves and starts again under its name right after. A caller's
-// request that may run once at most is lost on a connection of the process before, at an
-// instance of a small fleet that put its next watch off after the first word.
-func TestSmallFleetHearsAtOnce(t *testing.T) {
+// A target reports that it leaves, and restarts under its name right after. If an instance of a small
+// fleet delayed its next watch after the first report, a request that may run at most once could be
+// lost on a connection to the earlier process.
+func TestSmallFleetLearnsOfChangesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 8, withFleetView(true))
 		fl.sleep(10 * time.Second)
--- a/daemon/follow/patrol.go
+++ b/daemon/follow/poll.go
@@ -9,37 +9,35 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// In a large fleet few instances watch the store, since it counts each call and a
-// watch of every instance is woken by every change. The others hear of changes from
-// them. All but the first watcher patrol: they ask a watcher now and then how old its
-// knowledge is.
+// In a large fleet few instances watch the store, since it counts each call and each change wakes
+// the watches of all instances. The others receive the changes from the watchers by gossip. All
+// instances but the first watcher poll the watchers for the age of their knowledge.
 const (
-	// patrolEvery is the time between two questions.
+	// pollInterval is the mean time between two polls.
 	pollInterval = 700 * time.Millisecond
-	// patrolTimeout bounds one question.
+	// pollTimeout limits one poll.
 	pollTimeout = 400 * time.Millisecond
-	// dutyPoll is how often an instance looks whether it is to watch.
+	// rankCheckInterval is the time between two checks whether an instance is to watch.
 	rankCheckInterval = 150 * time.Millisecond
 )
 
-// Fleet is what a follower needs of the other instances.
+// Fleet represents the other instances.
 type Fleet interface {
-	// Watchers is how many instances are watchers, Place this one's place among them;
-	// watching.NoWatcher if it is none.
+	// WatcherCount returns the number of watchers.
 	WatcherCount() int
+	// Rank returns this instance's rank among the watchers; watching.NoRank if it is none.
 	Rank() int
-	// AllWatch tells whether all instances watch: none of them hears of news by the word
-	// of others alone.
+	// AllWatch reports whether all instances watch, so that none depends on gossip alone.
 	AllWatch() bool
 	// AwaitJoin waits until an instance that has just started knows most watchers, or the
 	// context ends.
 	AwaitJoin(ctx context.Context)
-	// AskWatcher asks the watcher of a place for its word; a zero Word if it doesn't
-	// answer.
-	PollWatcher(ctx context.Context, place int) watching.Report
+	// PollWatcher returns the report of the watcher at an index, 0 for the first; the zero
+	// Report if it doesn't respond.
+	PollWatcher(ctx context.Context, index int) watching.Report
 }
 
-// alone is a fleet of one instance.
+// singleInstance is a fleet of one instance.
 type singleInstance struct{}
 
 func (singleInstance) WatcherCount() int { return 1 }
@@ -52,30 +50,30 @@
 
 func (singleInstance) PollWatcher(context.Context, int) watching.Report { return watching.Report{} }
 
-// Word returns what this instance tells another of its knowledge.
+// Report returns the report of this instance's knowledge for other instances.
 func (f *Follower) Report() watching.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tracker.Report(time.Now())
 }
 
-// watches tells whether this instance is to call the store now.
+// shouldWatch updates this instance's rank, and reports whether it is to call the store now.
 func (f *Follower) shouldWatch() bool {
-	place := f.options.Fleet.Rank()
+	rank := f.options.Fleet.Rank()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tracker.SetRank(place)
+	f.tracker.SetRank(rank)
 	return f.tracker.ShouldWatch(time.Now())
 }
 
-// awaitDuty waits until this instance is to call the store.
+// awaitWatchDuty waits until this instance is to call the store.
 func (f *Follower) awaitWatchDuty(ctx context.Context) {
 	for ctx.Err() == nil && !f.shouldWatch() {
 		sleep(ctx, rankCheckInterval)
 	}
 }
 
-// patrol asks the watchers for their word.
+// pollWatchers polls the watchers at intervals.
 func (f *Follower) pollWatchers(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, pollInterval/2+rand.N(pollInterval))
@@ -83,27 +81,27 @@
 	}
 }
 
-// patrolOnce asks one watcher, and sends those watches again that its word, or this
-// instance's place by now, leaves without worth.
+// pollOnce polls one watcher, and resends the watches that have become useless by its report or
+// by this instance's present rank.
 func (f *Follower) pollOnce(ctx context.Context) {
 	f.shouldWatch()
 	watchers := f.options.Fleet.WatcherCount()
 	f.mu.Lock()
-	place, ask := f.tracker.NextPoll(watchers, rand.IntN)
+	index, poll := f.tracker.NextPoll(watchers, rand.IntN)
 	f.mu.Unlock()
-	if ask {
-		f.pollWatcher(ctx, place)
+	if poll {
+		f.pollWatcher(ctx, index)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.resendWatches(time.Now())
 }
 
-// hear asks the watcher of a place.
-func (f *Follower) pollWatcher(ctx context.Context, place int) {
-	asked := time.Now()
+// pollWatcher polls the watcher at an index and records its report.
+func (f *Follower) pollWatcher(ctx context.Context, index int) {
+	polledAt := time.Now()
 	limited, cancel := context.WithTimeout(ctx, pollTimeout)
-	word := f.options.Fleet.PollWatcher(limited, place)
+	report := f.options.Fleet.PollWatcher(limited, index)
 	cancel()
 	if ctx.Err() != nil {
 		return
@@ -111,11 +109,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.tracker.Recovered()
-	if f.tracker.RecordReport(asked, time.Now(), word) {
-		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: word.Age})
-		if word.Known {
-			// The store is away for a watcher that lives. What this instance hears first,
-			// though none of its own calls failed, may be of entries that ran out.
+	if f.tracker.RecordReport(polledAt, time.Now(), report) {
+		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: report.Age})
+		if report.Known {
+			// The watcher responds, but the store is unavailable to it. So the next changes that
+			// this instance receives may be of expired entries, though its own calls didn't fail.
 			f.roster.RecordStoreFailure(time.Now())
 		}
 	}
@@ -124,7 +122,7 @@
 	}
 }
 
-// resend ends the watches that are to be sent again; mu is held.
+// resendWatches cancels the watches that are to be sent again; mu is held.
 func (f *Follower) resendWatches(now time.Time) {
 	for part, cancel := range f.cancelCalls {
 		if f.tracker.ShouldResend(now, part) {
--- a/daemon/follow/refusals.go
+++ b/daemon/follow/rejections.go
@@ -8,24 +8,24 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// Bounds of the lines about entries that name no target. Who writes such an entry
-// may write it again with each heartbeat, and any number of them.
+// Limits of the logs of entries that name no target. Their writer may write them again with each
+// heartbeat, and any number of them.
 const (
-	// maxRefusals is the number of lines in a refusalPeriod.
+	// maxRejectionLogs is the maximum number of logs in a rejectionLogPeriod.
 	maxRejectionLogs   = 64
 	rejectionLogPeriod = time.Hour
 )
 
-// refusals remembers what was logged of entries that name no target, so that each
-// fault is told once in a period. Its zero value has logged nothing.
+// rejectionLog remembers which faults of entries were logged, so that each is logged once in a
+// period. The zero value is empty.
 type rejectionLog struct {
 	periodStart time.Time
 	logged      map[string]struct{}
 }
 
-// tell tells whether a fault is to be logged, and whether it is the last one of this
+// shouldLog reports whether a fault is to be logged, and whether it is the last one in this
 // period.
-func (r *rejectionLog) shouldLog(now time.Time, fault string) (tell, last bool) {
+func (r *rejectionLog) shouldLog(now time.Time, fault string) (log, last bool) {
 	if r.logged == nil || now.Sub(r.periodStart) >= rejectionLogPeriod {
 		r.periodStart, r.logged = now, map[string]struct{}{}
 	}
@@ -36,13 +36,13 @@
 	return true, len(r.logged) == maxRejectionLogs
 }
 
-// noteRefusal logs that an entry names no target.
+// logRejection logs that an entry names no target.
 func (f *Follower) logRejection(err error) {
 	f.scope.Counter("refused_entries").Inc(1)
 	f.logOnce(err.Error(), func() { klog.ErrorS(err, "Entry of a target refused") })
 }
 
-// noteUnreadable logs that objects of a kind couldn't be read.
+// logUnreadable logs that objects of a kind couldn't be read.
 func (f *Follower) logUnreadable(kind string, count int) {
 	if count == 0 {
 		return
@@ -53,12 +53,12 @@
 	})
 }
 
-// logRefusal writes a line unless the same was told, or the bound is reached.
+// logOnce calls write unless the fault was logged in this period or the limit is reached.
 func (f *Follower) logOnce(fault string, write func()) {
 	f.mu.Lock()
-	tell, last := f.rejectionLog.shouldLog(time.Now(), fault)
+	log, last := f.rejectionLog.shouldLog(time.Now(), fault)
 	f.mu.Unlock()
-	if !tell {
+	if !log {
 		return
 	}
 	write()
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -19,31 +19,31 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Bounds that the users set, counted from the store's acknowledgement.
+// Bounds that users require, counted from the store's acknowledgement.
 const (
-	// leavingBound is the time after which a target that left gets nothing new.
+	// leavingBound is the time after which a target that has left gets no new work.
 	leavingBound = 2 * time.Second
 	// configBound is the time within which a configuration is in force.
 	configBound = 2 * time.Second
-	// settledAfter is the time after the store's return from which on both hold.
+	// settledAfter is the time after the store's recovery from which on both bounds hold.
 	settledAfter = 3 * time.Second
-	// returnBound is the time after the store's return within which entries are back
-	// that ran out meanwhile.
+	// returnBound is the time after the store's recovery within which expired entries
+	// reappear.
 	returnBound = 2 * time.Second
 )
 
-// Times of the store of these tests and of its client.
+// Timing of the test store and its client.
 const (
 	responseTime = 4 * time.Millisecond
 	watchSlack   = time.Second
 	callTimeout  = 2 * time.Second
 )
 
-// silence is a time in which the store answers nobody.
+// silence is a period in which the store answers no call.
 type silence struct{ from, to time.Time }
 
-// timedStore is a store in virtual time. While it is silent it receives nothing: a
-// watch that is sent then is never answered, also not once the store is back.
+// timedStore is a store in virtual time. While it is silent it receives nothing: a watch that is
+// sent then is orphaned, that is, never answered, not even after the store's recovery.
 type timedStore struct {
 	platform.Store
 
@@ -53,7 +53,7 @@
 	history  []change
 	objects  map[string]map[string]platformapi.Object
 	changed  chan struct{}
-	// forgotten is when the store last lost all watches that waited.
+	// watchesLostAt is when the store last lost all pending watches.
 	watchesLostAt time.Time
 	watches       int
 }
@@ -67,7 +67,7 @@
 	return &timedStore{objects: map[string]map[string]platformapi.Object{}, changed: make(chan struct{})}
 }
 
-// silent has the store answer nobody from now on for a while.
+// silent makes the store silent from now on for a while.
 func (s *timedStore) silent(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	return slices.ContainsFunc(s.silences, func(x silence) bool { return !now.Before(x.from) && now.Before(x.to) })
 }
 
-// forget loses all watches that wait: they are never answered, and nothing else fails.
+// loseWatches loses all pending watches: they are never answered, and nothing else fails.
 func (s *timedStore) loseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	s.changed = make(chan struct{})
 }
 
-// forgets tells whether a watch that began at a time was lost.
+// lostWatch reports whether a watch that began at a time was lost.
 func (s *timedStore) lostWatch(begun time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// unanswered waits until a call that is never answered is given up.
+// unanswered waits until the client gives up a call that is never answered.
 func unanswered(ctx context.Context, until time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -182,7 +182,7 @@
 	}
 }
 
-// calls returns the number of watches that were sent so far.
+// calls returns the number of watches sent so far.
 func (s *timedStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,24 +201,23 @@
 	return w, s.changed
 }
 
-// fleet is a number of followers in front of one store, each of which hears at once what
-// another learned.
+// fleet is a number of followers in front of one store, which gossip to one another without delay.
 type fleet struct {
 	t         *testing.T
 	store     *timedStore
 	followers []*Follower
 
 	mu sync.Mutex
-	// usable are the names of the targets in use at each follower.
+	// usable are the names of the usable targets of each follower.
 	usable [][]string
-	// least is the lowest number of targets that any follower ever had since it had all.
+	// minUsable is the lowest number of targets that any follower has had since it had all.
 	minUsable int
-	// cut are the followers that the others can't reach.
+	// isolated are the followers that the others can't reach.
 	isolated map[int]bool
 }
 
-// newFleet starts followers that know targets a, b and c and a configuration. change may
-// alter the options of each.
+// newFleet starts followers that know the targets a, b and c and a configuration. change may modify
+// the options of each.
 func newFleet(t *testing.T, size int, change func(fl *fleet, i int, o *Options)) *fleet {
 	fl := &fleet{t: t, store: newTimedStore(), usable: make([][]string, size), isolated: map[int]bool{}}
 	fl.store.put("config", "main", "1")
@@ -235,7 +234,7 @@
 		fl.followers = append(fl.followers, New(o))
 	}
 	for _, f := range fl.followers {
-		running.Go(func() { _ = f.Run(ctx) }) // it has no errors
+		running.Go(func() { _ = f.Run(ctx) }) // Run always returns nil
 	}
 	t.Cleanup(func() {
 		stop()
@@ -281,7 +280,7 @@
 	}
 }
 
-// tell has the other followers hear what one learned.
+// gossip passes a record of one follower to the others.
 func (fl *fleet) gossip(from int, r spread.Record) {
 	for i, f := range fl.followers {
 		if i != from && !fl.isIsolated(i) && !fl.isIsolated(from) {
@@ -290,7 +289,7 @@
 	}
 }
 
-// cutOff has a follower and the others hear nothing of one another from now on.
+// isolate ends the communication between a follower and the others.
 func (fl *fleet) isolate(i int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -309,8 +308,8 @@
 	return slices.Clone(fl.usable[i])
 }
 
-// runOut has the store silent for a while in which all entries run out, and which are back
-// as late as they may be.
+// expireEntries makes the store silent for a while in which all entries expire, and from which they
+// reappear as late as they may.
 func (fl *fleet) expireEntries(lasts time.Duration) {
 	names := []string{"a", "b", "c"}
 	fl.store.silent(lasts)
@@ -329,14 +328,14 @@
 	synctest.Wait()
 }
 
-// Steps between the begins of silences: for one instance, and for a fleet.
+// Steps between the starts of silences, for one instance and for a fleet.
 const (
 	fineStep   = 700 * time.Millisecond
 	coarseStep = 2300 * time.Millisecond
 )
 
-// silences are times at which a silence of the store begins, and how long it lasts: at
-// every point of a watch's term, shorter and longer than a lease.
+// silences calls test with the begin and length of silences of the store: at each phase of a watch's
+// timeout, shorter and longer than a lease.
 func silences(step time.Duration, test func(begins, lasts time.Duration)) {
 	for begins := 10 * time.Second; begins < 19*time.Second; begins += step {
 		for _, lasts := range []time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second, 9600 * time.Millisecond} {
@@ -345,12 +344,11 @@
 	}
 }
 
-// A caller's request reaches a target 2.8 s after the target's word that it leaves. The
-// platform's store had been silent for six seconds until three seconds before. A watch of
-// the targets that went out meanwhile was never received, and its silence can't be told
-// from that of a store without news: it waited out its term of 9 s, long after the store
-// was back, and the instance knew nothing of what left.
-func TestLeavingAfterASilenceIsHeard(t *testing.T) {
+// A target reports that it leaves, 3 s after the recovery of a silent store. A watch that was
+// sent during the silence was never received, and can't be told from one without changes. If it
+// waited for its full timeout of 9 s, long after the store's recovery, the instance would go on
+// sending requests to the target.
+func TestLeavingAfterSilenceTakesEffect(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -366,11 +364,10 @@
 	})
 }
 
-// The same with a target that leaves without a word: its entry is removed. The instance
-// hears of it, and goes on sending it work for 2.2 s: so long it keeps what vanishes while
-// the store is away, counted from the failure of a watch that had been deaf since before
-// the store's return.
-func TestRemovalAfterASilenceTakesEffect(t *testing.T) {
+// The same with a target whose entry is removed without a report. Entries that vanish while the store
+// is unavailable are kept for 2.2 s. If that time were counted from the failure of a watch that was
+// orphaned before the store's recovery, the instance would go on sending work to the target.
+func TestRemovalAfterSilenceTakesEffect(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -386,9 +383,9 @@
 	})
 }
 
-// The same with a version of the configuration that is written as the store is back: a key
-// that it takes away serves on for seconds.
-func TestConfigurationAfterASilenceIsInForce(t *testing.T) {
+// The same with a version of the configuration that is written at the store's recovery: a key that it
+// removes must not be accepted for seconds.
+func TestConfigurationAfterSilenceIsInForce(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -405,10 +402,10 @@
 	})
 }
 
-// Leases run out while the store is silent, though all targets live; their entries are back
-// two seconds after the store is. An instance that hears of the removals at once must keep
-// the targets until then: its callers would be refused.
-func TestEntriesThatRanOutAreKeptUntilTheyAreBack(t *testing.T) {
+// Entries expire while the store is silent, though all targets live, and reappear two seconds after
+// its recovery. An instance that receives the removals at once must keep the targets until then, or
+// it would refuse requests.
+func TestExpiredEntriesAreKeptUntilTheyReappear(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -12,8 +12,8 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// targetList takes in a whole list of entries. One that names no target is none of
-// the list, so what stood under its name is removed; the others hold.
+// applyTargetList applies a complete list of entries. An entry that names no target doesn't
+// count, so the earlier entry of its name is removed; the others are applied.
 func (f *Follower) applyTargetList(l platformapi.List) {
 	targets := make([]routes.Target, 0, len(l.Items))
 	records := make([]spread.Record, 0, len(l.Items))
@@ -27,15 +27,15 @@
 		targets, records = append(targets, t), append(records, r)
 	}
 	f.applyTargets(targets, l.Revision)
-	// Spread tells them back one by one: as those in the list they are no changes any
-	// more, which would each have all targets handed on.
+	// Gossip passes each record back to Receive. The list has been applied, so they are no changes
+	// any more; otherwise each would publish all targets.
 	for _, r := range records {
 		f.options.Gossip(r)
 	}
 	f.gossipRemovals()
 }
 
-// takeList puts the targets of a whole list in force.
+// applyTargets applies the targets of a complete list.
 func (f *Follower) applyTargets(targets []routes.Target, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,11 +48,11 @@
 	f.publishTargets(now)
 }
 
-// errNoStart tells of an entry without the start that its target told before.
+// errStartMissing reports an entry without a start, though an earlier entry of the name had one.
 var errStartMissing = errors.New("the start of the target is missing")
 
-// decodeTarget reads an entry. Where a start was told under its name, one without is
-// from another writer than the target.
+// decodeTarget decodes an entry. If an earlier entry of the name had a start, an entry without
+// one was written by another writer than the target.
 func (f *Follower) decodeTarget(name string, spec []byte) (routes.Target, error) {
 	t, err := f.options.Source.DecodeTarget(name, spec)
 	if err != nil || t.StartedMillis != 0 {
@@ -80,12 +80,12 @@
 		f.rejectEntry(r, err)
 		return
 	}
-	// The record comes back by Receive if no peer told it before.
+	// Gossip passes the record to Receive unless a peer has sent it before.
 	f.options.Gossip(r)
 	f.putEntry(r, t)
 }
 
-// targetReceived takes in what another instance told of an entry.
+// applyPeerTarget applies an entry that another instance has sent.
 func (f *Follower) applyPeerTarget(r spread.Record) {
 	if r.Deleted {
 		f.removeEntry(r, true)
@@ -100,10 +100,10 @@
 	f.putEntry(r, t)
 }
 
-// refuseEntry takes in an entry of the store that names no target. What stood under
-// its name takes nothing new from now on, as after a removal that has taken effect: a
-// later entry brings it back. The other instances are told it as that removal, which
-// they understand whatever entries they can read.
+// rejectEntry handles an entry of the store that names no target. The earlier target of its name
+// accepts no new work from now on, as after a removal that has taken effect; a later entry can
+// undo it. To the other instances it is gossiped as that removal, which they understand
+// whichever entries they can decode.
 func (f *Follower) rejectEntry(r spread.Record, err error) {
 	f.logRejection(err)
 	r.Deleted, r.Body = true, nil
@@ -124,7 +124,8 @@
 	f.publishIfChanged(now)
 }
 
-// removeEntry takes in a removal, one that has taken effect or one that was just seen.
+// removeEntry applies a removal. A settled one takes effect at once, since it already has at
+// another instance or the entry names no target; the other ones were just seen in the store.
 func (f *Follower) removeEntry(r spread.Record, settled bool) {
 	defer f.gossipRemovals()
 	now := time.Now()
@@ -147,24 +148,23 @@
 	return "ready"
 }
 
-// Leaving notes what was said at an incarnation's own address of its leaving, and
-// tells the others. It holds for that incarnation alone: one that starts later under
-// its name is another.
+// Leaving records that an incarnation is leaving, as reported at its own address, and gossips it.
+// It applies to that incarnation alone, not to one that starts later under its name.
 func (f *Follower) Leaving(incarnation string) {
 	f.mu.Lock()
-	news := f.roster.MarkLeaving(incarnation)
-	if news {
+	changed := f.roster.MarkLeaving(incarnation)
+	if changed {
 		now := time.Now()
 		f.options.OnLeaving(now, incarnation)
 		f.publishIfChanged(now)
 	}
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.options.Gossip(spread.Record{Kind: recordLeaving, Name: incarnation, Revision: 1})
 	}
 }
 
-// Receive takes in what another instance learned.
+// Receive applies a record of another instance.
 func (f *Follower) Receive(r spread.Record) {
 	switch r.Kind {
 	case recordConfig:
@@ -181,7 +181,7 @@
 	}
 }
 
-// tick drops entries whose grace is over.
+// tickRoster removes entries whose grace period is over.
 func (f *Follower) tickRoster(ctx context.Context) {
 	ticker := time.NewTicker(rosterInterval)
 	defer ticker.Stop()
@@ -200,18 +200,18 @@
 	}
 }
 
-// spreadGone tells the other instances the removals that took effect here. They
-// are not told before: an entry may be missing because the store was away.
+// gossipRemovals sends the removals that took effect here to the other instances. They are not
+// sent earlier, since an entry may have vanished because the store was unavailable.
 func (f *Follower) gossipRemovals() {
 	f.mu.Lock()
-	gone := f.roster.TakeRemovals()
+	removals := f.roster.TakeRemovals()
 	f.mu.Unlock()
-	for _, g := range gone {
-		f.options.Gossip(spread.Record{Kind: recordTarget, Name: g.Name, Revision: g.Revision, Deleted: true})
+	for _, removal := range removals {
+		f.options.Gossip(spread.Record{Kind: recordTarget, Name: removal.Name, Revision: removal.Revision, Deleted: true})
 	}
 }
 
-// rosterChanged publishes the targets if they changed; mu is held.
+// publishIfChanged publishes the targets if they have changed; mu is held.
 func (f *Follower) publishIfChanged(now time.Time) {
 	f.roster.Tick(now)
 	if f.roster.TakeChanged() {
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -19,24 +19,24 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// readBuffer is the size of one read of an answer, in bytes.
+// readBuffer is the size in bytes of one read of a reply.
 const readBuffer = 16 << 10
 
-// passOn gives the target's answer to the caller.
+// forwardReply forwards the target's reply to the caller.
 func (q *request) forwardReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	switch {
 	case q.isStream() && reply.Status == http.StatusOK:
 		return q.forwardStream(ctx, reply, silence)
 	case q.headerSent:
-		// The caller has a part of a stream: no other answer can end it.
+		// The caller has a part of a stream, which no other kind of response can complete.
 		return routing.OutcomeOK, &failure{cause: errors.Newf("target continued the stream with status %d", reply.Status)}
 	default:
 		return q.forwardPlainReply(ctx, reply, silence)
 	}
 }
 
-// passWhole passes an answer on that is no stream of events. What is not too
-// long is read whole before its head is sent.
+// forwardPlainReply forwards a reply that isn't a stream of events. One that isn't too long is
+// read completely before its head is sent.
 func (q *request) forwardPlainReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedReply))
 	if err != nil {
@@ -54,7 +54,7 @@
 		q.sendBuffered(&bufferedReply{reply.Status, reply.Header, body})
 		return routing.OutcomeOK, nil
 	}
-	silence.Stop() // no other target can better an answer whose caller has a part of it
+	silence.Stop() // the caller has a part of the response, so no other target can replace it
 	q.sendHead(reply.Status, reply.Header, reply.Length)
 	if _, err := q.w.Write(body); err == nil {
 		_, err = io.Copy(q.w, reply)
@@ -72,7 +72,7 @@
 	return routing.OutcomeFailed, nil // not reached: abort panics
 }
 
-// sendHeld sends a whole answer of a target.
+// sendBuffered sends a complete reply of a target to the caller.
 func (q *request) sendBuffered(h *bufferedReply) {
 	q.sendHead(h.status, h.header, int64(len(h.body)))
 	if _, err := q.w.Write(h.body); err != nil {
@@ -81,7 +81,7 @@
 	q.logEnd(h.status)
 }
 
-// sendHead sends the head of a target's answer.
+// sendHead sends the head of a target's reply to the caller.
 func (q *request) sendHead(status int, header http.Header, length int64) {
 	h := q.w.Header()
 	q.closeIfStopping(h)
@@ -97,8 +97,8 @@
 	q.writeHead(status)
 }
 
-// writeHead sends the one head of the answer. net/http would drop a second one, and have
-// what follows it end the answer.
+// writeHead sends the only head of the response. net/http would ignore a second one, and would
+// append what follows it to the response.
 func (q *request) writeHead(status int) {
 	if q.headerSent {
 		q.abort("stream_broken_off")
@@ -107,16 +107,16 @@
 	q.headerSent = true
 }
 
-// announceStop tells the caller of an instance that stops to go elsewhere with its next
-// request.
+// closeIfStopping asks the caller of an instance that stops to open a new connection for its
+// next request, which then goes to another instance.
 func (q *request) closeIfStopping(h http.Header) {
 	if _, stopping := q.relay.stopWindow(); stopping {
 		h.Set("Connection", "close")
 	}
 }
 
-// passEvents passes a stream on, event by event: a target may stop in the middle
-// of one, and what goes on elsewhere begins with a whole one.
+// forwardStream forwards a stream event by event: a target may fail in the middle of an event,
+// and the target that resumes the stream begins with a complete one.
 func (q *request) forwardStream(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	events := sse.NewSplitter(0, q.requiredResumeID())
 	buffer := make([]byte, readBuffer)
@@ -150,8 +150,8 @@
 	}
 }
 
-// takeEvents takes in bytes of a stream and sends the whole events. The error tells of what
-// is no event or doesn't follow those before it.
+// forwardEvents parses bytes of a stream and sends the complete events. It returns an error for
+// what is no event or doesn't follow the events before it.
 func (q *request) forwardEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
 	before := events.Events()
 	whole, err := events.Add(p)
@@ -167,9 +167,9 @@
 	return err
 }
 
-// behind is the id of the event that a target's stream must go on behind; empty if it
-// begins anew. Where streams aren't resumed, what a caller says of that is for the target
-// alone.
+// requiredResumeID returns the ID of the event that a target's stream must continue after; empty
+// if the stream starts from the beginning. Where streams aren't resumed, the ID that a caller
+// sends is for the target alone.
 func (q *request) requiredResumeID() string {
 	if !q.route.Repeatable() {
 		return ""
@@ -177,9 +177,9 @@
 	return q.resumeID()
 }
 
-// endsStream tells whether a target's stream that has ended is the rest of the caller's.
-// One that brought no event may have nothing left, if it says so by more than the end of
-// its connection.
+// completesStream reports whether a target's stream that has ended completes the caller's. A
+// stream without events may mean that nothing remained, but only if its end is marked by more
+// than the end of the connection.
 func (q *request) completesStream(events *sse.Splitter) bool {
 	if len(events.Torn()) > 0 {
 		return false
@@ -187,7 +187,7 @@
 	return events.Events() > 0 || q.requiredResumeID() != "" && q.framing != forward.FramedByClose
 }
 
-// gapBound is how long a stream may pause before it goes on elsewhere.
+// eventTimeout returns how long a stream may pause before it is resumed elsewhere.
 func (q *request) eventTimeout() time.Duration {
 	if !q.mayRetry() {
 		return noTimeout
@@ -195,7 +195,7 @@
 	return maxEventGap
 }
 
-// sendEvents sends whole events at once.
+// sendEvents sends complete events and flushes them.
 func (q *request) sendEvents(reply *forward.Reply, whole []byte, controller *http.ResponseController) {
 	if !q.headerSent {
 		q.sendHead(reply.Status, reply.Header, -1)
@@ -211,7 +211,8 @@
 	}
 }
 
-// brokenOff tells what an answer means that ended early.
+// classifyReplyError returns the outcome of an attempt whose reply ended early: the target may
+// have run the request.
 func (q *request) classifyReplyError(ctx context.Context, err error) (routing.Outcome, error) {
 	outcome, failed := q.classifyError(ctx, err)
 	var f *failure
@@ -221,7 +222,7 @@
 	return outcome, failed
 }
 
-// answerFailure sends the final answer of a request that no target answered.
+// sendFailure sends the final response to a request that no target has answered.
 func (q *request) sendFailure(ctx context.Context, err error) {
 	var f *failure
 	if errors.As(err, &f) && f.reply != nil && !q.headerSent {
@@ -265,35 +266,35 @@
 	}
 }
 
-// isIDInUse tells whether the holder of the stage queue has another request of the id.
+// isIDInUse reports whether the holder of the stage queue has another request with the ID.
 func isIDInUse(err error) bool {
 	var refused *stages.RefusedError
 	return errors.As(err, &refused) && refused.Reason == gather.ReasonIDInUse
 }
 
-// reasonCrashes is the reason of a refusal since the request crashes targets.
+// reasonCrashes is the reason of refusing a request because it crashes targets.
 const reasonCrashes = "crashes_targets"
 
-// minRetryAfter is the least time to come back: about one stage call.
+// minRetryAfter is the shortest retry delay: about one stage call.
 const minRetryAfter = 250 * time.Millisecond
 
-// refuse says that the request has not run and when to come back.
+// refuse responds that the request has not run, and when to retry.
 func (q *request) refuse(reason string, after time.Duration) {
 	q.w.Header().Set("Retry-After", strconv.FormatFloat(max(after, minRetryAfter).Seconds(), 'f', 2, 64))
 	q.respond(http.StatusServiceUnavailable, reason, "not run: "+reason)
 }
 
-// fail says that the request may have run.
+// fail responds that the request may have run.
 func (q *request) fail(status int, reason string) {
 	q.respond(status, reason, "the request may have run: "+reason)
 }
 
-// deny refuses what is not allowed or not well formed.
+// deny rejects a request that is not allowed or malformed.
 func (q *request) deny(status int, text string) {
 	q.respond(status, "denied", text)
 }
 
-// answer sends an answer of the system's own.
+// respond sends a response of the system's own.
 func (q *request) respond(status int, reason, text string) {
 	q.reason = reason
 	h := q.w.Header()
@@ -303,12 +304,11 @@
 	body := text + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	q.writeHead(status)
-	_, _ = fmt.Fprint(q.w, body) // a caller that left needs no answer
+	_, _ = fmt.Fprint(q.w, body) // a caller that left needs no response
 	q.logEnd(status)
 }
 
-// abort closes the caller's connection, so that an answer which isn't whole
-// can't look so.
+// abort closes the caller's connection, so that an incomplete response can't look complete.
 func (q *request) abort(reason string) {
 	q.reason = reason
 	q.logEnd(0)
@@ -316,8 +316,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// logEnd writes the line of the request's end. Status is 0 if the caller's connection is
-// closed before the end of the answer.
+// logEnd logs the end of the request. Status is 0 if the caller's connection is closed before
+// the end of the response.
 func (q *request) logEnd(status int) {
 	route, digest := "", ""
 	if q.route != nil {
--- a/daemon/relay/content.go
+++ b/daemon/relay/blocklist.go
@@ -13,13 +13,13 @@
 	"github.com/ivyhollow/ivyhollow/transport/forward"
 )
 
-// blockedError refuses a request since it crashes targets.
+// blockedError refuses a request because it crashes targets.
 type blockedError struct{ remaining time.Duration }
 
 func (e *blockedError) Error() string { return "the request crashes targets" }
 
-// digest returns the digest of what the request's repeats have in common. It must not be
-// called before the body was read.
+// digest returns the digest of what the retries of the request have in common. It must not
+// be called before the body has been read.
 func (q *request) digest() quarantine.Digest {
 	if q.contentDigest == nil {
 		content := quarantine.DigestOf(q.route.Host, q.r.URL.RequestURI(), q.account, q.body)
@@ -28,15 +28,15 @@
 	return *q.contentDigest
 }
 
-// admitContent tells whether the request may be sent to a target: a *blockedError if not.
+// checkBlocklist returns a *blockedError if the request must not be sent to a target.
 func (q *request) checkBlocklist(ctx context.Context) error {
-	known := q.relay.options.Blocklist
-	if known.Empty() {
+	records := q.relay.options.Blocklist
+	if records.Empty() {
 		return nil
 	}
-	verdict := known.Judge(q.digest())
+	verdict := records.Judge(q.digest())
 	if verdict.State == quarantine.OnTrial && !q.onTrial {
-		verdict = known.Admit(ctx, q.digest(), time.Until(q.deadline))
+		verdict = records.Admit(ctx, q.digest(), time.Until(q.deadline))
 		q.onTrial = verdict.State != quarantine.Blocked
 	}
 	if verdict.State == quarantine.Blocked {
@@ -45,27 +45,28 @@
 	return nil
 }
 
-// noteEnd records how the target did under an attempt that ended with err.
+// recordAttemptEnd records in the blocklist whether the target survived an attempt that ended
+// with err.
 //
-// A target that ends takes all its connections with it, and then nothing listens at its
-// address. One that breaks a single answer off, or whose connection something on the way
-// has reset, still listens. One that was to leave has ended as planned.
+// A target that crashes closes all its connections, and then nothing listens at its address.
+// One that breaks off a single response, or whose connection was reset on the way, still
+// listens. The end of a target that was leaving was planned, so it isn't a crash.
 func (q *request) recordAttemptEnd(ctx context.Context, err error) {
-	known := q.relay.options.Blocklist
+	records := q.relay.options.Blocklist
 	var f *failure
 	switch {
 	case err == nil, errors.As(err, &f) && f.reply != nil:
-		known.RecordCompletion(q.digest())
+		records.RecordCompletion(q.digest())
 	case f != nil && f.connectionBroken && forward.NothingListens(ctx, q.address):
 		f.nothingListens = true
 		if q.relay.options.InUse(q.targetName) {
-			known.RecordCrash(q.digest(), q.target)
+			records.RecordCrash(q.digest(), q.target)
 		}
 	}
 }
 
-// noteStages records that stage targets ended under calls of the request, the last of them
-// under one that had no pieces of others.
+// recordStageCrashes records that stage targets crashed under calls of the request. The last
+// of those calls had no pieces of other requests.
 func (q *request) recordStageCrashes(err error) {
 	var refused *stages.RefusedError
 	if !errors.As(err, &refused) || refused.Reason != gather.ReasonCrashesStageTargets {
--- a/daemon/relay/ids.go
+++ b/daemon/relay/ids.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// ids are the ids of the requests in progress here. What an instance, the holder of the stage
-// queue and targets know of a request is known by its id.
+// activeIDs are the IDs of the requests in progress at this instance. An ID must be unique:
+// the instance, the holder of the stage queue and the targets identify a request by it.
 type activeIDs struct {
 	mu    sync.Mutex
 	inUse map[string]struct{}
@@ -11,7 +11,7 @@
 
 func newActiveIDs() *activeIDs { return &activeIDs{inUse: map[string]struct{}{}} }
 
-// take takes an id for a request, false if another one has it.
+// claim reserves an ID for a request. It returns false if another request has it.
 func (i *activeIDs) claim(id string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/daemon/relay/waiting.go
+++ b/daemon/relay/stagewaiters.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// waiting are the requests that wait for their stages.
+// stageWaiters are the requests that wait for their stages.
 type stageWaiters struct {
 	mu   sync.Mutex
 	byID map[string]*request
@@ -25,14 +25,14 @@
 	delete(w.byID, q.call.ID)
 }
 
-// due returns the requests by the time at which a planned stop needs their stages done.
-func (w *stageWaiters) byStageDeadline(stop func(*request) time.Time) map[time.Time][]string {
+// byStageDeadline groups the requests' IDs by the time that deadline returns for them.
+func (w *stageWaiters) byStageDeadline(deadline func(*request) time.Time) map[time.Time][]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ids := map[time.Time][]string{}
 	for id, q := range w.byID {
-		by := stop(q)
-		ids[by] = append(ids[by], id)
+		due := deadline(q)
+		ids[due] = append(ids[due], id)
 	}
 	return ids
 }
