--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -276,12 +276,12 @@
 
 func (a *App) buildClaims() {
 	a.claims = claims.New(claims.Options{
-		Owner:     claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
-		Storage:   claims.NewObjects(a.store),
-		Asker:     asker{a.cluster},
-		Retention: a.settings.Claims.Retention,
-		Sweeper:   func() bool { return a.owns(sweeperKey) },
-		Scope:     a.telemetry.Scope,
+		Owner:        claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
+		Storage:      claims.NewObjectStorage(a.store),
+		StatusClient: asker{a.cluster},
+		Retention:    a.settings.Claims.Retention,
+		IsSweeper:    func() bool { return a.owns(sweeperKey) },
+		Scope:        a.telemetry.Scope,
 	})
 }
 
@@ -302,19 +302,19 @@
 	})
 	limits := a.settings.Limits
 	a.server = serve.New(serve.Options{
-		Config:       a.sync.Snapshot,
-		Executor:     executor,
-		Claims:       a.claims,
-		Budgets:      a.budgets,
-		Status:       a.status,
-		Forward:      forwarder{a.cluster},
-		IDs:          requestid.NewSource(a.self.Name, a.self.Incarnation),
-		Scope:        a.telemetry.Scope,
-		Tracer:       a.telemetry.Tracer,
-		MaxBodyBytes: limits.MaxBodyBytes,
-		MaxInFlight:  limits.MaxInFlight,
-		MaxStreams:   limits.MaxStreams,
-		StreamIdle:   streamIdle,
+		Config:             a.sync.Snapshot,
+		Executor:           executor,
+		Claims:             a.claims,
+		Budgets:            a.budgets,
+		Status:             a.status,
+		Forward:            forwarder{a.cluster},
+		IDs:                requestid.NewSource(a.self.Name, a.self.Incarnation),
+		Scope:              a.telemetry.Scope,
+		Tracer:             a.telemetry.Tracer,
+		MaxBodyBytes:       limits.MaxBodyBytes,
+		MaxInFlight:        limits.MaxInFlight,
+		MaxStreams:         limits.MaxStreams,
+		CallerWriteTimeout: streamIdle,
 	})
 }
 
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(q.Wait, serve.MaxJoinWait))
 	defer cancel()
-	joined, ok := a.server.Join(ctx, q.ID, q.Account)
+	joined, ok := a.server.JoinLocal(ctx, q.ID, q.Account)
 	if !ok {
 		return []byte("null"), nil
 	}
@@ -61,7 +61,7 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer claim: decode")
 	}
-	answer := a.claims.HandleAsk(ctx, q)
+	answer := a.claims.HandleStatusRequest(ctx, q)
 	return msgpack.Marshal(&answer)
 }
 
@@ -70,6 +70,6 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer request status: decode")
 	}
-	status, _ := a.server.Find(q.ID, q.Account) // nil, sent as null, means not found
+	status, _ := a.server.LocalStatus(q.ID, q.Account) // nil, sent as null, means not found
 	return json.Marshal(status)
 }
--- a/daemon/claims/journal.go
+++ b/daemon/claims/journal.go
@@ -19,13 +19,13 @@
 	// over less often.
 	maxHeadBytes = 128 << 10
 	// maxJournalTries bounds the writes of one batch after conflicts.
-	maxJournalTries = 4
+	maxCommitAttempts = 4
 	// maxBatch and maxJournalBody keep a head under the store's limit of a
 	// megabyte. A longer answer keeps its digest alone in a journal.
-	maxBatch       = 64
-	maxJournalBody = 8 << 10
+	maxBatchOps         = 64
+	maxJournalBodyBytes = 8 << 10
 	// maxJournalOps bounds the claims that wait for one journal.
-	maxJournalOps = 1024
+	maxPendingOps = 1024
 )
 
 // Journals is the Storage that commits claims in groups: the claims of a shard
@@ -33,27 +33,27 @@
 // under way share the next write. Which instance writes a shard is free: the
 // conditional update on the journal's revision alone decides, so several
 // writers only cost one another conflicts.
-type Journals struct {
+type JournalStorage struct {
 	store  Store
 	shards []*journal
 }
 
 // journal is one shard. Its view is a cache: a write on a stale one conflicts.
 type journal struct {
-	store   Store
-	name    string
-	timeout time.Duration
-	every   time.Duration
-	maxHead int
+	store         Store
+	name          string
+	timeout       time.Duration
+	writeInterval time.Duration
+	maxHeadBytes  int
 
-	mu      sync.Mutex
-	pending []*journalOp
-	running bool
+	mu         sync.Mutex
+	pending    []*journalOp
+	committing bool
 
 	// The fields below belong to the running commit.
-	view     *journalView
-	wrote    time.Time
-	segments map[string]map[string]*journalEntry
+	view      *journalView
+	lastWrite time.Time
+	segments  map[string]map[string]*journalEntry
 }
 
 // journalOp is one Create (sequence 0) or Replace that waits for its commit.
@@ -68,33 +68,33 @@
 // must agree on. timeout bounds one call to the store. every is the least time
 // between two writes of a shard: it bounds the writes whatever the claims, and
 // half of it is what a claim waits on average.
-func NewJournals(store Store, shards int, timeout, every time.Duration) *Journals {
-	j := &Journals{store: store}
+func NewJournalStorage(store Store, shards int, timeout, every time.Duration) *JournalStorage {
+	j := &JournalStorage{store: store}
 	for i := range shards {
 		j.shards = append(j.shards, &journal{
-			store:    store,
-			name:     fmt.Sprintf("journal-%04d", i),
-			timeout:  timeout,
-			every:    every,
-			maxHead:  maxHeadBytes,
-			segments: make(map[string]map[string]*journalEntry),
+			store:         store,
+			name:          fmt.Sprintf("journal-%04d", i),
+			timeout:       timeout,
+			writeInterval: every,
+			maxHeadBytes:  maxHeadBytes,
+			segments:      make(map[string]map[string]*journalEntry),
 		})
 	}
 	return j
 }
 
-func (j *Journals) shard(id claim.ID) *journal {
+func (j *JournalStorage) shard(id claim.ID) *journal {
 	return j.shards[(int(id[1])<<8|int(id[2]))%len(j.shards)]
 }
 
 // Create implements Storage.
-func (j *Journals) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
+func (j *JournalStorage) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	return j.shard(id).submit(ctx, &journalOp{id: id, record: r})
 }
 
 // Replace implements Storage.
-func (j *Journals) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
-	if r.Result != nil && len(r.Result.Body) > maxJournalBody {
+func (j *JournalStorage) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
+	if r.Result != nil && len(r.Result.Body) > maxJournalBodyBytes {
 		kept := *r.Result
 		kept.Body = nil
 		r.Result = &kept
@@ -106,13 +106,13 @@
 func (j *journal) submit(ctx context.Context, op *journalOp) claim.Event {
 	op.done = make(chan claim.Event, 1)
 	j.mu.Lock()
-	if len(j.pending) >= maxJournalOps {
+	if len(j.pending) >= maxPendingOps {
 		j.mu.Unlock()
 		return claim.StoreUnavailable{}
 	}
 	j.pending = append(j.pending, op)
-	start := !j.running
-	j.running = true
+	start := !j.committing
+	j.committing = true
 	j.mu.Unlock()
 	if start {
 		go j.commitAll()
@@ -128,24 +128,24 @@
 
 // commitAll commits batches until no op waits.
 func (j *journal) commitAll() {
-	for j.goesOn() {
-		time.Sleep(j.every - time.Since(j.wrote))
+	for j.hasPending() {
+		time.Sleep(j.writeInterval - time.Since(j.lastWrite))
 		j.commit(j.nextBatch())
 	}
 }
 
 // goesOn tells whether ops wait; without any the next op starts a commit.
-func (j *journal) goesOn() bool {
+func (j *journal) hasPending() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.running = len(j.pending) > 0
-	return j.running
+	j.committing = len(j.pending) > 0
+	return j.committing
 }
 
 func (j *journal) nextBatch() []*journalOp {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	n := min(len(j.pending), maxBatch)
+	n := min(len(j.pending), maxBatchOps)
 	batch := j.pending[:n:n]
 	j.pending = j.pending[n:]
 	return batch
@@ -155,7 +155,7 @@
 // view when another instance was faster.
 func (j *journal) commit(batch []*journalOp) {
 	fresh := false
-	for range maxJournalTries {
+	for range maxCommitAttempts {
 		if j.view == nil {
 			if !j.load() {
 				break
@@ -163,21 +163,21 @@
 			fresh = true
 		}
 		next := j.view.clone()
-		results, changed := j.applyAll(&next, batch)
+		results, changed := j.applyBatch(&next, batch)
 		switch {
 		case changed:
 			if answered := j.writeBatch(next, batch, results); answered {
 				return
 			}
 		case fresh:
-			answer(batch, results)
+			respondEach(batch, results)
 			return
 		default:
 			// No write will tell whether the view is behind: read it anew.
 			j.view = nil
 		}
 	}
-	answerAll(batch, claim.StoreUnavailable{})
+	respondAll(batch, claim.StoreUnavailable{})
 }
 
 // writeBatch writes the view that the batch led to and answers the batch. It
@@ -187,12 +187,12 @@
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		answer(batch, results)
+		respondEach(batch, results)
 	case errors.As(err, &conflict):
-		j.take(conflict.Current)
+		j.setView(conflict.Current)
 		return false
 	default:
-		j.failed(batch, err)
+		j.respondWriteError(batch, err)
 	}
 	return true
 }
@@ -201,29 +201,29 @@
 //
 // Guard: after a lost answer the view isn't known any more, and each op of the
 // batch must be read back by its call.
-func (j *journal) failed(batch []*journalOp, err error) {
-	event := writeFailed(err)
+func (j *journal) respondWriteError(batch []*journalOp, err error) {
+	event := writeErrorEvent(err)
 	if _, nothingDone := event.(claim.StoreUnavailable); nothingDone {
-		answerAll(batch, event)
+		respondAll(batch, event)
 		return
 	}
 	j.view = nil
-	answerAll(batch, claim.ResponseLost{})
+	respondAll(batch, claim.ResponseLost{})
 }
 
 // applyAll puts the batch's ops into the view, in order.
-func (j *journal) applyAll(next *journalView, batch []*journalOp) ([]claim.Event, bool) {
+func (j *journal) applyBatch(next *journalView, batch []*journalOp) ([]claim.Event, bool) {
 	results := make([]claim.Event, len(batch))
 	changed := false
 	for i, op := range batch {
-		current := j.find(next, op.id)
+		current := j.lookUp(next, op.id)
 		switch {
 		case current == nil && op.sequence != 0:
 			results[i] = claim.Absent{}
 		case current != nil && current.Sequence != op.sequence:
-			results[i] = current.exists()
+			results[i] = current.existsEvent()
 		default:
-			results[i] = claim.Written{Revision: next.add(op.id, op.record)}
+			results[i] = claim.Written{Revision: next.put(op.id, op.record)}
 			changed = true
 		}
 	}
@@ -232,7 +232,7 @@
 
 // find looks a claim up in the head and then in the sealed segments, newest
 // first.
-func (j *journal) find(v *journalView, id claim.ID) *journalEntry {
+func (j *journal) lookUp(v *journalView, id claim.ID) *journalEntry {
 	key := id.String()
 	if e, ok := v.spec.Entries[key]; ok {
 		return e
@@ -251,7 +251,7 @@
 	if err != nil {
 		return err
 	}
-	if len(object.Spec) > j.maxHead && len(j.view.spec.Entries) > 0 {
+	if len(object.Spec) > j.maxHeadBytes && len(j.view.spec.Entries) > 0 {
 		if sealed, err := j.seal(next); err == nil {
 			next = sealed
 			object, err = next.object(j.name, j.view.revision)
@@ -260,7 +260,7 @@
 			}
 		}
 	}
-	j.wrote = time.Now()
+	j.lastWrite = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), j.timeout)
 	defer cancel()
 	var written *platformapi.Object
@@ -305,18 +305,18 @@
 			delete(rolled.spec.Entries, key)
 		}
 	}
-	sealed := sealedSegment{Name: name, Newest: j.view.newest()}
+	sealed := sealedSegment{Name: name, Newest: j.view.newestCreation()}
 	rolled.spec.Sealed = append(rolled.spec.Sealed[:len(rolled.spec.Sealed):len(rolled.spec.Sealed)], sealed)
 	return rolled, nil
 }
 
-func answer(batch []*journalOp, results []claim.Event) {
+func respondEach(batch []*journalOp, results []claim.Event) {
 	for i, op := range batch {
 		op.done <- results[i]
 	}
 }
 
-func answerAll(batch []*journalOp, e claim.Event) {
+func respondAll(batch []*journalOp, e claim.Event) {
 	for _, op := range batch {
 		op.done <- e
 	}
--- a/daemon/claims/journal_read.go
+++ b/daemon/claims/journal_read.go
@@ -14,7 +14,7 @@
 )
 
 // Get implements Storage. It reads the head anew: a cached view may be behind.
-func (j *Journals) Get(ctx context.Context, id claim.ID) claim.Event {
+func (j *JournalStorage) Get(ctx context.Context, id claim.ID) claim.Event {
 	shard := j.shard(id)
 	object, err := j.store.Get(ctx, platformapi.KindClaims, shard.name)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -28,7 +28,7 @@
 		return claim.ReadFailed{}
 	}
 	if e, ok := view.spec.Entries[id.String()]; ok {
-		return e.exists()
+		return e.existsEvent()
 	}
 	return shard.getSealed(ctx, view, id)
 }
@@ -41,7 +41,7 @@
 			return claim.ReadFailed{}
 		}
 		if e, ok := entries[id.String()]; ok {
-			return e.exists()
+			return e.existsEvent()
 		}
 	}
 	return claim.Absent{}
@@ -68,13 +68,13 @@
 	if err != nil {
 		return false
 	}
-	j.take(object)
+	j.setView(object)
 	return j.view != nil
 }
 
 // take makes a head the view once all its segments are known. Guard: a segment
 // that can't be read must not count as empty, or its keys would run again.
-func (j *journal) take(object *platformapi.Object) {
+func (j *journal) setView(object *platformapi.Object) {
 	j.view = nil
 	if object == nil {
 		return
@@ -87,7 +87,7 @@
 	for _, segment := range view.spec.Sealed {
 		entries, ok := j.segments[segment.Name]
 		if !ok {
-			entries, ok = j.fetch(segment.Name)
+			entries, ok = j.fetchSegment(segment.Name)
 		}
 		if !ok {
 			return
@@ -98,7 +98,7 @@
 	j.view = &view
 }
 
-func (j *journal) fetch(name string) (map[string]*journalEntry, bool) {
+func (j *journal) fetchSegment(name string) (map[string]*journalEntry, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), j.timeout)
 	defer cancel()
 	entries, err := j.readSegment(ctx, name)
@@ -108,7 +108,7 @@
 // Sweep implements Storage: old entries of the head go, and a segment whose
 // youngest claim is past its retention goes as a whole, after the head has let
 // go of it. It counts the entries of the head alone.
-func (j *Journals) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
+func (j *JournalStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed := 0
 	for _, shard := range j.shards {
 		if err := pace(); err != nil {
--- a/daemon/claims/journal_spec.go
+++ b/daemon/claims/journal_spec.go
@@ -33,7 +33,7 @@
 	Record   claim.Record `json:"record"`
 }
 
-func (e *journalEntry) exists() claim.Exists {
+func (e *journalEntry) existsEvent() claim.Exists {
 	return claim.Exists{Record: e.Record, Revision: e.Sequence}
 }
 
@@ -71,14 +71,14 @@
 }
 
 // add appends or replaces the entry of a claim.
-func (v *journalView) add(id claim.ID, r claim.Record) uint64 {
+func (v *journalView) put(id claim.ID, r claim.Record) uint64 {
 	v.spec.Sequence++
 	v.spec.Entries[id.String()] = &journalEntry{Sequence: v.spec.Sequence, Record: r}
 	return v.spec.Sequence
 }
 
 // newest is when the youngest claim among the entries was made.
-func (v journalView) newest() time.Time {
+func (v journalView) newestCreation() time.Time {
 	var newest time.Time
 	for _, e := range v.spec.Entries {
 		if e.Record.CreatedAt.After(newest) {
--- a/daemon/claims/journal_test.go
+++ b/daemon/claims/journal_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{WritesPerSecond: 200, ReadsPerSecond: 1e6, Seed: 7})
 		store.SetFaults(emulator.Faults{LoseShare: 0.1, ApplyAfterMS: 500, LatencyMS: 4})
-		writers := []*Journals{smallJournal(store, "a"), smallJournal(store, "b")}
+		writers := []*JournalStorage{newSmallJournal(store, "a"), newSmallJournal(store, "b")}
 		const keys = 700
 		var mu sync.Mutex
 		written := make(map[int]int)
@@ -52,7 +52,7 @@
 		segments, err := store.Local("c").List(t.Context(), platformapi.KindClaims)
 		require.NoError(t, err)
 		require.Greater(t, len(segments.Items), 3, "the journal has rolled over")
-		late := smallJournal(store, "c")
+		late := newSmallJournal(store, "c")
 		for i, times := range written {
 			if times != 1 {
 				t.Errorf("key %d claimed %d times", i, times)
@@ -69,9 +69,9 @@
 }
 
 // smallJournal is one shard that rolls over often.
-func smallJournal(store *emulator.Store, instance string) *Journals {
-	j := NewJournals(store.Local(instance), 1, time.Second, 0)
-	j.shards[0].maxHead = 8 << 10
+func newSmallJournal(store *emulator.Store, instance string) *JournalStorage {
+	j := NewJournalStorage(store.Local(instance), 1, time.Second, 0)
+	j.shards[0].maxHeadBytes = 8 << 10
 	return j
 }
 
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	_, err = store.Create(t.Context(), platformapi.KindClaims, object)
 	require.NoError(t, err)
-	journals := NewJournals(store, 1, time.Second, 0)
+	journals := NewJournalStorage(store, 1, time.Second, 0)
 	require.Equal(t, claim.StoreUnavailable{}, journals.Create(t.Context(), testID(1), claim.Record{}))
 	require.Equal(t, claim.ReadFailed{}, journals.Get(t.Context(), testID(1)))
 }
@@ -100,7 +100,7 @@
 
 // offer lets eight instances claim and finish perSecond keys a second for some
 // seconds of virtual time. route returns the instance that writes a key.
-func offer(t *testing.T, form func(Store) Storage, perSecond int, route func(key, instance int) int) loadResult {
+func offerLoad(t *testing.T, form func(Store) Storage, perSecond int, route func(key, instance int) int) loadResult {
 	const instances = 8
 	seconds := *loadSeconds
 	store := emulator.New(emulator.Options{WritesPerSecond: 300, ReadsPerSecond: 2000, Seed: 3})
@@ -124,7 +124,7 @@
 			e, ok := writer.Create(context.Background(), testID(i), record).(claim.Written)
 			took := time.Since(began)
 			if ok {
-				record.Result = &testKept
+				record.Result = &testResult
 				writer.Replace(context.Background(), testID(i), e.Revision, record)
 			}
 			mu.Lock()
@@ -149,9 +149,9 @@
 // figures of docs/design/claims.md.
 func TestStorageFormsWithin300Writes(t *testing.T) {
 	const shards = 8
-	journals := func(s Store) Storage { return NewJournals(s, shards, time.Second, 40*time.Millisecond) }
-	eager := func(s Store) Storage { return NewJournals(s, shards, time.Second, 0) }
-	objects := func(s Store) Storage { return NewObjects(s) }
+	journals := func(s Store) Storage { return NewJournalStorage(s, shards, time.Second, 40*time.Millisecond) }
+	eager := func(s Store) Storage { return NewJournalStorage(s, shards, time.Second, 0) }
+	objects := func(s Store) Storage { return NewObjectStorage(s) }
 	// toWriter sends each key to its shard's writer; toAny is what is left of
 	// that while the hint moves: every instance writes every journal.
 	toWriter := func(key, _ int) int {
@@ -176,7 +176,7 @@
 		{"journals, no hint", journals, 300, toAny},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := offer(t, c.form, c.rate, c.route)
+			r := offerLoad(t, c.form, c.rate, c.route)
 			t.Logf("%-20s offered %4d/s: claimed %4d/s, refused %4d/s, writes %4d/s, claim p50 %v p99 %v",
 				c.name, c.rate, r.claimed / *loadSeconds, r.refused / *loadSeconds, int(r.writes) / *loadSeconds, r.p50, r.p99)
 			claimed[fmt.Sprint(c.name, c.rate)] = r.claimed
--- a/daemon/claims/memory.go
+++ b/daemon/claims/memory.go
@@ -7,26 +7,26 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-const memoryShards = 64
+const trackerShards = 64
 
 // memory is this incarnation's Holder, in shards by claim id, with a channel
 // for those who wait for an open attempt.
-type memory struct {
-	shards [memoryShards]memoryShard
+type shardedTracker struct {
+	shards [trackerShards]trackerShard
 }
 
-type memoryShard struct {
-	mu     sync.Mutex
-	holder *claim.Tracker
-	done   map[uint64]chan struct{}
+type trackerShard struct {
+	mu      sync.Mutex
+	tracker *claim.Tracker
+	done    map[uint64]chan struct{}
 }
 
 // entry is an attempt that a call has opened or joined.
-type entry struct {
+type localAttempt struct {
 	joined  bool
 	attempt uint64
 	// same tells whether the joined attempt has the same body.
-	same bool
+	sameBody bool
 	// done is closed when the joined attempt is finished or abandoned.
 	done <-chan struct{}
 }
@@ -37,83 +37,83 @@
 	return c
 }()
 
-func newMemory(opts Options) *memory {
+func newShardedTracker(opts Options) *shardedTracker {
 	limits := claim.TrackerLimits{
-		MaxOpen:        share(opts.MaxOpen),
-		MaxClosed:      share(opts.MaxClosed),
-		MaxResultBytes: share(opts.MaxKeptBytes),
+		MaxOpen:        perShard(opts.MaxOpen),
+		MaxClosed:      perShard(opts.MaxClosed),
+		MaxResultBytes: perShard(opts.MaxResultBytes),
 		Retention:      opts.Retention,
 		DispatchWindow: opts.DispatchWindow,
 	}
-	m := &memory{}
+	m := &shardedTracker{}
 	for i := range m.shards {
-		m.shards[i].holder = claim.NewTracker(limits)
+		m.shards[i].tracker = claim.NewTracker(limits)
 		m.shards[i].done = make(map[uint64]chan struct{})
 	}
 	return m
 }
 
 // share splits a bound over the shards, rounded up.
-func share(total int) int { return (total + memoryShards - 1) / memoryShards }
+func perShard(total int) int { return (total + trackerShards - 1) / trackerShards }
 
-func (m *memory) shard(id claim.ID) *memoryShard { return &m.shards[int(id[0])%memoryShards] }
+func (m *shardedTracker) shard(id claim.ID) *trackerShard { return &m.shards[int(id[0])%trackerShards] }
 
 // joinOrOpen joins the key's last attempt on this instance or opens a new one.
-func (m *memory) joinOrOpen(id claim.ID, body claim.BodyDigest, attempt uint64, now time.Time) (entry, error) {
+func (m *shardedTracker) joinOrOpen(id claim.ID, body claim.BodyDigest, attempt uint64, now time.Time) (localAttempt, error) {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if j, ok := sh.holder.Latest(id, body); ok {
-		e := entry{joined: true, attempt: j.Attempt, same: j.SameBody, done: closedChannel}
+	if j, ok := sh.tracker.Latest(id, body); ok {
+		e := localAttempt{joined: true, attempt: j.Attempt, sameBody: j.SameBody, done: closedChannel}
 		if done, open := sh.done[j.Attempt]; open {
 			e.done = done
 		}
 		return e, nil
 	}
-	if err := sh.holder.Open(id, body, attempt, now); err != nil {
-		return entry{}, err
+	if err := sh.tracker.Open(id, body, attempt, now); err != nil {
+		return localAttempt{}, err
 	}
 	sh.done[attempt] = make(chan struct{})
-	return entry{attempt: attempt}, nil
+	return localAttempt{attempt: attempt}, nil
 }
 
-func (m *memory) dispatch(id claim.ID, attempt uint64, now time.Time) error {
+func (m *shardedTracker) dispatch(id claim.ID, attempt uint64, now time.Time) error {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.holder.Dispatch(attempt, now)
+	return sh.tracker.Dispatch(attempt, now)
 }
 
-func (m *memory) finish(id claim.ID, attempt uint64, kept claim.StoredResult, now time.Time) error {
+func (m *shardedTracker) finish(id claim.ID, attempt uint64, kept claim.StoredResult, now time.Time) error {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	err := sh.holder.Finish(attempt, kept, now)
+	err := sh.tracker.Finish(attempt, kept, now)
 	if err == nil {
-		sh.wake(attempt)
+		sh.closeDone(attempt)
 	}
 	return err
 }
 
-func (m *memory) abandon(id claim.ID, attempt uint64, mayBeStored bool, now time.Time) error {
+func (m *shardedTracker) abandon(id claim.ID, attempt uint64, mayBeStored bool, now time.Time) error {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	err := sh.holder.Abandon(attempt, mayBeStored, now)
+	err := sh.tracker.Abandon(attempt, mayBeStored, now)
 	if err == nil {
-		sh.wake(attempt)
+		sh.closeDone(attempt)
 	}
 	return err
 }
 
-func (m *memory) answer(id claim.ID, attempt uint64) claim.StatusResponse {
+func (m *shardedTracker) status(id claim.ID, attempt uint64) claim.StatusResponse {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.holder.Status(attempt)
+	return sh.tracker.Status(attempt)
 }
 
-func (sh *memoryShard) wake(attempt uint64) {
+func (sh *trackerShard) closeDone(attempt uint64) {
 	if done, ok := sh.done[attempt]; ok {
 		close(done)
 		delete(sh.done, attempt)
--- a/daemon/claims/metrics.go
+++ b/daemon/claims/metrics.go
@@ -23,6 +23,6 @@
 }
 
 // began counts a Begin by its verdict.
-func (m metrics) began(b Begun) {
+func (m metrics) countBegin(b BeginResult) {
 	m.scope.Tagged(map[string]string{"verdict": b.Verdict.String()}).Counter("begun").Inc(1)
 }
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -23,35 +23,35 @@
 
 // Objects is the Storage that keeps one object a claim, named by the claim's
 // id. It costs two writes a claim, and one more when the retention ends.
-type Objects struct {
+type ObjectStorage struct {
 	store Store
 }
 
 // NewObjects returns an Objects on the store.
-func NewObjects(store Store) *Objects { return &Objects{store: store} }
+func NewObjectStorage(store Store) *ObjectStorage { return &ObjectStorage{store: store} }
 
 // Create implements Storage.
-func (o *Objects) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
+func (o *ObjectStorage) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, 0, r)
 	if err != nil {
 		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Create(ctx, platformapi.KindClaims, object)
-	return o.written(ctx, id, written, err)
+	return o.writeEvent(ctx, id, written, err)
 }
 
 // Replace implements Storage.
-func (o *Objects) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
+func (o *ObjectStorage) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, revision, r)
 	if err != nil {
 		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Update(ctx, platformapi.KindClaims, object)
-	return o.written(ctx, id, written, err)
+	return o.writeEvent(ctx, id, written, err)
 }
 
 // Get implements Storage.
-func (o *Objects) Get(ctx context.Context, id claim.ID) claim.Event {
+func (o *ObjectStorage) Get(ctx context.Context, id claim.ID) claim.Event {
 	object, err := o.store.Get(ctx, platformapi.KindClaims, id.String())
 	if errors.Is(err, platform.ErrNotFound) {
 		return claim.Absent{}
@@ -59,22 +59,22 @@
 	if err != nil {
 		return claim.ReadFailed{}
 	}
-	return exists(object)
+	return decodeClaim(object)
 }
 
 // sweepPage bounds the claims that a sweep holds at once: a day's claims would
 // not fit an instance's memory.
-const sweepPage = 100
+const sweepPageSize = 100
 
 // Sweep implements Storage. The pages may be stale: a claim's time doesn't
 // change, and each removal is conditional on the listed revision.
-func (o *Objects) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
+func (o *ObjectStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed, after := 0, ""
 	for {
 		if err := pace(); err != nil {
 			return removed, err
 		}
-		page, err := o.store.ListStalePage(ctx, platformapi.KindClaims, after, sweepPage)
+		page, err := o.store.ListStalePage(ctx, platformapi.KindClaims, after, sweepPageSize)
 		if err != nil {
 			return removed, err
 		}
@@ -87,10 +87,10 @@
 	}
 }
 
-func (o *Objects) removeOld(ctx context.Context, items []platformapi.Object, before time.Time, pace func() error) (int, error) {
+func (o *ObjectStorage) removeOld(ctx context.Context, items []platformapi.Object, before time.Time, pace func() error) (int, error) {
 	removed := 0
 	for i := range items {
-		e, ok := exists(&items[i]).(claim.Exists)
+		e, ok := decodeClaim(&items[i]).(claim.Exists)
 		if !ok || !e.Record.CreatedAt.Before(before) {
 			continue
 		}
@@ -107,22 +107,22 @@
 }
 
 // written turns a write's answer into an event.
-func (o *Objects) written(ctx context.Context, id claim.ID, object *platformapi.Object, err error) claim.Event {
+func (o *ObjectStorage) writeEvent(ctx context.Context, id claim.ID, object *platformapi.Object, err error) claim.Event {
 	if err == nil {
 		return claim.Written{Revision: object.Metadata.Revision}
 	}
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		return o.conflicting(ctx, id, conflict.Current)
+		return o.conflictEvent(ctx, id, conflict.Current)
 	}
-	return writeFailed(err)
+	return writeErrorEvent(err)
 }
 
 // conflicting is what a refused write has met. The refusal was definite, but
 // without the claim in it the claim must be read.
-func (o *Objects) conflicting(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
+func (o *ObjectStorage) conflictEvent(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
 	if current != nil {
-		return exists(current)
+		return decodeClaim(current)
 	}
 	if e := o.Get(ctx, id); e != (claim.ReadFailed{}) {
 		return e
@@ -131,7 +131,7 @@
 }
 
 // writeFailed turns the error of a write, other than a conflict, into an event.
-func writeFailed(err error) claim.Event {
+func writeErrorEvent(err error) claim.Event {
 	var unavailable *platform.UnavailableError
 	var call *platform.CallError
 	switch {
@@ -159,7 +159,7 @@
 
 // exists decodes a stored claim. Guard: a claim that can't be read (a newer
 // schema, a broken value) must not count as absent, or its key would run again.
-func exists(object *platformapi.Object) claim.Event {
+func decodeClaim(object *platformapi.Object) claim.Event {
 	var r claim.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
 		return claim.ReadFailed{}
--- a/daemon/claims/record.go
+++ b/daemon/claims/record.go
@@ -12,21 +12,21 @@
 
 const (
 	// maxConflicts bounds how often one write is tried again after a conflict.
-	maxConflicts = 3
-	minBackoff   = 100 * time.Millisecond
-	maxBackoff   = 5 * time.Second
+	maxRecordAttempts = 3
+	minBackoff        = 100 * time.Millisecond
+	maxBackoff        = 5 * time.Second
 	// lateEffect is when a lost write is looked for. Guard: its effect may
 	// come after a first look, and would block its key once this incarnation,
 	// which answers for the token meanwhile, is gone.
-	lateEffect = 10 * time.Second
+	lostWriteDelay = 10 * time.Second
 	// maxQueueAge is when an outcome that can't be recorded is let go.
 	maxQueueAge = time.Hour
 )
 
 // record writes the end of a claim. It returns false when the write is to be
 // tried again, and then leaves in w what is known of the claim's revision.
-func (s *Service) record(ctx context.Context, w *write) bool {
-	for range maxConflicts {
+func (s *Service) record(ctx context.Context, w *recordWrite) bool {
+	for range maxRecordAttempts {
 		if w.revision == 0 && !s.readRevision(ctx, w) {
 			return false
 		}
@@ -40,7 +40,7 @@
 			return false
 		case claim.Exists:
 			w.revision = 0
-			if !s.stillOpen(w, e) {
+			if !s.needsRecording(w, e) {
 				return true
 			}
 			w.revision = e.Revision
@@ -54,10 +54,10 @@
 
 // readRevision finds the claim's revision; it stays 0 when there is nothing
 // left to write. It returns false when the store can't tell.
-func (s *Service) readRevision(ctx context.Context, w *write) bool {
+func (s *Service) readRevision(ctx context.Context, w *recordWrite) bool {
 	switch e := s.perform(ctx, w.id, claim.Read{}).(type) {
 	case claim.Exists:
-		if s.stillOpen(w, e) {
+		if s.needsRecording(w, e) {
 			w.revision = e.Revision
 		}
 		return true
@@ -71,15 +71,15 @@
 
 // stillOpen tells whether the stored claim is this write's and lacks its end.
 // A foreign token means that the claim was released and taken over.
-func (s *Service) stillOpen(w *write, e claim.Exists) bool {
+func (s *Service) needsRecording(w *recordWrite, e claim.Exists) bool {
 	own := e.Record.Token == w.record.Token
 	return own && e.Record.Result == nil && !e.Record.Abandoned
 }
 
-func (s *Service) enqueue(w write) {
-	w.queued = s.opts.Now()
+func (s *Service) enqueue(w recordWrite) {
+	w.queuedAt = s.opts.Now()
 	if w.record.Abandoned && w.revision == 0 {
-		w.due = w.queued.Add(lateEffect)
+		w.notBefore = w.queuedAt.Add(lostWriteDelay)
 	}
 	if s.queue.push(w) {
 		s.metrics.queued.Update(float64(s.queue.size()))
@@ -96,7 +96,7 @@
 	for {
 		w, wait, ok := s.queue.pop(s.opts.Now())
 		if !ok {
-			if err := s.awaitQueue(ctx, wait); err != nil {
+			if err := s.waitForWrite(ctx, wait); err != nil {
 				return err
 			}
 			continue
@@ -110,7 +110,7 @@
 		}
 		s.requeue(w)
 		s.queue.done()
-		if err := pause(ctx, jitter(backoff)); err != nil {
+		if err := sleep(ctx, jitter(backoff)); err != nil {
 			return err
 		}
 		backoff = min(2*backoff, maxBackoff)
@@ -118,7 +118,7 @@
 }
 
 // awaitQueue waits until a write comes in or one falls due.
-func (s *Service) awaitQueue(ctx context.Context, wait time.Duration) error {
+func (s *Service) waitForWrite(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -132,8 +132,8 @@
 }
 
 // requeue keeps a write for another try unless it is too old.
-func (s *Service) requeue(w write) {
-	tooOld := s.opts.Now().Sub(w.queued) > maxQueueAge
+func (s *Service) requeue(w recordWrite) {
+	tooOld := s.opts.Now().Sub(w.queuedAt) > maxQueueAge
 	if !tooOld && s.queue.push(w) {
 		return
 	}
@@ -145,7 +145,7 @@
 // Run must still run.
 func (s *Service) Drain(ctx context.Context) error {
 	for s.queue.size() > 0 {
-		if err := pause(ctx, minBackoff); err != nil {
+		if err := sleep(ctx, minBackoff); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 // jitter spreads a wait over half to all of d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/claims/service.go
+++ b/daemon/claims/service.go
@@ -18,7 +18,7 @@
 type Key = claim.Key
 
 // Kept is the outcome that a claim keeps for retries.
-type Kept = claim.StoredResult
+type StoredResult = claim.StoredResult
 
 // Verdict is how Begin ends.
 type Verdict = claim.Verdict
@@ -34,31 +34,31 @@
 
 // Asker asks the incarnation that made a claim what became of it. An error
 // means that it is dead or can't be reached in time.
-type Asker interface {
-	AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error)
+type StatusClient interface {
+	ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error)
 }
 
 // Begun is the answer of Begin.
-type Begun struct {
+type BeginResult struct {
 	Verdict Verdict
 	// Ticket is set with Run. Exactly one of its Finish and Abandon follows.
 	Ticket *Ticket
 	// Kept is set with Replay.
-	Kept *Kept
+	Result *StoredResult
 	// RetryAfter is set with NotRun: when to come back.
 	RetryAfter time.Duration
 	// Reason says in a few words how the verdict came about.
 	Reason string
 	// EarlierUnknown is set with NotRun when the store gave no answer about
 	// the key: this call ran nothing, but an earlier one with the key may have.
-	EarlierUnknown bool
+	EarlierMayHaveRun bool
 }
 
 // Options configure a Service. Owner, Storage and Asker are required.
 type Options struct {
-	Owner   claim.Owner
-	Storage Storage
-	Asker   Asker
+	Owner        claim.Owner
+	Storage      Storage
+	StatusClient StatusClient
 	// Now is the clock; it must run while the process is paused. The default
 	// is boottime.Now.
 	Now func() time.Time
@@ -69,8 +69,8 @@
 	// MaxWait bounds a Begin whose context has no deadline.
 	MaxWait time.Duration
 	// StoreTimeout and AskTimeout bound one call to the store and to a peer.
-	StoreTimeout time.Duration
-	AskTimeout   time.Duration
+	StoreTimeout  time.Duration
+	StatusTimeout time.Duration
 	// RetryAfter is what NotRun asks for when the store names no time.
 	RetryAfter time.Duration
 	// MaxOpen bounds the claims under way on this instance.
@@ -78,19 +78,19 @@
 	// MaxClosed bounds the finished and abandoned tokens remembered.
 	MaxClosed int
 	// MaxKeptBytes bounds the bodies remembered for joins.
-	MaxKeptBytes int
+	MaxResultBytes int
 	// MaxQueued and MaxQueuedBytes bound the outcomes that wait for the store.
 	MaxQueued      int
 	MaxQueuedBytes int
 	// Sweeper tells whether this instance has the duty to sweep now; nil means
 	// always. Two that believe so only lose conditional deletes to each other.
-	Sweeper func() bool
+	IsSweeper func() bool
 	// SweepEvery is the time between two sweeps; SweepRate bounds the pages
 	// read and the claims removed a second.
-	SweepEvery time.Duration
-	SweepRate  float64
-	Limits     claim.Limits
-	Scope      tally.Scope
+	SweepInterval time.Duration
+	SweepRate     float64
+	Limits        claim.Limits
+	Scope         tally.Scope
 }
 
 // Defaults of Options.
@@ -99,22 +99,22 @@
 	DefaultDispatchWindow = time.Minute
 	DefaultMaxWait        = 30 * time.Second
 	DefaultStoreTimeout   = time.Second
-	DefaultAskTimeout     = 500 * time.Millisecond
+	DefaultStatusTimeout  = 500 * time.Millisecond
 	DefaultRetryAfter     = 2 * time.Second
 	DefaultMaxOpen        = 8192
 	DefaultMaxClosed      = 65536
-	DefaultMaxKeptBytes   = 16 << 20
+	DefaultMaxResultBytes = 16 << 20
 	DefaultMaxQueued      = 4096
 	DefaultMaxQueuedBytes = 16 << 20
-	DefaultSweepEvery     = 10 * time.Minute
+	DefaultSweepInterval  = 10 * time.Minute
 	DefaultSweepRate      = 20.0
 )
 
 // Service makes, answers and records claims. It is safe for concurrent use.
 type Service struct {
 	opts     Options
-	memory   *memory
-	queue    *queue
+	tracker  *shardedTracker
+	queue    *writeQueue
 	attempts atomic.Uint64
 	metrics  metrics
 }
@@ -125,8 +125,8 @@
 	opts = opts.withDefaults()
 	return &Service{
 		opts:    opts,
-		memory:  newMemory(opts),
-		queue:   newQueue(opts.MaxQueued, opts.MaxQueuedBytes),
+		tracker: newShardedTracker(opts),
+		queue:   newWriteQueue(opts.MaxQueued, opts.MaxQueuedBytes),
 		metrics: newMetrics(opts.Scope),
 	}
 }
@@ -135,26 +135,26 @@
 // became of an earlier call with the key. It waits for an earlier call that
 // still runs, until the deadline of ctx. It returns an error only for an empty
 // key.
-func (s *Service) Begin(ctx context.Context, key Key, body [32]byte) (Begun, error) {
+func (s *Service) Begin(ctx context.Context, key Key, body [32]byte) (BeginResult, error) {
 	if key.IdempotencyKey == "" {
-		return Begun{}, errors.New("claims: begin: no idempotency key")
+		return BeginResult{}, errors.New("claims: begin: no idempotency key")
 	}
-	ctx, cancel := s.bound(ctx)
+	ctx, cancel := s.withMaxWait(ctx)
 	defer cancel()
 	begun := s.begin(ctx, key.ID(), body)
-	s.metrics.began(begun)
+	s.metrics.countBegin(begun)
 	return begun, nil
 }
 
-func (s *Service) begin(ctx context.Context, id claim.ID, body claim.BodyDigest) Begun {
+func (s *Service) begin(ctx context.Context, id claim.ID, body claim.BodyDigest) BeginResult {
 	for {
 		attempt := s.attempts.Add(1)
-		entry, err := s.memory.joinOrOpen(id, body, attempt, s.opts.Now())
+		entry, err := s.tracker.joinOrOpen(id, body, attempt, s.opts.Now())
 		if err != nil {
 			return s.notRun(claim.Decision{Reason: "too many open claims", NoStoreResponse: true})
 		}
 		if !entry.joined {
-			return s.drive(ctx, id, body, attempt)
+			return s.claimKey(ctx, id, body, attempt)
 		}
 		if begun, over := s.join(ctx, id, entry); over {
 			return begun
@@ -164,44 +164,44 @@
 
 // join follows an attempt of the same key on this instance. It is not over
 // when that attempt has been abandoned: then this call claims for itself.
-func (s *Service) join(ctx context.Context, id claim.ID, e entry) (Begun, bool) {
-	if !e.same {
-		return Begun{Verdict: Conflict, Reason: "key used with another body"}, true
+func (s *Service) join(ctx context.Context, id claim.ID, e localAttempt) (BeginResult, bool) {
+	if !e.sameBody {
+		return BeginResult{Verdict: Conflict, Reason: "key used with another body"}, true
 	}
 	select {
 	case <-e.done:
 	case <-ctx.Done():
-		return Begun{Verdict: Unknown, Reason: "the first call still runs at the deadline"}, true
+		return BeginResult{Verdict: Unknown, Reason: "the first call still runs at the deadline"}, true
 	}
-	answer := s.memory.answer(id, e.attempt)
+	answer := s.tracker.status(id, e.attempt)
 	if answer.Result == nil {
-		return Begun{}, false
+		return BeginResult{}, false
 	}
-	return Begun{Verdict: Replay, Kept: answer.Result, Reason: "joined a call on this instance"}, true
+	return BeginResult{Verdict: Replay, Result: answer.Result, Reason: "joined a call on this instance"}, true
 }
 
 // HandleAsk answers a peer's question about a token of this incarnation.
-func (s *Service) HandleAsk(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
+func (s *Service) HandleStatusRequest(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
 	// Guard: a new incarnation on the same address knows nothing about the
 	// tokens of the one before; "abandoned" from it could let a key run twice.
 	if q.Token.Owner != s.opts.Owner {
 		return claim.StatusResponse{State: claim.TokenForgotten}
 	}
-	return s.memory.answer(q.ID, q.Token.Attempt)
+	return s.tracker.status(q.ID, q.Token.Attempt)
 }
 
 // bound gives a context without a deadline the longest wait.
-func (s *Service) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Service) withMaxWait(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, s.opts.MaxWait)
 }
 
-func (s *Service) notRun(d claim.Decision) Begun {
+func (s *Service) notRun(d claim.Decision) BeginResult {
 	after := d.RetryAfter
 	if after <= 0 {
 		after = s.opts.RetryAfter
 	}
-	return Begun{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierUnknown: d.NoStoreResponse}
+	return BeginResult{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierMayHaveRun: d.NoStoreResponse}
 }
--- a/daemon/claims/sweep_test.go
+++ b/daemon/claims/sweep_test.go
@@ -16,12 +16,12 @@
 )
 
 // smallPages notes the largest page that was read.
-type smallPages struct {
+type pageRecorder struct {
 	*emulator.Local
 	largest int
 }
 
-func (s *smallPages) ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error) {
+func (s *pageRecorder) ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error) {
 	page, err := s.Local.ListStalePage(ctx, kind, after, limit)
 	s.largest = max(s.largest, len(page.Items))
 	return page, err
@@ -34,8 +34,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const old, instances = 250, 5
 		world := emulator.New(emulator.Options{})
-		store := &smallPages{Local: world.Local("x")}
-		objects := NewObjects(store)
+		store := &pageRecorder{Local: world.Local("x")}
+		objects := NewObjectStorage(store)
 		made := func(id string, at time.Time) {
 			r := claim.Record{CreatedAt: at}
 			require.IsType(t, claim.Written{}, objects.Create(t.Context(), Key{IdempotencyKey: id}.ID(), r))
@@ -49,7 +49,7 @@
 		sweeper.Store(-1)
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range instances {
-			service := New(Options{Storage: objects, Now: time.Now, Sweeper: func() bool { return sweeper.Load() == int64(i) }})
+			service := New(Options{Storage: objects, Now: time.Now, IsSweeper: func() bool { return sweeper.Load() == int64(i) }})
 			go func() { _ = service.Run(ctx) }()
 		}
 		reads := func() uint64 { return world.Calls().Kinds[platformapi.KindClaims].Reads }
@@ -57,15 +57,15 @@
 		time.Sleep(time.Hour)
 		require.Equal(t, before, reads(), "nobody has the duty")
 		sweeper.Store(0)
-		time.Sleep(DefaultSweepEvery + 5*time.Second)
+		time.Sleep(DefaultSweepInterval + 5*time.Second)
 		sweeper.Store(1) // possibly in the midst of a sweep
 		time.Sleep(2 * time.Hour)
 		left, err := world.Local("y").List(ctx, platformapi.KindClaims)
 		require.NoError(t, err)
 		require.Len(t, left.Items, 1)
-		require.LessOrEqual(t, store.largest, sweepPage)
-		passes := uint64(2*time.Hour/(DefaultSweepEvery/2)) + 2
-		require.LessOrEqual(t, reads()-before, passes+2*(old/sweepPage+1))
+		require.LessOrEqual(t, store.largest, sweepPageSize)
+		passes := uint64(2*time.Hour/(DefaultSweepInterval/2)) + 2
+		require.LessOrEqual(t, reads()-before, passes+2*(old/sweepPageSize+1))
 		cancel()
 		synctest.Wait()
 	})
--- a/daemon/claims/ticket.go
+++ b/daemon/claims/ticket.go
@@ -29,7 +29,7 @@
 // ticket and answer not_run. Once it has returned nil, Abandon fails.
 func (t *Ticket) MarkDispatched() error {
 	s := t.service
-	err := s.memory.dispatch(t.id, t.attempt, s.opts.Now())
+	err := s.tracker.dispatch(t.id, t.attempt, s.opts.Now())
 	return errors.Wrapf(err, "claims: dispatch under %s", t.record.Token)
 }
 
@@ -38,22 +38,22 @@
 // Call it before the answer is sent, so that a retry finds the answer even if
 // this instance dies in between. Outcome not_run is right only when each
 // dispatched stage is known not to have started.
-func (t *Ticket) Finish(ctx context.Context, kept Kept) error {
+func (t *Ticket) Finish(ctx context.Context, kept StoredResult) error {
 	s := t.service
 	kept = kept.ForStorage()
-	if err := s.memory.finish(t.id, t.attempt, kept, s.opts.Now()); err != nil {
+	if err := s.tracker.finish(t.id, t.attempt, kept, s.opts.Now()); err != nil {
 		return errors.Wrapf(err, "claims: finish %s", t.record.Token)
 	}
 	final := t.record
 	final.Result = &kept
-	return s.settle(ctx, write{id: t.id, record: final, revision: t.revision})
+	return s.recordOrEnqueue(ctx, recordWrite{id: t.id, record: final, revision: t.revision})
 }
 
 // Abandon gives the claim up before dispatch, so that a retry may run. It
 // fails once MarkDispatched has succeeded. It doesn't wait for the store.
 func (t *Ticket) Abandon(_ context.Context) error {
 	s := t.service
-	if err := s.memory.abandon(t.id, t.attempt, true, s.opts.Now()); err != nil {
+	if err := s.tracker.abandon(t.id, t.attempt, true, s.opts.Now()); err != nil {
 		return errors.Wrapf(err, "claims: abandon %s", t.record.Token)
 	}
 	s.release(t.id, t.record, t.revision)
@@ -64,10 +64,10 @@
 // that a retry may run even after this incarnation is gone.
 func (s *Service) release(id claim.ID, record claim.Record, revision uint64) {
 	record.Abandoned = true
-	s.enqueue(write{id: id, record: record, revision: revision})
+	s.enqueue(recordWrite{id: id, record: record, revision: revision})
 }
 
-func (s *Service) settle(ctx context.Context, w write) error {
+func (s *Service) recordOrEnqueue(ctx context.Context, w recordWrite) error {
 	if s.record(ctx, &w) {
 		return nil
 	}
--- a/daemon/serve/answer.go
+++ b/daemon/serve/answer.go
@@ -14,26 +14,26 @@
 )
 
 // answerer writes the one answer of a request, whole or as a stream.
-type answerer struct {
-	server *Server
-	call   *call
-	id     string
-	ref    requests.Ref
-	w      http.ResponseWriter
-	events *sse.Encoder
+type responder struct {
+	server  *Server
+	request *callerRequest
+	id      string
+	ref     requests.Ref
+	w       http.ResponseWriter
+	events  *sse.Encoder
 	// data holds the token event that is written.
-	data []byte
+	eventData []byte
 	// started tells that the stream's header is out: from then on a problem
 	// can only be an event.
-	started bool
+	streamStarted bool
 	// claimed tells that the work goes on without its caller.
-	claimed bool
+	detached bool
 	// gone tells that the caller no longer takes its stream.
-	gone bool
+	callerLeft bool
 }
 
-func (a *answerer) job(deadline time.Time) execute.Job {
-	c := a.call
+func (a *responder) job(deadline time.Time) execute.Job {
+	c := a.request
 	job := execute.Job{
 		ID:        a.id,
 		Ref:       a.ref,
@@ -48,13 +48,13 @@
 		job.Prefix = append(job.Prefix, execute.Part{ID: part.ID, Tokens: part.Tokens})
 	}
 	if c.stream {
-		job.OnToken = a.token
+		job.OnToken = a.sendToken
 	}
 	return job
 }
 
-func (a *answerer) answerBody(result execute.Result) []byte {
-	key := a.call.pipeline.Key
+func (a *responder) responseBody(result execute.Result) []byte {
+	key := a.request.pipeline.Key
 	body, _ := json.Marshal(callerapi.Answer{ // strings and numbers only: it can't fail
 		RequestID:     a.id,
 		Pipeline:      key.Name,
@@ -66,52 +66,52 @@
 }
 
 // answer writes the whole answer.
-func (a *answerer) answer(body []byte) *callerapi.Problem {
-	a.finish(requests.StateAnswered, requests.OutcomeRan)
-	a.server.joins.ended(a.id, http.StatusOK, callerapi.MediaJSON, body)
-	if a.call.stream {
-		_ = a.event(sse.Event{Name: callerapi.EventDone, Data: string(body)})
+func (a *responder) respond(body []byte) *callerapi.Problem {
+	a.finishStatus(requests.StateAnswered, requests.OutcomeRan)
+	a.server.joins.complete(a.id, http.StatusOK, callerapi.MediaJSON, body)
+	if a.request.stream {
+		_ = a.writeEvent(sse.Event{Name: callerapi.EventDone, Data: string(body)})
 		return nil
 	}
-	a.write(http.StatusOK, callerapi.MediaJSON, body)
+	a.writeBody(http.StatusOK, callerapi.MediaJSON, body)
 	return nil
 }
 
 // problem writes a refusal or failure.
-func (a *answerer) problem(p *callerapi.Problem) *callerapi.Problem {
+func (a *responder) respondProblem(p *callerapi.Problem) *callerapi.Problem {
 	if p.RequestID == "" {
 		p.RequestID = a.id
 	}
-	a.finish(requests.StateFailed, statusOutcome(p.Outcome))
+	a.finishStatus(requests.StateFailed, statusOutcome(p.Outcome))
 	body, _ := json.Marshal(p) // strings and numbers only: it can't fail
-	a.server.joins.ended(a.id, p.Status, callerapi.MediaProblem, body)
-	if !a.started {
+	a.server.joins.complete(a.id, p.Status, callerapi.MediaProblem, body)
+	if !a.streamStarted {
 		writeProblem(a.w, p)
 		return p
 	}
-	_ = a.event(sse.Event{Name: callerapi.EventError, Data: string(body)})
+	_ = a.writeEvent(sse.Event{Name: callerapi.EventError, Data: string(body)})
 	return p
 }
 
-func (a *answerer) finish(state requests.State, o requests.Outcome) {
+func (a *responder) finishStatus(state requests.State, o requests.Outcome) {
 	a.server.opts.Status.Finish(a.ref, requests.End{State: state, Outcome: o, At: a.server.opts.Now()})
 }
 
 // replay writes the answer of the run that the claim kept.
-func (a *answerer) replay(kept *claims.Kept) *callerapi.Problem {
+func (a *responder) replay(kept *claims.StoredResult) *callerapi.Problem {
 	if !kept.Complete() {
 		p := refusal(http.StatusConflict, typeOutcomeUnknown, "the request ran; its answer was too large to keep")
 		p.Outcome = callerapi.OutcomeRan
-		return a.problem(p)
+		return a.respondProblem(p)
 	}
 	if kept.Status == http.StatusOK {
-		return a.answer(kept.Body)
+		return a.respond(kept.Body)
 	}
 	p := &callerapi.Problem{}
 	if err := json.Unmarshal(kept.Body, p); err != nil {
-		return a.problem(asProblem(err))
+		return a.respondProblem(asProblem(err))
 	}
-	return a.problem(p)
+	return a.respondProblem(p)
 }
 
 // token passes one token on. The executor calls it from one goroutine.
@@ -119,13 +119,13 @@
 // A claimed request goes on without its caller: an error here would stop work
 // that may not be repeated half way, and the retry with the key, which should
 // get the answer, would be told that its outcome is unknown.
-func (a *answerer) token(offset int, token string) error {
-	if a.gone {
+func (a *responder) sendToken(offset int, token string) error {
+	if a.callerLeft {
 		return nil
 	}
 	err := a.writeToken(offset, token)
-	if err != nil && a.claimed {
-		a.gone = true
+	if err != nil && a.detached {
+		a.callerLeft = true
 		return nil
 	}
 	return err
@@ -134,35 +134,35 @@
 // slowCallerShare is the share of what is left, as a divisor, that a caller who
 // does not read may cost claimed work; leastWriteBound is its least.
 const (
-	slowCallerShare = 4
+	slowCallerDivisor = 4
 	// leastWriteBound leaves time to write the answer of a call that was joined
 	// until its deadline.
-	leastWriteBound = 200 * time.Millisecond
+	minWriteTimeout = 200 * time.Millisecond
 )
 
 // outliveCaller lets the work go on without its caller. A caller that stays but
 // does not read is given up early enough: the wait for it would else last past
 // the deadline, and the outcome of work that may not be repeated be unknown.
-func (a *answerer) outliveCaller(deadline time.Time) {
-	a.claimed = true
-	if w, ok := a.w.(*boundedWriter); ok {
-		share := deadline.Sub(a.server.opts.Now()) / slowCallerShare
-		w.limit = min(w.limit, max(share, leastWriteBound))
+func (a *responder) detach(deadline time.Time) {
+	a.detached = true
+	if w, ok := a.w.(*timeoutWriter); ok {
+		share := deadline.Sub(a.server.opts.Now()) / slowCallerDivisor
+		w.timeout = min(w.timeout, max(share, minWriteTimeout))
 	}
 }
 
-func (a *answerer) writeToken(offset int, token string) error {
+func (a *responder) writeToken(offset int, token string) error {
 	var err error
-	if a.data, err = appendToken(a.data[:0], token); err != nil {
+	if a.eventData, err = appendToken(a.eventData[:0], token); err != nil {
 		return err
 	}
-	return a.event(sse.Event{Name: callerapi.EventToken, ID: strconv.Itoa(offset), Data: string(a.data)})
+	return a.writeEvent(sse.Event{Name: callerapi.EventToken, ID: strconv.Itoa(offset), Data: string(a.eventData)})
 }
 
 // event writes one event and flushes it.
-func (a *answerer) event(e sse.Event) error {
-	if !a.started {
-		a.started = true
+func (a *responder) writeEvent(e sse.Event) error {
+	if !a.streamStarted {
+		a.streamStarted = true
 		a.events = sse.NewEncoder(a.w)
 		a.w.Header().Set("Content-Type", callerapi.MediaStream)
 		a.w.Header().Set("Cache-Control", "no-store")
@@ -175,7 +175,7 @@
 	return http.NewResponseController(a.w).Flush()
 }
 
-func (a *answerer) write(status int, media string, body []byte) {
+func (a *responder) writeBody(status int, media string, body []byte) {
 	h := a.w.Header()
 	h.Set("Content-Type", media)
 	h.Set(callerapi.HeaderRequestID, a.id)
--- a/daemon/serve/join.go
+++ b/daemon/serve/join.go
@@ -17,34 +17,34 @@
 
 // joinAnswer serves GET /v1/requests/{id}/answer. Any instance asks the one that
 // serves the request.
-func (s *Server) joinAnswer(w http.ResponseWriter, r *http.Request) {
-	w = &boundedWriter{ResponseWriter: w, limit: s.opts.StreamIdle}
-	account, problem := s.asker(r)
+func (s *Server) handleJoin(w http.ResponseWriter, r *http.Request) {
+	w = &timeoutWriter{ResponseWriter: w, timeout: s.opts.CallerWriteTimeout}
+	account, problem := s.callerAccount(r)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	wait, problem := joinWait(r)
+	wait, problem := parseWait(r)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	if !s.waiting.enter() {
+	if !s.joinWaits.acquire() {
 		p := refusal(http.StatusServiceUnavailable, typeOverload, "too many calls wait for answers")
-		writeProblem(w, retryLater(p, 0))
+		writeProblem(w, withRetryAfter(p, 0))
 		return
 	}
-	defer s.waiting.leave()
-	joined, problem := s.join(r.Context(), r.PathValue("id"), account.Name, wait)
+	defer s.joinWaits.release()
+	joined, problem := s.joinRequest(r.Context(), r.PathValue("id"), account.Name, wait)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	writeJoined(w, joined)
+	writeJoinResult(w, joined)
 }
 
 // joinWait reads how long the caller wants to wait.
-func joinWait(r *http.Request) (time.Duration, *callerapi.Problem) {
+func parseWait(r *http.Request) (time.Duration, *callerapi.Problem) {
 	text := r.URL.Query().Get("wait_ms")
 	if text == "" {
 		return 0, nil
@@ -57,41 +57,41 @@
 }
 
 // join looks here, then at the instance that the id names.
-func (s *Server) join(ctx context.Context, text, account string, wait time.Duration) (Joined, *callerapi.Problem) {
+func (s *Server) joinRequest(ctx context.Context, text, account string, wait time.Duration) (JoinResult, *callerapi.Problem) {
 	notFound := refusal(http.StatusNotFound, typeNotFound, "no request of this client account has this id, or it is past its retention")
 	id, err := requestid.Parse(text)
 	if err != nil {
-		return Joined{}, notFound
+		return JoinResult{}, notFound
 	}
 	own, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if joined, ok := s.Join(own, text, account); ok {
+	if joined, ok := s.JoinLocal(own, text, account); ok {
 		return joined, nil
 	}
 	ctx, cancelForward := context.WithTimeout(ctx, wait+forwardTimeout)
 	defer cancelForward()
-	joined, err := s.opts.Forward.RequestAnswer(ctx, id, account, text, wait)
-	if err != nil || joined == nil || joined.State == nil || joined.State.Account != account {
-		return Joined{}, notFound
+	joined, err := s.opts.Forward.AwaitResponse(ctx, id, account, text, wait)
+	if err != nil || joined == nil || joined.Request == nil || joined.Request.Account != account {
+		return JoinResult{}, notFound
 	}
 	return *joined, nil
 }
 
 // writeJoined writes the request's own answer, or says why there is none.
-func writeJoined(w http.ResponseWriter, joined Joined) {
-	w.Header().Set(callerapi.HeaderRequestID, joined.State.RequestID)
+func writeJoinResult(w http.ResponseWriter, joined JoinResult) {
+	w.Header().Set(callerapi.HeaderRequestID, joined.Request.RequestID)
 	switch {
-	case joined.Status != 0:
-		w.Header().Set("Content-Type", joined.Media)
-		w.WriteHeader(joined.Status)
+	case joined.HTTPStatus != 0:
+		w.Header().Set("Content-Type", joined.ContentType)
+		w.WriteHeader(joined.HTTPStatus)
 		_, _ = w.Write(joined.Body) // the caller is gone if this fails
-	case joined.State.State == stateRunning:
+	case joined.Request.State == stateRunning:
 		w.Header().Set("Content-Type", callerapi.MediaJSON)
 		w.WriteHeader(http.StatusAccepted)
-		_ = json.NewEncoder(w).Encode(joined.State) // the caller is gone if this fails
+		_ = json.NewEncoder(w).Encode(joined.Request) // the caller is gone if this fails
 	default:
 		p := refusal(http.StatusGone, typeNotKept, "the request is over; nobody joined it while it ran, or its answer was too large to keep")
-		p.Outcome, p.RequestID = joined.State.Outcome, joined.State.RequestID
+		p.Outcome, p.RequestID = joined.Request.Outcome, joined.Request.RequestID
 		writeProblem(w, p)
 	}
 }
--- a/daemon/serve/join_test.go
+++ b/daemon/serve/join_test.go
@@ -33,7 +33,7 @@
 		"problem":     {err: problem, wait: "2000", first: 502, again: 502},
 		"waits less":  {output: "out", wait: "500", first: 202, again: 200},
 		"no wait":     {output: "out", first: 202, again: 200},
-		"too large":   {output: strings.Repeat("x", maxJoinBody), wait: "2000", first: 410, again: 410},
+		"too large":   {output: strings.Repeat("x", maxJoinBodyBytes), wait: "2000", first: 410, again: 410},
 		"not a wait":  {output: "out", wait: "x", first: 400, again: 400},
 		"nobody came": {output: "out", wait: "late", first: 410, again: 410},
 	}
@@ -45,8 +45,8 @@
 				<-time.After(time.Second)
 				return execute.Result{Output: c.output}, c.err
 			}, nil)
-			direct := make(chan answer, 1)
-			go func() { direct <- r.ask(t, ask{pipeline: "again"}) }()
+			direct := make(chan testResponse, 1)
+			go func() { direct <- r.do(t, testRequest{pipeline: "again"}) }()
 			synctest.Wait()
 			if c.wait == "late" {
 				<-time.After(2 * time.Second)
@@ -60,8 +60,8 @@
 			if c.again == want.status {
 				require.JSONEq(t, want.raw, got.Body.String())
 			}
-			require.Zero(t, r.server.waiting.count())
-			_, ok := r.server.Join(t.Context(), id, "other")
+			require.Zero(t, r.server.joinWaits.count())
+			_, ok := r.server.JoinLocal(t.Context(), id, "other")
 			require.False(t, ok, "another account")
 		})
 	}
@@ -79,28 +79,28 @@
 // another account, whatever that instance says.
 func TestJoinThroughAnotherInstance(t *testing.T) {
 	for account, status := range map[string]int{"a": http.StatusOK, "b": http.StatusNotFound} {
-		r := newRig(t, answers, nil)
-		r.joined = &Joined{State: &callerapi.RequestStatus{Account: account}, Status: 200, Body: json.RawMessage(`{}`)}
+		r := newRig(t, respondOK, nil)
+		r.joined = &JoinResult{Request: &callerapi.RequestStatus{Account: account}, HTTPStatus: 200, Body: json.RawMessage(`{}`)}
 		require.Equal(t, status, r.join("two.1.1-1", "").Code)
 	}
 }
 
 // Many ids are joined and never asked for again: what is kept stays bounded.
 func TestJoinsAreBounded(t *testing.T) {
-	j := newJoins()
+	j := newJoinTable()
 	for i := range 2 * maxJoins {
 		id := strings.Repeat("i", i)
-		require.NotNil(t, j.enter(id))
-		j.ended(id, http.StatusOK, "", make([]byte, maxJoinBytes/64))
+		require.NotNil(t, j.findOrAdd(id))
+		j.complete(id, http.StatusOK, "", make([]byte, maxJoinBytes/64))
 		require.LessOrEqual(t, j.bytes, maxJoinBytes)
 		require.LessOrEqual(t, len(j.byID), maxJoins)
 	}
 	require.EqualValues(t, len(j.byID), j.count.Load())
 	for i := range maxJoins - len(j.byID) {
-		require.NotNil(t, j.enter(strings.Repeat("r", i+1)))
+		require.NotNil(t, j.findOrAdd(strings.Repeat("r", i+1)))
 	}
-	for len(j.over) > 0 {
-		require.NotNil(t, j.enter("n"+strings.Repeat("n", len(j.over))))
+	for len(j.completed) > 0 {
+		require.NotNil(t, j.findOrAdd("n"+strings.Repeat("n", len(j.completed))))
 	}
-	require.Nil(t, j.enter("full of running ones"))
+	require.Nil(t, j.findOrAdd("full of running ones"))
 }
--- a/daemon/serve/metrics.go
+++ b/daemon/serve/metrics.go
@@ -51,10 +51,10 @@
 	}
 }
 
-func (m *metrics) ended(p *callerapi.Problem, took time.Duration) {
+func (m *metrics) record(p *callerapi.Problem, took time.Duration) {
 	m.duration.Record(took)
 	if p != nil {
-		m.problemOf(p.Type).Inc(1)
+		m.problemCounter(p.Type).Inc(1)
 	}
 	switch {
 	case p == nil:
@@ -69,7 +69,7 @@
 }
 
 // problemOf returns the counter of a type of problem.
-func (m *metrics) problemOf(kind string) tally.Counter {
+func (m *metrics) problemCounter(kind string) tally.Counter {
 	if c, ok := m.problems[kind]; ok {
 		return c
 	}
--- a/daemon/serve/parse.go
+++ b/daemon/serve/parse.go
@@ -19,17 +19,17 @@
 
 // Bounds of a request's fields.
 const (
-	maxIdempotencyKey = 128
-	maxCallerKey      = 256
-	maxPrefixParts    = 64
-	maxTokensLimit    = 1 << 20
-	bearerPrefix      = "Bearer "
+	maxIdempotencyKeyLength = 128
+	maxCallerKeyLength      = 256
+	maxPrefixParts          = 64
+	maxMaxTokens            = 1 << 20
+	bearerPrefix            = "Bearer "
 	// bodyTimeout bounds the reading of a body.
 	bodyTimeout = 5 * time.Second
 )
 
 // call is a request as read from its connection.
-type call struct {
+type callerRequest struct {
 	snapshot       *catalog.Snapshot
 	account        *catalog.Account
 	tier           *catalog.Tier
@@ -50,7 +50,7 @@
 	}
 	header := r.Header.Get("Authorization")
 	key, ok := strings.CutPrefix(header, bearerPrefix)
-	if !ok || key == "" || len(key) > maxCallerKey {
+	if !ok || key == "" || len(key) > maxCallerKeyLength {
 		return refuse("send the client account's key as Authorization: Bearer KEY")
 	}
 	digest := sha256.Sum256([]byte(key))
@@ -67,34 +67,34 @@
 }
 
 // readCall reads and checks everything a request says about itself.
-func (s *Server) readCall(w http.ResponseWriter, r *http.Request) (*call, *callerapi.Problem) {
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *callerapi.Problem) {
 	snapshot := s.opts.Config()
 	if snapshot == nil {
 		p := refusal(http.StatusServiceUnavailable, typeStarting, "no configuration is known yet")
-		return nil, retryLater(p, 0)
+		return nil, withRetryAfter(p, 0)
 	}
 	account, problem := authenticate(r, snapshot)
 	if problem != nil {
 		return nil, problem
 	}
-	c := &call{snapshot: snapshot, account: account}
-	if problem := c.choosePipeline(r); problem != nil {
+	c := &callerRequest{snapshot: snapshot, account: account}
+	if problem := c.resolvePipeline(r); problem != nil {
 		return nil, problem
 	}
 	tier, ok := snapshot.Tier(account.Tier)
 	if !ok {
 		p := refusal(http.StatusServiceUnavailable, typeStarting, "the account's tier is not known yet")
-		return nil, retryLater(p, 0)
+		return nil, withRetryAfter(p, 0)
 	}
 	c.tier = tier
-	if problem := c.readKey(r); problem != nil {
+	if problem := c.readIdempotencyKey(r); problem != nil {
 		return nil, problem
 	}
 	c.stream = strings.Contains(r.Header.Get("Accept"), callerapi.MediaStream)
 	return c, s.readBody(w, r, c)
 }
 
-func (c *call) choosePipeline(r *http.Request) *callerapi.Problem {
+func (c *callerRequest) resolvePipeline(r *http.Request) *callerapi.Problem {
 	version := 0
 	if text := r.Header.Get(callerapi.HeaderSchemaVersion); text != "" {
 		v, err := strconv.Atoi(text)
@@ -114,9 +114,9 @@
 
 // readKey refuses a request that may not be repeated and carries no key: a
 // caller that lost the answer could not retry it without running it twice.
-func (c *call) readKey(r *http.Request) *callerapi.Problem {
+func (c *callerRequest) readIdempotencyKey(r *http.Request) *callerapi.Problem {
 	c.idempotencyKey = r.Header.Get(callerapi.HeaderIdempotencyKey)
-	if len(c.idempotencyKey) > maxIdempotencyKey {
+	if len(c.idempotencyKey) > maxIdempotencyKeyLength {
 		return fieldRefusal(callerapi.HeaderIdempotencyKey, "longer than 128 characters")
 	}
 	if c.idempotencyKey == "" && !c.pipeline.Repeatable() {
@@ -128,11 +128,11 @@
 	return nil
 }
 
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *call) *callerapi.Problem {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *callerRequest) *callerapi.Problem {
 	// A caller that sends its body byte by byte would hold its place for ever.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(s.opts.Now().Add(bodyTimeout)) // unsupported only in tests
-	if bounded, ok := w.(*boundedWriter); ok {
+	if bounded, ok := w.(*timeoutWriter); ok {
 		w = bounded.ResponseWriter // net/http closes the connection by it alone
 	}
 	limited := http.MaxBytesReader(w, r.Body, s.opts.MaxBodyBytes)
@@ -149,18 +149,18 @@
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c.body); err != nil {
-		return fieldRefusal(jsonField(err), lineOf(raw, decoder.InputOffset())+": "+err.Error())
+		return fieldRefusal(jsonField(err), linePosition(raw, decoder.InputOffset())+": "+err.Error())
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fieldRefusal("body", lineOf(raw, decoder.InputOffset())+": something follows the JSON object")
+		return fieldRefusal("body", linePosition(raw, decoder.InputOffset())+": something follows the JSON object")
 	}
-	c.digest = c.digestOf(raw)
-	return checkBody(&c.body)
+	c.digest = c.requestDigest(raw)
+	return validateBody(&c.body)
 }
 
 // digestOf tells two requests with one idempotency key apart: it covers the
 // pipeline's definition that was chosen as well as the body.
-func (c *call) digestOf(raw []byte) [sha256.Size]byte {
+func (c *callerRequest) requestDigest(raw []byte) [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(c.pipeline.Key.Name))
 	h.Write([]byte{0})
@@ -170,8 +170,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-func checkBody(b *callerapi.Request) *callerapi.Problem {
-	if b.MaxTokens < 0 || b.MaxTokens > maxTokensLimit {
+func validateBody(b *callerapi.Request) *callerapi.Problem {
+	if b.MaxTokens < 0 || b.MaxTokens > maxMaxTokens {
 		return fieldRefusal("max_tokens", "must lie between 0 and 1048576")
 	}
 	if len(b.Prefix) > maxPrefixParts {
@@ -198,7 +198,7 @@
 	return "body"
 }
 
-func lineOf(raw []byte, offset int64) string {
+func linePosition(raw []byte, offset int64) string {
 	offset = min(offset, int64(len(raw)))
 	line := 1 + bytes.Count(raw[:offset], []byte{'\n'})
 	return "line " + strconv.Itoa(line)
--- a/daemon/serve/problem.go
+++ b/daemon/serve/problem.go
@@ -53,7 +53,7 @@
 }
 
 // retryLater adds a time to come back.
-func retryLater(p *callerapi.Problem, after time.Duration) *callerapi.Problem {
+func withRetryAfter(p *callerapi.Problem, after time.Duration) *callerapi.Problem {
 	if after <= 0 {
 		after = defaultRetryAfter
 	}
@@ -70,11 +70,11 @@
 	if f.Reason == execute.ReasonFault {
 		p.Detail = internalFault // what a panic says may hold parts of a request
 	}
-	p.Outcome = outcomeOf(f.Verdict)
+	p.Outcome = callerOutcome(f.Verdict)
 	p.Step = f.Step
 	p.Peer = f.Peer
 	if f.Verdict == outcome.NotRun {
-		retryLater(p, f.RetryAfter)
+		withRetryAfter(p, f.RetryAfter)
 	}
 	return p
 }
@@ -108,7 +108,7 @@
 	return http.StatusBadGateway
 }
 
-func outcomeOf(v outcome.Verdict) callerapi.Outcome {
+func callerOutcome(v outcome.Verdict) callerapi.Outcome {
 	switch v {
 	case outcome.NotRun:
 		return callerapi.OutcomeNotRun
--- a/daemon/serve/problem_test.go
+++ b/daemon/serve/problem_test.go
@@ -23,7 +23,7 @@
 		time.Second:             1000,
 	}
 	for after, want := range cases {
-		p := retryLater(refusal(http.StatusServiceUnavailable, typeStore, ""), after)
+		p := withRetryAfter(refusal(http.StatusServiceUnavailable, typeStore, ""), after)
 		require.Equal(t, want, p.RetryAfterMS, after)
 	}
 }
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -47,7 +47,7 @@
 	// budget is when to come back for an account without budget; 0 spends.
 	budget time.Duration
 	// joined is what another instance tells of a request.
-	joined *Joined
+	joined *JoinResult
 }
 
 func (f *fakes) Take(context.Context, *catalog.Account) (bool, time.Duration) {
@@ -58,12 +58,12 @@
 	return nil, nil
 }
 
-func (f *fakes) RequestAnswer(context.Context, requestid.ID, string, string, time.Duration) (*Joined, error) {
+func (f *fakes) AwaitResponse(context.Context, requestid.ID, string, string, time.Duration) (*JoinResult, error) {
 	return f.joined, nil
 }
 
 // AskClaim finds every other claimant dead.
-func (f *fakes) AskClaim(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
+func (f *fakes) ClaimStatus(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
 	return claim.StatusResponse{}, context.DeadlineExceeded
 }
 
@@ -90,7 +90,7 @@
 
 func newRig(t *testing.T, run executorFunc, change func(o *Options)) *rig {
 	t.Helper()
-	f := &fakes{storage: claims.NewObjects(platform.New(platform.Options{}).Local("one"))}
+	f := &fakes{storage: claims.NewObjectStorage(platform.New(platform.Options{}).Local("one"))}
 	r := &rig{fakes: f}
 	r.claims = newClaims(f, 1)
 	r.opts = Options{
@@ -102,7 +102,7 @@
 		Status: requests.New(requests.Options{MaxRequests: 64, Retention: time.Hour}),
 		IDs:    requestid.NewSource("one", 1), Scope: tally.NoopScope,
 		Tracer:       noop.NewTracerProvider().Tracer(""),
-		MaxBodyBytes: 1 << 10, MaxInFlight: 2, MaxStreams: 1, StreamIdle: time.Second,
+		MaxBodyBytes: 1 << 10, MaxInFlight: 2, MaxStreams: 1, CallerWriteTimeout: time.Second,
 	}
 	if change != nil {
 		change(&r.opts)
@@ -114,7 +114,7 @@
 func newClaims(f *fakes, incarnation uint64) *claims.Service {
 	return claims.New(claims.Options{
 		Owner:   claim.Owner{Instance: "one", Incarnation: incarnation},
-		Storage: storage{f.storage, f}, Asker: f, Now: time.Now,
+		Storage: storage{f.storage, f}, StatusClient: f, Now: time.Now,
 	})
 }
 
@@ -137,12 +137,12 @@
 }
 
 // ask is one call of a case.
-type ask struct {
+type testRequest struct {
 	pipeline, key, body string
 	stream              bool
 }
 
-func (a ask) request(ctx context.Context) *http.Request {
+func (a testRequest) request(ctx context.Context) *http.Request {
 	body := a.body
 	if body == "" {
 		body = `{"input":"x"}`
@@ -159,7 +159,7 @@
 }
 
 // answer is what a caller got.
-type answer struct {
+type testResponse struct {
 	status  int
 	problem callerapi.Problem
 	output  string
@@ -167,7 +167,7 @@
 	raw     string
 }
 
-func (r *rig) ask(t *testing.T, a ask) answer {
+func (r *rig) do(t *testing.T, a testRequest) testResponse {
 	t.Helper()
 	w := httptest.NewRecorder()
 	r.server.Handler().ServeHTTP(w, a.request(t.Context()))
@@ -175,9 +175,9 @@
 }
 
 // parse reads a whole answer or the last event of a stream.
-func parse(t *testing.T, w *httptest.ResponseRecorder) answer {
+func parse(t *testing.T, w *httptest.ResponseRecorder) testResponse {
 	t.Helper()
-	got := answer{status: w.Code, header: w.Header(), raw: w.Body.String()}
+	got := testResponse{status: w.Code, header: w.Header(), raw: w.Body.String()}
 	last := got.raw
 	isProblem := w.Header().Get("Content-Type") == callerapi.MediaProblem
 	if w.Header().Get("Content-Type") == callerapi.MediaStream {
--- a/daemon/serve/server.go
+++ b/daemon/serve/server.go
@@ -29,7 +29,7 @@
 // Begin blocks for the platform's store, or for the first call of the same key,
 // until the context ends.
 type Claimer interface {
-	Begin(ctx context.Context, key claims.Key, body [32]byte) (claims.Begun, error)
+	Begin(ctx context.Context, key claims.Key, body [32]byte) (claims.BeginResult, error)
 }
 
 // Budgets holds the accounts' budgets; *accounts.Budgets is one.
@@ -44,7 +44,7 @@
 type Forwarder interface {
 	RequestStatus(ctx context.Context, id requestid.ID, account string, text string) (*callerapi.RequestStatus, error)
 	// RequestAnswer lets that instance wait for the request's answer.
-	RequestAnswer(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*Joined, error)
+	AwaitResponse(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*JoinResult, error)
 }
 
 // Options are the parts a Server works with. All are required but Now.
@@ -64,8 +64,8 @@
 	MaxInFlight  int
 	MaxStreams   int
 	// StreamIdle bounds the wait for a caller that does not read its stream.
-	StreamIdle time.Duration
-	Now        func() time.Time
+	CallerWriteTimeout time.Duration
+	Now                func() time.Time
 }
 
 // Server serves callers. It is safe for concurrent use.
@@ -74,9 +74,9 @@
 	inFlight *limiter
 	streams  *limiter
 	// waiting bounds the calls that wait for the answer of another.
-	waiting *limiter
-	joins   *joins
-	metrics *metrics
+	joinWaits *limiter
+	joins     *joinTable
+	metrics   *metrics
 	// stopped is done once the requests that still run are to end.
 	stopped context.Context
 	stop    context.CancelCauseFunc
@@ -89,23 +89,23 @@
 	}
 	stopped, stop := context.WithCancelCause(context.Background())
 	return &Server{
-		stopped:  stopped,
-		stop:     stop,
-		opts:     o,
-		inFlight: newLimiter(o.MaxInFlight),
-		streams:  newLimiter(o.MaxStreams),
-		waiting:  newLimiter(o.MaxInFlight),
-		joins:    newJoins(),
-		metrics:  newMetrics(o.Scope),
+		stopped:   stopped,
+		stop:      stop,
+		opts:      o,
+		inFlight:  newLimiter(o.MaxInFlight),
+		streams:   newLimiter(o.MaxStreams),
+		joinWaits: newLimiter(o.MaxInFlight),
+		joins:     newJoinTable(),
+		metrics:   newMetrics(o.Scope),
 	}
 }
 
 // Handler returns the routes of the callers' interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/pipelines/{pipeline}/requests", s.submit)
-	mux.HandleFunc("GET /v1/requests/{id}", s.status)
-	mux.HandleFunc("GET /v1/requests/{id}/answer", s.joinAnswer)
+	mux.HandleFunc("POST /v1/pipelines/{pipeline}/requests", s.handleSubmit)
+	mux.HandleFunc("GET /v1/requests/{id}", s.handleStatus)
+	mux.HandleFunc("GET /v1/requests/{id}/answer", s.handleJoin)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		writeProblem(w, refusal(http.StatusNotFound, typeNotFound, "no such path"))
 	})
--- a/daemon/serve/stop.go
+++ b/daemon/serve/stop.go
@@ -15,7 +15,7 @@
 func (s *Server) Stop() { s.stop(execute.ErrStopping) }
 
 // untilStopped returns a context that ends with Stop too.
-func (s *Server) untilStopped(ctx context.Context) (context.Context, func()) {
+func (s *Server) withStop(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	release := context.AfterFunc(s.stopped, func() { cancel(context.Cause(s.stopped)) })
 	return ctx, func() {
--- a/daemon/serve/stop_test.go
+++ b/daemon/serve/stop_test.go
@@ -19,15 +19,15 @@
 // work is, before the instance ends.
 func TestStopAnswersWhatStillRuns(t *testing.T) {
 	cases := map[string]struct {
-		ask     ask
+		ask     testRequest
 		verdict outcome.Verdict
 		status  int
 		outcome callerapi.Outcome
 	}{
-		"waits for a slot": {ask{pipeline: "again"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
-		"runs":             {ask{pipeline: "again"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
-		"claimed, waits":   {ask{pipeline: "once", key: "k"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
-		"claimed, runs":    {ask{pipeline: "once", key: "k"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
+		"waits for a slot": {testRequest{pipeline: "again"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
+		"runs":             {testRequest{pipeline: "again"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
+		"claimed, waits":   {testRequest{pipeline: "once", key: "k"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
+		"claimed, runs":    {testRequest{pipeline: "once", key: "k"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/daemon/serve/wire_test.go
+++ b/daemon/serve/wire_test.go
@@ -53,10 +53,10 @@
 		want string
 	}{
 		{"answer", func() (string, error) {
-			a := &answerer{id: "r", call: &call{pipeline: &catalog.Pipeline{
+			a := &responder{id: "r", request: &callerRequest{pipeline: &catalog.Pipeline{
 				Key: catalog.PipelineKey{Name: "p", SchemaVersion: 1},
 			}}}
-			return string(a.answerBody(execute.Result{Output: "out", Tokens: 2})), nil
+			return string(a.responseBody(execute.Result{Output: "out", Tokens: 2})), nil
 		}, `{"request_id":"r","pipeline":"p","schema_version":1,"output":"out","tokens":2}`},
 		{"token", func() (string, error) {
 			text, err := appendToken(nil, "plain")
@@ -73,16 +73,16 @@
 		}, "{\"type\":\"type\",\"title\":\"title\",\"status\":400,\"detail\":\"detail\",\"request_id\":\"r\",\"outcome\":\"unknown\",\"step\":\"step\",\"peer\":\"peer\",\"field\":\"field\",\"retry_after_ms\":1}\n"},
 		{"status", func() (string, error) {
 			w := httptest.NewRecorder()
-			writeJoined(w, Joined{State: statusView(filledStatus())})
+			writeJoinResult(w, JoinResult{Request: statusView(filledStatus())})
 			return w.Body.String(), nil
 		}, "{\"request_id\":\"r\",\"pipeline\":\"p\",\"schema_version\":1,\"account\":\"a\",\"tier\":\"t\",\"state\":\"running\",\"outcome\":\"ran\",\"deadline_ms\":2,\"elapsed_ms\":4,\"stages\":[{\"stage\":\"s\",\"attempts\":[{\"attempt_id\":\"x\",\"target\":\"target\",\"result\":\"ok\",\"elapsed_ms\":6,\"work_ms\":7,\"tokens\":8,\"prefill_tokens\":9,\"error\":\"error\"}]},{\"stage\":\"unused\",\"attempts\":[]}]}\n"},
 		{"joined", func() (string, error) {
-			return marshalled(Joined{State: statusView(filledStatus()), Status: 11, Media: "media", Body: []byte("body")})
+			return marshalled(JoinResult{Request: statusView(filledStatus()), HTTPStatus: 11, ContentType: "media", Body: []byte("body")})
 		}, `{"state":{"request_id":"r","pipeline":"p","schema_version":1,"account":"a","tier":"t","state":"running","outcome":"ran","deadline_ms":2,"elapsed_ms":4,"stages":[{"stage":"s","attempts":[{"attempt_id":"x","target":"target","result":"ok","elapsed_ms":6,"work_ms":7,"tokens":8,"prefill_tokens":9,"error":"error"}]},{"stage":"unused","attempts":[]}]},"status":11,"media":"media","body":"Ym9keQ=="}`},
-		{"joined without an answer", func() (string, error) { return marshalled(Joined{}) }, `{"state":null}`},
+		{"joined without an answer", func() (string, error) { return marshalled(JoinResult{}) }, `{"state":null}`},
 		{"not kept", func() (string, error) {
 			w := httptest.NewRecorder()
-			writeJoined(w, Joined{State: &callerapi.RequestStatus{RequestID: "r", State: "failed", Outcome: callerapi.OutcomeRan}})
+			writeJoinResult(w, JoinResult{Request: &callerapi.RequestStatus{RequestID: "r", State: "failed", Outcome: callerapi.OutcomeRan}})
 			return w.Body.String(), nil
 		}, "{\"type\":\"answer-not-kept\",\"title\":\"Gone\",\"status\":410,\"detail\":\"the request is over; nobody joined it while it ran, or its answer was too large to keep\",\"request_id\":\"r\",\"outcome\":\"ran\"}\n"},
 		{"field refusal", func() (string, error) { return marshalled(fieldRefusal("field", "detail")) }, `{"type":"bad-request","title":"Bad Request","status":400,"detail":"detail","outcome":"not_run","field":"field"}`},
--- a/daemon/serve/writer.go
+++ b/daemon/serve/writer.go
@@ -15,32 +15,32 @@
 // The bound is put off at most once in a quarter of the limit, because each
 // time costs as much as a small write; it so lies between three quarters of the
 // limit and the whole.
-type boundedWriter struct {
+type timeoutWriter struct {
 	http.ResponseWriter
-	limit time.Duration
-	set   time.Time
+	timeout       time.Duration
+	deadlineSetAt time.Time
 }
 
 // Write implements http.ResponseWriter.
-func (w *boundedWriter) Write(p []byte) (int, error) {
-	w.bound()
+func (w *timeoutWriter) Write(p []byte) (int, error) {
+	w.extendDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
 // FlushError implements the extension of http.ResponseController.
-func (w *boundedWriter) FlushError() error {
-	w.bound()
+func (w *timeoutWriter) FlushError() error {
+	w.extendDeadline()
 	return http.NewResponseController(w.ResponseWriter).Flush()
 }
 
 // Unwrap lets http.ResponseController find the deadlines of the connection.
-func (w *boundedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *timeoutWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *boundedWriter) bound() {
+func (w *timeoutWriter) extendDeadline() {
 	now := time.Now()
-	if now.Sub(w.set) < w.limit/4 {
+	if now.Sub(w.deadlineSetAt) < w.timeout/4 {
 		return
 	}
-	w.set = now
-	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(now.Add(w.limit)) // unsupported only in tests
+	w.deadlineSetAt = now
+	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(now.Add(w.timeout)) // unsupported only in tests
 }
