--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -98,8 +98,8 @@
 }
 
 // RequestAnswer implements serve.Forwarder.
-func (f forwarder) RequestAnswer(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*serve.Joined, error) {
-	var joined *serve.Joined
+func (f forwarder) AwaitResponse(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*serve.JoinResult, error) {
+	var joined *serve.JoinResult
 	err := f.ask(ctx, id, methodAnswer, statusQuestion{ID: text, Account: account, Wait: wait}, &joined)
 	return joined, err
 }
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -302,19 +302,19 @@
 	})
 	limits := a.settings.Limits
 	a.server = serve.New(serve.Options{
-		Config:       a.sync.Snapshot,
-		Executor:     executor,
-		Claims:       a.claims,
-		Budgets:      a.budgets,
-		Status:       a.status,
-		Forward:      forwarder{a.cluster},
-		IDs:          requestid.NewSource(a.self.Name, a.self.Incarnation),
-		Scope:        a.telemetry.Scope,
-		Tracer:       a.telemetry.Tracer,
-		MaxBodyBytes: limits.MaxBodyBytes,
-		MaxInFlight:  limits.MaxInFlight,
-		MaxStreams:   limits.MaxStreams,
-		StreamIdle:   streamIdle,
+		Config:             a.sync.Snapshot,
+		Executor:           executor,
+		Claims:             a.claims,
+		Budgets:            a.budgets,
+		Status:             a.status,
+		Forward:            forwarder{a.cluster},
+		IDs:                requestid.NewSource(a.self.Name, a.self.Incarnation),
+		Scope:              a.telemetry.Scope,
+		Tracer:             a.telemetry.Tracer,
+		MaxBodyBytes:       limits.MaxBodyBytes,
+		MaxInFlight:        limits.MaxInFlight,
+		MaxStreams:         limits.MaxStreams,
+		CallerWriteTimeout: streamIdle,
 	})
 }
 
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(q.Wait, serve.MaxJoinWait))
 	defer cancel()
-	joined, ok := a.server.Join(ctx, q.ID, q.Account)
+	joined, ok := a.server.JoinLocal(ctx, q.ID, q.Account)
 	if !ok {
 		return []byte("null"), nil
 	}
@@ -70,6 +70,6 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer request status: decode")
 	}
-	status, _ := a.server.Find(q.ID, q.Account) // nil, sent as null, means not found
+	status, _ := a.server.LocalStatus(q.ID, q.Account) // nil, sent as null, means not found
 	return json.Marshal(status)
 }
--- a/daemon/app/overhead_test.go
+++ b/daemon/app/overhead_test.go
@@ -121,7 +121,7 @@
 func newBench(b *testing.B, pipeline, collector string) *bench {
 	s := &bench{B: b, app: startInstanceWith(b, collector, dev.WorkTimes(0, 0)), addresses: map[string]string{}}
 	id := s.ask(pipeline, "", func(body io.Reader) { _, _ = io.Copy(io.Discard, body) })
-	status, ok := s.app.server.Find(id, "bench")
+	status, ok := s.app.server.LocalStatus(id, "bench")
 	require.True(b, ok)
 	for _, stage := range status.Stages {
 		s.addresses[stage.Stage] = stage.Attempts[0].Target
--- a/daemon/serve/conn_test.go
+++ b/daemon/serve/conn_test.go
@@ -20,15 +20,16 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// pipes is a listener in memory, so that time in a bubble goes on while
-// connections wait. A net.Pipe has no buffer: who does not read blocks a write.
-type pipes struct {
+// pipeListener is a listener in memory, so that virtual time advances in a synctest
+// bubble while connections wait. A net.Pipe has no buffer: a peer that doesn't read
+// blocks the write.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -37,11 +38,11 @@
 	}
 }
 
-func (p *pipes) Close() error { p.once.Do(func() { close(p.done) }); return nil }
+func (p *pipeListener) Close() error { p.once.Do(func() { close(p.done) }); return nil }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connRig is a server and one caller's connection, in virtual time.
+// connRig is a server and a connection of one caller, in virtual time.
 type connRig struct {
 	*rig
 	http   *inbound.Server
@@ -57,7 +58,7 @@
 func inBubbleWith(t *testing.T, run executorFunc, change func(*Options), test func(t *testing.T, r *connRig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		listener := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+		listener := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 		r := &connRig{rig: newRig(t, run, change)}
 		r.http = inbound.New(listener, r.server.Handler(), inbound.Options{})
 		go func() { _ = r.http.Serve() }()
@@ -71,21 +72,21 @@
 	})
 }
 
-func (r *connRig) send(t *testing.T, a ask) {
-	request := a.request(t.Context())
+func (r *connRig) send(t *testing.T, test testRequest) {
+	request := test.request(t.Context())
 	request.URL.Host = "x"
-	go func() { _ = request.Write(r.conn) }() // its end is the end of the connection
+	go func() { _ = request.Write(r.conn) }() // ends with the connection
 }
 
-// Story: a caller's connection stays open and nobody reads from it. The answer
-// fills the buffers, and its place, or its target's slot, would be gone until a
-// restart: some hundreds of such callers and the instance serves nobody.
-func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
-	for _, a := range []ask{{pipeline: "again"}, {pipeline: "again", stream: true}, {pipeline: "none"}} {
-		inBubble(t, answers, func(t *testing.T, r *connRig) {
-			r.send(t, a)
+// A caller keeps its connection open and doesn't read from it. Without a write timeout
+// the response would fill the buffers and occupy its slot, or its target's slot, until
+// a restart. With some hundreds of such callers the instance would serve nobody.
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
+	for _, request := range []testRequest{{pipeline: "again"}, {pipeline: "again", stream: true}, {pipeline: "none"}} {
+		inBubble(t, respondOK, func(t *testing.T, r *connRig) {
+			r.send(t, request)
 			<-time.After(10 * time.Millisecond)
-			<-time.After(2*r.opts.StreamIdle + time.Millisecond)
+			<-time.After(2*r.opts.CallerWriteTimeout + time.Millisecond)
 			require.Zero(t, r.server.InFlight())
 			_, err := r.conn.Write([]byte("G"))
 			require.ErrorIs(t, err, io.ErrClosedPipe, "the connection is open")
@@ -93,46 +94,46 @@
 	}
 }
 
-// Story: a clerk's browser hangs while the answer to an order is streamed. The
-// wait for it must not last until the order's deadline, or the order, which ran
-// to its end at the target, is told as unknown to the clerk's retry.
-func TestHangingCallerCostsNoClaimedAnswer(t *testing.T) {
-	patient := func(o *Options) { o.StreamIdle = time.Minute }
+// A caller hangs while the response to a claimed request is streamed. The write must not
+// wait until the request's deadline: the retry would get an unknown outcome although
+// the target has completed the work.
+func TestHangingCallerLosesNoClaimedResponse(t *testing.T) {
+	longTimeout := func(o *Options) { o.CallerWriteTimeout = time.Minute }
 	run := func(ctx context.Context, job execute.Job) (execute.Result, error) {
-		got, err := answers(ctx, job)
+		got, err := respondOK(ctx, job)
 		if ctx.Err() != nil {
 			return got, &execute.Failure{Reason: execute.ReasonDeadline, Verdict: outcome.Unknown}
 		}
 		return got, err
 	}
-	inBubbleWith(t, run, patient, func(t *testing.T, r *connRig) {
-		a := ask{pipeline: "once", key: "k", stream: true}
-		r.send(t, a)
+	inBubbleWith(t, run, longTimeout, func(t *testing.T, r *connRig) {
+		request := testRequest{pipeline: "once", key: "k", stream: true}
+		r.send(t, request)
 		<-time.After(2 * time.Minute)
-		require.Equal(t, "out", r.ask(t, a).output)
+		require.Equal(t, "out", r.do(t, request).output)
 		require.EqualValues(t, 1, r.runs.Load())
 	})
 }
 
-// Story: a tool keeps its connection open after a stream and asks again later.
-// The bound on the stream's writes must not cut off the next answer.
+// A caller sends another request on the connection of an earlier stream. The write
+// deadline of the stream must not cut off the next response.
 func TestConnectionServesAgainAfterAStream(t *testing.T) {
-	inBubble(t, answers, func(t *testing.T, r *connRig) {
+	inBubble(t, respondOK, func(t *testing.T, r *connRig) {
 		for range 3 {
-			r.send(t, ask{pipeline: "again", stream: true})
+			r.send(t, testRequest{pipeline: "again", stream: true})
 			got, err := http.ReadResponse(r.reader, nil)
 			require.NoError(t, err)
 			body, err := io.ReadAll(got.Body)
 			require.NoError(t, err)
 			require.Contains(t, string(body), "event: "+callerapi.EventDone)
-			<-time.After(3 * r.opts.StreamIdle)
+			<-time.After(3 * r.opts.CallerWriteTimeout)
 		}
 	})
 }
 
-// Story: an instance is stopped as planned while it streams. The stream must
-// end whole before the server does.
-func TestShutdownLetsAStreamEnd(t *testing.T) {
+// An instance is stopped as planned during a stream. The stream must be completed before
+// the server ends.
+func TestShutdownWaitsForStream(t *testing.T) {
 	var release chan struct{}
 	run := func(ctx context.Context, job execute.Job) (execute.Result, error) {
 		if err := job.OnToken(0, "out"); err != nil {
@@ -143,7 +144,7 @@
 	}
 	inBubble(t, run, func(t *testing.T, r *connRig) {
 		release = make(chan struct{}) // of the bubble
-		r.send(t, ask{pipeline: "again", stream: true})
+		r.send(t, testRequest{pipeline: "again", stream: true})
 		got, err := http.ReadResponse(r.reader, nil)
 		require.NoError(t, err)
 		ended := make(chan error, 1)
--- a/daemon/serve/join_test.go
+++ b/daemon/serve/join_test.go
@@ -17,25 +17,26 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Story: a ward's tablet loses its connection while a dossier is written, and
-// asks for the same answer by the request's id. It must get what the first call
-// would have got, once it is there; and never another account's.
+// A caller loses its connection while its request runs, and asks for the response by the
+// request's id. It must get the response of the first call once that is available, and
+// never one of another account's request.
 func TestJoinARunningRequest(t *testing.T) {
 	problem := &execute.Failure{Reason: execute.ReasonTarget, Verdict: outcome.Unknown}
 	cases := map[string]struct {
 		output string
 		err    error
-		// wait is how long the second call waits; the request takes a second.
+		// wait is the wait_ms of the second call; the request takes a second. With
+		// "late" the call comes after the request has ended.
 		wait         string
 		first, again int
 	}{
-		"answer":      {output: "out", wait: "2000", first: 200, again: 200},
-		"problem":     {err: problem, wait: "2000", first: 502, again: 502},
-		"waits less":  {output: "out", wait: "500", first: 202, again: 200},
-		"no wait":     {output: "out", first: 202, again: 200},
-		"too large":   {output: strings.Repeat("x", maxJoinBody), wait: "2000", first: 410, again: 410},
-		"not a wait":  {output: "out", wait: "x", first: 400, again: 400},
-		"nobody came": {output: "out", wait: "late", first: 410, again: 410},
+		"answer":        {output: "out", wait: "2000", first: 200, again: 200},
+		"problem":       {err: problem, wait: "2000", first: 502, again: 502},
+		"waits less":    {output: "out", wait: "500", first: 202, again: 200},
+		"no wait":       {output: "out", first: 202, again: 200},
+		"too large":     {output: strings.Repeat("x", maxJoinBodyBytes), wait: "2000", first: 410, again: 410},
+		"not a wait":    {output: "out", wait: "x", first: 400, again: 400},
+		"nobody joined": {output: "out", wait: "late", first: 410, again: 410},
 	}
 	for name, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -45,8 +46,8 @@
 				<-time.After(time.Second)
 				return execute.Result{Output: c.output}, c.err
 			}, nil)
-			direct := make(chan answer, 1)
-			go func() { direct <- r.ask(t, ask{pipeline: "again"}) }()
+			direct := make(chan testResponse, 1)
+			go func() { direct <- r.do(t, testRequest{pipeline: "again"}) }()
 			synctest.Wait()
 			if c.wait == "late" {
 				<-time.After(2 * time.Second)
@@ -60,8 +61,8 @@
 			if c.again == want.status {
 				require.JSONEq(t, want.raw, got.Body.String())
 			}
-			require.Zero(t, r.server.waiting.count())
-			_, ok := r.server.Join(t.Context(), id, "other")
+			require.Zero(t, r.server.joinWaits.count())
+			_, ok := r.server.JoinLocal(t.Context(), id, "other")
 			require.False(t, ok, "another account")
 		})
 	}
@@ -75,32 +76,33 @@
 	return w
 }
 
-// Another instance serves the request: its answer is passed on, unless it is of
-// another account, whatever that instance says.
+// Another instance serves the request. Its response is passed on, but never one of
+// another account's request, whatever that instance responds.
 func TestJoinThroughAnotherInstance(t *testing.T) {
 	for account, status := range map[string]int{"a": http.StatusOK, "b": http.StatusNotFound} {
-		r := newRig(t, answers, nil)
-		r.joined = &Joined{State: &callerapi.RequestStatus{Account: account}, Status: 200, Body: json.RawMessage(`{}`)}
+		r := newRig(t, respondOK, nil)
+		r.joined = &JoinResult{Request: &callerapi.RequestStatus{Account: account}, HTTPStatus: 200, Body: json.RawMessage(`{}`)}
 		require.Equal(t, status, r.join("two.1.1-1", "").Code)
 	}
 }
 
-// Many ids are joined and never asked for again: what is kept stays bounded.
+// Many requests are joined and their responses never fetched. The memory for them must
+// stay bounded.
 func TestJoinsAreBounded(t *testing.T) {
-	j := newJoins()
+	j := newJoinTable()
 	for i := range 2 * maxJoins {
 		id := strings.Repeat("i", i)
-		require.NotNil(t, j.enter(id))
-		j.ended(id, http.StatusOK, "", make([]byte, maxJoinBytes/64))
+		require.NotNil(t, j.findOrAdd(id))
+		j.complete(id, http.StatusOK, "", make([]byte, maxJoinBytes/64))
 		require.LessOrEqual(t, j.bytes, maxJoinBytes)
 		require.LessOrEqual(t, len(j.byID), maxJoins)
 	}
 	require.EqualValues(t, len(j.byID), j.count.Load())
 	for i := range maxJoins - len(j.byID) {
-		require.NotNil(t, j.enter(strings.Repeat("r", i+1)))
+		require.NotNil(t, j.findOrAdd(strings.Repeat("r", i+1)))
 	}
-	for len(j.over) > 0 {
-		require.NotNil(t, j.enter("n"+strings.Repeat("n", len(j.over))))
+	for len(j.completed) > 0 {
+		require.NotNil(t, j.findOrAdd("n"+strings.Repeat("n", len(j.completed))))
 	}
-	require.Nil(t, j.enter("full of running ones"))
+	require.Nil(t, j.findOrAdd("full of running ones"))
 }
--- a/daemon/serve/limiter.go
+++ b/daemon/serve/limiter.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// limiter bounds how many of something are open at once.
+// limiter is a counting semaphore that never blocks.
 type limiter struct {
 	limit int64
-	open  atomic.Int64
+	inUse atomic.Int64
 }
 
 func newLimiter(limit int) *limiter { return &limiter{limit: int64(limit)} }
 
-// enter takes a place, or reports that all are taken. Each success is ended
-// by leave.
-func (l *limiter) enter() bool {
-	if l.open.Add(1) > l.limit {
-		l.open.Add(-1)
+// acquire takes a slot and reports whether one was free. The caller returns it with
+// release.
+func (l *limiter) acquire() bool {
+	if l.inUse.Add(1) > l.limit {
+		l.inUse.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (l *limiter) leave() { l.open.Add(-1) }
+func (l *limiter) release() { l.inUse.Add(-1) }
 
-func (l *limiter) count() int { return int(l.open.Load()) }
+func (l *limiter) count() int { return int(l.inUse.Load()) }
--- a/daemon/serve/metrics.go
+++ b/daemon/serve/metrics.go
@@ -8,7 +8,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// metrics counts answers by result. No label is an account or a request.
+// metrics counts responses by result. To bound the number of series, no label is an
+// account or a request.
 type metrics struct {
 	answered tally.Counter
 	notRun   tally.Counter
@@ -16,12 +17,13 @@
 	unknown  tally.Counter
 	replayed tally.Counter
 	duration tally.Timer
-	// problems counts by the type of the problem, other those of no known type.
+	// problems holds a counter for each known type of problem; other counts the
+	// problems of any other type.
 	problems map[string]tally.Counter
 	other    tally.Counter
 }
 
-// problemTypes are the types of problem that callers get.
+// problemTypes are the types of problem that callers can get.
 var problemTypes = []string{
 	typeUnauthenticated, typeBadRequest, typeNotFound, typeTooLarge,
 	typeKeyRequired, typeKeyReused, typeBudget, typeOverload, typeCrashes, typeStore,
@@ -51,10 +53,10 @@
 	}
 }
 
-func (m *metrics) ended(p *callerapi.Problem, took time.Duration) {
+func (m *metrics) record(p *callerapi.Problem, took time.Duration) {
 	m.duration.Record(took)
 	if p != nil {
-		m.problemOf(p.Type).Inc(1)
+		m.problemCounter(p.Type).Inc(1)
 	}
 	switch {
 	case p == nil:
@@ -68,8 +70,8 @@
 	}
 }
 
-// problemOf returns the counter of a type of problem.
-func (m *metrics) problemOf(kind string) tally.Counter {
+// problemCounter returns the counter for a type of problem.
+func (m *metrics) problemCounter(kind string) tally.Counter {
 	if c, ok := m.problems[kind]; ok {
 		return c
 	}
--- a/daemon/serve/parse.go
+++ b/daemon/serve/parse.go
@@ -19,17 +19,17 @@
 
 // Bounds of a request's fields.
 const (
-	maxIdempotencyKey = 128
-	maxCallerKey      = 256
-	maxPrefixParts    = 64
-	maxTokensLimit    = 1 << 20
-	bearerPrefix      = "Bearer "
-	// bodyTimeout bounds the reading of a body.
+	maxIdempotencyKeyLength = 128
+	maxCallerKeyLength      = 256
+	maxPrefixParts          = 64
+	maxMaxTokens            = 1 << 20
+	bearerPrefix            = "Bearer "
+	// bodyTimeout is the time limit for reading a body.
 	bodyTimeout = 5 * time.Second
 )
 
-// call is a request as read from its connection.
-type call struct {
+// callerRequest is an authenticated and validated request of a caller.
+type callerRequest struct {
 	snapshot       *catalog.Snapshot
 	account        *catalog.Account
 	tier           *catalog.Tier
@@ -40,17 +40,17 @@
 	stream         bool
 }
 
-// authenticate finds the client account that holds the caller's key.
+// authenticate returns the client account that the caller's key belongs to.
 //
-// Keys are found by their digest, which a caller can't steer towards a stored
-// one, and the digest is compared in constant time.
+// To prevent timing attacks, keys are looked up by their digest, which a caller can't
+// bring close to a stored one, and digests are compared in constant time.
 func authenticate(r *http.Request, s *catalog.Snapshot) (*catalog.Account, *callerapi.Problem) {
 	refuse := func(detail string) (*catalog.Account, *callerapi.Problem) {
 		return nil, refusal(http.StatusUnauthorized, typeUnauthenticated, detail)
 	}
 	header := r.Header.Get("Authorization")
 	key, ok := strings.CutPrefix(header, bearerPrefix)
-	if !ok || key == "" || len(key) > maxCallerKey {
+	if !ok || key == "" || len(key) > maxCallerKeyLength {
 		return refuse("send the client account's key as Authorization: Bearer KEY")
 	}
 	digest := sha256.Sum256([]byte(key))
@@ -66,35 +66,35 @@
 	return refuse("the key belongs to no client account")
 }
 
-// readCall reads and checks everything a request says about itself.
-func (s *Server) readCall(w http.ResponseWriter, r *http.Request) (*call, *callerapi.Problem) {
+// readRequest authenticates a request, and reads and validates its headers and body.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *callerapi.Problem) {
 	snapshot := s.opts.Config()
 	if snapshot == nil {
 		p := refusal(http.StatusServiceUnavailable, typeStarting, "no configuration is known yet")
-		return nil, retryLater(p, 0)
+		return nil, withRetryAfter(p, 0)
 	}
 	account, problem := authenticate(r, snapshot)
 	if problem != nil {
 		return nil, problem
 	}
-	c := &call{snapshot: snapshot, account: account}
-	if problem := c.choosePipeline(r); problem != nil {
+	c := &callerRequest{snapshot: snapshot, account: account}
+	if problem := c.resolvePipeline(r); problem != nil {
 		return nil, problem
 	}
 	tier, ok := snapshot.Tier(account.Tier)
 	if !ok {
 		p := refusal(http.StatusServiceUnavailable, typeStarting, "the account's tier is not known yet")
-		return nil, retryLater(p, 0)
+		return nil, withRetryAfter(p, 0)
 	}
 	c.tier = tier
-	if problem := c.readKey(r); problem != nil {
+	if problem := c.readIdempotencyKey(r); problem != nil {
 		return nil, problem
 	}
 	c.stream = strings.Contains(r.Header.Get("Accept"), callerapi.MediaStream)
 	return c, s.readBody(w, r, c)
 }
 
-func (c *call) choosePipeline(r *http.Request) *callerapi.Problem {
+func (c *callerRequest) resolvePipeline(r *http.Request) *callerapi.Problem {
 	version := 0
 	if text := r.Header.Get(callerapi.HeaderSchemaVersion); text != "" {
 		v, err := strconv.Atoi(text)
@@ -112,11 +112,11 @@
 	return nil
 }
 
-// readKey refuses a request that may not be repeated and carries no key: a
-// caller that lost the answer could not retry it without running it twice.
-func (c *call) readKey(r *http.Request) *callerapi.Problem {
+// readIdempotencyKey reads the idempotency key. It rejects a non-repeatable request
+// without one: a caller that lost the response could not retry without a second run.
+func (c *callerRequest) readIdempotencyKey(r *http.Request) *callerapi.Problem {
 	c.idempotencyKey = r.Header.Get(callerapi.HeaderIdempotencyKey)
-	if len(c.idempotencyKey) > maxIdempotencyKey {
+	if len(c.idempotencyKey) > maxIdempotencyKeyLength {
 		return fieldRefusal(callerapi.HeaderIdempotencyKey, "longer than 128 characters")
 	}
 	if c.idempotencyKey == "" && !c.pipeline.Repeatable() {
@@ -128,12 +128,13 @@
 	return nil
 }
 
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *call) *callerapi.Problem {
-	// A caller that sends its body byte by byte would hold its place for ever.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *callerRequest) *callerapi.Problem {
+	// Without a read deadline, a caller that sends its body byte by byte would occupy
+	// its slot forever.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(s.opts.Now().Add(bodyTimeout)) // unsupported only in tests
-	if bounded, ok := w.(*boundedWriter); ok {
-		w = bounded.ResponseWriter // net/http closes the connection by it alone
+	if wrapped, ok := w.(*timeoutWriter); ok {
+		w = wrapped.ResponseWriter // MaxBytesReader can close the connection only through this writer
 	}
 	limited := http.MaxBytesReader(w, r.Body, s.opts.MaxBodyBytes)
 	raw, err := io.ReadAll(limited)
@@ -142,25 +143,26 @@
 		return refusal(http.StatusRequestEntityTooLarge, typeTooLarge, "the body is over the instance's limit")
 	}
 	if err != nil {
-		// The bound stays: net/http reads the rest before it sends the answer.
+		// The read deadline stays set: net/http reads the remaining body before it
+		// sends the response.
 		return fieldRefusal("body", "could not be read whole")
 	}
 	_ = control.SetReadDeadline(time.Time{}) // unsupported only in tests
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c.body); err != nil {
-		return fieldRefusal(jsonField(err), lineOf(raw, decoder.InputOffset())+": "+err.Error())
+		return fieldRefusal(jsonField(err), linePosition(raw, decoder.InputOffset())+": "+err.Error())
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fieldRefusal("body", lineOf(raw, decoder.InputOffset())+": something follows the JSON object")
+		return fieldRefusal("body", linePosition(raw, decoder.InputOffset())+": something follows the JSON object")
 	}
-	c.digest = c.digestOf(raw)
-	return checkBody(&c.body)
+	c.digest = c.requestDigest(raw)
+	return validateBody(&c.body)
 }
 
-// digestOf tells two requests with one idempotency key apart: it covers the
-// pipeline's definition that was chosen as well as the body.
-func (c *call) digestOf(raw []byte) [sha256.Size]byte {
+// requestDigest returns the digest by which two requests with the same idempotency
+// key are compared. It covers the pipeline's name and schema version and the body.
+func (c *callerRequest) requestDigest(raw []byte) [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(c.pipeline.Key.Name))
 	h.Write([]byte{0})
@@ -170,8 +172,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-func checkBody(b *callerapi.Request) *callerapi.Problem {
-	if b.MaxTokens < 0 || b.MaxTokens > maxTokensLimit {
+func validateBody(b *callerapi.Request) *callerapi.Problem {
+	if b.MaxTokens < 0 || b.MaxTokens > maxMaxTokens {
 		return fieldRefusal("max_tokens", "must lie between 0 and 1048576")
 	}
 	if len(b.Prefix) > maxPrefixParts {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// jsonField names the field that a JSON error is about, if it tells.
+// jsonField returns the field that a JSON error refers to, or "body" if it names none.
 func jsonField(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
@@ -198,7 +200,7 @@
 	return "body"
 }
 
-func lineOf(raw []byte, offset int64) string {
+func linePosition(raw []byte, offset int64) string {
 	offset = min(offset, int64(len(raw)))
 	line := 1 + bytes.Count(raw[:offset], []byte{'\n'})
 	return "line " + strconv.Itoa(line)
--- a/daemon/serve/problem.go
+++ b/daemon/serve/problem.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Types of problem, relative to the page docs/api/callers.md.
+// Types of problem, as URIs relative to the page docs/api/callers.md.
 const (
 	typeUnauthenticated = "unauthenticated"
 	typeBadRequest      = "bad-request"
@@ -31,10 +31,10 @@
 	typeNotKept         = "answer-not-kept"
 )
 
-// defaultRetryAfter is offered when nothing better is known.
+// defaultRetryAfter is used where no better delay is known.
 const defaultRetryAfter = time.Second
 
-// refusal makes a problem that promises that nothing was run.
+// refusal returns a problem whose outcome guarantees that nothing was run.
 func refusal(status int, kind, detail string) *callerapi.Problem {
 	return &callerapi.Problem{
 		Type:    kind,
@@ -45,36 +45,36 @@
 	}
 }
 
-// fieldRefusal refuses a bad request and names the field.
+// fieldRefusal returns a refusal of a bad request that names the invalid field.
 func fieldRefusal(field, detail string) *callerapi.Problem {
 	p := refusal(http.StatusBadRequest, typeBadRequest, detail)
 	p.Field = field
 	return p
 }
 
-// retryLater adds a time to come back.
-func retryLater(p *callerapi.Problem, after time.Duration) *callerapi.Problem {
+// withRetryAfter sets the delay after which the caller may retry.
+func withRetryAfter(p *callerapi.Problem, after time.Duration) *callerapi.Problem {
 	if after <= 0 {
 		after = defaultRetryAfter
 	}
-	p.RetryAfterMS = int64(math.Ceil(after.Seconds() * 1000)) // never 0, which means no time
+	p.RetryAfterMS = int64(math.Ceil(after.Seconds() * 1000)) // rounded up: 0 would mean that no delay is given
 	return p
 }
 
-// internalFault is all that callers are told of a fault of the program.
+// internalFault is the whole detail that callers get about a fault of the program.
 const internalFault = "internal fault"
 
-// failureProblem says what a failed job means to its caller.
+// failureProblem converts the failure of a job into a problem.
 func failureProblem(f *execute.Failure) *callerapi.Problem {
 	p := refusal(failureStatus(f), failureType(f), f.Error())
 	if f.Reason == execute.ReasonFault {
-		p.Detail = internalFault // what a panic says may hold parts of a request
+		p.Detail = internalFault // the text of a panic may contain parts of a request
 	}
-	p.Outcome = outcomeOf(f.Verdict)
+	p.Outcome = callerOutcome(f.Verdict)
 	p.Step = f.Step
 	p.Peer = f.Peer
 	if f.Verdict == outcome.NotRun {
-		retryLater(p, f.RetryAfter)
+		withRetryAfter(p, f.RetryAfter)
 	}
 	return p
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// failureStatus keeps 503 for what did not run: callers may read 503 as a
-// promise, so a request that ran or may have run never gets it.
+// failureStatus returns the HTTP status of a failure. Callers may read 503 as a
+// guarantee that nothing ran, so a request that ran or may have run never gets it.
 func failureStatus(f *execute.Failure) int {
 	if f.Verdict == outcome.NotRun {
 		return http.StatusServiceUnavailable
@@ -108,7 +108,7 @@
 	return http.StatusBadGateway
 }
 
-func outcomeOf(v outcome.Verdict) callerapi.Outcome {
+func callerOutcome(v outcome.Verdict) callerapi.Outcome {
 	switch v {
 	case outcome.NotRun:
 		return callerapi.OutcomeNotRun
@@ -119,7 +119,7 @@
 	}
 }
 
-// writeProblem writes a refusal or failure as application/problem+json.
+// writeProblem writes a problem as application/problem+json.
 func writeProblem(w http.ResponseWriter, p *callerapi.Problem) {
 	h := w.Header()
 	h.Set("Content-Type", callerapi.MediaProblem)
@@ -131,5 +131,5 @@
 		h.Set(callerapi.HeaderRetryAfter, strconv.FormatFloat(seconds, 'f', 0, 64))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(p) // fails only if the caller has disconnected
 }
--- a/daemon/serve/problem_test.go
+++ b/daemon/serve/problem_test.go
@@ -12,9 +12,9 @@
 	"github.com/ivyhollow/ivyhollow/daemon/execute"
 )
 
-// A store that is back in half a millisecond made a refusal say "come back in 0
-// ms", which callers read as "don't come back": the order was given up.
-func TestRefusalsAlwaysNameATimeToComeBack(t *testing.T) {
+// Rounded down, a delay of half a millisecond would become 0 ms. Callers read that as
+// "don't retry" and give the request up.
+func TestRefusalsHaveARetryDelay(t *testing.T) {
 	cases := map[time.Duration]int64{
 		0:                       defaultRetryAfter.Milliseconds(),
 		-time.Second:            defaultRetryAfter.Milliseconds(),
@@ -23,14 +23,14 @@
 		time.Second:             1000,
 	}
 	for after, want := range cases {
-		p := retryLater(refusal(http.StatusServiceUnavailable, typeStore, ""), after)
+		p := withRetryAfter(refusal(http.StatusServiceUnavailable, typeStore, ""), after)
 		require.Equal(t, want, p.RetryAfterMS, after)
 	}
 }
 
-// A stage panics over a request, and its text holds what it stumbled on. That is
-// for the log alone: another team may read the caller's errors.
-func TestAFaultTellsNothingOfTheRequest(t *testing.T) {
+// A stage panics, and the text of the panic contains parts of the request. It must appear
+// only in the log, since other people may read the caller's errors.
+func TestInternalFaultHidesTheRequest(t *testing.T) {
 	f := &execute.Failure{Reason: execute.ReasonFault, Verdict: outcome.Unknown, Step: "generate", Cause: errors.New("secret")}
 	p := failureProblem(f)
 	require.Equal(t, internalFault, p.Detail)
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -30,24 +30,25 @@
 
 const callerKey = "k"
 
-// executorFunc stands for the executor.
+// executorFunc implements Executor.
 type executorFunc func(ctx context.Context, job execute.Job) (execute.Result, error)
 
 func (f executorFunc) Run(ctx context.Context, job execute.Job) (execute.Result, error) {
 	return f(ctx, job)
 }
 
-// fakes stand for what a server works with; each answers what a case says.
+// fakes implements the dependencies of a server; a test case sets what they return.
 type fakes struct {
 	// runs counts the executions.
 	runs atomic.Int64
-	// storage holds the claims; down makes it refuse.
+	// storage holds the claims; if down is set, it refuses to create any.
 	storage claims.Storage
 	down    bool
-	// budget is when to come back for an account without budget; 0 spends.
+	// budget is the retry delay for an account without budget; 0 means that there is
+	// budget.
 	budget time.Duration
-	// joined is what another instance tells of a request.
-	joined *Joined
+	// joined is the response of another instance about a request.
+	joined *JoinResult
 }
 
 func (f *fakes) Take(context.Context, *catalog.Account) (bool, time.Duration) {
@@ -58,16 +59,16 @@
 	return nil, nil
 }
 
-func (f *fakes) RequestAnswer(context.Context, requestid.ID, string, string, time.Duration) (*Joined, error) {
+func (f *fakes) AwaitResponse(context.Context, requestid.ID, string, string, time.Duration) (*JoinResult, error) {
 	return f.joined, nil
 }
 
-// AskClaim finds every other claimant dead.
+// AskClaim finds every other claimant unreachable.
 func (f *fakes) AskClaim(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
 	return claim.StatusResponse{}, context.DeadlineExceeded
 }
 
-// storage is the platform's store, while it is not down.
+// storage is a store that refuses to create claims while it is down.
 type storage struct {
 	claims.Storage
 	fakes *fakes
@@ -80,7 +81,7 @@
 	return s.Storage.Create(ctx, id, r)
 }
 
-// rig is a server before fakes, with the true claims over a store in memory.
+// rig is a server with fake dependencies, and with real claims on a store in memory.
 type rig struct {
 	*fakes
 	server *Server
@@ -102,7 +103,7 @@
 		Status: requests.New(requests.Options{MaxRequests: 64, Retention: time.Hour}),
 		IDs:    requestid.NewSource("one", 1), Scope: tally.NoopScope,
 		Tracer:       noop.NewTracerProvider().Tracer(""),
-		MaxBodyBytes: 1 << 10, MaxInFlight: 2, MaxStreams: 1, StreamIdle: time.Second,
+		MaxBodyBytes: 1 << 10, MaxInFlight: 2, MaxStreams: 1, CallerWriteTimeout: time.Second,
 	}
 	if change != nil {
 		change(&r.opts)
@@ -118,7 +119,7 @@
 	})
 }
 
-// testConfig has one pipeline that may be repeated and one that may not.
+// testConfig has one repeatable and one non-repeatable pipeline.
 func testConfig() *catalog.Snapshot {
 	stage := func(repeatable bool) []catalog.Stage {
 		return []catalog.Stage{{Name: "s", Pool: "p", Repeatable: repeatable}}
@@ -136,30 +137,30 @@
 	}
 }
 
-// ask is one call of a case.
-type ask struct {
+// testRequest is one request of a test case.
+type testRequest struct {
 	pipeline, key, body string
 	stream              bool
 }
 
-func (a ask) request(ctx context.Context) *http.Request {
-	body := a.body
+func (q testRequest) request(ctx context.Context) *http.Request {
+	body := q.body
 	if body == "" {
 		body = `{"input":"x"}`
 	}
-	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/v1/pipelines/"+a.pipeline+"/requests", strings.NewReader(body))
+	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/v1/pipelines/"+q.pipeline+"/requests", strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+callerKey)
-	if a.key != "" {
-		r.Header.Set(callerapi.HeaderIdempotencyKey, a.key)
+	if q.key != "" {
+		r.Header.Set(callerapi.HeaderIdempotencyKey, q.key)
 	}
-	if a.stream {
+	if q.stream {
 		r.Header.Set("Accept", callerapi.MediaStream)
 	}
 	return r
 }
 
-// answer is what a caller got.
-type answer struct {
+// testResponse is the response that a caller got.
+type testResponse struct {
 	status  int
 	problem callerapi.Problem
 	output  string
@@ -167,17 +168,17 @@
 	raw     string
 }
 
-func (r *rig) ask(t *testing.T, a ask) answer {
+func (r *rig) do(t *testing.T, q testRequest) testResponse {
 	t.Helper()
 	w := httptest.NewRecorder()
-	r.server.Handler().ServeHTTP(w, a.request(t.Context()))
+	r.server.Handler().ServeHTTP(w, q.request(t.Context()))
 	return parse(t, w)
 }
 
-// parse reads a whole answer or the last event of a stream.
-func parse(t *testing.T, w *httptest.ResponseRecorder) answer {
+// parse decodes a response or the last event of a stream.
+func parse(t *testing.T, w *httptest.ResponseRecorder) testResponse {
 	t.Helper()
-	got := answer{status: w.Code, header: w.Header(), raw: w.Body.String()}
+	got := testResponse{status: w.Code, header: w.Header(), raw: w.Body.String()}
 	last := got.raw
 	isProblem := w.Header().Get("Content-Type") == callerapi.MediaProblem
 	if w.Header().Get("Content-Type") == callerapi.MediaStream {
--- a/daemon/serve/server.go
+++ b/daemon/serve/server.go
@@ -1,6 +1,6 @@
-// Package serve is the HTTP interface that callers use: it checks a request,
-// claims it where it may not be repeated, has it executed and writes the one
-// answer. docs/api/callers.md is its contract.
+// Package serve implements the HTTP API for callers: it validates a request, claims
+// it if it has an idempotency key, executes it and writes the single response.
+// docs/api/callers.md is its contract.
 package serve
 
 import (
@@ -19,35 +19,35 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// Executor runs an admitted request; *execute.Executor is one. Run blocks until
-// the whole answer or the final failure, which is an *execute.Failure.
+// Executor executes an admitted request; *execute.Executor implements it. Run blocks
+// until the whole result or the final failure, which is an *execute.Failure.
 type Executor interface {
 	Run(ctx context.Context, job execute.Job) (execute.Result, error)
 }
 
-// Claimer claims requests that may not be repeated; *claims.Service is one.
-// Begin blocks for the platform's store, or for the first call of the same key,
+// Claimer claims requests by their idempotency key; *claims.Service implements it.
+// Begin blocks on the platform's store, or on the first call with the same key,
 // until the context ends.
 type Claimer interface {
 	Begin(ctx context.Context, key claims.Key, body [32]byte) (claims.Begun, error)
 }
 
-// Budgets holds the accounts' budgets; *accounts.Budgets is one.
+// Budgets holds the accounts' budgets; *accounts.Budgets implements it.
 type Budgets interface {
-	// Take spends one request of the account's budget, or says when to come
-	// back. It blocks for no longer than one question to a peer.
+	// Take spends one request of the account's budget, or returns the delay after
+	// which to retry. It blocks for no longer than one request to a peer.
 	Take(ctx context.Context, account *catalog.Account) (ok bool, retryAfter time.Duration)
 }
 
-// Forwarder passes a question about a request on to the instance that its id
-// names. It blocks until the answer or the context's end.
+// Forwarder forwards calls about a request to the instance that the request's id
+// names. It blocks until the response or the end of the context.
 type Forwarder interface {
 	RequestStatus(ctx context.Context, id requestid.ID, account string, text string) (*callerapi.RequestStatus, error)
-	// RequestAnswer lets that instance wait for the request's answer.
-	RequestAnswer(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*Joined, error)
+	// AwaitResponse lets that instance wait for the response to the request.
+	AwaitResponse(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*JoinResult, error)
 }
 
-// Options are the parts a Server works with. All are required but Now.
+// Options are the dependencies and limits of a Server. All but Now are required.
 type Options struct {
 	// Config returns the configuration in force, nil before the first.
 	Config   func() *catalog.Snapshot
@@ -63,54 +63,54 @@
 	MaxBodyBytes int64
 	MaxInFlight  int
 	MaxStreams   int
-	// StreamIdle bounds the wait for a caller that does not read its stream.
-	StreamIdle time.Duration
-	Now        func() time.Time
+	// CallerWriteTimeout bounds the wait for a caller that doesn't read its response.
+	CallerWriteTimeout time.Duration
+	Now                func() time.Time
 }
 
-// Server serves callers. It is safe for concurrent use.
+// Server handles the requests of callers. It is safe for concurrent use.
 type Server struct {
 	opts     Options
 	inFlight *limiter
 	streams  *limiter
-	// waiting bounds the calls that wait for the answer of another.
-	waiting *limiter
-	joins   *joins
-	metrics *metrics
-	// stopped is done once the requests that still run are to end.
+	// joinWaits bounds the calls that wait for the response to another request.
+	joinWaits *limiter
+	joins     *joinTable
+	metrics   *metrics
+	// stopped is cancelled when the running requests must end.
 	stopped context.Context
 	stop    context.CancelCauseFunc
 }
 
-// New makes a server.
+// New returns a Server.
 func New(o Options) *Server {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
 	stopped, stop := context.WithCancelCause(context.Background())
 	return &Server{
-		stopped:  stopped,
-		stop:     stop,
-		opts:     o,
-		inFlight: newLimiter(o.MaxInFlight),
-		streams:  newLimiter(o.MaxStreams),
-		waiting:  newLimiter(o.MaxInFlight),
-		joins:    newJoins(),
-		metrics:  newMetrics(o.Scope),
+		stopped:   stopped,
+		stop:      stop,
+		opts:      o,
+		inFlight:  newLimiter(o.MaxInFlight),
+		streams:   newLimiter(o.MaxStreams),
+		joinWaits: newLimiter(o.MaxInFlight),
+		joins:     newJoinTable(),
+		metrics:   newMetrics(o.Scope),
 	}
 }
 
-// Handler returns the routes of the callers' interface.
+// Handler returns the routes of the API for callers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/pipelines/{pipeline}/requests", s.submit)
-	mux.HandleFunc("GET /v1/requests/{id}", s.status)
-	mux.HandleFunc("GET /v1/requests/{id}/answer", s.joinAnswer)
+	mux.HandleFunc("POST /v1/pipelines/{pipeline}/requests", s.handleSubmit)
+	mux.HandleFunc("GET /v1/requests/{id}", s.handleStatus)
+	mux.HandleFunc("GET /v1/requests/{id}/answer", s.handleJoin)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		writeProblem(w, refusal(http.StatusNotFound, typeNotFound, "no such path"))
 	})
 	return mux
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (s *Server) InFlight() int { return s.inFlight.count() }
--- a/daemon/serve/status.go
+++ b/daemon/serve/status.go
@@ -11,39 +11,39 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// forwardTimeout bounds a question to the instance that serves a request.
+// forwardTimeout is the timeout of a call to the instance that serves a request.
 const forwardTimeout = time.Second
 
-// status serves GET /v1/requests/{id}. Any instance answers for any other.
-func (s *Server) status(w http.ResponseWriter, r *http.Request) {
-	w = &boundedWriter{ResponseWriter: w, limit: s.opts.StreamIdle}
-	account, problem := s.asker(r)
+// handleStatus serves GET /v1/requests/{id}. Any instance can respond for any other.
+func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
+	w = &timeoutWriter{ResponseWriter: w, timeout: s.opts.CallerWriteTimeout}
+	account, problem := s.callerAccount(r)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	status, problem := s.find(r.Context(), r.PathValue("id"), account.Name)
+	status, problem := s.findStatus(r.Context(), r.PathValue("id"), account.Name)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
 	w.Header().Set("Content-Type", callerapi.MediaJSON)
-	_ = json.NewEncoder(w).Encode(status) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(status) // fails only if the caller has disconnected
 }
 
-// asker finds the account that asks about a request.
-func (s *Server) asker(r *http.Request) (*catalog.Account, *callerapi.Problem) {
+// callerAccount authenticates a caller that asks about a request.
+func (s *Server) callerAccount(r *http.Request) (*catalog.Account, *callerapi.Problem) {
 	snapshot := s.opts.Config()
 	if snapshot == nil {
 		p := refusal(http.StatusServiceUnavailable, typeStarting, "no configuration is known yet")
-		return nil, retryLater(p, 0)
+		return nil, withRetryAfter(p, 0)
 	}
 	return authenticate(r, snapshot)
 }
 
-// Find looks up a request that this instance serves or served. It answers
-// callers and, for them, other instances.
-func (s *Server) Find(id, account string) (*callerapi.RequestStatus, bool) {
+// LocalStatus returns the status of a request that this instance serves or has served.
+// It is used for callers and for other instances that forward their calls.
+func (s *Server) LocalStatus(id, account string) (*callerapi.RequestStatus, bool) {
 	status, ok := s.opts.Status.Get(id, s.opts.Now())
 	if !ok || status.Account != account {
 		return nil, false
@@ -51,15 +51,15 @@
 	return statusView(&status), true
 }
 
-// find looks the request up here or at the instance that its id names. Another
-// account's request is as unknown as one that never was.
-func (s *Server) find(ctx context.Context, text, account string) (*callerapi.RequestStatus, *callerapi.Problem) {
+// findStatus looks the request up on this instance or on the one that its id names. To
+// the caller, a request of another account looks like one that never existed.
+func (s *Server) findStatus(ctx context.Context, text, account string) (*callerapi.RequestStatus, *callerapi.Problem) {
 	notFound := refusal(http.StatusNotFound, typeNotFound, "no request of this client account has this id, or it is past its retention")
 	id, err := requestid.Parse(text)
 	if err != nil {
 		return nil, notFound
 	}
-	if status, ok := s.Find(text, account); ok {
+	if status, ok := s.LocalStatus(text, account); ok {
 		return status, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
--- a/daemon/serve/statusview.go
+++ b/daemon/serve/statusview.go
@@ -5,7 +5,7 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// statusView turns the status that is kept into the callers' message.
+// statusView converts a stored status into the message for callers.
 func statusView(s *requests.Status) *callerapi.RequestStatus {
 	view := &callerapi.RequestStatus{
 		RequestID:     s.ID,
@@ -24,12 +24,12 @@
 	}
 	for i := range s.Attempts {
 		stage := &view.Stages[s.Attempts[i].Stage]
-		stage.Attempts = append(stage.Attempts, attemptView(&s.Attempts[i]))
+		stage.Attempts = append(stage.Attempts, attemptStatusView(&s.Attempts[i]))
 	}
 	return view
 }
 
-func attemptView(a *requests.Attempt) callerapi.AttemptStatus {
+func attemptStatusView(a *requests.Attempt) callerapi.AttemptStatus {
 	return callerapi.AttemptStatus{
 		AttemptID:     a.ID,
 		Target:        a.Target,
--- a/daemon/serve/stop.go
+++ b/daemon/serve/stop.go
@@ -6,16 +6,16 @@
 	"github.com/ivyhollow/ivyhollow/daemon/execute"
 )
 
-// Stop ends the requests that are still running: each gets its one answer at once,
-// which tells what became of it.
+// Stop ends the requests that are still running. Each gets its response at once, which
+// states the outcome.
 //
-// It guards against requests that run longer than the grace of a planned stop. Their
-// connections were closed with the process, and their callers could not know whether
-// the work had run.
+// It is for requests that run longer than the grace period of a planned stop. Without
+// it, their connections would be closed with the process, and their callers could not
+// know whether the work had run.
 func (s *Server) Stop() { s.stop(execute.ErrStopping) }
 
-// untilStopped returns a context that ends with Stop too.
-func (s *Server) untilStopped(ctx context.Context) (context.Context, func()) {
+// withStop returns a context that Stop cancels too.
+func (s *Server) withStop(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	release := context.AfterFunc(s.stopped, func() { cancel(context.Cause(s.stopped)) })
 	return ctx, func() {
--- a/daemon/serve/stop_test.go
+++ b/daemon/serve/stop_test.go
@@ -13,21 +13,20 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Story: a request runs for longer than the grace of a planned stop, an order too,
-// which goes on without its caller. The instance ended with it and closed the
-// connection; the caller could not know whether it ran. It must be told, whatever the
-// work is, before the instance ends.
-func TestStopAnswersWhatStillRuns(t *testing.T) {
+// A request runs for longer than the grace period of a planned stop; claimed requests are
+// included, though they outlive their callers. Each caller must get a response with the
+// outcome before the instance ends, instead of a closed connection.
+func TestStopAnswersRunningRequests(t *testing.T) {
 	cases := map[string]struct {
-		ask     ask
+		request testRequest
 		verdict outcome.Verdict
 		status  int
 		outcome callerapi.Outcome
 	}{
-		"waits for a slot": {ask{pipeline: "again"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
-		"runs":             {ask{pipeline: "again"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
-		"claimed, waits":   {ask{pipeline: "once", key: "k"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
-		"claimed, runs":    {ask{pipeline: "once", key: "k"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
+		"waits for a slot": {testRequest{pipeline: "again"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
+		"runs":             {testRequest{pipeline: "again"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
+		"claimed, waits":   {testRequest{pipeline: "once", key: "k"}, outcome.NotRun, http.StatusServiceUnavailable, callerapi.OutcomeNotRun},
+		"claimed, runs":    {testRequest{pipeline: "once", key: "k"}, outcome.Unknown, http.StatusBadGateway, callerapi.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +41,7 @@
 			answered := make(chan struct{})
 			go func() {
 				defer close(answered)
-				r.server.Handler().ServeHTTP(w, c.ask.request(t.Context()))
+				r.server.Handler().ServeHTTP(w, c.request.request(t.Context()))
 			}()
 			<-running
 			r.server.Stop()
--- a/daemon/serve/submit.go
+++ b/daemon/serve/submit.go
@@ -22,61 +22,62 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// recordTimeout bounds the wait for the store to keep an outcome before the
-// answer is sent.
+// recordTimeout bounds the wait for the store to record an outcome before the
+// response is sent.
 const recordTimeout = 500 * time.Millisecond
 
-// submit serves POST /v1/pipelines/{pipeline}/requests.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+// handleSubmit serves POST /v1/pipelines/{pipeline}/requests.
+func (s *Server) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	began := s.opts.Now()
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.opts.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	ctx, release := s.untilStopped(ctx)
+	ctx, release := s.withStop(ctx)
 	defer release()
-	problem := s.serve(&boundedWriter{ResponseWriter: w, limit: s.opts.StreamIdle}, r.WithContext(ctx), began)
-	s.metrics.ended(problem, s.opts.Now().Sub(began))
+	problem := s.serveRequest(&timeoutWriter{ResponseWriter: w, timeout: s.opts.CallerWriteTimeout}, r.WithContext(ctx), began)
+	s.metrics.record(problem, s.opts.Now().Sub(began))
 	if problem != nil {
 		span.SetAttributes(telemetry.AttrOutcome.String(string(problem.Outcome)))
 	}
 }
 
-// serve writes the one answer and returns the problem in it, if any.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, began time.Time) *callerapi.Problem {
-	if !s.inFlight.enter() {
-		return refuse(w, retryLater(refusal(http.StatusServiceUnavailable, typeOverload, "the instance serves its greatest number of requests"), 0))
+// serveRequest writes the single response and returns the problem in it, if any.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, began time.Time) *callerapi.Problem {
+	if !s.inFlight.acquire() {
+		return writeRefusal(w, withRetryAfter(refusal(http.StatusServiceUnavailable, typeOverload, "the instance serves its greatest number of requests"), 0))
 	}
-	defer s.inFlight.leave()
-	c, problem := s.readCall(w, r)
+	defer s.inFlight.release()
+	c, problem := s.readRequest(w, r)
 	if problem != nil {
-		return refuse(w, problem)
+		return writeRefusal(w, problem)
 	}
 	if c.stream {
-		if !s.streams.enter() {
-			return refuse(w, retryLater(refusal(http.StatusServiceUnavailable, typeOverload, "too many open streams"), 0))
+		if !s.streams.acquire() {
+			return writeRefusal(w, withRetryAfter(refusal(http.StatusServiceUnavailable, typeOverload, "too many open streams"), 0))
 		}
-		defer s.streams.leave()
+		defer s.streams.release()
 	}
-	if problem := s.spend(r.Context(), c); problem != nil {
-		return refuse(w, problem)
+	if problem := s.spendBudget(r.Context(), c); problem != nil {
+		return writeRefusal(w, problem)
 	}
-	return s.answerCall(w, r, c, began)
+	return s.respondAdmitted(w, r, c, began)
 }
 
-// refuse writes a refusal of a request that got no id.
-func refuse(w http.ResponseWriter, p *callerapi.Problem) *callerapi.Problem {
+// writeRefusal refuses a request that has no id yet. It returns the problem.
+func writeRefusal(w http.ResponseWriter, p *callerapi.Problem) *callerapi.Problem {
 	writeProblem(w, p)
 	return p
 }
 
-// answerCall gives an admitted request its id and its answer.
-func (s *Server) answerCall(w http.ResponseWriter, r *http.Request, c *call, began time.Time) *callerapi.Problem {
+// respondAdmitted gives an admitted request an id, executes it and writes the
+// response.
+func (s *Server) respondAdmitted(w http.ResponseWriter, r *http.Request, c *callerRequest, began time.Time) *callerapi.Problem {
 	id := s.opts.IDs.Next()
 	trace.SpanFromContext(r.Context()).SetAttributes(telemetry.AttrRequestID.String(id))
-	a := &answerer{server: s, call: c, id: id, w: w}
+	resp := &responder{server: s, request: c, id: id, w: w}
 	total := c.snapshot.DeadlineFor(c.pipeline, c.tier)
 	deadline := began.Add(total)
-	a.ref = s.opts.Status.Begin(requests.Info{
+	resp.ref = s.opts.Status.Begin(requests.Info{
 		ID:            id,
 		Pipeline:      c.pipeline.Key.Name,
 		SchemaVersion: c.pipeline.Key.SchemaVersion,
@@ -87,9 +88,9 @@
 		Begun:         began,
 	})
 	if c.idempotencyKey == "" {
-		return s.executeOnce(r.Context(), a, deadline, nil)
+		return s.execute(r.Context(), resp, deadline, nil)
 	}
-	return s.executeClaimed(r.Context(), a, deadline)
+	return s.executeClaimed(r.Context(), resp, deadline)
 }
 
 func stageNames(p *catalog.Pipeline) []string {
@@ -100,59 +101,59 @@
 	return names
 }
 
-func (s *Server) spend(ctx context.Context, c *call) *callerapi.Problem {
+func (s *Server) spendBudget(ctx context.Context, c *callerRequest) *callerapi.Problem {
 	ok, after := s.opts.Budgets.Take(ctx, c.account)
 	if ok {
 		return nil
 	}
 	p := refusal(http.StatusTooManyRequests, typeBudget, "the client account's budget is spent")
-	return retryLater(p, after)
+	return withRetryAfter(p, after)
 }
 
-// executeOnce runs the job and writes its answer. Ticket is nil for a request
-// without a claim.
-func (s *Server) executeOnce(ctx context.Context, a *answerer, deadline time.Time, ticket *claims.Ticket) *callerapi.Problem {
-	job := a.job(deadline)
+// execute runs the job and writes the response. ticket is nil for a request without a
+// claim.
+func (s *Server) execute(ctx context.Context, resp *responder, deadline time.Time, ticket *claims.Ticket) *callerapi.Problem {
+	job := resp.job(deadline)
 	if ticket != nil {
 		job.BeforeDispatch = ticket.MarkDispatched
-		a.outliveCaller(deadline)
+		resp.detach(deadline)
 	}
-	over := false
+	returned := false
 	defer func() {
-		if !over {
-			s.endPanicked(ctx, a, ticket)
+		if !returned {
+			s.finishPanicked(ctx, resp, ticket)
 		}
 	}()
 	result, err := s.opts.Executor.Run(ctx, job)
 	if err == nil {
-		body := a.answerBody(result)
-		s.keep(ctx, ticket, claim.OutcomeRan, http.StatusOK, callerapi.MediaJSON, body)
-		over = true
-		return a.answer(body)
+		body := resp.responseBody(result)
+		s.recordOutcome(ctx, ticket, claim.OutcomeRan, http.StatusOK, callerapi.MediaJSON, body)
+		returned = true
+		return resp.respond(body)
 	}
 	p := asProblem(err)
-	p.RequestID = a.id
-	telemetry.DebugS(failureLogLevel, "request failed", telemetry.Event{RequestID: a.id, Stage: p.Step, Peer: p.Peer})
-	s.keepFailure(ctx, ticket, p, mayRunAgain(err))
-	over = true
-	return a.problem(p)
+	p.RequestID = resp.id
+	telemetry.DebugS(failureLogLevel, "request failed", telemetry.Event{RequestID: resp.id, Stage: p.Step, Peer: p.Peer})
+	s.abandonOrRecordFailure(ctx, ticket, p, mayRunAgain(err))
+	returned = true
+	return resp.respondProblem(p)
 }
 
-// endPanicked ends a request whose goroutine panics. net/http recovers from the
-// panic and closes the connection, but the claim would stay open: each retry
-// with the key, on any instance, would wait for an answer that never comes.
-func (s *Server) endPanicked(ctx context.Context, a *answerer, ticket *claims.Ticket) {
+// finishPanicked finishes a request whose goroutine panics. net/http recovers from the
+// panic and closes the connection, but the claim would stay open: each retry with the
+// key, on any instance, would wait for a response that never comes.
+func (s *Server) finishPanicked(ctx context.Context, resp *responder, ticket *claims.Ticket) {
 	p := asProblem(errPanicked)
-	p.RequestID = a.id
-	s.keepFailure(ctx, ticket, p, false)
-	a.finish(requests.Failed, requests.OutcomeUnknown)
-	body, _ := json.Marshal(p) // strings and numbers only: it can't fail
-	s.joins.ended(a.id, p.Status, callerapi.MediaProblem, body)
+	p.RequestID = resp.id
+	s.abandonOrRecordFailure(ctx, ticket, p, false)
+	resp.finishStatus(requests.Failed, requests.OutcomeUnknown)
+	body, _ := json.Marshal(p) // can't fail: strings and numbers only
+	s.joins.complete(resp.id, p.Status, callerapi.MediaProblem, body)
 }
 
 var errPanicked = errors.New("the request's goroutine panicked")
 
-// failureLogLevel is the verbosity at which each failed request is logged; the
+// failureLogLevel is the verbosity from which each failed request is logged. The
 // metrics count them at any verbosity.
 const failureLogLevel = 2
 
@@ -166,42 +167,43 @@
 	return p
 }
 
-// executeClaimed claims the request first. What a claim forbids to run gets the
-// answer of the first run, or the reason why there is none.
-func (s *Server) executeClaimed(ctx context.Context, a *answerer, deadline time.Time) *callerapi.Problem {
-	// A caller that goes away must not stop work that may not be repeated
-	// half way: its retry with the same key gets the answer.
+// executeClaimed claims the request before it executes it. If the claim forbids a run,
+// it writes the response of the first run, or the reason why there is none.
+func (s *Server) executeClaimed(ctx context.Context, resp *responder, deadline time.Time) *callerapi.Problem {
+	// A caller that disconnects must not stop non-repeatable work halfway: its retry
+	// with the same key gets the response.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	ctx, release := s.untilStopped(ctx)
+	ctx, release := s.withStop(ctx)
 	defer release()
-	ctx = platform.WithWaitShare(ctx, a.call.waitShare())
-	key := claims.Key{Account: a.call.account.Name, IdempotencyKey: a.call.idempotencyKey}
-	begun, err := s.opts.Claims.Begin(ctx, key, a.call.digest)
+	ctx = platform.WithWaitShare(ctx, resp.request.storeWaitShare())
+	key := claims.Key{Account: resp.request.account.Name, IdempotencyKey: resp.request.idempotencyKey}
+	begun, err := s.opts.Claims.Begin(ctx, key, resp.request.digest)
 	if err != nil {
-		return a.problem(asProblem(err))
+		return resp.respondProblem(asProblem(err))
 	}
 	switch begun.Verdict {
 	case claims.Run:
-		return s.executeOnce(ctx, a, deadline, begun.Ticket)
+		return s.execute(ctx, resp, deadline, begun.Ticket)
 	case claims.Replay:
 		s.metrics.replayed.Inc(1)
-		return a.replay(begun.Kept)
+		return resp.replay(begun.Kept)
 	case claims.Conflict:
 		detail := "this idempotency key was used with another body or pipeline"
 		p := refusal(http.StatusUnprocessableEntity, typeKeyReused, detail)
 		p.Field = callerapi.HeaderIdempotencyKey
-		return a.problem(p)
+		return resp.respondProblem(p)
 	case claims.NotRun:
-		return s.claimRefused(ctx, a, deadline, begun)
+		return s.respondRefusedClaim(ctx, resp, deadline, begun)
 	default:
-		return s.claimUnknown(ctx, a, deadline, begun)
+		return s.respondUnknownClaim(ctx, resp, deadline, begun)
 	}
 }
 
-// waitShare is the part of the line for the store that claims of the call's tier
-// may book: all of it for the highest, half for the next, then a third.
-func (c *call) waitShare() float64 {
+// storeWaitShare returns the fraction of the longest wait for the store's call budget
+// that claims of the request's tier may use: all of it for the highest tier, half for
+// the next one, then a third.
+func (c *callerRequest) storeWaitShare() float64 {
 	ranks := make([]int, 0, len(c.snapshot.Tiers))
 	for _, t := range c.snapshot.Tiers {
 		ranks = append(ranks, t.Rank)
@@ -209,57 +211,58 @@
 	return 1 / float64(1+tiers.Place(ranks, c.tier.Rank))
 }
 
-// claimUnknown answers a request of whose first run nothing is known. What may
-// be repeated is run again: refused, its key would be of no use for as long as
-// claims are kept because one instance died.
-func (s *Server) claimUnknown(ctx context.Context, a *answerer, deadline time.Time, begun claims.Begun) *callerapi.Problem {
-	if a.call.pipeline.Repeatable() && ctx.Err() == nil {
-		return s.executeOnce(ctx, a, deadline, nil)
+// respondUnknownClaim responds to a request whose first run has an unknown outcome. A
+// repeatable request is run again: if it were refused, the failure of one instance
+// would make its key unusable until the claim's retention ends.
+func (s *Server) respondUnknownClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.Begun) *callerapi.Problem {
+	if resp.request.pipeline.Repeatable() && ctx.Err() == nil {
+		return s.execute(ctx, resp, deadline, nil)
 	}
 	p := refusal(http.StatusConflict, typeOutcomeUnknown, begun.Reason)
 	p.Outcome = callerapi.OutcomeUnknown
-	return a.problem(p)
+	return resp.respondProblem(p)
 }
 
-// claimRefused answers a request whose claim could not be made. A request that
-// may be repeated is served all the same: its key only spared work.
-func (s *Server) claimRefused(ctx context.Context, a *answerer, deadline time.Time, begun claims.Begun) *callerapi.Problem {
-	if a.call.pipeline.Repeatable() {
-		return s.executeOnce(ctx, a, deadline, nil)
+// respondRefusedClaim responds to a request that could not be claimed. A repeatable
+// request is executed without a claim: its key only saves work.
+func (s *Server) respondRefusedClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.Begun) *callerapi.Problem {
+	if resp.request.pipeline.Repeatable() {
+		return s.execute(ctx, resp, deadline, nil)
 	}
 	detail := begun.Reason
 	if begun.EarlierUnknown {
 		detail += "; this call ran nothing, an earlier one with the key may have: come back with the same key"
 	}
 	p := refusal(http.StatusServiceUnavailable, typeStore, detail)
-	return a.problem(retryLater(p, begun.RetryAfter))
+	return resp.respondProblem(withRetryAfter(p, begun.RetryAfter))
 }
 
-// keep records the outcome in the claim before the answer is sent: a retry
-// finds it even when this instance dies between the two.
-func (s *Server) keep(ctx context.Context, ticket *claims.Ticket, o claim.Outcome, status int, media string, body []byte) {
+// recordOutcome records the outcome in the claim before the response is sent, so that a
+// retry finds it even if this instance fails between the two.
+func (s *Server) recordOutcome(ctx context.Context, ticket *claims.Ticket, o claim.Outcome, status int, media string, body []byte) {
 	if ticket == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	kept := claims.Kept{Outcome: o, Status: status, ContentType: media, Body: body}
-	if err := ticket.Finish(ctx, kept); err != nil && !errors.Is(err, claims.ErrQueued) {
+	result := claims.Kept{Outcome: o, Status: status, ContentType: media, Body: body}
+	if err := ticket.Finish(ctx, result); err != nil && !errors.Is(err, claims.ErrQueued) {
 		telemetry.ErrorS(err, "outcome not kept", telemetry.Event{Reason: "finish claim", RequestID: ticket.Token().String()})
 	}
 }
 
-// mayRunAgain tells whether a failed job left what may not be repeated undone.
+// mayRunAgain reports whether a failed job has run no non-repeatable stage.
 func mayRunAgain(err error) bool {
 	var failure *execute.Failure
 	return errors.As(err, &failure) && failure.MayRunAgain
 }
 
-// keepFailure gives the claim up when nothing that may not be repeated can have
-// run, so that a retry may run, and else keeps the failure. Kept for a pipeline
-// whose earlier, repeatable stages ran, the failure would answer each retry of
-// an order that no target has begun.
-func (s *Server) keepFailure(ctx context.Context, ticket *claims.Ticket, p *callerapi.Problem, again bool) {
+// abandonOrRecordFailure abandons the claim if no non-repeatable stage has been
+// dispatched, so that a retry may run, and otherwise records the failure. If
+// mayRunAgain is set, the recorded outcome is not_run. With the outcome of a pipeline
+// whose earlier, repeatable stages ran, the failure would be replayed to each retry
+// although no target has started the non-repeatable stage.
+func (s *Server) abandonOrRecordFailure(ctx context.Context, ticket *claims.Ticket, p *callerapi.Problem, mayRunAgain bool) {
 	if ticket == nil {
 		return
 	}
@@ -270,9 +273,9 @@
 	if err != nil {
 		return
 	}
-	kept := claim.Outcome(p.Outcome)
-	if again {
-		kept = claim.OutcomeNotRun
+	recorded := claim.Outcome(p.Outcome)
+	if mayRunAgain {
+		recorded = claim.OutcomeNotRun
 	}
-	s.keep(ctx, ticket, kept, p.Status, callerapi.MediaProblem, body)
+	s.recordOutcome(ctx, ticket, recorded, p.Status, callerapi.MediaProblem, body)
 }
--- a/daemon/serve/token.go
+++ b/daemon/serve/token.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	tokenHead = `{"token":"`
-	tokenTail = `"}`
+	tokenEventPrefix = `{"token":"`
+	tokenEventSuffix = `"}`
 )
 
-// appendToken appends the JSON of a token event. Most tokens need no escape and
-// are copied; the encoder takes the rest.
+// appendToken appends the JSON of a token event. Most tokens need no escaping and are
+// copied, which is cheaper than the JSON encoder.
 func appendToken(dst []byte, token string) ([]byte, error) {
-	if !plain(token) {
+	if !needsNoEscape(token) {
 		data, err := json.Marshal(callerapi.TokenEvent{Token: token})
 		return append(dst, data...), err
 	}
-	dst = append(dst, tokenHead...)
+	dst = append(dst, tokenEventPrefix...)
 	dst = append(dst, token...)
-	return append(dst, tokenTail...), nil
+	return append(dst, tokenEventSuffix...), nil
 }
 
-// plain tells whether JSON writes the text as it is: printable ASCII without
-// the characters that encoding/json escapes.
-func plain(text string) bool {
+// needsNoEscape reports whether the text is printable ASCII without the characters
+// that encoding/json escapes.
+func needsNoEscape(text string) bool {
 	for i := range len(text) {
 		switch c := text[i]; {
 		case c < ' ' || c > '~':
--- a/daemon/serve/token_test.go
+++ b/daemon/serve/token_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// A token with a quote or a line end that is copied as it is breaks the event,
-// and the caller's client drops the rest of the answer.
+// A token with a quote or a line end would break the event if it were copied unescaped,
+// and the caller's client would drop the remaining response.
 func TestAppendTokenIsJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		token := rapid.OneOf(rapid.String(), rapid.StringMatching(`[ -~]*`), rapid.StringMatching("[\"\\\\<>&\x7f\n]?[a-z]*")).Draw(t, "token")
--- a/daemon/serve/wire_test.go
+++ b/daemon/serve/wire_test.go
@@ -16,7 +16,7 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// filledProblem is a problem with every field set.
+// filledProblem returns a problem with every field set.
 func filledProblem() *callerapi.Problem {
 	return &callerapi.Problem{
 		Type: "type", Title: "title", Status: 400, Detail: "detail", RequestID: "r", Outcome: callerapi.OutcomeUnknown,
@@ -24,7 +24,7 @@
 	}
 }
 
-// filledStatus is the status of a request with every field set.
+// filledStatus returns a request's status with every field set.
 func filledStatus() *requests.Status {
 	return &requests.Status{
 		Info: requests.Info{
@@ -40,8 +40,8 @@
 	}
 }
 
-// A renamed field or value changes what callers and other instances read: a caller
-// that asks again after its request finds no answer, and runs it a second time.
+// A renamed field or value changes what callers and other instances read. A caller that
+// asks for the response to its request would find none, and run it a second time.
 func TestBytesOfServedAnswers(t *testing.T) {
 	marshalled := func(v any) (string, error) {
 		text, err := json.Marshal(v)
@@ -53,10 +53,10 @@
 		want string
 	}{
 		{"answer", func() (string, error) {
-			a := &answerer{id: "r", call: &call{pipeline: &catalog.Pipeline{
+			a := &responder{id: "r", request: &callerRequest{pipeline: &catalog.Pipeline{
 				Key: catalog.PipelineKey{Name: "p", SchemaVersion: 1},
 			}}}
-			return string(a.answerBody(execute.Result{Output: "out", Tokens: 2})), nil
+			return string(a.responseBody(execute.Result{Output: "out", Tokens: 2})), nil
 		}, `{"request_id":"r","pipeline":"p","schema_version":1,"output":"out","tokens":2}`},
 		{"token", func() (string, error) {
 			text, err := appendToken(nil, "plain")
@@ -73,16 +73,16 @@
 		}, "{\"type\":\"type\",\"title\":\"title\",\"status\":400,\"detail\":\"detail\",\"request_id\":\"r\",\"outcome\":\"unknown\",\"step\":\"step\",\"peer\":\"peer\",\"field\":\"field\",\"retry_after_ms\":1}\n"},
 		{"status", func() (string, error) {
 			w := httptest.NewRecorder()
-			writeJoined(w, Joined{State: statusView(filledStatus())})
+			writeJoinResult(w, JoinResult{Request: statusView(filledStatus())})
 			return w.Body.String(), nil
 		}, "{\"request_id\":\"r\",\"pipeline\":\"p\",\"schema_version\":1,\"account\":\"a\",\"tier\":\"t\",\"state\":\"running\",\"outcome\":\"ran\",\"deadline_ms\":2,\"elapsed_ms\":4,\"stages\":[{\"stage\":\"s\",\"attempts\":[{\"attempt_id\":\"x\",\"target\":\"target\",\"result\":\"ok\",\"elapsed_ms\":6,\"work_ms\":7,\"tokens\":8,\"prefill_tokens\":9,\"error\":\"error\"}]},{\"stage\":\"unused\",\"attempts\":[]}]}\n"},
 		{"joined", func() (string, error) {
-			return marshalled(Joined{State: statusView(filledStatus()), Status: 11, Media: "media", Body: []byte("body")})
+			return marshalled(JoinResult{Request: statusView(filledStatus()), HTTPStatus: 11, ContentType: "media", Body: []byte("body")})
 		}, `{"state":{"request_id":"r","pipeline":"p","schema_version":1,"account":"a","tier":"t","state":"running","outcome":"ran","deadline_ms":2,"elapsed_ms":4,"stages":[{"stage":"s","attempts":[{"attempt_id":"x","target":"target","result":"ok","elapsed_ms":6,"work_ms":7,"tokens":8,"prefill_tokens":9,"error":"error"}]},{"stage":"unused","attempts":[]}]},"status":11,"media":"media","body":"Ym9keQ=="}`},
-		{"joined without an answer", func() (string, error) { return marshalled(Joined{}) }, `{"state":null}`},
+		{"joined without an answer", func() (string, error) { return marshalled(JoinResult{}) }, `{"state":null}`},
 		{"not kept", func() (string, error) {
 			w := httptest.NewRecorder()
-			writeJoined(w, Joined{State: &callerapi.RequestStatus{RequestID: "r", State: "failed", Outcome: callerapi.OutcomeRan}})
+			writeJoinResult(w, JoinResult{Request: &callerapi.RequestStatus{RequestID: "r", State: "failed", Outcome: callerapi.OutcomeRan}})
 			return w.Body.String(), nil
 		}, "{\"type\":\"answer-not-kept\",\"title\":\"Gone\",\"status\":410,\"detail\":\"the request is over; nobody joined it while it ran, or its answer was too large to keep\",\"request_id\":\"r\",\"outcome\":\"ran\"}\n"},
 		{"field refusal", func() (string, error) { return marshalled(fieldRefusal("field", "detail")) }, `{"type":"bad-request","title":"Bad Request","status":400,"detail":"detail","outcome":"not_run","field":"field"}`},
@@ -96,8 +96,8 @@
 	}
 }
 
-// A renamed value changes what clients decide by: they take a refusal for work that
-// may have run, or wait for a request that is over.
+// Clients base decisions on these values. With a renamed one they would treat a refusal
+// as work that may have run, or wait for a request that has ended.
 func TestBytesOfServedValues(t *testing.T) {
 	problem := func(reason execute.Reason, verdict outcome.Verdict) *callerapi.Problem {
 		return failureProblem(&execute.Failure{
--- a/daemon/serve/writer.go
+++ b/daemon/serve/writer.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// boundedWriter gives each write of an answer a bound of its own.
+// timeoutWriter sets a write deadline for each write of a response.
 //
-// The failure: a caller that stops reading fills the buffers of its connection,
-// the next write never returns, and the request holds its place, and a stream
-// its target's slot, for ever. net/http takes the bound off again before the
+// Without it, a caller that stops reading would fill the buffers of its connection,
+// the next write would never return, and the request would occupy its slot, and a
+// stream also its target's slot, forever. net/http clears the deadline before the
 // connection's next request.
 //
-// The bound is put off at most once in a quarter of the limit, because each
-// time costs as much as a small write; it so lies between three quarters of the
-// limit and the whole.
-type boundedWriter struct {
+// Setting the deadline costs as much as a small write, so it is extended at most once
+// in a quarter of the timeout. A write therefore has between three quarters of the
+// timeout and all of it.
+type timeoutWriter struct {
 	http.ResponseWriter
-	limit time.Duration
-	set   time.Time
+	timeout       time.Duration
+	deadlineSetAt time.Time
 }
 
 // Write implements http.ResponseWriter.
-func (w *boundedWriter) Write(p []byte) (int, error) {
-	w.bound()
+func (w *timeoutWriter) Write(p []byte) (int, error) {
+	w.extendDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
-// FlushError implements the extension of http.ResponseController.
-func (w *boundedWriter) FlushError() error {
-	w.bound()
+// FlushError implements the flush method that http.ResponseController looks for.
+func (w *timeoutWriter) FlushError() error {
+	w.extendDeadline()
 	return http.NewResponseController(w.ResponseWriter).Flush()
 }
 
-// Unwrap lets http.ResponseController find the deadlines of the connection.
-func (w *boundedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap lets http.ResponseController set the deadlines of the connection.
+func (w *timeoutWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *boundedWriter) bound() {
+func (w *timeoutWriter) extendDeadline() {
 	now := time.Now()
-	if now.Sub(w.set) < w.limit/4 {
+	if now.Sub(w.deadlineSetAt) < w.timeout/4 {
 		return
 	}
-	w.set = now
-	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(now.Add(w.limit)) // unsupported only in tests
+	w.deadlineSetAt = now
+	_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(now.Add(w.timeout)) // unsupported only in tests
 }
