--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -61,7 +61,7 @@
 
 // AskClaim implements claims.Asker. Only the very incarnation that made the
 // claim can answer for it: a later one has none of its memory.
-func (a asker) AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
+func (a asker) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	var answer claim.StatusResponse
 	member, ok := a.cluster.View().Find(claimant.Instance)
 	if !ok || !member.Live() || member.Incarnation != claimant.Incarnation {
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -276,12 +276,12 @@
 
 func (a *App) buildClaims() {
 	a.claims = claims.New(claims.Options{
-		Owner:     claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
-		Storage:   claims.NewObjects(a.store),
-		Asker:     asker{a.cluster},
-		Retention: a.settings.Claims.Retention,
-		Sweeper:   func() bool { return a.owns(sweeperKey) },
-		Scope:     a.telemetry.Scope,
+		Owner:        claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
+		Storage:      claims.NewObjectStorage(a.store),
+		StatusClient: asker{a.cluster},
+		Retention:    a.settings.Claims.Retention,
+		IsSweeper:    func() bool { return a.owns(sweeperKey) },
+		Scope:        a.telemetry.Scope,
 	})
 }
 
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -61,7 +61,7 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer claim: decode")
 	}
-	answer := a.claims.HandleAsk(ctx, q)
+	answer := a.claims.HandleStatusRequest(ctx, q)
 	return msgpack.Marshal(&answer)
 }
 
--- a/daemon/claims/drive.go
+++ b/daemon/claims/claim_key.go
@@ -7,8 +7,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// drive runs the state machine of one attempt to its decision.
-func (s *Service) drive(ctx context.Context, id claim.ID, body claim.BodyDigest, attempt uint64) Begun {
+// claimKey runs the state machine of one attempt until it decides.
+func (s *Service) claimKey(ctx context.Context, id claim.ID, body claim.BodyDigest, attempt uint64) BeginResult {
 	token := claim.Token{Owner: s.opts.Owner, Attempt: attempt}
 	now := s.opts.Now()
 	deadline := now.Add(s.opts.MaxWait)
@@ -26,24 +26,24 @@
 	}
 }
 
-// conclude turns a decision into an answer and closes the attempt unless it
-// holds the claim.
-func (s *Service) conclude(id claim.ID, attempt uint64, call *claim.Call, d claim.Decision) Begun {
+// conclude converts a decision into a result and closes the attempt, unless that holds
+// the claim.
+func (s *Service) conclude(id claim.ID, attempt uint64, call *claim.Call, d claim.Decision) BeginResult {
 	if d.Verdict == Run {
 		t := &Ticket{service: s, id: id, attempt: attempt, record: call.Record(), revision: d.Revision}
-		return Begun{Verdict: Run, Ticket: t, Reason: d.Reason}
+		return BeginResult{Verdict: Run, Ticket: t, Reason: d.Reason}
 	}
-	s.memory.abandon(id, attempt, call.MayBeStored(), s.opts.Now())
+	s.tracker.abandon(id, attempt, call.MayBeStored(), s.opts.Now())
 	if call.MayBeStored() {
 		s.release(id, call.Record(), 0)
 	}
 	if d.Verdict == NotRun {
 		return s.notRun(d)
 	}
-	return Begun{Verdict: d.Verdict, Kept: d.Result, Reason: d.Reason}
+	return BeginResult{Verdict: d.Verdict, Result: d.Result, Reason: d.Reason}
 }
 
-// perform does one action and returns its answer.
+// perform executes one action and returns the event that it led to.
 func (s *Service) perform(ctx context.Context, id claim.ID, action claim.Action) claim.Event {
 	switch a := action.(type) {
 	case claim.Create:
@@ -59,7 +59,7 @@
 		defer cancel()
 		return s.opts.Storage.Replace(ctx, id, a.Revision, a.Record)
 	case claim.RequestStatus:
-		return s.ask(ctx, claim.StatusRequest{ID: id, Token: a.Token})
+		return s.requestStatus(ctx, claim.StatusRequest{ID: id, Token: a.Token})
 	case claim.Wait:
 		return s.wait(ctx, a.Until)
 	default:
@@ -67,17 +67,17 @@
 	}
 }
 
-func (s *Service) ask(ctx context.Context, q claim.StatusRequest) claim.Event {
+func (s *Service) requestStatus(ctx context.Context, q claim.StatusRequest) claim.Event {
 	if q.Token.Owner == s.opts.Owner {
-		return claim.PeerResponded{Response: s.HandleAsk(ctx, q)}
+		return claim.PeerResponded{Response: s.HandleStatusRequest(ctx, q)}
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.opts.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.StatusTimeout)
 	defer cancel()
-	answer, err := s.opts.Asker.AskClaim(ctx, q.Token.Owner, q)
+	response, err := s.opts.StatusClient.ClaimStatus(ctx, q.Token.Owner, q)
 	if err != nil {
 		return claim.PeerUnreachable{}
 	}
-	return claim.PeerResponded{Response: answer}
+	return claim.PeerResponded{Response: response}
 }
 
 func (s *Service) wait(ctx context.Context, until time.Time) claim.Event {
--- a/daemon/claims/journal.go
+++ b/daemon/claims/journal.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	// maxHeadBytes is when a head's entries are sealed into a segment. A write
-	// carries the whole head, so a small one is quick and a large one rolls
-	// over less often.
+	// maxHeadBytes is the size of a head above which its entries are sealed into a
+	// segment. Each write contains the whole head: a small head is written faster, a
+	// large one is sealed less often.
 	maxHeadBytes = 128 << 10
-	// maxJournalTries bounds the writes of one batch after conflicts.
-	maxJournalTries = 4
-	// maxBatch and maxJournalBody keep a head under the store's limit of a
-	// megabyte. A longer answer keeps its digest alone in a journal.
-	maxBatch       = 64
-	maxJournalBody = 8 << 10
-	// maxJournalOps bounds the claims that wait for one journal.
-	maxJournalOps = 1024
+	// maxCommitAttempts bounds the attempts to commit one batch, since a conflict
+	// leads to another attempt.
+	maxCommitAttempts = 4
+	// maxBatchOps and maxJournalBodyBytes keep a head below the store's limit of a
+	// megabyte. Of a longer response body, a journal stores only length and digest.
+	maxBatchOps         = 64
+	maxJournalBodyBytes = 8 << 10
+	// maxPendingOps bounds the operations that wait for one journal.
+	maxPendingOps = 1024
 )
 
-// Journals is the Storage that commits claims in groups: the claims of a shard
-// of keys lie in one object, and all claims that come while a write of it is
-// under way share the next write. Which instance writes a shard is free: the
-// conditional update on the journal's revision alone decides, so several
-// writers only cost one another conflicts.
-type Journals struct {
+// JournalStorage is the Storage that commits claims in groups. The claims of a shard of
+// keys are in one object, and all claims that arrive during a write of it share the
+// next write. Any instance may write any shard: only the conditional update on the
+// journal's revision decides, so concurrent writers merely cause conflicts for each
+// other.
+type JournalStorage struct {
 	store  Store
 	shards []*journal
 }
 
-// journal is one shard. Its view is a cache: a write on a stale one conflicts.
+// journal is one shard. Its view is a cache: a write that is based on a stale view
+// conflicts.
 type journal struct {
-	store   Store
-	name    string
-	timeout time.Duration
-	every   time.Duration
-	maxHead int
+	store         Store
+	name          string
+	timeout       time.Duration
+	writeInterval time.Duration
+	maxHeadBytes  int
 
-	mu      sync.Mutex
-	pending []*journalOp
-	running bool
+	mu         sync.Mutex
+	pending    []*journalOp
+	committing bool
 
-	// The fields below belong to the running commit.
-	view     *journalView
-	wrote    time.Time
-	segments map[string]map[string]*journalEntry
+	// The fields below are used only by the goroutine that commits.
+	view      *journalView
+	lastWrite time.Time
+	segments  map[string]map[string]*journalEntry
 }
 
-// journalOp is one Create (sequence 0) or Replace that waits for its commit.
+// journalOp is a Create (sequence 0) or Replace that waits for its commit.
 type journalOp struct {
 	id       claim.ID
 	sequence uint64
@@ -64,55 +66,56 @@
 	done     chan claim.Event
 }
 
-// NewJournals returns Journals with a number of shards, which all instances
-// must agree on. timeout bounds one call to the store. every is the least time
-// between two writes of a shard: it bounds the writes whatever the claims, and
-// half of it is what a claim waits on average.
-func NewJournals(store Store, shards int, timeout, every time.Duration) *Journals {
-	j := &Journals{store: store}
+// NewJournalStorage returns a JournalStorage with the given number of shards, which must
+// be the same on all instances. timeout bounds one call to the store. writeInterval is
+// the least time between two writes of a shard: it bounds the rate of writes for any
+// rate of claims, and a claim waits for half of it on average.
+func NewJournalStorage(store Store, shards int, timeout, writeInterval time.Duration) *JournalStorage {
+	j := &JournalStorage{store: store}
 	for i := range shards {
 		j.shards = append(j.shards, &journal{
-			store:    store,
-			name:     fmt.Sprintf("journal-%04d", i),
-			timeout:  timeout,
-			every:    every,
-			maxHead:  maxHeadBytes,
-			segments: make(map[string]map[string]*journalEntry),
+			store:         store,
+			name:          fmt.Sprintf("journal-%04d", i),
+			timeout:       timeout,
+			writeInterval: writeInterval,
+			maxHeadBytes:  maxHeadBytes,
+			segments:      make(map[string]map[string]*journalEntry),
 		})
 	}
 	return j
 }
 
-func (j *Journals) shard(id claim.ID) *journal {
+func (j *JournalStorage) shard(id claim.ID) *journal {
 	return j.shards[(int(id[1])<<8|int(id[2]))%len(j.shards)]
 }
 
 // Create implements Storage.
-func (j *Journals) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
+func (j *JournalStorage) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	return j.shard(id).submit(ctx, &journalOp{id: id, record: r})
 }
 
 // Replace implements Storage.
-func (j *Journals) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
-	if r.Result != nil && len(r.Result.Body) > maxJournalBody {
-		kept := *r.Result
-		kept.Body = nil
-		r.Result = &kept
+func (j *JournalStorage) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
+	if r.Result != nil && len(r.Result.Body) > maxJournalBodyBytes {
+		withoutBody := *r.Result
+		withoutBody.Body = nil
+		r.Result = &withoutBody
 	}
 	return j.shard(id).submit(ctx, &journalOp{id: id, sequence: revision, record: r})
 }
 
-// submit hands an op to the running commit, or starts one, and waits.
+// submit queues an operation, starts the committing goroutine if it isn't running, and
+// waits for the event.
 func (j *journal) submit(ctx context.Context, op *journalOp) claim.Event {
 	op.done = make(chan claim.Event, 1)
 	j.mu.Lock()
-	if len(j.pending) >= maxJournalOps {
+	if len(j.pending) >= maxPendingOps {
 		j.mu.Unlock()
 		return claim.StoreUnavailable{}
 	}
 	j.pending = append(j.pending, op)
-	start := !j.running
-	j.running = true
+	start := !j.committing
+	j.committing = true
 	j.mu.Unlock()
 	if start {
 		go j.commitAll()
@@ -121,41 +124,42 @@
 	case e := <-op.done:
 		return e
 	case <-ctx.Done():
-		// Guard: the op is in a batch that may still be written.
+		// The operation may be in a batch that is still written.
 		return claim.ResponseLost{}
 	}
 }
 
-// commitAll commits batches until no op waits.
+// commitAll commits batches until no operation is pending.
 func (j *journal) commitAll() {
-	for j.goesOn() {
-		time.Sleep(j.every - time.Since(j.wrote))
+	for j.hasPending() {
+		time.Sleep(j.writeInterval - time.Since(j.lastWrite))
 		j.commit(j.nextBatch())
 	}
 }
 
-// goesOn tells whether ops wait; without any the next op starts a commit.
-func (j *journal) goesOn() bool {
+// hasPending reports whether operations are pending. If there are none, the next
+// operation starts another commit.
+func (j *journal) hasPending() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.running = len(j.pending) > 0
-	return j.running
+	j.committing = len(j.pending) > 0
+	return j.committing
 }
 
 func (j *journal) nextBatch() []*journalOp {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	n := min(len(j.pending), maxBatch)
+	n := min(len(j.pending), maxBatchOps)
 	batch := j.pending[:n:n]
 	j.pending = j.pending[n:]
 	return batch
 }
 
-// commit writes one batch with one conditional update, and again on a newer
-// view when another instance was faster.
+// commit writes one batch with one conditional update. It retries on a newer view if
+// another instance has written the journal meanwhile.
 func (j *journal) commit(batch []*journalOp) {
 	fresh := false
-	for range maxJournalTries {
+	for range maxCommitAttempts {
 		if j.view == nil {
 			if !j.load() {
 				break
@@ -163,76 +167,76 @@
 			fresh = true
 		}
 		next := j.view.clone()
-		results, changed := j.applyAll(&next, batch)
+		results, changed := j.applyBatch(&next, batch)
 		switch {
 		case changed:
-			if answered := j.writeBatch(next, batch, results); answered {
+			if responded := j.writeBatch(next, batch, results); responded {
 				return
 			}
 		case fresh:
-			answer(batch, results)
+			respondEach(batch, results)
 			return
 		default:
-			// No write will tell whether the view is behind: read it anew.
+			// There is nothing to write, so no conflict would show that the view is
+			// stale: read it again.
 			j.view = nil
 		}
 	}
-	answerAll(batch, claim.StoreUnavailable{})
+	respondAll(batch, claim.StoreUnavailable{})
 }
 
-// writeBatch writes the view that the batch led to and answers the batch. It
-// does not answer after a conflict, which brings a newer view to try again on.
-func (j *journal) writeBatch(next journalView, batch []*journalOp, results []claim.Event) (answered bool) {
+// writeBatch writes the view that results from the batch and responds to the batch.
+// After a conflict it doesn't respond, but sets the newer view for another attempt.
+func (j *journal) writeBatch(next journalView, batch []*journalOp, results []claim.Event) (responded bool) {
 	err := j.write(next)
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		answer(batch, results)
+		respondEach(batch, results)
 	case errors.As(err, &conflict):
-		j.take(conflict.Current)
+		j.setView(conflict.Current)
 		return false
 	default:
-		j.failed(batch, err)
+		j.respondWriteError(batch, err)
 	}
 	return true
 }
 
-// failed answers a batch whose write was not taken, or may have been.
-//
-// Guard: after a lost answer the view isn't known any more, and each op of the
-// batch must be read back by its call.
-func (j *journal) failed(batch []*journalOp, err error) {
-	event := writeFailed(err)
+// respondWriteError responds to a batch whose write failed. If the response of the store
+// was lost, the write may have been applied: the view is no longer known, and the call
+// behind each operation must read its claim back.
+func (j *journal) respondWriteError(batch []*journalOp, err error) {
+	event := writeErrorEvent(err)
 	if _, nothingDone := event.(claim.StoreUnavailable); nothingDone {
-		answerAll(batch, event)
+		respondAll(batch, event)
 		return
 	}
 	j.view = nil
-	answerAll(batch, claim.ResponseLost{})
+	respondAll(batch, claim.ResponseLost{})
 }
 
-// applyAll puts the batch's ops into the view, in order.
-func (j *journal) applyAll(next *journalView, batch []*journalOp) ([]claim.Event, bool) {
+// applyBatch applies the batch's operations to the view, in order. It returns the event
+// of each one and whether the view has changed.
+func (j *journal) applyBatch(next *journalView, batch []*journalOp) ([]claim.Event, bool) {
 	results := make([]claim.Event, len(batch))
 	changed := false
 	for i, op := range batch {
-		current := j.find(next, op.id)
+		current := j.lookUp(next, op.id)
 		switch {
 		case current == nil && op.sequence != 0:
 			results[i] = claim.Absent{}
 		case current != nil && current.Sequence != op.sequence:
-			results[i] = current.exists()
+			results[i] = current.existsEvent()
 		default:
-			results[i] = claim.Written{Revision: next.add(op.id, op.record)}
+			results[i] = claim.Written{Revision: next.put(op.id, op.record)}
 			changed = true
 		}
 	}
 	return results, changed
 }
 
-// find looks a claim up in the head and then in the sealed segments, newest
-// first.
-func (j *journal) find(v *journalView, id claim.ID) *journalEntry {
+// lookUp looks a claim up in the head and then in the sealed segments, newest first.
+func (j *journal) lookUp(v *journalView, id claim.ID) *journalEntry {
 	key := id.String()
 	if e, ok := v.spec.Entries[key]; ok {
 		return e
@@ -245,13 +249,14 @@
 	return nil
 }
 
-// write writes the next head; one that has grown too large is sealed first.
+// write writes the next head. If that is too large, the current entries are sealed
+// first.
 func (j *journal) write(next journalView) error {
 	object, err := next.object(j.name, j.view.revision)
 	if err != nil {
 		return err
 	}
-	if len(object.Spec) > j.maxHead && len(j.view.spec.Entries) > 0 {
+	if len(object.Spec) > j.maxHeadBytes && len(j.view.spec.Entries) > 0 {
 		if sealed, err := j.seal(next); err == nil {
 			next = sealed
 			object, err = next.object(j.name, j.view.revision)
@@ -260,7 +265,7 @@
 			}
 		}
 	}
-	j.wrote = time.Now()
+	j.lastWrite = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), j.timeout)
 	defer cancel()
 	var written *platformapi.Object
@@ -277,13 +282,12 @@
 	return nil
 }
 
-// seal copies the head's entries as of its revision into a segment and returns
-// next without them. The segment counts only once the head names it, so a
-// crash in between leaves an object that nobody reads.
+// seal copies the head's entries as of its revision into a segment and returns next
+// without them. The segment is valid only once the head names it, so a crash in
+// between leaves an object that is never read.
 //
-// Guard: the head drops its entries only after the store has confirmed the
-// segment, or shows that it is there already; otherwise a lost write would
-// lose claims.
+// The head drops its entries only after the store has confirmed the segment or
+// responded that it exists: otherwise a lost write would lose claims.
 func (j *journal) seal(next journalView) (journalView, error) {
 	name := j.view.segmentName(j.name)
 	segment := journalView{spec: journalSpec{Sequence: j.view.spec.Sequence, Entries: j.view.spec.Entries}}
@@ -299,24 +303,24 @@
 		return next, err
 	}
 	j.segments[name] = segment.spec.Entries
-	rolled := next.clone()
+	remaining := next.clone()
 	for key, e := range j.view.spec.Entries {
-		if rolled.spec.Entries[key] == e {
-			delete(rolled.spec.Entries, key)
+		if remaining.spec.Entries[key] == e {
+			delete(remaining.spec.Entries, key)
 		}
 	}
-	sealed := sealedSegment{Name: name, Newest: j.view.newest()}
-	rolled.spec.Sealed = append(rolled.spec.Sealed[:len(rolled.spec.Sealed):len(rolled.spec.Sealed)], sealed)
-	return rolled, nil
+	sealed := sealedSegment{Name: name, Newest: j.view.newestCreation()}
+	remaining.spec.Sealed = append(remaining.spec.Sealed[:len(remaining.spec.Sealed):len(remaining.spec.Sealed)], sealed)
+	return remaining, nil
 }
 
-func answer(batch []*journalOp, results []claim.Event) {
+func respondEach(batch []*journalOp, results []claim.Event) {
 	for i, op := range batch {
 		op.done <- results[i]
 	}
 }
 
-func answerAll(batch []*journalOp, e claim.Event) {
+func respondAll(batch []*journalOp, e claim.Event) {
 	for _, op := range batch {
 		op.done <- e
 	}
--- a/daemon/claims/journal_read.go
+++ b/daemon/claims/journal_read.go
@@ -13,8 +13,9 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Get implements Storage. It reads the head anew: a cached view may be behind.
-func (j *Journals) Get(ctx context.Context, id claim.ID) claim.Event {
+// Get implements Storage. It reads the head from the store, because the cached view
+// may be stale.
+func (j *JournalStorage) Get(ctx context.Context, id claim.ID) claim.Event {
 	shard := j.shard(id)
 	object, err := j.store.Get(ctx, platformapi.KindClaims, shard.name)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -28,12 +29,12 @@
 		return claim.ReadFailed{}
 	}
 	if e, ok := view.spec.Entries[id.String()]; ok {
-		return e.exists()
+		return e.existsEvent()
 	}
 	return shard.getSealed(ctx, view, id)
 }
 
-// getSealed looks a claim up in the segments, newest first.
+// getSealed looks a claim up in the stored segments, newest first.
 func (j *journal) getSealed(ctx context.Context, v journalView, id claim.ID) claim.Event {
 	for _, segment := range slices.Backward(v.spec.Sealed) {
 		entries, err := j.readSegment(ctx, segment.Name)
@@ -41,7 +42,7 @@
 			return claim.ReadFailed{}
 		}
 		if e, ok := entries[id.String()]; ok {
-			return e.exists()
+			return e.existsEvent()
 		}
 	}
 	return claim.Absent{}
@@ -56,7 +57,7 @@
 	return view.spec.Entries, err
 }
 
-// load reads the head and its segments into the view.
+// load reads the head and its segments into the view and reports whether it succeeded.
 func (j *journal) load() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), j.timeout)
 	defer cancel()
@@ -68,13 +69,13 @@
 	if err != nil {
 		return false
 	}
-	j.take(object)
+	j.setView(object)
 	return j.view != nil
 }
 
-// take makes a head the view once all its segments are known. Guard: a segment
-// that can't be read must not count as empty, or its keys would run again.
-func (j *journal) take(object *platformapi.Object) {
+// setView makes a head the view once all its segments are known. A segment that can't be
+// read must not be treated as empty, or its keys would run again.
+func (j *journal) setView(object *platformapi.Object) {
 	j.view = nil
 	if object == nil {
 		return
@@ -87,7 +88,7 @@
 	for _, segment := range view.spec.Sealed {
 		entries, ok := j.segments[segment.Name]
 		if !ok {
-			entries, ok = j.fetch(segment.Name)
+			entries, ok = j.fetchSegment(segment.Name)
 		}
 		if !ok {
 			return
@@ -98,17 +99,17 @@
 	j.view = &view
 }
 
-func (j *journal) fetch(name string) (map[string]*journalEntry, bool) {
+func (j *journal) fetchSegment(name string) (map[string]*journalEntry, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), j.timeout)
 	defer cancel()
 	entries, err := j.readSegment(ctx, name)
 	return entries, err == nil
 }
 
-// Sweep implements Storage: old entries of the head go, and a segment whose
-// youngest claim is past its retention goes as a whole, after the head has let
-// go of it. It counts the entries of the head alone.
-func (j *Journals) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
+// Sweep implements Storage. It removes old entries of the head, and each segment whose
+// newest claim is past its retention, after the head has dropped the segment. It counts
+// only the removed entries of the head.
+func (j *JournalStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed := 0
 	for _, shard := range j.shards {
 		if err := pace(); err != nil {
@@ -139,13 +140,13 @@
 	if old < 0 {
 		old = len(view.spec.Sealed)
 	}
-	held := len(view.spec.Entries)
+	entries := len(view.spec.Entries)
 	maps.DeleteFunc(view.spec.Entries, func(_ string, e *journalEntry) bool { return e.Record.CreatedAt.Before(before) })
-	dropped := held - len(view.spec.Entries)
+	dropped := entries - len(view.spec.Entries)
 	if old == 0 && dropped == 0 {
 		return 0, nil
 	}
-	gone := view.spec.Sealed[:old]
+	expired := view.spec.Sealed[:old]
 	view.spec.Sealed = view.spec.Sealed[old:]
 	head, err := view.object(j.name, view.revision)
 	if err != nil {
@@ -154,11 +155,11 @@
 	if _, err := j.store.Update(ctx, platformapi.KindClaims, head); err != nil {
 		return 0, err
 	}
-	return dropped, j.deleteSegments(ctx, gone)
+	return dropped, j.deleteSegments(ctx, expired)
 }
 
-func (j *journal) deleteSegments(ctx context.Context, gone []sealedSegment) error {
-	for _, segment := range gone {
+func (j *journal) deleteSegments(ctx context.Context, expired []sealedSegment) error {
+	for _, segment := range expired {
 		if err := j.store.Delete(ctx, platformapi.KindClaims, segment.Name, 0); err != nil {
 			return err
 		}
--- a/daemon/claims/journal_spec.go
+++ b/daemon/claims/journal_spec.go
@@ -12,28 +12,29 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// journalSpec is the spec of a journal's head or of a sealed segment. Segments
-// are never changed; the head alone decides, by its conditional update.
+// journalSpec is the spec of a journal's head or of a sealed segment. Segments never
+// change. Only the head is updated, conditionally, and it decides what is stored.
 type journalSpec struct {
-	// Sequence is that of the newest entry.
+	// Sequence is the sequence number of the newest entry.
 	Sequence uint64                   `json:"sequence"`
 	Sealed   []sealedSegment          `json:"sealed,omitempty"`
 	Entries  map[string]*journalEntry `json:"entries"`
 }
 
-// sealedSegment names an object with older entries of the journal.
+// sealedSegment refers to an object with older entries of the journal. Newest is when
+// the newest claim among them was created.
 type sealedSegment struct {
 	Name   string    `json:"name"`
 	Newest time.Time `json:"newest"`
 }
 
-// journalEntry is a claim at its latest change; Sequence is its revision.
+// journalEntry is a claim as of its latest change. Sequence is its revision.
 type journalEntry struct {
 	Sequence uint64       `json:"sequence"`
 	Record   claim.Record `json:"record"`
 }
 
-func (e *journalEntry) exists() claim.Exists {
+func (e *journalEntry) existsEvent() claim.Exists {
 	return claim.Exists{Record: e.Record, Revision: e.Sequence}
 }
 
@@ -51,7 +52,8 @@
 	return v, nil
 }
 
-// object encodes the journal under a name, for a write on condition.
+// object encodes the journal as an object with a name, for a write that is conditional
+// on the revision.
 func (v journalView) object(name string, revision uint64) (platformapi.Object, error) {
 	spec, err := json.Marshal(v.spec)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return platformapi.Object{Metadata: meta, Spec: spec}, nil
 }
 
-// clone returns a copy whose entries can be added to.
+// clone returns a copy whose entries can be changed.
 func (v journalView) clone() journalView {
 	v.spec.Entries = maps.Clone(v.spec.Entries)
 	if v.spec.Entries == nil {
@@ -70,15 +72,15 @@
 	return v
 }
 
-// add appends or replaces the entry of a claim.
-func (v *journalView) add(id claim.ID, r claim.Record) uint64 {
+// put adds or replaces the entry of a claim and returns its sequence number.
+func (v *journalView) put(id claim.ID, r claim.Record) uint64 {
 	v.spec.Sequence++
 	v.spec.Entries[id.String()] = &journalEntry{Sequence: v.spec.Sequence, Record: r}
 	return v.spec.Sequence
 }
 
-// newest is when the youngest claim among the entries was made.
-func (v journalView) newest() time.Time {
+// newestCreation returns when the newest claim among the entries was created.
+func (v journalView) newestCreation() time.Time {
 	var newest time.Time
 	for _, e := range v.spec.Entries {
 		if e.Record.CreatedAt.After(newest) {
@@ -88,5 +90,6 @@
 	return newest
 }
 
-// segmentName is unique to the head's revision, so that it names one content.
+// segmentName returns a name that is unique to the head's revision, so that no two
+// contents share a name.
 func (v journalView) segmentName(head string) string { return fmt.Sprintf("%s-%d", head, v.revision) }
--- a/daemon/claims/journal_test.go
+++ b/daemon/claims/journal_test.go
@@ -20,14 +20,15 @@
 
 func testID(i int) claim.ID { return Key{IdempotencyKey: fmt.Sprint(i)}.ID() }
 
-// Story: two instances take each other for the writer of one journal, at the
-// same time and for every key, while writes are lost, late or refused and the
-// journal rolls over. Were the hint a lock, a stale view would claim a key twice.
+// Two instances write one journal at the same time and claim the same keys, while writes
+// are lost, delayed or refused and the journal is sealed into segments. Only the
+// conditional update may decide: if a writer relied on its stale view, a key would be
+// claimed twice.
 func TestTwoWritersOfOneJournal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{WritesPerSecond: 200, ReadsPerSecond: 1e6, Seed: 7})
 		store.SetFaults(emulator.Faults{LoseShare: 0.1, ApplyAfterMS: 500, LatencyMS: 4})
-		writers := []*Journals{smallJournal(store, "a"), smallJournal(store, "b")}
+		writers := []*JournalStorage{newSmallJournal(store, "a"), newSmallJournal(store, "b")}
 		const keys = 700
 		var mu sync.Mutex
 		written := make(map[int]int)
@@ -48,11 +49,11 @@
 		}
 		group.Wait()
 		store.SetFaults(emulator.Faults{})
-		time.Sleep(time.Minute) // virtual: what was applied late is in
+		time.Sleep(time.Minute) // virtual: delayed writes have been applied
 		segments, err := store.Local("c").List(t.Context(), platformapi.KindClaims)
 		require.NoError(t, err)
-		require.Greater(t, len(segments.Items), 3, "the journal has rolled over")
-		late := smallJournal(store, "c")
+		require.Greater(t, len(segments.Items), 3, "the journal has been sealed")
+		late := newSmallJournal(store, "c")
 		for i, times := range written {
 			if times != 1 {
 				t.Errorf("key %d claimed %d times", i, times)
@@ -68,15 +69,15 @@
 	})
 }
 
-// smallJournal is one shard that rolls over often.
-func smallJournal(store *emulator.Store, instance string) *Journals {
-	j := NewJournals(store.Local(instance), 1, time.Second, 0)
-	j.shards[0].maxHead = 8 << 10
+// newSmallJournal returns a journal of one shard whose head is sealed often.
+func newSmallJournal(store *emulator.Store, instance string) *JournalStorage {
+	j := NewJournalStorage(store.Local(instance), 1, time.Second, 0)
+	j.shards[0].maxHeadBytes = 8 << 10
 	return j
 }
 
-// Story: a segment can't be read while an instance takes a journal over. The
-// key may lie in it; taken for empty, the segment would let the key run again.
+// A segment can't be read while an instance loads a journal. The key may be in it: if the
+// segment counted as empty, the key would run again.
 func TestUnreadableSegmentBlocksItsKeys(t *testing.T) {
 	store := emulator.New(emulator.Options{}).Local("a")
 	head := journalView{spec: journalSpec{Sealed: []sealedSegment{{Name: "missing"}}}}
@@ -84,12 +85,12 @@
 	require.NoError(t, err)
 	_, err = store.Create(t.Context(), platformapi.KindClaims, object)
 	require.NoError(t, err)
-	journals := NewJournals(store, 1, time.Second, 0)
+	journals := NewJournalStorage(store, 1, time.Second, 0)
 	require.Equal(t, claim.StoreUnavailable{}, journals.Create(t.Context(), testID(1), claim.Record{}))
 	require.Equal(t, claim.ReadFailed{}, journals.Get(t.Context(), testID(1)))
 }
 
-// loadResult is what one storage form made of one load.
+// loadResult is the result of one load on one storage form.
 type loadResult struct {
 	claimed, refused int
 	writes           uint64
@@ -98,9 +99,9 @@
 
 var loadSeconds = flag.Int("load-seconds", 1, "virtual seconds of each load")
 
-// offer lets eight instances claim and finish perSecond keys a second for some
-// seconds of virtual time. route returns the instance that writes a key.
-func offer(t *testing.T, form func(Store) Storage, perSecond int, route func(key, instance int) int) loadResult {
+// offerLoad lets eight instances claim and finish perSecond keys per second for
+// load-seconds of virtual time. route returns the instance that writes a key.
+func offerLoad(t *testing.T, form func(Store) Storage, perSecond int, route func(key, instance int) int) loadResult {
 	const instances = 8
 	seconds := *loadSeconds
 	store := emulator.New(emulator.Options{WritesPerSecond: 300, ReadsPerSecond: 2000, Seed: 3})
@@ -124,7 +125,7 @@
 			e, ok := writer.Create(context.Background(), testID(i), record).(claim.Written)
 			took := time.Since(began)
 			if ok {
-				record.Result = &testKept
+				record.Result = &testResult
 				writer.Replace(context.Background(), testID(i), e.Revision, record)
 			}
 			mu.Lock()
@@ -144,16 +145,16 @@
 	return result
 }
 
-// Both storage forms under the platform's 300 writes a second, in virtual time
-// with 4 ms a call: run with -v -load-seconds=10 for the
-// figures of docs/design/claims.md.
+// TestStorageFormsWithin300Writes compares the storage forms under the platform's limit of
+// 300 writes per second, in virtual time with 4 ms per call. With -v -load-seconds=10 it
+// prints the figures of docs/design/claims.md.
 func TestStorageFormsWithin300Writes(t *testing.T) {
 	const shards = 8
-	journals := func(s Store) Storage { return NewJournals(s, shards, time.Second, 40*time.Millisecond) }
-	eager := func(s Store) Storage { return NewJournals(s, shards, time.Second, 0) }
-	objects := func(s Store) Storage { return NewObjects(s) }
-	// toWriter sends each key to its shard's writer; toAny is what is left of
-	// that while the hint moves: every instance writes every journal.
+	journals := func(s Store) Storage { return NewJournalStorage(s, shards, time.Second, 40*time.Millisecond) }
+	eager := func(s Store) Storage { return NewJournalStorage(s, shards, time.Second, 0) }
+	objects := func(s Store) Storage { return NewObjectStorage(s) }
+	// toWriter sends each key to its shard's single writer. toAny is the worst case,
+	// while the hint at the writer changes: every instance writes every journal.
 	toWriter := func(key, _ int) int {
 		id := testID(key)
 		return (int(id[1])<<8 | int(id[2])) % shards
@@ -176,7 +177,7 @@
 		{"journals, no hint", journals, 300, toAny},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := offer(t, c.form, c.rate, c.route)
+			r := offerLoad(t, c.form, c.rate, c.route)
 			t.Logf("%-20s offered %4d/s: claimed %4d/s, refused %4d/s, writes %4d/s, claim p50 %v p99 %v",
 				c.name, c.rate, r.claimed / *loadSeconds, r.refused / *loadSeconds, int(r.writes) / *loadSeconds, r.p50, r.p99)
 			claimed[fmt.Sprint(c.name, c.rate)] = r.claimed
--- a/daemon/claims/metrics.go
+++ b/daemon/claims/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics are the counters of a Service, under the scope "claims".
+// metrics are the metrics of a Service, in the scope "claims".
 type metrics struct {
 	scope        tally.Scope
 	queued       tally.Gauge
@@ -22,7 +22,7 @@
 	}
 }
 
-// began counts a Begin by its verdict.
-func (m metrics) began(b Begun) {
+// countBegin counts a Begin by its verdict.
+func (m metrics) countBegin(b BeginResult) {
 	m.scope.Tagged(map[string]string{"verdict": b.Verdict.String()}).Counter("begun").Inc(1)
 }
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Store is the part of the platform's store that claims use.
+// Store is the subset of the platform's store that claims use.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (*platformapi.Object, error)
 	ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error)
@@ -21,37 +21,37 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// Objects is the Storage that keeps one object a claim, named by the claim's
-// id. It costs two writes a claim, and one more when the retention ends.
-type Objects struct {
+// ObjectStorage is the Storage that stores each claim as one object, named by the
+// claim's id. It needs two writes per claim, and one more when the retention ends.
+type ObjectStorage struct {
 	store Store
 }
 
-// NewObjects returns an Objects on the store.
-func NewObjects(store Store) *Objects { return &Objects{store: store} }
+// NewObjectStorage returns an ObjectStorage on the store.
+func NewObjectStorage(store Store) *ObjectStorage { return &ObjectStorage{store: store} }
 
 // Create implements Storage.
-func (o *Objects) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
+func (o *ObjectStorage) Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, 0, r)
 	if err != nil {
 		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Create(ctx, platformapi.KindClaims, object)
-	return o.written(ctx, id, written, err)
+	return o.writeEvent(ctx, id, written, err)
 }
 
 // Replace implements Storage.
-func (o *Objects) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
+func (o *ObjectStorage) Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event {
 	object, err := encodeRecord(id, revision, r)
 	if err != nil {
 		return claim.StoreUnavailable{}
 	}
 	written, err := o.store.Update(ctx, platformapi.KindClaims, object)
-	return o.written(ctx, id, written, err)
+	return o.writeEvent(ctx, id, written, err)
 }
 
 // Get implements Storage.
-func (o *Objects) Get(ctx context.Context, id claim.ID) claim.Event {
+func (o *ObjectStorage) Get(ctx context.Context, id claim.ID) claim.Event {
 	object, err := o.store.Get(ctx, platformapi.KindClaims, id.String())
 	if errors.Is(err, platform.ErrNotFound) {
 		return claim.Absent{}
@@ -59,22 +59,22 @@
 	if err != nil {
 		return claim.ReadFailed{}
 	}
-	return exists(object)
+	return decodeClaim(object)
 }
 
-// sweepPage bounds the claims that a sweep holds at once: a day's claims would
-// not fit an instance's memory.
-const sweepPage = 100
+// sweepPageSize is the number of claims that a sweep reads at once. The claims of a day
+// would not fit into an instance's memory.
+const sweepPageSize = 100
 
-// Sweep implements Storage. The pages may be stale: a claim's time doesn't
-// change, and each removal is conditional on the listed revision.
-func (o *Objects) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
+// Sweep implements Storage. The pages may be stale, since a claim's creation time
+// doesn't change, and each removal is conditional on the listed revision.
+func (o *ObjectStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed, after := 0, ""
 	for {
 		if err := pace(); err != nil {
 			return removed, err
 		}
-		page, err := o.store.ListStalePage(ctx, platformapi.KindClaims, after, sweepPage)
+		page, err := o.store.ListStalePage(ctx, platformapi.KindClaims, after, sweepPageSize)
 		if err != nil {
 			return removed, err
 		}
@@ -87,10 +87,10 @@
 	}
 }
 
-func (o *Objects) removeOld(ctx context.Context, items []platformapi.Object, before time.Time, pace func() error) (int, error) {
+func (o *ObjectStorage) removeOld(ctx context.Context, items []platformapi.Object, before time.Time, pace func() error) (int, error) {
 	removed := 0
 	for i := range items {
-		e, ok := exists(&items[i]).(claim.Exists)
+		e, ok := decodeClaim(&items[i]).(claim.Exists)
 		if !ok || !e.Record.CreatedAt.Before(before) {
 			continue
 		}
@@ -106,23 +106,24 @@
 	return removed, nil
 }
 
-// written turns a write's answer into an event.
-func (o *Objects) written(ctx context.Context, id claim.ID, object *platformapi.Object, err error) claim.Event {
+// writeEvent converts the response to a write into an event.
+func (o *ObjectStorage) writeEvent(ctx context.Context, id claim.ID, object *platformapi.Object, err error) claim.Event {
 	if err == nil {
 		return claim.Written{Revision: object.Metadata.Revision}
 	}
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		return o.conflicting(ctx, id, conflict.Current)
+		return o.conflictEvent(ctx, id, conflict.Current)
 	}
-	return writeFailed(err)
+	return writeErrorEvent(err)
 }
 
-// conflicting is what a refused write has met. The refusal was definite, but
-// without the claim in it the claim must be read.
-func (o *Objects) conflicting(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
+// conflictEvent returns the event for a write that conflicted. It is certain that the
+// write was not applied. If the response doesn't include the current claim, that is
+// read.
+func (o *ObjectStorage) conflictEvent(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
 	if current != nil {
-		return exists(current)
+		return decodeClaim(current)
 	}
 	if e := o.Get(ctx, id); e != (claim.ReadFailed{}) {
 		return e
@@ -130,8 +131,8 @@
 	return claim.ResponseLost{}
 }
 
-// writeFailed turns the error of a write, other than a conflict, into an event.
-func writeFailed(err error) claim.Event {
+// writeErrorEvent converts the error of a write, other than a conflict, into an event.
+func writeErrorEvent(err error) claim.Event {
 	var unavailable *platform.UnavailableError
 	var call *platform.CallError
 	switch {
@@ -142,8 +143,8 @@
 	case errors.As(err, &call):
 		return claim.StoreUnavailable{}
 	default:
-		// Guard: an error of unknown kind is taken for a lost answer, the
-		// case that forbids dispatch until the token has been read back.
+		// An error of unknown kind counts as a lost response, which forbids the
+		// dispatch until the token has been read back.
 		return claim.ResponseLost{}
 	}
 }
@@ -157,9 +158,9 @@
 	return platformapi.Object{Metadata: meta, Spec: spec}, nil
 }
 
-// exists decodes a stored claim. Guard: a claim that can't be read (a newer
-// schema, a broken value) must not count as absent, or its key would run again.
-func exists(object *platformapi.Object) claim.Event {
+// decodeClaim decodes a stored claim. A claim that can't be decoded (a newer schema, a
+// corrupt value) must not count as absent, or its key would run again.
+func decodeClaim(object *platformapi.Object) claim.Event {
 	var r claim.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
 		return claim.ReadFailed{}
--- a/daemon/claims/options.go
+++ b/daemon/claims/options.go
@@ -9,7 +9,7 @@
 	"github.com/ivyhollow/ivyhollow/daemon/orders/boottime"
 )
 
-// withDefaults fills in what the caller left at zero.
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Now == nil {
 		o.Now = boottime.Now
@@ -20,34 +20,34 @@
 	if o.Limits == (claim.Limits{}) {
 		o.Limits = claim.DefaultLimits
 	}
-	if o.Sweeper == nil {
-		o.Sweeper = func() bool { return true }
+	if o.IsSweeper == nil {
+		o.IsSweeper = func() bool { return true }
 	}
 	if o.SweepRate == 0 {
 		o.SweepRate = DefaultSweepRate
 	}
-	orDuration(&o.Retention, DefaultRetention)
-	orDuration(&o.DispatchWindow, DefaultDispatchWindow)
-	orDuration(&o.MaxWait, DefaultMaxWait)
-	orDuration(&o.StoreTimeout, DefaultStoreTimeout)
-	orDuration(&o.AskTimeout, DefaultAskTimeout)
-	orDuration(&o.RetryAfter, DefaultRetryAfter)
-	orDuration(&o.SweepEvery, DefaultSweepEvery)
-	orInt(&o.MaxOpen, DefaultMaxOpen)
-	orInt(&o.MaxClosed, DefaultMaxClosed)
-	orInt(&o.MaxKeptBytes, DefaultMaxKeptBytes)
-	orInt(&o.MaxQueued, DefaultMaxQueued)
-	orInt(&o.MaxQueuedBytes, DefaultMaxQueuedBytes)
+	defaultDuration(&o.Retention, DefaultRetention)
+	defaultDuration(&o.DispatchWindow, DefaultDispatchWindow)
+	defaultDuration(&o.MaxWait, DefaultMaxWait)
+	defaultDuration(&o.StoreTimeout, DefaultStoreTimeout)
+	defaultDuration(&o.StatusTimeout, DefaultStatusTimeout)
+	defaultDuration(&o.RetryAfter, DefaultRetryAfter)
+	defaultDuration(&o.SweepInterval, DefaultSweepInterval)
+	defaultInt(&o.MaxOpen, DefaultMaxOpen)
+	defaultInt(&o.MaxClosed, DefaultMaxClosed)
+	defaultInt(&o.MaxResultBytes, DefaultMaxResultBytes)
+	defaultInt(&o.MaxQueued, DefaultMaxQueued)
+	defaultInt(&o.MaxQueuedBytes, DefaultMaxQueuedBytes)
 	return o
 }
 
-func orDuration(v *time.Duration, fallback time.Duration) {
+func defaultDuration(v *time.Duration, fallback time.Duration) {
 	if *v == 0 {
 		*v = fallback
 	}
 }
 
-func orInt(v *int, fallback int) {
+func defaultInt(v *int, fallback int) {
 	if *v == 0 {
 		*v = fallback
 	}
--- a/daemon/claims/queue.go
+++ b/daemon/claims/queue.go
@@ -8,46 +8,48 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// write is a conditional update of a claim that is over.
-type write struct {
+// recordWrite is a conditional update that records the end of a claim.
+type recordWrite struct {
 	id     claim.ID
 	record claim.Record
-	// revision is 0 when it isn't known: read first.
+	// revision is the claim's revision in the store. If it is 0, it is unknown and
+	// must be read first.
 	revision uint64
-	queued   time.Time
-	// due is when to try, the zero time for at once.
-	due time.Time
+	queuedAt time.Time
+	// notBefore is the earliest time of the write; the zero time means at once.
+	notBefore time.Time
 }
 
-func (w *write) bytes() int {
+func (w *recordWrite) bytes() int {
 	if w.record.Result == nil {
 		return 0
 	}
 	return len(w.record.Result.Body)
 }
 
-// queue holds the writes that wait for the store, bounded by number and bytes.
-type queue struct {
+// writeQueue is a queue of the writes that wait for the store, bounded by number and
+// bytes.
+type writeQueue struct {
 	mu     sync.Mutex
-	writes []write
+	writes []recordWrite
 	bytes  int
-	// taken counts the writes that pop has handed out and done not yet ended.
-	taken    int
-	max      int
-	maxBytes int
-	// changed is signalled when a write comes in.
+	// inProgress is the number of writes that were popped and are not done yet.
+	inProgress int
+	maxWrites  int
+	maxBytes   int
+	// changed is signalled when a write is pushed.
 	changed chan struct{}
 }
 
-func newQueue(maxWrites, maxBytes int) *queue {
-	return &queue{max: maxWrites, maxBytes: maxBytes, changed: make(chan struct{}, 1)}
+func newWriteQueue(maxWrites, maxBytes int) *writeQueue {
+	return &writeQueue{maxWrites: maxWrites, maxBytes: maxBytes, changed: make(chan struct{}, 1)}
 }
 
-// push adds a write and tells whether there was room.
-func (q *queue) push(w write) bool {
+// push adds a write and reports whether there was capacity for it.
+func (q *writeQueue) push(w recordWrite) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.writes) >= q.max || q.bytes+w.bytes() > q.maxBytes {
+	if len(q.writes) >= q.maxWrites || q.bytes+w.bytes() > q.maxBytes {
 		return false
 	}
 	q.writes = append(q.writes, w)
@@ -59,35 +61,35 @@
 	return true
 }
 
-// pop removes the oldest write that is due; done ends the work on it. Without
-// one it returns how long to wait at most for the next.
-func (q *queue) pop(now time.Time) (w write, wait time.Duration, ok bool) {
+// pop removes the oldest write that is due; the caller calls done when it has finished
+// the write. If none is due, pop returns the longest time to wait for the next one.
+func (q *writeQueue) pop(now time.Time) (w recordWrite, wait time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	wait = maxQueueAge
 	for i := range q.writes {
-		if left := q.writes[i].due.Sub(now); left > 0 {
-			wait = min(wait, left)
+		if remaining := q.writes[i].notBefore.Sub(now); remaining > 0 {
+			wait = min(wait, remaining)
 			continue
 		}
 		w = q.writes[i]
 		q.writes = slices.Delete(q.writes, i, i+1)
 		q.bytes -= w.bytes()
-		q.taken++
+		q.inProgress++
 		return w, 0, true
 	}
-	return write{}, wait, false
+	return recordWrite{}, wait, false
 }
 
-func (q *queue) done() {
+func (q *writeQueue) done() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.taken--
+	q.inProgress--
 }
 
-// size counts the writes that wait or are under way.
-func (q *queue) size() int {
+// size returns the number of writes that are queued or in progress.
+func (q *writeQueue) size() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.writes) + q.taken
+	return len(q.writes) + q.inProgress
 }
--- a/daemon/claims/record.go
+++ b/daemon/claims/record.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// maxConflicts bounds how often one write is tried again after a conflict.
-	maxConflicts = 3
-	minBackoff   = 100 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	// lateEffect is when a lost write is looked for. Guard: its effect may
-	// come after a first look, and would block its key once this incarnation,
-	// which answers for the token meanwhile, is gone.
-	lateEffect = 10 * time.Second
-	// maxQueueAge is when an outcome that can't be recorded is let go.
+	// maxRecordAttempts bounds the attempts at one write, since a conflict leads to
+	// another attempt.
+	maxRecordAttempts = 3
+	minBackoff        = 100 * time.Millisecond
+	maxBackoff        = 5 * time.Second
+	// lostWriteDelay is the delay before the store is checked for a write whose
+	// response was lost. The write may take effect after an earlier check. It would
+	// then block its key once this incarnation, which reports the token's status
+	// until then, has ended.
+	lostWriteDelay = 10 * time.Second
+	// maxQueueAge is the age at which an outcome that can't be recorded is dropped.
 	maxQueueAge = time.Hour
 )
 
-// record writes the end of a claim. It returns false when the write is to be
-// tried again, and then leaves in w what is known of the claim's revision.
-func (s *Service) record(ctx context.Context, w *write) bool {
-	for range maxConflicts {
+// record writes the end of a claim. It returns false if the write must be retried; w
+// then holds the claim's revision, as far as it is known.
+func (s *Service) record(ctx context.Context, w *recordWrite) bool {
+	for range maxRecordAttempts {
 		if w.revision == 0 && !s.readRevision(ctx, w) {
 			return false
 		}
@@ -40,7 +42,7 @@
 			return false
 		case claim.Exists:
 			w.revision = 0
-			if !s.stillOpen(w, e) {
+			if !s.needsRecording(w, e) {
 				return true
 			}
 			w.revision = e.Revision
@@ -52,34 +54,35 @@
 	return false
 }
 
-// readRevision finds the claim's revision; it stays 0 when there is nothing
-// left to write. It returns false when the store can't tell.
-func (s *Service) readRevision(ctx context.Context, w *write) bool {
+// readRevision sets the write's revision to the claim's. The revision stays 0 if there is
+// nothing left to write. It returns false if the store gives no response.
+func (s *Service) readRevision(ctx context.Context, w *recordWrite) bool {
 	switch e := s.perform(ctx, w.id, claim.Read{}).(type) {
 	case claim.Exists:
-		if s.stillOpen(w, e) {
+		if s.needsRecording(w, e) {
 			w.revision = e.Revision
 		}
 		return true
 	case claim.Absent:
-		// A create that shows up later is answered from memory as abandoned.
+		// If the create takes effect later, the tracker reports its token as
+		// abandoned.
 		return true
 	default:
 		return false
 	}
 }
 
-// stillOpen tells whether the stored claim is this write's and lacks its end.
-// A foreign token means that the claim was released and taken over.
-func (s *Service) stillOpen(w *write, e claim.Exists) bool {
+// needsRecording reports whether the stored claim has the write's token and no recorded
+// end. Another token means that the claim was released and taken over.
+func (s *Service) needsRecording(w *recordWrite, e claim.Exists) bool {
 	own := e.Record.Token == w.record.Token
 	return own && e.Record.Result == nil && !e.Record.Abandoned
 }
 
-func (s *Service) enqueue(w write) {
-	w.queued = s.opts.Now()
+func (s *Service) enqueue(w recordWrite) {
+	w.queuedAt = s.opts.Now()
 	if w.record.Abandoned && w.revision == 0 {
-		w.due = w.queued.Add(lateEffect)
+		w.notBefore = w.queuedAt.Add(lostWriteDelay)
 	}
 	if s.queue.push(w) {
 		s.metrics.queued.Update(float64(s.queue.size()))
@@ -89,14 +92,14 @@
 	klog.ErrorS(nil, "claims: outcome not recorded, queue full", "token", w.record.Token)
 }
 
-// recordQueued records the queued writes one after another, so that a store
-// that comes back meets one writer an instance and not all of them at once.
+// recordQueued records the queued writes one after another, so that a store that
+// recovers gets one write at a time from each instance instead of all of them at once.
 func (s *Service) recordQueued(ctx context.Context) error {
 	backoff := minBackoff
 	for {
 		w, wait, ok := s.queue.pop(s.opts.Now())
 		if !ok {
-			if err := s.awaitQueue(ctx, wait); err != nil {
+			if err := s.waitForWrite(ctx, wait); err != nil {
 				return err
 			}
 			continue
@@ -110,15 +113,15 @@
 		}
 		s.requeue(w)
 		s.queue.done()
-		if err := pause(ctx, jitter(backoff)); err != nil {
+		if err := sleep(ctx, jitter(backoff)); err != nil {
 			return err
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// awaitQueue waits until a write comes in or one falls due.
-func (s *Service) awaitQueue(ctx context.Context, wait time.Duration) error {
+// waitForWrite waits until a write is queued or wait has passed.
+func (s *Service) waitForWrite(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -131,9 +134,9 @@
 	}
 }
 
-// requeue keeps a write for another try unless it is too old.
-func (s *Service) requeue(w write) {
-	tooOld := s.opts.Now().Sub(w.queued) > maxQueueAge
+// requeue queues a write for another attempt unless it is too old.
+func (s *Service) requeue(w recordWrite) {
+	tooOld := s.opts.Now().Sub(w.queuedAt) > maxQueueAge
 	if !tooOld && s.queue.push(w) {
 		return
 	}
@@ -141,21 +144,21 @@
 	klog.ErrorS(nil, "claims: outcome not recorded, given up", "token", w.record.Token)
 }
 
-// Drain waits until no outcome waits for the store: part of a planned stop.
-// Run must still run.
+// Drain waits until all queued outcomes are recorded, as a step of a planned stop. Run
+// must still be running.
 func (s *Service) Drain(ctx context.Context) error {
 	for s.queue.size() > 0 {
-		if err := pause(ctx, minBackoff); err != nil {
+		if err := sleep(ctx, minBackoff); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// jitter spreads a wait over half to all of d.
+// jitter returns a random duration between half of d and d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/claims/service.go
+++ b/daemon/claims/service.go
@@ -1,6 +1,6 @@
-// Package claims drives the claims of package coordination/claim: it calls the
-// platform's store and the claimants, remembers this incarnation's own tokens,
-// records outcomes and removes claims past their retention.
+// Package claims executes the decisions of package coordination/claim: it calls the
+// platform's store and the claimants, tracks this incarnation's own tokens, records
+// outcomes and removes claims past their retention.
 package claims
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// Key names a request that may not be repeated.
+// Key identifies a request that may not be repeated.
 type Key = claim.Key
 
-// Kept is the outcome that a claim keeps for retries.
-type Kept = claim.StoredResult
+// StoredResult is the result that a claim stores for retries.
+type StoredResult = claim.StoredResult
 
-// Verdict is how Begin ends.
+// Verdict is the result of a call's attempt to claim its key.
 type Verdict = claim.Verdict
 
 // The verdicts.
@@ -32,65 +32,67 @@
 	Unknown  = claim.VerdictUnknown
 )
 
-// Asker asks the incarnation that made a claim what became of it. An error
-// means that it is dead or can't be reached in time.
-type Asker interface {
-	AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error)
+// StatusClient requests the status of a claim from the incarnation that created it. An
+// error means that the incarnation has ended or can't be reached in time.
+type StatusClient interface {
+	ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error)
 }
 
-// Begun is the answer of Begin.
-type Begun struct {
+// BeginResult is the result of Begin.
+type BeginResult struct {
 	Verdict Verdict
-	// Ticket is set with Run. Exactly one of its Finish and Abandon follows.
+	// Ticket is set with Run. The caller calls exactly one of its Finish and Abandon.
 	Ticket *Ticket
-	// Kept is set with Replay.
-	Kept *Kept
-	// RetryAfter is set with NotRun: when to come back.
+	// Result is set with Replay. It is the result of the first run.
+	Result *StoredResult
+	// RetryAfter is set with NotRun. It is the delay after which to retry.
 	RetryAfter time.Duration
-	// Reason says in a few words how the verdict came about.
+	// Reason describes in a few words how the verdict was reached.
 	Reason string
-	// EarlierUnknown is set with NotRun when the store gave no answer about
-	// the key: this call ran nothing, but an earlier one with the key may have.
-	EarlierUnknown bool
+	// EarlierMayHaveRun is set with NotRun if the store gave no response about the
+	// key: this call ran nothing, but an earlier one with the key may have.
+	EarlierMayHaveRun bool
 }
 
-// Options configure a Service. Owner, Storage and Asker are required.
+// Options configure a Service. Owner, Storage and StatusClient are required.
 type Options struct {
-	Owner   claim.Owner
-	Storage Storage
-	Asker   Asker
-	// Now is the clock; it must run while the process is paused. The default
-	// is boottime.Now.
+	Owner        claim.Owner
+	Storage      Storage
+	StatusClient StatusClient
+	// Now is the clock. It must advance while the process is paused. The default is
+	// boottime.Now.
 	Now func() time.Time
-	// Retention is how long a claim blocks its key and keeps its outcome.
+	// Retention is how long a claim blocks its key and stores its outcome.
 	Retention time.Duration
 	// DispatchWindow is the longest time between Begin and MarkDispatched.
 	DispatchWindow time.Duration
 	// MaxWait bounds a Begin whose context has no deadline.
 	MaxWait time.Duration
-	// StoreTimeout and AskTimeout bound one call to the store and to a peer.
-	StoreTimeout time.Duration
-	AskTimeout   time.Duration
-	// RetryAfter is what NotRun asks for when the store names no time.
+	// StoreTimeout and StatusTimeout bound one call to the store and one status
+	// request.
+	StoreTimeout  time.Duration
+	StatusTimeout time.Duration
+	// RetryAfter is the retry delay with NotRun if the store gives none.
 	RetryAfter time.Duration
-	// MaxOpen bounds the claims under way on this instance.
+	// MaxOpen bounds the claims of this instance that are neither finished nor
+	// abandoned.
 	MaxOpen int
-	// MaxClosed bounds the finished and abandoned tokens remembered.
+	// MaxClosed bounds the finished and abandoned tokens that are tracked.
 	MaxClosed int
-	// MaxKeptBytes bounds the bodies remembered for joins.
-	MaxKeptBytes int
+	// MaxResultBytes bounds the total size of the bodies kept for calls that join.
+	MaxResultBytes int
 	// MaxQueued and MaxQueuedBytes bound the outcomes that wait for the store.
 	MaxQueued      int
 	MaxQueuedBytes int
-	// Sweeper tells whether this instance has the duty to sweep now; nil means
-	// always. Two that believe so only lose conditional deletes to each other.
-	Sweeper func() bool
-	// SweepEvery is the time between two sweeps; SweepRate bounds the pages
-	// read and the claims removed a second.
-	SweepEvery time.Duration
-	SweepRate  float64
-	Limits     claim.Limits
-	Scope      tally.Scope
+	// IsSweeper reports whether this instance is the one that sweeps now; nil means
+	// always. If two instances sweep, some of their conditional deletes merely fail.
+	IsSweeper func() bool
+	// SweepInterval is the time between two sweeps. SweepRate bounds the pages read
+	// and the claims removed per second.
+	SweepInterval time.Duration
+	SweepRate     float64
+	Limits        claim.Limits
+	Scope         tally.Scope
 }
 
 // Defaults of Options.
@@ -99,109 +101,109 @@
 	DefaultDispatchWindow = time.Minute
 	DefaultMaxWait        = 30 * time.Second
 	DefaultStoreTimeout   = time.Second
-	DefaultAskTimeout     = 500 * time.Millisecond
+	DefaultStatusTimeout  = 500 * time.Millisecond
 	DefaultRetryAfter     = 2 * time.Second
 	DefaultMaxOpen        = 8192
 	DefaultMaxClosed      = 65536
-	DefaultMaxKeptBytes   = 16 << 20
+	DefaultMaxResultBytes = 16 << 20
 	DefaultMaxQueued      = 4096
 	DefaultMaxQueuedBytes = 16 << 20
-	DefaultSweepEvery     = 10 * time.Minute
+	DefaultSweepInterval  = 10 * time.Minute
 	DefaultSweepRate      = 20.0
 )
 
-// Service makes, answers and records claims. It is safe for concurrent use.
+// Service creates claims, reports their status and records their outcomes. It is safe
+// for concurrent use.
 type Service struct {
 	opts     Options
-	memory   *memory
-	queue    *queue
+	tracker  *shardedTracker
+	queue    *writeQueue
 	attempts atomic.Uint64
 	metrics  metrics
 }
 
-// New returns a Service. Its Run must run for outcomes to be recorded later
-// and for retention to end.
+// New returns a Service. Its Run must be running for queued outcomes to be recorded and
+// for claims past their retention to be removed.
 func New(opts Options) *Service {
 	opts = opts.withDefaults()
 	return &Service{
 		opts:    opts,
-		memory:  newMemory(opts),
-		queue:   newQueue(opts.MaxQueued, opts.MaxQueuedBytes),
+		tracker: newShardedTracker(opts),
+		queue:   newWriteQueue(opts.MaxQueued, opts.MaxQueuedBytes),
 		metrics: newMetrics(opts.Scope),
 	}
 }
 
-// Begin claims the key for a call with the given body digest, or tells what
-// became of an earlier call with the key. It waits for an earlier call that
-// still runs, until the deadline of ctx. It returns an error only for an empty
-// key.
-func (s *Service) Begin(ctx context.Context, key Key, body [32]byte) (Begun, error) {
+// Begin claims the key for a call with the given body digest, or returns the result of
+// an earlier call with the key. If that call is still running, Begin waits for it until
+// the deadline of ctx. It returns an error only for an empty key.
+func (s *Service) Begin(ctx context.Context, key Key, body [32]byte) (BeginResult, error) {
 	if key.IdempotencyKey == "" {
-		return Begun{}, errors.New("claims: begin: no idempotency key")
+		return BeginResult{}, errors.New("claims: begin: no idempotency key")
 	}
-	ctx, cancel := s.bound(ctx)
+	ctx, cancel := s.withMaxWait(ctx)
 	defer cancel()
 	begun := s.begin(ctx, key.ID(), body)
-	s.metrics.began(begun)
+	s.metrics.countBegin(begun)
 	return begun, nil
 }
 
-func (s *Service) begin(ctx context.Context, id claim.ID, body claim.BodyDigest) Begun {
+func (s *Service) begin(ctx context.Context, id claim.ID, body claim.BodyDigest) BeginResult {
 	for {
 		attempt := s.attempts.Add(1)
-		entry, err := s.memory.joinOrOpen(id, body, attempt, s.opts.Now())
+		local, err := s.tracker.joinOrOpen(id, body, attempt, s.opts.Now())
 		if err != nil {
 			return s.notRun(claim.Decision{Reason: "too many open claims", NoStoreResponse: true})
 		}
-		if !entry.joined {
-			return s.drive(ctx, id, body, attempt)
+		if !local.joined {
+			return s.claimKey(ctx, id, body, attempt)
 		}
-		if begun, over := s.join(ctx, id, entry); over {
+		if begun, decided := s.join(ctx, id, local); decided {
 			return begun
 		}
 	}
 }
 
-// join follows an attempt of the same key on this instance. It is not over
-// when that attempt has been abandoned: then this call claims for itself.
-func (s *Service) join(ctx context.Context, id claim.ID, e entry) (Begun, bool) {
-	if !e.same {
-		return Begun{Verdict: Conflict, Reason: "key used with another body"}, true
+// join waits for an attempt of the same key on this instance. It returns false if that
+// attempt was abandoned: then this call claims the key itself.
+func (s *Service) join(ctx context.Context, id claim.ID, local localAttempt) (BeginResult, bool) {
+	if !local.sameBody {
+		return BeginResult{Verdict: Conflict, Reason: "key used with another body"}, true
 	}
 	select {
-	case <-e.done:
+	case <-local.done:
 	case <-ctx.Done():
-		return Begun{Verdict: Unknown, Reason: "the first call still runs at the deadline"}, true
+		return BeginResult{Verdict: Unknown, Reason: "the first call still runs at the deadline"}, true
 	}
-	answer := s.memory.answer(id, e.attempt)
-	if answer.Result == nil {
-		return Begun{}, false
+	status := s.tracker.status(id, local.attempt)
+	if status.Result == nil {
+		return BeginResult{}, false
 	}
-	return Begun{Verdict: Replay, Kept: answer.Result, Reason: "joined a call on this instance"}, true
+	return BeginResult{Verdict: Replay, Result: status.Result, Reason: "joined a call on this instance"}, true
 }
 
-// HandleAsk answers a peer's question about a token of this incarnation.
-func (s *Service) HandleAsk(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
-	// Guard: a new incarnation on the same address knows nothing about the
-	// tokens of the one before; "abandoned" from it could let a key run twice.
+// HandleStatusRequest returns the status of a token of this incarnation to a peer.
+func (s *Service) HandleStatusRequest(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
+	// A new incarnation at the same address doesn't know the tokens of the previous
+	// one. If it responded "abandoned", a key could run twice.
 	if q.Token.Owner != s.opts.Owner {
 		return claim.StatusResponse{State: claim.TokenForgotten}
 	}
-	return s.memory.answer(q.ID, q.Token.Attempt)
+	return s.tracker.status(q.ID, q.Token.Attempt)
 }
 
-// bound gives a context without a deadline the longest wait.
-func (s *Service) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withMaxWait adds MaxWait as the timeout of a context that has no deadline.
+func (s *Service) withMaxWait(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, s.opts.MaxWait)
 }
 
-func (s *Service) notRun(d claim.Decision) Begun {
+func (s *Service) notRun(d claim.Decision) BeginResult {
 	after := d.RetryAfter
 	if after <= 0 {
 		after = s.opts.RetryAfter
 	}
-	return Begun{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierUnknown: d.NoStoreResponse}
+	return BeginResult{Verdict: NotRun, RetryAfter: after, Reason: d.Reason, EarlierMayHaveRun: d.NoStoreResponse}
 }
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -17,47 +17,47 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 var (
-	testKey  = Key{Account: "periyar", IdempotencyKey: "order-1"}
-	testBody = [32]byte{1}
-	testKept = Kept{Outcome: claim.OutcomeRan, Status: 200, ContentType: "application/json", Body: []byte(`{"ok":true}`)}
+	testKey    = Key{Account: "periyar", IdempotencyKey: "order-1"}
+	testBody   = [32]byte{1}
+	testResult = StoredResult{Outcome: claim.OutcomeRan, Status: 200, ContentType: "application/json", Body: []byte(`{"ok":true}`)}
 )
 
-// world is a store with instances that can ask one another.
-type world struct {
+// testCluster is a store with instances that can send one another status requests.
+type testCluster struct {
 	t        *testing.T
 	store    *emulator.Store
 	form     func(Store) Storage
 	services map[claim.Owner]*Service
 	stops    []func()
-	// silences is how many silent calls one claim waits for: a journal is read
-	// before its first write.
-	silences time.Duration
+	// silentCalls is the number of calls without response that one claim waits for: a
+	// journal is read before its first write.
+	silentCalls time.Duration
 }
 
-func newWorld(t *testing.T, form func(Store) Storage) *world {
-	return &world{t: t, store: emulator.New(emulator.Options{}), form: form, services: map[claim.Owner]*Service{}}
+func newTestCluster(t *testing.T, form func(Store) Storage) *testCluster {
+	return &testCluster{t: t, store: emulator.New(emulator.Options{}), form: form, services: map[claim.Owner]*Service{}}
 }
 
 // storageForms are the forms that claims can be stored in.
 var storageForms = map[string]func(Store) Storage{
-	"objects":  func(s Store) Storage { return NewObjects(s) },
-	"journals": func(s Store) Storage { return NewJournals(s, 1, DefaultStoreTimeout, 0) },
+	"objects":  func(s Store) Storage { return NewObjectStorage(s) },
+	"journals": func(s Store) Storage { return NewJournalStorage(s, 1, DefaultStoreTimeout, 0) },
 }
 
-// AskClaim implements Asker; an instance that isn't there can't be reached.
-func (w *world) AskClaim(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
+// ClaimStatus implements StatusClient. A removed instance can't be reached.
+func (w *testCluster) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	s, ok := w.services[claimant]
 	if !ok {
-		return claim.StatusResponse{}, errors.New("dead")
+		return claim.StatusResponse{}, errors.New("unreachable")
 	}
-	return s.HandleAsk(ctx, q), nil
+	return s.HandleStatusRequest(ctx, q), nil
 }
 
-func (w *world) instance(name string) *Service {
+func (w *testCluster) instance(name string) *Service {
 	owner := claim.Owner{Instance: name, Incarnation: 1}
 	s := New(Options{
-		Owner: owner, Storage: w.form(w.store.Local(name)), Asker: w, Now: time.Now,
-		Retention: time.Hour, SweepEvery: time.Minute,
+		Owner: owner, Storage: w.form(w.store.Local(name)), StatusClient: w, Now: time.Now,
+		Retention: time.Hour, SweepInterval: time.Minute,
 	})
 	ctx, cancel := context.WithCancel(w.t.Context())
 	ended := make(chan struct{})
@@ -73,15 +73,16 @@
 	return s
 }
 
-func (w *world) kill(s *Service) { delete(w.services, s.opts.Owner) }
+// kill makes an instance unreachable.
+func (w *testCluster) kill(s *Service) { delete(w.services, s.opts.Owner) }
 
-func (w *world) stop() {
+func (w *testCluster) stop() {
 	for _, stop := range w.stops {
 		stop()
 	}
 }
 
-func (w *world) begin(s *Service, wait time.Duration) Begun {
+func (w *testCluster) begin(s *Service, wait time.Duration) BeginResult {
 	ctx, cancel := context.WithTimeout(w.t.Context(), wait)
 	defer cancel()
 	begun, err := s.Begin(ctx, testKey, testBody)
@@ -89,20 +90,20 @@
 	return begun
 }
 
-// run begins and dispatches.
-func (w *world) run(s *Service) *Ticket {
+// run claims the key and marks the claim as dispatched.
+func (w *testCluster) run(s *Service) *Ticket {
 	begun := w.begin(s, 10*time.Second)
 	require.Equal(w.t, Run, begun.Verdict, begun.Reason)
 	require.NoError(w.t, begun.Ticket.MarkDispatched())
 	return begun.Ticket
 }
 
-func inWorld(t *testing.T, body func(t *testing.T, w *world, a, b *Service)) {
+func inCluster(t *testing.T, body func(t *testing.T, w *testCluster, a, b *Service)) {
 	for name, form := range storageForms {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, form)
-				w.silences = map[string]time.Duration{"objects": 1, "journals": 2}[name]
+				w := newTestCluster(t, form)
+				w.silentCalls = map[string]time.Duration{"objects": 1, "journals": 2}[name]
 				body(t, w, w.instance("a"), w.instance("b"))
 				w.stop()
 			})
@@ -115,35 +116,36 @@
 	readsDown = []emulator.CallKind{emulator.CallRead}
 )
 
-// Story: a clerk's work order meets a store that fails in one way while
-// instance a claims its key. The clerk is told the truth; then the store is
-// well again and the clerk retries at instance b, with a alive or dead.
-func TestFaultOfTheStoreWhileClaiming(t *testing.T) {
+// The store fails in one way while instance a claims a key. The caller must get a correct
+// verdict. Then the store has recovered and the caller retries at instance b, while a is
+// running or has failed.
+func TestStoreFaultWhileClaiming(t *testing.T) {
 	lost := emulator.Faults{LoseWrites: 1}
 	for _, tc := range []struct {
 		name   string
 		faults emulator.Faults
 		first  Verdict
-		// retry and orphan are what b says with a alive and with a dead.
+		// retry and orphan are the verdicts of b while a is running and after a has
+		// failed.
 		retry, orphan Verdict
-		takes         time.Duration
+		maxTime       time.Duration
 	}{
 		{"none", emulator.Faults{}, Run, Unknown, Unknown, 0},
-		{"answer lost after the effect", lost, Run, Unknown, Unknown, 0},
-		{"answer lost before the effect", emulator.Faults{LoseWrites: 1, ApplyAfterMS: 3000}, Run, Unknown, Unknown, 0},
-		{"answers lost, effects late", emulator.Faults{LoseWrites: 9, ApplyAfterMS: 3000}, NotRun, Run, Run, 0},
-		{"answer lost, read-back failed", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailRefuse}, NotRun, Run, Run, 0},
-		{"answer lost, read-back silent", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailSilence}, NotRun, Run, Run, DefaultStoreTimeout},
+		{"response lost after the effect", lost, Run, Unknown, Unknown, 0},
+		{"response lost before the effect", emulator.Faults{LoseWrites: 1, ApplyAfterMS: 3000}, Run, Unknown, Unknown, 0},
+		{"responses lost, effects delayed", emulator.Faults{LoseWrites: 9, ApplyAfterMS: 3000}, NotRun, Run, Run, 0},
+		{"response lost, read-back failed", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailRefuse}, NotRun, Run, Run, 0},
+		{"response lost, read-back without response", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailSilence}, NotRun, Run, Run, DefaultStoreTimeout},
 		{"down", down, NotRun, Run, Run, 0},
 	} {
-		for _, dead := range []bool{false, true} {
+		for _, failed := range []bool{false, true} {
 			t.Run(tc.name, func(t *testing.T) {
-				inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+				inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 					w.store.SetFaults(tc.faults)
 					began := time.Now()
 					first := w.begin(a, 10*time.Second)
 					require.Equal(t, tc.first, first.Verdict, first.Reason)
-					require.LessOrEqual(t, time.Since(began), tc.takes*w.silences)
+					require.LessOrEqual(t, time.Since(began), tc.maxTime*w.silentCalls)
 					if first.Verdict == Run {
 						require.NoError(t, first.Ticket.MarkDispatched())
 						require.Error(t, first.Ticket.Abandon(t.Context()))
@@ -153,7 +155,7 @@
 					w.store.SetFaults(emulator.Faults{})
 					time.Sleep(20 * time.Second)
 					want := tc.retry
-					if dead {
+					if failed {
 						w.kill(a)
 						want = tc.orphan
 					}
@@ -165,31 +167,31 @@
 	}
 }
 
-// Story: the first call still runs at a when the clerk retries, at a or at b.
-// The retry waits and gets the first call's answer, whatever the store does.
+// The first call is still running at a when the caller retries at a and at b. The retry
+// must wait for the response of the first call and get it, even if the store is down.
 func TestRetryJoinsTheRunningCall(t *testing.T) {
-	for _, away := range []bool{false, true} {
-		inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+	for _, storeDown := range []bool{false, true} {
+		inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 			ticket := w.run(a)
-			answers := make(chan Begun, 2)
+			results := make(chan BeginResult, 2)
 			for _, s := range []*Service{a, b} {
-				go func() { answers <- w.begin(s, 10*time.Second) }()
+				go func() { results <- w.begin(s, 10*time.Second) }()
 			}
 			time.Sleep(3 * time.Second)
 			synctest.Wait()
-			require.Empty(t, answers)
-			if away {
+			require.Empty(t, results)
+			if storeDown {
 				w.store.SetFaults(down)
-				require.ErrorIs(t, ticket.Finish(t.Context(), testKept), ErrQueued)
+				require.ErrorIs(t, ticket.Finish(t.Context(), testResult), ErrQueued)
 			} else {
-				require.NoError(t, ticket.Finish(t.Context(), testKept))
+				require.NoError(t, ticket.Finish(t.Context(), testResult))
 			}
 			for range 2 {
-				begun := <-answers
+				begun := <-results
 				require.Equal(t, Replay, begun.Verdict, begun.Reason)
-				require.Equal(t, testKept.Body, begun.Kept.Body)
+				require.Equal(t, testResult.Body, begun.Result.Body)
 			}
-			require.Equal(t, Replay, w.begin(a, time.Second).Verdict, "known here, whatever the store does")
+			require.Equal(t, Replay, w.begin(a, time.Second).Verdict, "known here, even if the store is down")
 			w.store.SetFaults(emulator.Faults{})
 			require.NoError(t, a.Drain(t.Context()))
 			w.kill(a)
@@ -198,18 +200,18 @@
 	}
 }
 
-// Story: the instance dies while the work order runs. Nobody can tell whether
-// the crew was sent, so a retry is told "unknown", at once and for ever.
-func TestClaimantDiesWhileRunning(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+// The instance fails while the work is running. Whether the work was completed can't be
+// determined, so every retry must get "unknown", without a wait.
+func TestClaimantFailsWhileRunning(t *testing.T) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
 		w.kill(a)
-		// Another incarnation answers on the same address, and has abandoned an
-		// attempt of the same key under the same number.
+		// Another incarnation responds at the same address, and has abandoned an
+		// attempt of the same key with the same number.
 		next := New(Options{Owner: claim.Owner{Instance: "a", Incarnation: 2}})
-		_, err := next.memory.joinOrOpen(testKey.ID(), testBody, 1, time.Now())
+		_, err := next.tracker.joinOrOpen(testKey.ID(), testBody, 1, time.Now())
 		require.NoError(t, err)
-		require.NoError(t, next.memory.abandon(testKey.ID(), 1, true, time.Now()))
+		require.NoError(t, next.tracker.abandon(testKey.ID(), 1, true, time.Now()))
 		w.services[a.opts.Owner] = next
 		for range 3 {
 			require.Equal(t, Unknown, w.begin(b, time.Second).Verdict)
@@ -218,20 +220,20 @@
 	})
 }
 
-// Story: the deadline passes while the first call of the key runs on. "Not
-// run" would be false, on the same instance as on another one.
+// The deadline passes while the first call of the key is running. "Not run" would be wrong,
+// on the same instance as on another one.
 func TestJoinPastTheDeadlineIsUnknown(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
 		require.Equal(t, Unknown, w.begin(a, time.Second).Verdict)
 		require.Equal(t, Unknown, w.begin(b, time.Second).Verdict)
 	})
 }
 
-// Story: admission refuses the call after its claim was made. A retry must run,
-// also when the claimant has died since; the late dispatch must not.
+// Admission refuses the call after its claim was created. A retry must run, even if the
+// claimant has failed meanwhile. A dispatch under the abandoned claim must fail.
 func TestAbandonedClaimRunsOnRetry(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		first := w.begin(a, time.Second)
 		require.NoError(t, first.Ticket.Abandon(t.Context()))
 		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrClosed)
@@ -240,19 +242,19 @@
 		require.NoError(t, second.Ticket.Abandon(t.Context()))
 		time.Sleep(time.Second)
 		w.kill(b)
-		require.Equal(t, Run, w.begin(a, time.Second).Verdict, "the store knows of the end")
+		require.Equal(t, Run, w.begin(a, time.Second).Verdict, "the abandonment is in the store")
 	})
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
-		require.NoError(t, w.run(a).Finish(t.Context(), Kept{Outcome: claim.OutcomeNotRun, Status: 503}))
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
+		require.NoError(t, w.run(a).Finish(t.Context(), StoredResult{Outcome: claim.OutcomeNotRun, Status: 503}))
 		w.kill(a)
 		require.Equal(t, Run, w.begin(b, time.Second).Verdict, "every dispatched stage was known not to have started")
 	})
 }
 
-// Story: a claim was made, then the process was paused past the dispatch
-// window. Its claim may be gone by then, so it must not dispatch any more.
+// The process is paused for longer than the dispatch window after it created a claim. The
+// claim may have been removed by then, so it must not dispatch.
 func TestLateDispatchIsRefused(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, _ *Service) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		first := w.begin(a, time.Second)
 		time.Sleep(2 * time.Hour)
 		require.ErrorIs(t, first.Ticket.MarkDispatched(), claim.ErrWindowExpired)
@@ -260,7 +262,7 @@
 }
 
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		ticket := w.run(a)
 		for range 2 {
 			for _, s := range []*Service{a, b} {
@@ -268,19 +270,19 @@
 				require.NoError(t, err)
 				require.Equal(t, Conflict, begun.Verdict)
 			}
-			_ = ticket.Finish(t.Context(), testKept)
+			_ = ticket.Finish(t.Context(), testResult)
 		}
 		_, err := a.Begin(t.Context(), Key{Account: "periyar"}, testBody)
 		require.Error(t, err, "no key")
 	})
 }
 
-func TestLongAnswerKeepsItsDigest(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
-		whole, long := testKept, testKept
+func TestLongBodyIsStoredAsDigest(t *testing.T) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
+		whole, long := testResult, testResult
 		whole.Body, long.Body = make([]byte, claim.MaxBodyBytes), make([]byte, claim.MaxBodyBytes+1)
 		require.NoError(t, w.run(a).Finish(t.Context(), long))
-		replayed := w.begin(b, time.Second).Kept
+		replayed := w.begin(b, time.Second).Result
 		require.False(t, replayed.Complete())
 		require.Equal(t, claim.MaxBodyBytes+1, replayed.BodyLength)
 		require.Equal(t, long.ForStorage().BodyDigest, replayed.BodyDigest)
@@ -291,11 +293,11 @@
 }
 
 func TestRetentionEnds(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, b *Service) {
-		require.NoError(t, w.run(a).Finish(t.Context(), testKept))
+	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
+		require.NoError(t, w.run(a).Finish(t.Context(), testResult))
 		time.Sleep(50 * time.Minute)
 		_, err := a.Begin(t.Context(), Key{IdempotencyKey: "later"}, testBody)
-		require.NoError(t, err, "a later change, since the list may lag by one")
+		require.NoError(t, err, "a later change, because the list may miss the latest one")
 		require.Equal(t, Replay, w.begin(b, time.Second).Verdict)
 		time.Sleep(20 * time.Minute)
 		require.Equal(t, Run, w.begin(b, time.Second).Verdict)
@@ -303,17 +305,17 @@
 }
 
 func TestOpenClaimsAreBounded(t *testing.T) {
-	inWorld(t, func(t *testing.T, w *world, a, _ *Service) {
+	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		limits := claim.TrackerLimits{MaxOpen: 0}
-		for i := range a.memory.shards {
-			a.memory.shards[i].holder = claim.NewTracker(limits)
+		for i := range a.tracker.shards {
+			a.tracker.shards[i].tracker = claim.NewTracker(limits)
 		}
 		require.Equal(t, NotRun, w.begin(a, time.Second).Verdict)
 	})
-	q := newQueue(2, 10)
-	long := write{record: claim.Record{Result: &Kept{Body: make([]byte, 9)}}}
+	q := newWriteQueue(2, 10)
+	long := recordWrite{record: claim.Record{Result: &StoredResult{Body: make([]byte, 9)}}}
 	require.True(t, q.push(long))
 	require.False(t, q.push(long), "bytes are bounded")
-	require.True(t, q.push(write{}))
-	require.False(t, q.push(write{}), "writes are bounded")
+	require.True(t, q.push(recordWrite{}))
+	require.False(t, q.push(recordWrite{}), "writes are bounded")
 }
--- a/daemon/claims/storage.go
+++ b/daemon/claims/storage.go
@@ -7,19 +7,20 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// Storage keeps claims. Answers are events of package claim, so that each
-// fault has one typed form. All methods may be called concurrently and return
-// by the end of ctx.
+// Storage stores claims. Its methods return events of package claim, so that each kind
+// of failure has one type. All methods may be called concurrently and return by the end
+// of ctx.
 type Storage interface {
-	// Create writes the claim if there is none of this id: Written, Exists,
-	// StoreAway or AnswerLost.
+	// Create writes the claim if there is none with this id. It returns Written,
+	// Exists, StoreUnavailable or ResponseLost.
 	Create(ctx context.Context, id claim.ID, r claim.Record) claim.Event
-	// Get reads the claim: Exists, Absent or ReadFailed.
+	// Get reads the claim. It returns Exists, Absent or ReadFailed.
 	Get(ctx context.Context, id claim.ID) claim.Event
-	// Replace writes the claim if the stored one is at the revision: Written,
-	// Exists, Absent, StoreAway or AnswerLost.
+	// Replace writes the claim if the stored one is at the revision. It returns
+	// Written, Exists, Absent, StoreUnavailable or ResponseLost.
 	Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event
-	// Sweep removes claims made before a time. It calls pace before each page
-	// that it reads and each removal, and ends with pace's error. It returns the number removed.
+	// Sweep removes claims created before a time and returns their number. It calls
+	// pace before each page that it reads and before each removal, and ends with pace's
+	// error.
 	Sweep(ctx context.Context, before time.Time, pace func() error) (int, error)
 }
--- a/daemon/claims/sweep.go
+++ b/daemon/claims/sweep.go
@@ -13,30 +13,29 @@
 func (s *Service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.recordQueued(ctx) })
-	group.Go(func() error { return s.sweepOften(ctx) })
+	group.Go(func() error { return s.sweepPeriodically(ctx) })
 	return group.Wait()
 }
 
-// errNotSweeper ends a sweep when the duty has moved to another instance.
+// errNotSweeper ends a sweep when another instance has become the sweeper.
 var errNotSweeper = errors.New("claims: the duty to sweep has moved")
 
-// sweepOften removes the claims past their retention, at a bounded rate, while
-// this instance has the duty.
+// sweepPeriodically removes claims past their retention, at a bounded rate, while this
+// instance is the sweeper.
 //
-// Guard: if all instances swept, each would read every claim of the fleet. The
-// reads would grow with the instances times the claims, and at some hundred
-// instances take all that the store gives. A duty that is held twice, or by
-// nobody for a while, harms nothing.
-func (s *Service) sweepOften(ctx context.Context) error {
+// If all instances swept, each would read every claim of the fleet. The number of reads
+// would grow with instances times claims and, with some hundreds of instances, exhaust
+// the store's capacity. It is harmless if two instances sweep, or none for a while.
+func (s *Service) sweepPeriodically(ctx context.Context) error {
 	limiter := rate.NewLimiter(rate.Limit(s.opts.SweepRate), 1)
 	pace := func() error {
-		if !s.opts.Sweeper() {
+		if !s.opts.IsSweeper() {
 			return errNotSweeper
 		}
 		return limiter.Wait(ctx)
 	}
 	for {
-		if err := pause(ctx, jitter(s.opts.SweepEvery)); err != nil {
+		if err := sleep(ctx, jitter(s.opts.SweepInterval)); err != nil {
 			return err
 		}
 		removed, err := s.opts.Storage.Sweep(ctx, s.opts.Now().Add(-s.opts.Retention), pace)
--- a/daemon/claims/sweep_test.go
+++ b/daemon/claims/sweep_test.go
@@ -15,57 +15,57 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// smallPages notes the largest page that was read.
-type smallPages struct {
+// pageRecorder records the size of the largest page that was read.
+type pageRecorder struct {
 	*emulator.Local
 	largest int
 }
 
-func (s *smallPages) ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error) {
+func (s *pageRecorder) ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error) {
 	page, err := s.Local.ListStalePage(ctx, kind, after, limit)
 	s.largest = max(s.largest, len(page.Items))
 	return page, err
 }
 
-// Many instances run for days with some hundred claims. Reads of the store must
-// not grow with the instances, claims past their retention must go, also when
-// the duty moves, and no instance may hold all claims at once.
+// Many instances run for days with some hundreds of claims. The number of reads of the
+// store must not grow with the number of instances. Claims past their retention must be
+// removed even if the sweeper changes, and no instance may hold all claims at once.
 func TestOneInstanceSweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const old, instances = 250, 5
 		world := emulator.New(emulator.Options{})
-		store := &smallPages{Local: world.Local("x")}
-		objects := NewObjects(store)
-		made := func(id string, at time.Time) {
+		store := &pageRecorder{Local: world.Local("x")}
+		objects := NewObjectStorage(store)
+		create := func(id string, at time.Time) {
 			r := claim.Record{CreatedAt: at}
 			require.IsType(t, claim.Written{}, objects.Create(t.Context(), Key{IdempotencyKey: id}.ID(), r))
 			time.Sleep(10 * time.Millisecond) // the store's rate
 		}
 		for i := range old {
-			made(fmt.Sprint(i), time.Now().Add(-25*time.Hour))
+			create(fmt.Sprint(i), time.Now().Add(-25*time.Hour))
 		}
-		made("new", time.Now())
+		create("new", time.Now())
 		var sweeper atomic.Int64
 		sweeper.Store(-1)
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range instances {
-			service := New(Options{Storage: objects, Now: time.Now, Sweeper: func() bool { return sweeper.Load() == int64(i) }})
+			service := New(Options{Storage: objects, Now: time.Now, IsSweeper: func() bool { return sweeper.Load() == int64(i) }})
 			go func() { _ = service.Run(ctx) }()
 		}
 		reads := func() uint64 { return world.Calls().Kinds[platformapi.KindClaims].Reads }
 		before := reads()
 		time.Sleep(time.Hour)
-		require.Equal(t, before, reads(), "nobody has the duty")
+		require.Equal(t, before, reads(), "no instance is the sweeper")
 		sweeper.Store(0)
-		time.Sleep(DefaultSweepEvery + 5*time.Second)
-		sweeper.Store(1) // possibly in the midst of a sweep
+		time.Sleep(DefaultSweepInterval + 5*time.Second)
+		sweeper.Store(1) // possibly during a sweep
 		time.Sleep(2 * time.Hour)
 		left, err := world.Local("y").List(ctx, platformapi.KindClaims)
 		require.NoError(t, err)
 		require.Len(t, left.Items, 1)
-		require.LessOrEqual(t, store.largest, sweepPage)
-		passes := uint64(2*time.Hour/(DefaultSweepEvery/2)) + 2
-		require.LessOrEqual(t, reads()-before, passes+2*(old/sweepPage+1))
+		require.LessOrEqual(t, store.largest, sweepPageSize)
+		passes := uint64(2*time.Hour/(DefaultSweepInterval/2)) + 2
+		require.LessOrEqual(t, reads()-before, passes+2*(old/sweepPageSize+1))
 		cancel()
 		synctest.Wait()
 	})
--- a/daemon/claims/wire_test.go
+++ b/daemon/claims/wire_test.go
@@ -10,11 +10,11 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// A renamed field or value changes what is read of claims written before: a request
-// whose claim reads as empty runs a second time.
+// A renamed field or value changes how stored claims are read. A request whose claim is
+// read as empty would run a second time.
 func TestBytesOfStoredClaims(t *testing.T) {
 	at := time.Date(2001, 2, 3, 4, 5, 6, 7, time.UTC)
-	kept := func(outcome claim.Outcome) claim.Record {
+	finished := func(outcome claim.Outcome) claim.Record {
 		return claim.Record{
 			Token:      claim.Token{Owner: claim.Owner{Instance: "one", Incarnation: 1}, Attempt: 2},
 			BodyDigest: claim.BodyDigest{3}, CreatedAt: at, Abandoned: true,
@@ -31,15 +31,15 @@
 		encode func() (platformapi.Object, error)
 		want   string
 	}{
-		{"ran", record(kept(claim.OutcomeRan)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"ran","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
-		{"not run", record(kept(claim.OutcomeNotRun)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"not_run","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
-		{"unknown", record(kept(claim.OutcomeUnknown)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"unknown","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
+		{"ran", record(finished(claim.OutcomeRan)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"ran","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
+		{"not run", record(finished(claim.OutcomeNotRun)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"not_run","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
+		{"unknown", record(finished(claim.OutcomeUnknown)), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"unknown","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}`},
 		{"empty record", record(claim.Record{}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z"}`},
-		{"empty kept", record(claim.Record{Result: &claim.StoredResult{}}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z","kept":{"outcome":"","status":0,"body_length":0,"body_digest":"0000000000000000000000000000000000000000000000000000000000000000"}}`},
+		{"empty result", record(claim.Record{Result: &claim.StoredResult{}}), `0700000000000000000000000000000000000000000000000000000000000000 {"token":{"owner":{"instance":"","incarnation":0},"attempt":0},"body":"0000000000000000000000000000000000000000000000000000000000000000","made":"0001-01-01T00:00:00Z","kept":{"outcome":"","status":0,"body_length":0,"body_digest":"0000000000000000000000000000000000000000000000000000000000000000"}}`},
 		{"journal", func() (platformapi.Object, error) {
 			return journalView{revision: 9, spec: journalSpec{
 				Sequence: 10, Sealed: []sealedSegment{{Name: "s", Newest: at}},
-				Entries: map[string]*journalEntry{"e": {Sequence: 11, Record: kept(claim.OutcomeRan)}},
+				Entries: map[string]*journalEntry{"e": {Sequence: 11, Record: finished(claim.OutcomeRan)}},
 			}}.object("head", 12)
 		}, `head {"sequence":10,"sealed":[{"name":"s","newest":"2001-02-03T04:05:06.000000007Z"}],"entries":{"e":{"sequence":11,"record":{"token":{"owner":{"instance":"one","incarnation":1},"attempt":2},"body":"0300000000000000000000000000000000000000000000000000000000000000","made":"2001-02-03T04:05:06.000000007Z","abandoned":true,"kept":{"outcome":"ran","status":4,"content_type":"type","body":"Ym9keQ==","body_length":5,"body_digest":"0600000000000000000000000000000000000000000000000000000000000000"}}}}}`},
 		{"empty journal", func() (platformapi.Object, error) { return journalView{}.object("head", 0) }, `head {"sequence":0,"entries":null}`},
--- a/daemon/serve/responder.go
+++ b/daemon/serve/responder.go
@@ -98,7 +98,7 @@
 }
 
 // replay writes the response of the first run, as the claim stored it.
-func (r *responder) replay(result *claims.Kept) *callerapi.Problem {
+func (r *responder) replay(result *claims.StoredResult) *callerapi.Problem {
 	if !result.Complete() {
 		p := refusal(http.StatusConflict, typeOutcomeUnknown, "the request ran; its answer was too large to keep")
 		p.Outcome = callerapi.OutcomeRan
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -64,7 +64,7 @@
 }
 
 // AskClaim finds every other claimant unreachable.
-func (f *fakes) AskClaim(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
+func (f *fakes) ClaimStatus(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
 	return claim.StatusResponse{}, context.DeadlineExceeded
 }
 
@@ -91,7 +91,7 @@
 
 func newRig(t *testing.T, run executorFunc, change func(o *Options)) *rig {
 	t.Helper()
-	f := &fakes{storage: claims.NewObjects(platform.New(platform.Options{}).Local("one"))}
+	f := &fakes{storage: claims.NewObjectStorage(platform.New(platform.Options{}).Local("one"))}
 	r := &rig{fakes: f}
 	r.claims = newClaims(f, 1)
 	r.opts = Options{
@@ -115,7 +115,7 @@
 func newClaims(f *fakes, incarnation uint64) *claims.Service {
 	return claims.New(claims.Options{
 		Owner:   claim.Owner{Instance: "one", Incarnation: incarnation},
-		Storage: storage{f.storage, f}, Asker: f, Now: time.Now,
+		Storage: storage{f.storage, f}, StatusClient: f, Now: time.Now,
 	})
 }
 
--- a/daemon/serve/server.go
+++ b/daemon/serve/server.go
@@ -29,7 +29,7 @@
 // Begin blocks on the platform's store, or on the first call with the same key,
 // until the context ends.
 type Claimer interface {
-	Begin(ctx context.Context, key claims.Key, body [32]byte) (claims.Begun, error)
+	Begin(ctx context.Context, key claims.Key, body [32]byte) (claims.BeginResult, error)
 }
 
 // Budgets holds the accounts' budgets; *accounts.Budgets implements it.
--- a/daemon/serve/submit.go
+++ b/daemon/serve/submit.go
@@ -187,7 +187,7 @@
 		return s.execute(ctx, resp, deadline, begun.Ticket)
 	case claims.Replay:
 		s.metrics.replayed.Inc(1)
-		return resp.replay(begun.Kept)
+		return resp.replay(begun.Result)
 	case claims.Conflict:
 		detail := "this idempotency key was used with another body or pipeline"
 		p := refusal(http.StatusUnprocessableEntity, typeKeyReused, detail)
@@ -214,7 +214,7 @@
 // respondUnknownClaim responds to a request whose first run has an unknown outcome. A
 // repeatable request is run again: if it were refused, the failure of one instance
 // would make its key unusable until the claim's retention ends.
-func (s *Server) respondUnknownClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.Begun) *callerapi.Problem {
+func (s *Server) respondUnknownClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.BeginResult) *callerapi.Problem {
 	if resp.request.pipeline.Repeatable() && ctx.Err() == nil {
 		return s.execute(ctx, resp, deadline, nil)
 	}
@@ -225,12 +225,12 @@
 
 // respondRefusedClaim responds to a request that could not be claimed. A repeatable
 // request is executed without a claim: its key only saves work.
-func (s *Server) respondRefusedClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.Begun) *callerapi.Problem {
+func (s *Server) respondRefusedClaim(ctx context.Context, resp *responder, deadline time.Time, begun claims.BeginResult) *callerapi.Problem {
 	if resp.request.pipeline.Repeatable() {
 		return s.execute(ctx, resp, deadline, nil)
 	}
 	detail := begun.Reason
-	if begun.EarlierUnknown {
+	if begun.EarlierMayHaveRun {
 		detail += "; this call ran nothing, an earlier one with the key may have: come back with the same key"
 	}
 	p := refusal(http.StatusServiceUnavailable, typeStore, detail)
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	result := claims.Kept{Outcome: o, Status: status, ContentType: media, Body: body}
+	result := claims.StoredResult{Outcome: o, Status: status, ContentType: media, Body: body}
 	if err := ticket.Finish(ctx, result); err != nil && !errors.Is(err, claims.ErrQueued) {
 		telemetry.ErrorS(err, "outcome not kept", telemetry.Event{Reason: "finish claim", RequestID: ticket.Token().String()})
 	}
--- a/testkit/capacity/claims.go
+++ b/testkit/capacity/claims.go
@@ -38,7 +38,7 @@
 		store := emulator.New(emulator.Options{WritesPerSecond: emulator.Unlimited, ReadsPerSecond: emulator.Unlimited})
 		claimed(store, n)
 		before := store.Calls().Kinds[platformapi.KindClaims].Reads
-		_, _ = claims.NewObjects(store.Local("sweeper")).Sweep(context.Background(), time.Time{}, func() error { return nil })
+		_, _ = claims.NewObjectStorage(store.Local("sweeper")).Sweep(context.Background(), time.Time{}, func() error { return nil })
 		pages.add(n, float64(store.Calls().Kinds[platformapi.KindClaims].Reads-before))
 	}
 	return []Series{writes, pages}, nil
@@ -48,7 +48,7 @@
 func claimed(store *emulator.Store, n int) {
 	service := claims.New(claims.Options{
 		Owner:   claim.Owner{Instance: "one", Incarnation: 1},
-		Storage: claims.NewObjects(store.Local("one")),
+		Storage: claims.NewObjectStorage(store.Local("one")),
 	})
 	ctx := context.Background()
 	for i := range n {
@@ -57,12 +57,12 @@
 			continue
 		}
 		_ = begun.Ticket.MarkDispatched()
-		_ = begun.Ticket.Finish(ctx, claims.Kept{Outcome: claim.OutcomeRan, Status: 200})
+		_ = begun.Ticket.Finish(ctx, claims.StoredResult{Outcome: claim.OutcomeRan, Status: 200})
 	}
 }
 
 // sweep removes every claim, as after their retention.
 func sweep(store *emulator.Store) {
 	later := time.Now().Add(time.Hour)
-	_, _ = claims.NewObjects(store.Local("sweeper")).Sweep(context.Background(), later, func() error { return nil })
+	_, _ = claims.NewObjectStorage(store.Local("sweeper")).Sweep(context.Background(), later, func() error { return nil })
 }
