--- a/daemon/claims/drive.go
+++ b/daemon/claims/claim_key.go
@@ -7,7 +7,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// drive runs the state machine of one attempt to its decision.
+// claimKey runs the state machine of one attempt until it decides.
 func (s *Service) claimKey(ctx context.Context, id claim.ID, body claim.BodyDigest, attempt uint64) BeginResult {
 	token := claim.Token{Owner: s.opts.Owner, Attempt: attempt}
 	now := s.opts.Now()
@@ -26,8 +26,8 @@
 	}
 }
 
-// conclude turns a decision into an answer and closes the attempt unless it
-// holds the claim.
+// conclude converts a decision into a result and closes the attempt, unless that holds
+// the claim.
 func (s *Service) conclude(id claim.ID, attempt uint64, call *claim.Call, d claim.Decision) BeginResult {
 	if d.Verdict == Run {
 		t := &Ticket{service: s, id: id, attempt: attempt, record: call.Record(), revision: d.Revision}
@@ -43,7 +43,7 @@
 	return BeginResult{Verdict: d.Verdict, Result: d.Result, Reason: d.Reason}
 }
 
-// perform does one action and returns its answer.
+// perform executes one action and returns the event that it led to.
 func (s *Service) perform(ctx context.Context, id claim.ID, action claim.Action) claim.Event {
 	switch a := action.(type) {
 	case claim.Create:
@@ -73,11 +73,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.StatusTimeout)
 	defer cancel()
-	answer, err := s.opts.StatusClient.ClaimStatus(ctx, q.Token.Owner, q)
+	response, err := s.opts.StatusClient.ClaimStatus(ctx, q.Token.Owner, q)
 	if err != nil {
 		return claim.PeerUnreachable{}
 	}
-	return claim.PeerResponded{Response: answer}
+	return claim.PeerResponded{Response: response}
 }
 
 func (s *Service) wait(ctx context.Context, until time.Time) claim.Event {
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Store is the part of the platform's store that claims use.
+// Store is the subset of the platform's store that claims use.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (*platformapi.Object, error)
 	ListStalePage(ctx context.Context, kind, after string, limit int) (platformapi.List, error)
@@ -21,13 +21,13 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// Objects is the Storage that keeps one object a claim, named by the claim's
-// id. It costs two writes a claim, and one more when the retention ends.
+// ObjectStorage is the Storage that stores each claim as one object, named by the
+// claim's id. It needs two writes per claim, and one more when the retention ends.
 type ObjectStorage struct {
 	store Store
 }
 
-// NewObjects returns an Objects on the store.
+// NewObjectStorage returns an ObjectStorage on the store.
 func NewObjectStorage(store Store) *ObjectStorage { return &ObjectStorage{store: store} }
 
 // Create implements Storage.
@@ -62,12 +62,12 @@
 	return decodeClaim(object)
 }
 
-// sweepPage bounds the claims that a sweep holds at once: a day's claims would
-// not fit an instance's memory.
+// sweepPageSize is the number of claims that a sweep reads at once. The claims of a day
+// would not fit into an instance's memory.
 const sweepPageSize = 100
 
-// Sweep implements Storage. The pages may be stale: a claim's time doesn't
-// change, and each removal is conditional on the listed revision.
+// Sweep implements Storage. The pages may be stale, since a claim's creation time
+// doesn't change, and each removal is conditional on the listed revision.
 func (o *ObjectStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed, after := 0, ""
 	for {
@@ -106,7 +106,7 @@
 	return removed, nil
 }
 
-// written turns a write's answer into an event.
+// writeEvent converts the response to a write into an event.
 func (o *ObjectStorage) writeEvent(ctx context.Context, id claim.ID, object *platformapi.Object, err error) claim.Event {
 	if err == nil {
 		return claim.Written{Revision: object.Metadata.Revision}
@@ -118,8 +118,9 @@
 	return writeErrorEvent(err)
 }
 
-// conflicting is what a refused write has met. The refusal was definite, but
-// without the claim in it the claim must be read.
+// conflictEvent returns the event for a write that conflicted. It is certain that the
+// write was not applied. If the response doesn't include the current claim, that is
+// read.
 func (o *ObjectStorage) conflictEvent(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
 	if current != nil {
 		return decodeClaim(current)
@@ -130,7 +131,7 @@
 	return claim.ResponseLost{}
 }
 
-// writeFailed turns the error of a write, other than a conflict, into an event.
+// writeErrorEvent converts the error of a write, other than a conflict, into an event.
 func writeErrorEvent(err error) claim.Event {
 	var unavailable *platform.UnavailableError
 	var call *platform.CallError
@@ -142,8 +143,8 @@
 	case errors.As(err, &call):
 		return claim.StoreUnavailable{}
 	default:
-		// Guard: an error of unknown kind is taken for a lost answer, the
-		// case that forbids dispatch until the token has been read back.
+		// An error of unknown kind counts as a lost response, which forbids the
+		// dispatch until the token has been read back.
 		return claim.ResponseLost{}
 	}
 }
@@ -157,8 +158,8 @@
 	return platformapi.Object{Metadata: meta, Spec: spec}, nil
 }
 
-// exists decodes a stored claim. Guard: a claim that can't be read (a newer
-// schema, a broken value) must not count as absent, or its key would run again.
+// decodeClaim decodes a stored claim. A claim that can't be decoded (a newer schema, a
+// corrupt value) must not count as absent, or its key would run again.
 func decodeClaim(object *platformapi.Object) claim.Event {
 	var r claim.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
--- a/daemon/claims/options.go
+++ b/daemon/claims/options.go
@@ -9,7 +9,7 @@
 	"github.com/ivyhollow/ivyhollow/daemon/orders/boottime"
 )
 
-// withDefaults fills in what the caller left at zero.
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Now == nil {
 		o.Now = boottime.Now
--- a/daemon/claims/queue.go
+++ b/daemon/claims/queue.go
@@ -8,14 +8,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// write is a conditional update of a claim that is over.
+// recordWrite is a conditional update that records the end of a claim.
 type recordWrite struct {
 	id     claim.ID
 	record claim.Record
-	// revision is 0 when it isn't known: read first.
+	// revision is the claim's revision in the store. If it is 0, it is unknown and
+	// must be read first.
 	revision uint64
 	queuedAt time.Time
-	// due is when to try, the zero time for at once.
+	// notBefore is the earliest time of the write; the zero time means at once.
 	notBefore time.Time
 }
 
@@ -26,16 +27,17 @@
 	return len(w.record.Result.Body)
 }
 
-// queue holds the writes that wait for the store, bounded by number and bytes.
+// writeQueue is a queue of the writes that wait for the store, bounded by number and
+// bytes.
 type writeQueue struct {
 	mu     sync.Mutex
 	writes []recordWrite
 	bytes  int
-	// taken counts the writes that pop has handed out and done not yet ended.
+	// inProgress is the number of writes that were popped and are not done yet.
 	inProgress int
 	maxWrites  int
 	maxBytes   int
-	// changed is signalled when a write comes in.
+	// changed is signalled when a write is pushed.
 	changed chan struct{}
 }
 
@@ -43,7 +45,7 @@
 	return &writeQueue{maxWrites: maxWrites, maxBytes: maxBytes, changed: make(chan struct{}, 1)}
 }
 
-// push adds a write and tells whether there was room.
+// push adds a write and reports whether there was capacity for it.
 func (q *writeQueue) push(w recordWrite) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -59,15 +61,15 @@
 	return true
 }
 
-// pop removes the oldest write that is due; done ends the work on it. Without
-// one it returns how long to wait at most for the next.
+// pop removes the oldest write that is due; the caller calls done when it has finished
+// the write. If none is due, pop returns the longest time to wait for the next one.
 func (q *writeQueue) pop(now time.Time) (w recordWrite, wait time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	wait = maxQueueAge
 	for i := range q.writes {
-		if left := q.writes[i].notBefore.Sub(now); left > 0 {
-			wait = min(wait, left)
+		if remaining := q.writes[i].notBefore.Sub(now); remaining > 0 {
+			wait = min(wait, remaining)
 			continue
 		}
 		w = q.writes[i]
@@ -85,7 +87,7 @@
 	q.inProgress--
 }
 
-// size counts the writes that wait or are under way.
+// size returns the number of writes that are queued or in progress.
 func (q *writeQueue) size() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -22,15 +22,15 @@
 	testResult = StoredResult{Outcome: claim.OutcomeRan, Status: 200, ContentType: "application/json", Body: []byte(`{"ok":true}`)}
 )
 
-// world is a store with instances that can ask one another.
+// testCluster is a store with instances that can send one another status requests.
 type testCluster struct {
 	t        *testing.T
 	store    *emulator.Store
 	form     func(Store) Storage
 	services map[claim.Owner]*Service
 	stops    []func()
-	// silences is how many silent calls one claim waits for: a journal is read
-	// before its first write.
+	// silentCalls is the number of calls without response that one claim waits for: a
+	// journal is read before its first write.
 	silentCalls time.Duration
 }
 
@@ -44,11 +44,11 @@
 	"journals": func(s Store) Storage { return NewJournalStorage(s, 1, DefaultStoreTimeout, 0) },
 }
 
-// AskClaim implements Asker; an instance that isn't there can't be reached.
+// ClaimStatus implements StatusClient. A removed instance can't be reached.
 func (w *testCluster) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	s, ok := w.services[claimant]
 	if !ok {
-		return claim.StatusResponse{}, errors.New("dead")
+		return claim.StatusResponse{}, errors.New("unreachable")
 	}
 	return s.HandleStatusRequest(ctx, q), nil
 }
@@ -73,6 +73,7 @@
 	return s
 }
 
+// kill makes an instance unreachable.
 func (w *testCluster) kill(s *Service) { delete(w.services, s.opts.Owner) }
 
 func (w *testCluster) stop() {
@@ -89,7 +90,7 @@
 	return begun
 }
 
-// run begins and dispatches.
+// run claims the key and marks the claim as dispatched.
 func (w *testCluster) run(s *Service) *Ticket {
 	begun := w.begin(s, 10*time.Second)
 	require.Equal(w.t, Run, begun.Verdict, begun.Reason)
@@ -115,35 +116,36 @@
 	readsDown = []emulator.CallKind{emulator.CallRead}
 )
 
-// Story: a clerk's work order meets a store that fails in one way while
-// instance a claims its key. The clerk is told the truth; then the store is
-// well again and the clerk retries at instance b, with a alive or dead.
-func TestFaultOfTheStoreWhileClaiming(t *testing.T) {
+// The store fails in one way while instance a claims a key. The caller must get a correct
+// verdict. Then the store has recovered and the caller retries at instance b, while a is
+// running or has failed.
+func TestStoreFaultWhileClaiming(t *testing.T) {
 	lost := emulator.Faults{LoseWrites: 1}
 	for _, tc := range []struct {
 		name   string
 		faults emulator.Faults
 		first  Verdict
-		// retry and orphan are what b says with a alive and with a dead.
+		// retry and orphan are the verdicts of b while a is running and after a has
+		// failed.
 		retry, orphan Verdict
-		takes         time.Duration
+		maxTime       time.Duration
 	}{
 		{"none", emulator.Faults{}, Run, Unknown, Unknown, 0},
-		{"answer lost after the effect", lost, Run, Unknown, Unknown, 0},
-		{"answer lost before the effect", emulator.Faults{LoseWrites: 1, ApplyAfterMS: 3000}, Run, Unknown, Unknown, 0},
-		{"answers lost, effects late", emulator.Faults{LoseWrites: 9, ApplyAfterMS: 3000}, NotRun, Run, Run, 0},
-		{"answer lost, read-back failed", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailRefuse}, NotRun, Run, Run, 0},
-		{"answer lost, read-back silent", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailSilence}, NotRun, Run, Run, DefaultStoreTimeout},
+		{"response lost after the effect", lost, Run, Unknown, Unknown, 0},
+		{"response lost before the effect", emulator.Faults{LoseWrites: 1, ApplyAfterMS: 3000}, Run, Unknown, Unknown, 0},
+		{"responses lost, effects delayed", emulator.Faults{LoseWrites: 9, ApplyAfterMS: 3000}, NotRun, Run, Run, 0},
+		{"response lost, read-back failed", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailRefuse}, NotRun, Run, Run, 0},
+		{"response lost, read-back without response", emulator.Faults{LoseWrites: 1, Calls: readsDown, Down: emulator.FailSilence}, NotRun, Run, Run, DefaultStoreTimeout},
 		{"down", down, NotRun, Run, Run, 0},
 	} {
-		for _, dead := range []bool{false, true} {
+		for _, failed := range []bool{false, true} {
 			t.Run(tc.name, func(t *testing.T) {
 				inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 					w.store.SetFaults(tc.faults)
 					began := time.Now()
 					first := w.begin(a, 10*time.Second)
 					require.Equal(t, tc.first, first.Verdict, first.Reason)
-					require.LessOrEqual(t, time.Since(began), tc.takes*w.silentCalls)
+					require.LessOrEqual(t, time.Since(began), tc.maxTime*w.silentCalls)
 					if first.Verdict == Run {
 						require.NoError(t, first.Ticket.MarkDispatched())
 						require.Error(t, first.Ticket.Abandon(t.Context()))
@@ -153,7 +155,7 @@
 					w.store.SetFaults(emulator.Faults{})
 					time.Sleep(20 * time.Second)
 					want := tc.retry
-					if dead {
+					if failed {
 						w.kill(a)
 						want = tc.orphan
 					}
@@ -165,31 +167,31 @@
 	}
 }
 
-// Story: the first call still runs at a when the clerk retries, at a or at b.
-// The retry waits and gets the first call's answer, whatever the store does.
+// The first call is still running at a when the caller retries at a and at b. The retry
+// must wait for the response of the first call and get it, even if the store is down.
 func TestRetryJoinsTheRunningCall(t *testing.T) {
-	for _, away := range []bool{false, true} {
+	for _, storeDown := range []bool{false, true} {
 		inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 			ticket := w.run(a)
-			answers := make(chan BeginResult, 2)
+			results := make(chan BeginResult, 2)
 			for _, s := range []*Service{a, b} {
-				go func() { answers <- w.begin(s, 10*time.Second) }()
+				go func() { results <- w.begin(s, 10*time.Second) }()
 			}
 			time.Sleep(3 * time.Second)
 			synctest.Wait()
-			require.Empty(t, answers)
-			if away {
+			require.Empty(t, results)
+			if storeDown {
 				w.store.SetFaults(down)
 				require.ErrorIs(t, ticket.Finish(t.Context(), testResult), ErrQueued)
 			} else {
 				require.NoError(t, ticket.Finish(t.Context(), testResult))
 			}
 			for range 2 {
-				begun := <-answers
+				begun := <-results
 				require.Equal(t, Replay, begun.Verdict, begun.Reason)
 				require.Equal(t, testResult.Body, begun.Result.Body)
 			}
-			require.Equal(t, Replay, w.begin(a, time.Second).Verdict, "known here, whatever the store does")
+			require.Equal(t, Replay, w.begin(a, time.Second).Verdict, "known here, even if the store is down")
 			w.store.SetFaults(emulator.Faults{})
 			require.NoError(t, a.Drain(t.Context()))
 			w.kill(a)
@@ -198,14 +200,14 @@
 	}
 }
 
-// Story: the instance dies while the work order runs. Nobody can tell whether
-// the crew was sent, so a retry is told "unknown", at once and for ever.
-func TestClaimantDiesWhileRunning(t *testing.T) {
+// The instance fails while the work is running. Whether the work was completed can't be
+// determined, so every retry must get "unknown", without a wait.
+func TestClaimantFailsWhileRunning(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
 		w.kill(a)
-		// Another incarnation answers on the same address, and has abandoned an
-		// attempt of the same key under the same number.
+		// Another incarnation responds at the same address, and has abandoned an
+		// attempt of the same key with the same number.
 		next := New(Options{Owner: claim.Owner{Instance: "a", Incarnation: 2}})
 		_, err := next.tracker.joinOrOpen(testKey.ID(), testBody, 1, time.Now())
 		require.NoError(t, err)
@@ -218,8 +220,8 @@
 	})
 }
 
-// Story: the deadline passes while the first call of the key runs on. "Not
-// run" would be false, on the same instance as on another one.
+// The deadline passes while the first call of the key is running. "Not run" would be wrong,
+// on the same instance as on another one.
 func TestJoinPastTheDeadlineIsUnknown(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
@@ -228,8 +230,8 @@
 	})
 }
 
-// Story: admission refuses the call after its claim was made. A retry must run,
-// also when the claimant has died since; the late dispatch must not.
+// Admission refuses the call after its claim was created. A retry must run, even if the
+// claimant has failed meanwhile. A dispatch under the abandoned claim must fail.
 func TestAbandonedClaimRunsOnRetry(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		first := w.begin(a, time.Second)
@@ -240,7 +242,7 @@
 		require.NoError(t, second.Ticket.Abandon(t.Context()))
 		time.Sleep(time.Second)
 		w.kill(b)
-		require.Equal(t, Run, w.begin(a, time.Second).Verdict, "the store knows of the end")
+		require.Equal(t, Run, w.begin(a, time.Second).Verdict, "the abandonment is in the store")
 	})
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		require.NoError(t, w.run(a).Finish(t.Context(), StoredResult{Outcome: claim.OutcomeNotRun, Status: 503}))
@@ -249,8 +251,8 @@
 	})
 }
 
-// Story: a claim was made, then the process was paused past the dispatch
-// window. Its claim may be gone by then, so it must not dispatch any more.
+// The process is paused for longer than the dispatch window after it created a claim. The
+// claim may have been removed by then, so it must not dispatch.
 func TestLateDispatchIsRefused(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		first := w.begin(a, time.Second)
@@ -275,7 +277,7 @@
 	})
 }
 
-func TestLongAnswerKeepsItsDigest(t *testing.T) {
+func TestLongBodyIsStoredAsDigest(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		whole, long := testResult, testResult
 		whole.Body, long.Body = make([]byte, claim.MaxBodyBytes), make([]byte, claim.MaxBodyBytes+1)
@@ -295,7 +297,7 @@
 		require.NoError(t, w.run(a).Finish(t.Context(), testResult))
 		time.Sleep(50 * time.Minute)
 		_, err := a.Begin(t.Context(), Key{IdempotencyKey: "later"}, testBody)
-		require.NoError(t, err, "a later change, since the list may lag by one")
+		require.NoError(t, err, "a later change, because the list may miss the latest one")
 		require.Equal(t, Replay, w.begin(b, time.Second).Verdict)
 		time.Sleep(20 * time.Minute)
 		require.Equal(t, Run, w.begin(b, time.Second).Verdict)
--- a/daemon/claims/sweep.go
+++ b/daemon/claims/sweep.go
@@ -17,16 +17,15 @@
 	return group.Wait()
 }
 
-// errNotSweeper ends a sweep when the duty has moved to another instance.
+// errNotSweeper ends a sweep when another instance has become the sweeper.
 var errNotSweeper = errors.New("claims: the duty to sweep has moved")
 
-// sweepOften removes the claims past their retention, at a bounded rate, while
-// this instance has the duty.
+// sweepPeriodically removes claims past their retention, at a bounded rate, while this
+// instance is the sweeper.
 //
-// Guard: if all instances swept, each would read every claim of the fleet. The
-// reads would grow with the instances times the claims, and at some hundred
-// instances take all that the store gives. A duty that is held twice, or by
-// nobody for a while, harms nothing.
+// If all instances swept, each would read every claim of the fleet. The number of reads
+// would grow with instances times claims and, with some hundreds of instances, exhaust
+// the store's capacity. It is harmless if two instances sweep, or none for a while.
 func (s *Service) sweepPeriodically(ctx context.Context) error {
 	limiter := rate.NewLimiter(rate.Limit(s.opts.SweepRate), 1)
 	pace := func() error {
--- a/daemon/claims/sweep_test.go
+++ b/daemon/claims/sweep_test.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// smallPages notes the largest page that was read.
+// pageRecorder records the size of the largest page that was read.
 type pageRecorder struct {
 	*emulator.Local
 	largest int
@@ -27,24 +27,24 @@
 	return page, err
 }
 
-// Many instances run for days with some hundred claims. Reads of the store must
-// not grow with the instances, claims past their retention must go, also when
-// the duty moves, and no instance may hold all claims at once.
+// Many instances run for days with some hundreds of claims. The number of reads of the
+// store must not grow with the number of instances. Claims past their retention must be
+// removed even if the sweeper changes, and no instance may hold all claims at once.
 func TestOneInstanceSweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const old, instances = 250, 5
 		world := emulator.New(emulator.Options{})
 		store := &pageRecorder{Local: world.Local("x")}
 		objects := NewObjectStorage(store)
-		made := func(id string, at time.Time) {
+		create := func(id string, at time.Time) {
 			r := claim.Record{CreatedAt: at}
 			require.IsType(t, claim.Written{}, objects.Create(t.Context(), Key{IdempotencyKey: id}.ID(), r))
 			time.Sleep(10 * time.Millisecond) // the store's rate
 		}
 		for i := range old {
-			made(fmt.Sprint(i), time.Now().Add(-25*time.Hour))
+			create(fmt.Sprint(i), time.Now().Add(-25*time.Hour))
 		}
-		made("new", time.Now())
+		create("new", time.Now())
 		var sweeper atomic.Int64
 		sweeper.Store(-1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -55,10 +55,10 @@
 		reads := func() uint64 { return world.Calls().Kinds[platformapi.KindClaims].Reads }
 		before := reads()
 		time.Sleep(time.Hour)
-		require.Equal(t, before, reads(), "nobody has the duty")
+		require.Equal(t, before, reads(), "no instance is the sweeper")
 		sweeper.Store(0)
 		time.Sleep(DefaultSweepInterval + 5*time.Second)
-		sweeper.Store(1) // possibly in the midst of a sweep
+		sweeper.Store(1) // possibly during a sweep
 		time.Sleep(2 * time.Hour)
 		left, err := world.Local("y").List(ctx, platformapi.KindClaims)
 		require.NoError(t, err)
--- a/daemon/claims/memory.go
+++ b/daemon/claims/tracker.go
@@ -9,8 +9,8 @@
 
 const trackerShards = 64
 
-// memory is this incarnation's Holder, in shards by claim id, with a channel
-// for those who wait for an open attempt.
+// shardedTracker is this incarnation's claim.Tracker, sharded by claim id. For each open
+// attempt it has a channel that calls can wait on.
 type shardedTracker struct {
 	shards [trackerShards]trackerShard
 }
@@ -21,11 +21,11 @@
 	done    map[uint64]chan struct{}
 }
 
-// entry is an attempt that a call has opened or joined.
+// localAttempt is an attempt of this instance that a call has opened or joined.
 type localAttempt struct {
 	joined  bool
 	attempt uint64
-	// same tells whether the joined attempt has the same body.
+	// sameBody reports whether the joined attempt has the same body.
 	sameBody bool
 	// done is closed when the joined attempt is finished or abandoned.
 	done <-chan struct{}
@@ -53,12 +53,12 @@
 	return m
 }
 
-// share splits a bound over the shards, rounded up.
+// perShard divides a bound by the number of shards, rounded up.
 func perShard(total int) int { return (total + trackerShards - 1) / trackerShards }
 
 func (m *shardedTracker) shard(id claim.ID) *trackerShard { return &m.shards[int(id[0])%trackerShards] }
 
-// joinOrOpen joins the key's last attempt on this instance or opens a new one.
+// joinOrOpen joins the key's latest attempt on this instance or opens a new one.
 func (m *shardedTracker) joinOrOpen(id claim.ID, body claim.BodyDigest, attempt uint64, now time.Time) (localAttempt, error) {
 	sh := m.shard(id)
 	sh.mu.Lock()
@@ -84,11 +84,11 @@
 	return sh.tracker.Dispatch(attempt, now)
 }
 
-func (m *shardedTracker) finish(id claim.ID, attempt uint64, kept claim.StoredResult, now time.Time) error {
+func (m *shardedTracker) finish(id claim.ID, attempt uint64, result claim.StoredResult, now time.Time) error {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	err := sh.tracker.Finish(attempt, kept, now)
+	err := sh.tracker.Finish(attempt, result, now)
 	if err == nil {
 		sh.closeDone(attempt)
 	}
@@ -113,6 +113,7 @@
 	return sh.tracker.Status(attempt)
 }
 
+// closeDone wakes the calls that wait for the attempt. The caller holds mu.
 func (sh *trackerShard) closeDone(attempt uint64) {
 	if done, ok := sh.done[attempt]; ok {
 		close(done)
--- a/daemon/serve/conn_test.go
+++ b/daemon/serve/conn_test.go
@@ -20,8 +20,9 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// pipes is a listener in memory, so that time in a bubble goes on while
-// connections wait. A net.Pipe has no buffer: who does not read blocks a write.
+// pipeListener is a listener in memory, so that virtual time advances in a synctest
+// bubble while connections wait. A net.Pipe has no buffer: a peer that doesn't read
+// blocks the write.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -41,7 +42,7 @@
 
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connRig is a server and one caller's connection, in virtual time.
+// connRig is a server and a connection of one caller, in virtual time.
 type connRig struct {
 	*rig
 	http   *inbound.Server
@@ -71,19 +72,19 @@
 	})
 }
 
-func (r *connRig) send(t *testing.T, a testRequest) {
-	request := a.request(t.Context())
+func (r *connRig) send(t *testing.T, test testRequest) {
+	request := test.request(t.Context())
 	request.URL.Host = "x"
-	go func() { _ = request.Write(r.conn) }() // its end is the end of the connection
+	go func() { _ = request.Write(r.conn) }() // ends with the connection
 }
 
-// Story: a caller's connection stays open and nobody reads from it. The answer
-// fills the buffers, and its place, or its target's slot, would be gone until a
-// restart: some hundreds of such callers and the instance serves nobody.
-func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
-	for _, a := range []testRequest{{pipeline: "again"}, {pipeline: "again", stream: true}, {pipeline: "none"}} {
+// A caller keeps its connection open and doesn't read from it. Without a write timeout
+// the response would fill the buffers and occupy its slot, or its target's slot, until
+// a restart. With some hundreds of such callers the instance would serve nobody.
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
+	for _, request := range []testRequest{{pipeline: "again"}, {pipeline: "again", stream: true}, {pipeline: "none"}} {
 		inBubble(t, respondOK, func(t *testing.T, r *connRig) {
-			r.send(t, a)
+			r.send(t, request)
 			<-time.After(10 * time.Millisecond)
 			<-time.After(2*r.opts.CallerWriteTimeout + time.Millisecond)
 			require.Zero(t, r.server.InFlight())
@@ -93,11 +94,11 @@
 	}
 }
 
-// Story: a clerk's browser hangs while the answer to an order is streamed. The
-// wait for it must not last until the order's deadline, or the order, which ran
-// to its end at the target, is told as unknown to the clerk's retry.
-func TestHangingCallerCostsNoClaimedAnswer(t *testing.T) {
-	patient := func(o *Options) { o.CallerWriteTimeout = time.Minute }
+// A caller hangs while the response to a claimed request is streamed. The write must not
+// wait until the request's deadline: the retry would get an unknown outcome although
+// the target has completed the work.
+func TestHangingCallerLosesNoClaimedResponse(t *testing.T) {
+	longTimeout := func(o *Options) { o.CallerWriteTimeout = time.Minute }
 	run := func(ctx context.Context, job execute.Job) (execute.Result, error) {
 		got, err := respondOK(ctx, job)
 		if ctx.Err() != nil {
@@ -105,17 +106,17 @@
 		}
 		return got, err
 	}
-	inBubbleWith(t, run, patient, func(t *testing.T, r *connRig) {
-		a := testRequest{pipeline: "once", key: "k", stream: true}
-		r.send(t, a)
+	inBubbleWith(t, run, longTimeout, func(t *testing.T, r *connRig) {
+		request := testRequest{pipeline: "once", key: "k", stream: true}
+		r.send(t, request)
 		<-time.After(2 * time.Minute)
-		require.Equal(t, "out", r.do(t, a).output)
+		require.Equal(t, "out", r.do(t, request).output)
 		require.EqualValues(t, 1, r.runs.Load())
 	})
 }
 
-// Story: a tool keeps its connection open after a stream and asks again later.
-// The bound on the stream's writes must not cut off the next answer.
+// A caller sends another request on the connection of an earlier stream. The write
+// deadline of the stream must not cut off the next response.
 func TestConnectionServesAgainAfterAStream(t *testing.T) {
 	inBubble(t, respondOK, func(t *testing.T, r *connRig) {
 		for range 3 {
@@ -130,9 +131,9 @@
 	})
 }
 
-// Story: an instance is stopped as planned while it streams. The stream must
-// end whole before the server does.
-func TestShutdownLetsAStreamEnd(t *testing.T) {
+// An instance is stopped as planned during a stream. The stream must be completed before
+// the server ends.
+func TestShutdownWaitsForStream(t *testing.T) {
 	var release chan struct{}
 	run := func(ctx context.Context, job execute.Job) (execute.Result, error) {
 		if err := job.OnToken(0, "out"); err != nil {
--- a/daemon/serve/join.go
+++ b/daemon/serve/join.go
@@ -11,12 +11,12 @@
 	"github.com/ivyhollow/ivyhollow/protocol/requestid"
 )
 
-// MaxJoinWait bounds one call that waits for another's answer. It is below the
-// bound of a handler of the peers' interface.
+// MaxJoinWait is the longest time for which one call waits for the response to a
+// request. It is below the timeout of a handler of the interface between instances.
 const MaxJoinWait = 3 * time.Second
 
-// joinAnswer serves GET /v1/requests/{id}/answer. Any instance asks the one that
-// serves the request.
+// handleJoin serves GET /v1/requests/{id}/answer. An instance that doesn't serve the
+// request itself forwards the call to the one that does.
 func (s *Server) handleJoin(w http.ResponseWriter, r *http.Request) {
 	w = &timeoutWriter{ResponseWriter: w, timeout: s.opts.CallerWriteTimeout}
 	account, problem := s.callerAccount(r)
@@ -43,7 +43,7 @@
 	writeJoinResult(w, joined)
 }
 
-// joinWait reads how long the caller wants to wait.
+// parseWait returns the wait that the caller asks for, at most MaxJoinWait.
 func parseWait(r *http.Request) (time.Duration, *callerapi.Problem) {
 	text := r.URL.Query().Get("wait_ms")
 	if text == "" {
@@ -56,16 +56,17 @@
 	return min(time.Duration(min(ms, int(MaxJoinWait.Milliseconds())))*time.Millisecond, MaxJoinWait), nil
 }
 
-// join looks here, then at the instance that the id names.
+// joinRequest waits for the response on this instance or, if the request isn't known
+// here, on the instance that the id names.
 func (s *Server) joinRequest(ctx context.Context, text, account string, wait time.Duration) (JoinResult, *callerapi.Problem) {
 	notFound := refusal(http.StatusNotFound, typeNotFound, "no request of this client account has this id, or it is past its retention")
 	id, err := requestid.Parse(text)
 	if err != nil {
 		return JoinResult{}, notFound
 	}
-	own, cancel := context.WithTimeout(ctx, wait)
+	localCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if joined, ok := s.JoinLocal(own, text, account); ok {
+	if joined, ok := s.JoinLocal(localCtx, text, account); ok {
 		return joined, nil
 	}
 	ctx, cancelForward := context.WithTimeout(ctx, wait+forwardTimeout)
@@ -77,18 +78,19 @@
 	return *joined, nil
 }
 
-// writeJoined writes the request's own answer, or says why there is none.
+// writeJoinResult writes the request's own response. Without one it writes the
+// status of a running request, or the reason why there is no response.
 func writeJoinResult(w http.ResponseWriter, joined JoinResult) {
 	w.Header().Set(callerapi.HeaderRequestID, joined.Request.RequestID)
 	switch {
 	case joined.HTTPStatus != 0:
 		w.Header().Set("Content-Type", joined.ContentType)
 		w.WriteHeader(joined.HTTPStatus)
-		_, _ = w.Write(joined.Body) // the caller is gone if this fails
+		_, _ = w.Write(joined.Body) // fails only if the caller has disconnected
 	case joined.Request.State == stateRunning:
 		w.Header().Set("Content-Type", callerapi.MediaJSON)
 		w.WriteHeader(http.StatusAccepted)
-		_ = json.NewEncoder(w).Encode(joined.Request) // the caller is gone if this fails
+		_ = json.NewEncoder(w).Encode(joined.Request) // fails only if the caller has disconnected
 	default:
 		p := refusal(http.StatusGone, typeNotKept, "the request is over; nobody joined it while it ran, or its answer was too large to keep")
 		p.Outcome, p.RequestID = joined.Request.Outcome, joined.Request.RequestID
--- a/daemon/serve/joins.go
+++ b/daemon/serve/join_table.go
@@ -9,19 +9,21 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Bounds of the answers that others asked to join.
 const (
-	// stateRunning is the State of a request without an answer.
+	// stateRunning is the state of a request that has no response yet.
 	stateRunning = "running"
+	// maxJoins and maxJoinBytes bound the joined requests of an instance and the
+	// total size of their responses.
 	maxJoins     = 1024
 	maxJoinBytes = 8 << 20
-	// maxJoinBody is the largest answer that is kept for a join; in a frame of
-	// the peers' interface it has room.
+	// maxJoinBodyBytes is the size of the largest response body that is kept for
+	// joins. It fits a frame of the interface between instances.
 	maxJoinBodyBytes = 720 << 10
 )
 
-// Joined is the answer of a request that somebody joined. Without a Status the
-// request still runs, or its answer is not kept; State tells which.
+// JoinResult is the status of a joined request and, if it is available, its response.
+// If HTTPStatus is 0, the request is still running or its response was not kept;
+// Request shows which.
 type JoinResult struct {
 	Request     *callerapi.RequestStatus `json:"state"`
 	HTTPStatus  int                      `json:"status,omitempty"`
@@ -29,17 +31,19 @@
 	Body        []byte                   `json:"body,omitempty"`
 }
 
-// joins keeps the answers of those requests that somebody joined while they
-// ran. A request that nobody joins costs one load of count.
+// joinTable keeps the responses of requests that other calls joined while they ran.
+// For a request that no call joins, the cost is one atomic load of count.
 type joinTable struct {
 	count atomic.Int64
 	mu    sync.Mutex
 	byID  map[string]*joinEntry
-	// over lists those that ended, oldest first.
+	// completed lists the ids of the requests that have ended, oldest first.
 	completed []string
 	bytes     int
 }
 
+// joinEntry is one joined request. The fields below done are set when done is closed;
+// body is nil if it was too large to keep.
 type joinEntry struct {
 	done        chan struct{}
 	status      int
@@ -49,7 +53,8 @@
 
 func newJoinTable() *joinTable { return &joinTable{byID: make(map[string]*joinEntry)} }
 
-// enter finds the join of a request or makes one, nil when there is no room.
+// findOrAdd returns the entry of a request and adds one if there is none. It returns
+// nil if the table is full of running requests.
 func (j *joinTable) findOrAdd(id string) *joinEntry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -59,20 +64,21 @@
 	if len(j.byID) >= maxJoins && !j.evictOldest() {
 		return nil
 	}
-	made := &joinEntry{done: make(chan struct{})}
-	j.byID[id] = made
+	added := &joinEntry{done: make(chan struct{})}
+	j.byID[id] = added
 	j.count.Add(1)
-	return made
+	return added
 }
 
-// find returns the join of a request that is over, nil if nobody joined it.
+// find returns the entry of a request, or nil if no call has joined it.
 func (j *joinTable) find(id string) *joinEntry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.byID[id]
 }
 
-// ended hands the answer of a request to those who joined it.
+// complete stores the response of a joined request and wakes the calls that wait for
+// it.
 func (j *joinTable) complete(id string, status int, media string, body []byte) {
 	if j.count.Load() == 0 {
 		return
@@ -95,7 +101,7 @@
 	}
 }
 
-// dropOldest forgets the oldest answer; mu is held.
+// evictOldest removes the oldest completed entry. The caller holds mu.
 func (j *joinTable) evictOldest() bool {
 	if len(j.completed) == 0 {
 		return false
@@ -108,8 +114,8 @@
 	return true
 }
 
-// Join waits for the answer of a request that this instance serves, until ctx
-// ends. It is false when no request of the account has the id.
+// JoinLocal waits until ctx ends for the response of a request that this instance
+// serves. It returns false if no request of the account has the id.
 func (s *Server) JoinLocal(ctx context.Context, id, account string) (JoinResult, bool) {
 	state, ok := s.LocalStatus(id, account)
 	if !ok {
@@ -138,8 +144,9 @@
 	return result, true
 }
 
-// joinOf joins a request that runs. The request may have ended since state was
-// read: an entry made then would never be filled, so it is taken out again.
+// joinRunning returns the entry of a running request, or nil. The request may have
+// ended since state was read. An entry added after that would never be completed, so
+// it is completed here without a body.
 func (s *Server) joinRunning(id string, state *callerapi.RequestStatus) *joinEntry {
 	if state.State != stateRunning {
 		return nil
--- a/daemon/serve/join_test.go
+++ b/daemon/serve/join_test.go
@@ -17,25 +17,26 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Story: a ward's tablet loses its connection while a dossier is written, and
-// asks for the same answer by the request's id. It must get what the first call
-// would have got, once it is there; and never another account's.
+// A caller loses its connection while its request runs, and asks for the response by the
+// request's id. It must get the response of the first call once that is available, and
+// never one of another account's request.
 func TestJoinARunningRequest(t *testing.T) {
 	problem := &execute.Failure{Reason: execute.ReasonTarget, Verdict: outcome.Unknown}
 	cases := map[string]struct {
 		output string
 		err    error
-		// wait is how long the second call waits; the request takes a second.
+		// wait is the wait_ms of the second call; the request takes a second. With
+		// "late" the call comes after the request has ended.
 		wait         string
 		first, again int
 	}{
-		"answer":      {output: "out", wait: "2000", first: 200, again: 200},
-		"problem":     {err: problem, wait: "2000", first: 502, again: 502},
-		"waits less":  {output: "out", wait: "500", first: 202, again: 200},
-		"no wait":     {output: "out", first: 202, again: 200},
-		"too large":   {output: strings.Repeat("x", maxJoinBodyBytes), wait: "2000", first: 410, again: 410},
-		"not a wait":  {output: "out", wait: "x", first: 400, again: 400},
-		"nobody came": {output: "out", wait: "late", first: 410, again: 410},
+		"answer":        {output: "out", wait: "2000", first: 200, again: 200},
+		"problem":       {err: problem, wait: "2000", first: 502, again: 502},
+		"waits less":    {output: "out", wait: "500", first: 202, again: 200},
+		"no wait":       {output: "out", first: 202, again: 200},
+		"too large":     {output: strings.Repeat("x", maxJoinBodyBytes), wait: "2000", first: 410, again: 410},
+		"not a wait":    {output: "out", wait: "x", first: 400, again: 400},
+		"nobody joined": {output: "out", wait: "late", first: 410, again: 410},
 	}
 	for name, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -75,8 +76,8 @@
 	return w
 }
 
-// Another instance serves the request: its answer is passed on, unless it is of
-// another account, whatever that instance says.
+// Another instance serves the request. Its response is passed on, but never one of
+// another account's request, whatever that instance responds.
 func TestJoinThroughAnotherInstance(t *testing.T) {
 	for account, status := range map[string]int{"a": http.StatusOK, "b": http.StatusNotFound} {
 		r := newRig(t, respondOK, nil)
@@ -85,7 +86,8 @@
 	}
 }
 
-// Many ids are joined and never asked for again: what is kept stays bounded.
+// Many requests are joined and their responses never fetched. The memory for them must
+// stay bounded.
 func TestJoinsAreBounded(t *testing.T) {
 	j := newJoinTable()
 	for i := range 2 * maxJoins {
--- a/daemon/serve/limiter.go
+++ b/daemon/serve/limiter.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// limiter bounds how many of something are open at once.
+// limiter is a counting semaphore that never blocks.
 type limiter struct {
 	limit int64
 	inUse atomic.Int64
@@ -10,8 +10,8 @@
 
 func newLimiter(limit int) *limiter { return &limiter{limit: int64(limit)} }
 
-// enter takes a place, or reports that all are taken. Each success is ended
-// by leave.
+// acquire takes a slot and reports whether one was free. The caller returns it with
+// release.
 func (l *limiter) acquire() bool {
 	if l.inUse.Add(1) > l.limit {
 		l.inUse.Add(-1)
--- a/daemon/serve/parse.go
+++ b/daemon/serve/parse.go
@@ -24,11 +24,11 @@
 	maxPrefixParts          = 64
 	maxMaxTokens            = 1 << 20
 	bearerPrefix            = "Bearer "
-	// bodyTimeout bounds the reading of a body.
+	// bodyTimeout is the time limit for reading a body.
 	bodyTimeout = 5 * time.Second
 )
 
-// call is a request as read from its connection.
+// callerRequest is an authenticated and validated request of a caller.
 type callerRequest struct {
 	snapshot       *catalog.Snapshot
 	account        *catalog.Account
@@ -40,10 +40,10 @@
 	stream         bool
 }
 
-// authenticate finds the client account that holds the caller's key.
+// authenticate returns the client account that the caller's key belongs to.
 //
-// Keys are found by their digest, which a caller can't steer towards a stored
-// one, and the digest is compared in constant time.
+// To prevent timing attacks, keys are looked up by their digest, which a caller can't
+// bring close to a stored one, and digests are compared in constant time.
 func authenticate(r *http.Request, s *catalog.Snapshot) (*catalog.Account, *callerapi.Problem) {
 	refuse := func(detail string) (*catalog.Account, *callerapi.Problem) {
 		return nil, refusal(http.StatusUnauthorized, typeUnauthenticated, detail)
@@ -66,7 +66,7 @@
 	return refuse("the key belongs to no client account")
 }
 
-// readCall reads and checks everything a request says about itself.
+// readRequest authenticates a request, and reads and validates its headers and body.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*callerRequest, *callerapi.Problem) {
 	snapshot := s.opts.Config()
 	if snapshot == nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// readKey refuses a request that may not be repeated and carries no key: a
-// caller that lost the answer could not retry it without running it twice.
+// readIdempotencyKey reads the idempotency key. It rejects a non-repeatable request
+// without one: a caller that lost the response could not retry without a second run.
 func (c *callerRequest) readIdempotencyKey(r *http.Request) *callerapi.Problem {
 	c.idempotencyKey = r.Header.Get(callerapi.HeaderIdempotencyKey)
 	if len(c.idempotencyKey) > maxIdempotencyKeyLength {
@@ -129,11 +129,12 @@
 }
 
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *callerRequest) *callerapi.Problem {
-	// A caller that sends its body byte by byte would hold its place for ever.
+	// Without a read deadline, a caller that sends its body byte by byte would occupy
+	// its slot forever.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(s.opts.Now().Add(bodyTimeout)) // unsupported only in tests
-	if bounded, ok := w.(*timeoutWriter); ok {
-		w = bounded.ResponseWriter // net/http closes the connection by it alone
+	if wrapped, ok := w.(*timeoutWriter); ok {
+		w = wrapped.ResponseWriter // MaxBytesReader can close the connection only through this writer
 	}
 	limited := http.MaxBytesReader(w, r.Body, s.opts.MaxBodyBytes)
 	raw, err := io.ReadAll(limited)
@@ -142,7 +143,8 @@
 		return refusal(http.StatusRequestEntityTooLarge, typeTooLarge, "the body is over the instance's limit")
 	}
 	if err != nil {
-		// The bound stays: net/http reads the rest before it sends the answer.
+		// The read deadline stays set: net/http reads the remaining body before it
+		// sends the response.
 		return fieldRefusal("body", "could not be read whole")
 	}
 	_ = control.SetReadDeadline(time.Time{}) // unsupported only in tests
@@ -158,8 +160,8 @@
 	return validateBody(&c.body)
 }
 
-// digestOf tells two requests with one idempotency key apart: it covers the
-// pipeline's definition that was chosen as well as the body.
+// requestDigest returns the digest by which two requests with the same idempotency
+// key are compared. It covers the pipeline's name and schema version and the body.
 func (c *callerRequest) requestDigest(raw []byte) [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(c.pipeline.Key.Name))
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// jsonField names the field that a JSON error is about, if it tells.
+// jsonField returns the field that a JSON error refers to, or "body" if it names none.
 func jsonField(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
--- a/daemon/serve/statusview.go
+++ b/daemon/serve/statusview.go
@@ -5,7 +5,7 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// statusView turns the status that is kept into the callers' message.
+// statusView converts a stored status into the message for callers.
 func statusView(s *requests.Status) *callerapi.RequestStatus {
 	view := &callerapi.RequestStatus{
 		RequestID:     s.ID,
--- a/daemon/serve/stop_test.go
+++ b/daemon/serve/stop_test.go
@@ -13,13 +13,12 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// Story: a request runs for longer than the grace of a planned stop, an order too,
-// which goes on without its caller. The instance ended with it and closed the
-// connection; the caller could not know whether it ran. It must be told, whatever the
-// work is, before the instance ends.
-func TestStopAnswersWhatStillRuns(t *testing.T) {
+// A request runs for longer than the grace period of a planned stop; claimed requests are
+// included, though they outlive their callers. Each caller must get a response with the
+// outcome before the instance ends, instead of a closed connection.
+func TestStopAnswersRunningRequests(t *testing.T) {
 	cases := map[string]struct {
-		ask     testRequest
+		request testRequest
 		verdict outcome.Verdict
 		status  int
 		outcome callerapi.Outcome
@@ -42,7 +41,7 @@
 			answered := make(chan struct{})
 			go func() {
 				defer close(answered)
-				r.server.Handler().ServeHTTP(w, c.ask.request(t.Context()))
+				r.server.Handler().ServeHTTP(w, c.request.request(t.Context()))
 			}()
 			<-running
 			r.server.Stop()
--- a/daemon/serve/token.go
+++ b/daemon/serve/token.go
@@ -11,8 +11,8 @@
 	tokenEventSuffix = `"}`
 )
 
-// appendToken appends the JSON of a token event. Most tokens need no escape and
-// are copied; the encoder takes the rest.
+// appendToken appends the JSON of a token event. Most tokens need no escaping and are
+// copied, which is cheaper than the JSON encoder.
 func appendToken(dst []byte, token string) ([]byte, error) {
 	if !needsNoEscape(token) {
 		data, err := json.Marshal(callerapi.TokenEvent{Token: token})
@@ -23,8 +23,8 @@
 	return append(dst, tokenEventSuffix...), nil
 }
 
-// plain tells whether JSON writes the text as it is: printable ASCII without
-// the characters that encoding/json escapes.
+// needsNoEscape reports whether the text is printable ASCII without the characters
+// that encoding/json escapes.
 func needsNoEscape(text string) bool {
 	for i := range len(text) {
 		switch c := text[i]; {
--- a/daemon/serve/wire_test.go
+++ b/daemon/serve/wire_test.go
@@ -16,7 +16,7 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// filledProblem is a problem with every field set.
+// filledProblem returns a problem with every field set.
 func filledProblem() *callerapi.Problem {
 	return &callerapi.Problem{
 		Type: "type", Title: "title", Status: 400, Detail: "detail", RequestID: "r", Outcome: callerapi.OutcomeUnknown,
@@ -24,7 +24,7 @@
 	}
 }
 
-// filledStatus is the status of a request with every field set.
+// filledStatus returns a request's status with every field set.
 func filledStatus() *requests.Status {
 	return &requests.Status{
 		Info: requests.Info{
@@ -40,8 +40,8 @@
 	}
 }
 
-// A renamed field or value changes what callers and other instances read: a caller
-// that asks again after its request finds no answer, and runs it a second time.
+// A renamed field or value changes what callers and other instances read. A caller that
+// asks for the response to its request would find none, and run it a second time.
 func TestBytesOfServedAnswers(t *testing.T) {
 	marshalled := func(v any) (string, error) {
 		text, err := json.Marshal(v)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A renamed value changes what clients decide by: they take a refusal for work that
-// may have run, or wait for a request that is over.
+// Clients base decisions on these values. With a renamed one they would treat a refusal
+// as work that may have run, or wait for a request that has ended.
 func TestBytesOfServedValues(t *testing.T) {
 	problem := func(reason execute.Reason, verdict outcome.Verdict) *callerapi.Problem {
 		return failureProblem(&execute.Failure{
