--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -93,7 +93,7 @@
 
 // send makes the call. It recovers from a panic that the response causes, so that the
 // attempt is settled and the router is notified of its end.
-func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunAnswer, meta target.Meta, err error) {
+func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunAnswer, meta target.ResponseMeta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
@@ -193,7 +193,7 @@
 }
 
 // recordResult records the result in the router, the learned times and the status.
-func (a *attempt) recordResult(ctx context.Context, meta target.Meta, r *attemptResult) {
+func (a *attempt) recordResult(ctx context.Context, meta target.ResponseMeta, r *attemptResult) {
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
 	incarnation := a.choice.Target.Incarnation
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -310,9 +310,9 @@
 		}
 	})
 	defer silence.Stop()
-	options := forward.Options{Process: t.Incarnation, Belongs: q.isOwnReply, KeepIdle: q.keepIdle}
+	options := forward.Options{Incarnation: t.Incarnation, Matches: q.isOwnReply, KeepIdle: q.keepIdle}
 	if !q.route.Repeatable() {
-		options.MaxIdle = forward.FreshIdle
+		options.MaxIdle = forward.NonRepeatableMaxIdle
 	}
 	reply, err := q.relay.options.Client.Do(ctx, t.Address, q.targetRequest(t), options)
 	if err != nil {
@@ -374,7 +374,7 @@
 	unreached := f != nil && f.Step == forward.StepConnect
 	return routing.OutcomeFailed, &failure{
 		cause: err, notRun: notRun, notConnected: unreached, nothingListens: unreached && f.Refused,
-		connectionBroken: !notRun && forward.EndedByPeer(err),
+		connectionBroken: !notRun && forward.ClosedByPeer(err),
 	}
 }
 
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -189,7 +189,7 @@
 	if chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{relay: s, w: w, r: r, arrived: time.Now(), headTime: inbound.HeadTime(r.Context())}
+	q := &request{relay: s, w: w, r: r, arrived: time.Now(), headTime: inbound.HeadReadTime(r.Context())}
 	ctx, release := q.withStopEnd(r.Context())
 	defer release()
 	defer q.releaseID()
--- a/daemon/serve/conn_test.go
+++ b/daemon/serve/conn_test.go
@@ -148,7 +148,7 @@
 		got, err := http.ReadResponse(r.reader, nil)
 		require.NoError(t, err)
 		ended := make(chan error, 1)
-		go func() { ended <- r.http.Finish(context.Background()) }()
+		go func() { ended <- r.http.Drain(context.Background()) }()
 		synctest.Wait()
 		require.Empty(t, ended)
 		go func() { release <- struct{}{} }()
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -18,7 +18,7 @@
 func (q *queue) runCall(c gather.StartCall) {
 	started, targetsAge := time.Now(), q.follower.TargetsAge()
 	results, callOutcome, err := q.sendCall(c)
-	if callOutcome == gather.CallUnanswered && forward.EndedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
+	if callOutcome == gather.CallUnanswered && forward.ClosedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
 		callOutcome = gather.CallTargetCrashed
 	}
 	if err != nil {
@@ -89,14 +89,14 @@
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
-	reply, err := q.client.Do(ctx, c.Target.Address, request, forward.Options{Process: c.Target.Incarnation})
+	reply, err := q.client.Do(ctx, c.Target.Address, request, forward.Options{Incarnation: c.Target.Incarnation})
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
 	inStep := !reply.Reused()
 	defer func() {
 		if !inStep {
-			reply.Distrust()
+			reply.DiscardConn()
 		}
 		reply.Close()
 	}()
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -20,19 +20,19 @@
 	// Length is the body's length in bytes, -1 if it is unknown.
 	Length int64
 
-	client   *Client
-	conn     *conn
-	response *http.Response
-	options  Options
-	written  <-chan error
+	client     *Client
+	conn       *conn
+	response   *http.Response
+	options    Options
+	sendResult <-chan error
 	// sendDone tells that written has told how the sending of the request ended, and
 	// sendErr its error.
-	sendDone bool
-	sendErr  error
-	stop     func() bool
-	whole    bool
-	foreign  bool
-	reused   bool
+	sendDone    bool
+	sendErr     error
+	stopCancel  func() bool
+	complete    bool
+	discardConn bool
+	reused      bool
 }
 
 // Framing is how an answer marks its end.
@@ -66,8 +66,8 @@
 // Do sends a request to an address and waits for the header of its answer. The
 // context bounds the whole attempt, the body included.
 func (c *Client) Do(ctx context.Context, address string, request *http.Request, o Options) (*Reply, error) {
-	peer := peerKey{address, o.Process, o.Use}
-	k := c.take(peer, cmp.Or(o.MaxIdle, idleMax))
+	peer := idleKey{address, o.Incarnation, o.ConnGroup}
+	k := c.takeIdle(peer, cmp.Or(o.MaxIdle, maxIdleTime))
 	reused := k != nil
 	if !reused {
 		var err error
@@ -76,7 +76,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		c.keep(k)
+		c.putIdle(k)
 		return nil, &Error{Step: StepConnect, Peer: address, Err: ctx.Err()}
 	}
 	reply, err := c.exchange(ctx, k, request, o)
@@ -91,8 +91,8 @@
 func (c *Client) exchange(ctx context.Context, k *conn, request *http.Request, o Options) (*Reply, error) {
 	// Waiting reads and writes end with the context.
 	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(longAgo) }) // a closed one needs none
-	r := &Reply{client: c, conn: k, options: o, stop: stop}
-	r.written = send(k, request)
+	r := &Reply{client: c, conn: k, options: o, stopCancel: stop}
+	r.sendResult = send(k, request)
 	if err := r.readHeader(request); err != nil {
 		return nil, r.fail(ctx, err)
 	}
@@ -101,13 +101,13 @@
 
 // smallBody is the size, in bytes, up to which a request fits what a connection
 // takes without the other end reading.
-const smallBody = 4 << 10
+const maxSyncBody = 4 << 10
 
 // send writes the request, a long one beside the reader: a target may answer
 // before it has read the body, and read on only when its answer is taken.
 func send(k *conn, request *http.Request) <-chan error {
 	written := make(chan error, 1)
-	if request.ContentLength <= smallBody {
+	if request.ContentLength <= maxSyncBody {
 		written <- request.Write(k)
 		return written
 	}
@@ -119,7 +119,7 @@
 
 // readHeader reads up to the header of the reply that belongs to the request.
 func (r *Reply) readHeader(request *http.Request) error {
-	for range maxForeignReplies {
+	for range maxUnmatchedReplies {
 		response, err := http.ReadResponse(r.conn.reader, request)
 		if err != nil {
 			return err
@@ -127,13 +127,13 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.options.Belongs != nil && !r.options.Belongs(response.StatusCode, response.Header) {
-			r.foreign = true
-			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes))
+		if r.options.Matches != nil && !r.options.Matches(response.StatusCode, response.Header) {
+			r.discardConn = true
+			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes))
 			if err != nil {
 				return err
 			}
-			if n == maxForeignBytes || response.Close {
+			if n == maxUnmatchedBytes || response.Close {
 				return errors.New("the reply belongs to another request")
 			}
 			continue
@@ -147,11 +147,11 @@
 
 // fail ends an attempt without a reply.
 func (r *Reply) fail(ctx context.Context, err error) error {
-	r.stop()
+	r.stopCancel()
 	// Closed before the count is read, so that no byte can leave after.
 	_ = r.conn.Close() // its fault is told by err
 	r.awaitSend()
-	failed := &Error{Step: StepReply, Peer: r.conn.address, Sent: r.conn.writes > 0, Err: err}
+	failed := &Error{Step: StepReply, Peer: r.conn.address, Sent: r.conn.bytesWritten > 0, Err: err}
 	if !failed.Sent && r.sendErr != nil {
 		failed.Step, failed.Err = StepSend, r.sendErr
 	}
@@ -165,10 +165,10 @@
 func (r *Reply) Read(p []byte) (int, error) {
 	n, err := r.response.Body.Read(p)
 	if err == io.EOF && r.Framing() == FramedByClose {
-		err = r.endByClose()
+		err = r.closeDelimitedEnd()
 	}
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 		return n, err
 	}
 	if err != nil {
@@ -183,7 +183,7 @@
 // A socket tells of a reset once. If the writer of the request is told, the reader sees an
 // orderly end. EPIPE tells of a reset behind an orderly end: the target had answered and
 // closed before it got the rest of the request.
-func (r *Reply) endByClose() error {
+func (r *Reply) closeDelimitedEnd() error {
 	_ = r.conn.SetWriteDeadline(longAgo) // a writer that waits is of no use any more
 	r.awaitSend()
 	err := r.conn.writeErr
@@ -196,7 +196,7 @@
 // awaitSend waits until the sending of the request has ended.
 func (r *Reply) awaitSend() {
 	if !r.sendDone {
-		r.sendErr, r.sendDone = <-r.written, true
+		r.sendErr, r.sendDone = <-r.sendResult, true
 	}
 }
 
@@ -205,23 +205,23 @@
 
 // Distrust has Close close the connection: an answer that belongs to no later request may
 // follow on it.
-func (r *Reply) Distrust() { r.foreign = true }
+func (r *Reply) DiscardConn() { r.discardConn = true }
 
 // Close ends the attempt. The connection is kept if the answer was whole and
 // nothing follows it; otherwise it is closed, which tells the target to stop.
 func (r *Reply) Close() {
-	stopped := r.stop()
-	if !r.whole || !stopped || !r.reusable() {
+	stopped := r.stopCancel()
+	if !r.complete || !stopped || !r.reusable() {
 		_ = r.conn.Close() // the attempt is over, whatever it brings
 		return
 	}
-	r.client.keep(r.conn)
+	r.client.putIdle(r.conn)
 }
 
 // reusable tells whether the connection may carry another request.
 func (r *Reply) reusable() bool {
 	select {
-	case err := <-r.written:
+	case err := <-r.sendResult:
 		r.sendErr, r.sendDone = err, true
 	default:
 	}
@@ -230,13 +230,13 @@
 		// would be read as the next request.
 		return false
 	}
-	if r.foreign || r.Framing() == FramedByClose || r.response.Close || r.conn.reader.Buffered() > 0 {
+	if r.discardConn || r.Framing() == FramedByClose || r.response.Close || r.conn.reader.Buffered() > 0 {
 		return false
 	}
-	r.conn.keep = idleMax
+	r.conn.idleTimeout = maxIdleTime
 	if r.options.KeepIdle != nil {
 		if keep := r.options.KeepIdle(r.Header); keep > 0 {
-			r.conn.keep = min(idleMax, keep-min(idleMargin, keep/2))
+			r.conn.idleTimeout = min(maxIdleTime, keep-min(idleMargin, keep/2))
 		}
 	}
 	return true
--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -28,16 +28,16 @@
 	// silentAfter is how long the other end's kernel may be silent: probes are
 	// sent each second, and data that isn't acknowledged counts the same. It
 	// finds connections that something on the way has lost track of.
-	silentAfter = 3 * time.Second
+	silenceTimeout = 3 * time.Second
 	// idleMax is how long a connection is kept that the target didn't bound.
-	idleMax = 15 * time.Second
+	maxIdleTime = 15 * time.Second
 	// idleMargin is taken off a target's own bound: the target must not close
 	// while a request is on its way.
 	idleMargin = time.Second
 	// FreshIdle is how long a connection may have been idle that carries what
 	// may not be repeated. A connection that the target closes just then leaves
 	// it unknown whether the request ran.
-	FreshIdle = time.Second
+	NonRepeatableMaxIdle = time.Second
 	// maxIdlePerTarget bounds the kept connections to one target.
 	maxIdlePerTarget = 32
 )
@@ -48,7 +48,7 @@
 
 	mu sync.Mutex
 	// idle are the kept connections.
-	idle map[peerKey][]*conn
+	idle map[idleKey][]*conn
 }
 
 // peerKey tells the processes apart that have an address in turn. A process that
@@ -56,16 +56,16 @@
 // are answered by a reset from the process that has its address now, and what may run
 // once at most would then count as one that may have run. So a connection carries
 // only what is for the process that it was opened for.
-type peerKey struct{ address, process, use string }
+type idleKey struct{ address, incarnation, connGroup string }
 
 // conn is a connection to a target.
 type conn struct {
 	net.Conn
-	peerKey
-	reader *bufio.Reader
-	since  time.Time
-	keep   time.Duration
-	writes int
+	idleKey
+	reader       *bufio.Reader
+	idleSince    time.Time
+	idleTimeout  time.Duration
+	bytesWritten int
 	// writeErr is the first error of a write.
 	writeErr error
 }
@@ -74,7 +74,7 @@
 // writes so that they can't be told apart.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.writes += n
+	c.bytesWritten += n
 	if c.writeErr == nil {
 		c.writeErr = err
 	}
@@ -84,8 +84,8 @@
 // New returns a client without connections.
 func New() *Client {
 	return &Client{
-		dialer: net.Dialer{Timeout: connectTimeout, KeepAliveConfig: KeepAlive, Control: BoundSilence},
-		idle:   map[peerKey][]*conn{},
+		dialer: net.Dialer{Timeout: connectTimeout, KeepAliveConfig: KeepAlive, Control: SetUserTimeout},
+		idle:   map[idleKey][]*conn{},
 	}
 }
 
@@ -94,10 +94,10 @@
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
 // BoundSilence sets how long sent data may stay without an acknowledgement.
-func BoundSilence(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	})
 	return errors.CombineErrors(err, failed)
 }
@@ -130,21 +130,21 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // take returns a kept connection that nothing was received on, or nil.
-func (c *Client) take(peer peerKey, maxIdle time.Duration) *conn {
+func (c *Client) takeIdle(peer idleKey, maxIdle time.Duration) *conn {
 	for {
-		k := c.pop(peer)
+		k := c.popIdle(peer)
 		if k == nil {
 			return nil
 		}
-		idle := time.Since(k.since)
-		if idle < min(k.keep, maxIdle) && quiet(k.Conn) {
+		idle := time.Since(k.idleSince)
+		if idle < min(k.idleTimeout, maxIdle) && nothingReceived(k.Conn) {
 			return k
 		}
 		_ = k.Close() // it was of no use any more
 	}
 }
 
-func (c *Client) pop(peer peerKey) *conn {
+func (c *Client) popIdle(peer idleKey) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[peer]
@@ -162,20 +162,20 @@
 }
 
 // keep puts a connection back.
-func (c *Client) keep(k *conn) {
-	k.since = time.Now()
-	k.writes = 0
+func (c *Client) putIdle(k *conn) {
+	k.idleSince = time.Now()
+	k.bytesWritten = 0
 	if k.SetDeadline(time.Time{}) != nil {
 		_ = k.Close() // it is closed already
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[k.peerKey]) >= maxIdlePerTarget {
+	if len(c.idle[k.idleKey]) >= maxIdlePerTarget {
 		_ = k.Close() // one too many
 		return
 	}
-	c.idle[k.peerKey] = append(c.idle[k.peerKey], k)
+	c.idle[k.idleKey] = append(c.idle[k.idleKey], k)
 }
 
 // CloseIdle closes connections that have been idle too long, and all those to
@@ -187,7 +187,7 @@
 	for peer, list := range c.idle {
 		kept := list[:0]
 		for _, k := range list {
-			if inUse(peer.process) && now.Sub(k.since) < k.keep {
+			if inUse(peer.incarnation) && now.Sub(k.idleSince) < k.idleTimeout {
 				kept = append(kept, k)
 				continue
 			}
@@ -204,7 +204,7 @@
 
 // quiet tells whether nothing has arrived on an idle connection: neither its end
 // nor bytes that belong to no request.
-func quiet(nc net.Conn) bool {
+func nothingReceived(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -224,34 +224,34 @@
 }
 
 // dial opens a connection.
-func (c *Client) dial(ctx context.Context, peer peerKey) (*conn, error) {
+func (c *Client) dial(ctx context.Context, peer idleKey) (*conn, error) {
 	nc, err := c.dialer.DialContext(ctx, "tcp", peer.address)
 	if err != nil {
 		return nil, &Error{Step: StepConnect, Peer: peer.address, Refused: errors.Is(err, syscall.ECONNREFUSED), Err: err}
 	}
-	return &conn{Conn: nc, peerKey: peer, reader: bufio.NewReader(nc), keep: idleMax}, nil
+	return &conn{Conn: nc, idleKey: peer, reader: bufio.NewReader(nc), idleTimeout: maxIdleTime}, nil
 }
 
 // Options of one attempt.
 type Options struct {
 	// Process names the incarnation that the attempt is for. Kept connections of
 	// others at the address are not used.
-	Process string
+	Incarnation string
 	// Use keeps connections apart: one carries only requests of one use.
-	Use string
+	ConnGroup string
 	// MaxIdle bounds how long a kept connection may have been idle; 0 is no
 	// bound of its own.
 	MaxIdle time.Duration
 	// Belongs tells whether a reply is the one to this request. A target may
 	// send a second answer to an earlier one first; such are passed over.
-	Belongs func(status int, h http.Header) bool
+	Matches func(status int, h http.Header) bool
 	// KeepIdle reads how long the target keeps an idle connection; 0 if it
 	// doesn't say.
 	KeepIdle func(h http.Header) time.Duration
 }
 
 // maxForeignReplies bounds the replies that are passed over.
-const maxForeignReplies = 4
+const maxUnmatchedReplies = 4
 
 // maxForeignBytes bounds the body of a reply that is passed over.
-const maxForeignBytes = 1 << 20
+const maxUnmatchedBytes = 1 << 20
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, conns := serve(t, answerAll(text))
 			c := New()
-			o := Options{Belongs: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
+			o := Options{Matches: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
 			for range 3 {
 				got, err := do(t, c, address, "", o)
 				require.NoError(t, err)
@@ -128,7 +128,7 @@
 	require.Eventually(t, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return !quiet(c.idle[peerKey{address: address}][0].Conn)
+		return !nothingReceived(c.idle[idleKey{address: address}][0].Conn)
 	}, 5*time.Second, time.Millisecond)
 	_, _ = do(t, c, address, "", Options{}) // the script serves one answer a connection
 	require.EqualValues(t, 2, conns.Load())
@@ -249,7 +249,7 @@
 		t.Run(name, func(t *testing.T) {
 			nc := wire{Reader: strings.NewReader("HTTP/1.1 200 OK\r\n" + c.head + "\r\nok"), writeErr: c.writeErr}
 			k := &conn{Conn: nc, reader: bufio.NewReader(nc)}
-			request, err := http.NewRequest(http.MethodPost, "http://target/x", strings.NewReader(strings.Repeat("x", 2*smallBody)))
+			request, err := http.NewRequest(http.MethodPost, "http://target/x", strings.NewReader(strings.Repeat("x", 2*maxSyncBody)))
 			require.NoError(t, err)
 			reply, err := New().exchange(t.Context(), k, request, Options{})
 			require.NoError(t, err)
@@ -286,9 +286,9 @@
 	_, err := do(t, c, address, "", Options{})
 	require.NoError(t, err)
 	c.mu.Lock()
-	c.idle[peerKey{address: address}][0].since = time.Now().Add(-2 * FreshIdle)
+	c.idle[idleKey{address: address}][0].idleSince = time.Now().Add(-2 * NonRepeatableMaxIdle)
 	c.mu.Unlock()
-	_, err = do(t, c, address, "", Options{MaxIdle: FreshIdle})
+	_, err = do(t, c, address, "", Options{MaxIdle: NonRepeatableMaxIdle})
 	require.NoError(t, err)
 	require.EqualValues(t, 2, conns.Load())
 }
@@ -324,10 +324,10 @@
 		}
 	})
 	c := New()
-	_, err := do(t, c, address, "", Options{Process: "a@100"})
+	_, err := do(t, c, address, "", Options{Incarnation: "a@100"})
 	require.NoError(t, err)
 	for range 2 {
-		got, err := do(t, c, address, "", Options{Process: "a@200"})
+		got, err := do(t, c, address, "", Options{Incarnation: "a@200"})
 		require.NoError(t, err)
 		require.Equal(t, "ok", got)
 	}
@@ -335,7 +335,7 @@
 
 	c.CloseIdle(func(process string) bool { return process == "a@200" })
 	require.Len(t, c.idle, 1)
-	require.Contains(t, c.idle, peerKey{address: address, process: "a@200"})
+	require.Contains(t, c.idle, idleKey{address: address, incarnation: "a@200"})
 }
 
 // TestConnectionsAreKeptApart guards against an answer that comes late, on a connection that
@@ -344,7 +344,7 @@
 	address, conns := serve(t, answerAll(whole))
 	c := New()
 	for _, use := range []string{"", "other", "", "other"} {
-		_, err := do(t, c, address, "", Options{Use: use})
+		_, err := do(t, c, address, "", Options{ConnGroup: use})
 		require.NoError(t, err)
 	}
 	require.EqualValues(t, 2, conns.Load())
@@ -356,7 +356,7 @@
 	require.True(t, reply.Reused())
 	_, err = io.ReadAll(reply)
 	require.NoError(t, err)
-	reply.Distrust()
+	reply.DiscardConn()
 	reply.Close()
 	_, err = do(t, c, address, "", Options{})
 	require.NoError(t, err)
--- a/transport/inbound/listener.go
+++ b/transport/inbound/listener.go
@@ -14,11 +14,11 @@
 	net.Listener
 	server *Server
 	// ending tells that no more connections are to come.
-	ending atomic.Bool
+	draining atomic.Bool
 }
 
 // deadliner is a listener whose waiting can be ended.
-type deadliner interface {
+type deadlineSetter interface {
 	SetDeadline(t time.Time) error
 }
 
@@ -31,16 +31,16 @@
 	for {
 		nc, err := l.Listener.Accept()
 		if err == nil {
-			return l.server.adopt(nc), nil
+			return l.server.track(nc), nil
 		}
-		if !l.ending.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 		if !readable(l.Listener) {
 			_ = l.Close() // nothing waits on it
 			return nil, net.ErrClosed
 		}
-		if err := l.acceptOne(); err != nil {
+		if err := l.allowAccept(); err != nil {
 			return nil, err
 		}
 	}
@@ -48,17 +48,17 @@
 
 // acceptOne lets the next Accept take a connection that waits. The deadline passes
 // again soon: a caller may have left meanwhile.
-func (l *listener) acceptOne() error {
-	return l.Listener.(deadliner).SetDeadline(time.Now().Add(acceptWithin))
+func (l *listener) allowAccept() error {
+	return l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(acceptTimeout))
 }
 
 // acceptWithin bounds the taking of a connection that waits.
-const acceptWithin = 10 * time.Millisecond
+const acceptTimeout = 10 * time.Millisecond
 
 // end has the listener close once nothing waits to be accepted.
-func (l *listener) end() {
-	l.ending.Store(true)
-	if d, ok := l.Listener.(deadliner); ok && d.SetDeadline(longAgo) == nil {
+func (l *listener) drain() {
+	l.draining.Store(true)
+	if d, ok := l.Listener.(deadlineSetter); ok && d.SetDeadline(longAgo) == nil {
 		return
 	}
 	_ = l.Close() // it can't be woken, or is closed
--- a/transport/inbound/server.go
+++ b/transport/inbound/server.go
@@ -11,16 +11,16 @@
 )
 
 // State is what is on its way on a connection.
-type State string
+type ConnState string
 
 // The states of a connection.
 const (
 	// Idle has no request.
-	Idle State = "idle"
+	Idle ConnState = "idle"
 	// Unread has bytes of a request in its socket that nobody has read.
-	Unread State = "unread"
+	Unread ConnState = "unread"
 	// Busy has a request of which some bytes have been read.
-	Busy State = "busy"
+	Busy ConnState = "busy"
 )
 
 // Options bound what callers may send. Zero values are no bounds.
@@ -35,29 +35,29 @@
 	http     *http.Server
 	listener *listener
 	// accepted is closed when no more connections are accepted, closed by Close.
-	accepted, closed chan struct{}
-	closeOnce        sync.Once
+	acceptDone, closed chan struct{}
+	closeOnce          sync.Once
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	retiring bool
+	draining bool
 	// changed is told when a connection is gone.
-	changed chan struct{}
+	connClosed chan struct{}
 }
 
 // New returns a server that accepts from the listener once it runs.
 func New(l net.Listener, h http.Handler, o Options) *Server {
 	s := &Server{
-		accepted: make(chan struct{}), closed: make(chan struct{}),
-		conns: map[*conn]struct{}{}, changed: make(chan struct{}, 1),
+		acceptDone: make(chan struct{}), closed: make(chan struct{}),
+		conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1),
 	}
 	s.listener = &listener{Listener: l, server: s}
 	s.http = &http.Server{
-		Handler:           s.announce(h),
+		Handler:           s.closeWhenDraining(h),
 		ReadHeaderTimeout: o.HeaderTimeout,
 		IdleTimeout:       o.IdleTimeout,
 		MaxHeaderBytes:    o.MaxHeaderBytes,
-		ConnState:         noteState,
+		ConnState:         onConnState,
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, nc)
 		},
@@ -66,27 +66,27 @@
 }
 
 // announce tells callers that their connection closes after the answer.
-func (s *Server) announce(h http.Handler) http.Handler {
+func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.isRetiring() {
+		if s.isDraining() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-func (s *Server) isRetiring() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retiring
+	return s.draining
 }
 
 // Serve accepts and serves connections until Close. Finish ends the accepting alone:
 // the group that runs the server must not end with it.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
-	close(s.accepted)
-	if !s.listener.ending.Load() {
+	close(s.acceptDone)
+	if !s.listener.draining.Load() {
 		return errors.Wrap(err, "serve")
 	}
 	<-s.closed
@@ -95,38 +95,38 @@
 
 // Retire has each connection closed as soon as no request is on its way on it, also
 // those that are still to come. New ones have time for their first request.
-func (s *Server) Retire() {
+func (s *Server) BeginDrain() {
 	s.mu.Lock()
-	s.retiring = true
+	s.draining = true
 	s.mu.Unlock()
 	now := time.Now()
-	for _, c := range s.all() {
-		s.retireInTime(now, c)
+	for _, c := range s.connections() {
+		s.scheduleDrain(now, c)
 	}
 }
 
 // retireInTime retires a connection, a new one once its first request should be there.
-func (s *Server) retireInTime(now time.Time, c *conn) {
-	if wait := c.patience(now); wait > 0 {
-		time.AfterFunc(wait, c.retire)
+func (s *Server) scheduleDrain(now time.Time, c *conn) {
+	if wait := c.drainDelay(now); wait > 0 {
+		time.AfterFunc(wait, c.drain)
 		return
 	}
-	c.retire()
+	c.drain()
 }
 
 // Finish ends the accepting, and waits until all connections that were opened have
 // been served and closed. It returns the context's error if that ends before.
-func (s *Server) Finish(ctx context.Context) error {
-	s.Retire()
-	s.listener.end()
+func (s *Server) Drain(ctx context.Context) error {
+	s.BeginDrain()
+	s.listener.drain()
 	select {
-	case <-s.accepted:
+	case <-s.acceptDone:
 	case <-ctx.Done():
 		return errors.Wrap(context.Cause(ctx), "accept what waits")
 	}
-	for s.Open() > 0 {
+	for s.OpenConns() > 0 {
 		select {
-		case <-s.changed:
+		case <-s.connClosed:
 		case <-ctx.Done():
 			return errors.Wrap(context.Cause(ctx), "finish requests")
 		}
@@ -135,10 +135,10 @@
 }
 
 // Stop finishes within a time, and closes what isn't done then.
-func (s *Server) Stop(within time.Duration) {
+func (s *Server) Shutdown(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	_ = s.Finish(ctx) // what isn't done is closed
+	_ = s.Drain(ctx) // what isn't done is closed
 	s.Close()
 }
 
@@ -150,22 +150,22 @@
 }
 
 // Open returns the number of connections.
-func (s *Server) Open() int {
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // States counts the connections.
-func (s *Server) States() map[State]int {
-	counts := map[State]int{}
-	for _, c := range s.all() {
+func (s *Server) CountByState() map[ConnState]int {
+	counts := map[ConnState]int{}
+	for _, c := range s.connections() {
 		counts[c.state()]++
 	}
 	return counts
 }
 
-func (s *Server) all() []*conn {
+func (s *Server) connections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*conn, 0, len(s.conns))
@@ -176,39 +176,39 @@
 }
 
 // adopt takes in a connection that has just been accepted.
-func (s *Server) adopt(nc net.Conn) *conn {
+func (s *Server) track(nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: nc, server: s, began: now}
+	c := &conn{Conn: nc, server: s, startedAt: now}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	retiring := s.retiring
+	retiring := s.draining
 	s.mu.Unlock()
 	if retiring {
-		s.retireInTime(now, c)
+		s.scheduleDrain(now, c)
 	}
 	return c
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	select {
-	case s.changed <- struct{}{}:
+	case s.connClosed <- struct{}{}:
 	default:
 	}
 }
 
 // noteState takes in what net/http knows of a connection.
-func noteState(nc net.Conn, state http.ConnState) {
+func onConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		c.headRead()
+		c.onHeadRead()
 	case http.StateIdle:
-		c.idle()
+		c.onIdle()
 	}
 }
--- a/transport/target/answer.go
+++ b/transport/target/answer.go
@@ -17,9 +17,9 @@
 
 // Faults of an answer.
 var (
-	errCrossed     = errors.New("answer carries another attempt id")
-	errContentType = errors.New("answer has the wrong content type")
-	errTooLarge    = errors.New("answer is larger than allowed")
+	errWrongAttempt = errors.New("answer carries another attempt id")
+	errContentType  = errors.New("answer has the wrong content type")
+	errTooLarge     = errors.New("answer is larger than allowed")
 )
 
 // checkHeaders tells an answer from a refusal, and reads the latter.
@@ -29,20 +29,20 @@
 	// attempt. A late answer on a reused connection shows as a foreign id, and
 	// its Not-Run speaks of another attempt.
 	if header.Get(targetapi.HeaderAttempt) != x.call.AttemptID {
-		return x.failure(StepHeaders, errCrossed)
+		return x.fail(StepHeaders, errWrongAttempt)
 	}
 	x.meta = readMeta(header)
 	if x.response.StatusCode != http.StatusOK {
-		return x.refusal()
+		return x.readRefusal()
 	}
 	if x.accept == contentTypeStream && !strings.HasPrefix(header.Get("Content-Type"), contentTypeStream) {
-		return x.failure(StepHeaders, errContentType)
+		return x.fail(StepHeaders, errContentType)
 	}
 	return nil
 }
 
-func readMeta(header http.Header) Meta {
-	meta := Meta{
+func readMeta(header http.Header) ResponseMeta {
+	meta := ResponseMeta{
 		Received:    true,
 		Incarnation: header.Get(targetapi.HeaderIncarnation),
 		Leaving:     header.Get(targetapi.HeaderLeaving) == "true",
@@ -66,7 +66,7 @@
 
 // refusal reads an answer other than 200. The contract says that the work was
 // run and failed unless the target vouches that nothing was run.
-func (x *exchange) refusal() error {
+func (x *exchange) readRefusal() error {
 	failed := &AttemptError{Step: StepHeaders, Peer: x.call.Address, Outcome: Failed, Reason: ReasonFailed}
 	if x.response.Header.Get(targetapi.HeaderNotRun) == "true" {
 		failed.Outcome = NotRun
@@ -78,7 +78,7 @@
 		failed.Err = err
 		return failed
 	}
-	failed.RetryAfterMS, failed.Err = x.explain(body)
+	failed.RetryAfterMS, failed.Err = x.refusalDetail(body)
 	return failed
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-func (x *exchange) explain(body []byte) (int64, error) {
+func (x *exchange) refusalDetail(body []byte) (int64, error) {
 	var refusal targetapi.Refusal
 	if err := json.Unmarshal(body, &refusal); err != nil {
 		return 0, errors.Newf("status %d", x.response.StatusCode)
@@ -105,7 +105,7 @@
 func (x *exchange) readWhole() (targetapi.RunAnswer, error) {
 	body, err := io.ReadAll(x.body)
 	if err != nil {
-		return targetapi.RunAnswer{}, x.failure(StepBody, err)
+		return targetapi.RunAnswer{}, x.fail(StepBody, err)
 	}
 	return x.parseAnswer(StepBody, body)
 }
@@ -114,29 +114,29 @@
 func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunAnswer, error) {
 	var answer targetapi.RunAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return targetapi.RunAnswer{}, x.failure(step, garbledError{err})
+		return targetapi.RunAnswer{}, x.fail(step, contractError{err})
 	}
 	if answer.AttemptID != x.call.AttemptID {
-		return targetapi.RunAnswer{}, x.failure(step, errCrossed)
+		return targetapi.RunAnswer{}, x.fail(step, errWrongAttempt)
 	}
 	return answer, nil
 }
 
 // watchedBody reads the answer's body within its bounds of size and silence.
-type watchedBody struct {
-	exchange *exchange
-	left     int64
+type boundedBody struct {
+	exchange  *exchange
+	remaining int64
 }
 
 // Read bounds the silence only while it waits for bytes: a caller that takes
 // its time over a token must not make the target look silent.
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *boundedBody) Read(p []byte) (int, error) {
 	x := b.exchange
-	x.silence.Reset(x.gap)
+	x.silenceTimer.Reset(x.bodyIdleTimeout)
 	n, err := x.response.Body.Read(p)
-	x.silence.Stop()
-	b.left -= int64(n)
-	if b.left < 0 {
+	x.silenceTimer.Stop()
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, errTooLarge
 	}
 	return n, err
--- a/transport/target/client.go
+++ b/transport/target/client.go
@@ -19,25 +19,25 @@
 	// would follow redirects: an answer from elsewhere is not the target's.
 	pooled *http.Transport
 	// fresh opens a connection for each call.
-	fresh *http.Transport
+	unpooled *http.Transport
 
 	// closing ends when Close is called.
 	closing context.Context
 	close   context.CancelFunc
 	// cancels holds a token for each cancellation under way.
-	cancels chan struct{}
-	mu      sync.Mutex
-	closed  bool
-	wg      sync.WaitGroup
+	cancelSlots chan struct{}
+	mu          sync.Mutex
+	closed      bool
+	wg          sync.WaitGroup
 }
 
 // New returns a client; the caller closes it.
 func New(options Options) *Client {
 	options = options.withDefaults()
-	c := &Client{options: options, cancels: make(chan struct{}, options.MaxCancels)}
+	c := &Client{options: options, cancelSlots: make(chan struct{}, options.MaxCancels)}
 	c.pooled = c.newTransport()
-	c.fresh = c.newTransport()
-	c.fresh.DisableKeepAlives = true
+	c.unpooled = c.newTransport()
+	c.unpooled.DisableKeepAlives = true
 	c.closing, c.close = context.WithCancel(context.Background())
 	return c
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, &dialError{cause: err, timeout: context.Cause(ctx) == errConnectTimeout}
 	}
-	return &conn{Conn: inner}, nil
+	return &countingConn{Conn: inner}, nil
 }
 
 // Close ends the cancellations under way and closes idle connections. Calls
@@ -72,12 +72,12 @@
 	c.close()
 	c.wg.Wait()
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 // Run makes one attempt and returns the whole answer. Its error is always an
 // *AttemptError.
-func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeJSON)
 	if err != nil {
 		return targetapi.RunAnswer{}, meta, err
@@ -89,7 +89,7 @@
 // Stream makes one attempt and passes each token on as it arrives. Offsets
 // start at call.Run.ResumeFrom and have no gap. An error of onToken ends the
 // attempt, and is wrapped in the *AttemptError that Stream returns.
-func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeStream)
 	if err != nil {
 		return targetapi.RunAnswer{}, meta, err
@@ -101,7 +101,7 @@
 // send sends the call and reads the headers of its answer. It returns an
 // exchange only for an answer whose body has to be read; that of a refusal
 // has been.
-func (c *Client) send(ctx context.Context, call Call, accept string) (*exchange, Meta, error) {
+func (c *Client) send(ctx context.Context, call Call, accept string) (*exchange, ResponseMeta, error) {
 	x := c.newExchange(ctx, call, accept)
 	err := x.roundTrip()
 	if err == nil {
--- a/transport/target/conn.go
+++ b/transport/target/conn.go
@@ -16,13 +16,13 @@
 // It shows as the same error whether the call was sent or not. The count holds
 // because an HTTP/1.1 connection carries one call at a time: when no write was
 // begun since the call got the connection, no byte of it can have left.
-type conn struct {
+type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
 // Write counts before it writes: a caller that gives up meanwhile must see it.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
--- a/transport/target/control.go
+++ b/transport/target/control.go
@@ -51,14 +51,14 @@
 // one that the attempt is on may be the reason to give up.
 func (c *Client) Cancel(ctx context.Context, address, attemptID string) error {
 	_, err := c.control(ctx, controlCall{
-		step:      StepCancel,
-		transport: c.fresh,
-		timeout:   c.options.ControlTimeout,
-		address:   address,
-		method:    http.MethodPost,
-		path:      targetapi.PathCancel,
-		body:      targetapi.CancelRequest{AttemptID: attemptID},
-		refusals:  map[int]error{http.StatusNotFound: ErrNoAttempt},
+		step:         StepCancel,
+		transport:    c.unpooled,
+		timeout:      c.options.ControlTimeout,
+		address:      address,
+		method:       http.MethodPost,
+		path:         targetapi.PathCancel,
+		body:         targetapi.CancelRequest{AttemptID: attemptID},
+		statusErrors: map[int]error{http.StatusNotFound: ErrNoAttempt},
 	})
 	return err
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		return targetapi.Load{}, err
 	}
-	return parse[targetapi.Load](content, StepLoad, address)
+	return parseResponse[targetapi.Load](content, StepLoad, address)
 }
 
 // CacheEvents reads the cache events after a sequence number.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return targetapi.CacheEvents{}, err
 	}
-	return parse[targetapi.CacheEvents](content, StepCacheEvents, address)
+	return parseResponse[targetapi.CacheEvents](content, StepCacheEvents, address)
 }
 
 // Order gives an order and returns the target's state once it is in force. A
@@ -88,19 +88,19 @@
 // is Unknown the order may be in force, or may still come to be.
 func (c *Client) Order(ctx context.Context, address string, order targetapi.Order) (targetapi.Load, error) {
 	content, err := c.control(ctx, controlCall{
-		step:      StepOrder,
-		transport: c.pooled,
-		timeout:   c.options.OrderTimeout,
-		address:   address,
-		method:    http.MethodPost,
-		path:      targetapi.PathOrders,
-		body:      order,
-		refusals:  map[int]error{http.StatusConflict: ErrFenced},
+		step:         StepOrder,
+		transport:    c.pooled,
+		timeout:      c.options.OrderTimeout,
+		address:      address,
+		method:       http.MethodPost,
+		path:         targetapi.PathOrders,
+		body:         order,
+		statusErrors: map[int]error{http.StatusConflict: ErrFenced},
 	})
 	if err != nil {
 		return targetapi.Load{}, err
 	}
-	return parse[targetapi.Load](content, StepOrder, address)
+	return parseResponse[targetapi.Load](content, StepOrder, address)
 }
 
 func (c *Client) get(ctx context.Context, step Step, address, path string) ([]byte, error) {
@@ -114,7 +114,7 @@
 	})
 }
 
-func parse[T any](content []byte, step Step, address string) (T, error) {
+func parseResponse[T any](content []byte, step Step, address string) (T, error) {
 	var parsed T
 	if err := json.Unmarshal(content, &parsed); err != nil {
 		var none T
@@ -124,21 +124,21 @@
 }
 
 // cancelLater cancels an attempt without holding up its caller.
-func (c *Client) cancelLater(address, attemptID string) {
+func (c *Client) cancelAsync(address, attemptID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	select {
-	case c.cancels <- struct{}{}:
+	case c.cancelSlots <- struct{}{}:
 	default:
 		// Many targets silent at once must not pile up goroutines and
 		// connections; the closed connection tells those that can hear.
 		return
 	}
 	c.wg.Go(func() {
-		defer func() { <-c.cancels }()
+		defer func() { <-c.cancelSlots }()
 		// Nobody is left to tell when the cancellation fails as well.
 		_ = c.Cancel(c.closing, address, attemptID)
 	})
--- a/transport/target/control_call.go
+++ b/transport/target/control_call.go
@@ -26,33 +26,33 @@
 	// body is sent as JSON unless it is nil.
 	body any
 	// refusals names the errors behind statuses that mean something here.
-	refusals map[int]error
+	statusErrors map[int]error
 }
 
 // control makes the call and returns the whole body of a good answer.
 func (c *Client) control(ctx context.Context, call controlCall) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
-	request, err := call.request(ctx)
+	request, err := call.newRequest(ctx)
 	if err != nil {
-		return nil, call.failed(NotRun, err)
+		return nil, call.newError(NotRun, err)
 	}
 	response, err := call.transport.RoundTrip(request)
 	if err != nil {
-		return nil, call.failed(connectOutcome(err), err)
+		return nil, call.newError(connectOutcome(err), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := readBounded(response.Body, c.options.MaxBody)
-	if refused := call.refusal(response); refused != nil {
+	if refused := call.responseError(response); refused != nil {
 		return nil, refused
 	}
 	if err != nil {
-		return nil, call.failed(Unknown, err)
+		return nil, call.newError(Unknown, err)
 	}
 	return content, nil
 }
 
-func (call controlCall) request(ctx context.Context) (*http.Request, error) {
+func (call controlCall) newRequest(ctx context.Context) (*http.Request, error) {
 	var content io.Reader
 	if call.body != nil {
 		encoded, err := json.Marshal(call.body)
@@ -71,21 +71,21 @@
 }
 
 // refusal returns the error behind an answer that is not a good one.
-func (call controlCall) refusal(response *http.Response) error {
+func (call controlCall) responseError(response *http.Response) error {
 	if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNoContent {
 		return nil
 	}
-	if known := call.refusals[response.StatusCode]; known != nil {
-		return call.failed(NotRun, known)
+	if known := call.statusErrors[response.StatusCode]; known != nil {
+		return call.newError(NotRun, known)
 	}
 	outcome := Unknown
 	if response.Header.Get(targetapi.HeaderNotRun) == "true" {
 		outcome = NotRun
 	}
-	return call.failed(outcome, errors.Newf("status %d", response.StatusCode))
+	return call.newError(outcome, errors.Newf("status %d", response.StatusCode))
 }
 
-func (call controlCall) failed(outcome Outcome, err error) *ControlError {
+func (call controlCall) newError(outcome Outcome, err error) *ControlError {
 	return &ControlError{Step: call.step, Peer: call.address, Outcome: outcome, Err: err}
 }
 
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -37,30 +37,30 @@
 	call   Call
 	accept string
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stop   context.CancelFunc
-	span   trace.Span
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	stopDeadline context.CancelFunc
+	span         trace.Span
 	// silence cancels the exchange when the other end sends nothing.
-	silence *time.Timer
+	silenceTimer *time.Timer
 	// gap is how long the body may bring no byte.
-	gap time.Duration
+	bodyIdleTimeout time.Duration
 
 	// hasConn tells that the call got a connection; writesBefore is the count
 	// of its writes at that moment.
 	hasConn      bool
-	conn         *conn
+	conn         *countingConn
 	writesBefore int64
 	response     *http.Response
 	body         io.Reader
-	meta         Meta
+	meta         ResponseMeta
 }
 
 func (c *Client) newExchange(ctx context.Context, call Call, accept string) *exchange {
-	x := &exchange{client: c, call: call, accept: accept, gap: c.options.EventGap, stop: func() {}}
+	x := &exchange{client: c, call: call, accept: accept, bodyIdleTimeout: c.options.BodyIdleTimeout, stopDeadline: func() {}}
 	x.ctx, x.span = startSpan(ctx, c.options.Tracer, &call, accept)
 	if ends, ok := ctx.Deadline(); !call.Deadline.IsZero() && (!ok || ends.After(call.Deadline)) {
-		x.ctx, x.stop = context.WithDeadlineCause(x.ctx, call.Deadline, errDeadline)
+		x.ctx, x.stopDeadline = context.WithDeadlineCause(x.ctx, call.Deadline, errDeadline)
 	}
 	x.ctx, x.cancel = context.WithCancelCause(x.ctx)
 	return x
@@ -69,21 +69,21 @@
 // roundTrip sends the call and waits for the headers of its answer.
 func (x *exchange) roundTrip() error {
 	if x.ctx.Err() != nil {
-		return x.failure(StepConnect, context.Cause(x.ctx))
+		return x.fail(StepConnect, context.Cause(x.ctx))
 	}
 	request, err := x.newRequest()
 	if err != nil {
-		return x.failure(StepEncode, err)
+		return x.fail(StepEncode, err)
 	}
 	// The dial has its own bound, and got starts the bound for the headers.
-	x.silence = time.AfterFunc(x.client.options.ConnectTimeout+x.headerTimeout(), x.onSilence)
+	x.silenceTimer = time.AfterFunc(x.client.options.ConnectTimeout+x.headerTimeout(), x.onSilence)
 	x.response, err = x.client.pooled.RoundTrip(request)
 	if err != nil {
 		x.closeConn()
-		return x.failure(x.sendStep(), err)
+		return x.fail(x.sendStep(), err)
 	}
-	x.body = &watchedBody{exchange: x, left: x.client.options.MaxBody}
-	x.silence.Stop()
+	x.body = &boundedBody{exchange: x, remaining: x.client.options.MaxBody}
+	x.silenceTimer.Stop()
 	return nil
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx := httptrace.WithClientTrace(x.ctx, &httptrace.ClientTrace{GotConn: x.got})
+	ctx := httptrace.WithClientTrace(x.ctx, &httptrace.ClientTrace{GotConn: x.gotConn})
 	url := "http://" + x.call.Address + targetapi.PathRun
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -129,7 +129,7 @@
 		set(targetapi.HeaderExpect, x.call.Incarnation)
 	}
 	if !x.call.Deadline.IsZero() {
-		left := targetDeadline(time.Until(x.call.Deadline))
+		left := targetTimeout(time.Until(x.call.Deadline))
 		set(targetapi.HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 	}
 }
@@ -140,8 +140,8 @@
 // Bounds of what the target's deadline is earlier than the call's own.
 const (
 	// answerShare is the share of what is left, as a divisor.
-	answerShare  = 10
-	answerMargin = 20 * time.Millisecond
+	marginDivisor     = 10
+	maxDeadlineMargin = 20 * time.Millisecond
 )
 
 // targetDeadline is the time the target is given.
@@ -151,19 +151,19 @@
 // loses the race, and a caller whose work never started is told "unknown". The
 // margin gives that answer the time to arrive. Where it takes longer the caller
 // is told "unknown" still, which is weaker but not false.
-func targetDeadline(left time.Duration) time.Duration {
-	margin := min(left/answerShare, answerMargin)
+func targetTimeout(left time.Duration) time.Duration {
+	margin := min(left/marginDivisor, maxDeadlineMargin)
 	return max(left-margin, time.Millisecond)
 }
 
 // got notes the connection before anything of the call is written to it.
-func (x *exchange) got(info httptrace.GotConnInfo) {
+func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	x.hasConn = true
-	x.conn, _ = info.Conn.(*conn)
+	x.conn, _ = info.Conn.(*countingConn)
 	if x.conn != nil {
 		x.writesBefore = x.conn.writes.Load()
 	}
-	x.silence.Reset(x.headerTimeout())
+	x.silenceTimer.Reset(x.headerTimeout())
 }
 
 func (x *exchange) headerTimeout() time.Duration {
@@ -179,7 +179,7 @@
 
 // bytesLeft tells whether any byte of the call can have left this process. The
 // connection must be closed before, so that none can leave after.
-func (x *exchange) bytesLeft() bool {
+func (x *exchange) mayHaveSent() bool {
 	if x.conn == nil {
 		return x.hasConn
 	}
@@ -191,7 +191,7 @@
 	switch {
 	case !x.hasConn:
 		return StepConnect
-	case !x.bytesLeft():
+	case !x.mayHaveSent():
 		return StepSend
 	default:
 		return StepHeaders
@@ -201,19 +201,19 @@
 // finish ends the exchange, and cancels at the target an attempt that may still
 // be running there.
 func (x *exchange) finish(err error) error {
-	if x.silence != nil {
-		x.silence.Stop()
+	if x.silenceTimer != nil {
+		x.silenceTimer.Stop()
 	}
 	failed := asAttemptError(err)
 	if failed != nil && failed.Outcome == Unknown {
-		x.client.cancelLater(x.call.Address, x.call.AttemptID)
+		x.client.cancelAsync(x.call.Address, x.call.AttemptID)
 	}
 	if x.response != nil {
 		// Only says that the connection is gone.
 		_ = x.response.Body.Close()
 	}
 	x.cancel(errFinished)
-	x.stop()
+	x.stopDeadline()
 	endSpan(x.span, x.meta, failed)
 	if failed == nil {
 		return nil
--- a/transport/target/failure.go
+++ b/transport/target/failure.go
@@ -10,11 +10,11 @@
 )
 
 // garbledError says that an answer breaks the contract.
-type garbledError struct{ cause error }
+type contractError struct{ cause error }
 
-func (e garbledError) Error() string { return "answer breaks the contract: " + e.cause.Error() }
+func (e contractError) Error() string { return "answer breaks the contract: " + e.cause.Error() }
 
-func (e garbledError) Unwrap() error { return e.cause }
+func (e contractError) Unwrap() error { return e.cause }
 
 // deliveryError says that the caller did not take a token.
 type deliveryError struct{ cause error }
@@ -25,10 +25,10 @@
 
 // failure says what is known after an error of the connection or the answer.
 // It closes the connection: what may still come on it belongs to no call.
-func (x *exchange) failure(step Step, err error) *AttemptError {
+func (x *exchange) fail(step Step, err error) *AttemptError {
 	x.closeConn()
 	outcome := NotRun
-	if x.bytesLeft() {
+	if x.mayHaveSent() {
 		// The failure: an error after the call was sent is taken for a refusal
 		// and the stage is run again. Whether the target got the call can't be
 		// told from here, so it must not be called not run.
@@ -44,7 +44,7 @@
 }
 
 func (x *exchange) reason(step Step, err error) Reason {
-	if reason := answerReason(err); reason != "" {
+	if reason := responseReason(err); reason != "" {
 		return reason
 	}
 	if x.ctx.Err() != nil {
@@ -56,18 +56,18 @@
 	if step == StepEncode {
 		return ReasonRefused
 	}
-	if endedEarly(step, err) {
+	if isTruncated(step, err) {
 		return ReasonTruncated
 	}
 	return ReasonReset
 }
 
 // answerReason tells the faults of an answer that did come.
-func answerReason(err error) Reason {
-	garbled := garbledError{}
+func responseReason(err error) Reason {
+	garbled := contractError{}
 	delivery := (*deliveryError)(nil)
 	switch {
-	case errors.Is(err, errCrossed):
+	case errors.Is(err, errWrongAttempt):
 		return ReasonCrossed
 	case errors.Is(err, errTooLarge), errors.Is(err, sse.ErrEventTooLarge), errors.Is(err, sse.ErrLineTooLong):
 		return ReasonTooLarge
@@ -100,11 +100,11 @@
 }
 
 // endedEarly tells an answer that ended in the middle from a broken connection.
-func endedEarly(step Step, err error) bool {
+func isTruncated(step Step, err error) bool {
 	if step != StepBody && step != StepStream {
 		return false
 	}
-	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, sse.ErrTruncated) || errors.Is(err, errNoDone)
+	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, sse.ErrTruncated) || errors.Is(err, errNoDoneEvent)
 }
 
 func asAttemptError(err error) *AttemptError {
--- a/transport/target/stream.go
+++ b/transport/target/stream.go
@@ -15,12 +15,12 @@
 
 // endWait bounds the wait for the end of a stream whose answer is whole. With
 // the end read, the connection can be used again; else it is closed.
-const endWait = 20 * time.Millisecond
+const streamEndTimeout = 20 * time.Millisecond
 
 var (
-	errGap      = errors.New("tokens are missing in the stream")
-	errMismatch = errors.New("the whole text is not that of the tokens")
-	errNoDone   = errors.New("stream ended without a whole answer")
+	errMissingTokens = errors.New("tokens are missing in the stream")
+	errTextMismatch  = errors.New("the whole text is not that of the tokens")
+	errNoDoneEvent   = errors.New("stream ended without a whole answer")
 )
 
 // tokenStream is the state of one streamed answer.
@@ -29,7 +29,7 @@
 	events   *sse.Decoder
 	onToken  func(offset int, token string) error
 	// next is the offset of the token that is due.
-	next int
+	nextOffset int
 	// text is what the tokens of this attempt add up to.
 	text strings.Builder
 }
@@ -38,54 +38,54 @@
 func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunAnswer, error) {
 	limit := int(x.client.options.MaxBody)
 	s := &tokenStream{
-		exchange: x,
-		events:   sse.NewDecoder(x.body, sse.Limits{Line: limit, Event: limit}),
-		onToken:  onToken,
-		next:     x.call.Run.ResumeFrom,
+		exchange:   x,
+		events:     sse.NewDecoder(x.body, sse.Limits{Line: limit, Event: limit}),
+		onToken:    onToken,
+		nextOffset: x.call.Run.ResumeFrom,
 	}
 	for {
 		event, err := s.events.Next()
 		if err == io.EOF {
-			err = errNoDone
+			err = errNoDoneEvent
 		}
 		if err != nil {
-			return targetapi.RunAnswer{}, x.failure(StepStream, err)
+			return targetapi.RunAnswer{}, x.fail(StepStream, err)
 		}
 		switch event.Name {
 		case targetapi.EventToken:
-			if err := s.token(event); err != nil {
+			if err := s.handleToken(event); err != nil {
 				return targetapi.RunAnswer{}, err
 			}
 		case targetapi.EventDone:
-			return s.done(event)
+			return s.handleDone(event)
 		case targetapi.EventError:
-			return targetapi.RunAnswer{}, s.failed(event)
+			return targetapi.RunAnswer{}, s.handleError(event)
 		}
 	}
 }
 
 // token checks the offset of a token and passes it on.
-func (s *tokenStream) token(event sse.Event) error {
+func (s *tokenStream) handleToken(event sse.Event) error {
 	x := s.exchange
 	offset, err := strconv.Atoi(event.ID)
 	if err != nil {
-		return x.failure(StepStream, garbledError{err})
+		return x.fail(StepStream, contractError{err})
 	}
 	token, err := parseToken(event.Data)
 	if err != nil {
-		return x.failure(StepStream, garbledError{err})
+		return x.fail(StepStream, contractError{err})
 	}
-	if offset < s.next {
+	if offset < s.nextOffset {
 		// Sent twice. The offset tells, and the caller sees it once.
 		return nil
 	}
-	if offset > s.next {
-		return x.failure(StepStream, garbledError{errGap})
+	if offset > s.nextOffset {
+		return x.fail(StepStream, contractError{errMissingTokens})
 	}
 	if err := s.onToken(offset, token); err != nil {
-		return x.failure(StepDeliver, &deliveryError{err})
+		return x.fail(StepDeliver, &deliveryError{err})
 	}
-	s.next++
+	s.nextOffset++
 	s.text.WriteString(token)
 	return nil
 }
@@ -95,7 +95,7 @@
 func parseToken(data string) (string, error) {
 	text, head := strings.CutPrefix(data, `{"token":"`)
 	text, tail := strings.CutSuffix(text, `"}`)
-	if head && tail && plain(text) {
+	if head && tail && isPlainText(text) {
 		return text, nil
 	}
 	var token targetapi.TokenEvent
@@ -104,7 +104,7 @@
 }
 
 // plain tells whether a JSON string of this text is the text itself.
-func plain(text string) bool {
+func isPlainText(text string) bool {
 	for i := range len(text) {
 		c := text[i]
 		if c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -115,14 +115,14 @@
 }
 
 // done checks that the whole answer is what the tokens add up to.
-func (s *tokenStream) done(event sse.Event) (targetapi.RunAnswer, error) {
+func (s *tokenStream) handleDone(event sse.Event) (targetapi.RunAnswer, error) {
 	x := s.exchange
 	answer, err := x.parseAnswer(StepStream, []byte(event.Data))
 	if err != nil {
 		return targetapi.RunAnswer{}, err
 	}
 	if !s.matches(answer) {
-		return targetapi.RunAnswer{}, x.failure(StepStream, garbledError{errMismatch})
+		return targetapi.RunAnswer{}, x.fail(StepStream, contractError{errTextMismatch})
 	}
 	s.readEnd()
 	return answer, nil
@@ -130,7 +130,7 @@
 
 func (s *tokenStream) matches(answer targetapi.RunAnswer) bool {
 	resumedFrom := s.exchange.call.Run.ResumeFrom
-	if answer.Tokens != s.next-resumedFrom {
+	if answer.Tokens != s.nextOffset-resumedFrom {
 		return false
 	}
 	if resumedFrom == 0 && answer.Tokens > 0 {
@@ -144,17 +144,17 @@
 // but not the answer.
 func (s *tokenStream) readEnd() {
 	x := s.exchange
-	x.gap = endWait
+	x.bodyIdleTimeout = streamEndTimeout
 	if _, err := s.events.Next(); err != io.EOF {
 		x.closeConn()
 	}
 }
 
 // failed reads the error event, with which a target says that the run failed.
-func (s *tokenStream) failed(event sse.Event) error {
+func (s *tokenStream) handleError(event sse.Event) error {
 	var refusal targetapi.Refusal
 	if err := json.Unmarshal([]byte(event.Data), &refusal); err != nil {
-		return s.exchange.failure(StepStream, garbledError{err})
+		return s.exchange.fail(StepStream, contractError{err})
 	}
 	return &AttemptError{
 		Step:         StepStream,
