--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -175,7 +175,7 @@
 		MaxRequests: s.Status.RingSize,
 		Retention:   s.Status.Retention,
 	})
-	a.targets = target.New(target.Options{EventGap: eventGap, Tracer: a.telemetry.Tracer})
+	a.targets = target.New(target.Options{BodyIdleTimeout: eventGap, Tracer: a.telemetry.Tracer})
 	a.registrar = register.New(a.store, func() membership.Member { return a.self })
 }
 
--- a/daemon/app/run.go
+++ b/daemon/app/run.go
@@ -71,7 +71,7 @@
 
 // addServer adds an HTTP server to the group.
 func addServer(group *run.Group, server *inbound.Server) {
-	group.Add(server.Serve, func(error) { server.Stop(adminTimeout) })
+	group.Add(server.Serve, func(error) { server.Shutdown(adminTimeout) })
 }
 
 // lifecycle waits for the end of ctx and does the planned stop.
@@ -81,9 +81,9 @@
 	a.draining.Store(true)
 	a.handOverOrders()
 	wait(a.settings.Shutdown.BalancerDelay)
-	bounded(a.settings.Shutdown.Grace, "finish requests in flight", callers.Finish)
+	bounded(a.settings.Shutdown.Grace, "finish requests in flight", callers.Drain)
 	a.server.Stop()
-	bounded(answerTimeout, "answer what did not end", callers.Finish)
+	bounded(answerTimeout, "answer what did not end", callers.Drain)
 	bounded(drainClaimsTimeout, "record outcomes", a.claims.Drain)
 	bounded(leaveTimeout, "write the last report", func(ctx context.Context) error {
 		a.reporter.Write(ctx)
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -93,7 +93,7 @@
 
 // send makes the call. A panic on its answer is contained here already, so that
 // the attempt is settled and the router learns that it ended.
-func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunAnswer, meta target.Meta, err error) {
+func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunAnswer, meta target.ResponseMeta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
@@ -191,7 +191,7 @@
 }
 
 // learn tells the router, the learned times and the status how it ended.
-func (a *attempt) learn(ctx context.Context, meta target.Meta, r *attemptResult) {
+func (a *attempt) learn(ctx context.Context, meta target.ResponseMeta, r *attemptResult) {
 	now := a.opts.Now()
 	elapsed := now.Sub(a.started)
 	incarnation := a.choice.Target.Incarnation
--- a/daemon/execute/rig_test.go
+++ b/daemon/execute/rig_test.go
@@ -54,7 +54,7 @@
 		Tiers: tiers.Config{Preempt: true, MinRunTime: time.Nanosecond}, FillOrdered: 1, FillPlain: 1,
 	}, time.Now)
 	gates.SetCapacity(rigPool, 8, kind == catalog.KindEngine)
-	client := target.New(target.Options{EventGap: 200 * time.Millisecond})
+	client := target.New(target.Options{BodyIdleTimeout: 200 * time.Millisecond})
 	t.Cleanup(client.Close)
 	snapshot := &catalog.Snapshot{Pools: map[string]*catalog.Pool{rigPool: {Name: rigPool, Objective: objective}}}
 	r.Executor = New(Options{
--- a/daemon/gateway/run.go
+++ b/daemon/gateway/run.go
@@ -66,7 +66,7 @@
 
 // addServer adds an HTTP server to the group.
 func addServer(group *run.Group, server *inbound.Server) {
-	group.Add(server.Serve, func(error) { server.Stop(adminTime) })
+	group.Add(server.Serve, func(error) { server.Shutdown(adminTime) })
 }
 
 // lifecycle waits for the end of ctx and does the planned stop.
@@ -97,13 +97,13 @@
 		noticed = ends // a grace that is shorter than the balancer's delay
 	}
 	time.Sleep(time.Until(noticed))
-	noteConnections(callers.States())
-	callers.Retire()
+	noteConnections(callers.CountByState())
+	callers.BeginDrain()
 	g.awaitQuiet(callers, ends)
 	ctx, cancel := context.WithDeadline(context.Background(), ends.Add(closeTime))
 	defer cancel()
-	if err := callers.Finish(ctx); err != nil {
-		telemetry.ErrorS(err, "Connections of callers were cut by the stop", telemetry.Event{Count: callers.Open()})
+	if err := callers.Drain(ctx); err != nil {
+		telemetry.ErrorS(err, "Connections of callers were cut by the stop", telemetry.Event{Count: callers.OpenConns()})
 	}
 }
 
@@ -112,15 +112,15 @@
 func (g *Gateway) awaitQuiet(callers *inbound.Server, ends time.Time) {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for time.Now().Before(ends) && (callers.Open() > 0 || g.stages.Held() > 0) {
+	for time.Now().Before(ends) && (callers.OpenConns() > 0 || g.stages.Held() > 0) {
 		<-ticker.C
 	}
 }
 
 // noteConnections writes what is on its way on callers' connections as the stop
 // closes those without a request.
-func noteConnections(counts map[inbound.State]int) {
-	for _, state := range []inbound.State{inbound.Idle, inbound.Unread, inbound.Busy} {
+func noteConnections(counts map[inbound.ConnState]int) {
+	for _, state := range []inbound.ConnState{inbound.Idle, inbound.Unread, inbound.Busy} {
 		telemetry.InfoS("Connections of callers at the stop", telemetry.Event{Reason: string(state), Count: counts[state]})
 	}
 }
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -326,7 +326,7 @@
 	if q.sent+q.refused > 0 {
 		digest = q.digest().String()
 	}
-	if q.reason == "caller_left" && inbound.ClosedHere(q.r.Context()) {
+	if q.reason == "caller_left" && inbound.ClosedByServer(q.r.Context()) {
 		q.reason = "closed_here"
 	}
 	telemetry.InfoS("Request ended", telemetry.Event{
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -311,9 +311,9 @@
 		}
 	})
 	defer silence.Stop()
-	options := forward.Options{Process: t.Incarnation, Belongs: q.belongs, KeepIdle: q.keepIdle}
+	options := forward.Options{Incarnation: t.Incarnation, Matches: q.belongs, KeepIdle: q.keepIdle}
 	if !q.route.Repeatable() {
-		options.MaxIdle = forward.FreshIdle
+		options.MaxIdle = forward.NonRepeatableMaxIdle
 	}
 	reply, err := q.relay.options.Client.Do(ctx, t.Address, q.outgoing(t), options)
 	if err != nil {
@@ -376,7 +376,7 @@
 	unreached := f != nil && f.Step == forward.StepConnect
 	return routing.OutcomeFailed, &failure{
 		cause: err, notRun: notRun, unreached: unreached, nothingListens: unreached && f.Refused,
-		broken: !notRun && forward.EndedByPeer(err),
+		broken: !notRun && forward.ClosedByPeer(err),
 	}
 }
 
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -190,7 +190,7 @@
 	if chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{relay: s, w: w, r: r, arrived: time.Now(), head: inbound.HeadTime(r.Context())}
+	q := &request{relay: s, w: w, r: r, arrived: time.Now(), head: inbound.HeadReadTime(r.Context())}
 	ctx, release := q.untilStopped(r.Context())
 	defer release()
 	defer q.giveBackID()
--- a/daemon/serve/conn_test.go
+++ b/daemon/serve/conn_test.go
@@ -147,7 +147,7 @@
 		got, err := http.ReadResponse(r.reader, nil)
 		require.NoError(t, err)
 		ended := make(chan error, 1)
-		go func() { ended <- r.http.Finish(context.Background()) }()
+		go func() { ended <- r.http.Drain(context.Background()) }()
 		synctest.Wait()
 		require.Empty(t, ended)
 		go func() { release <- struct{}{} }()
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -18,7 +18,7 @@
 func (o *Owner) call(c gather.StartCall) {
 	started, known := time.Now(), o.follower.TargetsAge()
 	results, how, err := o.exchange(c)
-	if how == gather.CallUnanswered && forward.EndedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
+	if how == gather.CallUnanswered && forward.ClosedByPeer(err) && forward.NothingListens(context.Background(), c.Target.Address) {
 		how = gather.CallTargetCrashed
 	}
 	if err != nil {
@@ -89,14 +89,14 @@
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
-	reply, err := o.client.Do(ctx, c.Target.Address, request, forward.Options{Process: c.Target.Incarnation})
+	reply, err := o.client.Do(ctx, c.Target.Address, request, forward.Options{Incarnation: c.Target.Incarnation})
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
 	inStep := !reply.Reused()
 	defer func() {
 		if !inStep {
-			reply.Distrust()
+			reply.DiscardConn()
 		}
 		reply.Close()
 	}()
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -338,7 +338,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	reply, err := o.client.Do(ctx, t.Address, request, forward.Options{Process: t.Incarnation, Use: useFree})
+	reply, err := o.client.Do(ctx, t.Address, request, forward.Options{Incarnation: t.Incarnation, ConnGroup: useFree})
 	if err == nil {
 		_, err = io.Copy(io.Discard, reply)
 		reply.Close()
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -66,7 +66,7 @@
 // Do sends a request to an address and waits for the header of its answer. The
 // context bounds the whole attempt, the body included.
 func (c *Client) Do(ctx context.Context, address string, request *http.Request, o Options) (*Reply, error) {
-	peer := peerKey{address, o.Process, o.Use}
+	peer := peerKey{address, o.Incarnation, o.ConnGroup}
 	k := c.take(peer, cmp.Or(o.MaxIdle, idleMax))
 	reused := k != nil
 	if !reused {
@@ -127,7 +127,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.options.Belongs != nil && !r.options.Belongs(response.StatusCode, response.Header) {
+		if r.options.Matches != nil && !r.options.Matches(response.StatusCode, response.Header) {
 			r.foreign = true
 			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes))
 			if err != nil {
@@ -205,7 +205,7 @@
 
 // Distrust has Close close the connection: an answer that belongs to no later request may
 // follow on it.
-func (r *Reply) Distrust() { r.foreign = true }
+func (r *Reply) DiscardConn() { r.foreign = true }
 
 // Close ends the attempt. The connection is kept if the answer was whole and
 // nothing follows it; otherwise it is closed, which tells the target to stop.
--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -37,7 +37,7 @@
 	// FreshIdle is how long a connection may have been idle that carries what
 	// may not be repeated. A connection that the target closes just then leaves
 	// it unknown whether the request ran.
-	FreshIdle = time.Second
+	NonRepeatableMaxIdle = time.Second
 	// maxIdlePerTarget bounds the kept connections to one target.
 	maxIdlePerTarget = 32
 )
@@ -84,7 +84,7 @@
 // New returns a client without connections.
 func New() *Client {
 	return &Client{
-		dialer: net.Dialer{Timeout: connectTimeout, KeepAliveConfig: KeepAlive, Control: BoundSilence},
+		dialer: net.Dialer{Timeout: connectTimeout, KeepAliveConfig: KeepAlive, Control: SetUserTimeout},
 		idle:   map[peerKey][]*conn{},
 	}
 }
@@ -94,7 +94,7 @@
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
 // BoundSilence sets how long sent data may stay without an acknowledgement.
-func BoundSilence(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
@@ -236,15 +236,15 @@
 type Options struct {
 	// Process names the incarnation that the attempt is for. Kept connections of
 	// others at the address are not used.
-	Process string
+	Incarnation string
 	// Use keeps connections apart: one carries only requests of one use.
-	Use string
+	ConnGroup string
 	// MaxIdle bounds how long a kept connection may have been idle; 0 is no
 	// bound of its own.
 	MaxIdle time.Duration
 	// Belongs tells whether a reply is the one to this request. A target may
 	// send a second answer to an earlier one first; such are passed over.
-	Belongs func(status int, h http.Header) bool
+	Matches func(status int, h http.Header) bool
 	// KeepIdle reads how long the target keeps an idle connection; 0 if it
 	// doesn't say.
 	KeepIdle func(h http.Header) time.Duration
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, conns := serve(t, answerAll(text))
 			c := New()
-			o := Options{Belongs: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
+			o := Options{Matches: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
 			for range 3 {
 				got, err := do(t, c, address, "", o)
 				require.NoError(t, err)
@@ -286,9 +286,9 @@
 	_, err := do(t, c, address, "", Options{})
 	require.NoError(t, err)
 	c.mu.Lock()
-	c.idle[peerKey{address: address}][0].since = time.Now().Add(-2 * FreshIdle)
+	c.idle[peerKey{address: address}][0].since = time.Now().Add(-2 * NonRepeatableMaxIdle)
 	c.mu.Unlock()
-	_, err = do(t, c, address, "", Options{MaxIdle: FreshIdle})
+	_, err = do(t, c, address, "", Options{MaxIdle: NonRepeatableMaxIdle})
 	require.NoError(t, err)
 	require.EqualValues(t, 2, conns.Load())
 }
@@ -324,10 +324,10 @@
 		}
 	})
 	c := New()
-	_, err := do(t, c, address, "", Options{Process: "a@100"})
+	_, err := do(t, c, address, "", Options{Incarnation: "a@100"})
 	require.NoError(t, err)
 	for range 2 {
-		got, err := do(t, c, address, "", Options{Process: "a@200"})
+		got, err := do(t, c, address, "", Options{Incarnation: "a@200"})
 		require.NoError(t, err)
 		require.Equal(t, "ok", got)
 	}
@@ -344,7 +344,7 @@
 	address, conns := serve(t, answerAll(whole))
 	c := New()
 	for _, use := range []string{"", "other", "", "other"} {
-		_, err := do(t, c, address, "", Options{Use: use})
+		_, err := do(t, c, address, "", Options{ConnGroup: use})
 		require.NoError(t, err)
 	}
 	require.EqualValues(t, 2, conns.Load())
@@ -356,7 +356,7 @@
 	require.True(t, reply.Reused())
 	_, err = io.ReadAll(reply)
 	require.NoError(t, err)
-	reply.Distrust()
+	reply.DiscardConn()
 	reply.Close()
 	_, err = do(t, c, address, "", Options{})
 	require.NoError(t, err)
--- a/transport/forward/listens.go
+++ b/transport/forward/listens.go
@@ -12,7 +12,7 @@
 
 // EndedByPeer tells whether an error of an attempt is that the other end closed or reset the
 // connection.
-func EndedByPeer(err error) bool {
+func ClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -274,7 +274,7 @@
 }
 
 // state tells what is on its way on the connection.
-func (c *conn) state() State {
+func (c *conn) state() ConnState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -292,7 +292,7 @@
 
 // HeadTime is how long a request's head took from its first byte to now; 0 outside
 // a Server's handler.
-func HeadTime(ctx context.Context) time.Duration {
+func HeadReadTime(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return 0
@@ -303,7 +303,7 @@
 }
 
 // ClosedHere tells whether this end closed a request's connection.
-func ClosedHere(ctx context.Context) bool {
+func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return false
--- a/transport/inbound/server.go
+++ b/transport/inbound/server.go
@@ -11,16 +11,16 @@
 )
 
 // State is what is on its way on a connection.
-type State string
+type ConnState string
 
 // The states of a connection.
 const (
 	// Idle has no request.
-	Idle State = "idle"
+	Idle ConnState = "idle"
 	// Unread has bytes of a request in its socket that nobody has read.
-	Unread State = "unread"
+	Unread ConnState = "unread"
 	// Busy has a request of which some bytes have been read.
-	Busy State = "busy"
+	Busy ConnState = "busy"
 )
 
 // Options bound what callers may send. Zero values are no bounds.
@@ -95,7 +95,7 @@
 
 // Retire has each connection closed as soon as no request is on its way on it, also
 // those that are still to come. New ones have time for their first request.
-func (s *Server) Retire() {
+func (s *Server) BeginDrain() {
 	s.mu.Lock()
 	s.retiring = true
 	s.mu.Unlock()
@@ -116,15 +116,15 @@
 
 // Finish ends the accepting, and waits until all connections that were opened have
 // been served and closed. It returns the context's error if that ends before.
-func (s *Server) Finish(ctx context.Context) error {
-	s.Retire()
+func (s *Server) Drain(ctx context.Context) error {
+	s.BeginDrain()
 	s.listener.end()
 	select {
 	case <-s.accepted:
 	case <-ctx.Done():
 		return errors.Wrap(context.Cause(ctx), "accept what waits")
 	}
-	for s.Open() > 0 {
+	for s.OpenConns() > 0 {
 		select {
 		case <-s.changed:
 		case <-ctx.Done():
@@ -135,10 +135,10 @@
 }
 
 // Stop finishes within a time, and closes what isn't done then.
-func (s *Server) Stop(within time.Duration) {
+func (s *Server) Shutdown(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	_ = s.Finish(ctx) // what isn't done is closed
+	_ = s.Drain(ctx) // what isn't done is closed
 	s.Close()
 }
 
@@ -150,15 +150,15 @@
 }
 
 // Open returns the number of connections.
-func (s *Server) Open() int {
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // States counts the connections.
-func (s *Server) States() map[State]int {
-	counts := map[State]int{}
+func (s *Server) CountByState() map[ConnState]int {
+	counts := map[ConnState]int{}
 	for _, c := range s.all() {
 		counts[c.state()]++
 	}
--- a/transport/inbound/server_test.go
+++ b/transport/inbound/server_test.go
@@ -91,8 +91,8 @@
 func (r *rig) finish() {
 	ctx, cancel := context.WithTimeout(r.t.Context(), bound)
 	defer cancel()
-	require.NoError(r.t, r.server.Finish(ctx))
-	require.Zero(r.t, r.server.Open())
+	require.NoError(r.t, r.server.Drain(ctx))
+	require.Zero(r.t, r.server.OpenConns())
 }
 
 // A stop closes connections on which nothing is on its way, so that their callers go
@@ -103,7 +103,7 @@
 	idle := r.dial()
 	idle.send(text)
 	require.False(t, idle.answered())
-	r.server.Retire()
+	r.server.BeginDrain()
 	idle.closed()
 	later := r.dial()
 	later.send(text)
@@ -146,7 +146,7 @@
 	r.serve()
 	c := r.dial()
 	c.send(text)
-	require.Eventually(t, func() bool { return r.server.States()[Unread] == 1 }, bound, time.Millisecond)
+	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
 	r.server.all()[0].retire()
 	close(g.gate)
 	c.answered()
@@ -161,8 +161,8 @@
 	r.serve()
 	c := r.dial()
 	c.send(text[:10])
-	require.Eventually(t, func() bool { return r.server.States()[Busy] == 1 }, bound, time.Millisecond)
-	r.server.Retire()
+	require.Eventually(t, func() bool { return r.server.CountByState()[Busy] == 1 }, bound, time.Millisecond)
+	r.server.BeginDrain()
 	c.send(text[10:])
 	require.True(t, c.answered())
 	c.closed()
@@ -184,7 +184,7 @@
 		defer connection.mu.Unlock()
 		return connection.ahead
 	}, bound, time.Millisecond)
-	r.server.Retire()
+	r.server.BeginDrain()
 	r.release <- struct{}{}
 	require.False(t, c.answered())
 	require.Eventually(t, func() bool {
@@ -227,7 +227,7 @@
 	c.send(text)
 	<-r.entered
 	finished := make(chan error, 1)
-	go func() { finished <- r.server.Finish(t.Context()) }()
+	go func() { finished <- r.server.Drain(t.Context()) }()
 	require.Eventually(t, r.server.isRetiring, bound, time.Millisecond)
 	select {
 	case <-finished:
@@ -248,7 +248,7 @@
 	<-r.entered
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.ErrorIs(t, r.server.Finish(ctx), context.Canceled)
+	require.ErrorIs(t, r.server.Drain(ctx), context.Canceled)
 	r.release <- struct{}{}
 }
 
@@ -266,7 +266,7 @@
 			for n := 1; n <= 2; n++ {
 				<-r.entered
 				if n == stopDuring {
-					r.server.Retire()
+					r.server.BeginDrain()
 					require.Equal(t, Busy, r.server.all()[0].state())
 				}
 				r.release <- struct{}{}
@@ -290,7 +290,7 @@
 	r.release <- struct{}{}
 	c.answered()
 	require.Eventually(t, func() bool { return connection.state() == Busy }, bound, time.Millisecond)
-	r.server.Retire()
+	r.server.BeginDrain()
 	c.send(text[10:])
 	<-r.entered
 	r.release <- struct{}{}
@@ -305,8 +305,8 @@
 	r.serve()
 	c := r.dial()
 	c.send(text[:10])
-	require.Eventually(t, func() bool { return r.server.States()[Busy] == 1 }, bound, time.Millisecond)
-	r.server.Retire()
+	require.Eventually(t, func() bool { return r.server.CountByState()[Busy] == 1 }, bound, time.Millisecond)
+	r.server.BeginDrain()
 	response, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestTimeout, response.StatusCode)
@@ -321,13 +321,13 @@
 	r := newRig(t, listen(t), false)
 	r.serve()
 	before := r.dial()
-	require.Eventually(t, func() bool { return r.server.Open() == 1 }, bound, time.Millisecond)
-	r.server.Retire()
-	require.Equal(t, 1, r.server.States()[Idle])
+	require.Eventually(t, func() bool { return r.server.OpenConns() == 1 }, bound, time.Millisecond)
+	r.server.BeginDrain()
+	require.Equal(t, 1, r.server.CountByState()[Idle])
 	before.send(text)
 	before.answered()
 	during, silent := r.dial(), r.dial()
-	require.Eventually(t, func() bool { return r.server.States()[Idle] == 2 }, bound, time.Millisecond)
+	require.Eventually(t, func() bool { return r.server.CountByState()[Idle] == 2 }, bound, time.Millisecond)
 	during.send(text)
 	during.answered()
 	silent.closed()
@@ -344,7 +344,7 @@
 	r.serve()
 	c := r.dial()
 	c.send(text)
-	require.Eventually(t, func() bool { return r.server.States()[Unread] == 1 }, bound, time.Millisecond)
+	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
 	close(g.gate)
 	c.answered()
 }
--- a/transport/target/answer.go
+++ b/transport/target/answer.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-func readMeta(header http.Header) Meta {
-	meta := Meta{
+func readMeta(header http.Header) ResponseMeta {
+	meta := ResponseMeta{
 		Received:    true,
 		Incarnation: header.Get(targetapi.HeaderIncarnation),
 		Leaving:     header.Get(targetapi.HeaderLeaving) == "true",
--- a/transport/target/client.go
+++ b/transport/target/client.go
@@ -77,7 +77,7 @@
 
 // Run makes one attempt and returns the whole answer. Its error is always an
 // *AttemptError.
-func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeJSON)
 	if err != nil {
 		return targetapi.RunAnswer{}, meta, err
@@ -89,7 +89,7 @@
 // Stream makes one attempt and passes each token on as it arrives. Offsets
 // start at call.Run.ResumeFrom and have no gap. An error of onToken ends the
 // attempt, and is wrapped in the *AttemptError that Stream returns.
-func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeStream)
 	if err != nil {
 		return targetapi.RunAnswer{}, meta, err
@@ -101,7 +101,7 @@
 // send sends the call and reads the headers of its answer. It returns an
 // exchange only for an answer whose body has to be read; that of a refusal
 // has been.
-func (c *Client) send(ctx context.Context, call Call, accept string) (*exchange, Meta, error) {
+func (c *Client) send(ctx context.Context, call Call, accept string) (*exchange, ResponseMeta, error) {
 	x := c.newExchange(ctx, call, accept)
 	err := x.roundTrip()
 	if err == nil {
--- a/transport/target/control_test.go
+++ b/transport/target/control_test.go
@@ -93,7 +93,7 @@
 		call.Run.Prefix = []targetapi.Part{{ID: "p", Tokens: 9}}
 		meta, err := r.run(call, true)
 		require.NoError(r, err)
-		require.Equal(r, target.Meta{Received: true, Incarnation: incarnation, Leaving: true, HasLoad: true, Active: 2, Slots: 2}, meta)
+		require.Equal(r, target.ResponseMeta{Received: true, Incarnation: incarnation, Leaving: true, HasLoad: true, Active: 2, Slots: 2}, meta)
 		require.Equal(r, 1, r.target.RunsReport().StartedLeaving)
 		events, err := r.client.CacheEvents(r.Context(), address, 0)
 		require.NoError(r, err)
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -53,11 +53,11 @@
 	writesBefore int64
 	response     *http.Response
 	body         io.Reader
-	meta         Meta
+	meta         ResponseMeta
 }
 
 func (c *Client) newExchange(ctx context.Context, call Call, accept string) *exchange {
-	x := &exchange{client: c, call: call, accept: accept, gap: c.options.EventGap, stop: func() {}}
+	x := &exchange{client: c, call: call, accept: accept, gap: c.options.BodyIdleTimeout, stop: func() {}}
 	x.ctx, x.span = startSpan(ctx, c.options.Tracer, &call, accept)
 	if ends, ok := ctx.Deadline(); !call.Deadline.IsZero() && (!ok || ends.After(call.Deadline)) {
 		x.ctx, x.stop = context.WithDeadlineCause(x.ctx, call.Deadline, errDeadline)
--- a/transport/target/options.go
+++ b/transport/target/options.go
@@ -16,16 +16,16 @@
 
 // Values used when Options leaves a field at 0.
 const (
-	DefaultConnectTimeout = time.Second
-	DefaultHeaderTimeout  = 30 * time.Second
-	DefaultEventGap       = 10 * time.Second
-	DefaultControlTimeout = 2 * time.Second
-	DefaultOrderTimeout   = time.Minute
-	DefaultMaxBody        = 4 << 20
-	DefaultIdlePerTarget  = 32
-	DefaultIdleTotal      = 1024
-	DefaultIdleTimeout    = 30 * time.Second
-	DefaultMaxCancels     = 64
+	DefaultConnectTimeout  = time.Second
+	DefaultHeaderTimeout   = 30 * time.Second
+	DefaultBodyIdleTimeout = 10 * time.Second
+	DefaultControlTimeout  = 2 * time.Second
+	DefaultOrderTimeout    = time.Minute
+	DefaultMaxBody         = 4 << 20
+	DefaultIdlePerTarget   = 32
+	DefaultIdleTotal       = 1024
+	DefaultIdleTimeout     = 30 * time.Second
+	DefaultMaxCancels      = 64
 )
 
 // Options bounds what calls may wait for and hold.
@@ -36,7 +36,7 @@
 	// answer that is not streamed sends them when the work is done.
 	HeaderTimeout time.Duration
 	// EventGap bounds the time without a byte within a body.
-	EventGap time.Duration
+	BodyIdleTimeout time.Duration
 	// ControlTimeout bounds Cancel, Load and CacheEvents as a whole.
 	ControlTimeout time.Duration
 	// OrderTimeout bounds Order, which lasts until the order is in force.
@@ -79,7 +79,7 @@
 
 // Meta is what the headers of an answer tell about the target. It may be
 // filled beside an error.
-type Meta struct {
+type ResponseMeta struct {
 	Incarnation string
 	Leaving     bool
 	// HasLoad tells whether Active, Queued and Slots were reported.
@@ -94,7 +94,7 @@
 func (o Options) withDefaults() Options {
 	setDefault(&o.ConnectTimeout, DefaultConnectTimeout)
 	setDefault(&o.HeaderTimeout, DefaultHeaderTimeout)
-	setDefault(&o.EventGap, DefaultEventGap)
+	setDefault(&o.BodyIdleTimeout, DefaultBodyIdleTimeout)
 	setDefault(&o.ControlTimeout, DefaultControlTimeout)
 	setDefault(&o.OrderTimeout, DefaultOrderTimeout)
 	setDefault(&o.MaxBody, DefaultMaxBody)
--- a/transport/target/rig_test.go
+++ b/transport/target/rig_test.go
@@ -96,7 +96,7 @@
 }
 
 func clientOptions(dial func(context.Context, string, string) (net.Conn, error)) target.Options {
-	return target.Options{HeaderTimeout: patience, EventGap: patience, Dial: dial}
+	return target.Options{HeaderTimeout: patience, BodyIdleTimeout: patience, Dial: dial}
 }
 
 // inBubble runs a test against an emulated target.
@@ -136,12 +136,12 @@
 }
 
 // run makes the call and, when it is answered, checks the answer to the byte.
-func (r *rig) run(call target.Call, stream bool) (target.Meta, error) {
+func (r *rig) run(call target.Call, stream bool) (target.ResponseMeta, error) {
 	r.Helper()
 	text, tokens := emulator.Output(call.Run.Stage, call.Run.Inputs, call.Run.Model, call.Run.MaxTokens)
 	seen := []string{}
 	var answer targetapi.RunAnswer
-	var meta target.Meta
+	var meta target.ResponseMeta
 	var err error
 	if stream {
 		answer, meta, err = r.client.Stream(r.Context(), call, func(offset int, token string) error {
--- a/transport/target/span.go
+++ b/transport/target/span.go
@@ -46,7 +46,7 @@
 }
 
 // endSpan closes the span with what came of the call.
-func endSpan(span trace.Span, meta Meta, failed *AttemptError) {
+func endSpan(span trace.Span, meta ResponseMeta, failed *AttemptError) {
 	defer span.End()
 	if !span.IsRecording() {
 		return
