--- a/transport/target/bench_test.go
+++ b/transport/target/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// BenchmarkRunOverhead takes turns between Run and a bare POST of the same
-// bytes to the same server, and gives the ratio of their times.
+// BenchmarkRunOverhead alternates between Run and a plain POST of the same bytes to
+// the same server, and reports the ratio of their times.
 func BenchmarkRunOverhead(b *testing.B) {
 	call := attempt("x")
 	answer, err := json.Marshal(targetapi.RunAnswer{AttemptID: call.AttemptID, Output: "out"})
--- a/transport/target/client.go
+++ b/transport/target/client.go
@@ -9,35 +9,35 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// maxHeaderBytes bounds the headers of an answer.
+// maxHeaderBytes bounds the headers of a response.
 const maxHeaderBytes = 64 << 10
 
 // Client calls targets. It is safe for concurrent use.
 type Client struct {
 	options Options
-	// pooled keeps idle connections. It is used without http.Client, which
-	// would follow redirects: an answer from elsewhere is not the target's.
+	// pooled reuses idle connections. It is used without http.Client, which would
+	// follow redirects and accept a response from another server.
 	pooled *http.Transport
-	// fresh opens a connection for each call.
-	fresh *http.Transport
+	// unpooled opens a connection for each call.
+	unpooled *http.Transport
 
-	// closing ends when Close is called.
+	// closing is cancelled by Close.
 	closing context.Context
 	close   context.CancelFunc
-	// cancels holds a token for each cancellation under way.
-	cancels chan struct{}
-	mu      sync.Mutex
-	closed  bool
-	wg      sync.WaitGroup
+	// cancelSlots is a semaphore with a value for each cancellation in progress.
+	cancelSlots chan struct{}
+	mu          sync.Mutex
+	closed      bool
+	wg          sync.WaitGroup
 }
 
-// New returns a client; the caller closes it.
+// New returns a client. The caller must close it.
 func New(options Options) *Client {
 	options = options.withDefaults()
-	c := &Client{options: options, cancels: make(chan struct{}, options.MaxCancels)}
+	c := &Client{options: options, cancelSlots: make(chan struct{}, options.MaxCancels)}
 	c.pooled = c.newTransport()
-	c.fresh = c.newTransport()
-	c.fresh.DisableKeepAlives = true
+	c.unpooled = c.newTransport()
+	c.unpooled.DisableKeepAlives = true
 	c.closing, c.close = context.WithCancel(context.Background())
 	return c
 }
@@ -60,11 +60,11 @@
 	if err != nil {
 		return nil, &dialError{cause: err, timeout: context.Cause(ctx) == errConnectTimeout}
 	}
-	return &conn{Conn: inner}, nil
+	return &countingConn{Conn: inner}, nil
 }
 
-// Close ends the cancellations under way and closes idle connections. Calls
-// under way go on.
+// Close aborts pending cancellations and closes idle connections. Calls in
+// progress continue.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -72,10 +72,10 @@
 	c.close()
 	c.wg.Wait()
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// Run makes one attempt and returns the whole answer. Its error is always an
+// Run makes one attempt and returns the complete answer. Its error is always an
 // *AttemptError.
 func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeJSON)
@@ -86,9 +86,9 @@
 	return answer, meta, x.finish(err)
 }
 
-// Stream makes one attempt and passes each token on as it arrives. Offsets
-// start at call.Run.ResumeFrom and have no gap. An error of onToken ends the
-// attempt, and is wrapped in the *AttemptError that Stream returns.
+// Stream makes one attempt and calls onToken for each token as it arrives.
+// Offsets are consecutive and start at call.Run.ResumeFrom. An error of onToken
+// ends the attempt and is wrapped in the *AttemptError that Stream returns.
 func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, ResponseMeta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeStream)
 	if err != nil {
@@ -98,9 +98,8 @@
 	return answer, meta, x.finish(err)
 }
 
-// send sends the call and reads the headers of its answer. It returns an
-// exchange only for an answer whose body has to be read; that of a refusal
-// has been.
+// send sends the call and reads the response headers. It returns an exchange only
+// if the caller has to read the response body; the body of a refusal has been read.
 func (c *Client) send(ctx context.Context, call Call, accept string) (*exchange, ResponseMeta, error) {
 	x := c.newExchange(ctx, call, accept)
 	err := x.roundTrip()
--- a/transport/target/conn.go
+++ b/transport/target/conn.go
@@ -9,20 +9,20 @@
 
 var errConnectTimeout = errors.New("connect timeout")
 
-// conn counts the writes, so that a call that failed can be told to have never
-// left this process.
+// countingConn counts writes, so that a failed call can be classified as never sent.
 //
-// The failure: a target closes an idle connection just as a call is put on it.
-// It shows as the same error whether the call was sent or not. The count holds
-// because an HTTP/1.1 connection carries one call at a time: when no write was
-// begun since the call got the connection, no byte of it can have left.
-type conn struct {
+// A target may close an idle connection just as a call is assigned to it. The error
+// is the same whether the request was sent or not. The count is reliable because an
+// HTTP/1.1 connection carries one call at a time: if no write has begun since the
+// call got the connection, no byte of the request has left this process.
+type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-// Write counts before it writes: a caller that gives up meanwhile must see it.
-func (c *conn) Write(p []byte) (int, error) {
+// Write counts before it writes, so that a caller that gives up during the write
+// sees it.
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
@@ -31,7 +31,7 @@
 	return n, err
 }
 
-// dialError says that no connection came about.
+// dialError is a failure to open a connection.
 type dialError struct {
 	cause   error
 	timeout bool
--- a/transport/target/conn_test.go
+++ b/transport/target/conn_test.go
@@ -20,8 +20,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// fragileConn loses what is sent, what comes and its own closing once silent is
-// closed.
+// fragileConn drops sent and received bytes once silent is closed, and doesn't close the
+// connection to the other end any more.
 type fragileConn struct {
 	net.Conn
 	silent <-chan struct{}
@@ -62,7 +62,7 @@
 	return c.Conn.Close()
 }
 
-// faultyConn fails its writes from the second call on, after some bytes.
+// faultyConn fails each write from the second one on, after passes bytes.
 type faultyConn struct {
 	net.Conn
 	writes, passes int
@@ -76,10 +76,10 @@
 	return n, errors.New("broken pipe")
 }
 
-// Story: an idle connection dies just as a call is put on it. If not one byte
-// left, the stage can be sent elsewhere at once; if one did, the target may
-// have the call and "not run" would be a guess.
-func TestOutcomeFollowsTheBytes(t *testing.T) {
+// An idle connection fails just as a call is assigned to it. If no byte was written, the
+// stage can be sent to another target at once; if one was, the target may have received
+// the call, and "not run" could be false.
+func TestOutcomeDependsOnBytesWritten(t *testing.T) {
 	for passes, outcome := range map[int]target.Outcome{0: target.NotRun, 1: target.Unknown} {
 		inBubble(t, engine(), func(r *rig) {
 			r.client = target.New(clientOptions(func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Story: a target takes a call on a reused connection, starts the work and
-// dies. net/http sends such a request again by itself when it thinks it may;
-// then a supplier order is confirmed twice, and no code of ours has decided it.
+// Prevents net/http from running a stage twice: a target accepts a call on a reused
+// connection, starts the work and crashes. net/http resends a request in that case if it
+// regards it as repeatable.
 func TestNoSecondSendOnReusedConnection(t *testing.T) {
 	calls := 0
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +111,7 @@
 		w.Header().Set(targetapi.HeaderAttempt, "a-x")
 		_, _ = w.Write([]byte(`{"attempt_id":"a-x"}`))
 	}
-	rawBubble(t, handler, func(r *rig) {
+	inBubbleWithHandler(t, handler, func(r *rig) {
 		_, _, err := r.client.Run(r.Context(), attempt("x"))
 		require.NoError(r, err)
 		_, _, err = r.client.Run(r.Context(), attempt("x"))
@@ -121,8 +121,8 @@
 	})
 }
 
-// Story: a target's host is gone and answers no dial. The wait must end by the
-// connect timeout, and nothing was run.
+// A target's host is unreachable and doesn't respond to a dial. The wait must end with
+// the connect timeout, with outcome NotRun.
 func TestConnectTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := target.New(clientOptions(func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -137,7 +137,7 @@
 	})
 }
 
-// Story: a burst opens many connections; afterwards they must not all be kept.
+// After a burst that opened many connections, the idle ones must be bounded.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	options := engine()
 	options.Slots = 8
@@ -149,7 +149,7 @@
 		for range 6 {
 			go func() { _, _, _ = r.client.Run(r.Context(), attempt("x")) }()
 		}
-		<-time.After(patience)
+		<-time.After(silenceTimeout)
 		synctest.Wait()
 		require.EqualValues(r, 3, r.net.open.Load())
 		r.client.Close()
@@ -158,32 +158,32 @@
 	})
 }
 
-// Story: a caller takes its tokens slowly, and an engine reads a long prompt.
-// Neither makes the target silent: the wait for bytes is bounded, not the time
-// between them, and keep-alive comments are bytes.
+// A caller processes tokens slowly, and an engine reads a long prompt. Neither makes the
+// target silent: the timeout bounds the wait for bytes, not the time between them, and
+// keep-alive comments count as bytes.
 func TestSlowIsNotSilent(t *testing.T) {
 	options := engine()
-	options.CallTime = 3 * patience
-	options.KeepAlive = patience / 2
+	options.CallTime = 3 * silenceTimeout
+	options.KeepAlive = silenceTimeout / 2
 	inBubble(t, options, func(r *rig) {
-		taken := 0
+		received := 0
 		_, _, err := r.client.Stream(r.Context(), attempt("x"), func(int, string) error {
-			taken++
-			<-time.After(2 * patience)
+			received++
+			<-time.After(2 * silenceTimeout)
 			return nil
 		})
 		require.NoError(r, err)
-		require.Equal(r, maxTokens, taken)
+		require.Equal(r, maxTokens, received)
 		require.EqualValues(r, 1, r.net.dials.Load())
 		_, err = r.run(attempt("y"), true)
 		require.NoError(r, err)
-		require.EqualValues(r, 1, r.net.dials.Load(), "a whole stream costs its connection")
+		require.EqualValues(r, 1, r.net.dials.Load(), "the connection of a complete stream was not reused")
 	})
 }
 
-// Story: the browser of a clerk is closed in mid-stream. The attempt ends at
-// once, and the target is told.
-func TestCallerTakesNoMoreTokens(t *testing.T) {
+// A caller that disconnects in the middle of a stream ends the attempt at once, and the
+// attempt is cancelled on the target.
+func TestCallerDisconnectCancelsStream(t *testing.T) {
 	inBubble(t, engine(), func(r *rig) {
 		_, _, err := r.client.Stream(r.Context(), attempt("x"), func(int, string) error { return io.ErrClosedPipe })
 		requireFailure(r, err, target.Unknown, target.ReasonCancelled)
@@ -192,8 +192,8 @@
 	})
 }
 
-// Story: a target dies in mid-stream and its host resets the connection. The
-// caller holds some tokens and must know that the rest is missing.
+// A target crashes in the middle of a stream and its host resets the connection. The
+// caller has some tokens and must learn that the remaining ones are missing.
 func TestResetOnTCP(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	emulated := emulator.New(engine())
--- a/transport/target/contract_test.go
+++ b/transport/target/contract_test.go
@@ -20,7 +20,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// expected is what a call must come to; the zero value is a whole answer.
+// expected is the expected result of a call; the zero value is a complete answer.
 type expected struct {
 	failed  bool
 	outcome target.Outcome
@@ -33,10 +33,9 @@
 	return expected{failed: true, outcome: outcome, reason: reason}
 }
 
-// Story: a target misbehaves in each way that the emulator knows, for one call.
-// The caller must get the whole answer or learn truly whether the stage may
-// have run; "not run" for a stage that ran makes a second work order. The next
-// call to the same target must be answered as if nothing had been.
+// Injects each fault of the emulator into one call. The caller must get the complete
+// answer or a correct outcome; "not run" for a stage that ran would cause a second
+// run. The next call to the same target must succeed.
 func TestContractFaults(t *testing.T) {
 	unknown := func(reason target.Reason) expected { return failing(target.Unknown, reason) }
 	failed := failing(target.Failed, target.ReasonFailed)
@@ -57,7 +56,7 @@
 		{emulator.Fault{Kind: emulator.FaultLost}, unknown(target.ReasonReset), unknown(target.ReasonTruncated), 1},
 		{emulator.Fault{Kind: emulator.FaultLate, DelayMS: 500}, answered, answered, 1},
 		{emulator.Fault{Kind: emulator.FaultLate, DelayMS: 5000}, unknown(target.ReasonSilent), unknown(target.ReasonSilent), 1},
-		// A connection in memory has no reset; TestResetOnTCP has.
+		// An in-memory connection can't be reset; TestResetOnTCP covers that.
 		{emulator.Fault{Kind: emulator.FaultReset, AfterTokens: 2}, unknown(target.ReasonReset), unknown(target.ReasonTruncated), 1},
 		{emulator.Fault{Kind: emulator.FaultSilent}, unknown(target.ReasonSilent), unknown(target.ReasonSilent), 0},
 		{emulator.Fault{Kind: emulator.FaultCrash, AfterTokens: 2}, unknown(target.ReasonReset), unknown(target.ReasonTruncated), 1},
@@ -81,7 +80,7 @@
 					r.requireIdle()
 					require.Equal(r, c.runs, r.target.Runs()["r-first"])
 					if c.fault.Kind == emulator.FaultDuplicate && !stream {
-						return // TestLateAnswerOnReusedConnection goes on from here.
+						return // TestLateResponseOnReusedConnection covers the next call.
 					}
 					_, err = r.run(attempt("next"), stream)
 					require.NoError(r, err)
@@ -91,10 +90,10 @@
 	}
 }
 
-// Story: a target answers a call twice. The second answer comes on the reused
-// connection in place of the next caller's. Unless the attempt's id is checked,
-// a cook gets the allergy check of another table.
-func TestLateAnswerOnReusedConnection(t *testing.T) {
+// Prevents a response from reaching the wrong caller: a target sends a response
+// twice, and the second copy arrives on the reused connection in place of the response
+// to the next call.
+func TestLateResponseOnReusedConnection(t *testing.T) {
 	inBubble(t, engine(), func(r *rig) {
 		r.target.SetFaults(emulator.Fault{Kind: emulator.FaultDuplicate, Limit: 1})
 		_, err := r.run(attempt("first"), false)
@@ -107,8 +106,8 @@
 	})
 }
 
-// Story: a target turns a call down. "Not run" lets the caller send the stage
-// elsewhere at once, so it must be said, and said truly.
+// A refused call must have outcome NotRun, since the caller may then retry the stage
+// on another target at once, and the target must not have run it.
 func TestContractRefusals(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(r *rig, call *target.Call)
@@ -139,7 +138,7 @@
 	}
 }
 
-// fill takes every slot of the target.
+// fill occupies every slot of the target.
 func fill(r *rig, _ *target.Call) {
 	for i := range engine().Slots {
 		go func() { _, _, _ = r.client.Run(r.Context(), attempt(fmt.Sprint("fill", i))) }()
@@ -147,10 +146,10 @@
 	synctest.Wait()
 }
 
-// Story: a caller hangs up, or its patience or its deadline ends, while its
-// stage waits or runs. The slot must be free at once, else abandoned work
-// starves the rest.
-func TestGivingUpFreesTheTarget(t *testing.T) {
+// A caller disconnects, or its header timeout or deadline expires, while its stage is
+// queued or runs. The target must free the slot at once, since abandoned work would
+// otherwise starve other calls.
+func TestAbandonedCallFreesSlot(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		inBubble(t, engine(), func(r *rig) {
 			fill(r, nil)
@@ -173,10 +172,10 @@
 	}
 }
 
-// Story: all open connections to a target go silent in both directions: the
-// target can't see that its caller gave up, and an idle connection brings it no
-// message. Only a cancellation on a new connection frees the slot.
-func TestCancelTakesANewConnection(t *testing.T) {
+// All open connections to a target go silent in both directions. The target can't
+// see that the caller gave up, and messages on an idle connection don't arrive. Only a
+// cancellation on a new connection frees the slot.
+func TestCancelUsesNewConnection(t *testing.T) {
 	inBubble(t, engine(), func(r *rig) {
 		silent := make(chan struct{})
 		r.client = target.New(clientOptions(func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -187,7 +186,7 @@
 			return conn, err
 		}))
 		fill(r, nil)
-		<-time.After(patience)
+		<-time.After(silenceTimeout)
 		require.EqualValues(r, 2, r.net.dials.Load(), "two connections are idle")
 		long := attempt("silent")
 		long.Run.MaxTokens = 1e6
@@ -199,7 +198,7 @@
 	})
 }
 
-// Story: many targets go silent at once. Their cancellations must not pile up.
+// When many targets go silent at once, the cancellations must not pile up.
 func TestCancellationsAreBounded(t *testing.T) {
 	var cancels atomic.Int64
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -209,21 +208,22 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}
-	rawBubble(t, handler, func(r *rig) {
+	inBubbleWithHandler(t, handler, func(r *rig) {
 		options := clientOptions(r.net.Dial)
 		options.MaxCancels = 2
 		r.client = target.New(options)
 		for range 5 {
 			go func() { _, _, _ = r.client.Run(r.Context(), attempt("x")) }()
 		}
-		<-time.After(2 * patience)
+		<-time.After(2 * silenceTimeout)
 		require.EqualValues(r, 2, cancels.Load())
 	})
 }
 
-// Story: answers that no emulated fault makes, from a target or a middlebox
-// that breaks the contract. None may pass for a whole answer or a true refusal.
-func TestBrokenAnswers(t *testing.T) {
+// Responses that violate the contract in ways that the emulator has no fault for,
+// from a target or a middlebox. None may be accepted as a complete answer or a valid
+// refusal.
+func TestBrokenResponses(t *testing.T) {
 	echo := func(w http.ResponseWriter) { w.Header().Set(targetapi.HeaderAttempt, "a-x") }
 	token := func(offset int, text string) string {
 		return fmt.Sprintf("event: token\nid: %d\ndata: {\"token\":%q}\n\n", offset, text)
@@ -277,7 +277,7 @@
 				w.WriteHeader(c.status)
 				_, _ = w.Write([]byte(c.body))
 			}
-			rawBubble(t, handler, func(r *rig) {
+			inBubbleWithHandler(t, handler, func(r *rig) {
 				var err error
 				if c.stream {
 					_, _, err = r.client.Stream(r.Context(), attempt("x"), func(int, string) error { return nil })
@@ -292,7 +292,7 @@
 				require.Equal(r, 1, calls)
 				synctest.Wait()
 				if c.want.failed && c.want.outcome == target.Unknown {
-					require.Zero(r, r.net.open.Load(), "the connection can bring a late answer to the next call")
+					require.Zero(r, r.net.open.Load(), "a late response on the open connection would reach the next call")
 				}
 			})
 		})
--- a/transport/target/control.go
+++ b/transport/target/control.go
@@ -12,17 +12,17 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// queryAfter is the query parameter of PathCacheEvents.
+// queryAfter is the query parameter of PathCacheEvents with the sequence number.
 const queryAfter = "after"
 
-// ErrFenced says that the target has seen a higher fencing number and that the
-// order had no effect.
+// ErrFenced means that the target has seen a higher fencing number and ignored the
+// order.
 var ErrFenced = errors.New("order carries an old fencing number")
 
-// ErrNoAttempt says that the target knows no attempt of that id.
+// ErrNoAttempt means that the target has no attempt with the given ID.
 var ErrNoAttempt = errors.New("no such attempt")
 
-// The steps of ControlError.
+// The steps of a ControlError.
 const (
 	StepCancel      Step = "cancel"
 	StepLoad        Step = "load"
@@ -30,11 +30,11 @@
 	StepCacheEvents Step = "cache_events"
 )
 
-// ControlError is every error of Cancel, Load, Order and CacheEvents.
+// ControlError is the type of all errors of Cancel, Load, Order and CacheEvents.
 type ControlError struct {
 	Step Step
 	Peer string
-	// Outcome is NotRun when the call had no effect for certain, else Unknown.
+	// Outcome is NotRun if the call certainly had no effect, else Unknown.
 	Outcome Outcome
 	Err     error
 }
@@ -47,32 +47,32 @@
 // Unwrap returns the cause.
 func (e *ControlError) Unwrap() error { return e.Err }
 
-// Cancel asks the target to stop an attempt. It takes a new connection: the
-// one that the attempt is on may be the reason to give up.
+// Cancel requests that the target stops an attempt. It opens a new connection,
+// since the attempt's own connection may be the one that failed.
 func (c *Client) Cancel(ctx context.Context, address, attemptID string) error {
 	_, err := c.control(ctx, controlCall{
-		step:      StepCancel,
-		transport: c.fresh,
-		timeout:   c.options.ControlTimeout,
-		address:   address,
-		method:    http.MethodPost,
-		path:      targetapi.PathCancel,
-		body:      targetapi.CancelRequest{AttemptID: attemptID},
-		refusals:  map[int]error{http.StatusNotFound: ErrNoAttempt},
+		step:         StepCancel,
+		transport:    c.unpooled,
+		timeout:      c.options.ControlTimeout,
+		address:      address,
+		method:       http.MethodPost,
+		path:         targetapi.PathCancel,
+		body:         targetapi.CancelRequest{AttemptID: attemptID},
+		statusErrors: map[int]error{http.StatusNotFound: ErrNoAttempt},
 	})
 	return err
 }
 
-// Load asks a target for its own report.
+// Load requests the target's load report.
 func (c *Client) Load(ctx context.Context, address string) (targetapi.Load, error) {
 	content, err := c.get(ctx, StepLoad, address, targetapi.PathLoad)
 	if err != nil {
 		return targetapi.Load{}, err
 	}
-	return parse[targetapi.Load](content, StepLoad, address)
+	return parseResponse[targetapi.Load](content, StepLoad, address)
 }
 
-// CacheEvents reads the cache events after a sequence number.
+// CacheEvents returns the target's cache events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (targetapi.CacheEvents, error) {
 	query := url.Values{queryAfter: {strconv.FormatUint(after, 10)}}
 	path := targetapi.PathCacheEvents + "?" + query.Encode()
@@ -80,27 +80,27 @@
 	if err != nil {
 		return targetapi.CacheEvents{}, err
 	}
-	return parse[targetapi.CacheEvents](content, StepCacheEvents, address)
+	return parseResponse[targetapi.CacheEvents](content, StepCacheEvents, address)
 }
 
-// Order gives an order and returns the target's state once it is in force. A
-// refusal for an old fencing number is ErrFenced. After an error whose outcome
-// is Unknown the order may be in force, or may still come to be.
+// Order sends an order and returns the target's load report once the order is in
+// force. The error is ErrFenced if the target refused an old fencing number. After
+// an error with outcome Unknown, the order may be in force or take effect later.
 func (c *Client) Order(ctx context.Context, address string, order targetapi.Order) (targetapi.Load, error) {
 	content, err := c.control(ctx, controlCall{
-		step:      StepOrder,
-		transport: c.pooled,
-		timeout:   c.options.OrderTimeout,
-		address:   address,
-		method:    http.MethodPost,
-		path:      targetapi.PathOrders,
-		body:      order,
-		refusals:  map[int]error{http.StatusConflict: ErrFenced},
+		step:         StepOrder,
+		transport:    c.pooled,
+		timeout:      c.options.OrderTimeout,
+		address:      address,
+		method:       http.MethodPost,
+		path:         targetapi.PathOrders,
+		body:         order,
+		statusErrors: map[int]error{http.StatusConflict: ErrFenced},
 	})
 	if err != nil {
 		return targetapi.Load{}, err
 	}
-	return parse[targetapi.Load](content, StepOrder, address)
+	return parseResponse[targetapi.Load](content, StepOrder, address)
 }
 
 func (c *Client) get(ctx context.Context, step Step, address, path string) ([]byte, error) {
@@ -114,7 +114,7 @@
 	})
 }
 
-func parse[T any](content []byte, step Step, address string) (T, error) {
+func parseResponse[T any](content []byte, step Step, address string) (T, error) {
 	var parsed T
 	if err := json.Unmarshal(content, &parsed); err != nil {
 		var none T
@@ -123,23 +123,23 @@
 	return parsed, nil
 }
 
-// cancelLater cancels an attempt without holding up its caller.
-func (c *Client) cancelLater(address, attemptID string) {
+// cancelAsync cancels an attempt in the background.
+func (c *Client) cancelAsync(address, attemptID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	select {
-	case c.cancels <- struct{}{}:
+	case c.cancelSlots <- struct{}{}:
 	default:
-		// Many targets silent at once must not pile up goroutines and
-		// connections; the closed connection tells those that can hear.
+		// Prevents a pile-up of goroutines and connections when many targets are
+		// silent at once. Targets that are reachable see the closed connection.
 		return
 	}
 	c.wg.Go(func() {
-		defer func() { <-c.cancels }()
-		// Nobody is left to tell when the cancellation fails as well.
+		defer func() { <-c.cancelSlots }()
+		// The caller has its error already, so a failed cancellation is ignored.
 		_ = c.Cancel(c.closing, address, attemptID)
 	})
 }
--- a/transport/target/control_call.go
+++ b/transport/target/control_call.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// controlCall is a call that is no attempt to run a stage.
+// controlCall is a call other than an attempt to run a stage.
 type controlCall struct {
 	step      Step
 	transport *http.Transport
@@ -25,34 +25,35 @@
 	path      string
 	// body is sent as JSON unless it is nil.
 	body any
-	// refusals names the errors behind statuses that mean something here.
-	refusals map[int]error
+	// statusErrors maps status codes to the errors that they mean for this call.
+	// All of them mean that the call had no effect.
+	statusErrors map[int]error
 }
 
-// control makes the call and returns the whole body of a good answer.
+// control makes the call and returns the body of a successful response.
 func (c *Client) control(ctx context.Context, call controlCall) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
-	request, err := call.request(ctx)
+	request, err := call.newRequest(ctx)
 	if err != nil {
-		return nil, call.failed(NotRun, err)
+		return nil, call.newError(NotRun, err)
 	}
 	response, err := call.transport.RoundTrip(request)
 	if err != nil {
-		return nil, call.failed(connectOutcome(err), err)
+		return nil, call.newError(connectOutcome(err), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := readBounded(response.Body, c.options.MaxBody)
-	if refused := call.refusal(response); refused != nil {
+	if refused := call.responseError(response); refused != nil {
 		return nil, refused
 	}
 	if err != nil {
-		return nil, call.failed(Unknown, err)
+		return nil, call.newError(Unknown, err)
 	}
 	return content, nil
 }
 
-func (call controlCall) request(ctx context.Context) (*http.Request, error) {
+func (call controlCall) newRequest(ctx context.Context) (*http.Request, error) {
 	var content io.Reader
 	if call.body != nil {
 		encoded, err := json.Marshal(call.body)
@@ -70,26 +71,27 @@
 	return request, nil
 }
 
-// refusal returns the error behind an answer that is not a good one.
-func (call controlCall) refusal(response *http.Response) error {
+// responseError returns the error that a response reports, or nil on success.
+func (call controlCall) responseError(response *http.Response) error {
 	if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNoContent {
 		return nil
 	}
-	if known := call.refusals[response.StatusCode]; known != nil {
-		return call.failed(NotRun, known)
+	if known := call.statusErrors[response.StatusCode]; known != nil {
+		return call.newError(NotRun, known)
 	}
 	outcome := Unknown
 	if response.Header.Get(targetapi.HeaderNotRun) == "true" {
 		outcome = NotRun
 	}
-	return call.failed(outcome, errors.Newf("status %d", response.StatusCode))
+	return call.newError(outcome, errors.Newf("status %d", response.StatusCode))
 }
 
-func (call controlCall) failed(outcome Outcome, err error) *ControlError {
+func (call controlCall) newError(outcome Outcome, err error) *ControlError {
 	return &ControlError{Step: call.step, Peer: call.address, Outcome: outcome, Err: err}
 }
 
-// connectOutcome tells a dial that failed from a call that may have been sent.
+// connectOutcome returns NotRun if the dial failed, else Unknown: the call may have
+// been sent.
 func connectOutcome(err error) Outcome {
 	if dial := (*dialError)(nil); errors.As(err, &dial) {
 		return NotRun
@@ -97,7 +99,7 @@
 	return Unknown
 }
 
-// readBounded reads to the end, and fails when that is further than the bound.
+// readBounded reads to the end. It fails if that is more than bound bytes.
 func readBounded(r io.Reader, bound int64) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(r, bound+1))
 	if err == nil && int64(len(content)) > bound {
--- a/transport/target/control_test.go
+++ b/transport/target/control_test.go
@@ -17,10 +17,10 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// Story: the holder of a lease is paused in the middle of its orders; its
-// successor gives its own; the first wakes and goes on. A target that checks
-// refuses it, one that does not obeys, and the client tells which it was.
-func TestOrdersOfAPausedHolder(t *testing.T) {
+// The holder of a lease is paused between its orders, its successor sends orders, and
+// then the first one resumes. A target that checks fencing numbers refuses the old
+// order, one that doesn't obeys it, and the client must report which it was.
+func TestOrdersOfPausedLeaseHolder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		options := engine()
 		options.ChecksFencing = checks
@@ -44,8 +44,8 @@
 	}
 }
 
-// Story: control calls go wrong. The holder of an order must know whether it
-// had no effect or may have had one.
+// The error of a failed control call must report whether the call had no effect or may
+// have had one.
 func TestControlErrors(t *testing.T) {
 	options := engine()
 	options.LoadTime = 2 * target.DefaultOrderTimeout
@@ -66,7 +66,7 @@
 		_, err := r.client.Order(r.Context(), address, order)
 		requireControlError(r, err, target.NotRun)
 	})
-	rawBubble(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }, func(r *rig) {
+	inBubbleWithHandler(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }, func(r *rig) {
 		_, err := r.client.Load(r.Context(), address)
 		requireControlError(r, err, target.Unknown)
 	})
@@ -79,9 +79,9 @@
 	require.Equal(t, address, failed.Peer)
 }
 
-// Story: a target announces that it leaves, and its load of some moments ago.
-// The caller learns both with each answer, without a call of its own.
-func TestMetaOfAnAnswer(t *testing.T) {
+// Each response reports that the target is leaving and its recent load, so that the
+// caller needs no separate call.
+func TestResponseMeta(t *testing.T) {
 	options := engine()
 	options.ReportLag = callTime
 	options.CacheTokens = 100
@@ -102,17 +102,16 @@
 	})
 }
 
-// Story: an operator follows a late request. Its trace must go on at the
-// target, with one span for the hop that says what came of it and holds no
-// word of the request.
-func TestOneSpanForEachCall(t *testing.T) {
+// A trace must continue at the target, with one span for the call that holds its
+// outcome and none of the request's content.
+func TestOneSpanPerCall(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	provider, propagator := otel.GetTracerProvider(), otel.GetTextMapPropagator()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	defer func() { otel.SetTracerProvider(provider); otel.SetTextMapPropagator(propagator) }()
 	var parent string
-	rawBubble(t, func(w http.ResponseWriter, r *http.Request) {
+	inBubbleWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		parent += r.Header.Get("traceparent")
 		w.Header().Set(targetapi.HeaderAttempt, "a-secret")
 		w.WriteHeader(http.StatusInternalServerError)
@@ -134,8 +133,8 @@
 	}, found)
 }
 
-// Story: a stream breaks at token 3 and goes on at another target from there.
-// The caller's tokens add up to the same text.
+// A stream that breaks after 3 tokens is resumed from there. The tokens of both
+// attempts must form the same text.
 func TestResume(t *testing.T) {
 	inBubble(t, engine(), func(r *rig) {
 		for from := range maxTokens + 1 {
--- a/transport/target/deadline_test.go
+++ b/transport/target/deadline_test.go
@@ -9,10 +9,10 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// Story: a clerk's order waits in a full target's queue until its deadline. The
-// target's "not run" and the client's own deadline fall on the same moment; the
-// client wins, and the clerk is told "unknown" about an order that never began.
-func TestDeadlineInTheQueueIsNotRun(t *testing.T) {
+// Prevents outcome Unknown for a call that never started: it waits in the queue of a
+// full target until its deadline, and the client's own deadline would expire before
+// the target's "not run" arrives.
+func TestDeadlineInQueueIsNotRun(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		options := engine()
 		options.CallTime = time.Hour
--- a/transport/target/error.go
+++ b/transport/target/error.go
@@ -4,18 +4,18 @@
 	"fmt"
 )
 
-// Outcome says what is known of the run after an attempt brought no answer.
+// Outcome is what is known about the run of a failed attempt.
 type Outcome int
 
 // The outcomes.
 const (
-	// Unknown: bytes left for the target and no whole answer came. The work may
-	// have been done, may still be going on, or may never have started.
+	// Unknown: bytes were sent to the target and no complete response arrived. The
+	// work may be finished, still running, or never started.
 	Unknown Outcome = iota
-	// NotRun: the target vouched that nothing was run, or no byte of the call
+	// NotRun: the target reported that nothing was run, or no byte of the request
 	// left this process.
 	NotRun
-	// Failed: the target ran the call and says that it failed.
+	// Failed: the target ran the call and reported that it failed.
 	Failed
 )
 
@@ -31,41 +31,42 @@
 	}
 }
 
-// Reason says why an attempt brought no answer.
+// Reason is why an attempt failed.
 type Reason string
 
 // The reasons.
 const (
 	// ReasonRefused: no connection was accepted, or the target refused the call.
 	ReasonRefused Reason = "refused"
-	// ReasonFull: the target has no room, or could not start it in time.
+	// ReasonFull: the target has no capacity, or could not start the call before its
+	// deadline.
 	ReasonFull Reason = "full"
 	// ReasonWrongIncarnation: another incarnation serves at the address.
 	ReasonWrongIncarnation Reason = "wrong_incarnation"
-	// ReasonTruncated: the answer ended before it was whole.
+	// ReasonTruncated: the response ended before it was complete.
 	ReasonTruncated Reason = "truncated"
-	// ReasonCrossed: the answer belongs to another attempt.
+	// ReasonCrossed: the response carries the ID of another attempt.
 	ReasonCrossed Reason = "crossed"
-	// ReasonGarbled: the answer can't be parsed or breaks the contract.
+	// ReasonGarbled: the response can't be parsed or violates the contract.
 	ReasonGarbled Reason = "garbled"
-	// ReasonTooLarge: the answer is larger than Options.MaxBody.
+	// ReasonTooLarge: the response is larger than Options.MaxBody.
 	ReasonTooLarge Reason = "too_large"
-	// ReasonTimeout: the deadline or the connect timeout passed.
+	// ReasonTimeout: the deadline or the connect timeout expired.
 	ReasonTimeout Reason = "timeout"
-	// ReasonSilent: the connection stayed without a byte for too long.
+	// ReasonSilent: no byte arrived within the header or body idle timeout.
 	ReasonSilent Reason = "silent"
-	// ReasonReset: the connection broke before an answer.
+	// ReasonReset: the connection failed before the response was complete.
 	ReasonReset Reason = "reset"
-	// ReasonCancelled: the caller gave up.
+	// ReasonCancelled: the caller cancelled the attempt.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonFailed: the target answered that the run failed.
+	// ReasonFailed: the target reported that the run failed.
 	ReasonFailed Reason = "failed"
 )
 
-// Step is the part of a call in which an error arose.
+// Step is the step of a call in which an error occurred.
 type Step string
 
-// The steps.
+// The steps of an attempt.
 const (
 	StepEncode  Step = "encode"
 	StepConnect Step = "connect"
@@ -76,13 +77,14 @@
 	StepDeliver Step = "deliver"
 )
 
-// AttemptError is every error that Run and Stream return.
+// AttemptError is the type of all errors that Run and Stream return.
 type AttemptError struct {
 	Step    Step
 	Peer    string
 	Outcome Outcome
 	Reason  Reason
-	// RetryAfterMS is when the target asks to come back; 0 when unknown.
+	// RetryAfterMS is the delay before a retry that the target requests, in
+	// milliseconds; 0 if it requests none.
 	RetryAfterMS int64
 	Err          error
 }
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -24,32 +24,32 @@
 	contentTypeStream = sse.ContentType
 )
 
-// Causes with which the context of an exchange is cancelled.
+// Causes of the cancellation of an exchange's context.
 var (
 	errDeadline = errors.New("deadline passed")
 	errSilent   = errors.New("no byte for too long")
 	errFinished = errors.New("exchange is over")
 )
 
-// exchange is one attempt: a call on one connection and its answer.
+// exchange is one attempt: a request on one connection and its response.
 type exchange struct {
 	client *Client
 	call   Call
 	accept string
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stop   context.CancelFunc
-	span   trace.Span
-	// silence cancels the exchange when the other end sends nothing.
-	silence *time.Timer
-	// gap is how long the body may bring no byte.
-	gap time.Duration
-
-	// hasConn tells that the call got a connection; writesBefore is the count
-	// of its writes at that moment.
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	stopDeadline context.CancelFunc
+	span         trace.Span
+	// silenceTimer cancels the exchange when the target sends nothing.
+	silenceTimer *time.Timer
+	// bodyIdleTimeout bounds each wait for bytes of the body.
+	bodyIdleTimeout time.Duration
+
+	// hasConn reports whether the call got a connection; writesBefore is the
+	// connection's write count at that time.
 	hasConn      bool
-	conn         *conn
+	conn         *countingConn
 	writesBefore int64
 	response     *http.Response
 	body         io.Reader
@@ -57,33 +57,33 @@
 }
 
 func (c *Client) newExchange(ctx context.Context, call Call, accept string) *exchange {
-	x := &exchange{client: c, call: call, accept: accept, gap: c.options.BodyIdleTimeout, stop: func() {}}
+	x := &exchange{client: c, call: call, accept: accept, bodyIdleTimeout: c.options.BodyIdleTimeout, stopDeadline: func() {}}
 	x.ctx, x.span = startSpan(ctx, c.options.Tracer, &call, accept)
 	if ends, ok := ctx.Deadline(); !call.Deadline.IsZero() && (!ok || ends.After(call.Deadline)) {
-		x.ctx, x.stop = context.WithDeadlineCause(x.ctx, call.Deadline, errDeadline)
+		x.ctx, x.stopDeadline = context.WithDeadlineCause(x.ctx, call.Deadline, errDeadline)
 	}
 	x.ctx, x.cancel = context.WithCancelCause(x.ctx)
 	return x
 }
 
-// roundTrip sends the call and waits for the headers of its answer.
+// roundTrip sends the request and waits for the response headers.
 func (x *exchange) roundTrip() error {
 	if x.ctx.Err() != nil {
-		return x.failure(StepConnect, context.Cause(x.ctx))
+		return x.fail(StepConnect, context.Cause(x.ctx))
 	}
 	request, err := x.newRequest()
 	if err != nil {
-		return x.failure(StepEncode, err)
+		return x.fail(StepEncode, err)
 	}
-	// The dial has its own bound, and got starts the bound for the headers.
-	x.silence = time.AfterFunc(x.client.options.ConnectTimeout+x.headerTimeout(), x.onSilence)
+	// The dial has its own timeout, and gotConn restarts the timer for the headers.
+	x.silenceTimer = time.AfterFunc(x.client.options.ConnectTimeout+x.headerTimeout(), x.onSilence)
 	x.response, err = x.client.pooled.RoundTrip(request)
 	if err != nil {
 		x.closeConn()
-		return x.failure(x.sendStep(), err)
+		return x.fail(x.sendStep(), err)
 	}
-	x.body = &watchedBody{exchange: x, left: x.client.options.MaxBody}
-	x.silence.Stop()
+	x.body = &boundedBody{exchange: x, remaining: x.client.options.MaxBody}
+	x.silenceTimer.Stop()
 	return nil
 }
 
@@ -92,16 +92,16 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx := httptrace.WithClientTrace(x.ctx, &httptrace.ClientTrace{GotConn: x.got})
+	ctx := httptrace.WithClientTrace(x.ctx, &httptrace.ClientTrace{GotConn: x.gotConn})
 	url := "http://" + x.call.Address + targetapi.PathRun
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// The failure: net/http sends a request once more when a reused connection
-	// breaks, and a stage runs twice. It does so for requests whose body it can
-	// get again and which look repeatable. Without GetBody it has no second
-	// body, and without an Idempotency-Key header a POST does not look so.
+	// Prevents a stage from running twice: net/http resends a request when a reused
+	// connection breaks, if it can get the body again and regards the request as
+	// idempotent. Without GetBody it has no second body, and without an
+	// Idempotency-Key header it doesn't regard a POST as idempotent.
 	request.GetBody = nil
 	x.setHeaders(request.Header)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(request.Header))
@@ -109,8 +109,8 @@
 }
 
 func (x *exchange) setHeaders(header http.Header) {
-	// One array holds all values: Header.Set makes one for each. The names are
-	// constants in canonical form.
+	// One backing array holds all values; Header.Set would allocate a slice for
+	// each. The names are constants in canonical form.
 	values := make([]string, 0, maxHeaders)
 	set := func(name, value string) {
 		n := len(values)
@@ -129,41 +129,42 @@
 		set(targetapi.HeaderExpect, x.call.Incarnation)
 	}
 	if !x.call.Deadline.IsZero() {
-		left := targetDeadline(time.Until(x.call.Deadline))
+		left := targetTimeout(time.Until(x.call.Deadline))
 		set(targetapi.HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 	}
 }
 
-// maxHeaders is how many headers a call has at most.
+// maxHeaders is the maximum number of headers that setHeaders sets.
 const maxHeaders = 8
 
-// Bounds of what the target's deadline is earlier than the call's own.
+// Limits of the margin by which the target's deadline precedes the call's own.
 const (
-	// answerShare is the share of what is left, as a divisor.
-	answerShare  = 10
-	answerMargin = 20 * time.Millisecond
+	// marginDivisor limits the margin to that fraction of the remaining time.
+	marginDivisor     = 10
+	maxDeadlineMargin = 20 * time.Millisecond
 )
 
-// targetDeadline is the time the target is given.
+// targetTimeout returns the time that the target gets, of the time that remains
+// for the call.
 //
-// The failure: a call waits in the target's queue until its deadline. The target
-// answers "not run" at the moment at which this client gives up, the answer
-// loses the race, and a caller whose work never started is told "unknown". The
-// margin gives that answer the time to arrive. Where it takes longer the caller
-// is told "unknown" still, which is weaker but not false.
-func targetDeadline(left time.Duration) time.Duration {
-	margin := min(left/answerShare, answerMargin)
+// A call may wait in the target's queue until its deadline. If target and client
+// had the same deadline, the target's "not run" would arrive after the client gave
+// up, and the outcome of work that never started would be "unknown". The margin is
+// the time for that response to arrive. If it takes longer, the outcome is still
+// "unknown", which is less precise but not false.
+func targetTimeout(left time.Duration) time.Duration {
+	margin := min(left/marginDivisor, maxDeadlineMargin)
 	return max(left-margin, time.Millisecond)
 }
 
-// got notes the connection before anything of the call is written to it.
-func (x *exchange) got(info httptrace.GotConnInfo) {
+// gotConn records the connection before the request is written to it.
+func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	x.hasConn = true
-	x.conn, _ = info.Conn.(*conn)
+	x.conn, _ = info.Conn.(*countingConn)
 	if x.conn != nil {
 		x.writesBefore = x.conn.writes.Load()
 	}
-	x.silence.Reset(x.headerTimeout())
+	x.silenceTimer.Reset(x.headerTimeout())
 }
 
 func (x *exchange) headerTimeout() time.Duration {
@@ -177,43 +178,43 @@
 	x.cancel(errSilent)
 }
 
-// bytesLeft tells whether any byte of the call can have left this process. The
-// connection must be closed before, so that none can leave after.
-func (x *exchange) bytesLeft() bool {
+// mayHaveSent reports whether any byte of the request may have left this process.
+// The connection must be closed first, so that no byte is written afterwards.
+func (x *exchange) mayHaveSent() bool {
 	if x.conn == nil {
 		return x.hasConn
 	}
 	return x.conn.writes.Load() > x.writesBefore
 }
 
-// sendStep is the step in which a round trip failed.
+// sendStep returns the step in which a round trip failed.
 func (x *exchange) sendStep() Step {
 	switch {
 	case !x.hasConn:
 		return StepConnect
-	case !x.bytesLeft():
+	case !x.mayHaveSent():
 		return StepSend
 	default:
 		return StepHeaders
 	}
 }
 
-// finish ends the exchange, and cancels at the target an attempt that may still
+// finish ends the exchange, and cancels the attempt on the target if it may still
 // be running there.
 func (x *exchange) finish(err error) error {
-	if x.silence != nil {
-		x.silence.Stop()
+	if x.silenceTimer != nil {
+		x.silenceTimer.Stop()
 	}
 	failed := asAttemptError(err)
 	if failed != nil && failed.Outcome == Unknown {
-		x.client.cancelLater(x.call.Address, x.call.AttemptID)
+		x.client.cancelAsync(x.call.Address, x.call.AttemptID)
 	}
 	if x.response != nil {
-		// Only says that the connection is gone.
+		// An error only means that the connection is closed already.
 		_ = x.response.Body.Close()
 	}
 	x.cancel(errFinished)
-	x.stop()
+	x.stopDeadline()
 	endSpan(x.span, x.meta, failed)
 	if failed == nil {
 		return nil
@@ -221,12 +222,12 @@
 	return failed
 }
 
-// closeConn closes the connection whatever net/http makes of it. A body that
-// was read to its end has put the connection back among the idle ones, where a
-// late or foreign answer would be taken for that of the next call.
+// closeConn closes the connection even if net/http has put it back into its idle
+// pool, as it does when a body was read to the end. There a late response or one to
+// another attempt would be read as the response to the next call.
 func (x *exchange) closeConn() {
 	if x.conn != nil {
-		// It is of no use any more, whatever closing it brings.
+		// The connection isn't used again, so an error is ignored.
 		_ = x.conn.Close()
 	}
 }
--- a/transport/target/failure.go
+++ b/transport/target/failure.go
@@ -9,29 +9,28 @@
 	"github.com/ivyhollow/ivyhollow/protocol/sse"
 )
 
-// garbledError says that an answer breaks the contract.
-type garbledError struct{ cause error }
+// contractError is a violation of the contract by a response.
+type contractError struct{ cause error }
 
-func (e garbledError) Error() string { return "answer breaks the contract: " + e.cause.Error() }
+func (e contractError) Error() string { return "answer breaks the contract: " + e.cause.Error() }
 
-func (e garbledError) Unwrap() error { return e.cause }
+func (e contractError) Unwrap() error { return e.cause }
 
-// deliveryError says that the caller did not take a token.
+// deliveryError is an error that onToken returned.
 type deliveryError struct{ cause error }
 
 func (e *deliveryError) Error() string { return "token was not taken: " + e.cause.Error() }
 
 func (e *deliveryError) Unwrap() error { return e.cause }
 
-// failure says what is known after an error of the connection or the answer.
-// It closes the connection: what may still come on it belongs to no call.
-func (x *exchange) failure(step Step, err error) *AttemptError {
+// fail classifies an error of the connection or the response. It closes the
+// connection, since late bytes on it would be read as the response to another call.
+func (x *exchange) fail(step Step, err error) *AttemptError {
 	x.closeConn()
 	outcome := NotRun
-	if x.bytesLeft() {
-		// The failure: an error after the call was sent is taken for a refusal
-		// and the stage is run again. Whether the target got the call can't be
-		// told from here, so it must not be called not run.
+	if x.mayHaveSent() {
+		// Prevents a second run of the stage: whether the target received the call
+		// is unknown here, and NotRun would allow a retry.
 		outcome = Unknown
 	}
 	return &AttemptError{
@@ -44,7 +43,7 @@
 }
 
 func (x *exchange) reason(step Step, err error) Reason {
-	if reason := answerReason(err); reason != "" {
+	if reason := responseReason(err); reason != "" {
 		return reason
 	}
 	if x.ctx.Err() != nil {
@@ -56,22 +55,23 @@
 	if step == StepEncode {
 		return ReasonRefused
 	}
-	if endedEarly(step, err) {
+	if isTruncated(step, err) {
 		return ReasonTruncated
 	}
 	return ReasonReset
 }
 
-// answerReason tells the faults of an answer that did come.
-func answerReason(err error) Reason {
-	garbled := garbledError{}
+// responseReason returns the reason for an error in a received response or in its
+// delivery; "" for other errors.
+func responseReason(err error) Reason {
+	violation := contractError{}
 	delivery := (*deliveryError)(nil)
 	switch {
-	case errors.Is(err, errCrossed):
+	case errors.Is(err, errWrongAttempt):
 		return ReasonCrossed
 	case errors.Is(err, errTooLarge), errors.Is(err, sse.ErrEventTooLarge), errors.Is(err, sse.ErrLineTooLong):
 		return ReasonTooLarge
-	case errors.As(err, &garbled), errors.Is(err, errContentType):
+	case errors.As(err, &violation), errors.Is(err, errContentType):
 		return ReasonGarbled
 	case errors.As(err, &delivery):
 		return ReasonCancelled
@@ -80,7 +80,7 @@
 	}
 }
 
-// contextReason tells why the exchange was given up.
+// contextReason returns the reason for the cancellation of the exchange.
 func contextReason(cause error) Reason {
 	switch {
 	case errors.Is(cause, errSilent):
@@ -99,12 +99,13 @@
 	return ReasonRefused
 }
 
-// endedEarly tells an answer that ended in the middle from a broken connection.
-func endedEarly(step Step, err error) bool {
+// isTruncated reports whether a response body ended early, as opposed to a failed
+// connection.
+func isTruncated(step Step, err error) bool {
 	if step != StepBody && step != StepStream {
 		return false
 	}
-	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, sse.ErrTruncated) || errors.Is(err, errNoDone)
+	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, sse.ErrTruncated) || errors.Is(err, errNoDoneEvent)
 }
 
 func asAttemptError(err error) *AttemptError {
--- a/transport/target/options.go
+++ b/transport/target/options.go
@@ -1,6 +1,6 @@
-// Package target is the client side of the interface that targets offer. It
-// makes one attempt at a time, bounds every wait, and says of an attempt that
-// brought no answer whether anything can have been run.
+// Package target is the client of the interface that targets offer. A call makes
+// a single attempt, every wait has a timeout, and the error of an attempt without
+// a response reports whether the target may have run the stage.
 package target
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// Values used when Options leaves a field at 0.
+// Defaults for fields of Options that are 0.
 const (
 	DefaultConnectTimeout  = time.Second
 	DefaultHeaderTimeout   = 30 * time.Second
@@ -28,66 +28,68 @@
 	DefaultMaxCancels      = 64
 )
 
-// Options bounds what calls may wait for and hold.
+// Options are the timeouts and resource limits of a Client.
 type Options struct {
 	// ConnectTimeout bounds the dial.
 	ConnectTimeout time.Duration
-	// HeaderTimeout bounds the time from the send to the answer's headers. An
-	// answer that is not streamed sends them when the work is done.
+	// HeaderTimeout bounds the time from sending the request to receiving the
+	// response headers. A target sends the headers of a response that is not
+	// streamed when the work is done.
 	HeaderTimeout time.Duration
-	// EventGap bounds the time without a byte within a body.
+	// BodyIdleTimeout bounds the time without a byte while a response body is read.
 	BodyIdleTimeout time.Duration
 	// ControlTimeout bounds Cancel, Load and CacheEvents as a whole.
 	ControlTimeout time.Duration
-	// OrderTimeout bounds Order, which lasts until the order is in force.
+	// OrderTimeout bounds Order, which returns when the order is in force.
 	OrderTimeout time.Duration
-	// MaxBody bounds an answer, in bytes.
+	// MaxBody bounds a response body, in bytes.
 	MaxBody int64
-	// IdlePerTarget and IdleTotal bound the idle connections that are kept.
+	// IdlePerTarget and IdleTotal bound the number of idle connections.
 	IdlePerTarget int
 	IdleTotal     int
-	// IdleTimeout is when an idle connection is closed.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout time.Duration
-	// MaxCancels bounds the cancellations under way at once; further ones are
-	// left to the closing of the connection.
+	// MaxCancels bounds the concurrent cancellation requests. An attempt beyond
+	// the bound is cancelled only by closing its connection.
 	MaxCancels int
-	// Tracer starts a span for each call; nil means that of the process.
+	// Tracer starts a span for each call; nil means the global tracer provider's.
 	Tracer trace.Tracer
-	// Dial replaces the dialler; nil means that of package net.
+	// Dial opens connections; nil means net.Dialer.DialContext.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Call is one attempt to run a stage at one target.
+// Call holds the parameters of one attempt to run a stage on one target.
 type Call struct {
-	// Address is the host and port of the target.
+	// Address is the target's host and port.
 	Address string
-	// Incarnation that is meant; empty when any will do.
+	// Incarnation is the incarnation that must run the call; empty means any.
 	Incarnation string
-	// AttemptID is never used twice: a late answer to the first attempt, or its
-	// cancellation, would be taken for the second's.
+	// AttemptID must be unique: with a reused ID, a late response to the first
+	// attempt, or its cancellation, would apply to the second.
 	AttemptID string
 	RequestID string
-	// Deadline is when the answer is of no more use; zero means none.
+	// Deadline is the time after which the response is useless; zero means none.
 	Deadline time.Time
-	// Priority is 0 (most urgent) to 9.
+	// Priority ranges from 0 (most urgent) to 9.
 	Priority int
 	Tier     string
-	// HeaderTimeout replaces that of the Options unless it is 0.
+	// HeaderTimeout overrides Options.HeaderTimeout unless it is 0.
 	HeaderTimeout time.Duration
 	Run           targetapi.RunRequest
 }
 
-// Meta is what the headers of an answer tell about the target. It may be
-// filled beside an error.
+// ResponseMeta is what the response headers report about the target. It may be
+// set even if the call returns an error.
 type ResponseMeta struct {
 	Incarnation string
 	Leaving     bool
-	// HasLoad tells whether Active, Queued and Slots were reported.
+	// HasLoad reports whether the headers contained Active, Queued and Slots.
 	HasLoad bool
 	Active  int
 	Queued  int
 	Slots   int
-	// Received tells whether any answer came, so that the rest means something.
+	// Received reports whether a response to this attempt arrived; if not, the
+	// other fields are zero.
 	Received bool
 }
 
--- a/transport/target/answer.go
+++ b/transport/target/response.go
@@ -15,28 +15,28 @@
 // maxRefusal bounds the body of a refusal, in bytes.
 const maxRefusal = 64 << 10
 
-// Faults of an answer.
+// Errors in a response.
 var (
-	errCrossed     = errors.New("answer carries another attempt id")
-	errContentType = errors.New("answer has the wrong content type")
-	errTooLarge    = errors.New("answer is larger than allowed")
+	errWrongAttempt = errors.New("answer carries another attempt id")
+	errContentType  = errors.New("answer has the wrong content type")
+	errTooLarge     = errors.New("answer is larger than allowed")
 )
 
-// checkHeaders tells an answer from a refusal, and reads the latter.
+// checkHeaders checks the response headers. For a response other than 200 it also
+// reads the body and returns its error.
 func (x *exchange) checkHeaders() error {
 	header := x.response.Header
-	// Nothing that the answer says counts unless it is the answer to this very
-	// attempt. A late answer on a reused connection shows as a foreign id, and
-	// its Not-Run speaks of another attempt.
+	// The attempt ID is checked first. A late response on a reused connection has
+	// the ID of another attempt, and its Not-Run header applies to that attempt.
 	if header.Get(targetapi.HeaderAttempt) != x.call.AttemptID {
-		return x.failure(StepHeaders, errCrossed)
+		return x.fail(StepHeaders, errWrongAttempt)
 	}
 	x.meta = readMeta(header)
 	if x.response.StatusCode != http.StatusOK {
-		return x.refusal()
+		return x.readRefusal()
 	}
 	if x.accept == contentTypeStream && !strings.HasPrefix(header.Get("Content-Type"), contentTypeStream) {
-		return x.failure(StepHeaders, errContentType)
+		return x.fail(StepHeaders, errContentType)
 	}
 	return nil
 }
@@ -64,21 +64,21 @@
 	return meta
 }
 
-// refusal reads an answer other than 200. The contract says that the work was
-// run and failed unless the target vouches that nothing was run.
-func (x *exchange) refusal() error {
+// readRefusal reads a response other than 200. By the contract the stage was run and
+// failed, unless the Not-Run header states that nothing was run.
+func (x *exchange) readRefusal() error {
 	failed := &AttemptError{Step: StepHeaders, Peer: x.call.Address, Outcome: Failed, Reason: ReasonFailed}
 	if x.response.Header.Get(targetapi.HeaderNotRun) == "true" {
 		failed.Outcome = NotRun
 		failed.Reason = refusalReason(x.response.StatusCode)
 	}
-	// The body only explains: the outcome stands whatever becomes of it.
+	// The body only holds details; the outcome doesn't depend on reading it.
 	body, err := io.ReadAll(io.LimitReader(x.body, maxRefusal))
 	if err != nil {
 		failed.Err = err
 		return failed
 	}
-	failed.RetryAfterMS, failed.Err = x.explain(body)
+	failed.RetryAfterMS, failed.Err = x.refusalDetail(body)
 	return failed
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-func (x *exchange) explain(body []byte) (int64, error) {
+func (x *exchange) refusalDetail(body []byte) (int64, error) {
 	var refusal targetapi.Refusal
 	if err := json.Unmarshal(body, &refusal); err != nil {
 		return 0, errors.Newf("status %d", x.response.StatusCode)
@@ -101,42 +101,43 @@
 	return max(refusal.RetryAfterMS, 0), errors.Newf("status %d: %s", x.response.StatusCode, refusal.Error)
 }
 
-// readWhole reads an answer that is not streamed.
+// readWhole reads a response that is not streamed.
 func (x *exchange) readWhole() (targetapi.RunAnswer, error) {
 	body, err := io.ReadAll(x.body)
 	if err != nil {
-		return targetapi.RunAnswer{}, x.failure(StepBody, err)
+		return targetapi.RunAnswer{}, x.fail(StepBody, err)
 	}
 	return x.parseAnswer(StepBody, body)
 }
 
-// parseAnswer parses an answer and checks that it is this attempt's.
+// parseAnswer parses an answer and checks its attempt ID.
 func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunAnswer, error) {
 	var answer targetapi.RunAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return targetapi.RunAnswer{}, x.failure(step, garbledError{err})
+		return targetapi.RunAnswer{}, x.fail(step, contractError{err})
 	}
 	if answer.AttemptID != x.call.AttemptID {
-		return targetapi.RunAnswer{}, x.failure(step, errCrossed)
+		return targetapi.RunAnswer{}, x.fail(step, errWrongAttempt)
 	}
 	return answer, nil
 }
 
-// watchedBody reads the answer's body within its bounds of size and silence.
-type watchedBody struct {
-	exchange *exchange
-	left     int64
+// boundedBody reads the response body within the bounds of its size and of the time
+// without a byte.
+type boundedBody struct {
+	exchange  *exchange
+	remaining int64
 }
 
-// Read bounds the silence only while it waits for bytes: a caller that takes
-// its time over a token must not make the target look silent.
-func (b *watchedBody) Read(p []byte) (int, error) {
+// Read runs the silence timer only while it waits for bytes, so that a caller that
+// is slow to process a token doesn't make the target look silent.
+func (b *boundedBody) Read(p []byte) (int, error) {
 	x := b.exchange
-	x.silence.Reset(x.gap)
+	x.silenceTimer.Reset(x.bodyIdleTimeout)
 	n, err := x.response.Body.Read(p)
-	x.silence.Stop()
-	b.left -= int64(n)
-	if b.left < 0 {
+	x.silenceTimer.Stop()
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, errTooLarge
 	}
 	return n, err
--- a/transport/target/rig_test.go
+++ b/transport/target/rig_test.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	address     = "192.0.2.1:80"
-	incarnation = "i-1"
-	maxTokens   = 6
-	tokenTime   = 10 * time.Millisecond
-	callTime    = 20 * time.Millisecond
-	patience    = time.Second
+	address        = "192.0.2.1:80"
+	incarnation    = "i-1"
+	maxTokens      = 6
+	tokenTime      = 10 * time.Millisecond
+	callTime       = 20 * time.Millisecond
+	silenceTimeout = time.Second
 )
 
-// pipeNet is a network in memory, so that time in a bubble goes on while
-// connections wait.
+// pipeNet is an in-memory network. In a synctest bubble, time advances while its
+// connections block.
 type pipeNet struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
-	// dials and open count the connections made and those not yet closed.
+	// dials and open count the opened connections and those not yet closed.
 	dials, open atomic.Int64
 }
 
@@ -80,7 +80,7 @@
 	return c.Conn.Close()
 }
 
-// rig is a client before one target, within a bubble of virtual time.
+// rig is a client with one target in a synctest bubble.
 type rig struct {
 	*testing.T
 	net    *pipeNet
@@ -96,7 +96,7 @@
 }
 
 func clientOptions(dial func(context.Context, string, string) (net.Conn, error)) target.Options {
-	return target.Options{HeaderTimeout: patience, BodyIdleTimeout: patience, Dial: dial}
+	return target.Options{HeaderTimeout: silenceTimeout, BodyIdleTimeout: silenceTimeout, Dial: dial}
 }
 
 // inBubble runs a test against an emulated target.
@@ -108,8 +108,8 @@
 	})
 }
 
-// rawBubble runs a test against a handler that need not keep the contract.
-func rawBubble(t *testing.T, handler http.HandlerFunc, test func(r *rig)) {
+// inBubbleWithHandler runs a test against a handler that may violate the contract.
+func inBubbleWithHandler(t *testing.T, handler http.HandlerFunc, test func(r *rig)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{T: t}
 		r.serve(handler, func() { test(r) })
@@ -122,12 +122,12 @@
 	go func() { _ = server.Serve(r.net) }()
 	defer func() { _ = server.Close() }()
 	r.client = target.New(clientOptions(r.net.Dial))
-	// A test may have put another client in its place.
+	// A test may have replaced the client.
 	defer func() { r.client.Close() }()
 	test()
 }
 
-// attempt is a call whose ids come from its name.
+// attempt returns a call whose IDs contain the name.
 func attempt(name string) target.Call {
 	return target.Call{
 		Address: address, Incarnation: incarnation, AttemptID: "a-" + name, RequestID: "r-" + name,
@@ -135,7 +135,8 @@
 	}
 }
 
-// run makes the call and, when it is answered, checks the answer to the byte.
+// run makes the call and compares the answer, if there is one, with the expected
+// output.
 func (r *rig) run(call target.Call, stream bool) (target.ResponseMeta, error) {
 	r.Helper()
 	text, tokens := emulator.Output(call.Run.Stage, call.Run.Inputs, call.Run.Model, call.Run.MaxTokens)
@@ -164,7 +165,7 @@
 	return meta, nil
 }
 
-// requireFailure checks what an attempt that brought no answer says.
+// requireFailure checks the outcome and reason of a failed attempt.
 func requireFailure(t require.TestingT, err error, outcome target.Outcome, reason target.Reason) {
 	failed := (*target.AttemptError)(nil)
 	require.ErrorAs(t, err, &failed)
@@ -173,9 +174,9 @@
 	require.NotEmpty(t, failed.Step)
 }
 
-// requireIdle checks that nothing runs at the target any more.
+// requireIdle checks that the target has no active or queued call.
 func (r *rig) requireIdle() {
 	synctest.Wait()
 	active, queued := r.target.Load()
-	require.Zero(r, active+queued, "the target still works for a caller that gave up")
+	require.Zero(r, active+queued, "the target still runs a call that was abandoned")
 }
--- a/transport/target/span.go
+++ b/transport/target/span.go
@@ -10,7 +10,7 @@
 
 const tracerName = "github.com/ivyhollow/ivyhollow/transport/target"
 
-// Attributes of a span. None holds an input or an output of a stage.
+// Span attributes. None contains an input or an output of a stage.
 const (
 	attributePeer        = "server.address"
 	attributeStage       = "ivyhollow.stage"
@@ -26,7 +26,7 @@
 	spanStream = "target.stream"
 )
 
-// startSpan opens the client span of one call.
+// startSpan starts the client span of a call.
 func startSpan(ctx context.Context, tracer trace.Tracer, call *Call, accept string) (context.Context, trace.Span) {
 	name := spanRun
 	if accept == contentTypeStream {
@@ -45,7 +45,7 @@
 	return ctx, span
 }
 
-// endSpan closes the span with what came of the call.
+// endSpan ends the span with the result of the call.
 func endSpan(span trace.Span, meta ResponseMeta, failed *AttemptError) {
 	defer span.End()
 	if !span.IsRecording() {
--- a/transport/target/stream.go
+++ b/transport/target/stream.go
@@ -13,89 +13,89 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// endWait bounds the wait for the end of a stream whose answer is whole. With
-// the end read, the connection can be used again; else it is closed.
-const endWait = 20 * time.Millisecond
+// streamEndTimeout bounds the wait for the end of the stream after its done event.
+// If the end is read, the connection can be reused; otherwise it is closed.
+const streamEndTimeout = 20 * time.Millisecond
 
 var (
-	errGap      = errors.New("tokens are missing in the stream")
-	errMismatch = errors.New("the whole text is not that of the tokens")
-	errNoDone   = errors.New("stream ended without a whole answer")
+	errMissingTokens = errors.New("tokens are missing in the stream")
+	errTextMismatch  = errors.New("the whole text is not that of the tokens")
+	errNoDoneEvent   = errors.New("stream ended without a whole answer")
 )
 
-// tokenStream is the state of one streamed answer.
+// tokenStream is the state of one streamed response.
 type tokenStream struct {
 	exchange *exchange
 	events   *sse.Decoder
 	onToken  func(offset int, token string) error
-	// next is the offset of the token that is due.
-	next int
-	// text is what the tokens of this attempt add up to.
+	// nextOffset is the offset of the next token.
+	nextOffset int
+	// text is the concatenation of this attempt's tokens.
 	text strings.Builder
 }
 
-// readStream reads a streamed answer up to its done or error event.
+// readStream reads a streamed response up to its done or error event.
 func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunAnswer, error) {
 	limit := int(x.client.options.MaxBody)
 	s := &tokenStream{
-		exchange: x,
-		events:   sse.NewDecoder(x.body, sse.Limits{Line: limit, Event: limit}),
-		onToken:  onToken,
-		next:     x.call.Run.ResumeFrom,
+		exchange:   x,
+		events:     sse.NewDecoder(x.body, sse.Limits{Line: limit, Event: limit}),
+		onToken:    onToken,
+		nextOffset: x.call.Run.ResumeFrom,
 	}
 	for {
 		event, err := s.events.Next()
 		if err == io.EOF {
-			err = errNoDone
+			err = errNoDoneEvent
 		}
 		if err != nil {
-			return targetapi.RunAnswer{}, x.failure(StepStream, err)
+			return targetapi.RunAnswer{}, x.fail(StepStream, err)
 		}
 		switch event.Name {
 		case targetapi.EventToken:
-			if err := s.token(event); err != nil {
+			if err := s.handleToken(event); err != nil {
 				return targetapi.RunAnswer{}, err
 			}
 		case targetapi.EventDone:
-			return s.done(event)
+			return s.handleDone(event)
 		case targetapi.EventError:
-			return targetapi.RunAnswer{}, s.failed(event)
+			return targetapi.RunAnswer{}, s.handleError(event)
 		}
 	}
 }
 
-// token checks the offset of a token and passes it on.
-func (s *tokenStream) token(event sse.Event) error {
+// handleToken checks the offset of a token and passes the token to onToken.
+func (s *tokenStream) handleToken(event sse.Event) error {
 	x := s.exchange
 	offset, err := strconv.Atoi(event.ID)
 	if err != nil {
-		return x.failure(StepStream, garbledError{err})
+		return x.fail(StepStream, contractError{err})
 	}
 	token, err := parseToken(event.Data)
 	if err != nil {
-		return x.failure(StepStream, garbledError{err})
+		return x.fail(StepStream, contractError{err})
 	}
-	if offset < s.next {
-		// Sent twice. The offset tells, and the caller sees it once.
+	if offset < s.nextOffset {
+		// The token is a duplicate.
 		return nil
 	}
-	if offset > s.next {
-		return x.failure(StepStream, garbledError{errGap})
+	if offset > s.nextOffset {
+		return x.fail(StepStream, contractError{errMissingTokens})
 	}
 	if err := s.onToken(offset, token); err != nil {
-		return x.failure(StepDeliver, &deliveryError{err})
+		return x.fail(StepDeliver, &deliveryError{err})
 	}
-	s.next++
+	s.nextOffset++
 	s.text.WriteString(token)
 	return nil
 }
 
-// parseToken parses a TokenEvent. In its usual form, one field whose text has no
-// escape, the text is cut out; whatever else is left to the decoder.
+// parseToken parses a TokenEvent. It has a fast path for the usual form, a single
+// field whose text needs no unescaping, and uses encoding/json for all others.
 func parseToken(data string) (string, error) {
 	text, head := strings.CutPrefix(data, `{"token":"`)
 	text, tail := strings.CutSuffix(text, `"}`)
-	if head && tail && plain(text) {
+	if head && tail && isPlainText(text) {
 		return text, nil
 	}
 	var token targetapi.TokenEvent
@@ -103,8 +103,9 @@
 	return token.Token, err
 }
 
-// plain tells whether a JSON string of this text is the text itself.
-func plain(text string) bool {
+// isPlainText reports whether the text of a JSON string needs no unescaping: all of
+// it is printable ASCII without quotes and backslashes.
+func isPlainText(text string) bool {
 	for i := range len(text) {
 		c := text[i]
 		if c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -114,15 +115,15 @@
 	return true
 }
 
-// done checks that the whole answer is what the tokens add up to.
-func (s *tokenStream) done(event sse.Event) (targetapi.RunAnswer, error) {
+// handleDone checks that the final answer matches the tokens.
+func (s *tokenStream) handleDone(event sse.Event) (targetapi.RunAnswer, error) {
 	x := s.exchange
 	answer, err := x.parseAnswer(StepStream, []byte(event.Data))
 	if err != nil {
 		return targetapi.RunAnswer{}, err
 	}
 	if !s.matches(answer) {
-		return targetapi.RunAnswer{}, x.failure(StepStream, garbledError{errMismatch})
+		return targetapi.RunAnswer{}, x.fail(StepStream, contractError{errTextMismatch})
 	}
 	s.readEnd()
 	return answer, nil
@@ -130,7 +131,7 @@
 
 func (s *tokenStream) matches(answer targetapi.RunAnswer) bool {
 	resumedFrom := s.exchange.call.Run.ResumeFrom
-	if answer.Tokens != s.next-resumedFrom {
+	if answer.Tokens != s.nextOffset-resumedFrom {
 		return false
 	}
 	if resumedFrom == 0 && answer.Tokens > 0 {
@@ -139,22 +140,23 @@
 	return strings.HasSuffix(answer.Output, s.text.String())
 }
 
-// readEnd reads the end of the stream, so that the connection can be kept. An
-// end that does not come, or another event in its place, costs the connection
-// but not the answer.
+// readEnd reads the end of the stream, so that the connection can be reused. If the
+// end doesn't arrive, or another event does, the connection is closed but the answer
+// stays valid.
 func (s *tokenStream) readEnd() {
 	x := s.exchange
-	x.gap = endWait
+	x.bodyIdleTimeout = streamEndTimeout
 	if _, err := s.events.Next(); err != io.EOF {
 		x.closeConn()
 	}
 }
 
-// failed reads the error event, with which a target says that the run failed.
-func (s *tokenStream) failed(event sse.Event) error {
+// handleError converts an error event, by which the target reports that the run
+// failed, to an error.
+func (s *tokenStream) handleError(event sse.Event) error {
 	var refusal targetapi.Refusal
 	if err := json.Unmarshal([]byte(event.Data), &refusal); err != nil {
-		return s.exchange.failure(StepStream, garbledError{err})
+		return s.exchange.fail(StepStream, contractError{err})
 	}
 	return &AttemptError{
 		Step:         StepStream,
--- a/transport/target/token_test.go
+++ b/transport/target/token_test.go
@@ -10,9 +10,9 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// A token cut out of JSON that is not in its usual form would be another text
-// than the target sent, or pass where the contract is broken.
-func TestParseTokenIsTheDecoders(t *testing.T) {
+// The fast path of parseToken must agree with encoding/json. Otherwise it could return
+// another text than the target sent, or accept data that violates the contract.
+func TestParseTokenMatchesDecoder(t *testing.T) {
 	forms := []string{`{"token":"a\"b"}`, `{"token":"a","token":"b"}`, `{"token":"a"}}`, `{"token":"`, `{"token":"}`,
 		`{"token":"\u0041"}`, `{"Token":"a"}`, `{"token":"a"} `, `{"token":null}`, `[]`, "{\"token\":\"a\nb\"}", `{"token":""}`}
 	rapid.Check(t, func(t *rapid.T) {
