--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -12,63 +12,65 @@
 	"github.com/cockroachdb/errors"
 )
 
-// phase is how far the next request on a connection is.
+// phase is the progress of the current or next request on a connection.
 type phase int
 
 const (
 	// phaseIdle: nothing of the next request has been read.
 	phaseIdle phase = iota
-	// phaseHead: some of its head has been read.
-	phaseHead
-	// phaseServed: its head has been read whole, and its answer isn't written.
-	phaseServed
+	// phaseReadingHead: a part of its head has been read.
+	phaseReadingHead
+	// phaseServing: its whole head has been read, and its response isn't written yet.
+	phaseServing
 )
 
-// conn is a caller's connection.
+// conn is a connection of a caller.
 type conn struct {
 	net.Conn
 	server *Server
-	// refused tells that the connection's last request has been refused here.
-	refused atomic.Bool
+	// headRefused is set when headTimeoutResponse has been sent for the connection's
+	// last request.
+	headRefused atomic.Bool
 
 	mu    sync.Mutex
 	phase phase
-	// answered tells that a request has been answered on the connection.
-	answered bool
-	// ahead tells that a byte of the next request was read while the one before was
-	// being served.
-	ahead bool
-	// idleBounded tells that net/http has bounded the wait for the next request.
-	idleBounded bool
-	// began is when the first byte of the request under way was read; before the
-	// first one, when the connection was accepted.
-	began time.Time
-	// retired tells that the connection is to be closed once nothing is on its way.
-	retired bool
-	// headBy is when the head that was coming as the connection was retired must be
-	// there.
-	headBy time.Time
-	// deadline is the read deadline that net/http asked for.
-	deadline time.Time
-	// closedHere tells that this end closed the connection.
-	closedHere bool
+	// responded is set when a response has been written on the connection.
+	responded bool
+	// readAhead is set when a byte of the next request was read while the previous
+	// request was being served.
+	readAhead bool
+	// idleDeadlineSet is set when net/http has set a deadline for the wait for the
+	// next request.
+	idleDeadlineSet bool
+	// startedAt is when the first byte of the current request was read; before the
+	// first request, when the connection was accepted.
+	startedAt time.Time
+	// draining is set when the connection is to be closed after the current request.
+	draining bool
+	// headDeadline is when a head that is being read must be complete while the
+	// connection is draining.
+	headDeadline time.Time
+	// requestedDeadline is the read deadline that net/http set last.
+	requestedDeadline time.Time
+	// closedByServer is set when this end has closed the connection.
+	closedByServer bool
 }
 
-// Read reads from the socket. A reader that waits for a request and whose time is over
-// looks into the socket once more: what lies there is read, however late.
+// Read reads from the socket. If the deadline passes during the wait for a request, it
+// checks the socket once more and reads bytes that have arrived, however late.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if n > 0 {
-			c.read(len(p), time.Now())
+			c.onRead(len(p), time.Now())
 			return n, err
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		next := c.timedOut(err, time.Now())
-		if errors.Is(next, errHeadOverdue) {
-			c.refuseHead()
+		next := c.onReadTimeout(err, time.Now())
+		if errors.Is(next, errHeadTimeout) {
+			c.sendHeadTimeout()
 			return 0, err
 		}
 		if next != nil {
@@ -77,170 +79,176 @@
 	}
 }
 
-// timedOut decides how a read goes on that ran into its deadline: nil to read again.
-func (c *conn) timedOut(err error, now time.Time) error {
+// onReadTimeout returns the error for a read whose deadline passed, or nil to read again.
+func (c *conn) onReadTimeout(err error, now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.phase == phaseIdle && readable(c.Conn):
-		c.begin(now)
+		c.beginHead(now)
 		return nil
-	case c.phase == phaseIdle && c.retired:
+	case c.phase == phaseIdle && c.draining:
 		return io.EOF
-	case c.phase == phaseHead && c.retired:
-		return errHeadOverdue
+	case c.phase == phaseReadingHead && c.draining:
+		return errHeadTimeout
 	default:
 		return err
 	}
 }
 
-// errHeadOverdue tells that a head doesn't come during a stop.
-var errHeadOverdue = errors.New("the head doesn't come")
+// errHeadTimeout means that a request's head was not completed in time while the
+// connection is draining.
+var errHeadTimeout = errors.New("the head doesn't come")
 
 const (
-	// headTimeout answers a request whose head doesn't come: it says that it hasn't run.
-	headTimeout = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// refuseWithin bounds the sending of it: it fits what a connection takes at once.
-	refuseWithin = 100 * time.Millisecond
+	// headTimeoutResponse is the response to a request whose head is not completed.
+	// Its status means that the request hasn't run.
+	headTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	// headTimeoutWriteLimit bounds the write of headTimeoutResponse, which fits into
+	// the send buffer of a connection.
+	headTimeoutWriteLimit = 100 * time.Millisecond
 )
 
-// refuseHead answers a request whose head doesn't come.
-func (c *conn) refuseHead() {
-	if c.SetWriteDeadline(time.Now().Add(refuseWithin)) != nil {
-		return // it is closed
+// sendHeadTimeout responds to a request whose head is not completed.
+func (c *conn) sendHeadTimeout() {
+	if c.SetWriteDeadline(time.Now().Add(headTimeoutWriteLimit)) != nil {
+		return // the connection is closed
 	}
-	_, _ = io.WriteString(c.Conn, headTimeout) // a caller that left needs no answer
-	c.refused.Store(true)
+	_, _ = io.WriteString(c.Conn, headTimeoutResponse) // a caller that disconnected needs no response
+	c.headRefused.Store(true)
 }
 
-// Write writes to the socket. net/http takes what it has of a line for the whole line when
-// a read fails, and answers that it is malformed: a second answer after the refusal.
+// Write writes to the socket, unless the head was refused. When a read fails, net/http
+// parses the part of a line that it has as a whole line and responds that it is malformed,
+// which would be a second response.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.refused.Load() {
+	if c.headRefused.Load() {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
-// read notes that bytes were read into a buffer of the given size.
+// onRead records that bytes were read into a buffer of the given size.
 //
-// While a request is served, net/http reads one byte ahead, and nothing else reads
-// so little: it is the first of the next request.
-func (c *conn) read(size int, now time.Time) {
+// While a request is served, net/http reads one byte ahead. No other read uses a buffer
+// of one byte, so that byte is the first of the next request.
+func (c *conn) onRead(size int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.phase == phaseIdle:
-		c.begin(now)
-	case c.phase == phaseServed && size == 1:
-		c.ahead = true
-		c.began = now
+		c.beginHead(now)
+	case c.phase == phaseServing && size == 1:
+		c.readAhead = true
+		c.startedAt = now
 	}
 }
 
-// begin notes the first byte of a request; mu is held. Where the reader was woken, or its
-// time was over, it gets time for the head; net/http bounds that anew.
-func (c *conn) begin(now time.Time) {
-	c.phase = phaseHead
-	c.began = now
+// beginHead records the first byte of a request; mu is held. If the deadline has passed
+// or drain has set it, beginHead extends it for the rest of the head; net/http then sets
+// its own.
+func (c *conn) beginHead(now time.Time) {
+	c.phase = phaseReadingHead
+	c.startedAt = now
 	switch {
-	case c.retired:
-		c.boundHead(now)
-	case !c.deadline.IsZero() && c.deadline.Before(now):
-		c.setDeadline(now.Add(restOfHead))
+	case c.draining:
+		c.limitHead(now)
+	case !c.requestedDeadline.IsZero() && c.requestedDeadline.Before(now):
+		c.setSocketDeadline(now.Add(headCompletionTimeout))
 	}
 }
 
-// restOfHead is how long a head may take to come whose connection is retired: a few
-// round trips, and the second after which a lost packet is sent again.
-const restOfHead = 2 * time.Second
+// headCompletionTimeout bounds the time in which a head must be completed on a draining
+// connection: a few round trips, and the second after which a lost packet is
+// retransmitted.
+const headCompletionTimeout = 2 * time.Second
 
-// boundHead bounds the wait for the rest of a head; mu is held.
+// limitHead sets the deadline for the rest of a head; mu is held.
 //
-// It guards against a caller that begins a request and doesn't go on: the stop would wait
-// for it until the end of the grace.
-func (c *conn) boundHead(now time.Time) {
-	c.headBy = now.Add(restOfHead)
-	c.setDeadline(c.headBy)
+// Prevents a caller that sends only a part of a head from delaying the stop until the end
+// of the grace period.
+func (c *conn) limitHead(now time.Time) {
+	c.headDeadline = now.Add(headCompletionTimeout)
+	c.setSocketDeadline(c.headDeadline)
 }
 
-func (c *conn) setDeadline(t time.Time) {
-	_ = c.Conn.SetReadDeadline(t) // a closed connection shows at the next read
+func (c *conn) setSocketDeadline(t time.Time) {
+	_ = c.Conn.SetReadDeadline(t) // if the connection is closed, the next read fails
 }
 
-// headRead notes that a request's head has been read. net/http may have had all of it in
-// its buffer, behind the request before.
-func (c *conn) headRead() {
+// onHeadRead records that a request's head has been read. All of it may have been in
+// net/http's buffer, behind the previous request.
+func (c *conn) onHeadRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == phaseIdle {
-		c.began = time.Now()
+		c.startedAt = time.Now()
 	}
-	c.phase = phaseServed
-	c.ahead = false
-	if c.retired {
-		c.setDeadline(c.deadline)
+	c.phase = phaseServing
+	c.readAhead = false
+	if c.draining {
+		c.setSocketDeadline(c.requestedDeadline)
 	}
 }
 
-// idle notes that a request's answer has been written.
-func (c *conn) idle() {
+// onIdle records that a response has been written.
+func (c *conn) onIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered = true
-	c.idleBounded = false
+	c.responded = true
+	c.idleDeadlineSet = false
 	c.phase = phaseIdle
-	if c.ahead {
-		c.phase = phaseHead
+	if c.readAhead {
+		c.phase = phaseReadingHead
 	}
-	if c.retired {
-		c.hasten(time.Now())
+	if c.draining {
+		c.shortenWait(time.Now())
 	}
 }
 
-// retire has the connection closed once no request is on its way on it.
-func (c *conn) retire() {
+// drain makes the reader close the connection when no request is in progress on it.
+func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.retired = true
-	c.hasten(time.Now())
+	c.draining = true
+	c.shortenWait(time.Now())
 }
 
-// longAgo is a deadline that has passed.
+// longAgo is a deadline in the past, which ends blocked calls at once.
 var longAgo = time.Unix(1, 0)
 
-// hasten wakes a reader that waits for a request, and bounds the wait for a head; mu is
-// held.
-func (c *conn) hasten(now time.Time) {
+// shortenWait wakes a reader that waits for a request, or limits the wait for the rest of
+// a head; mu is held.
+func (c *conn) shortenWait(now time.Time) {
 	switch c.phase {
 	case phaseIdle:
-		c.setDeadline(longAgo)
-	case phaseHead:
-		c.boundHead(now)
+		c.setSocketDeadline(longAgo)
+	case phaseReadingHead:
+		c.limitHead(now)
 	}
 }
 
-// SetReadDeadline implements net.Conn. What retire has set holds until the head has been
-// read.
+// SetReadDeadline implements net.Conn. While the connection is draining, the deadline
+// that drain has set stays until the head has been read.
 //
-// net/http sets a deadline when it begins to wait for the next request, and another
-// when it has the first bytes of it, which may have come behind the request before.
+// net/http sets a deadline when it starts to wait for the next request, and another one
+// when it has the first bytes of it, which may have arrived with the previous request.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	if c.phase == phaseIdle && c.idleBounded {
-		c.begin(time.Now())
+	c.requestedDeadline = t
+	if c.phase == phaseIdle && c.idleDeadlineSet {
+		c.beginHead(time.Now())
 	}
-	c.idleBounded = c.answered && c.phase == phaseIdle
-	if c.retired && c.phase != phaseServed {
+	c.idleDeadlineSet = c.responded && c.phase == phaseIdle
+	if c.draining && c.phase != phaseServing {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends the sending half, as net/http does before it closes a connection on
-// which the caller still sends.
+// CloseWrite closes the sending half. net/http calls it before it closes a connection on
+// which the caller is still sending.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -251,29 +259,29 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	c.closedHere = true
+	c.closedByServer = true
 	c.mu.Unlock()
 	err := c.Conn.Close()
-	c.server.forget(c)
+	c.server.untrack(c)
 	return err
 }
 
-// firstRequestIn is how long the first request of a new connection may take to come:
-// a round trip, and the second after which a lost packet is sent again.
-const firstRequestIn = 1100 * time.Millisecond
+// firstRequestTimeout is how long draining waits for the first request of a new
+// connection: a round trip, and the second after which a lost packet is retransmitted.
+const firstRequestTimeout = 1100 * time.Millisecond
 
-// patience is how long the connection may not be retired yet: a caller has just opened
-// it for a request that is on its way.
-func (c *conn) patience(now time.Time) time.Duration {
+// drainDelay returns how long to wait before draining the connection, since a caller that
+// has just opened it may have a request in transit. It is 0 or less if there is no need.
+func (c *conn) drainDelay(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answered || c.phase != phaseIdle {
+	if c.responded || c.phase != phaseIdle {
 		return 0
 	}
-	return c.began.Add(firstRequestIn).Sub(now)
+	return c.startedAt.Add(firstRequestTimeout).Sub(now)
 }
 
-// state tells what is on its way on the connection.
+// state returns the ConnState of the connection.
 func (c *conn) state() ConnState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,11 +295,11 @@
 	}
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// HeadTime is how long a request's head took from its first byte to now; 0 outside
-// a Server's handler.
+// HeadReadTime returns the time from the first byte of a request's head to now; 0 outside
+// the handler of a Server.
 func HeadReadTime(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
@@ -299,10 +307,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.began)
+	return time.Since(c.startedAt)
 }
 
-// ClosedHere tells whether this end closed a request's connection.
+// ClosedByServer reports whether this end closed a request's connection.
 func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
@@ -310,5 +318,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closedHere
+	return c.closedByServer
 }
--- a/transport/inbound/listener.go
+++ b/transport/inbound/listener.go
@@ -9,57 +9,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// listener wraps the connections that it accepts.
+// listener wraps accepted connections for a Server.
 type listener struct {
 	net.Listener
 	server *Server
-	// ending tells that no more connections are to come.
-	ending atomic.Bool
+	// draining is set when the listener is to close after accepting the connections
+	// that wait.
+	draining atomic.Bool
 }
 
-// deadliner is a listener whose waiting can be ended.
-type deadliner interface {
+// deadlineSetter is a listener whose Accept can be interrupted.
+type deadlineSetter interface {
 	SetDeadline(t time.Time) error
 }
 
-// Accept implements net.Listener. Once the listener is ending, it gives out what waits
-// to be accepted and then closes.
+// Accept implements net.Listener. While the listener is draining, it returns the
+// connections in the accept queue and closes the listener when there are none.
 //
-// It guards against connections that the kernel has opened and nobody has accepted: a
-// closed listener resets them, with the requests that their callers have sent.
+// Otherwise the kernel would reset the connections in the accept queue when the listener
+// is closed, and the requests that callers have sent on them would be lost.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err == nil {
-			return l.server.adopt(nc), nil
+			return l.server.track(nc), nil
 		}
-		if !l.ending.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 		if !readable(l.Listener) {
-			_ = l.Close() // nothing waits on it
+			_ = l.Close() // the accept queue is empty
 			return nil, net.ErrClosed
 		}
-		if err := l.acceptOne(); err != nil {
+		if err := l.allowAccept(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// acceptOne lets the next Accept take a connection that waits. The deadline passes
-// again soon: a caller may have left meanwhile.
-func (l *listener) acceptOne() error {
-	return l.Listener.(deadliner).SetDeadline(time.Now().Add(acceptWithin))
+// allowAccept sets a short deadline, so that the next Accept can return a connection from
+// the accept queue. It is short since the caller may have disconnected meanwhile.
+func (l *listener) allowAccept() error {
+	return l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(acceptTimeout))
 }
 
-// acceptWithin bounds the taking of a connection that waits.
-const acceptWithin = 10 * time.Millisecond
+// acceptTimeout bounds an Accept from the accept queue while the listener is draining.
+const acceptTimeout = 10 * time.Millisecond
 
-// end has the listener close once nothing waits to be accepted.
-func (l *listener) end() {
-	l.ending.Store(true)
-	if d, ok := l.Listener.(deadliner); ok && d.SetDeadline(longAgo) == nil {
+// drain makes Accept close the listener when the accept queue is empty.
+func (l *listener) drain() {
+	l.draining.Store(true)
+	if d, ok := l.Listener.(deadlineSetter); ok && d.SetDeadline(longAgo) == nil {
 		return
 	}
-	_ = l.Close() // it can't be woken, or is closed
+	_ = l.Close() // Accept can't be interrupted, or the listener is closed
 }
--- a/transport/inbound/readable.go
+++ b/transport/inbound/readable.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// readable tells, without waiting, whether a socket has something that was not
-// taken from it: bytes or the end of a connection, or a connection of a listener.
+// readable reports without blocking whether a socket is ready to read: it has bytes or
+// the end of the stream, or a listener has a connection to accept.
 func readable(socket any) bool {
 	sc, ok := socket.(syscall.Conn)
 	if !ok {
@@ -26,7 +26,8 @@
 	return err == nil && ready
 }
 
-// poll asks for a descriptor, again when a signal comes between.
+// poll reports whether a descriptor is readable. It repeats the call if a signal
+// interrupts it.
 func poll(fd int32) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: unix.POLLIN}}
 	for {
--- a/transport/inbound/server.go
+++ b/transport/inbound/server.go
@@ -10,54 +10,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is what is on its way on a connection.
+// ConnState reports whether a request is in progress on a connection.
 type ConnState string
 
 // The states of a connection.
 const (
-	// Idle has no request.
+	// Idle connections have no request.
 	Idle ConnState = "idle"
-	// Unread has bytes of a request in its socket that nobody has read.
+	// Unread connections have bytes in the socket that have not been read.
 	Unread ConnState = "unread"
-	// Busy has a request of which some bytes have been read.
+	// Busy connections have a request of which at least a byte has been read.
 	Busy ConnState = "busy"
 )
 
-// Options bound what callers may send. Zero values are no bounds.
+// Options are limits of callers' requests. Zero values mean no limit.
 type Options struct {
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 	MaxHeaderBytes int
 }
 
-// Server is an HTTP server for callers. Its stop is Retire, Finish, Close.
+// Server is an HTTP server for callers. To stop it, call BeginDrain, Drain and Close.
 type Server struct {
 	http     *http.Server
 	listener *listener
-	// accepted is closed when no more connections are accepted, closed by Close.
-	accepted, closed chan struct{}
-	closeOnce        sync.Once
+	// acceptDone is closed when no more connections are accepted; closed is closed
+	// by Close.
+	acceptDone, closed chan struct{}
+	closeOnce          sync.Once
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
-	retiring bool
-	// changed is told when a connection is gone.
-	changed chan struct{}
+	draining bool
+	// connClosed receives a value when a connection is closed.
+	connClosed chan struct{}
 }
 
-// New returns a server that accepts from the listener once it runs.
+// New returns a server that accepts connections from l when Serve is called.
 func New(l net.Listener, h http.Handler, o Options) *Server {
 	s := &Server{
-		accepted: make(chan struct{}), closed: make(chan struct{}),
-		conns: map[*conn]struct{}{}, changed: make(chan struct{}, 1),
+		acceptDone: make(chan struct{}), closed: make(chan struct{}),
+		conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1),
 	}
 	s.listener = &listener{Listener: l, server: s}
 	s.http = &http.Server{
-		Handler:           s.announce(h),
+		Handler:           s.closeWhenDraining(h),
 		ReadHeaderTimeout: o.HeaderTimeout,
 		IdleTimeout:       o.IdleTimeout,
 		MaxHeaderBytes:    o.MaxHeaderBytes,
-		ConnState:         noteState,
+		ConnState:         onConnState,
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, nc)
 		},
@@ -65,68 +66,69 @@
 	return s
 }
 
-// announce tells callers that their connection closes after the answer.
-func (s *Server) announce(h http.Handler) http.Handler {
+// closeWhenDraining wraps a handler. While the server is draining, it sends callers the
+// Connection: close header.
+func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.isRetiring() {
+		if s.isDraining() {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-func (s *Server) isRetiring() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retiring
+	return s.draining
 }
 
-// Serve accepts and serves connections until Close. Finish ends the accepting alone:
-// the group that runs the server must not end with it.
+// Serve accepts and serves connections until Close. Drain stops accepting, but Serve
+// doesn't return then, since that would end the goroutine group that runs the server.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
-	close(s.accepted)
-	if !s.listener.ending.Load() {
+	close(s.acceptDone)
+	if !s.listener.draining.Load() {
 		return errors.Wrap(err, "serve")
 	}
 	<-s.closed
 	return nil
 }
 
-// Retire has each connection closed as soon as no request is on its way on it, also
-// those that are still to come. New ones have time for their first request.
+// BeginDrain closes each connection as soon as no request is in progress on it, including
+// connections accepted later. New connections get time for their first request.
 func (s *Server) BeginDrain() {
 	s.mu.Lock()
-	s.retiring = true
+	s.draining = true
 	s.mu.Unlock()
 	now := time.Now()
-	for _, c := range s.all() {
-		s.retireInTime(now, c)
+	for _, c := range s.connections() {
+		s.scheduleDrain(now, c)
 	}
 }
 
-// retireInTime retires a connection, a new one once its first request should be there.
-func (s *Server) retireInTime(now time.Time, c *conn) {
-	if wait := c.patience(now); wait > 0 {
-		time.AfterFunc(wait, c.retire)
+// scheduleDrain drains a connection; a new one after the time for its first request.
+func (s *Server) scheduleDrain(now time.Time, c *conn) {
+	if wait := c.drainDelay(now); wait > 0 {
+		time.AfterFunc(wait, c.drain)
 		return
 	}
-	c.retire()
+	c.drain()
 }
 
-// Finish ends the accepting, and waits until all connections that were opened have
-// been served and closed. It returns the context's error if that ends before.
+// Drain stops accepting connections and waits until all open ones have been served and
+// closed. It returns the context's error if the context ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.BeginDrain()
-	s.listener.end()
+	s.listener.drain()
 	select {
-	case <-s.accepted:
+	case <-s.acceptDone:
 	case <-ctx.Done():
 		return errors.Wrap(context.Cause(ctx), "accept what waits")
 	}
 	for s.OpenConns() > 0 {
 		select {
-		case <-s.changed:
+		case <-s.connClosed:
 		case <-ctx.Done():
 			return errors.Wrap(context.Cause(ctx), "finish requests")
 		}
@@ -134,38 +136,38 @@
 	return nil
 }
 
-// Stop finishes within a time, and closes what isn't done then.
+// Shutdown drains the server for at most the given time and then closes the remaining
+// connections.
 func (s *Server) Shutdown(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	_ = s.Drain(ctx) // what isn't done is closed
+	_ = s.Drain(ctx) // Close ends what isn't done
 	s.Close()
 }
 
-// Close closes all connections, whatever is on its way on them: what Finish had no more
-// time for.
+// Close closes all connections, including those with requests in progress.
 func (s *Server) Close() {
-	_ = s.http.Close() // nothing is left to do with a connection that doesn't close
+	_ = s.http.Close() // a failed close can't be handled
 	s.closeOnce.Do(func() { close(s.closed) })
 }
 
-// Open returns the number of connections.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// States counts the connections.
+// CountByState returns the number of open connections in each state.
 func (s *Server) CountByState() map[ConnState]int {
 	counts := map[ConnState]int{}
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		counts[c.state()]++
 	}
 	return counts
 }
 
-func (s *Server) all() []*conn {
+func (s *Server) connections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*conn, 0, len(s.conns))
@@ -175,40 +177,40 @@
 	return all
 }
 
-// adopt takes in a connection that has just been accepted.
-func (s *Server) adopt(nc net.Conn) *conn {
+// track adds an accepted connection to the server.
+func (s *Server) track(nc net.Conn) *conn {
 	now := time.Now()
-	c := &conn{Conn: nc, server: s, began: now}
+	c := &conn{Conn: nc, server: s, startedAt: now}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	retiring := s.retiring
+	draining := s.draining
 	s.mu.Unlock()
-	if retiring {
-		s.retireInTime(now, c)
+	if draining {
+		s.scheduleDrain(now, c)
 	}
 	return c
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	select {
-	case s.changed <- struct{}{}:
+	case s.connClosed <- struct{}{}:
 	default:
 	}
 }
 
-// noteState takes in what net/http knows of a connection.
-func noteState(nc net.Conn, state http.ConnState) {
+// onConnState updates a connection from the state that net/http reports.
+func onConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		c.headRead()
+		c.onHeadRead()
 	case http.StateIdle:
-		c.idle()
+		c.onIdle()
 	}
 }
--- a/transport/inbound/server_test.go
+++ b/transport/inbound/server_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bound is a bound of waits that a test must not reach.
+// bound is the timeout of waits; no test may reach it.
 const bound = 10 * time.Second
 
 const text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// rig is a server with callers.
+// rig is a server under test.
 type rig struct {
 	t      *testing.T
 	server *Server
-	// entered gets a value when a request reaches the handler, which goes on when
-	// release gives one; both are nil for a handler that answers at once.
+	// entered receives a value when a request reaches the handler, which responds when
+	// it receives one from release; both are nil if the handler responds at once.
 	entered, release chan struct{}
 }
 
@@ -52,10 +52,10 @@
 }
 
 func (r *rig) serve() {
-	go func() { _ = r.server.Serve() }() // its end is looked at by Finish
+	go func() { _ = r.server.Serve() }() // Drain waits for its end
 }
 
-// caller is one connection to the server.
+// caller is a client connection to the server.
 type caller struct {
 	net.Conn
 	t      *testing.T
@@ -75,45 +75,45 @@
 	require.NoError(c.t, err)
 }
 
-// answered reads a whole answer and tells whether the connection closes after it.
-func (c *caller) answered() (closes bool) {
+// readResponse reads a complete response and reports whether the connection closes after it.
+func (c *caller) readResponse() (closes bool) {
 	response, err := http.ReadResponse(c.reader, nil)
 	require.NoError(c.t, err)
 	require.Equal(c.t, http.StatusNoContent, response.StatusCode)
 	return response.Close
 }
 
-func (c *caller) closed() {
+func (c *caller) requireClosed() {
 	_, err := c.reader.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
 }
 
-func (r *rig) finish() {
+func (r *rig) drain() {
 	ctx, cancel := context.WithTimeout(r.t.Context(), bound)
 	defer cancel()
 	require.NoError(r.t, r.server.Drain(ctx))
 	require.Zero(r.t, r.server.OpenConns())
 }
 
-// A stop closes connections on which nothing is on its way, so that their callers go
-// elsewhere, and no others.
-func TestRetireClosesIdleConnections(t *testing.T) {
+// Draining closes idle connections, so that their callers use another instance, and no
+// others.
+func TestDrainClosesIdleConnections(t *testing.T) {
 	r := newRig(t, listen(t), false)
 	r.serve()
 	idle := r.dial()
 	idle.send(text)
-	require.False(t, idle.answered())
+	require.False(t, idle.readResponse())
 	r.server.BeginDrain()
-	idle.closed()
+	idle.requireClosed()
 	later := r.dial()
 	later.send(text)
-	require.True(t, later.answered())
-	later.closed()
-	r.finish()
+	require.True(t, later.readResponse())
+	later.requireClosed()
+	r.drain()
 }
 
-// gated accepts connections whose reads wait until the gate opens, like those of a
-// process that has not run since.
+// gated accepts connections whose reads block until the gate is closed, like those of a
+// process that is paused.
 type gated struct {
 	net.Listener
 	gate chan struct{}
@@ -137,26 +137,25 @@
 	return c.TCPConn.Read(p)
 }
 
-// A caller's request lies in the socket: the instance has not run for a while. When it
-// runs again, its stop is due, and the connection has no request as far as anybody has
-// read. It must be read, and answered.
-func TestRetireAnswersWhatLiesUnread(t *testing.T) {
+// An instance was paused, and a request lies unread in the socket. When the instance
+// resumes, it drains at once, and the connection looks idle. The request must be served.
+func TestDrainServesUnreadRequest(t *testing.T) {
 	g := &gated{listen(t), make(chan struct{})}
 	r := newRig(t, g, false)
 	r.serve()
 	c := r.dial()
 	c.send(text)
 	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
-	r.server.all()[0].retire()
+	r.server.connections()[0].drain()
 	close(g.gate)
-	c.answered()
-	r.finish()
-	c.closed()
+	c.readResponse()
+	r.drain()
+	c.requireClosed()
 }
 
-// Half a request's head has been read when the stop retires connections. The rest
-// comes later.
-func TestRetireWaitsForTheRestOfAHead(t *testing.T) {
+// Half of a request's head has been read when draining begins. The other half arrives
+// later.
+func TestDrainWaitsForPartialHead(t *testing.T) {
 	r := newRig(t, listen(t), false)
 	r.serve()
 	c := r.dial()
@@ -164,63 +163,63 @@
 	require.Eventually(t, func() bool { return r.server.CountByState()[Busy] == 1 }, bound, time.Millisecond)
 	r.server.BeginDrain()
 	c.send(text[10:])
-	require.True(t, c.answered())
-	c.closed()
+	require.True(t, c.readResponse())
+	c.requireClosed()
 }
 
-// A caller begins its next request behind the one that is being served. Its first
-// byte has been read ahead when the stop retires connections, and the answer to the
-// first one didn't say that the connection closes.
-func TestRetireAnswersWhatWasReadAhead(t *testing.T) {
+// A caller pipelines a request behind the one that is being served. Its first byte has
+// been read ahead when draining begins, and the response to the first request doesn't
+// announce that the connection closes.
+func TestDrainServesRequestReadAhead(t *testing.T) {
 	r := newRig(t, listen(t), true)
 	r.serve()
 	c := r.dial()
 	c.send(text)
 	<-r.entered
 	c.send(text[:1])
-	connection := r.server.all()[0]
+	connection := r.server.connections()[0]
 	require.Eventually(t, func() bool {
 		connection.mu.Lock()
 		defer connection.mu.Unlock()
-		return connection.ahead
+		return connection.readAhead
 	}, bound, time.Millisecond)
 	r.server.BeginDrain()
 	r.release <- struct{}{}
-	require.False(t, c.answered())
+	require.False(t, c.readResponse())
 	require.Eventually(t, func() bool {
 		connection.mu.Lock()
 		defer connection.mu.Unlock()
-		return connection.answered
+		return connection.responded
 	}, bound, time.Millisecond)
 	require.Equal(t, Busy, connection.state())
 	c.send(text[1:])
 	<-r.entered
 	r.release <- struct{}{}
-	require.True(t, c.answered())
-	c.closed()
+	require.True(t, c.readResponse())
+	c.requireClosed()
 }
 
-// Callers have opened connections and sent their requests, and nobody has accepted them
-// yet when the accepting ends. A closed listener would reset them.
-func TestFinishServesWhatWasNotAccepted(t *testing.T) {
+// Callers have opened connections and sent requests that are still in the accept queue
+// when accepting stops. Closing the listener would reset them.
+func TestDrainServesAcceptQueue(t *testing.T) {
 	r := newRig(t, listen(t), false)
 	callers := []*caller{r.dial(), r.dial(), r.dial()}
 	for _, c := range callers {
 		c.send(text)
 	}
-	r.server.listener.end()
+	r.server.listener.drain()
 	r.serve()
 	for _, c := range callers {
-		c.answered()
+		c.readResponse()
 	}
-	r.finish()
+	r.drain()
 	_, err := net.Dial("tcp", r.server.listener.Addr().String())
 	require.Error(t, err)
 }
 
-// A request is being served when the stop finishes: its caller gets the answer, and the
-// stop ends after it.
-func TestFinishWaitsForAnswers(t *testing.T) {
+// A request is being served when Drain is called: the caller gets its response, and Drain
+// returns after it.
+func TestDrainWaitsForResponses(t *testing.T) {
 	r := newRig(t, listen(t), true)
 	r.serve()
 	c := r.dial()
@@ -228,19 +227,19 @@
 	<-r.entered
 	finished := make(chan error, 1)
 	go func() { finished <- r.server.Drain(t.Context()) }()
-	require.Eventually(t, r.server.isRetiring, bound, time.Millisecond)
+	require.Eventually(t, r.server.isDraining, bound, time.Millisecond)
 	select {
 	case <-finished:
-		require.Fail(t, "the stop didn't wait")
+		require.Fail(t, "Drain didn't wait for the response")
 	default:
 	}
 	r.release <- struct{}{}
-	c.answered()
+	c.readResponse()
 	require.NoError(t, <-finished)
 }
 
-// A request has no end. The stop gives up when its time is over, and says so.
-func TestFinishIsBounded(t *testing.T) {
+// A request never ends. Drain returns the context's error when the context ends.
+func TestDrainEndsWithContext(t *testing.T) {
 	r := newRig(t, listen(t), true)
 	r.serve()
 	c := r.dial()
@@ -252,11 +251,11 @@
 	r.release <- struct{}{}
 }
 
-// Two requests come in one segment, so the second one's bytes lie in net/http's buffer
-// while the first is served, and no byte of it is read from the socket. A stop begins
-// during the first or the second: the second was taken for none, its connection was
-// closed, and its target ran it.
-func TestRetireAnswersWhatLiesInTheBuffer(t *testing.T) {
+// Two requests arrive in one segment, so the second one's bytes are in net/http's buffer
+// while the first is served, and none of them is read from the socket. Draining begins
+// during the first or the second request. Prevents closing the connection as idle while
+// the target runs the second request.
+func TestDrainServesBufferedRequest(t *testing.T) {
 	for name, stopDuring := range map[string]int{"the first": 1, "the second": 2} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, listen(t), true)
@@ -267,40 +266,40 @@
 				<-r.entered
 				if n == stopDuring {
 					r.server.BeginDrain()
-					require.Equal(t, Busy, r.server.all()[0].state())
+					require.Equal(t, Busy, r.server.connections()[0].state())
 				}
 				r.release <- struct{}{}
-				c.answered()
+				c.readResponse()
 			}
-			c.closed()
-			r.finish()
+			c.requireClosed()
+			r.drain()
 		})
 	}
 }
 
-// Of the second of two requests half the head lies in net/http's buffer when the stop
-// begins. The rest comes later.
-func TestRetireWaitsForTheRestOfABufferedHead(t *testing.T) {
+// Half of the second request's head is in net/http's buffer when draining begins. The
+// other half arrives later.
+func TestDrainWaitsForPartialBufferedHead(t *testing.T) {
 	r := newRig(t, listen(t), true)
 	r.serve()
 	c := r.dial()
 	c.send(text + text[:10])
 	<-r.entered
-	connection := r.server.all()[0]
+	connection := r.server.connections()[0]
 	r.release <- struct{}{}
-	c.answered()
+	c.readResponse()
 	require.Eventually(t, func() bool { return connection.state() == Busy }, bound, time.Millisecond)
 	r.server.BeginDrain()
 	c.send(text[10:])
 	<-r.entered
 	r.release <- struct{}{}
-	c.answered()
+	c.readResponse()
 }
 
-// A caller begins a head and doesn't go on. The stop waited for it to the end of its
-// grace, and closed the connection without a word. The caller hears that its request
-// hasn't run, and the stop goes on.
-func TestRetireRefusesAHeadThatDoesNotCome(t *testing.T) {
+// A caller sends only a part of a head. Otherwise the stop would wait for it until the end
+// of the grace period and close the connection without a response. The caller must get a
+// response that its request hasn't run, and draining must finish.
+func TestDrainRefusesIncompleteHead(t *testing.T) {
 	r := newRig(t, listen(t), false)
 	r.serve()
 	c := r.dial()
@@ -310,14 +309,14 @@
 	response, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestTimeout, response.StatusCode)
-	c.closed()
-	r.finish()
+	c.requireClosed()
+	r.drain()
 }
 
-// A caller has just opened a connection when the stop begins, and another opens one
-// during it. Each has time for its first request; one that sends none doesn't hold the
+// A caller has just opened a connection when draining begins, and others open theirs
+// afterwards. Each gets time for its first request; one that sends none doesn't delay the
 // stop.
-func TestRetireGivesNewConnectionsTime(t *testing.T) {
+func TestDrainGivesNewConnectionsTime(t *testing.T) {
 	r := newRig(t, listen(t), false)
 	r.serve()
 	before := r.dial()
@@ -325,18 +324,18 @@
 	r.server.BeginDrain()
 	require.Equal(t, 1, r.server.CountByState()[Idle])
 	before.send(text)
-	before.answered()
+	before.readResponse()
 	during, silent := r.dial(), r.dial()
 	require.Eventually(t, func() bool { return r.server.CountByState()[Idle] == 2 }, bound, time.Millisecond)
 	during.send(text)
-	during.answered()
-	silent.closed()
-	r.finish()
+	during.readResponse()
+	silent.requireClosed()
+	r.drain()
 }
 
-// An instance stands still for longer than a connection may be idle, and a request lies in
-// the socket when it goes on. It is read, and answered.
-func TestIdleTimeoutLooksIntoTheSocket(t *testing.T) {
+// An instance was paused for longer than the idle timeout, and a request lies unread in
+// the socket when it resumes. The request must be served.
+func TestIdleTimeoutChecksSocket(t *testing.T) {
 	g := &gated{listen(t), make(chan struct{})}
 	r := &rig{t: t}
 	r.server = New(g, http.HandlerFunc(r.handle), Options{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond})
@@ -346,5 +345,5 @@
 	c.send(text)
 	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
 	close(g.gate)
-	c.answered()
+	c.readResponse()
 }
