--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -12,43 +12,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reply is a target's answer. Its body ends with io.EOF only if it is whole.
-// Close must be called.
+// Reply is a target's response. Read returns io.EOF only at the end of a complete
+// body. The caller must call Close.
 type Reply struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes, -1 if it is unknown.
+	// Length is the length of the body in bytes, -1 if it is unknown.
 	Length int64
 
-	client   *Client
-	conn     *conn
-	response *http.Response
-	options  Options
-	written  <-chan error
-	// sendDone tells that written has told how the sending of the request ended, and
-	// sendErr its error.
-	sendDone bool
-	sendErr  error
-	stop     func() bool
-	whole    bool
-	foreign  bool
-	reused   bool
+	client     *Client
+	conn       *conn
+	response   *http.Response
+	options    Options
+	sendResult <-chan error
+	// sendDone is set when the value of sendResult has been received; sendErr is that
+	// value.
+	sendDone    bool
+	sendErr     error
+	stopCancel  func() bool
+	complete    bool
+	discardConn bool
+	reused      bool
 }
 
-// Framing is how an answer marks its end.
+// Framing is how the end of a response body is marked.
 type Framing string
 
-// The framings of answers.
+// The framings of a response body.
 const (
-	// FramedByLength announces the number of bytes.
+	// FramedByLength: the header contains the length.
 	FramedByLength Framing = "length"
-	// FramedByChunks has a last chunk.
+	// FramedByChunks: the body ends with a last chunk.
 	FramedByChunks Framing = "chunks"
-	// FramedByClose ends with its connection.
+	// FramedByClose: the body ends when the connection is closed.
 	FramedByClose Framing = "close"
 )
 
-// Framing tells how the answer marks its end.
+// Framing returns how the end of the response body is marked.
 func (r *Reply) Framing() Framing {
 	switch {
 	case len(r.response.TransferEncoding) > 0:
@@ -60,14 +60,14 @@
 	}
 }
 
-// longAgo is a deadline that has passed.
+// longAgo is a deadline in the past, which ends blocked calls at once.
 var longAgo = time.Unix(1, 0)
 
-// Do sends a request to an address and waits for the header of its answer. The
-// context bounds the whole attempt, the body included.
+// Do sends a request to an address and waits for the response header. The context
+// bounds the whole attempt including the body.
 func (c *Client) Do(ctx context.Context, address string, request *http.Request, o Options) (*Reply, error) {
-	peer := peerKey{address, o.Incarnation, o.ConnGroup}
-	k := c.take(peer, cmp.Or(o.MaxIdle, idleMax))
+	peer := idleKey{address, o.Incarnation, o.ConnGroup}
+	k := c.takeIdle(peer, cmp.Or(o.MaxIdle, maxIdleTime))
 	reused := k != nil
 	if !reused {
 		var err error
@@ -76,7 +76,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		c.keep(k)
+		c.putIdle(k)
 		return nil, &Error{Step: StepConnect, Peer: address, Err: ctx.Err()}
 	}
 	reply, err := c.exchange(ctx, k, request, o)
@@ -87,27 +87,27 @@
 	return reply, nil
 }
 
-// exchange sends a request on a connection and waits for the header of its answer.
+// exchange sends a request on a connection and waits for the response header.
 func (c *Client) exchange(ctx context.Context, k *conn, request *http.Request, o Options) (*Reply, error) {
-	// Waiting reads and writes end with the context.
-	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(longAgo) }) // a closed one needs none
-	r := &Reply{client: c, conn: k, options: o, stop: stop}
-	r.written = send(k, request)
+	// The end of the context interrupts blocked reads and writes.
+	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(longAgo) }) // fails only if the connection is closed
+	r := &Reply{client: c, conn: k, options: o, stopCancel: stop}
+	r.sendResult = send(k, request)
 	if err := r.readHeader(request); err != nil {
 		return nil, r.fail(ctx, err)
 	}
 	return r, nil
 }
 
-// smallBody is the size, in bytes, up to which a request fits what a connection
-// takes without the other end reading.
-const smallBody = 4 << 10
+// maxSyncBody is the body length, in bytes, up to which a request is written
+// synchronously: it fits the buffers of a connection without the other end reading.
+const maxSyncBody = 4 << 10
 
-// send writes the request, a long one beside the reader: a target may answer
-// before it has read the body, and read on only when its answer is taken.
+// send writes the request. A long one is written in the background, since a target may
+// respond before it has read the body and continue only when its response is read.
 func send(k *conn, request *http.Request) <-chan error {
 	written := make(chan error, 1)
-	if request.ContentLength <= smallBody {
+	if request.ContentLength <= maxSyncBody {
 		written <- request.Write(k)
 		return written
 	}
@@ -117,9 +117,9 @@
 	return written
 }
 
-// readHeader reads up to the header of the reply that belongs to the request.
+// readHeader reads responses up to the header of the one that belongs to the request.
 func (r *Reply) readHeader(request *http.Request) error {
-	for range maxForeignReplies {
+	for range maxUnmatchedReplies {
 		response, err := http.ReadResponse(r.conn.reader, request)
 		if err != nil {
 			return err
@@ -128,12 +128,12 @@
 			continue
 		}
 		if r.options.Matches != nil && !r.options.Matches(response.StatusCode, response.Header) {
-			r.foreign = true
-			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes))
+			r.discardConn = true
+			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes))
 			if err != nil {
 				return err
 			}
-			if n == maxForeignBytes || response.Close {
+			if n == maxUnmatchedBytes || response.Close {
 				return errors.New("the reply belongs to another request")
 			}
 			continue
@@ -145,13 +145,13 @@
 	return errors.New("too many replies of other requests")
 }
 
-// fail ends an attempt without a reply.
+// fail closes the connection and returns the error of an attempt without a response.
 func (r *Reply) fail(ctx context.Context, err error) error {
-	r.stop()
-	// Closed before the count is read, so that no byte can leave after.
-	_ = r.conn.Close() // its fault is told by err
+	r.stopCancel()
+	// Closed before the count is read, so that no byte is sent afterwards.
+	_ = r.conn.Close() // err holds the cause already
 	r.awaitSend()
-	failed := &Error{Step: StepReply, Peer: r.conn.address, Sent: r.conn.writes > 0, Err: err}
+	failed := &Error{Step: StepReply, Peer: r.conn.address, Sent: r.conn.bytesWritten > 0, Err: err}
 	if !failed.Sent && r.sendErr != nil {
 		failed.Step, failed.Err = StepSend, r.sendErr
 	}
@@ -161,14 +161,14 @@
 	return failed
 }
 
-// Read reads the body.
+// Read reads the response body.
 func (r *Reply) Read(p []byte) (int, error) {
 	n, err := r.response.Body.Read(p)
 	if err == io.EOF && r.Framing() == FramedByClose {
-		err = r.endByClose()
+		err = r.closeDelimitedEnd()
 	}
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 		return n, err
 	}
 	if err != nil {
@@ -177,14 +177,14 @@
 	return n, err
 }
 
-// endByClose tells what the end of a connection means that is the end of its answer:
-// io.EOF, or the error that broke it off.
+// closeDelimitedEnd returns io.EOF if the end of the connection is the regular end of the
+// response body, or else the error that truncated the body.
 //
-// A socket tells of a reset once. If the writer of the request is told, the reader sees an
-// orderly end. EPIPE tells of a reset behind an orderly end: the target had answered and
-// closed before it got the rest of the request.
-func (r *Reply) endByClose() error {
-	_ = r.conn.SetWriteDeadline(longAgo) // a writer that waits is of no use any more
+// A socket reports a reset only once. If a write of the request gets the error, the reader
+// sees a regular end. EPIPE means a reset after a regular end: the target had responded and
+// closed the connection before it received the rest of the request.
+func (r *Reply) closeDelimitedEnd() error {
+	_ = r.conn.SetWriteDeadline(longAgo) // ends a blocked write of the request
 	r.awaitSend()
 	err := r.conn.writeErr
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.EPIPE) {
@@ -193,50 +193,50 @@
 	return err
 }
 
-// awaitSend waits until the sending of the request has ended.
+// awaitSend waits until send has finished.
 func (r *Reply) awaitSend() {
 	if !r.sendDone {
-		r.sendErr, r.sendDone = <-r.written, true
+		r.sendErr, r.sendDone = <-r.sendResult, true
 	}
 }
 
-// Reused tells whether the connection had carried another request.
+// Reused reports whether the connection had carried another request.
 func (r *Reply) Reused() bool { return r.reused }
 
-// Distrust has Close close the connection: an answer that belongs to no later request may
-// follow on it.
-func (r *Reply) DiscardConn() { r.foreign = true }
+// DiscardConn makes Close close the connection instead of keeping it, for a connection on
+// which a response may follow that belongs to no later request.
+func (r *Reply) DiscardConn() { r.discardConn = true }
 
-// Close ends the attempt. The connection is kept if the answer was whole and
-// nothing follows it; otherwise it is closed, which tells the target to stop.
+// Close ends the attempt. The connection is kept if the response was complete and nothing
+// follows it; otherwise it is closed, which makes the target stop.
 func (r *Reply) Close() {
-	stopped := r.stop()
-	if !r.whole || !stopped || !r.reusable() {
-		_ = r.conn.Close() // the attempt is over, whatever it brings
+	stopped := r.stopCancel()
+	if !r.complete || !stopped || !r.reusable() {
+		_ = r.conn.Close() // the attempt is over, so an error is ignored
 		return
 	}
-	r.client.keep(r.conn)
+	r.client.putIdle(r.conn)
 }
 
-// reusable tells whether the connection may carry another request.
+// reusable reports whether the connection may carry another request.
 func (r *Reply) reusable() bool {
 	select {
-	case err := <-r.written:
+	case err := <-r.sendResult:
 		r.sendErr, r.sendDone = err, true
 	default:
 	}
 	if !r.sendDone || r.sendErr != nil {
-		// The target answered before it had the body; what of it is on the way
-		// would be read as the next request.
+		// The target responded before it received the whole body. It would read
+		// the rest of the body as the next request.
 		return false
 	}
-	if r.foreign || r.Framing() == FramedByClose || r.response.Close || r.conn.reader.Buffered() > 0 {
+	if r.discardConn || r.Framing() == FramedByClose || r.response.Close || r.conn.reader.Buffered() > 0 {
 		return false
 	}
-	r.conn.keep = idleMax
+	r.conn.idleTimeout = maxIdleTime
 	if r.options.KeepIdle != nil {
 		if keep := r.options.KeepIdle(r.Header); keep > 0 {
-			r.conn.keep = min(idleMax, keep-min(idleMargin, keep/2))
+			r.conn.idleTimeout = min(maxIdleTime, keep-min(idleMargin, keep/2))
 		}
 	}
 	return true
--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -1,10 +1,9 @@
-// Package forward sends requests to targets as they are, one attempt at a time,
-// over HTTP/1.1 connections that it drives itself.
+// Package forward sends requests to targets unchanged, in single attempts, over
+// HTTP/1.1 connections that it manages itself.
 //
-// net/http's client sends a request once more, unasked, when a kept connection
-// breaks, and an attempt that may run once at most would run twice. Here nothing
-// is ever sent a second time, and each failure tells whether any byte may have
-// left.
+// net/http's client resends a request on its own when an idle connection fails, so
+// an attempt that may run at most once could run twice. This package never resends
+// a request, and each error reports whether any byte may have been sent.
 package forward
 
 import (
@@ -20,25 +19,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of connections.
+// Timeouts and limits of connections.
 const (
-	// connectTimeout bounds a connect. Connects within a region take
-	// milliseconds; a lost opening packet is sent again after a second.
+	// connectTimeout bounds the opening of a connection. Within a region it takes
+	// milliseconds; a lost SYN is retransmitted after a second.
 	connectTimeout = 1500 * time.Millisecond
-	// silentAfter is how long the other end's kernel may be silent: probes are
-	// sent each second, and data that isn't acknowledged counts the same. It
-	// finds connections that something on the way has lost track of.
-	silentAfter = 3 * time.Second
-	// idleMax is how long a connection is kept that the target didn't bound.
-	idleMax = 15 * time.Second
-	// idleMargin is taken off a target's own bound: the target must not close
-	// while a request is on its way.
+	// silenceTimeout is how long the other end's kernel may be silent: probes are
+	// sent each second, and unacknowledged data counts the same. It detects
+	// connections whose state a device on the path has lost.
+	silenceTimeout = 3 * time.Second
+	// maxIdleTime is how long an idle connection is kept if the target doesn't
+	// announce a shorter time.
+	maxIdleTime = 15 * time.Second
+	// idleMargin is subtracted from the idle timeout that a target announces, so
+	// that the target doesn't close the connection while a request is in transit.
 	idleMargin = time.Second
-	// FreshIdle is how long a connection may have been idle that carries what
-	// may not be repeated. A connection that the target closes just then leaves
-	// it unknown whether the request ran.
+	// NonRepeatableMaxIdle is how long a connection may have been idle if it is
+	// used for a request that must not be repeated. If the target closes the
+	// connection at that moment, it is unknown whether the request ran.
 	NonRepeatableMaxIdle = time.Second
-	// maxIdlePerTarget bounds the kept connections to one target.
+	// maxIdlePerTarget bounds the idle connections of one idleKey.
 	maxIdlePerTarget = 32
 )
 
@@ -47,62 +47,64 @@
 	dialer net.Dialer
 
 	mu sync.Mutex
-	// idle are the kept connections.
-	idle map[peerKey][]*conn
+	// idle holds the idle connections.
+	idle map[idleKey][]*conn
 }
 
-// peerKey tells the processes apart that have an address in turn. A process that
-// dies behind a cut link leaves connections that look whole: the first bytes on one
-// are answered by a reset from the process that has its address now, and what may run
-// once at most would then count as one that may have run. So a connection carries
-// only what is for the process that it was opened for.
-type peerKey struct{ address, process, use string }
+// idleKey identifies the idle connections that may carry the same requests. It
+// distinguishes processes that have the same address in turn. A process that crashes behind a failed link leaves
+// connections that look healthy. The first bytes on one would be reset by the host of
+// the process that has the address now, and a request that may run at most once would
+// count as one that may have run. So a connection carries only requests for the process
+// that it was opened for.
+type idleKey struct{ address, incarnation, connGroup string }
 
 // conn is a connection to a target.
 type conn struct {
 	net.Conn
-	peerKey
-	reader *bufio.Reader
-	since  time.Time
-	keep   time.Duration
-	writes int
-	// writeErr is the first error of a write.
+	idleKey
+	reader       *bufio.Reader
+	idleSince    time.Time
+	idleTimeout  time.Duration
+	bytesWritten int
+	// writeErr is the first error of Write.
 	writeErr error
 }
 
-// Write counts the bytes that left, and keeps an error: net/http wraps those of a body's
-// writes so that they can't be told apart.
+// Write counts the bytes sent and stores the first error: net/http wraps the errors of
+// body writes so that they can't be distinguished.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.writes += n
+	c.bytesWritten += n
 	if c.writeErr == nil {
 		c.writeErr = err
 	}
 	return n, err
 }
 
-// New returns a client without connections.
+// New returns a client.
 func New() *Client {
 	return &Client{
 		dialer: net.Dialer{Timeout: connectTimeout, KeepAliveConfig: KeepAlive, Control: SetUserTimeout},
-		idle:   map[peerKey][]*conn{},
+		idle:   map[idleKey][]*conn{},
 	}
 }
 
-// KeepAlive finds connections whose other end is gone within about three
+// KeepAlive detects connections whose other end is unreachable within about three
 // seconds.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// BoundSilence sets how long sent data may stay without an acknowledgement.
+// SetUserTimeout bounds the time that sent data may stay unacknowledged. It is a
+// net.Dialer.Control function.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	})
 	return errors.CombineErrors(err, failed)
 }
 
-// Step is where an attempt failed.
+// Step is the step in which an attempt failed.
 type Step string
 
 // The steps of an attempt.
@@ -113,13 +115,14 @@
 	StepBody    Step = "read body"
 )
 
-// Error is a failed attempt.
+// Error is the error of a failed attempt.
 type Error struct {
 	Step Step
 	Peer string
-	// Sent tells that bytes of the request may have left: it may have run.
+	// Sent reports whether bytes of the request may have been sent, so that it may
+	// have run.
 	Sent bool
-	// Refused tells that nothing listens at the address.
+	// Refused reports that no process listens at the address.
 	Refused bool
 	Err     error
 }
@@ -129,22 +132,23 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// take returns a kept connection that nothing was received on, or nil.
-func (c *Client) take(peer peerKey, maxIdle time.Duration) *conn {
+// takeIdle removes and returns an idle connection that nothing was received on, or
+// returns nil.
+func (c *Client) takeIdle(peer idleKey, maxIdle time.Duration) *conn {
 	for {
-		k := c.pop(peer)
+		k := c.popIdle(peer)
 		if k == nil {
 			return nil
 		}
-		idle := time.Since(k.since)
-		if idle < min(k.keep, maxIdle) && quiet(k.Conn) {
+		idle := time.Since(k.idleSince)
+		if idle < min(k.idleTimeout, maxIdle) && nothingReceived(k.Conn) {
 			return k
 		}
-		_ = k.Close() // it was of no use any more
+		_ = k.Close() // it is not reusable
 	}
 }
 
-func (c *Client) pop(peer peerKey) *conn {
+func (c *Client) popIdle(peer idleKey) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[peer]
@@ -161,37 +165,37 @@
 	return k
 }
 
-// keep puts a connection back.
-func (c *Client) keep(k *conn) {
-	k.since = time.Now()
-	k.writes = 0
+// putIdle adds a connection to the idle ones, or closes it if there are too many.
+func (c *Client) putIdle(k *conn) {
+	k.idleSince = time.Now()
+	k.bytesWritten = 0
 	if k.SetDeadline(time.Time{}) != nil {
 		_ = k.Close() // it is closed already
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[k.peerKey]) >= maxIdlePerTarget {
-		_ = k.Close() // one too many
+	if len(c.idle[k.idleKey]) >= maxIdlePerTarget {
+		_ = k.Close() // there are maxIdlePerTarget idle ones already
 		return
 	}
-	c.idle[k.peerKey] = append(c.idle[k.peerKey], k)
+	c.idle[k.idleKey] = append(c.idle[k.idleKey], k)
 }
 
-// CloseIdle closes connections that have been idle too long, and all those to
-// processes that are not in use any more.
-func (c *Client) CloseIdle(inUse func(process string) bool) {
+// CloseIdle closes connections that have been idle too long, and all idle connections to
+// incarnations that are no longer in use.
+func (c *Client) CloseIdle(inUse func(incarnation string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for peer, list := range c.idle {
 		kept := list[:0]
 		for _, k := range list {
-			if inUse(peer.process) && now.Sub(k.since) < k.keep {
+			if inUse(peer.incarnation) && now.Sub(k.idleSince) < k.idleTimeout {
 				kept = append(kept, k)
 				continue
 			}
-			_ = k.Close() // nobody waits on it
+			_ = k.Close() // no request uses it
 		}
 		clear(list[len(kept):])
 		if len(kept) == 0 {
@@ -202,9 +206,9 @@
 	}
 }
 
-// quiet tells whether nothing has arrived on an idle connection: neither its end
-// nor bytes that belong to no request.
-func quiet(nc net.Conn) bool {
+// nothingReceived reports whether nothing has arrived on an idle connection, neither its
+// end nor bytes that belong to no request.
+func nothingReceived(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -224,34 +228,35 @@
 }
 
 // dial opens a connection.
-func (c *Client) dial(ctx context.Context, peer peerKey) (*conn, error) {
+func (c *Client) dial(ctx context.Context, peer idleKey) (*conn, error) {
 	nc, err := c.dialer.DialContext(ctx, "tcp", peer.address)
 	if err != nil {
 		return nil, &Error{Step: StepConnect, Peer: peer.address, Refused: errors.Is(err, syscall.ECONNREFUSED), Err: err}
 	}
-	return &conn{Conn: nc, peerKey: peer, reader: bufio.NewReader(nc), keep: idleMax}, nil
+	return &conn{Conn: nc, idleKey: peer, reader: bufio.NewReader(nc), idleTimeout: maxIdleTime}, nil
 }
 
-// Options of one attempt.
+// Options are the options of one attempt.
 type Options struct {
-	// Process names the incarnation that the attempt is for. Kept connections of
-	// others at the address are not used.
+	// Incarnation is the process that the attempt is for. Idle connections to other
+	// processes at the address are not used.
 	Incarnation string
-	// Use keeps connections apart: one carries only requests of one use.
+	// ConnGroup separates connections: each carries only requests of one group.
 	ConnGroup string
-	// MaxIdle bounds how long a kept connection may have been idle; 0 is no
-	// bound of its own.
+	// MaxIdle bounds how long a reused connection may have been idle; 0 means
+	// maxIdleTime.
 	MaxIdle time.Duration
-	// Belongs tells whether a reply is the one to this request. A target may
-	// send a second answer to an earlier one first; such are passed over.
+	// Matches reports whether a response belongs to this request; nil means that all
+	// do. A target may first send a second response to an earlier request, which is
+	// skipped.
 	Matches func(status int, h http.Header) bool
-	// KeepIdle reads how long the target keeps an idle connection; 0 if it
-	// doesn't say.
+	// KeepIdle returns how long the target keeps an idle connection, read from the
+	// response headers; 0 if they don't say.
 	KeepIdle func(h http.Header) time.Duration
 }
 
-// maxForeignReplies bounds the replies that are passed over.
-const maxForeignReplies = 4
+// maxUnmatchedReplies bounds the responses read for a request until one matches.
+const maxUnmatchedReplies = 4
 
-// maxForeignBytes bounds the body of a reply that is passed over.
-const maxForeignBytes = 1 << 20
+// maxUnmatchedBytes bounds the body of a response that is skipped.
+const maxUnmatchedBytes = 1 << 20
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve answers each connection by a script; conns counts them.
+// serve runs script on each accepted connection; conns counts the connections.
 func serve(t *testing.T, script func(nc net.Conn, r *bufio.Reader)) (address string, conns *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,9 +40,9 @@
 	return listener.Addr().String(), conns
 }
 
-const whole = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
 
-// answerAll answers every request on a connection.
+// answerAll responds to every request on a connection with text.
 func answerAll(text string) func(net.Conn, *bufio.Reader) {
 	return func(nc net.Conn, r *bufio.Reader) {
 		for {
@@ -70,9 +70,9 @@
 	return string(text), err
 }
 
-// A connection whose answer was whole carries the next request.
-func TestConnectionIsKept(t *testing.T) {
-	address, conns := serve(t, answerAll(whole))
+// A connection is reused after a complete response.
+func TestConnectionIsReused(t *testing.T) {
+	address, conns := serve(t, answerAll(okResponse))
 	c := New()
 	for range 3 {
 		got, err := do(t, c, address, "", Options{})
@@ -82,14 +82,14 @@
 	require.EqualValues(t, 1, conns.Load())
 }
 
-// What ends badly or is followed by bytes of nobody's must not carry the next
-// request: it would be answered by another's answer.
-func TestConnectionIsNotKept(t *testing.T) {
+// A connection whose response is followed by other bytes, or which the target closes, must
+// not be reused: the next request would get the response to another one.
+func TestConnectionIsNotReused(t *testing.T) {
 	cases := map[string]string{
-		"second answer":  whole + whole,
-		"stray bytes":    whole + "stray",
+		"second answer":  okResponse + okResponse,
+		"stray bytes":    okResponse + "stray",
 		"asks to close":  "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-		"foreign answer": "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 5\r\n\r\nother" + whole,
+		"foreign answer": "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 5\r\n\r\nother" + okResponse,
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,14 +106,15 @@
 	}
 }
 
-// A second answer arrives late, while the connection is idle.
-func TestLateAnswerIsNotTaken(t *testing.T) {
+// A second response that arrives while the connection is idle must not be read as the
+// response to the next request.
+func TestLateResponseIsNotAccepted(t *testing.T) {
 	late := make(chan struct{})
 	sent := make(chan struct{})
 	var once sync.Once
 	address, conns := serve(t, func(nc net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
-		_, _ = io.WriteString(nc, whole)
+		_, _ = io.WriteString(nc, okResponse)
 		<-late
 		_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 4\r\n\r\nlate")
 		once.Do(func() { close(sent) })
@@ -124,19 +125,19 @@
 	require.NoError(t, err)
 	close(late)
 	<-sent
-	// Loopback delivers in order with what the next call looks at.
+	// The next call must see the late response, so wait until it has arrived.
 	require.Eventually(t, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return !quiet(c.idle[peerKey{address: address}][0].Conn)
+		return !nothingReceived(c.idle[idleKey{address: address}][0].Conn)
 	}, 5*time.Second, time.Millisecond)
-	_, _ = do(t, c, address, "", Options{}) // the script serves one answer a connection
+	_, _ = do(t, c, address, "", Options{}) // the script sends one response per connection
 	require.EqualValues(t, 2, conns.Load())
 }
 
-// The target closes or resets the connection: whether the request may have run is
-// told by whether a byte left, and it is sent once in any case.
-func TestFailuresTellWhetherTheRequestLeft(t *testing.T) {
+// If the target closes or refuses the connection, the error reports whether bytes were
+// sent and the request may have run. The request is sent at most once.
+func TestErrorReportsWhetherRequestWasSent(t *testing.T) {
 	var requests atomic.Int64
 	address, _ := serve(t, func(_ net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -159,8 +160,8 @@
 	require.True(t, failed.Refused)
 }
 
-// An answer that breaks off must not look whole.
-func TestBrokenAnswers(t *testing.T) {
+// A truncated response must not look complete.
+func TestBrokenResponses(t *testing.T) {
 	cases := map[string]string{
 		"short of its length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"chunks without end":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -179,9 +180,9 @@
 	}
 }
 
-// TestResetWhileTheBodyIsWrittenIsNoEnd guards against an answer without a length that
-// looks whole, since the writer of the body was told of the reset and the reader wasn't.
-func TestResetWhileTheBodyIsWrittenIsNoEnd(t *testing.T) {
+// Prevents a truncated response without a length from looking complete: a reset that
+// a write of the request body reports is not reported to the reader.
+func TestResetDuringRequestBodyIsReported(t *testing.T) {
 	address, _ := serve(t, func(nc net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n\r\nid: 1\n\n")
@@ -194,9 +195,9 @@
 	}
 }
 
-// TestOrderlyEndOfAnEarlyAnswerIsWhole guards against the loss of a whole answer without a
-// length, whose target needed no more of the request.
-func TestOrderlyEndOfAnEarlyAnswerIsWhole(t *testing.T) {
+// A complete response without a length must be accepted even if the target sent it and
+// closed without reading the whole request.
+func TestEarlyResponseIsComplete(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	for name, after := range map[string]func(){
@@ -220,25 +221,25 @@
 	}
 }
 
-// wire is a connection whose writes all end with an error.
-type wire struct {
+// failingWriteConn is a connection whose writes all fail.
+type failingWriteConn struct {
 	net.Conn
 	io.Reader
 	writeErr error
 }
 
-func (w wire) Read(p []byte) (int, error)     { return w.Reader.Read(p) }
-func (w wire) Write([]byte) (int, error)      { return 0, w.writeErr }
-func (wire) SetWriteDeadline(time.Time) error { return nil }
-func (wire) Close() error                     { return nil }
+func (w failingWriteConn) Read(p []byte) (int, error)     { return w.Reader.Read(p) }
+func (w failingWriteConn) Write([]byte) (int, error)      { return 0, w.writeErr }
+func (failingWriteConn) SetWriteDeadline(time.Time) error { return nil }
+func (failingWriteConn) Close() error                     { return nil }
 
-// TestEndByCloseNeedsASentRequest guards against an answer without a length that looks whole
-// though its connection broke under the writer of the request.
-func TestEndByCloseNeedsASentRequest(t *testing.T) {
+// Prevents a response without a length from looking complete if its connection failed while
+// the request was written.
+func TestCloseDelimitedEndAfterWriteError(t *testing.T) {
 	for name, c := range map[string]struct {
 		head     string
 		writeErr error
-		whole    bool
+		complete bool
 	}{
 		"reset":                     {"", syscall.ECONNRESET, false},
 		"reset behind its end":      {"", syscall.EPIPE, true},
@@ -247,26 +248,26 @@
 		"reset behind whole answer": {"Content-Length: 2\r\n", syscall.ECONNRESET, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			nc := wire{Reader: strings.NewReader("HTTP/1.1 200 OK\r\n" + c.head + "\r\nok"), writeErr: c.writeErr}
+			nc := failingWriteConn{Reader: strings.NewReader("HTTP/1.1 200 OK\r\n" + c.head + "\r\nok"), writeErr: c.writeErr}
 			k := &conn{Conn: nc, reader: bufio.NewReader(nc)}
-			request, err := http.NewRequest(http.MethodPost, "http://target/x", strings.NewReader(strings.Repeat("x", 2*smallBody)))
+			request, err := http.NewRequest(http.MethodPost, "http://target/x", strings.NewReader(strings.Repeat("x", 2*maxSyncBody)))
 			require.NoError(t, err)
 			reply, err := New().exchange(t.Context(), k, request, Options{})
 			require.NoError(t, err)
 			defer reply.Close()
 			got, err := io.ReadAll(reply)
 			require.Equal(t, "ok", string(got))
-			require.Equal(t, c.whole, err == nil, "%v", err)
+			require.Equal(t, c.complete, err == nil, "%v", err)
 		})
 	}
 }
 
-// A target answers before it has read a long body, and reads on later. The answer is
-// taken; the connection, on which the rest of the body is due, carries nothing else.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A target responds before it has read a long body, and reads the body later. The response
+// is accepted, but the connection is not reused, since a part of the body is still unsent.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	address, conns := serve(t, func(nc net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
-		_, _ = io.WriteString(nc, whole)
+		_, _ = io.WriteString(nc, okResponse)
 		_, _ = io.Copy(io.Discard, r)
 	})
 	c := New()
@@ -278,22 +279,22 @@
 	require.EqualValues(t, 2, conns.Load())
 }
 
-// A kept connection that was idle too long isn't used for what may run once at most:
-// its target may close it just then.
-func TestIdleConnectionIsTooOld(t *testing.T) {
-	address, conns := serve(t, answerAll(whole))
+// An idle connection older than MaxIdle isn't reused for a request that may run at most
+// once, since the target may close it at that moment.
+func TestMaxIdle(t *testing.T) {
+	address, conns := serve(t, answerAll(okResponse))
 	c := New()
 	_, err := do(t, c, address, "", Options{})
 	require.NoError(t, err)
 	c.mu.Lock()
-	c.idle[peerKey{address: address}][0].since = time.Now().Add(-2 * NonRepeatableMaxIdle)
+	c.idle[idleKey{address: address}][0].idleSince = time.Now().Add(-2 * NonRepeatableMaxIdle)
 	c.mu.Unlock()
 	_, err = do(t, c, address, "", Options{MaxIdle: NonRepeatableMaxIdle})
 	require.NoError(t, err)
 	require.EqualValues(t, 2, conns.Load())
 }
 
-// A target is silent. The attempt ends with its context.
+// The attempt on a silent target ends with its context.
 func TestSilentTarget(t *testing.T) {
 	address, _ := serve(t, func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -304,11 +305,11 @@
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// A target dies behind a cut link and starts again at its address. The connection that
-// was kept to it looks whole, and what is sent on it is reset by the new process's
-// machine: a request that may run once at most would end as one that may have run. It
-// goes out on a connection of its own.
-func TestKeptConnectionIsForItsProcess(t *testing.T) {
+// A target crashes behind a failed link and restarts at the same address. The idle
+// connection to it looks healthy, but bytes sent on it are reset by the host of the new
+// process: a request that may run at most once would count as one that may have run. So
+// the request must use a new connection.
+func TestIdleConnectionIsBoundToIncarnation(t *testing.T) {
 	var served atomic.Int64
 	address, conns := serve(t, func(nc net.Conn, r *bufio.Reader) {
 		first := served.Add(1) == 1
@@ -317,10 +318,10 @@
 				return
 			}
 			if first && n > 0 {
-				_ = nc.(*net.TCPConn).SetLinger(0) // closed, it is reset
+				_ = nc.(*net.TCPConn).SetLinger(0) // makes Close reset the connection
 				return
 			}
-			_, _ = io.WriteString(nc, whole)
+			_, _ = io.WriteString(nc, okResponse)
 		}
 	})
 	c := New()
@@ -331,17 +332,17 @@
 		require.NoError(t, err)
 		require.Equal(t, "ok", got)
 	}
-	require.EqualValues(t, 2, conns.Load(), "the new process's connection is kept as well")
+	require.EqualValues(t, 2, conns.Load(), "the connection to the new process is reused")
 
-	c.CloseIdle(func(process string) bool { return process == "a@200" })
+	c.CloseIdle(func(incarnation string) bool { return incarnation == "a@200" })
 	require.Len(t, c.idle, 1)
-	require.Contains(t, c.idle, peerKey{address: address, process: "a@200"})
+	require.Contains(t, c.idle, idleKey{address: address, incarnation: "a@200"})
 }
 
-// TestConnectionsAreKeptApart guards against an answer that comes late, on a connection that
-// another kind of request would share or that its reader has given up.
-func TestConnectionsAreKeptApart(t *testing.T) {
-	address, conns := serve(t, answerAll(whole))
+// Prevents a late response from reaching another request: groups don't share connections,
+// and a connection is not reused after DiscardConn.
+func TestConnGroupsAndDiscardedConns(t *testing.T) {
+	address, conns := serve(t, answerAll(okResponse))
 	c := New()
 	for _, use := range []string{"", "other", "", "other"} {
 		_, err := do(t, c, address, "", Options{ConnGroup: use})
--- a/transport/forward/listens.go
+++ b/transport/forward/listens.go
@@ -10,24 +10,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// EndedByPeer tells whether an error of an attempt is that the other end closed or reset the
+// ClosedByPeer reports whether an attempt failed because the other end closed or reset the
 // connection.
 func ClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// listenTimeout bounds the question whether anything listens. A process that has ended is
-// told by the reset of its machine, on the way of one packet each way.
+// listenTimeout bounds the check whether a process listens. If none does, the host resets
+// the connection within one round trip.
 const listenTimeout = 250 * time.Millisecond
 
-// NothingListens tells whether an address surely has no process that listens: its machine
-// refuses a connection.
+// NothingListens reports whether certainly no process listens at an address, because its
+// host refuses the connection.
 func NothingListens(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: listenTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		_ = nc.Close() // it was opened for the answer alone
+		_ = nc.Close() // it was opened only for the check
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
