--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -12,50 +12,52 @@
 	"github.com/cockroachdb/errors"
 )
 
-// phase is how far the next request on a connection is.
+// phase is the progress of the current or next request on a connection.
 type phase int
 
 const (
 	// phaseIdle: nothing of the next request has been read.
 	phaseIdle phase = iota
-	// phaseHead: some of its head has been read.
+	// phaseReadingHead: a part of its head has been read.
 	phaseReadingHead
-	// phaseServed: its head has been read whole, and its answer isn't written.
+	// phaseServing: its whole head has been read, and its response isn't written yet.
 	phaseServing
 )
 
-// conn is a caller's connection.
+// conn is a connection of a caller.
 type conn struct {
 	net.Conn
 	server *Server
-	// refused tells that the connection's last request has been refused here.
+	// headRefused is set when headTimeoutResponse has been sent for the connection's
+	// last request.
 	headRefused atomic.Bool
 
 	mu    sync.Mutex
 	phase phase
-	// answered tells that a request has been answered on the connection.
+	// responded is set when a response has been written on the connection.
 	responded bool
-	// ahead tells that a byte of the next request was read while the one before was
-	// being served.
+	// readAhead is set when a byte of the next request was read while the previous
+	// request was being served.
 	readAhead bool
-	// idleBounded tells that net/http has bounded the wait for the next request.
+	// idleDeadlineSet is set when net/http has set a deadline for the wait for the
+	// next request.
 	idleDeadlineSet bool
-	// began is when the first byte of the request under way was read; before the
-	// first one, when the connection was accepted.
+	// startedAt is when the first byte of the current request was read; before the
+	// first request, when the connection was accepted.
 	startedAt time.Time
-	// retired tells that the connection is to be closed once nothing is on its way.
+	// draining is set when the connection is to be closed after the current request.
 	draining bool
-	// headBy is when the head that was coming as the connection was retired must be
-	// there.
+	// headDeadline is when a head that is being read must be complete while the
+	// connection is draining.
 	headDeadline time.Time
-	// deadline is the read deadline that net/http asked for.
+	// requestedDeadline is the read deadline that net/http set last.
 	requestedDeadline time.Time
-	// closedHere tells that this end closed the connection.
+	// closedByServer is set when this end has closed the connection.
 	closedByServer bool
 }
 
-// Read reads from the socket. A reader that waits for a request and whose time is over
-// looks into the socket once more: what lies there is read, however late.
+// Read reads from the socket. If the deadline passes during the wait for a request, it
+// checks the socket once more and reads bytes that have arrived, however late.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -77,7 +79,7 @@
 	}
 }
 
-// timedOut decides how a read goes on that ran into its deadline: nil to read again.
+// onReadTimeout returns the error for a read whose deadline passed, or nil to read again.
 func (c *conn) onReadTimeout(err error, now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,27 +96,31 @@
 	}
 }
 
-// errHeadOverdue tells that a head doesn't come during a stop.
+// errHeadTimeout means that a request's head was not completed in time while the
+// connection is draining.
 var errHeadTimeout = errors.New("the head doesn't come")
 
 const (
-	// headTimeout answers a request whose head doesn't come: it says that it hasn't run.
+	// headTimeoutResponse is the response to a request whose head is not completed.
+	// Its status means that the request hasn't run.
 	headTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	// refuseWithin bounds the sending of it: it fits what a connection takes at once.
+	// headTimeoutWriteLimit bounds the write of headTimeoutResponse, which fits into
+	// the send buffer of a connection.
 	headTimeoutWriteLimit = 100 * time.Millisecond
 )
 
-// refuseHead answers a request whose head doesn't come.
+// sendHeadTimeout responds to a request whose head is not completed.
 func (c *conn) sendHeadTimeout() {
 	if c.SetWriteDeadline(time.Now().Add(headTimeoutWriteLimit)) != nil {
-		return // it is closed
+		return // the connection is closed
 	}
-	_, _ = io.WriteString(c.Conn, headTimeoutResponse) // a caller that left needs no answer
+	_, _ = io.WriteString(c.Conn, headTimeoutResponse) // a caller that disconnected needs no response
 	c.headRefused.Store(true)
 }
 
-// Write writes to the socket. net/http takes what it has of a line for the whole line when
-// a read fails, and answers that it is malformed: a second answer after the refusal.
+// Write writes to the socket, unless the head was refused. When a read fails, net/http
+// parses the part of a line that it has as a whole line and responds that it is malformed,
+// which would be a second response.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.headRefused.Load() {
 		return 0, net.ErrClosed
@@ -122,10 +128,10 @@
 	return c.Conn.Write(p)
 }
 
-// read notes that bytes were read into a buffer of the given size.
+// onRead records that bytes were read into a buffer of the given size.
 //
-// While a request is served, net/http reads one byte ahead, and nothing else reads
-// so little: it is the first of the next request.
+// While a request is served, net/http reads one byte ahead. No other read uses a buffer
+// of one byte, so that byte is the first of the next request.
 func (c *conn) onRead(size int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,8 +144,9 @@
 	}
 }
 
-// begin notes the first byte of a request; mu is held. Where the reader was woken, or its
-// time was over, it gets time for the head; net/http bounds that anew.
+// beginHead records the first byte of a request; mu is held. If the deadline has passed
+// or drain has set it, beginHead extends it for the rest of the head; net/http then sets
+// its own.
 func (c *conn) beginHead(now time.Time) {
 	c.phase = phaseReadingHead
 	c.startedAt = now
@@ -151,25 +158,26 @@
 	}
 }
 
-// restOfHead is how long a head may take to come whose connection is retired: a few
-// round trips, and the second after which a lost packet is sent again.
+// headCompletionTimeout bounds the time in which a head must be completed on a draining
+// connection: a few round trips, and the second after which a lost packet is
+// retransmitted.
 const headCompletionTimeout = 2 * time.Second
 
-// boundHead bounds the wait for the rest of a head; mu is held.
+// limitHead sets the deadline for the rest of a head; mu is held.
 //
-// It guards against a caller that begins a request and doesn't go on: the stop would wait
-// for it until the end of the grace.
+// Prevents a caller that sends only a part of a head from delaying the stop until the end
+// of the grace period.
 func (c *conn) limitHead(now time.Time) {
 	c.headDeadline = now.Add(headCompletionTimeout)
 	c.setSocketDeadline(c.headDeadline)
 }
 
 func (c *conn) setSocketDeadline(t time.Time) {
-	_ = c.Conn.SetReadDeadline(t) // a closed connection shows at the next read
+	_ = c.Conn.SetReadDeadline(t) // if the connection is closed, the next read fails
 }
 
-// headRead notes that a request's head has been read. net/http may have had all of it in
-// its buffer, behind the request before.
+// onHeadRead records that a request's head has been read. All of it may have been in
+// net/http's buffer, behind the previous request.
 func (c *conn) onHeadRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +191,7 @@
 	}
 }
 
-// idle notes that a request's answer has been written.
+// onIdle records that a response has been written.
 func (c *conn) onIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +206,7 @@
 	}
 }
 
-// retire has the connection closed once no request is on its way on it.
+// drain makes the reader close the connection when no request is in progress on it.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,11 +214,11 @@
 	c.shortenWait(time.Now())
 }
 
-// longAgo is a deadline that has passed.
+// longAgo is a deadline in the past, which ends blocked calls at once.
 var longAgo = time.Unix(1, 0)
 
-// hasten wakes a reader that waits for a request, and bounds the wait for a head; mu is
-// held.
+// shortenWait wakes a reader that waits for a request, or limits the wait for the rest of
+// a head; mu is held.
 func (c *conn) shortenWait(now time.Time) {
 	switch c.phase {
 	case phaseIdle:
@@ -220,11 +228,11 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. What retire has set holds until the head has been
-// read.
+// SetReadDeadline implements net.Conn. While the connection is draining, the deadline
+// that drain has set stays until the head has been read.
 //
-// net/http sets a deadline when it begins to wait for the next request, and another
-// when it has the first bytes of it, which may have come behind the request before.
+// net/http sets a deadline when it starts to wait for the next request, and another one
+// when it has the first bytes of it, which may have arrived with the previous request.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,8 +247,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends the sending half, as net/http does before it closes a connection on
-// which the caller still sends.
+// CloseWrite closes the sending half. net/http calls it before it closes a connection on
+// which the caller is still sending.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -258,12 +266,12 @@
 	return err
 }
 
-// firstRequestIn is how long the first request of a new connection may take to come:
-// a round trip, and the second after which a lost packet is sent again.
+// firstRequestTimeout is how long draining waits for the first request of a new
+// connection: a round trip, and the second after which a lost packet is retransmitted.
 const firstRequestTimeout = 1100 * time.Millisecond
 
-// patience is how long the connection may not be retired yet: a caller has just opened
-// it for a request that is on its way.
+// drainDelay returns how long to wait before draining the connection, since a caller that
+// has just opened it may have a request in transit. It is 0 or less if there is no need.
 func (c *conn) drainDelay(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -273,7 +281,7 @@
 	return c.startedAt.Add(firstRequestTimeout).Sub(now)
 }
 
-// state tells what is on its way on the connection.
+// state returns the ConnState of the connection.
 func (c *conn) state() ConnState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,11 +295,11 @@
 	}
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// HeadTime is how long a request's head took from its first byte to now; 0 outside
-// a Server's handler.
+// HeadReadTime returns the time from the first byte of a request's head to now; 0 outside
+// the handler of a Server.
 func HeadReadTime(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
@@ -302,7 +310,7 @@
 	return time.Since(c.startedAt)
 }
 
-// ClosedHere tells whether this end closed a request's connection.
+// ClosedByServer reports whether this end closed a request's connection.
 func ClosedByServer(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
--- a/transport/inbound/server.go
+++ b/transport/inbound/server.go
@@ -10,42 +10,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is what is on its way on a connection.
+// ConnState reports whether a request is in progress on a connection.
 type ConnState string
 
 // The states of a connection.
 const (
-	// Idle has no request.
+	// Idle connections have no request.
 	Idle ConnState = "idle"
-	// Unread has bytes of a request in its socket that nobody has read.
+	// Unread connections have bytes in the socket that have not been read.
 	Unread ConnState = "unread"
-	// Busy has a request of which some bytes have been read.
+	// Busy connections have a request of which at least a byte has been read.
 	Busy ConnState = "busy"
 )
 
-// Options bound what callers may send. Zero values are no bounds.
+// Options are limits of callers' requests. Zero values mean no limit.
 type Options struct {
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 	MaxHeaderBytes int
 }
 
-// Server is an HTTP server for callers. Its stop is Retire, Finish, Close.
+// Server is an HTTP server for callers. To stop it, call BeginDrain, Drain and Close.
 type Server struct {
 	http     *http.Server
 	listener *listener
-	// accepted is closed when no more connections are accepted, closed by Close.
+	// acceptDone is closed when no more connections are accepted; closed is closed
+	// by Close.
 	acceptDone, closed chan struct{}
 	closeOnce          sync.Once
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
 	draining bool
-	// changed is told when a connection is gone.
+	// connClosed receives a value when a connection is closed.
 	connClosed chan struct{}
 }
 
-// New returns a server that accepts from the listener once it runs.
+// New returns a server that accepts connections from l when Serve is called.
 func New(l net.Listener, h http.Handler, o Options) *Server {
 	s := &Server{
 		acceptDone: make(chan struct{}), closed: make(chan struct{}),
@@ -65,7 +66,8 @@
 	return s
 }
 
-// announce tells callers that their connection closes after the answer.
+// closeWhenDraining wraps a handler. While the server is draining, it sends callers the
+// Connection: close header.
 func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.isDraining() {
@@ -81,8 +83,8 @@
 	return s.draining
 }
 
-// Serve accepts and serves connections until Close. Finish ends the accepting alone:
-// the group that runs the server must not end with it.
+// Serve accepts and serves connections until Close. Drain stops accepting, but Serve
+// doesn't return then, since that would end the goroutine group that runs the server.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	close(s.acceptDone)
@@ -93,8 +95,8 @@
 	return nil
 }
 
-// Retire has each connection closed as soon as no request is on its way on it, also
-// those that are still to come. New ones have time for their first request.
+// BeginDrain closes each connection as soon as no request is in progress on it, including
+// connections accepted later. New connections get time for their first request.
 func (s *Server) BeginDrain() {
 	s.mu.Lock()
 	s.draining = true
@@ -105,7 +107,7 @@
 	}
 }
 
-// retireInTime retires a connection, a new one once its first request should be there.
+// scheduleDrain drains a connection; a new one after the time for its first request.
 func (s *Server) scheduleDrain(now time.Time, c *conn) {
 	if wait := c.drainDelay(now); wait > 0 {
 		time.AfterFunc(wait, c.drain)
@@ -114,8 +116,8 @@
 	c.drain()
 }
 
-// Finish ends the accepting, and waits until all connections that were opened have
-// been served and closed. It returns the context's error if that ends before.
+// Drain stops accepting connections and waits until all open ones have been served and
+// closed. It returns the context's error if the context ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.BeginDrain()
 	s.listener.drain()
@@ -134,29 +136,29 @@
 	return nil
 }
 
-// Stop finishes within a time, and closes what isn't done then.
+// Shutdown drains the server for at most the given time and then closes the remaining
+// connections.
 func (s *Server) Shutdown(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	_ = s.Drain(ctx) // what isn't done is closed
+	_ = s.Drain(ctx) // Close ends what isn't done
 	s.Close()
 }
 
-// Close closes all connections, whatever is on its way on them: what Finish had no more
-// time for.
+// Close closes all connections, including those with requests in progress.
 func (s *Server) Close() {
-	_ = s.http.Close() // nothing is left to do with a connection that doesn't close
+	_ = s.http.Close() // a failed close can't be handled
 	s.closeOnce.Do(func() { close(s.closed) })
 }
 
-// Open returns the number of connections.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// States counts the connections.
+// CountByState returns the number of open connections in each state.
 func (s *Server) CountByState() map[ConnState]int {
 	counts := map[ConnState]int{}
 	for _, c := range s.connections() {
@@ -175,15 +177,15 @@
 	return all
 }
 
-// adopt takes in a connection that has just been accepted.
+// track adds an accepted connection to the server.
 func (s *Server) track(nc net.Conn) *conn {
 	now := time.Now()
 	c := &conn{Conn: nc, server: s, startedAt: now}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	retiring := s.draining
+	draining := s.draining
 	s.mu.Unlock()
-	if retiring {
+	if draining {
 		s.scheduleDrain(now, c)
 	}
 	return c
@@ -199,7 +201,7 @@
 	}
 }
 
-// noteState takes in what net/http knows of a connection.
+// onConnState updates a connection from the state that net/http reports.
 func onConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -24,14 +24,14 @@
 	contentTypeStream = sse.ContentType
 )
 
-// Causes with which the context of an exchange is cancelled.
+// Causes of the cancellation of an exchange's context.
 var (
 	errDeadline = errors.New("deadline passed")
 	errSilent   = errors.New("no byte for too long")
 	errFinished = errors.New("exchange is over")
 )
 
-// exchange is one attempt: a call on one connection and its answer.
+// exchange is one attempt: a request on one connection and its response.
 type exchange struct {
 	client *Client
 	call   Call
@@ -41,13 +41,13 @@
 	cancel       context.CancelCauseFunc
 	stopDeadline context.CancelFunc
 	span         trace.Span
-	// silence cancels the exchange when the other end sends nothing.
+	// silenceTimer cancels the exchange when the target sends nothing.
 	silenceTimer *time.Timer
-	// gap is how long the body may bring no byte.
+	// bodyIdleTimeout bounds each wait for bytes of the body.
 	bodyIdleTimeout time.Duration
 
-	// hasConn tells that the call got a connection; writesBefore is the count
-	// of its writes at that moment.
+	// hasConn reports whether the call got a connection; writesBefore is the
+	// connection's write count at that time.
 	hasConn      bool
 	conn         *countingConn
 	writesBefore int64
@@ -66,7 +66,7 @@
 	return x
 }
 
-// roundTrip sends the call and waits for the headers of its answer.
+// roundTrip sends the request and waits for the response headers.
 func (x *exchange) roundTrip() error {
 	if x.ctx.Err() != nil {
 		return x.fail(StepConnect, context.Cause(x.ctx))
@@ -75,7 +75,7 @@
 	if err != nil {
 		return x.fail(StepEncode, err)
 	}
-	// The dial has its own bound, and got starts the bound for the headers.
+	// The dial has its own timeout, and gotConn restarts the timer for the headers.
 	x.silenceTimer = time.AfterFunc(x.client.options.ConnectTimeout+x.headerTimeout(), x.onSilence)
 	x.response, err = x.client.pooled.RoundTrip(request)
 	if err != nil {
@@ -98,10 +98,10 @@
 	if err != nil {
 		return nil, err
 	}
-	// The failure: net/http sends a request once more when a reused connection
-	// breaks, and a stage runs twice. It does so for requests whose body it can
-	// get again and which look repeatable. Without GetBody it has no second
-	// body, and without an Idempotency-Key header a POST does not look so.
+	// Prevents a stage from running twice: net/http resends a request when a reused
+	// connection breaks, if it can get the body again and regards the request as
+	// idempotent. Without GetBody it has no second body, and without an
+	// Idempotency-Key header it doesn't regard a POST as idempotent.
 	request.GetBody = nil
 	x.setHeaders(request.Header)
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(request.Header))
@@ -109,8 +109,8 @@
 }
 
 func (x *exchange) setHeaders(header http.Header) {
-	// One array holds all values: Header.Set makes one for each. The names are
-	// constants in canonical form.
+	// One backing array holds all values; Header.Set would allocate a slice for
+	// each. The names are constants in canonical form.
 	values := make([]string, 0, maxHeaders)
 	set := func(name, value string) {
 		n := len(values)
@@ -134,29 +134,30 @@
 	}
 }
 
-// maxHeaders is how many headers a call has at most.
+// maxHeaders is the maximum number of headers that setHeaders sets.
 const maxHeaders = 8
 
-// Bounds of what the target's deadline is earlier than the call's own.
+// Limits of the margin by which the target's deadline precedes the call's own.
 const (
-	// answerShare is the share of what is left, as a divisor.
+	// marginDivisor limits the margin to that fraction of the remaining time.
 	marginDivisor     = 10
 	maxDeadlineMargin = 20 * time.Millisecond
 )
 
-// targetDeadline is the time the target is given.
+// targetTimeout returns the time that the target gets, of the time that remains
+// for the call.
 //
-// The failure: a call waits in the target's queue until its deadline. The target
-// answers "not run" at the moment at which this client gives up, the answer
-// loses the race, and a caller whose work never started is told "unknown". The
-// margin gives that answer the time to arrive. Where it takes longer the caller
-// is told "unknown" still, which is weaker but not false.
+// A call may wait in the target's queue until its deadline. If target and client
+// had the same deadline, the target's "not run" would arrive after the client gave
+// up, and the outcome of work that never started would be "unknown". The margin is
+// the time for that response to arrive. If it takes longer, the outcome is still
+// "unknown", which is less precise but not false.
 func targetTimeout(left time.Duration) time.Duration {
 	margin := min(left/marginDivisor, maxDeadlineMargin)
 	return max(left-margin, time.Millisecond)
 }
 
-// got notes the connection before anything of the call is written to it.
+// gotConn records the connection before the request is written to it.
 func (x *exchange) gotConn(info httptrace.GotConnInfo) {
 	x.hasConn = true
 	x.conn, _ = info.Conn.(*countingConn)
@@ -177,8 +178,8 @@
 	x.cancel(errSilent)
 }
 
-// bytesLeft tells whether any byte of the call can have left this process. The
-// connection must be closed before, so that none can leave after.
+// mayHaveSent reports whether any byte of the request may have left this process.
+// The connection must be closed first, so that no byte is written afterwards.
 func (x *exchange) mayHaveSent() bool {
 	if x.conn == nil {
 		return x.hasConn
@@ -186,7 +187,7 @@
 	return x.conn.writes.Load() > x.writesBefore
 }
 
-// sendStep is the step in which a round trip failed.
+// sendStep returns the step in which a round trip failed.
 func (x *exchange) sendStep() Step {
 	switch {
 	case !x.hasConn:
@@ -198,7 +199,7 @@
 	}
 }
 
-// finish ends the exchange, and cancels at the target an attempt that may still
+// finish ends the exchange, and cancels the attempt on the target if it may still
 // be running there.
 func (x *exchange) finish(err error) error {
 	if x.silenceTimer != nil {
@@ -209,7 +210,7 @@
 		x.client.cancelAsync(x.call.Address, x.call.AttemptID)
 	}
 	if x.response != nil {
-		// Only says that the connection is gone.
+		// An error only means that the connection is closed already.
 		_ = x.response.Body.Close()
 	}
 	x.cancel(errFinished)
@@ -221,12 +222,12 @@
 	return failed
 }
 
-// closeConn closes the connection whatever net/http makes of it. A body that
-// was read to its end has put the connection back among the idle ones, where a
-// late or foreign answer would be taken for that of the next call.
+// closeConn closes the connection even if net/http has put it back into its idle
+// pool, as it does when a body was read to the end. There a late response or one to
+// another attempt would be read as the response to the next call.
 func (x *exchange) closeConn() {
 	if x.conn != nil {
-		// It is of no use any more, whatever closing it brings.
+		// The connection isn't used again, so an error is ignored.
 		_ = x.conn.Close()
 	}
 }
--- a/transport/target/failure.go
+++ b/transport/target/failure.go
@@ -9,29 +9,28 @@
 	"github.com/ivyhollow/ivyhollow/protocol/sse"
 )
 
-// garbledError says that an answer breaks the contract.
+// contractError is a violation of the contract by a response.
 type contractError struct{ cause error }
 
 func (e contractError) Error() string { return "answer breaks the contract: " + e.cause.Error() }
 
 func (e contractError) Unwrap() error { return e.cause }
 
-// deliveryError says that the caller did not take a token.
+// deliveryError is an error that onToken returned.
 type deliveryError struct{ cause error }
 
 func (e *deliveryError) Error() string { return "token was not taken: " + e.cause.Error() }
 
 func (e *deliveryError) Unwrap() error { return e.cause }
 
-// failure says what is known after an error of the connection or the answer.
-// It closes the connection: what may still come on it belongs to no call.
+// fail classifies an error of the connection or the response. It closes the
+// connection, since late bytes on it would be read as the response to another call.
 func (x *exchange) fail(step Step, err error) *AttemptError {
 	x.closeConn()
 	outcome := NotRun
 	if x.mayHaveSent() {
-		// The failure: an error after the call was sent is taken for a refusal
-		// and the stage is run again. Whether the target got the call can't be
-		// told from here, so it must not be called not run.
+		// Prevents a second run of the stage: whether the target received the call
+		// is unknown here, and NotRun would allow a retry.
 		outcome = Unknown
 	}
 	return &AttemptError{
@@ -62,16 +61,17 @@
 	return ReasonReset
 }
 
-// answerReason tells the faults of an answer that did come.
+// responseReason returns the reason for an error in a received response or in its
+// delivery; "" for other errors.
 func responseReason(err error) Reason {
-	garbled := contractError{}
+	violation := contractError{}
 	delivery := (*deliveryError)(nil)
 	switch {
 	case errors.Is(err, errWrongAttempt):
 		return ReasonCrossed
 	case errors.Is(err, errTooLarge), errors.Is(err, sse.ErrEventTooLarge), errors.Is(err, sse.ErrLineTooLong):
 		return ReasonTooLarge
-	case errors.As(err, &garbled), errors.Is(err, errContentType):
+	case errors.As(err, &violation), errors.Is(err, errContentType):
 		return ReasonGarbled
 	case errors.As(err, &delivery):
 		return ReasonCancelled
@@ -80,7 +80,7 @@
 	}
 }
 
-// contextReason tells why the exchange was given up.
+// contextReason returns the reason for the cancellation of the exchange.
 func contextReason(cause error) Reason {
 	switch {
 	case errors.Is(cause, errSilent):
@@ -99,7 +99,8 @@
 	return ReasonRefused
 }
 
-// endedEarly tells an answer that ended in the middle from a broken connection.
+// isTruncated reports whether a response body ended early, as opposed to a failed
+// connection.
 func isTruncated(step Step, err error) bool {
 	if step != StepBody && step != StepStream {
 		return false
--- a/transport/target/stream.go
+++ b/transport/target/stream.go
@@ -13,8 +13,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// endWait bounds the wait for the end of a stream whose answer is whole. With
-// the end read, the connection can be used again; else it is closed.
+// streamEndTimeout bounds the wait for the end of the stream after its done event.
+// If the end is read, the connection can be reused; otherwise it is closed.
 const streamEndTimeout = 20 * time.Millisecond
 
 var (
@@ -23,18 +23,18 @@
 	errNoDoneEvent   = errors.New("stream ended without a whole answer")
 )
 
-// tokenStream is the state of one streamed answer.
+// tokenStream is the state of one streamed response.
 type tokenStream struct {
 	exchange *exchange
 	events   *sse.Decoder
 	onToken  func(offset int, token string) error
-	// next is the offset of the token that is due.
+	// nextOffset is the offset of the next token.
 	nextOffset int
-	// text is what the tokens of this attempt add up to.
+	// text is the concatenation of this attempt's tokens.
 	text strings.Builder
 }
 
-// readStream reads a streamed answer up to its done or error event.
+// readStream reads a streamed response up to its done or error event.
 func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunAnswer, error) {
 	limit := int(x.client.options.MaxBody)
 	s := &tokenStream{
@@ -64,7 +64,7 @@
 	}
 }
 
-// token checks the offset of a token and passes it on.
+// handleToken checks the offset of a token and passes the token to onToken.
 func (s *tokenStream) handleToken(event sse.Event) error {
 	x := s.exchange
 	offset, err := strconv.Atoi(event.ID)
@@ -76,7 +76,7 @@
 		return x.fail(StepStream, contractError{err})
 	}
 	if offset < s.nextOffset {
-		// Sent twice. The offset tells, and the caller sees it once.
+		// The token is a duplicate.
 		return nil
 	}
 	if offset > s.nextOffset {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// parseToken parses a TokenEvent. In its usual form, one field whose text has no
-// escape, the text is cut out; whatever else is left to the decoder.
+// parseToken parses a TokenEvent. It has a fast path for the usual form, a single
+// field whose text needs no unescaping, and uses encoding/json for all others.
 func parseToken(data string) (string, error) {
 	text, head := strings.CutPrefix(data, `{"token":"`)
 	text, tail := strings.CutSuffix(text, `"}`)
@@ -103,7 +103,8 @@
 	return token.Token, err
 }
 
-// plain tells whether a JSON string of this text is the text itself.
+// isPlainText reports whether the text of a JSON string needs no unescaping: all of
+// it is printable ASCII without quotes and backslashes.
 func isPlainText(text string) bool {
 	for i := range len(text) {
 		c := text[i]
@@ -114,7 +115,7 @@
 	return true
 }
 
-// done checks that the whole answer is what the tokens add up to.
+// handleDone checks that the final answer matches the tokens.
 func (s *tokenStream) handleDone(event sse.Event) (targetapi.RunAnswer, error) {
 	x := s.exchange
 	answer, err := x.parseAnswer(StepStream, []byte(event.Data))
@@ -139,9 +140,9 @@
 	return strings.HasSuffix(answer.Output, s.text.String())
 }
 
-// readEnd reads the end of the stream, so that the connection can be kept. An
-// end that does not come, or another event in its place, costs the connection
-// but not the answer.
+// readEnd reads the end of the stream, so that the connection can be reused. If the
+// end doesn't arrive, or another event does, the connection is closed but the answer
+// stays valid.
 func (s *tokenStream) readEnd() {
 	x := s.exchange
 	x.bodyIdleTimeout = streamEndTimeout
@@ -150,7 +151,8 @@
 	}
 }
 
-// failed reads the error event, with which a target says that the run failed.
+// handleError converts an error event, by which the target reports that the run
+// failed, to an error.
 func (s *tokenStream) handleError(event sse.Event) error {
 	var refusal targetapi.Refusal
 	if err := json.Unmarshal([]byte(event.Data), &refusal); err != nil {
