--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -39,7 +39,7 @@
 // Platform is what an adapter gives: names, formats and calls.
 type Platform struct {
 	Dialect  exchange.Dialect
-	Spelling platform.Spelling
+	Spelling platform.Codec
 	Source   follow.Source
 }
 
@@ -119,11 +119,11 @@
 	g.calls = platform.NewBudget(platform.BudgetOptions{
 		ReadsPerSecond:   s.Platform.CallsPerSecond,
 		RestartPerSecond: s.Platform.CallsPerSecond * restartShare,
-		ProbeEvery:       probeEvery,
+		MaxProbeInterval: probeEvery,
 	})
 	store := platform.New(platform.Options{
 		BaseURL: s.Platform.URL, Instance: s.Instance.Name, Timeout: s.Platform.Timeout,
-		Budget: g.calls, Spelling: p.Spelling, WatchSlack: time.Second,
+		Budget: g.calls, Codec: p.Spelling, WatchSlack: time.Second,
 	})
 	g.registrar = register.New(store, func() membership.Member { return g.self })
 	if err := g.buildCluster(); err != nil {
@@ -206,16 +206,16 @@
 
 func (g *Gateway) buildCluster() error {
 	s := g.settings
-	var files *peer.Files
+	var files *peer.TLSFiles
 	if s.Peers.TLS() {
-		files = &peer.Files{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
+		files = &peer.TLSFiles{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
 	}
 	var err error
 	g.cluster, err = cluster.New(cluster.Options{
 		Transport: peer.Options{
 			Cluster: s.Instance.Cluster, Self: g.self, Listen: s.Listen.Peers,
 			TLS: files, Cleartext: s.Peers.Cleartext, Scope: g.telemetry.Scope,
-			CallTimeout: peerCallWait, MaxHandlers: maxPeerCalls, MaxPending: maxPeerCalls,
+			CallTimeout: peerCallWait, MaxHandlers: maxPeerCalls, MaxPendingCalls: maxPeerCalls,
 			QueueLength: peerQueue,
 		},
 		Membership:    membership.DefaultConfig(),
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -49,11 +49,11 @@
 
 // Send sends a one-way message. It waits for a connection, not for the write.
 func (n *Node) Send(ctx context.Context, address string, m peer.Message) error {
-	c, err := n.link(ctx, address, false)
+	c, err := n.connTo(ctx, address, false)
 	if err != nil {
 		return err
 	}
-	return fail(StepWrite, address, c.post(m))
+	return wrapError(StepWrite, address, c.enqueueDroppable(m))
 }
 
 // Post sends a one-way message without waiting; if there is no connection, or
@@ -61,10 +61,10 @@
 // others are dropped and counted.
 func (n *Node) Post(address string, m peer.Message, fresh bool) {
 	n.mu.Lock()
-	c := n.links[address]
+	c := n.connByAddress[address]
 	if c != nil && !fresh && !c.isClosed() {
 		n.mu.Unlock()
-		_ = c.post(m)
+		_ = c.enqueueDroppable(m)
 		return
 	}
 	defer n.mu.Unlock()
@@ -72,19 +72,19 @@
 		return
 	}
 	select {
-	case n.posts <- struct{}{}:
+	case n.postSlots <- struct{}{}:
 	default:
 		n.metrics.dropped.Inc(1)
 		return
 	}
 	n.wg.Go(func() {
-		defer func() { <-n.posts }()
-		c, err := n.link(n.ctx, address, fresh)
+		defer func() { <-n.postSlots }()
+		c, err := n.connTo(n.ctx, address, fresh)
 		if err != nil {
 			n.metrics.dropped.Inc(1)
 			return
 		}
-		_ = c.post(m)
+		_ = c.enqueueDroppable(m)
 	})
 }
 
@@ -97,7 +97,7 @@
 		ctx, cancel = context.WithTimeout(ctx, n.opts.CallTimeout)
 		defer cancel()
 	}
-	c, err := n.link(ctx, address, false)
+	c, err := n.connTo(ctx, address, false)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	}
 	// The path of the old connection may have lost its state somewhere between
 	// the two ends, while the peer is well. Only a new connection can tell.
-	c, err = n.link(ctx, address, true)
+	c, err = n.connTo(ctx, address, true)
 	if err != nil {
 		return nil, err
 	}
@@ -124,26 +124,26 @@
 
 // call sends an Ask and waits for the Answer.
 func (c *conn) call(ctx context.Context, address, name string, body []byte) ([]byte, error) {
-	id, answers, err := c.begin()
+	id, answers, err := c.registerCall()
 	if err != nil {
-		return nil, notRun(StepCall, address, err)
+		return nil, notRunError(StepCall, address, err)
 	}
-	defer c.finish(id)
-	if err := c.enqueue(newAsk(ctx, id, name, body)); err != nil {
-		return nil, notRun(StepCall, address, err)
+	defer c.unregisterCall(id)
+	if err := c.enqueue(newRequest(ctx, id, name, body)); err != nil {
+		return nil, notRunError(StepCall, address, err)
 	}
 	select {
 	case a := <-answers:
-		return result(address, a)
+		return responseResult(address, a)
 	case <-c.ctx.Done():
-		return nil, fail(StepCall, address, c.cause())
+		return nil, wrapError(StepCall, address, c.closeCause())
 	case <-ctx.Done():
-		return nil, fail(StepCall, address, ctx.Err())
+		return nil, wrapError(StepCall, address, ctx.Err())
 	}
 }
 
 // newAsk builds an Ask that carries the time left.
-func newAsk(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
+func newRequest(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
 	ask := &peer.Ask{ID: id, Method: name, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		ask.TimeoutMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
@@ -152,28 +152,28 @@
 }
 
 // result translates an Answer.
-func result(address string, a *peer.Answer) ([]byte, error) {
+func responseResult(address string, a *peer.Answer) ([]byte, error) {
 	if a.Code == peer.CodeOK {
 		return a.Body, nil
 	}
 	cause := codeError(a.Code, a.Reason)
 	if a.Code == peer.CodeBusy || a.Code == peer.CodeNoMethod {
-		return nil, notRun(StepCall, address, cause)
+		return nil, notRunError(StepCall, address, cause)
 	}
 	return nil, &Error{Step: StepCall, Peer: address, Cause: cause}
 }
 
 // begin reserves an id.
-func (c *conn) begin() (uint64, chan *peer.Answer, error) {
+func (c *conn) registerCall() (uint64, chan *peer.Answer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= c.node.opts.MaxPending {
+	if len(c.pending) >= c.node.opts.MaxPendingCalls {
 		return 0, nil, errors.Wrapf(ErrBusy, "%d calls wait on the connection", len(c.pending))
 	}
 	now := c.now()
 	c.lastUsed.Store(now)
-	if c.askedAt.Load() <= c.lastIn.Load() {
-		c.askedAt.Store(now)
+	if c.unansweredSince.Load() <= c.lastReceived.Load() {
+		c.unansweredSince.Store(now)
 	}
 	c.nextID++
 	answers := make(chan *peer.Answer, 1)
@@ -182,7 +182,7 @@
 }
 
 // finish frees an id.
-func (c *conn) finish(id uint64) {
+func (c *conn) unregisterCall(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
@@ -190,7 +190,7 @@
 
 // answered hands an Answer to its call. One whose call has given up, and a
 // second one for the same id, find no channel and are dropped.
-func (c *conn) answered(a *peer.Answer) {
+func (c *conn) deliverResponse(a *peer.Answer) {
 	c.mu.Lock()
 	answers := c.pending[a.ID]
 	delete(c.pending, a.ID)
@@ -201,7 +201,7 @@
 }
 
 // waiting returns the number of calls that wait on the connection.
-func (c *conn) waiting() int {
+func (c *conn) pendingCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
@@ -209,24 +209,24 @@
 
 // answer runs the handler of an Ask in its own goroutine, within the bound of
 // handlers.
-func (n *Node) answer(c *conn, ask *peer.Ask) {
+func (n *Node) handleRequest(c *conn, ask *peer.Ask) {
 	m, ok := n.method(ask.Method)
 	if !ok {
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
+		c.sendResponse(&peer.Answer{ID: ask.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
 		return
 	}
 	select {
-	case n.handlers <- struct{}{}:
+	case n.handlerSlots <- struct{}{}:
 	default:
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeBusy, Reason: "too many calls"})
+		c.sendResponse(&peer.Answer{ID: ask.ID, Code: peer.CodeBusy, Reason: "too many calls"})
 		return
 	}
 	n.wg.Go(func() {
 		answer := n.runHandler(c, m.handler, ask)
 		// The place is free before its asker knows the answer: else the next call of
 		// one that calls in turn is refused as one too many.
-		<-n.handlers
-		c.reply(answer)
+		<-n.handlerSlots
+		c.sendResponse(answer)
 	})
 }
 
@@ -247,12 +247,12 @@
 
 // reply sends an Answer; one that is too large is replaced by its error. If
 // the peer does not take its answers, the connection is of no use.
-func (c *conn) reply(a *peer.Answer) {
+func (c *conn) sendResponse(a *peer.Answer) {
 	err := c.enqueue(a)
 	if errors.Is(err, peer.ErrFrameSize) {
 		err = c.enqueue(&peer.Answer{ID: a.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
 	}
 	if err != nil {
-		c.close(fail(StepWrite, c.remote, err))
+		c.close(wrapError(StepWrite, c.remoteAddress, err))
 	}
 }
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -25,17 +25,17 @@
 // Reply sends a one-way message on the connection that the peer used, which is
 // known to carry at least one way.
 func (p Peer) Reply(m peer.Message) error {
-	return p.conn.post(m)
+	return p.conn.enqueueDroppable(m)
 }
 
 // conn is one connection. Its reader runs in run, its writer beside it.
 type conn struct {
 	node *Node
 	// address is what was dialled, empty for an accepted connection.
-	address string
-	remote  string
+	dialedAddress string
+	remoteAddress string
 	// sock is the bare socket, nc what is read and written: sock or TLS on it.
-	sock   net.Conn
+	socket net.Conn
 	nc     net.Conn
 	reader *bufio.Reader
 	// peer is set by the handshake, before any other goroutine sees conn.
@@ -54,33 +54,33 @@
 	ready atomic.Bool
 
 	// Times are in nanoseconds since started.
-	started       time.Time
-	lastIn        atomic.Int64
-	lastUsed      atomic.Int64
-	askedAt       atomic.Int64
-	heartbeatSent atomic.Int64
+	started         time.Time
+	lastReceived    atomic.Int64
+	lastUsed        atomic.Int64
+	unansweredSince atomic.Int64
+	heartbeatSent   atomic.Int64
 }
 
 // newConn wraps a socket.
 func newConn(n *Node, nc net.Conn, address string) *conn {
 	c := &conn{
-		node:    n,
-		address: address,
-		remote:  nc.RemoteAddr().String(),
-		wake:    make(chan struct{}, 1),
-		pending: make(map[uint64]chan *peer.Answer),
-		started: time.Now(),
+		node:          n,
+		dialedAddress: address,
+		remoteAddress: nc.RemoteAddr().String(),
+		wake:          make(chan struct{}, 1),
+		pending:       make(map[uint64]chan *peer.Answer),
+		started:       time.Now(),
 	}
 	c.queue = queue{maxFrames: n.opts.QueueLength, maxBytes: n.opts.QueueBytes}
-	c.sock = &countedConn{Conn: nc, conn: c}
-	c.nc = c.sock
+	c.socket = &countingConn{Conn: nc, conn: c}
+	c.nc = c.socket
 	c.reader = bufio.NewReader(c.nc)
 	c.ctx, c.cancel = context.WithCancelCause(n.ctx)
 	return c
 }
 
 // setTLS reads and writes through TLS from now on.
-func (c *conn) setTLS(t *tls.Conn) {
+func (c *conn) useTLS(t *tls.Conn) {
 	c.nc = t
 	c.reader = bufio.NewReader(t)
 }
@@ -101,13 +101,13 @@
 func (c *conn) close(cause error) {
 	// Forgotten first: a call that came between the end and the forgetting would
 	// be given the connection that has just been found silent.
-	c.node.forget(c)
+	c.node.removeConn(c)
 	c.cancel(cause)
-	_ = c.sock.Close()
+	_ = c.socket.Close()
 }
 
 // cause returns why the connection ended.
-func (c *conn) cause() error {
+func (c *conn) closeCause() error {
 	err := context.Cause(c.ctx)
 	if errors.Is(err, ErrSilent) || errors.Is(err, ErrClosed) {
 		return err
@@ -125,7 +125,7 @@
 			continue
 		}
 		if err != nil {
-			c.ended(err)
+			c.closeAfterRead(err)
 			return
 		}
 		c.dispatch(m)
@@ -133,12 +133,12 @@
 }
 
 // ended closes the connection after a failed read and counts bad input.
-func (c *conn) ended(err error) {
+func (c *conn) closeAfterRead(err error) {
 	orderly := errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 	if !c.isClosed() && !orderly {
 		c.node.metrics.refused(StepRead, err)
 	}
-	c.close(fail(StepRead, c.remote, err))
+	c.close(wrapError(StepRead, c.remoteAddress, err))
 }
 
 // read returns the next message. A frame that has begun must end within
@@ -170,17 +170,17 @@
 func (c *conn) dispatch(m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Heartbeat:
-		_ = c.post(&peer.HeartbeatAck{Seq: m.Seq})
+		_ = c.enqueueDroppable(&peer.HeartbeatAck{Seq: m.Seq})
 	case *peer.HeartbeatAck:
 		// Its arrival was the sign; lastIn has it.
 	case *peer.Hello, *peer.Welcome:
 		c.close(errors.Wrapf(ErrInvalid, "%T after the handshake", m))
 	case *peer.Ask:
 		c.lastUsed.Store(c.now())
-		c.node.answer(c, m)
+		c.node.handleRequest(c, m)
 	case *peer.Answer:
 		c.lastUsed.Store(c.now())
-		c.answered(m)
+		c.deliverResponse(m)
 	default:
 		c.lastUsed.Store(c.now())
 		if c.node.onMessage != nil {
@@ -190,7 +190,7 @@
 }
 
 // writeNow writes a message of the handshake, before the writer runs.
-func (c *conn) writeNow(m peer.Message) error {
+func (c *conn) writeHandshake(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
 		return err
@@ -201,16 +201,16 @@
 
 // post queues a one-way message; the oldest one gives way when the queue is
 // full.
-func (c *conn) post(m peer.Message) error {
+func (c *conn) enqueueDroppable(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	dropped := c.queue.pushGossip(frame)
+	dropped := c.queue.pushDroppable(frame)
 	c.mu.Unlock()
 	c.node.metrics.dropped.Inc(int64(dropped))
-	c.signal()
+	c.wakeWriter()
 	return nil
 }
 
@@ -227,12 +227,12 @@
 	if !ok {
 		return errors.Wrap(ErrBusy, "write queue is full")
 	}
-	c.signal()
+	c.wakeWriter()
 	return nil
 }
 
 // signal wakes the writer.
-func (c *conn) signal() {
+func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -249,7 +249,7 @@
 		case <-c.wake:
 		}
 		if err := c.flush(); err != nil {
-			c.close(fail(StepWrite, c.remote, err))
+			c.close(wrapError(StepWrite, c.remoteAddress, err))
 			return
 		}
 	}
@@ -274,23 +274,23 @@
 }
 
 // countedConn counts the bytes of a socket and notes when some arrive.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	conn *conn
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.conn.lastIn.Store(c.conn.now())
+		c.conn.lastReceived.Store(c.conn.now())
 		c.conn.node.bytesIn.Add(int64(n))
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.conn.node.bytesOut.Add(int64(n))
 	return n, err
--- a/transport/peer/credentials.go
+++ b/transport/peer/credentials.go
@@ -17,7 +17,7 @@
 const sessionCacheSize = 512
 
 // Files names the PEM files of mutual TLS.
-type Files struct {
+type TLSFiles struct {
 	Cert string
 	Key  string
 	// CA signs the certificates of all instances and of nothing else: whoever
@@ -26,28 +26,28 @@
 }
 
 // material is one consistent reading of the files.
-type material struct {
+type loadedTLSFiles struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
-	stamp stamp
+	stats fileStats
 }
 
 // stamp tells whether the files changed.
-type stamp [3]struct {
+type fileStats [3]struct {
 	modified time.Time
 	size     int64
 }
 
 // credentials keeps the newest readable state of the files.
 type credentials struct {
-	files   Files
-	current atomic.Pointer[material]
+	files   TLSFiles
+	current atomic.Pointer[loadedTLSFiles]
 }
 
 // loadCredentials reads the files.
-func loadCredentials(files Files) (*credentials, error) {
+func loadCredentials(files TLSFiles) (*credentials, error) {
 	c := &credentials{files: files}
-	m, err := files.read()
+	m, err := files.load()
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // read reads and checks the three files.
-func (f Files) read() (*material, error) {
+func (f TLSFiles) load() (*loadedTLSFiles, error) {
 	st, err := f.stat()
 	if err != nil {
 		return nil, err
@@ -73,12 +73,12 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return nil, errors.Newf("CA file %s has no certificate", f.CA)
 	}
-	return &material{cert: cert, roots: roots, stamp: st}, nil
+	return &loadedTLSFiles{cert: cert, roots: roots, stats: st}, nil
 }
 
 // stat returns the files' times and sizes.
-func (f Files) stat() (stamp, error) {
-	var st stamp
+func (f TLSFiles) stat() (fileStats, error) {
+	var st fileStats
 	for i, path := range []string{f.Cert, f.Key, f.CA} {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -98,10 +98,10 @@
 	if err != nil {
 		return false, err
 	}
-	if st == c.current.Load().stamp {
+	if st == c.current.Load().stats {
 		return false, nil
 	}
-	m, err := c.files.read()
+	m, err := c.files.load()
 	if err != nil {
 		return false, err
 	}
--- a/transport/peer/errors.go
+++ b/transport/peer/errors.go
@@ -68,7 +68,7 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // fail wraps a cause in an Error, unless it is one already.
-func fail(step Step, peer string, cause error) error {
+func wrapError(step Step, peer string, cause error) error {
 	if cause == nil {
 		return nil
 	}
@@ -80,7 +80,7 @@
 }
 
 // notRun marks an error of a call that certainly did not start.
-func notRun(step Step, peer string, cause error) error {
+func notRunError(step Step, peer string, cause error) error {
 	return &Error{Step: step, Peer: peer, NotRun: true, Cause: cause}
 }
 
--- a/transport/peer/handshake.go
+++ b/transport/peer/handshake.go
@@ -19,7 +19,7 @@
 const maxNameLength = 256
 
 // hello describes this instance.
-func (n *Node) hello() peer.Hello {
+func (n *Node) localHello() peer.Hello {
 	self := n.opts.Self
 	return peer.Hello{
 		Version:     peer.Version,
@@ -35,11 +35,11 @@
 
 // welcome does the accepting end's handshake. All of it shares one deadline,
 // so that a slow or mute client holds its place for a bounded time only.
-func (n *Node) welcome(c *conn) error {
+func (n *Node) acceptHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
 	}
-	if err := n.startTLS(c, n.server, tls.Server); err != nil {
+	if err := n.startTLS(c, n.serverTLS, tls.Server); err != nil {
 		return err
 	}
 	m, err := c.read(peer.MaxHandshakeFrame)
@@ -50,9 +50,9 @@
 	if !ok {
 		return errors.Wrapf(ErrInvalid, "first message is %T", m)
 	}
-	answer := &peer.Welcome{Hello: n.hello()}
-	answer.Code, answer.Reason = n.judge(hello)
-	if err := c.writeNow(answer); err != nil {
+	answer := &peer.Welcome{Hello: n.localHello()}
+	answer.Code, answer.Reason = n.validateHello(hello)
+	if err := c.writeHandshake(answer); err != nil {
 		return err
 	}
 	if answer.Code != peer.CodeOK {
@@ -63,7 +63,7 @@
 }
 
 // judge says whether a Hello is accepted.
-func (n *Node) judge(h *peer.Hello) (peer.Code, string) {
+func (n *Node) validateHello(h *peer.Hello) (peer.Code, string) {
 	if h.Version < peer.MinVersion {
 		return peer.CodeVersion, fmt.Sprintf("version %d is older than %d, the oldest spoken here", h.Version, peer.MinVersion)
 	}
@@ -82,30 +82,30 @@
 }
 
 // greet does the dialling end's handshake.
-func (n *Node) greet(c *conn) error {
+func (n *Node) dialHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
 	}
-	if err := n.startTLS(c, n.client, tls.Client); err != nil {
-		return fail(StepTLS, c.address, err)
+	if err := n.startTLS(c, n.clientTLS, tls.Client); err != nil {
+		return wrapError(StepTLS, c.dialedAddress, err)
 	}
-	hello := n.hello()
-	if err := c.writeNow(&hello); err != nil {
-		return fail(StepHandshake, c.address, err)
+	hello := n.localHello()
+	if err := c.writeHandshake(&hello); err != nil {
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
 	m, err := c.read(peer.MaxHandshakeFrame)
 	if err != nil {
-		return fail(StepHandshake, c.address, err)
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
 	answer, ok := m.(*peer.Welcome)
 	if !ok {
-		return fail(StepHandshake, c.address, errors.Wrapf(ErrInvalid, "answer is %T", m))
+		return wrapError(StepHandshake, c.dialedAddress, errors.Wrapf(ErrInvalid, "answer is %T", m))
 	}
 	if err := codeError(answer.Code, answer.Reason); err != nil {
-		return fail(StepHandshake, c.address, err)
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	if err := codeError(n.judge(&answer.Hello)); err != nil {
-		return fail(StepHandshake, c.address, err)
+	if err := codeError(n.validateHello(&answer.Hello)); err != nil {
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
 	c.setPeer(answer.Hello)
 	return c.nc.SetDeadline(time.Time{})
@@ -119,10 +119,10 @@
 		}
 		return requireLoopback(c.nc.RemoteAddr().String())
 	}
-	if c.address != "" {
+	if c.dialedAddress != "" {
 		// The name is only the key of the session cache.
 		config = config.Clone()
-		config.ServerName = c.address
+		config.ServerName = c.dialedAddress
 	}
 	t := wrap(c.nc, config)
 	ctx, cancel := context.WithTimeout(n.ctx, n.opts.HandshakeTimeout)
@@ -130,7 +130,7 @@
 	if err := t.HandshakeContext(ctx); err != nil {
 		return errors.Mark(err, errTLS)
 	}
-	c.setTLS(t)
+	c.useTLS(t)
 	return nil
 }
 
@@ -143,13 +143,13 @@
 
 // link returns the connection to an address and dials if there is none, or if
 // a fresh one is asked for.
-func (n *Node) link(ctx context.Context, address string, fresh bool) (*conn, error) {
+func (n *Node) connTo(ctx context.Context, address string, fresh bool) (*conn, error) {
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
-		return nil, notRun(StepDial, address, ErrClosed)
+		return nil, notRunError(StepDial, address, ErrClosed)
 	}
-	if c := n.links[address]; c != nil && !fresh && !c.isClosed() {
+	if c := n.connByAddress[address]; c != nil && !fresh && !c.isClosed() {
 		n.mu.Unlock()
 		return c, nil
 	}
@@ -164,7 +164,7 @@
 	case <-attempt.done:
 		return attempt.conn, attempt.err
 	case <-ctx.Done():
-		return nil, notRun(StepDial, address, ctx.Err())
+		return nil, notRunError(StepDial, address, ctx.Err())
 	}
 }
 
@@ -174,7 +174,7 @@
 	n.mu.Lock()
 	delete(n.dialing, address)
 	if err == nil {
-		n.links[address] = c
+		n.connByAddress[address] = c
 	}
 	n.mu.Unlock()
 	attempt.conn, attempt.err = c, err
@@ -187,28 +187,28 @@
 // connect dials an address and does the handshake.
 func (n *Node) connect(address string) (*conn, error) {
 	n.metrics.dials.Inc(1)
-	if n.client == nil && !n.opts.Cleartext {
+	if n.clientTLS == nil && !n.opts.Cleartext {
 		if err := requireLoopback(address); err != nil {
-			return nil, notRun(StepDial, address, err)
+			return nil, notRunError(StepDial, address, err)
 		}
 	}
 	dialer := net.Dialer{Timeout: n.opts.DialTimeout}
 	nc, err := dialer.DialContext(n.ctx, "tcp", address)
 	if err != nil {
-		return nil, notRun(StepDial, address, err)
+		return nil, notRunError(StepDial, address, err)
 	}
-	c, err := n.register(nc, address)
+	c, err := n.addConn(nc, address)
 	if err != nil {
 		_ = nc.Close()
-		return nil, notRun(StepDial, address, err)
+		return nil, notRunError(StepDial, address, err)
 	}
-	if err := n.greet(c); err != nil {
+	if err := n.dialHandshake(c); err != nil {
 		c.close(err)
 		var e *Error
 		if errors.As(err, &e) {
-			return nil, notRun(e.Step, address, e.Cause)
+			return nil, notRunError(e.Step, address, e.Cause)
 		}
-		return nil, notRun(StepHandshake, address, err)
+		return nil, notRunError(StepHandshake, address, err)
 	}
 	return c, nil
 }
--- a/transport/peer/helpers_test.go
+++ b/transport/peer/helpers_test.go
@@ -37,7 +37,7 @@
 		Self:             membership.Member{Name: name, Incarnation: 1},
 		HeartbeatBusy:    40 * time.Millisecond,
 		HeartbeatTimeout: time.Second, // a busy machine stalls for less
-		ReloadEvery:      5 * time.Millisecond,
+		ReloadInterval:   5 * time.Millisecond,
 	}
 	if change != nil {
 		change(&opts)
@@ -76,27 +76,27 @@
 
 // muteRelay passes connections on to a node. Connections that are open when it
 // is muted go silent for good; later ones work.
-type muteRelay struct {
-	listener net.Listener
-	target   string
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	muted    []*atomic.Bool
-	conns    []net.Conn
+type blackholeProxy struct {
+	listener   net.Listener
+	target     string
+	wg         sync.WaitGroup
+	mu         sync.Mutex
+	blackholed []*atomic.Bool
+	conns      []net.Conn
 }
 
-func newMuteRelay(t *testing.T, target string) *muteRelay {
+func newBlackholeProxy(t *testing.T, target string) *blackholeProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r := &muteRelay{listener: listener, target: target}
+	r := &blackholeProxy{listener: listener, target: target}
 	r.wg.Go(r.accept)
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *muteRelay) addr() string { return r.listener.Addr().String() }
+func (r *blackholeProxy) address() string { return r.listener.Addr().String() }
 
-func (r *muteRelay) accept() {
+func (r *blackholeProxy) accept() {
 	for {
 		in, err := r.listener.Accept()
 		if err != nil {
@@ -109,7 +109,7 @@
 		}
 		muted := new(atomic.Bool)
 		r.mu.Lock()
-		r.muted = append(r.muted, muted)
+		r.blackholed = append(r.blackholed, muted)
 		r.conns = append(r.conns, in, out)
 		r.mu.Unlock()
 		r.wg.Go(func() { pipe(in, out, muted) })
@@ -134,15 +134,15 @@
 	}
 }
 
-func (r *muteRelay) mute() {
+func (r *blackholeProxy) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.muted {
+	for _, m := range r.blackholed {
 		m.Store(true)
 	}
 }
 
-func (r *muteRelay) close() {
+func (r *blackholeProxy) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	for _, c := range r.conns {
@@ -179,7 +179,7 @@
 }
 
 // issue writes a certificate and key for an instance into a directory.
-func (a *authority) issue(t *testing.T, dir string) *Files {
+func (a *authority) issue(t *testing.T, dir string) *TLSFiles {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
@@ -191,7 +191,7 @@
 	require.NoError(t, err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
-	f := &Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
+	f := &TLSFiles{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 	writePEM(t, f.Cert, "CERTIFICATE", der)
 	writePEM(t, f.Key, "EC PRIVATE KEY", keyDER)
 	writePEM(t, f.CA, "CERTIFICATE", a.cert.Raw)
@@ -203,7 +203,7 @@
 }
 
 // wire encodes messages as they go over the connection.
-func wire(t *testing.T, messages ...peer.Message) []byte {
+func encode(t *testing.T, messages ...peer.Message) []byte {
 	var out []byte
 	for _, m := range messages {
 		frame, err := peer.Encode(m)
--- a/transport/peer/node.go
+++ b/transport/peer/node.go
@@ -17,29 +17,29 @@
 
 // Node is this instance's end of all connections to other instances.
 type Node struct {
-	opts    Options
-	creds   *credentials
-	server  *tls.Config
-	client  *tls.Config
-	metrics metrics
+	opts      Options
+	creds     *credentials
+	serverTLS *tls.Config
+	clientTLS *tls.Config
+	metrics   metrics
 
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 	listener net.Listener
 	// handlers holds a token for each handler that runs.
-	handlers chan struct{}
+	handlerSlots chan struct{}
 	// posts holds a token for each one-way message that waits for a
 	// connection.
-	posts chan struct{}
+	postSlots chan struct{}
 
-	mu        sync.Mutex
-	closed    bool
-	conns     map[*conn]struct{}
-	links     map[string]*conn
-	dialing   map[string]*dialAttempt
-	methods   map[string]method
-	onMessage func(from Peer, m peer.Message)
+	mu            sync.Mutex
+	closed        bool
+	conns         map[*conn]struct{}
+	connByAddress map[string]*conn
+	dialing       map[string]*dialAttempt
+	methods       map[string]method
+	onMessage     func(from Peer, m peer.Message)
 
 	bytesIn  atomic.Int64
 	bytesOut atomic.Int64
@@ -59,27 +59,27 @@
 func New(opts Options) (*Node, error) {
 	opts = opts.withDefaults()
 	if err := opts.validate(); err != nil {
-		return nil, fail(StepListen, opts.Listen, err)
+		return nil, wrapError(StepListen, opts.Listen, err)
 	}
 	n := &Node{
-		opts:     opts,
-		metrics:  newMetrics(opts.Scope),
-		handlers: make(chan struct{}, opts.MaxHandlers),
-		posts:    make(chan struct{}, opts.MaxPosts),
-		conns:    make(map[*conn]struct{}),
-		links:    make(map[string]*conn),
-		dialing:  make(map[string]*dialAttempt),
-		methods:  make(map[string]method),
+		opts:          opts,
+		metrics:       newMetrics(opts.Scope),
+		handlerSlots:  make(chan struct{}, opts.MaxHandlers),
+		postSlots:     make(chan struct{}, opts.MaxPendingPosts),
+		conns:         make(map[*conn]struct{}),
+		connByAddress: make(map[string]*conn),
+		dialing:       make(map[string]*dialAttempt),
+		methods:       make(map[string]method),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if opts.TLS != nil {
 		creds, err := loadCredentials(*opts.TLS)
 		if err != nil {
-			return nil, fail(StepTLS, opts.Listen, err)
+			return nil, wrapError(StepTLS, opts.Listen, err)
 		}
 		n.creds = creds
-		n.server = creds.serverConfig()
-		n.client = creds.clientConfig()
+		n.serverTLS = creds.serverConfig()
+		n.clientTLS = creds.clientConfig()
 	}
 	return n, nil
 }
@@ -88,7 +88,7 @@
 func (n *Node) Listen() error {
 	listener, err := net.Listen("tcp", n.opts.Listen)
 	if err != nil {
-		return fail(StepListen, n.opts.Listen, err)
+		return wrapError(StepListen, n.opts.Listen, err)
 	}
 	n.listener = listener
 	if n.opts.Self.Address == "" {
@@ -99,10 +99,10 @@
 
 // Start begins to accept connections. Handlers and OnMessage are set before.
 func (n *Node) Start() {
-	n.wg.Go(n.accept)
+	n.wg.Go(n.acceptLoop)
 	n.wg.Go(n.monitor)
 	if n.creds != nil {
-		n.wg.Go(func() { n.creds.watch(n.ctx, n.opts.ReloadEvery) })
+		n.wg.Go(func() { n.creds.watch(n.ctx, n.opts.ReloadInterval) })
 	}
 }
 
@@ -146,10 +146,10 @@
 }
 
 // acceptPause is the wait after a failed accept.
-const acceptPause = 500 * time.Millisecond
+const acceptRetryDelay = 500 * time.Millisecond
 
 // accept takes connections until the listener is closed.
-func (n *Node) accept() {
+func (n *Node) acceptLoop() {
 	for {
 		nc, err := n.listener.Accept()
 		if err != nil {
@@ -159,21 +159,21 @@
 			// Out of descriptors, for one: without a pause this loop would
 			// take a whole core until some are free again.
 			klog.ErrorS(err, "Accepting a peer connection failed")
-			pause(n.ctx, acceptPause)
+			sleep(n.ctx, acceptRetryDelay)
 			continue
 		}
-		c, err := n.register(nc, "")
+		c, err := n.addConn(nc, "")
 		if err != nil {
 			n.metrics.refused(StepHandshake, err)
 			_ = nc.Close()
 			continue
 		}
-		n.wg.Go(func() { n.serve(c) })
+		n.wg.Go(func() { n.serveAccepted(c) })
 	}
 }
 
 // pause waits for a duration or for the end of the context.
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -183,19 +183,19 @@
 }
 
 // serve does the handshake of an accepted connection and reads from it.
-func (n *Node) serve(c *conn) {
-	if err := n.welcome(c); err != nil {
+func (n *Node) serveAccepted(c *conn) {
+	if err := n.acceptHandshake(c); err != nil {
 		n.metrics.refused(StepHandshake, err)
-		klog.V(2).InfoS("Peer connection refused", "peer", c.remote, "err", err)
+		klog.V(2).InfoS("Peer connection refused", "peer", c.remoteAddress, "err", err)
 		c.close(err)
 		return
 	}
-	n.adopt(c)
+	n.setAddress(c)
 	c.run()
 }
 
 // register admits a new socket within the bound of connections.
-func (n *Node) register(nc net.Conn, address string) (*conn, error) {
+func (n *Node) addConn(nc net.Conn, address string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -211,12 +211,12 @@
 
 // adopt makes an accepted connection the link to its peer if there is none, or
 // if the present one leads to an older run at the same address.
-func (n *Node) adopt(c *conn) {
+func (n *Node) setAddress(c *conn) {
 	address := c.peer.Address
 	n.mu.Lock()
-	old := n.links[address]
+	old := n.connByAddress[address]
 	if old == nil || old.peer.Incarnation < c.peer.Incarnation {
-		n.links[address] = c
+		n.connByAddress[address] = c
 	}
 	n.mu.Unlock()
 	if old != nil && old.peer.Incarnation < c.peer.Incarnation {
@@ -225,20 +225,20 @@
 }
 
 // forget drops a closed connection.
-func (n *Node) forget(c *conn) {
+func (n *Node) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
-	n.unlink(c.address, c)
+	n.removeAddress(c.dialedAddress, c)
 	if c.ready.Load() {
-		n.unlink(c.peer.Address, c)
+		n.removeAddress(c.peer.Address, c)
 	}
 }
 
 // unlink drops a connection as the link to an address; n.mu is held.
-func (n *Node) unlink(address string, c *conn) {
-	if n.links[address] == c {
-		delete(n.links, address)
+func (n *Node) removeAddress(address string, c *conn) {
+	if n.connByAddress[address] == c {
+		delete(n.connByAddress, address)
 	}
 }
 
@@ -269,12 +269,12 @@
 
 // refused counts a connection that was refused or broken by bad input.
 func (m metrics) refused(step Step, err error) {
-	m.scope.Tagged(map[string]string{"step": string(step), "reason": reason(err)}).Counter("refused").Inc(1)
+	m.scope.Tagged(map[string]string{"step": string(step), "reason": refusalReason(err)}).Counter("refused").Inc(1)
 }
 
 // reason is the tag value of an error; the set is closed, so that bad input
 // can't grow the metrics.
-func reason(err error) string {
+func refusalReason(err error) string {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, peer.ErrFrameSize):
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -27,16 +27,16 @@
 	}, Idempotent())
 }
 
-var goodHello = peer.Hello{Version: peer.Version, Cluster: "c", Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
+var validHello = peer.Hello{Version: peer.Version, Cluster: "c", Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 
 // Something that is no instance of this cluster reaches the peer port. It must
 // be refused with a counted reason, and the node must go on serving.
-func TestBadInputOnThePort(t *testing.T) {
-	old, other, unnamed := goodHello, goodHello, goodHello
+func TestInvalidInputIsRefused(t *testing.T) {
+	old, other, unnamed := validHello, validHello, validHello
 	old.Version, other.Cluster, unnamed.Name = 0, "d", ""
-	long := goodHello
+	long := validHello
 	long.CallerURL = strings.Repeat("x", 1000)
-	hello := wire(t, &goodHello)
+	hello := encode(t, &validHello)
 	after := func(b ...byte) []byte { return slices.Concat(hello, b) }
 	cases := []struct {
 		name  string
@@ -56,12 +56,12 @@
 		{"slow before it", hello[:3], false, -1, "timeout"},
 		{"slow after it", after(0, 0, 0, 9, byte(peer.TypePing)), false, peer.CodeOK, "timeout"},
 		{"silent from the start", nil, false, -1, "timeout"},
-		{"another message first", wire(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
+		{"another message first", encode(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
 		{"a second Hello", after(hello...), false, peer.CodeOK, ""},
-		{"older version", wire(t, &old), false, peer.CodeVersion, "version"},
-		{"another cluster", wire(t, &other), false, peer.CodeCluster, "cluster"},
-		{"no name", wire(t, &unnamed), false, peer.CodeInvalid, "invalid"},
-		{"a long field", wire(t, &long), false, peer.CodeInvalid, "invalid"},
+		{"older version", encode(t, &old), false, peer.CodeVersion, "version"},
+		{"another cluster", encode(t, &other), false, peer.CodeCluster, "cluster"},
+		{"no name", encode(t, &unnamed), false, peer.CodeInvalid, "invalid"},
+		{"a long field", encode(t, &long), false, peer.CodeInvalid, "invalid"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,8 +102,8 @@
 	nc, err := net.Dial("tcp", n.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
-	input := append(wire(t, &goodHello), 0, 0, 0, 2, 200, 0xc0)
-	_, err = nc.Write(append(input, wire(t, &peer.Ask{ID: 4, Method: "echo"})...))
+	input := append(encode(t, &validHello), 0, 0, 0, 2, 200, 0xc0)
+	_, err = nc.Write(append(input, encode(t, &peer.Ask{ID: 4, Method: "echo"})...))
 	require.NoError(t, err)
 	require.Equal(t, peer.CodeOK, readWelcome(t, nc).Code)
 	body, err := peer.ReadFrame(nc, peer.MaxFrame)
@@ -116,7 +116,7 @@
 
 // boundAddress returns an address at which nobody listens and that no other process
 // can take meanwhile, as the port of a closed listener could be.
-func boundAddress(t *testing.T) string {
+func refusingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
@@ -145,7 +145,7 @@
 		defer close(occupied)
 		_, _ = client.Call(context.Background(), server.Addr(), "wait", nil)
 	}()
-	eventually(t, func() bool { return len(server.handlers) == 1 }, "handler runs")
+	eventually(t, func() bool { return len(server.handlerSlots) == 1 }, "handler runs")
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	cases := []struct {
@@ -157,7 +157,7 @@
 		notRun                bool
 		free                  bool
 	}{
-		{name: "nobody listens", address: boundAddress(t), method: "echo", step: StepDial, notRun: true},
+		{name: "nobody listens", address: refusingAddress(t), method: "echo", step: StepDial, notRun: true},
 		{name: "beyond loopback", address: "10.1.2.3:4", method: "echo", cause: ErrCleartext, step: StepDial, notRun: true},
 		{name: "another cluster", address: foreign.Addr(), method: "echo", cause: ErrCluster, step: StepHandshake, notRun: true},
 		{name: "no such method", address: server.Addr(), method: "none", cause: ErrNoMethod, step: StepCall, notRun: true},
@@ -175,7 +175,7 @@
 				close(release)
 				<-occupied
 				release = nil
-				eventually(t, func() bool { return len(server.handlers) == 0 }, "handler ended")
+				eventually(t, func() bool { return len(server.handlerSlots) == 0 }, "handler ended")
 			}
 			ctx := t.Context()
 			if c.ctx != nil {
@@ -208,19 +208,19 @@
 			})
 		}
 	})
-	relay := newMuteRelay(t, server.Addr())
+	relay := newBlackholeProxy(t, server.Addr())
 	client, scope := testNode(t, "b", nil, func(n *Node) { n.Handle("twice", nil, Idempotent()) })
-	_, err := client.Call(t.Context(), relay.addr(), "twice", nil)
+	_, err := client.Call(t.Context(), relay.address(), "twice", nil)
 	require.NoError(t, err)
 
-	relay.mute()
-	answer, err := client.Call(t.Context(), relay.addr(), "twice", nil)
+	relay.blackhole()
+	answer, err := client.Call(t.Context(), relay.address(), "twice", nil)
 	require.NoError(t, err)
 	require.Equal(t, "ok", string(answer))
 	require.Equal(t, int64(1), count(scope, "silent_connections"))
 
-	relay.mute()
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	relay.blackhole()
+	_, err = client.Call(t.Context(), relay.address(), "once", nil)
 	require.ErrorIs(t, err, ErrSilent)
 	var e *Error
 	require.ErrorAs(t, err, &e)
@@ -232,17 +232,17 @@
 	impatient := func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		_, err := client.Call(ctx, relay.addr(), "once", nil)
+		_, err := client.Call(ctx, relay.address(), "once", nil)
 		return err == nil
 	}
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	_, err = client.Call(t.Context(), relay.address(), "once", nil)
 	require.NoError(t, err)
-	relay.mute()
+	relay.blackhole()
 	require.False(t, impatient())
 	eventually(t, func() bool { return count(scope, "silent_connections") == 3 }, "found after one call")
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	_, err = client.Call(t.Context(), relay.address(), "once", nil)
 	require.NoError(t, err)
-	relay.mute()
+	relay.blackhole()
 	eventually(t, impatient, "the silent connection is replaced")
 }
 
@@ -252,11 +252,11 @@
 func TestQueueIsBounded(t *testing.T) {
 	q := queue{maxFrames: 3, maxBytes: 10}
 	require.True(t, q.push([]byte("ask")))
-	require.Zero(t, q.pushGossip([]byte("g1")))
-	require.Zero(t, q.pushGossip([]byte("g2")))
-	require.Equal(t, 1, q.pushGossip([]byte("g3")), "the oldest gossip goes")
+	require.Zero(t, q.pushDroppable([]byte("g1")))
+	require.Zero(t, q.pushDroppable([]byte("g2")))
+	require.Equal(t, 1, q.pushDroppable([]byte("g3")), "the oldest gossip goes")
 	require.False(t, q.push([]byte("ask")), "calls are refused")
-	require.Equal(t, 3, q.pushGossip([]byte("12345678")), "no room at all: the new one goes too")
+	require.Equal(t, 3, q.pushDroppable([]byte("12345678")), "no room at all: the new one goes too")
 	for _, want := range []string{"ask"} {
 		got, ok := q.pop()
 		require.True(t, ok)
@@ -269,12 +269,12 @@
 	nc, err := net.Dial("tcp", n.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
-	_, err = nc.Write(wire(t, &goodHello))
+	_, err = nc.Write(encode(t, &validHello))
 	require.NoError(t, err)
 	eventually(t, func() bool { return len(n.established()) == 1 }, "connected")
 	c := n.established()[0]
 	for !c.isClosed() {
-		_ = c.post(&peer.Ask{Body: make([]byte, 512<<10)})
+		_ = c.enqueueDroppable(&peer.Ask{Body: make([]byte, 512<<10)})
 	}
 	require.ErrorContains(t, context.Cause(c.ctx), "write")
 }
@@ -284,13 +284,13 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	server, scope := testNode(t, "a", func(o *Options) {
 		o.MaxConns = 2
-		o.IdleClose = 30 * time.Millisecond
+		o.IdleTimeout = 30 * time.Millisecond
 	}, echo)
 	for range 3 {
 		nc, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer nc.Close()
-		_, err = nc.Write(wire(t, &goodHello))
+		_, err = nc.Write(encode(t, &validHello))
 		require.NoError(t, err)
 	}
 	eventually(t, func() bool { return count(scope, "refused", "reason=busy") == 1 }, "third one refused")
@@ -299,17 +299,17 @@
 
 // TestFleetReachesOneInstance guards against refused peers in fleets of several hundred:
 // each instance that the holder of a duty refuses asks another one.
-func TestFleetReachesOneInstance(t *testing.T) {
+func TestInstanceAcceptsConnectionsOfTheFleet(t *testing.T) {
 	const peers = 440
 	server, scope := testNode(t, "holder", nil, echo)
 	welcomed := 0
 	for i := range peers {
-		hello := goodHello
+		hello := validHello
 		hello.Name, hello.Address = fmt.Sprint("peer-", i), fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250+1)
 		nc, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer nc.Close()
-		_, err = nc.Write(wire(t, &hello))
+		_, err = nc.Write(encode(t, &hello))
 		require.NoError(t, err)
 		if _, err := peer.ReadFrame(nc, peer.MaxHandshakeFrame); err == nil {
 			welcomed++
@@ -321,14 +321,14 @@
 
 // An instance is started anew at its address. Messages to that address must
 // not go on into the connection of the earlier run.
-func TestNewRunReplacesTheLink(t *testing.T) {
+func TestNewIncarnationReplacesTheConnection(t *testing.T) {
 	n, _ := testNode(t, "a", nil)
 	dial := func(incarnation uint64) net.Conn {
-		hello := goodHello
+		hello := validHello
 		hello.Incarnation = incarnation
 		nc, err := net.Dial("tcp", n.Addr())
 		require.NoError(t, err)
-		_, err = nc.Write(wire(t, &hello))
+		_, err = nc.Write(encode(t, &hello))
 		require.NoError(t, err)
 		readWelcome(t, nc)
 		return nc
@@ -340,7 +340,7 @@
 	defer next.Close()
 	_, err := io.Copy(io.Discard, old)
 	require.NoError(t, err, "the old connection is closed")
-	require.NoError(t, n.Send(t.Context(), goodHello.Address, &membership.SyncRequest{After: "q"}))
+	require.NoError(t, n.Send(t.Context(), validHello.Address, &membership.SyncRequest{After: "q"}))
 	body, err := peer.ReadFrame(next, peer.MaxFrame)
 	require.NoError(t, err)
 	m, err := peer.Decode(body)
@@ -363,7 +363,7 @@
 	ca, otherCA := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	files := ca.issue(t, dir)
-	secure := func(f *Files) func(*Options) { return func(o *Options) { o.TLS = f } }
+	secure := func(f *TLSFiles) func(*Options) { return func(o *Options) { o.TLS = f } }
 	server, scope := testNode(t, "a", secure(files), echo)
 	good, _ := testNode(t, "b", secure(ca.issue(t, t.TempDir())))
 	for range 2 {
@@ -415,9 +415,9 @@
 	refused(good)
 }
 
-func mustRead(t *testing.T, f Files, ca string) *material {
+func mustRead(t *testing.T, f TLSFiles, ca string) *loadedTLSFiles {
 	f.CA = ca
-	m, err := f.read()
+	m, err := f.load()
 	require.NoError(t, err)
 	return m
 }
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -30,7 +30,7 @@
 	Listen string
 	// TLS names the files for mutual TLS. Nil means cleartext, which is
 	// refused on addresses that are not loopback unless Cleartext allows it.
-	TLS       *Files
+	TLS       *TLSFiles
 	Cleartext bool
 
 	DialTimeout      time.Duration
@@ -48,18 +48,18 @@
 	// HeartbeatTimeout is how long a heartbeat waits for any sign.
 	HeartbeatTimeout time.Duration
 	// IdleClose closes a connection without messages for so long.
-	IdleClose time.Duration
+	IdleTimeout time.Duration
 	// ReloadEvery is how often the TLS files are looked at for a change.
-	ReloadEvery time.Duration
+	ReloadInterval time.Duration
 
 	// MaxConns bounds the connections, both ways together.
 	MaxConns int
 	// MaxHandlers bounds the handlers that run at once.
 	MaxHandlers int
 	// MaxPending bounds the calls that wait on one connection.
-	MaxPending int
+	MaxPendingCalls int
 	// MaxPosts bounds the one-way messages that wait for a connection.
-	MaxPosts int
+	MaxPendingPosts int
 	// QueueLength and QueueBytes bound what waits to be written on one
 	// connection.
 	QueueLength int
@@ -84,12 +84,12 @@
 		HeartbeatBusy:    500 * time.Millisecond,
 		HeartbeatIdle:    20 * time.Second,
 		HeartbeatTimeout: 500 * time.Millisecond,
-		IdleClose:        2 * time.Minute,
-		ReloadEvery:      5 * time.Second,
+		IdleTimeout:      2 * time.Minute,
+		ReloadInterval:   5 * time.Second,
 		MaxConns:         defaultMaxConns,
 		MaxHandlers:      128,
-		MaxPending:       256,
-		MaxPosts:         64,
+		MaxPendingCalls:  256,
+		MaxPendingPosts:  64,
 		QueueLength:      64,
 		QueueBytes:       4 * peer.MaxFrame,
 		Scope:            tally.NoopScope,
@@ -107,12 +107,12 @@
 	o.HeartbeatBusy = cmp.Or(o.HeartbeatBusy, d.HeartbeatBusy)
 	o.HeartbeatIdle = cmp.Or(o.HeartbeatIdle, d.HeartbeatIdle)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, d.HeartbeatTimeout)
-	o.IdleClose = cmp.Or(o.IdleClose, d.IdleClose)
-	o.ReloadEvery = cmp.Or(o.ReloadEvery, d.ReloadEvery)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, d.IdleTimeout)
+	o.ReloadInterval = cmp.Or(o.ReloadInterval, d.ReloadInterval)
 	o.MaxConns = cmp.Or(o.MaxConns, d.MaxConns)
 	o.MaxHandlers = cmp.Or(o.MaxHandlers, d.MaxHandlers)
-	o.MaxPending = cmp.Or(o.MaxPending, d.MaxPending)
-	o.MaxPosts = cmp.Or(o.MaxPosts, d.MaxPosts)
+	o.MaxPendingCalls = cmp.Or(o.MaxPendingCalls, d.MaxPendingCalls)
+	o.MaxPendingPosts = cmp.Or(o.MaxPendingPosts, d.MaxPendingPosts)
 	o.QueueLength = cmp.Or(o.QueueLength, d.QueueLength)
 	o.QueueBytes = cmp.Or(o.QueueBytes, d.QueueBytes)
 	if o.Scope == nil {
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -10,8 +10,8 @@
 }
 
 type queuedFrame struct {
-	data   []byte
-	gossip bool
+	data      []byte
+	droppable bool
 }
 
 // push adds a frame that must not be dropped, false if there is no room.
@@ -26,15 +26,15 @@
 // pushGossip adds a frame that newer ones make obsolete. The oldest such
 // frames give way; if there are none, the new one is dropped. It returns how
 // many were dropped.
-func (q *queue) pushGossip(data []byte) int {
+func (q *queue) pushDroppable(data []byte) int {
 	dropped := 0
 	for !q.fits(data) {
-		if !q.dropOldestGossip() {
+		if !q.dropOldest() {
 			return dropped + 1
 		}
 		dropped++
 	}
-	q.add(queuedFrame{data: data, gossip: true})
+	q.add(queuedFrame{data: data, droppable: true})
 	return dropped
 }
 
@@ -58,9 +58,9 @@
 	q.bytes += len(f.data)
 }
 
-func (q *queue) dropOldestGossip() bool {
+func (q *queue) dropOldest() bool {
 	for i, f := range q.frames {
-		if f.gossip {
+		if f.droppable {
 			q.remove(i)
 			return true
 		}
--- a/transport/platform/budget.go
+++ b/transport/platform/budget.go
@@ -18,7 +18,7 @@
 	// DefaultRestartPerSecond is absolute: a share of the full rate would grow
 	// with it.
 	DefaultRestartPerSecond = 2
-	DefaultProbeEvery       = 5 * time.Second
+	DefaultMaxProbeInterval = 5 * time.Second
 )
 
 // BudgetOptions are the settings of a Budget; zero values mean the defaults.
@@ -36,7 +36,7 @@
 	RestartPerSecond float64
 	// ProbeEvery bounds the time between two probes during an outage, and so the
 	// time until its end is noticed.
-	ProbeEvery time.Duration
+	MaxProbeInterval time.Duration
 	// Rand draws the jitter; the Budget uses it under its lock.
 	Rand *rand.Rand
 }
@@ -44,15 +44,15 @@
 // Budget is the budget of calls of one process, shared by everything in it that
 // calls the platform. It is safe for concurrent use.
 type Budget struct {
-	mu       sync.Mutex
-	governor *governor
-	counts   [classes]ClassStats
+	mu      sync.Mutex
+	limiter *callLimiter
+	counts  [classCount]ClassStats
 }
 
 // Stats are counts of calls since the start, for metrics.
 type Stats struct {
 	// Sent left the process, Held were refused within it.
-	Sent, Held uint64
+	Sent, NotAdmitted uint64
 	// Limited were answered 429, Failed had no answer or one of 5xx.
 	Limited, Failed uint64
 	// Outage is true while calls are held back after failures.
@@ -62,7 +62,7 @@
 // ClassStats are the counts of one class of calls since the start.
 type ClassStats struct {
 	// The counts mean the same as in Stats.
-	Sent, Held, Limited, Failed uint64
+	Sent, NotAdmitted, Limited, Failed uint64
 	// Rate is the calls a second that may leave now.
 	Rate float64
 }
@@ -71,10 +71,10 @@
 func (b *Budget) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	stats := Stats{Outage: b.governor.breaker.open()}
+	stats := Stats{Outage: b.limiter.breaker.open()}
 	for _, c := range b.counts {
 		stats.Sent += c.Sent
-		stats.Held += c.Held
+		stats.NotAdmitted += c.NotAdmitted
 		stats.Limited += c.Limited
 		stats.Failed += c.Failed
 	}
@@ -86,7 +86,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	stats := b.counts[class]
-	stats.Rate = b.governor.pacers[class].rate
+	stats.Rate = b.limiter.pacers[class].rate
 	return stats
 }
 
@@ -99,7 +99,7 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Budget{governor: newGovernor(o, time.Now())}
+	return &Budget{limiter: newCallLimiter(o, time.Now())}
 }
 
 // SetInstances tells how many instances share the platform's limits, this one
@@ -107,8 +107,8 @@
 func (b *Budget) SetInstances(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i := range b.governor.pacers {
-		b.governor.pacers[i].share(n)
+	for i := range b.limiter.pacers {
+		b.limiter.pacers[i].setInstances(n)
 	}
 }
 
@@ -138,22 +138,22 @@
 func (b *Budget) admit(class Class, share float64) (admission, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	admitted, err := b.governor.admitWithin(time.Now(), class, time.Duration(share*float64(b.governor.maxWait)))
+	admitted, err := b.limiter.admitWithin(time.Now(), class, time.Duration(share*float64(b.limiter.maxWait)))
 	if err != nil {
-		b.counts[class].Held++
+		b.counts[class].NotAdmitted++
 	}
 	return admitted, err
 }
 
-func (p permit) done(r result) {
+func (p permit) release(r callResult) {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.governor.report(time.Now(), p.class, p.probe, r)
+	b.limiter.recordResult(time.Now(), p.class, p.probe, r)
 	counts := &b.counts[p.class]
 	counts.Sent++
 	switch r.outcome {
-	case outcomeLimited:
+	case outcomeRateLimited:
 		counts.Limited++
 	case outcomeFailed:
 		counts.Failed++
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -19,7 +19,7 @@
 
 // patienceShare of Timeout without an answer counts against the platform. Else
 // callers with short deadlines of their own would never find it silent.
-const patienceShare = 4
+const unresponsiveDivisor = 4
 
 // Options are the settings of a Client; zero values mean the defaults.
 type Options struct {
@@ -39,7 +39,7 @@
 	Budget *Budget
 	// Spelling is how the platform writes paths and bodies; nil means that of
 	// package platformapi.
-	Spelling Spelling
+	Codec Codec
 }
 
 // Client is a Store over HTTP.
@@ -62,8 +62,8 @@
 	if options.Budget == nil {
 		options.Budget = NewBudget(BudgetOptions{})
 	}
-	if options.Spelling == nil {
-		options.Spelling = plainSpelling{}
+	if options.Codec == nil {
+		options.Codec = defaultCodec{}
 	}
 	return &Client{
 		options: options,
@@ -75,7 +75,7 @@
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, kind, name string) (*platformapi.Object, error) {
-	return c.readObject(ctx, "get "+kind, c.options.Spelling.ObjectPath(kind, name))
+	return c.getObject(ctx, "get "+kind, c.options.Codec.ObjectPath(kind, name))
 }
 
 // List implements Store.
@@ -95,8 +95,8 @@
 
 func (c *Client) listPage(ctx context.Context, kind string, query ListQuery) (platformapi.List, error) {
 	var page platformapi.List
-	err := c.read(ctx, "list "+kind, c.options.Spelling.ListPath(kind, query), func(body []byte) (err error) {
-		page, err = c.options.Spelling.DecodeList(body)
+	err := c.read(ctx, "list "+kind, c.options.Codec.ListPath(kind, query), func(body []byte) (err error) {
+		page, err = c.options.Codec.DecodeList(body)
 		return err
 	})
 	return page, err
@@ -126,35 +126,35 @@
 
 // Create implements Store.
 func (c *Client) Create(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ListPath(kind, ListQuery{})
+	path := c.options.Codec.ListPath(kind, ListQuery{})
 	return c.write(ctx, "create "+kind, http.MethodPost, path, object)
 }
 
 // Update implements Store.
 func (c *Client) Update(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ObjectPath(kind, object.Metadata.Name)
+	path := c.options.Codec.ObjectPath(kind, object.Metadata.Name)
 	return c.write(ctx, "update "+kind, http.MethodPut, path, object)
 }
 
 // UpdateStatus implements Store.
 func (c *Client) UpdateStatus(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ObjectPath(kind, object.Metadata.Name) + "/status"
+	path := c.options.Codec.ObjectPath(kind, object.Metadata.Name) + "/status"
 	return c.write(ctx, "update status of "+kind, http.MethodPut, path, object)
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, kind, name string, revision uint64) error {
-	path := c.options.Spelling.ObjectPath(kind, name)
+	path := c.options.Codec.ObjectPath(kind, name)
 	if revision != 0 {
 		path += "?revision=" + strconv.FormatUint(revision, 10)
 	}
 	return c.do(ctx, exchange{
-		call:     Call{Step: "delete " + kind, Peer: c.base, Write: true},
-		class:    ClassWrite,
-		method:   http.MethodDelete,
-		path:     path,
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		call:              Call{Step: "delete " + kind, Peer: c.base, Write: true},
+		class:             ClassWrite,
+		method:            http.MethodDelete,
+		path:              path,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 }
 
@@ -166,14 +166,14 @@
 		call:   Call{Step: "watch " + strings.Join(kinds, ","), Peer: c.base},
 		class:  ClassRead,
 		method: http.MethodGet,
-		path:   c.options.Spelling.WatchPath(kinds, from, wait),
-		probe:  c.options.Spelling.WatchPath(kinds, from, 0),
+		path:   c.options.Codec.WatchPath(kinds, from, wait),
+		probe:  c.options.Codec.WatchPath(kinds, from, 0),
 		decode: func(body []byte) (err error) {
-			watch, err = c.options.Spelling.DecodeWatch(kinds, body)
+			watch, err = c.options.Codec.DecodeWatch(kinds, body)
 			return err
 		},
-		timeout:  wait + c.options.WatchSlack,
-		patience: wait + c.options.WatchSlack,
+		timeout:           wait + c.options.WatchSlack,
+		unresponsiveAfter: wait + c.options.WatchSlack,
 	})
 	return watch, err
 }
@@ -181,10 +181,10 @@
 // Budget returns the budget of calls, for its counts.
 func (c *Client) Budget() *Budget { return c.budget }
 
-func (c *Client) readObject(ctx context.Context, step, path string) (*platformapi.Object, error) {
+func (c *Client) getObject(ctx context.Context, step, path string) (*platformapi.Object, error) {
 	var object platformapi.Object
 	err := c.read(ctx, step, path, func(body []byte) (err error) {
-		object, err = c.options.Spelling.DecodeObject(body)
+		object, err = c.options.Codec.DecodeObject(body)
 		return err
 	})
 	if err != nil {
@@ -195,13 +195,13 @@
 
 func (c *Client) read(ctx context.Context, step, path string, decode func([]byte) error) error {
 	return c.do(ctx, exchange{
-		call:     Call{Step: step, Peer: c.base},
-		class:    ClassRead,
-		method:   http.MethodGet,
-		path:     path,
-		decode:   decode,
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		call:              Call{Step: step, Peer: c.base},
+		class:             ClassRead,
+		method:            http.MethodGet,
+		path:              path,
+		decode:            decode,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 }
 
@@ -214,11 +214,11 @@
 		path:   path,
 		in:     &object,
 		decode: func(body []byte) (err error) {
-			written, err = c.options.Spelling.DecodeObject(body)
+			written, err = c.options.Codec.DecodeObject(body)
 			return err
 		},
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 	if err != nil {
 		return nil, err
--- a/transport/platform/contract_test.go
+++ b/transport/platform/contract_test.go
@@ -159,7 +159,7 @@
 
 // TestTargetsLag shows a target to readers only after the lag, in the order of
 // the changes: ready, leaving, gone.
-func TestTargetsLag(t *testing.T) {
+func TestTargetChangesAppearAfterTheLag(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		watch := func(from uint64, wait time.Duration) platformapi.Watch {
 			w, err := s.Watch(t.Context(), []string{platformapi.KindTargets}, from, wait)
--- a/transport/platform/errors.go
+++ b/transport/platform/errors.go
@@ -92,7 +92,7 @@
 
 // LostAnswer is the error of a call that was sent and got no answer. A read
 // changes nothing, so only a write's effect is unknown.
-func LostAnswer(call Call, cause error) error {
+func NoResponseError(call Call, cause error) error {
 	if call.Write {
 		return &UnknownEffectError{Call: call, Err: cause}
 	}
@@ -119,5 +119,5 @@
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusUnauthorized, http.StatusMethodNotAllowed:
 		return &CallError{Call: call, Err: errors.Wrapf(ErrRefused, "status %d", status)}
 	}
-	return LostAnswer(call, errors.Newf("status %d", status))
+	return NoResponseError(call, errors.Newf("status %d", status))
 }
--- a/transport/platform/exchange.go
+++ b/transport/platform/exchange.go
@@ -19,7 +19,7 @@
 
 // maxAnswerBytes bounds an answer: a page and the one item that may exceed it,
 // with room for the envelope.
-const maxAnswerBytes = platformapi.MaxPageBytes + 4*platformapi.MaxValueBytes
+const maxResponseBytes = platformapi.MaxPageBytes + 4*platformapi.MaxValueBytes
 
 // idleTimeout closes connections that nothing has used for so long.
 const idleTimeout = 30 * time.Second
@@ -28,9 +28,9 @@
 // for seconds; the probes tell within three of them that something on the way has
 // lost track of it.
 const (
-	connectTimeout  = time.Second
-	keepAliveEvery  = time.Second
-	keepAliveMissed = 2
+	connectTimeout    = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
 // maxRetryAfterSeconds bounds the wait that an answer may ask for.
@@ -44,7 +44,7 @@
 	protocols.SetHTTP1(true)
 	dialer := net.Dialer{
 		Timeout:         connectTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveMissed},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	return &http.Transport{
 		Protocols:           protocols,
@@ -69,7 +69,7 @@
 	timeout time.Duration
 	// patience is how long an answer may be missing before that counts against
 	// the platform, even if the caller gave up before timeout.
-	patience time.Duration
+	unresponsiveAfter time.Duration
 }
 
 // NewHTTPClient returns a client over transport that gives back a redirect as
@@ -84,11 +84,11 @@
 }
 
 // ending is the end of a call without a whole answer.
-type ending struct {
-	err    error
-	sent   bool
-	after  time.Duration
-	gaveUp bool
+type incompleteCall struct {
+	err          error
+	sent         bool
+	elapsed      time.Duration
+	callerGaveUp bool
 }
 
 // do takes the call from the budget, carries it out and reports how it went.
@@ -101,13 +101,13 @@
 		x.path = x.probe
 	}
 	result, err := c.send(ctx, x)
-	permit.done(result)
+	permit.release(result)
 	return err
 }
 
 // unavailable is the error of a call that the budget didn't let out.
 func unavailable(call Call, err error) error {
-	var held *heldError
+	var held *notAdmittedError
 	if errors.As(err, &held) {
 		return &UnavailableError{Call: call, RetryAfter: held.retryAfter, Err: held.cause}
 	}
@@ -115,7 +115,7 @@
 }
 
 // send carries out one exchange within its time limit.
-func (c *Client) send(ctx context.Context, x exchange) (result, error) {
+func (c *Client) send(ctx context.Context, x exchange) (callResult, error) {
 	start := time.Now()
 	limited, cancel := context.WithTimeout(ctx, x.timeout)
 	defer cancel()
@@ -128,24 +128,24 @@
 	})
 	request, err := c.newRequest(traced, x)
 	if err != nil {
-		return result{outcome: outcomeNeutral}, &CallError{Call: x.call, Err: errors.Wrapf(ErrRefused, "build request: %v", err)}
+		return callResult{outcome: outcomeNeutral}, &CallError{Call: x.call, Err: errors.Wrapf(ErrRefused, "build request: %v", err)}
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return c.failed(x, ending{err: err, sent: sent.Load(), after: time.Since(start), gaveUp: ctx.Err() != nil})
+		return c.classifyIncomplete(x, incompleteCall{err: err, sent: sent.Load(), elapsed: time.Since(start), callerGaveUp: ctx.Err() != nil})
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return c.failed(x, ending{err: err, sent: true, after: time.Since(start), gaveUp: ctx.Err() != nil})
+		return c.classifyIncomplete(x, incompleteCall{err: err, sent: true, elapsed: time.Since(start), callerGaveUp: ctx.Err() != nil})
 	}
-	return c.readAnswer(x, response, body)
+	return c.decodeResponse(x, response, body)
 }
 
 func (c *Client) newRequest(ctx context.Context, x exchange) (*http.Request, error) {
 	var body io.Reader
 	if x.in != nil {
-		encoded, err := c.options.Spelling.EncodeObject(*x.in)
+		encoded, err := c.options.Codec.EncodeObject(*x.in)
 		if err != nil {
 			return nil, err
 		}
@@ -163,13 +163,13 @@
 }
 
 // failed classifies a call without a whole answer.
-func (c *Client) failed(x exchange, e ending) (result, error) {
-	r := result{outcome: outcomeFailed}
-	if e.gaveUp && e.after < x.patience {
+func (c *Client) classifyIncomplete(x exchange, e incompleteCall) (callResult, error) {
+	r := callResult{outcome: outcomeFailed}
+	if e.callerGaveUp && e.elapsed < x.unresponsiveAfter {
 		// The caller gave up early: that says nothing about the platform.
 		r.outcome = outcomeNeutral
 	}
-	if e.after >= x.patience {
+	if e.elapsed >= x.unresponsiveAfter {
 		// A timeout may mean that a middlebox forgot our connections: they stay
 		// open, and each takes one more call down with it. Idle ones of the same
 		// age are likely gone too, so the next calls connect anew.
@@ -178,7 +178,7 @@
 	if !e.sent {
 		return r, &UnavailableError{Call: x.call, Err: withoutURL(e.err)}
 	}
-	return r, LostAnswer(x.call, withoutURL(e.err))
+	return r, NoResponseError(x.call, withoutURL(e.err))
 }
 
 // withoutURL takes the URL off an error, since it holds the object's name.
@@ -191,32 +191,32 @@
 }
 
 // readAnswer decodes a whole answer.
-func (c *Client) readAnswer(x exchange, response *http.Response, body []byte) (result, error) {
+func (c *Client) decodeResponse(x exchange, response *http.Response, body []byte) (callResult, error) {
 	if response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices {
-		return readSuccess(x, body)
+		return decodeSuccess(x, body)
 	}
 	retryAfter := parseRetryAfter(response.Header.Get("Retry-After"))
 	var current *platformapi.Object
 	if response.StatusCode == http.StatusConflict {
 		// A body that doesn't decode leaves current nil: it is still a conflict.
-		current = c.options.Spelling.DecodeConflict(body)
+		current = c.options.Codec.DecodeConflict(body)
 	}
 	err := StatusError(x.call, response.StatusCode, retryAfter, current)
-	return result{outcome: outcomeOf(response.StatusCode), retryAfter: retryAfter}, err
+	return callResult{outcome: outcomeOf(response.StatusCode), retryAfter: retryAfter}, err
 }
 
 // readSuccess decodes the body of a success. One that doesn't decode leaves the
 // result unknown, although the platform is up.
-func readSuccess(x exchange, body []byte) (result, error) {
-	ok := result{outcome: outcomeOK}
-	if len(body) > maxAnswerBytes {
-		return ok, LostAnswer(x.call, errors.Newf("answer over %d bytes", maxAnswerBytes))
+func decodeSuccess(x exchange, body []byte) (callResult, error) {
+	ok := callResult{outcome: outcomeOK}
+	if len(body) > maxResponseBytes {
+		return ok, NoResponseError(x.call, errors.Newf("answer over %d bytes", maxResponseBytes))
 	}
 	if x.decode == nil {
 		return ok, nil
 	}
 	if err := x.decode(body); err != nil {
-		return ok, LostAnswer(x.call, errors.Wrap(err, "decode answer"))
+		return ok, NoResponseError(x.call, errors.Wrap(err, "decode answer"))
 	}
 	return ok, nil
 }
@@ -224,7 +224,7 @@
 func outcomeOf(status int) outcome {
 	switch {
 	case status == http.StatusTooManyRequests:
-		return outcomeLimited
+		return outcomeRateLimited
 	case status >= http.StatusInternalServerError:
 		return outcomeFailed
 	default:
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -158,7 +158,7 @@
 		time.Sleep(timeout) // virtual
 		synctest.Wait()
 		require.EqualValues(t, 3, wire.dials.Load())
-		wire.forget()
+		wire.silenceOpenConns()
 
 		start := time.Now()
 		_, err := client.Create(t.Context(), kind, object("a", "1"))
@@ -179,7 +179,7 @@
 		client, wire := serve(t, e.Handler())
 		_, err := client.List(t.Context(), kind)
 		require.NoError(t, err)
-		wire.forget()
+		wire.silenceOpenConns()
 		start := time.Now()
 		_, err = client.Watch(t.Context(), []string{kind}, 0, 20*time.Second)
 		require.Equal(t, "nothing done", class(err))
@@ -252,7 +252,7 @@
 // Retry-After of years, or of more than a duration holds. No record would reach
 // the instance until it is replaced, or the overflow ends its process. Calls must
 // go out again within minutes.
-func TestEndlessRetryAfter(t *testing.T) {
+func TestExcessiveRetryAfterIsBounded(t *testing.T) {
 	for _, status := range []int{429, 503} {
 		for _, seconds := range []string{"1000000000", "9300000000", "99999999999999999999"} {
 			synctest.Test(t, func(t *testing.T) {
@@ -296,7 +296,7 @@
 }
 
 // TestCutAnswer: an answer that is cut or no JSON leaves a write unknown.
-func TestCutAnswer(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(`{"metadata":`))
@@ -311,7 +311,7 @@
 // TestReturnFromOutage: after failures, calls are refused at once and nothing is
 // sent; then a single probe goes out. Here it is a watch: if it waited, every
 // other call would be held back for as long.
-func TestReturnFromOutage(t *testing.T) {
+func TestRecoveryFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
 		client, _ := serve(t, e.Handler())
@@ -321,9 +321,9 @@
 			require.Equal(t, "nothing done", class(err))
 		}
 		require.EqualValues(t, 3, e.Calls().Reads)
-		require.Equal(t, platform.Stats{Sent: 3, Failed: 3, Held: 7, Outage: true}, client.Budget().Stats())
+		require.Equal(t, platform.Stats{Sent: 3, Failed: 3, NotAdmitted: 7, Outage: true}, client.Budget().Stats())
 		reads, writes := client.Budget().ClassStats(platform.ClassRead), client.Budget().ClassStats(platform.ClassWrite)
-		require.Equal(t, [3]uint64{3, 3, 7}, [3]uint64{reads.Sent, reads.Failed, reads.Held})
+		require.Equal(t, [3]uint64{3, 3, 7}, [3]uint64{reads.Sent, reads.Failed, reads.NotAdmitted})
 		require.Equal(t, platform.ClassStats{Rate: 10_000}, writes, "what the rig sets")
 		e.SetFaults(emulator.Faults{})
 		time.Sleep(5 * time.Second) // virtual
--- a/transport/platform/governor.go
+++ b/transport/platform/governor.go
@@ -13,7 +13,7 @@
 const (
 	ClassRead Class = iota
 	ClassWrite
-	classes
+	classCount
 )
 
 // outcome is what a call's end tells about the platform.
@@ -22,7 +22,7 @@
 const (
 	outcomeOK outcome = iota
 	// outcomeLimited is an answer of 429.
-	outcomeLimited
+	outcomeRateLimited
 	// outcomeFailed is no answer, or one of 5xx.
 	outcomeFailed
 	// outcomeNeutral tells nothing, since the caller gave up.
@@ -30,18 +30,18 @@
 )
 
 // result is the end of a call.
-type result struct {
+type callResult struct {
 	outcome    outcome
 	retryAfter time.Duration
 }
 
 // heldError refuses a call before it leaves the process.
-type heldError struct {
+type notAdmittedError struct {
 	cause      error
 	retryAfter time.Duration
 }
 
-func (e *heldError) Error() string { return e.cause.Error() }
+func (e *notAdmittedError) Error() string { return e.cause.Error() }
 
 // admission lets a call out after wait.
 type admission struct {
@@ -56,62 +56,62 @@
 // due, they all come at once, and the platform fails again or answers 429 for
 // long. Here one probe per instance finds the platform back, at a jittered time,
 // and the rate then starts low and doubles each second. 429 halves it.
-type governor struct {
+type callLimiter struct {
 	breaker breaker
-	pacers  [classes]pacer
+	pacers  [classCount]pacer
 	maxWait time.Duration
 	rand    *rand.Rand
 }
 
-func newGovernor(o BudgetOptions, now time.Time) *governor {
-	g := &governor{maxWait: o.MaxWait, rand: o.Rand, breaker: breaker{backoffMax: o.ProbeEvery}}
+func newCallLimiter(o BudgetOptions, now time.Time) *callLimiter {
+	g := &callLimiter{maxWait: o.MaxWait, rand: o.Rand, breaker: breaker{maxBackoff: o.MaxProbeInterval}}
 	g.pacers[ClassRead] = newPacer(o.ReadsPerSecond, o.Burst, now)
 	g.pacers[ClassWrite] = newPacer(o.WritesPerSecond, o.Burst, now)
 	for i := range g.pacers {
 		restart := cmp.Or(o.RestartPerSecond, DefaultRestartPerSecond)
-		g.pacers[i].restartMost, g.pacers[i].restartAt = restart, restart
+		g.pacers[i].maxRestartRate, g.pacers[i].restartRate = restart, restart
 	}
 	return g
 }
 
 // admit lets a call out now, or after a wait up to maxWait, or refuses it.
-func (g *governor) admit(now time.Time, class Class) (admission, error) {
+func (g *callLimiter) admit(now time.Time, class Class) (admission, error) {
 	return g.admitWithin(now, class, g.maxWait)
 }
 
 // admitWithin is admit with another bound of the wait.
-func (g *governor) admitWithin(now time.Time, class Class, maxWait time.Duration) (admission, error) {
+func (g *callLimiter) admitWithin(now time.Time, class Class, maxWait time.Duration) (admission, error) {
 	probe, held := g.breaker.allow(now)
 	if held > 0 {
-		return admission{}, &heldError{cause: ErrOutage, retryAfter: held}
+		return admission{}, &notAdmittedError{cause: ErrOutage, retryAfter: held}
 	}
 	if probe {
 		return admission{probe: true}, nil
 	}
-	wait, ok := g.pacers[class].take(now, maxWait)
+	wait, ok := g.pacers[class].reserve(now, maxWait)
 	if !ok {
-		return admission{}, &heldError{cause: ErrBudget, retryAfter: wait}
+		return admission{}, &notAdmittedError{cause: ErrBudget, retryAfter: wait}
 	}
 	return admission{wait: wait}, nil
 }
 
 // report takes in how an admitted call ended.
-func (g *governor) report(now time.Time, class Class, probe bool, r result) {
+func (g *callLimiter) recordResult(now time.Time, class Class, probe bool, r callResult) {
 	wasOpen := g.breaker.open()
-	recovered := g.breaker.report(now, probe, r, g.rand)
+	recovered := g.breaker.recordResult(now, probe, r, g.rand)
 	for i := range g.pacers {
 		switch {
 		case recovered:
-			g.pacers[i].restart(now)
+			g.pacers[i].endOutage(now)
 		case !wasOpen && g.breaker.open():
-			g.pacers[i].pause(now)
+			g.pacers[i].beginOutage(now)
 		}
 	}
 	switch r.outcome {
 	case outcomeOK:
-		g.pacers[class].answered(now)
-	case outcomeLimited:
-		g.pacers[class].cut(now, jitter(r.retryAfter, g.rand))
+		g.pacers[class].recordAnswered(now)
+	case outcomeRateLimited:
+		g.pacers[class].decrease(now, jitter(r.retryAfter, g.rand))
 	}
 }
 
@@ -120,17 +120,17 @@
 	// failuresToOpen in a row hold back all calls. One alone may be a single
 	// connection that went silent.
 	failuresToOpen = 3
-	backoffBase    = 200 * time.Millisecond
+	baseBackoff    = 200 * time.Millisecond
 )
 
 // breaker holds calls back during an outage and lets single probes through.
 type breaker struct {
 	// backoffMax bounds the time between two probes; 0 is DefaultProbeEvery.
-	backoffMax time.Duration
-	failures   int
-	openings   int
-	until      time.Time
-	probing    bool
+	maxBackoff    time.Duration
+	failures      int
+	backoffs      int
+	nextProbe     time.Time
+	probeInFlight bool
 }
 
 func (b *breaker) open() bool { return b.failures >= failuresToOpen }
@@ -140,26 +140,26 @@
 	if !b.open() {
 		return false, 0
 	}
-	if now.Before(b.until) {
-		return false, b.until.Sub(now)
+	if now.Before(b.nextProbe) {
+		return false, b.nextProbe.Sub(now)
 	}
-	if b.probing {
-		return false, backoffBase
+	if b.probeInFlight {
+		return false, baseBackoff
 	}
-	b.probing = true
+	b.probeInFlight = true
 	return true, 0
 }
 
 // report returns true when the call ends an outage.
-func (b *breaker) report(now time.Time, probe bool, r result, random *rand.Rand) bool {
+func (b *breaker) recordResult(now time.Time, probe bool, r callResult, random *rand.Rand) bool {
 	wasOpen := b.open()
 	if probe {
-		b.probing = false
+		b.probeInFlight = false
 	}
 	switch r.outcome {
-	case outcomeOK, outcomeLimited:
+	case outcomeOK, outcomeRateLimited:
 		b.failures = 0
-		b.openings = 0
+		b.backoffs = 0
 		return wasOpen
 	case outcomeFailed:
 		// Calls that were under way when the breaker opened fail one after the
@@ -169,23 +169,23 @@
 		}
 		b.failures++
 		if b.open() {
-			b.holdBack(now, r.retryAfter, random)
+			b.scheduleProbe(now, r.retryAfter, random)
 		}
 	case outcomeNeutral:
 	}
 	return false
 }
 
-func (b *breaker) holdBack(now time.Time, retryAfter time.Duration, random *rand.Rand) {
-	most := cmp.Or(b.backoffMax, DefaultProbeEvery)
+func (b *breaker) scheduleProbe(now time.Time, retryAfter time.Duration, random *rand.Rand) {
+	most := cmp.Or(b.maxBackoff, DefaultMaxProbeInterval)
 	delay := most
-	if b.openings < 16 {
-		delay = min(most, backoffBase<<b.openings)
+	if b.backoffs < 16 {
+		delay = min(most, baseBackoff<<b.backoffs)
 	}
-	b.openings++
+	b.backoffs++
 	half := delay / 2
 	delay = half + time.Duration(random.Int64N(int64(half)+1))
-	b.until = now.Add(max(delay, jitter(retryAfter, random)))
+	b.nextProbe = now.Add(max(delay, jitter(retryAfter, random)))
 }
 
 // jitter lengthens d by up to its half. It never shortens a wait that the
--- a/transport/platform/governor_test.go
+++ b/transport/platform/governor_test.go
@@ -18,9 +18,9 @@
 // "held" or "probe". Time passes by 10 s, over any back-off, before a step that
 // begins with "+".
 func TestBreaker(t *testing.T) {
-	ok, failed, neutral := result{outcome: outcomeOK}, result{outcome: outcomeFailed}, result{outcome: outcomeNeutral}
+	ok, failed, neutral := callResult{outcome: outcomeOK}, callResult{outcome: outcomeFailed}, callResult{outcome: outcomeNeutral}
 	type step struct {
-		r    result
+		r    callResult
 		want string
 	}
 	for name, steps := range map[string][]step{
@@ -28,14 +28,14 @@
 		"three failures in a row are one":    {{failed, "go"}, {failed, "go"}, {failed, "held"}, {failed, "held"}},
 		"one probe at a time":                {{failed, "go"}, {failed, "go"}, {failed, "+probe"}, {failed, "held"}},
 		"a late success ends it":             {{failed, "go"}, {failed, "go"}, {failed, "held"}, {ok, "go"}},
-		"being limited isn't being down":     {{failed, "go"}, {failed, "go"}, {result{outcome: outcomeLimited}, "go"}, {failed, "go"}},
+		"being limited isn't being down":     {{failed, "go"}, {failed, "go"}, {callResult{outcome: outcomeRateLimited}, "go"}, {failed, "go"}},
 		"callers that give up don't count":   {{neutral, "go"}, {neutral, "go"}, {neutral, "go"}, {neutral, "go"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var b breaker
 			now := epoch
 			for i, s := range steps {
-				b.report(now, false, s.r, testRand(1))
+				b.recordResult(now, false, s.r, testRand(1))
 				if s.want[0] == '+' {
 					now = now.Add(10 * time.Second)
 					s.want = s.want[1:]
@@ -52,12 +52,12 @@
 func TestAbandonedProbe(t *testing.T) {
 	var b breaker
 	for range failuresToOpen {
-		b.report(epoch, false, result{outcome: outcomeFailed}, testRand(1))
+		b.recordResult(epoch, false, callResult{outcome: outcomeFailed}, testRand(1))
 	}
 	now := epoch.Add(time.Minute)
 	probe, _ := b.allow(now)
 	require.True(t, probe)
-	b.report(now, true, result{outcome: outcomeNeutral}, testRand(1))
+	b.recordResult(now, true, callResult{outcome: outcomeNeutral}, testRand(1))
 	probe, _ = b.allow(now)
 	require.True(t, probe)
 }
@@ -65,23 +65,23 @@
 // TestCallsUnderWay: many calls are under way when the platform goes down, and
 // fail one after the other. They have one cause; if each one stretched the
 // back-off, a blip under load would hold calls back for seconds.
-func TestCallsUnderWay(t *testing.T) {
+func TestFailuresOfConcurrentCallsBackOffOnce(t *testing.T) {
 	var b breaker
 	for range 50 {
-		b.report(epoch, false, result{outcome: outcomeFailed}, testRand(1))
+		b.recordResult(epoch, false, callResult{outcome: outcomeFailed}, testRand(1))
 	}
-	probe, _ := b.allow(epoch.Add(backoffBase))
+	probe, _ := b.allow(epoch.Add(baseBackoff))
 	require.True(t, probe)
 }
 
 // TestFullRateAtOnce: an instance that has just started, or was idle, gets a
 // second's worth of claims at once. They must all go out, or the requests behind
 // them would be refused although the platform is well.
-func TestFullRateAtOnce(t *testing.T) {
+func TestBurstIsAdmittedWithinMaxWait(t *testing.T) {
 	p := newPacer(DefaultWritesPerSecond, DefaultBurst, epoch)
 	for _, now := range []time.Time{epoch, epoch.Add(time.Hour)} {
 		for range DefaultWritesPerSecond {
-			_, ok := p.take(now, DefaultMaxWait)
+			_, ok := p.reserve(now, DefaultMaxWait)
 			require.True(t, ok)
 		}
 	}
@@ -97,13 +97,13 @@
 		perSecond := map[int64]int{}
 		for range rapid.IntRange(1, 400).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
-			wait, ok := p.take(now, maxWait)
+			wait, ok := p.reserve(now, maxWait)
 			if ok {
 				require.LessOrEqual(t, wait, maxWait)
 				perSecond[now.Add(wait).Unix()]++
 			}
 			if rapid.IntRange(0, 20).Draw(t, "limited") == 0 {
-				p.cut(now, 0)
+				p.decrease(now, 0)
 			}
 		}
 		for _, n := range perSecond {
@@ -115,11 +115,11 @@
 // fleet plays instances against a platform with a limit. Each has a backlog of
 // calls that it tries to send at every tick.
 type fleet struct {
-	governors []*governor // nil: every backlog is retried every 100 ms
-	backlog   []float64
-	due       [horizon][]int  // ring of ticks → calls of each instance
-	probes    [horizon][]bool // whether the first of them is a probe
-	limiter   *rate.Limiter
+	limiters      []*callLimiter // nil: every backlog is retried every 100 ms
+	backlog       []float64
+	due           [horizon][]int  // ring of ticks → calls of each instance
+	probes        [horizon][]bool // whether the first of them is a probe
+	platformLimit *rate.Limiter
 }
 
 const (
@@ -134,28 +134,28 @@
 	maxBacklog = 30
 )
 
-type returned struct {
+type recovery struct {
 	peak    float64 // busiest window after the return, of the limit's share
 	limited float64 // share of 429 after the return
 	served  float64 // calls a second from 10 s after the return on
 }
 
 func newFleet(n int, governed bool) *fleet {
-	f := &fleet{backlog: make([]float64, n), limiter: rate.NewLimiter(readLimit, readLimit/10)}
+	f := &fleet{backlog: make([]float64, n), platformLimit: rate.NewLimiter(readLimit, readLimit/10)}
 	for i := range horizon {
 		f.due[i], f.probes[i] = make([]int, n), make([]bool, n)
 	}
 	for i := range n {
 		if governed {
 			o := BudgetOptions{ReadsPerSecond: fullRate, WritesPerSecond: 1, Burst: DefaultBurst, MaxWait: DefaultMaxWait, Rand: testRand(uint64(i))}
-			f.governors = append(f.governors, newGovernor(o, epoch))
+			f.limiters = append(f.limiters, newCallLimiter(o, epoch))
 		}
 	}
 	return f
 }
 
-func (f *fleet) play(demand float64) returned {
-	var out returned
+func (f *fleet) run(demand float64) recovery {
+	var out recovery
 	var sent, refused, inWindow int
 	for now := range fleetEnd {
 		at := epoch.Add(time.Duration(now) * tick)
@@ -173,7 +173,7 @@
 				if now >= outageTo {
 					sent++
 					inWindow++
-					refused += map[outcome]int{outcomeLimited: 1}[r.outcome]
+					refused += map[outcome]int{outcomeRateLimited: 1}[r.outcome]
 				}
 			}
 		}
@@ -186,12 +186,12 @@
 func (f *fleet) admit(i, now int, at time.Time) {
 	for f.backlog[i] >= 1 {
 		then := now
-		if f.governors == nil {
+		if f.limiters == nil {
 			if (now+i)%window != 0 {
 				return
 			}
 		} else {
-			a, err := f.governors[i].admit(at, ClassRead)
+			a, err := f.limiters[i].admit(at, ClassRead)
 			if err != nil {
 				return
 			}
@@ -203,18 +203,18 @@
 	}
 }
 
-func (f *fleet) call(i, now int, at time.Time) result {
-	r := result{outcome: outcomeOK}
+func (f *fleet) call(i, now int, at time.Time) callResult {
+	r := callResult{outcome: outcomeOK}
 	if now >= outageFrom && now < outageTo {
 		r.outcome = outcomeFailed
-	} else if !f.limiter.AllowN(at, 1) {
-		r = result{outcome: outcomeLimited, retryAfter: time.Second}
+	} else if !f.platformLimit.AllowN(at, 1) {
+		r = callResult{outcome: outcomeRateLimited, retryAfter: time.Second}
 	}
 	if r.outcome != outcomeOK {
 		f.backlog[i]++
 	}
-	if f.governors != nil {
-		f.governors[i].report(at, ClassRead, f.probes[now%horizon][i], r)
+	if f.limiters != nil {
+		f.limiters[i].recordResult(at, ClassRead, f.probes[now%horizon][i], r)
 		f.probes[now%horizon][i] = false
 	}
 	return r
@@ -224,20 +224,20 @@
 // every instance has a full backlog. Without a budget they all send it at once
 // and again, and most calls get 429. Held to the budget, the platform sees no
 // rush, and the calls that are due get through.
-func TestReturnWithoutRush(t *testing.T) {
+func TestRecoveryDoesNotOverloadThePlatform(t *testing.T) {
 	for name, c := range map[string]struct {
 		n      int
 		demand float64 // calls a second of each instance
-		limits returned
+		limits recovery
 	}{
-		"8 instances":                  {8, 100, returned{0.75, 0, 790}},
-		"8 instances over the limit":   {8, 400, returned{1.15, 0.01, 1840}},
-		"440 instances":                {440, 3, returned{1.25, 0.01, 1250}},
-		"440 instances over the limit": {440, 20, returned{1.35, 0.05, 1900}},
+		"8 instances":                  {8, 100, recovery{0.75, 0, 790}},
+		"8 instances over the limit":   {8, 400, recovery{1.15, 0.01, 1840}},
+		"440 instances":                {440, 3, recovery{1.25, 0.01, 1250}},
+		"440 instances over the limit": {440, 20, recovery{1.35, 0.05, 1900}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			free := newFleet(c.n, false).play(c.demand)
-			held := newFleet(c.n, true).play(c.demand)
+			free := newFleet(c.n, false).run(c.demand)
+			held := newFleet(c.n, true).run(c.demand)
 			t.Logf(name+" free %+v held %+v", free, held)
 			require.LessOrEqual(t, held.peak, c.limits.peak)
 			require.LessOrEqual(t, held.limited, c.limits.limited)
--- a/transport/platform/harness_test.go
+++ b/transport/platform/harness_test.go
@@ -27,42 +27,42 @@
 
 // wire joins a client and a server by net.Pipe, so that HTTP runs in virtual
 // time. It can refuse to connect, and make the open connections go silent.
-type wire struct {
-	accepted chan net.Conn
-	closed   chan struct{}
-	closing  sync.Once
-	refusing atomic.Bool
-	age      atomic.Int64
-	dials    atomic.Int64
+type pipeNetwork struct {
+	accepted   chan net.Conn
+	closed     chan struct{}
+	closing    sync.Once
+	refusing   atomic.Bool
+	generation atomic.Int64
+	dials      atomic.Int64
 }
 
-type wireConn struct {
+type pipeConn struct {
 	net.Conn
-	wire *wire
-	age  int64
+	network    *pipeNetwork
+	generation int64
 }
 
-func (c *wireConn) Write(p []byte) (int, error) {
-	if c.age < c.wire.age.Load() {
+func (c *pipeConn) Write(p []byte) (int, error) {
+	if c.generation < c.network.generation.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (w *wire) dial(context.Context, string, string) (net.Conn, error) {
+func (w *pipeNetwork) dial(context.Context, string, string) (net.Conn, error) {
 	if w.refusing.Load() {
 		return nil, errors.New("connection refused")
 	}
 	w.dials.Add(1)
 	near, far := net.Pipe()
 	w.accepted <- far
-	return &wireConn{Conn: near, wire: w, age: w.age.Load()}, nil
+	return &pipeConn{Conn: near, network: w, generation: w.generation.Load()}, nil
 }
 
 // forget makes the connections open now silent for good.
-func (w *wire) forget() { w.age.Add(1) }
+func (w *pipeNetwork) silenceOpenConns() { w.generation.Add(1) }
 
-func (w *wire) Accept() (net.Conn, error) {
+func (w *pipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case conn := <-w.accepted:
 		return conn, nil
@@ -71,12 +71,12 @@
 	}
 }
 
-func (w *wire) Close() error   { w.closing.Do(func() { close(w.closed) }); return nil }
-func (w *wire) Addr() net.Addr { return &net.IPAddr{} }
+func (w *pipeNetwork) Close() error   { w.closing.Do(func() { close(w.closed) }); return nil }
+func (w *pipeNetwork) Addr() net.Addr { return &net.IPAddr{} }
 
 // serve starts a server for handler in the test's bubble and returns a client.
-func serve(t *testing.T, handler http.Handler) (*platform.Client, *wire) {
-	w := &wire{accepted: make(chan net.Conn), closed: make(chan struct{})}
+func serve(t *testing.T, handler http.Handler) (*platform.Client, *pipeNetwork) {
+	w := &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{})}
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(w) }()
 	transport := platform.NewTransport()
--- a/transport/platform/pacer.go
+++ b/transport/platform/pacer.go
@@ -12,20 +12,20 @@
 	// fleetRestartRate is what all instances together begin with at most.
 	fleetRestartRate = 100
 	// usedOver is the time over which the rate of answered calls is averaged.
-	usedOver = 10 * time.Second
+	answeredAveragingTime = 10 * time.Second
 	// keepShare of the answered rate is left after 429, but at least cutShare
 	// of the rate so far.
-	keepShare = 0.9
-	cutShare  = 0.5
+	keptAnsweredShare = 0.9
+	decreaseFactor    = 0.5
 	// cutEvery bounds how often 429 lowers the rate. The calls that were under
 	// way together are one sign, not several.
-	cutEvery = time.Second
+	minDecreaseInterval = time.Second
 	// raiseStep and raiseShare are the rise a second beyond the threshold: calls
 	// a second, or a share of the rate if that is more.
-	raiseStep  = 0.1
-	raiseShare = 0.03
+	increasePerSecond = 0.1
+	increaseShare     = 0.03
 	// fleetRaiseStep is the most that raiseStep amounts to for all instances.
-	fleetRaiseStep = 8
+	fleetIncreasePerSecond = 8
 )
 
 // pacer is a token bucket whose rate adapts to the platform. It starts at the
@@ -35,44 +35,44 @@
 // SIGCOMM 1988: the instances share the platform's limit without knowing how
 // many they are.
 type pacer struct {
-	full      float64
+	maxRate   float64
 	burst     float64
 	rate      float64
 	threshold float64
 	// restartMost is restartAt in a small fleet.
-	restartMost float64
+	maxRestartRate float64
 	// restartAt is where the return from an outage begins.
-	restartAt float64
+	restartRate float64
 	// raise is the rise beyond the threshold, in calls a second each second.
-	raise float64
+	increase float64
 	// used is the rate of answered calls, averaged over usedOver.
-	used float64
+	answeredRate float64
 	// tokens below zero are calls already admitted that still wait.
-	tokens  float64
-	updated time.Time
-	blocked time.Time
-	lastCut time.Time
+	tokens       float64
+	advancedTo   time.Time
+	blockedUntil time.Time
+	lastDecrease time.Time
 }
 
 func newPacer(full, burst float64, now time.Time) pacer {
 	return pacer{
-		full:        full,
-		burst:       burst,
-		rate:        full,
-		threshold:   full,
-		restartMost: DefaultRestartPerSecond,
-		restartAt:   DefaultRestartPerSecond,
-		raise:       raiseStep,
-		tokens:      burst,
-		updated:     now,
+		maxRate:        full,
+		burst:          burst,
+		rate:           full,
+		threshold:      full,
+		maxRestartRate: DefaultRestartPerSecond,
+		restartRate:    DefaultRestartPerSecond,
+		increase:       increasePerSecond,
+		tokens:         burst,
+		advancedTo:     now,
 	}
 }
 
 // take reserves a call and returns how long it has to wait. Past maxWait it
 // reserves nothing; the queue is thereby bounded.
-func (p *pacer) take(now time.Time, maxWait time.Duration) (time.Duration, bool) {
+func (p *pacer) reserve(now time.Time, maxWait time.Duration) (time.Duration, bool) {
 	p.advance(now)
-	wait := max(0, p.blocked.Sub(now))
+	wait := max(0, p.blockedUntil.Sub(now))
 	if p.tokens < 1 {
 		missing := (1 - p.tokens) / p.rate
 		wait += time.Duration(missing * float64(time.Second))
@@ -87,53 +87,53 @@
 // advance fills tokens and raises the rate for the time gone by. The time in
 // which calls were blocked fills nothing, or they would leave in a burst.
 func (p *pacer) advance(now time.Time) {
-	elapsed := now.Sub(later(p.updated, p.blocked)).Seconds()
+	elapsed := now.Sub(latest(p.advancedTo, p.blockedUntil)).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	p.updated = now
-	p.used *= math.Exp(-elapsed / usedOver.Seconds())
+	p.advancedTo = now
+	p.answeredRate *= math.Exp(-elapsed / answeredAveragingTime.Seconds())
 	p.tokens = min(p.burst, p.tokens+elapsed*p.rate)
 	if p.rate < p.threshold {
 		p.rate = min(p.threshold, p.rate*math.Exp2(elapsed))
 		return
 	}
-	p.rate = min(p.full, p.rate+elapsed*max(p.raise, raiseShare*p.rate))
+	p.rate = min(p.maxRate, p.rate+elapsed*max(p.increase, increaseShare*p.rate))
 }
 
 // answered counts a call that the platform carried out.
-func (p *pacer) answered(now time.Time) {
+func (p *pacer) recordAnswered(now time.Time) {
 	p.advance(now)
-	p.used += 1 / usedOver.Seconds()
+	p.answeredRate += 1 / answeredAveragingTime.Seconds()
 }
 
 // cut lowers the rate after an answer of 429.
-func (p *pacer) cut(now time.Time, retryAfter time.Duration) {
+func (p *pacer) decrease(now time.Time, retryAfter time.Duration) {
 	p.advance(now)
-	p.blocked = later(p.blocked, now.Add(retryAfter))
+	p.blockedUntil = latest(p.blockedUntil, now.Add(retryAfter))
 	p.tokens = min(p.tokens, 0)
-	if now.Sub(p.lastCut) < cutEvery {
+	if now.Sub(p.lastDecrease) < minDecreaseInterval {
 		return
 	}
-	p.lastCut = now
-	kept := keepShare * min(p.rate, p.used)
-	p.rate = max(minRate, cutShare*p.rate, kept)
+	p.lastDecrease = now
+	kept := keptAnsweredShare * min(p.rate, p.answeredRate)
+	p.rate = max(minRate, decreaseFactor*p.rate, kept)
 	p.threshold = p.rate
 }
 
 // pause is called when an outage begins. It keeps the rate that was in use as
 // the threshold for the return: the full rate may be far over this instance's
 // share, and only what the platform carried is known to be safe.
-func (p *pacer) pause(now time.Time) {
+func (p *pacer) beginOutage(now time.Time) {
 	p.advance(now)
-	p.threshold = min(p.rate, max(p.used, p.restartAt))
+	p.threshold = min(p.rate, max(p.answeredRate, p.restartRate))
 }
 
 // restart begins anew after an outage, with no burst saved up.
-func (p *pacer) restart(now time.Time) {
+func (p *pacer) endOutage(now time.Time) {
 	p.advance(now)
 	p.tokens = min(p.tokens, 0)
-	p.rate = min(p.full, p.restartAt)
+	p.rate = min(p.maxRate, p.restartRate)
 }
 
 // share sets where the return begins for one of a number of instances.
@@ -141,13 +141,13 @@
 // Guard: hundreds of instances that each begin with some calls a second, and
 // may each take as many as the threshold, are a rush together, however slowly
 // each of them comes back. The platform answers most of it with 429.
-func (p *pacer) share(instances int) {
+func (p *pacer) setInstances(instances int) {
 	n := float64(max(instances, 1))
-	p.restartAt = min(p.restartMost, fleetRestartRate/n)
-	p.raise = min(raiseStep, fleetRaiseStep/n)
+	p.restartRate = min(p.maxRestartRate, fleetRestartRate/n)
+	p.increase = min(increasePerSecond, fleetIncreasePerSecond/n)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/transport/platform/share_test.go
+++ b/transport/platform/share_test.go
@@ -11,14 +11,14 @@
 // A burst of orders of a low tier claims more than the platform may be sent.
 // Callers of the highest tier, who come after them, were refused as not run as
 // often as those of the low one: the line for the budget was full.
-func TestALowTierLeavesRoomInTheLine(t *testing.T) {
+func TestLowTierLeavesWaitingTimeToHigherTiers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := NewBudget(BudgetOptions{WritesPerSecond: 10, Burst: 1, MaxWait: time.Second, Rand: testRand(1)})
 		low, highest := waitShare(WithWaitShare(t.Context(), 0.5)), waitShare(t.Context())
 		fill := func(share float64) (admitted int) {
 			for ; ; admitted++ {
 				if _, err := budget.admit(ClassWrite, share); err != nil {
-					require.ErrorIs(t, err.(*heldError).cause, ErrBudget)
+					require.ErrorIs(t, err.(*notAdmittedError).cause, ErrBudget)
 					return admitted
 				}
 			}
--- a/transport/platform/spelling.go
+++ b/transport/platform/spelling.go
@@ -12,7 +12,7 @@
 
 // Spelling is how a platform writes the object API: its paths and its bodies.
 // What the calls mean, and what their errors tell, is the same for all.
-type Spelling interface {
+type Codec interface {
 	// ListPath is the path of a kind, for lists and for new objects.
 	ListPath(kind string, q ListQuery) string
 	ObjectPath(kind, name string) string
@@ -37,9 +37,9 @@
 }
 
 // plainSpelling is that of package platformapi.
-type plainSpelling struct{}
+type defaultCodec struct{}
 
-func (plainSpelling) ListPath(kind string, q ListQuery) string {
+func (defaultCodec) ListPath(kind string, q ListQuery) string {
 	query := url.Values{}
 	if q.Stale {
 		query.Set("stale", "1")
@@ -57,11 +57,11 @@
 	return path + "?" + query.Encode()
 }
 
-func (plainSpelling) ObjectPath(kind, name string) string {
+func (defaultCodec) ObjectPath(kind, name string) string {
 	return platformapi.PathObjects + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (plainSpelling) WatchPath(kinds []string, from uint64, wait time.Duration) string {
+func (defaultCodec) WatchPath(kinds []string, from uint64, wait time.Duration) string {
 	query := url.Values{
 		"kinds":   {strings.Join(kinds, ",")},
 		"watch":   {strconv.FormatUint(from, 10)},
@@ -70,24 +70,24 @@
 	return platformapi.PathObjects + platformapi.KindAny + "?" + query.Encode()
 }
 
-func (plainSpelling) EncodeObject(o platformapi.Object) ([]byte, error) { return json.Marshal(o) }
+func (defaultCodec) EncodeObject(o platformapi.Object) ([]byte, error) { return json.Marshal(o) }
 
-func (plainSpelling) DecodeObject(body []byte) (o platformapi.Object, err error) {
+func (defaultCodec) DecodeObject(body []byte) (o platformapi.Object, err error) {
 	err = json.Unmarshal(body, &o)
 	return o, err
 }
 
-func (plainSpelling) DecodeList(body []byte) (l platformapi.List, err error) {
+func (defaultCodec) DecodeList(body []byte) (l platformapi.List, err error) {
 	err = json.Unmarshal(body, &l)
 	return l, err
 }
 
-func (plainSpelling) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
+func (defaultCodec) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
 	err = json.Unmarshal(body, &w)
 	return w, err
 }
 
-func (plainSpelling) DecodeConflict(body []byte) *platformapi.Object {
+func (defaultCodec) DecodeConflict(body []byte) *platformapi.Object {
 	var conflict platformapi.Conflict
 	if json.Unmarshal(body, &conflict) != nil {
 		return nil
