--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -181,9 +181,9 @@
 
 func (a *App) buildCluster() error {
 	s := a.settings
-	var files *peer.Files
+	var files *peer.TLSFiles
 	if s.Peers.TLS() {
-		files = &peer.Files{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
+		files = &peer.TLSFiles{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
 	}
 	var err error
 	a.cluster, err = cluster.New(cluster.Options{
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -206,16 +206,16 @@
 
 func (g *Gateway) buildCluster() error {
 	s := g.settings
-	var files *peer.Files
+	var files *peer.TLSFiles
 	if s.Peers.TLS() {
-		files = &peer.Files{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
+		files = &peer.TLSFiles{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
 	}
 	var err error
 	g.cluster, err = cluster.New(cluster.Options{
 		Transport: peer.Options{
 			Cluster: s.Instance.Cluster, Self: g.self, Listen: s.Listen.Peers,
 			TLS: files, Cleartext: s.Peers.Cleartext, Scope: g.telemetry.Scope,
-			CallTimeout: peerCallWait, MaxHandlers: maxPeerCalls, MaxPending: maxPeerCalls,
+			CallTimeout: peerCallWait, MaxHandlers: maxPeerCalls, MaxPendingCalls: maxPeerCalls,
 			QueueLength: peerQueue,
 		},
 		Membership:    membership.DefaultConfig(),
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Handler answers a call. The context ends when the asker stops waiting or the
-// connection is lost.
+// Handler executes a call and returns the body of its response. The context ends
+// when the requester stops waiting or the connection is closed.
 type Handler func(ctx context.Context, from Peer, body []byte) ([]byte, error)
 
 // method is a registered method.
@@ -19,16 +19,16 @@
 	idempotent bool
 }
 
-// HandleOption changes how a method is registered.
+// HandleOption is an option of Handle.
 type HandleOption func(*method)
 
 // Idempotent marks a method that may run twice for one call. All instances
-// register the same methods, so the asker finds it in its own table.
+// register the same methods, so the requester finds the mark among its own.
 func Idempotent() HandleOption {
 	return func(m *method) { m.idempotent = true }
 }
 
-// Handle registers a method.
+// Handle registers the handler of a method.
 func (n *Node) Handle(name string, h Handler, opts ...HandleOption) {
 	m := method{handler: h}
 	for _, o := range opts {
@@ -47,24 +47,25 @@
 	return m, ok
 }
 
-// Send sends a one-way message. It waits for a connection, not for the write.
+// Send queues a one-way message for an address. It waits until there is a
+// connection, but not for the write.
 func (n *Node) Send(ctx context.Context, address string, m peer.Message) error {
-	c, err := n.link(ctx, address, false)
+	c, err := n.connTo(ctx, address, false)
 	if err != nil {
 		return err
 	}
-	return fail(StepWrite, address, c.post(m))
+	return wrapError(StepWrite, address, c.enqueueDroppable(m))
 }
 
-// Post sends a one-way message without waiting; if there is no connection, or
-// fresh asks for a new one, a bounded number of messages wait for it and the
-// others are dropped and counted.
+// Post sends a one-way message without blocking. If there is no connection, or if
+// fresh asks for a new one, up to MaxPendingPosts messages wait for it; further
+// ones are dropped and counted.
 func (n *Node) Post(address string, m peer.Message, fresh bool) {
 	n.mu.Lock()
-	c := n.links[address]
+	c := n.connByAddress[address]
 	if c != nil && !fresh && !c.isClosed() {
 		n.mu.Unlock()
-		_ = c.post(m)
+		_ = c.enqueueDroppable(m)
 		return
 	}
 	defer n.mu.Unlock()
@@ -72,187 +73,191 @@
 		return
 	}
 	select {
-	case n.posts <- struct{}{}:
+	case n.postSlots <- struct{}{}:
 	default:
 		n.metrics.dropped.Inc(1)
 		return
 	}
 	n.wg.Go(func() {
-		defer func() { <-n.posts }()
-		c, err := n.link(n.ctx, address, fresh)
+		defer func() { <-n.postSlots }()
+		c, err := n.connTo(n.ctx, address, fresh)
 		if err != nil {
 			n.metrics.dropped.Inc(1)
 			return
 		}
-		_ = c.post(m)
+		_ = c.enqueueDroppable(m)
 	})
 }
 
-// Call asks a peer and waits for its answer. An *Error tells by NotRun whether
-// the method certainly did not start. When the connection is lost or silent,
-// the call is tried once more on a new connection if the method is idempotent.
+// Call calls a method of a peer and waits for its response. NotRun of the *Error
+// that it returns reports whether the method is known not to have started. When
+// the connection fails or is silent, the call of an idempotent method is retried
+// once on a new connection.
 func (n *Node) Call(ctx context.Context, address, name string, body []byte) ([]byte, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, n.opts.CallTimeout)
 		defer cancel()
 	}
-	c, err := n.link(ctx, address, false)
+	c, err := n.connTo(ctx, address, false)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.call(ctx, address, name, body)
+	response, err := c.call(ctx, address, name, body)
 	if !connectionFailed(err) {
-		return answer, err
+		return response, err
 	}
 	if m, ok := n.method(name); !ok || !m.idempotent {
 		return nil, err
 	}
-	// The path of the old connection may have lost its state somewhere between
-	// the two ends, while the peer is well. Only a new connection can tell.
-	c, err = n.link(ctx, address, true)
+	// A middlebox may have dropped the state of the old connection while the peer
+	// is healthy. Only a new connection shows which of the two has failed.
+	c, err = n.connTo(ctx, address, true)
 	if err != nil {
 		return nil, err
 	}
 	return c.call(ctx, address, name, body)
 }
 
-// connectionFailed tells whether a call failed for want of its connection.
+// connectionFailed reports whether a call failed because its connection did.
 func connectionFailed(err error) bool {
 	return errors.Is(err, ErrSilent) || errors.Is(err, ErrConnLost)
 }
 
-// call sends an Ask and waits for the Answer.
+// call sends a request and waits for its response.
 func (c *conn) call(ctx context.Context, address, name string, body []byte) ([]byte, error) {
-	id, answers, err := c.begin()
+	id, responses, err := c.registerCall()
 	if err != nil {
-		return nil, notRun(StepCall, address, err)
+		return nil, notRunError(StepCall, address, err)
 	}
-	defer c.finish(id)
-	if err := c.enqueue(newAsk(ctx, id, name, body)); err != nil {
-		return nil, notRun(StepCall, address, err)
+	defer c.unregisterCall(id)
+	if err := c.enqueue(newRequest(ctx, id, name, body)); err != nil {
+		return nil, notRunError(StepCall, address, err)
 	}
 	select {
-	case a := <-answers:
-		return result(address, a)
+	case response := <-responses:
+		return responseResult(address, response)
 	case <-c.ctx.Done():
-		return nil, fail(StepCall, address, c.cause())
+		return nil, wrapError(StepCall, address, c.closeCause())
 	case <-ctx.Done():
-		return nil, fail(StepCall, address, ctx.Err())
+		return nil, wrapError(StepCall, address, ctx.Err())
 	}
 }
 
-// newAsk builds an Ask that carries the time left.
-func newAsk(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
-	ask := &peer.Ask{ID: id, Method: name, Body: body}
+// newRequest returns a request that carries the remaining time of ctx.
+func newRequest(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
+	request := &peer.Ask{ID: id, Method: name, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
-		ask.TimeoutMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
+		request.TimeoutMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
 	}
-	return ask
+	return request
 }
 
-// result translates an Answer.
-func result(address string, a *peer.Answer) ([]byte, error) {
-	if a.Code == peer.CodeOK {
-		return a.Body, nil
+// responseResult returns the body of a response, or the error that its code
+// stands for.
+func responseResult(address string, response *peer.Answer) ([]byte, error) {
+	if response.Code == peer.CodeOK {
+		return response.Body, nil
 	}
-	cause := codeError(a.Code, a.Reason)
-	if a.Code == peer.CodeBusy || a.Code == peer.CodeNoMethod {
-		return nil, notRun(StepCall, address, cause)
+	cause := codeError(response.Code, response.Reason)
+	if response.Code == peer.CodeBusy || response.Code == peer.CodeNoMethod {
+		return nil, notRunError(StepCall, address, cause)
 	}
 	return nil, &Error{Step: StepCall, Peer: address, Cause: cause}
 }
 
-// begin reserves an id.
-func (c *conn) begin() (uint64, chan *peer.Answer, error) {
+// registerCall reserves the id of a call and the channel for its response.
+func (c *conn) registerCall() (uint64, chan *peer.Answer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= c.node.opts.MaxPending {
+	if len(c.pending) >= c.node.opts.MaxPendingCalls {
 		return 0, nil, errors.Wrapf(ErrBusy, "%d calls wait on the connection", len(c.pending))
 	}
 	now := c.now()
 	c.lastUsed.Store(now)
-	if c.askedAt.Load() <= c.lastIn.Load() {
-		c.askedAt.Store(now)
+	if c.unansweredSince.Load() <= c.lastReceived.Load() {
+		c.unansweredSince.Store(now)
 	}
 	c.nextID++
-	answers := make(chan *peer.Answer, 1)
-	c.pending[c.nextID] = answers
-	return c.nextID, answers, nil
+	responses := make(chan *peer.Answer, 1)
+	c.pending[c.nextID] = responses
+	return c.nextID, responses, nil
 }
 
-// finish frees an id.
-func (c *conn) finish(id uint64) {
+// unregisterCall releases the id of a call.
+func (c *conn) unregisterCall(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// answered hands an Answer to its call. One whose call has given up, and a
-// second one for the same id, find no channel and are dropped.
-func (c *conn) answered(a *peer.Answer) {
+// deliverResponse passes a response to its call. A response whose call has given
+// up, and a second one for the same id, find no channel and are dropped.
+func (c *conn) deliverResponse(response *peer.Answer) {
 	c.mu.Lock()
-	answers := c.pending[a.ID]
-	delete(c.pending, a.ID)
+	responses := c.pending[response.ID]
+	delete(c.pending, response.ID)
 	c.mu.Unlock()
-	if answers != nil {
-		answers <- a
+	if responses != nil {
+		responses <- response
 	}
 }
 
-// waiting returns the number of calls that wait on the connection.
-func (c *conn) waiting() int {
+// pendingCount returns the number of calls that wait for a response.
+func (c *conn) pendingCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
 }
 
-// answer runs the handler of an Ask in its own goroutine, within the bound of
-// handlers.
-func (n *Node) answer(c *conn, ask *peer.Ask) {
-	m, ok := n.method(ask.Method)
+// handleRequest runs the handler of a request in its own goroutine, or refuses the
+// request if MaxHandlers are running.
+func (n *Node) handleRequest(c *conn, request *peer.Ask) {
+	m, ok := n.method(request.Method)
 	if !ok {
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
+		c.sendResponse(&peer.Answer{ID: request.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
 		return
 	}
 	select {
-	case n.handlers <- struct{}{}:
+	case n.handlerSlots <- struct{}{}:
 	default:
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeBusy, Reason: "too many calls"})
+		c.sendResponse(&peer.Answer{ID: request.ID, Code: peer.CodeBusy, Reason: "too many calls"})
 		return
 	}
 	n.wg.Go(func() {
-		answer := n.runHandler(c, m.handler, ask)
-		// The place is free before its asker knows the answer: else the next call of
-		// one that calls in turn is refused as one too many.
-		<-n.handlers
-		c.reply(answer)
+		response := n.runHandler(c, m.handler, request)
+		// Free the slot before sending the response: the next call of a requester
+		// that makes its calls one after the other would otherwise be refused as
+		// one too many.
+		<-n.handlerSlots
+		c.sendResponse(response)
 	})
 }
 
-// runHandler runs a handler under the asker's time limit.
-func (n *Node) runHandler(c *conn, h Handler, ask *peer.Ask) *peer.Answer {
+// runHandler runs a handler within the requester's timeout, at most CallTimeout.
+func (n *Node) runHandler(c *conn, h Handler, request *peer.Ask) *peer.Answer {
 	timeout := n.opts.CallTimeout
-	if ask.TimeoutMillis > 0 {
-		timeout = min(timeout, time.Duration(ask.TimeoutMillis)*time.Millisecond)
+	if request.TimeoutMillis > 0 {
+		timeout = min(timeout, time.Duration(request.TimeoutMillis)*time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
-	body, err := h(ctx, c.peer, ask.Body)
+	body, err := h(ctx, c.peer, request.Body)
 	if err != nil {
-		return &peer.Answer{ID: ask.ID, Code: peer.CodeFailed, Reason: err.Error()}
+		return &peer.Answer{ID: request.ID, Code: peer.CodeFailed, Reason: err.Error()}
 	}
-	return &peer.Answer{ID: ask.ID, Body: body}
+	return &peer.Answer{ID: request.ID, Body: body}
 }
 
-// reply sends an Answer; one that is too large is replaced by its error. If
-// the peer does not take its answers, the connection is of no use.
-func (c *conn) reply(a *peer.Answer) {
-	err := c.enqueue(a)
+// sendResponse queues a response; one that is too large is replaced by an error.
+// If the write queue is full, the peer is not reading its responses and the
+// connection is closed.
+func (c *conn) sendResponse(response *peer.Answer) {
+	err := c.enqueue(response)
 	if errors.Is(err, peer.ErrFrameSize) {
-		err = c.enqueue(&peer.Answer{ID: a.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
+		err = c.enqueue(&peer.Answer{ID: response.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
 	}
 	if err != nil {
-		c.close(fail(StepWrite, c.remote, err))
+		c.close(wrapError(StepWrite, c.remoteAddress, err))
 	}
 }
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -16,29 +16,32 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Peer is the other end of a connection.
+// Peer is the instance at the other end of a connection.
 type Peer struct {
 	membership.Member
 	conn *conn
 }
 
-// Reply sends a one-way message on the connection that the peer used, which is
-// known to carry at least one way.
+// Reply sends a one-way message on the connection that the peer used. That
+// connection is known to work in at least one direction.
 func (p Peer) Reply(m peer.Message) error {
-	return p.conn.post(m)
+	return p.conn.enqueueDroppable(m)
 }
 
-// conn is one connection. Its reader runs in run, its writer beside it.
+// conn is one connection. The goroutine of run reads from it, that of writeLoop
+// writes to it.
 type conn struct {
 	node *Node
-	// address is what was dialled, empty for an accepted connection.
-	address string
-	remote  string
-	// sock is the bare socket, nc what is read and written: sock or TLS on it.
-	sock   net.Conn
+	// dialedAddress is empty for an accepted connection.
+	dialedAddress string
+	remoteAddress string
+	// socket is the TCP connection; nc is the stream that carries the frames:
+	// socket itself, or TLS over it.
+	socket net.Conn
 	nc     net.Conn
 	reader *bufio.Reader
-	// peer is set by the handshake, before any other goroutine sees conn.
+	// peer is set by the handshake. Other goroutines read it only once ready is
+	// set.
 	peer Peer
 
 	ctx    context.Context
@@ -50,64 +53,72 @@
 	pending map[uint64]chan *peer.Answer
 	nextID  uint64
 
-	// ready is set when the handshake is done; peer may be read after it.
+	// ready is set when the handshake is complete.
 	ready atomic.Bool
 
-	// Times are in nanoseconds since started.
-	started       time.Time
-	lastIn        atomic.Int64
-	lastUsed      atomic.Int64
-	askedAt       atomic.Int64
+	// The times below are in nanoseconds since started.
+	started time.Time
+	// lastReceived is when bytes last arrived.
+	lastReceived atomic.Int64
+	// lastUsed is when a call was last made or a message other than a heartbeat
+	// last arrived.
+	lastUsed atomic.Int64
+	// unansweredSince is the start of the first call after lastReceived. It is at
+	// or before lastReceived if there was none.
+	unansweredSince atomic.Int64
+	// heartbeatSent is when the pending heartbeat was sent; 0 if none is pending.
 	heartbeatSent atomic.Int64
 }
 
-// newConn wraps a socket.
-func newConn(n *Node, nc net.Conn, address string) *conn {
+// newConn returns a conn over a socket, before its handshake.
+func newConn(n *Node, nc net.Conn, dialedAddress string) *conn {
 	c := &conn{
-		node:    n,
-		address: address,
-		remote:  nc.RemoteAddr().String(),
-		wake:    make(chan struct{}, 1),
-		pending: make(map[uint64]chan *peer.Answer),
-		started: time.Now(),
+		node:          n,
+		dialedAddress: dialedAddress,
+		remoteAddress: nc.RemoteAddr().String(),
+		wake:          make(chan struct{}, 1),
+		pending:       make(map[uint64]chan *peer.Answer),
+		started:       time.Now(),
 	}
 	c.queue = queue{maxFrames: n.opts.QueueLength, maxBytes: n.opts.QueueBytes}
-	c.sock = &countedConn{Conn: nc, conn: c}
-	c.nc = c.sock
+	c.socket = &countingConn{Conn: nc, conn: c}
+	c.nc = c.socket
 	c.reader = bufio.NewReader(c.nc)
 	c.ctx, c.cancel = context.WithCancelCause(n.ctx)
 	return c
 }
 
-// setTLS reads and writes through TLS from now on.
-func (c *conn) setTLS(t *tls.Conn) {
+// useTLS makes t the stream that carries the frames.
+func (c *conn) useTLS(t *tls.Conn) {
 	c.nc = t
 	c.reader = bufio.NewReader(t)
 }
 
-// setPeer notes who the handshake found.
+// setPeer stores the peer found by the handshake and marks the connection as
+// ready.
 func (c *conn) setPeer(h peer.Hello) {
 	c.peer = Peer{Member: h.Member(), conn: c}
 	c.ready.Store(true)
 }
 
-// now returns the nanoseconds since the connection's start, never 0.
+// now returns the nanoseconds since started; at least 1, since 0 means that no
+// heartbeat is pending.
 func (c *conn) now() int64 { return max(int64(time.Since(c.started)), 1) }
 
-// isClosed tells whether the connection is of no more use.
+// isClosed reports whether the connection is closed.
 func (c *conn) isClosed() bool { return c.ctx.Err() != nil }
 
-// close ends the connection; the first cause is kept.
+// close closes the connection; only the first cause is kept.
 func (c *conn) close(cause error) {
-	// Forgotten first: a call that came between the end and the forgetting would
-	// be given the connection that has just been found silent.
-	c.node.forget(c)
+	// Remove it from the node first: a call between the close and the removal
+	// would otherwise get a connection that has just been found silent.
+	c.node.removeConn(c)
 	c.cancel(cause)
-	_ = c.sock.Close()
+	_ = c.socket.Close()
 }
 
-// cause returns why the connection ended.
-func (c *conn) cause() error {
+// closeCause returns the error of a call whose connection was closed.
+func (c *conn) closeCause() error {
 	err := context.Cause(c.ctx)
 	if errors.Is(err, ErrSilent) || errors.Is(err, ErrClosed) {
 		return err
@@ -115,7 +126,8 @@
 	return errors.Wrapf(ErrConnLost, "%v", err)
 }
 
-// run reads until the connection ends.
+// run starts the writer, then reads and dispatches messages until the connection
+// ends.
 func (c *conn) run() {
 	c.node.wg.Go(c.writeLoop)
 	for {
@@ -125,25 +137,26 @@
 			continue
 		}
 		if err != nil {
-			c.ended(err)
+			c.closeAfterRead(err)
 			return
 		}
 		c.dispatch(m)
 	}
 }
 
-// ended closes the connection after a failed read and counts bad input.
-func (c *conn) ended(err error) {
+// closeAfterRead closes the connection after a failed read. It counts invalid
+// input and connections that broke off, but not an orderly end by the peer.
+func (c *conn) closeAfterRead(err error) {
 	orderly := errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 	if !c.isClosed() && !orderly {
 		c.node.metrics.refused(StepRead, err)
 	}
-	c.close(fail(StepRead, c.remote, err))
+	c.close(wrapError(StepRead, c.remoteAddress, err))
 }
 
-// read returns the next message. A frame that has begun must end within
-// FrameTimeout: a sender that dribbles bytes would otherwise hold its place
-// for ever, since each byte counts as a sign of life.
+// read returns the next message. Once the first byte of a frame has arrived, the
+// rest must follow within FrameTimeout: a sender of single bytes could otherwise
+// keep its connection for ever, since each byte updates lastReceived.
 func (c *conn) read(limit int) (peer.Message, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
@@ -166,21 +179,21 @@
 	return peer.Decode(body)
 }
 
-// dispatch hands a message on.
+// dispatch passes a message to its receiver.
 func (c *conn) dispatch(m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Heartbeat:
-		_ = c.post(&peer.HeartbeatAck{Seq: m.Seq})
+		_ = c.enqueueDroppable(&peer.HeartbeatAck{Seq: m.Seq})
 	case *peer.HeartbeatAck:
-		// Its arrival was the sign; lastIn has it.
+		// lastReceived was updated when its bytes arrived.
 	case *peer.Hello, *peer.Welcome:
 		c.close(errors.Wrapf(ErrInvalid, "%T after the handshake", m))
 	case *peer.Ask:
 		c.lastUsed.Store(c.now())
-		c.node.answer(c, m)
+		c.node.handleRequest(c, m)
 	case *peer.Answer:
 		c.lastUsed.Store(c.now())
-		c.answered(m)
+		c.deliverResponse(m)
 	default:
 		c.lastUsed.Store(c.now())
 		if c.node.onMessage != nil {
@@ -189,8 +202,8 @@
 	}
 }
 
-// writeNow writes a message of the handshake, before the writer runs.
-func (c *conn) writeNow(m peer.Message) error {
+// writeHandshake writes a message of the handshake, before writeLoop runs.
+func (c *conn) writeHandshake(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
 		return err
@@ -199,23 +212,23 @@
 	return err
 }
 
-// post queues a one-way message; the oldest one gives way when the queue is
-// full.
-func (c *conn) post(m peer.Message) error {
+// enqueueDroppable queues a one-way message for writing. When the queue is full,
+// the oldest droppable messages are dropped to make space.
+func (c *conn) enqueueDroppable(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	dropped := c.queue.pushGossip(frame)
+	dropped := c.queue.pushDroppable(frame)
 	c.mu.Unlock()
 	c.node.metrics.dropped.Inc(int64(dropped))
-	c.signal()
+	c.wakeWriter()
 	return nil
 }
 
-// enqueue queues a message that must not be dropped, or says that there is no
-// room.
+// enqueue queues a message that must not be dropped. It returns ErrBusy if the
+// queue is full.
 func (c *conn) enqueue(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -227,20 +240,20 @@
 	if !ok {
 		return errors.Wrap(ErrBusy, "write queue is full")
 	}
-	c.signal()
+	c.wakeWriter()
 	return nil
 }
 
-// signal wakes the writer.
-func (c *conn) signal() {
+// wakeWriter makes writeLoop look at the queue.
+func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// writeLoop writes queued frames. A peer that does not read makes the write
-// miss its deadline, which closes the connection.
+// writeLoop writes queued frames. If the peer does not read, a write misses its
+// deadline and the connection is closed.
 func (c *conn) writeLoop() {
 	for {
 		select {
@@ -249,13 +262,13 @@
 		case <-c.wake:
 		}
 		if err := c.flush(); err != nil {
-			c.close(fail(StepWrite, c.remote, err))
+			c.close(wrapError(StepWrite, c.remoteAddress, err))
 			return
 		}
 	}
 }
 
-// flush writes what is queued.
+// flush writes frames until the queue is empty.
 func (c *conn) flush() error {
 	for {
 		c.mu.Lock()
@@ -273,24 +286,24 @@
 	}
 }
 
-// countedConn counts the bytes of a socket and notes when some arrive.
-type countedConn struct {
+// countingConn counts the bytes of a socket and records when some arrive.
+type countingConn struct {
 	net.Conn
 	conn *conn
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.conn.lastIn.Store(c.conn.now())
+		c.conn.lastReceived.Store(c.conn.now())
 		c.conn.node.bytesIn.Add(int64(n))
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.conn.node.bytesOut.Add(int64(n))
 	return n, err
--- a/transport/peer/credentials.go
+++ b/transport/peer/credentials.go
@@ -12,42 +12,43 @@
 	"k8s.io/klog/v2"
 )
 
-// sessionCacheSize holds TLS sessions for resumption, which spares most of a
-// handshake's bytes and processor time.
+// sessionCacheSize is the number of TLS sessions kept for resumption, which saves
+// most of a handshake's bytes and processor time.
 const sessionCacheSize = 512
 
-// Files names the PEM files of mutual TLS.
-type Files struct {
+// TLSFiles names the PEM files of mutual TLS.
+type TLSFiles struct {
 	Cert string
 	Key  string
-	// CA signs the certificates of all instances and of nothing else: whoever
-	// holds a certificate of it is a peer.
+	// CA holds the certificate of the authority that signs the certificates of
+	// all instances and of nothing else: every holder of a certificate signed by
+	// it is accepted as a peer.
 	CA string
 }
 
-// material is one consistent reading of the files.
-type material struct {
+// loadedTLSFiles is the content of the files, read together.
+type loadedTLSFiles struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
-	stamp stamp
+	stats fileStats
 }
 
-// stamp tells whether the files changed.
-type stamp [3]struct {
+// fileStats holds the times and sizes of the files, to detect changes.
+type fileStats [3]struct {
 	modified time.Time
 	size     int64
 }
 
-// credentials keeps the newest readable state of the files.
+// credentials holds the last valid content of the files.
 type credentials struct {
-	files   Files
-	current atomic.Pointer[material]
+	files   TLSFiles
+	current atomic.Pointer[loadedTLSFiles]
 }
 
-// loadCredentials reads the files.
-func loadCredentials(files Files) (*credentials, error) {
+// loadCredentials reads the files for the first time.
+func loadCredentials(files TLSFiles) (*credentials, error) {
 	c := &credentials{files: files}
-	m, err := files.read()
+	m, err := files.load()
 	if err != nil {
 		return nil, err
 	}
@@ -55,8 +56,8 @@
 	return c, nil
 }
 
-// read reads and checks the three files.
-func (f Files) read() (*material, error) {
+// load reads and checks the three files.
+func (f TLSFiles) load() (*loadedTLSFiles, error) {
 	st, err := f.stat()
 	if err != nil {
 		return nil, err
@@ -73,12 +74,12 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return nil, errors.Newf("CA file %s has no certificate", f.CA)
 	}
-	return &material{cert: cert, roots: roots, stamp: st}, nil
+	return &loadedTLSFiles{cert: cert, roots: roots, stats: st}, nil
 }
 
-// stat returns the files' times and sizes.
-func (f Files) stat() (stamp, error) {
-	var st stamp
+// stat returns the times and sizes of the files.
+func (f TLSFiles) stat() (fileStats, error) {
+	var st fileStats
 	for i, path := range []string{f.Cert, f.Key, f.CA} {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -90,18 +91,18 @@
 	return st, nil
 }
 
-// reload takes over changed files. Files that do not fit together, as in the
-// middle of a change, leave the last good ones in force; the next look tries
-// again.
+// reload reads the files if they have changed. If they do not match, as in the
+// middle of an update, the last valid content stays in use and the next check
+// tries again.
 func (c *credentials) reload() (changed bool, err error) {
 	st, err := c.files.stat()
 	if err != nil {
 		return false, err
 	}
-	if st == c.current.Load().stamp {
+	if st == c.current.Load().stats {
 		return false, nil
 	}
-	m, err := c.files.read()
+	m, err := c.files.load()
 	if err != nil {
 		return false, err
 	}
@@ -109,9 +110,9 @@
 	return true, nil
 }
 
-// watch looks at the files until the context ends.
-func (c *credentials) watch(ctx context.Context, every time.Duration) {
-	ticker := time.NewTicker(every)
+// watch checks the files for changes at an interval until the context ends.
+func (c *credentials) watch(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -129,7 +130,8 @@
 	}
 }
 
-// serverConfig asks each client for a certificate of the CA.
+// serverConfig returns a configuration that requires a certificate signed by the
+// CA from each client.
 func (c *credentials) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -143,10 +145,11 @@
 	}
 }
 
-// clientConfig checks the server against the CA. The library's own check is
-// switched off because it takes its roots once and compares a host name, where
-// instances are found by address and the CA is re-read; verify does it on
-// every connection, resumed ones included.
+// clientConfig returns a configuration that verifies the server's certificate
+// against the CA. The verification of crypto/tls is turned off because it uses a
+// fixed set of roots and compares host names, whereas instances are known by
+// address and the CA file is reloaded. verify runs on every connection instead,
+// resumed sessions included.
 func (c *credentials) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -161,7 +164,7 @@
 	}
 }
 
-// verify checks a peer's certificate against the CA now in force.
+// verify checks a peer's certificate against the current CA.
 func (c *credentials) verify(cs tls.ConnectionState, usage x509.ExtKeyUsage) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("peer sent no certificate")
--- a/transport/peer/errors.go
+++ b/transport/peer/errors.go
@@ -8,33 +8,35 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Causes of errors, to be asked for by errors.Is.
+// Causes of errors, to be tested with errors.Is.
 var (
-	// ErrCleartext refuses a connection without TLS beyond loopback.
+	// ErrCleartext means that a connection beyond loopback would not use TLS.
 	ErrCleartext = errors.New("cleartext is allowed on loopback only")
-	// ErrClosed says that the node is closed.
+	// ErrClosed means that the node is closed.
 	ErrClosed = errors.New("node is closed")
-	// ErrSilent says that a heartbeat on the connection was missed.
+	// ErrSilent means that a heartbeat on the connection got no response.
 	ErrSilent = errors.New("connection is silent")
-	// ErrConnLost says that the connection ended while it was needed.
+	// ErrConnLost means that the connection ended during a call.
 	ErrConnLost = errors.New("connection lost")
-	// ErrIdle closes a connection that was not used.
+	// ErrIdle is the cause of closing a connection that was not used.
 	ErrIdle = errors.New("connection is idle")
-	// ErrBusy says that a bound is reached, here or at the peer.
+	// ErrBusy means that a limit on connections, calls or queued frames is
+	// reached, here or at the peer.
 	ErrBusy = errors.New("too much in flight")
-	// ErrVersion says that the peer's protocol version is not spoken here.
+	// ErrVersion means that the peer's protocol version is not supported.
 	ErrVersion = errors.New("protocol version not supported")
-	// ErrCluster says that the peer belongs to another cluster.
+	// ErrCluster means that the peer belongs to another cluster.
 	ErrCluster = errors.New("peer of another cluster")
-	// ErrInvalid says that the peer's first message is no valid Hello.
+	// ErrInvalid means that the peer broke the handshake protocol, for example
+	// by a first message that is not a valid Hello.
 	ErrInvalid = errors.New("invalid handshake")
-	// ErrNoMethod says that the peer has no handler for the method.
+	// ErrNoMethod means that the peer has no handler for the method.
 	ErrNoMethod = errors.New("method is not registered")
-	// ErrHandler says that the peer's handler failed.
+	// ErrHandler means that the peer's handler returned an error.
 	ErrHandler = errors.New("handler failed")
 )
 
-// Step names what was being done when an error arose.
+// Step names the operation in which an error occurred.
 type Step string
 
 // The steps of a connection and of a call.
@@ -48,13 +50,13 @@
 	StepCall      Step = "call"
 )
 
-// Error is an error of this package: the step, the peer and the cause.
+// Error is an error of this package with its step, peer and cause.
 type Error struct {
 	Step Step
 	// Peer is the address of the other instance.
 	Peer string
-	// NotRun is true only if the call is known not to have started at the
-	// peer. With false it may have.
+	// NotRun is true only if the method is known not to have started at the
+	// peer. If it is false, the method may have run.
 	NotRun bool
 	Cause  error
 }
@@ -67,8 +69,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// fail wraps a cause in an Error, unless it is one already.
-func fail(step Step, peer string, cause error) error {
+// wrapError wraps cause in an Error, unless it contains one already.
+func wrapError(step Step, peer string, cause error) error {
 	if cause == nil {
 		return nil
 	}
@@ -79,12 +81,12 @@
 	return &Error{Step: step, Peer: peer, Cause: cause}
 }
 
-// notRun marks an error of a call that certainly did not start.
-func notRun(step Step, peer string, cause error) error {
+// notRunError returns the Error of a call that did not start at the peer.
+func notRunError(step Step, peer string, cause error) error {
 	return &Error{Step: step, Peer: peer, NotRun: true, Cause: cause}
 }
 
-// codeError translates a code into its cause.
+// codeError returns the error for a code of the protocol; nil for CodeOK.
 func codeError(code peer.Code, reason string) error {
 	cause := ErrInvalid
 	switch code {
--- a/transport/peer/handshake.go
+++ b/transport/peer/handshake.go
@@ -12,14 +12,14 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// errTLS marks a failed TLS handshake.
+// errTLS marks the errors of failed TLS handshakes.
 var errTLS = errors.New("TLS handshake failed")
 
-// maxNameLength bounds each text of a Hello, in bytes.
+// maxNameLength bounds each string of a Hello, in bytes.
 const maxNameLength = 256
 
-// hello describes this instance.
-func (n *Node) hello() peer.Hello {
+// localHello returns the Hello that describes this instance.
+func (n *Node) localHello() peer.Hello {
 	self := n.opts.Self
 	return peer.Hello{
 		Version:     peer.Version,
@@ -33,13 +33,14 @@
 	}
 }
 
-// welcome does the accepting end's handshake. All of it shares one deadline,
-// so that a slow or mute client holds its place for a bounded time only.
-func (n *Node) welcome(c *conn) error {
+// acceptHandshake performs the handshake on an accepted connection. The whole
+// handshake has one deadline, so that a slow or silent client occupies one of the
+// MaxConns connections for a bounded time only.
+func (n *Node) acceptHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
 	}
-	if err := n.startTLS(c, n.server, tls.Server); err != nil {
+	if err := n.startTLS(c, n.serverTLS, tls.Server); err != nil {
 		return err
 	}
 	m, err := c.read(peer.MaxHandshakeFrame)
@@ -50,20 +51,21 @@
 	if !ok {
 		return errors.Wrapf(ErrInvalid, "first message is %T", m)
 	}
-	answer := &peer.Welcome{Hello: n.hello()}
-	answer.Code, answer.Reason = n.judge(hello)
-	if err := c.writeNow(answer); err != nil {
+	welcome := &peer.Welcome{Hello: n.localHello()}
+	welcome.Code, welcome.Reason = n.validateHello(hello)
+	if err := c.writeHandshake(welcome); err != nil {
 		return err
 	}
-	if answer.Code != peer.CodeOK {
-		return codeError(answer.Code, answer.Reason)
+	if welcome.Code != peer.CodeOK {
+		return codeError(welcome.Code, welcome.Reason)
 	}
 	c.setPeer(*hello)
 	return c.nc.SetDeadline(time.Time{})
 }
 
-// judge says whether a Hello is accepted.
-func (n *Node) judge(h *peer.Hello) (peer.Code, string) {
+// validateHello returns CodeOK if the Hello is acceptable, or else the code and
+// the reason of the refusal.
+func (n *Node) validateHello(h *peer.Hello) (peer.Code, string) {
 	if h.Version < peer.MinVersion {
 		return peer.CodeVersion, fmt.Sprintf("version %d is older than %d, the oldest spoken here", h.Version, peer.MinVersion)
 	}
@@ -81,37 +83,38 @@
 	return peer.CodeOK, ""
 }
 
-// greet does the dialling end's handshake.
-func (n *Node) greet(c *conn) error {
+// dialHandshake performs the handshake on a dialled connection.
+func (n *Node) dialHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
 	}
-	if err := n.startTLS(c, n.client, tls.Client); err != nil {
-		return fail(StepTLS, c.address, err)
+	if err := n.startTLS(c, n.clientTLS, tls.Client); err != nil {
+		return wrapError(StepTLS, c.dialedAddress, err)
 	}
-	hello := n.hello()
-	if err := c.writeNow(&hello); err != nil {
-		return fail(StepHandshake, c.address, err)
+	hello := n.localHello()
+	if err := c.writeHandshake(&hello); err != nil {
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
 	m, err := c.read(peer.MaxHandshakeFrame)
 	if err != nil {
-		return fail(StepHandshake, c.address, err)
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	answer, ok := m.(*peer.Welcome)
+	welcome, ok := m.(*peer.Welcome)
 	if !ok {
-		return fail(StepHandshake, c.address, errors.Wrapf(ErrInvalid, "answer is %T", m))
+		return wrapError(StepHandshake, c.dialedAddress, errors.Wrapf(ErrInvalid, "answer is %T", m))
 	}
-	if err := codeError(answer.Code, answer.Reason); err != nil {
-		return fail(StepHandshake, c.address, err)
+	if err := codeError(welcome.Code, welcome.Reason); err != nil {
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	if err := codeError(n.judge(&answer.Hello)); err != nil {
-		return fail(StepHandshake, c.address, err)
+	if err := codeError(n.validateHello(&welcome.Hello)); err != nil {
+		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	c.setPeer(answer.Hello)
+	c.setPeer(welcome.Hello)
 	return c.nc.SetDeadline(time.Time{})
 }
 
-// startTLS wraps a connection in TLS, or checks that cleartext may be used.
+// startTLS performs the TLS handshake, or checks that cleartext is allowed if TLS
+// is not configured.
 func (n *Node) startTLS(c *conn, config *tls.Config, wrap func(net.Conn, *tls.Config) *tls.Conn) error {
 	if config == nil {
 		if n.opts.Cleartext {
@@ -119,10 +122,11 @@
 		}
 		return requireLoopback(c.nc.RemoteAddr().String())
 	}
-	if c.address != "" {
-		// The name is only the key of the session cache.
+	if c.dialedAddress != "" {
+		// ServerName is only used as the key of the session cache; verify
+		// compares no host names.
 		config = config.Clone()
-		config.ServerName = c.address
+		config.ServerName = c.dialedAddress
 	}
 	t := wrap(c.nc, config)
 	ctx, cancel := context.WithTimeout(n.ctx, n.opts.HandshakeTimeout)
@@ -130,26 +134,27 @@
 	if err := t.HandshakeContext(ctx); err != nil {
 		return errors.Mark(err, errTLS)
 	}
-	c.setTLS(t)
+	c.useTLS(t)
 	return nil
 }
 
-// dialAttempt is one dial that all who need the address wait for.
+// dialAttempt is a dial in progress, shared by all callers that need a
+// connection to the address. conn and err are set before done is closed.
 type dialAttempt struct {
 	done chan struct{}
 	conn *conn
 	err  error
 }
 
-// link returns the connection to an address and dials if there is none, or if
-// a fresh one is asked for.
-func (n *Node) link(ctx context.Context, address string, fresh bool) (*conn, error) {
+// connTo returns the connection to an address. It dials if there is none, or if
+// fresh is set.
+func (n *Node) connTo(ctx context.Context, address string, fresh bool) (*conn, error) {
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
-		return nil, notRun(StepDial, address, ErrClosed)
+		return nil, notRunError(StepDial, address, ErrClosed)
 	}
-	if c := n.links[address]; c != nil && !fresh && !c.isClosed() {
+	if c := n.connByAddress[address]; c != nil && !fresh && !c.isClosed() {
 		n.mu.Unlock()
 		return c, nil
 	}
@@ -164,17 +169,18 @@
 	case <-attempt.done:
 		return attempt.conn, attempt.err
 	case <-ctx.Done():
-		return nil, notRun(StepDial, address, ctx.Err())
+		return nil, notRunError(StepDial, address, ctx.Err())
 	}
 }
 
-// dial makes a connection, becomes the address's link and reads from it.
+// dial establishes a connection, makes it the connection to its address, and
+// reads from it until it ends.
 func (n *Node) dial(address string, attempt *dialAttempt) {
 	c, err := n.connect(address)
 	n.mu.Lock()
 	delete(n.dialing, address)
 	if err == nil {
-		n.links[address] = c
+		n.connByAddress[address] = c
 	}
 	n.mu.Unlock()
 	attempt.conn, attempt.err = c, err
@@ -184,31 +190,31 @@
 	}
 }
 
-// connect dials an address and does the handshake.
+// connect dials an address and performs the handshake.
 func (n *Node) connect(address string) (*conn, error) {
 	n.metrics.dials.Inc(1)
-	if n.client == nil && !n.opts.Cleartext {
+	if n.clientTLS == nil && !n.opts.Cleartext {
 		if err := requireLoopback(address); err != nil {
-			return nil, notRun(StepDial, address, err)
+			return nil, notRunError(StepDial, address, err)
 		}
 	}
 	dialer := net.Dialer{Timeout: n.opts.DialTimeout}
 	nc, err := dialer.DialContext(n.ctx, "tcp", address)
 	if err != nil {
-		return nil, notRun(StepDial, address, err)
+		return nil, notRunError(StepDial, address, err)
 	}
-	c, err := n.register(nc, address)
+	c, err := n.addConn(nc, address)
 	if err != nil {
 		_ = nc.Close()
-		return nil, notRun(StepDial, address, err)
+		return nil, notRunError(StepDial, address, err)
 	}
-	if err := n.greet(c); err != nil {
+	if err := n.dialHandshake(c); err != nil {
 		c.close(err)
 		var e *Error
 		if errors.As(err, &e) {
-			return nil, notRun(e.Step, address, e.Cause)
+			return nil, notRunError(e.Step, address, e.Cause)
 		}
-		return nil, notRun(StepHandshake, address, err)
+		return nil, notRunError(StepHandshake, address, err)
 	}
 	return c, nil
 }
--- a/transport/peer/helpers_test.go
+++ b/transport/peer/helpers_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testNode starts a node on loopback with periods short enough for a test.
+// testNode starts a node on loopback with intervals short enough for a test.
 func testNode(t *testing.T, name string, change func(*Options), handlers ...func(*Node)) (*Node, tally.TestScope) {
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
@@ -36,8 +36,8 @@
 		Cluster: "c", Listen: "127.0.0.1:0", Scope: scope,
 		Self:             membership.Member{Name: name, Incarnation: 1},
 		HeartbeatBusy:    40 * time.Millisecond,
-		HeartbeatTimeout: time.Second, // a busy machine stalls for less
-		ReloadEvery:      5 * time.Millisecond,
+		HeartbeatTimeout: time.Second, // longer than the stalls of a busy machine
+		ReloadInterval:   5 * time.Millisecond,
 	}
 	if change != nil {
 		change(&opts)
@@ -53,7 +53,7 @@
 	return n, scope
 }
 
-// count sums the counters whose name contains all the given parts.
+// count returns the sum of the counters whose name contains all the given parts.
 func count(scope tally.TestScope, parts ...string) (sum int64) {
 	for key, c := range scope.Snapshot().Counters() {
 		hit := true
@@ -67,36 +67,36 @@
 	return sum
 }
 
-// eventually waits for an event that has no channel; the bound only ends a
-// test that has failed.
+// eventually waits for an event that has no channel. The timeout only ends a test
+// that has failed.
 func eventually(t *testing.T, met func() bool, what string) {
 	t.Helper()
 	require.Eventually(t, met, 20*time.Second, 2*time.Millisecond, what)
 }
 
-// muteRelay passes connections on to a node. Connections that are open when it
-// is muted go silent for good; later ones work.
-type muteRelay struct {
-	listener net.Listener
-	target   string
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	muted    []*atomic.Bool
-	conns    []net.Conn
+// blackholeProxy forwards connections to a node. Connections that are open when
+// blackhole is called stay open but carry nothing from then on; later ones work.
+type blackholeProxy struct {
+	listener   net.Listener
+	target     string
+	wg         sync.WaitGroup
+	mu         sync.Mutex
+	blackholed []*atomic.Bool
+	conns      []net.Conn
 }
 
-func newMuteRelay(t *testing.T, target string) *muteRelay {
+func newBlackholeProxy(t *testing.T, target string) *blackholeProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r := &muteRelay{listener: listener, target: target}
+	r := &blackholeProxy{listener: listener, target: target}
 	r.wg.Go(r.accept)
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *muteRelay) addr() string { return r.listener.Addr().String() }
+func (r *blackholeProxy) address() string { return r.listener.Addr().String() }
 
-func (r *muteRelay) accept() {
+func (r *blackholeProxy) accept() {
 	for {
 		in, err := r.listener.Accept()
 		if err != nil {
@@ -107,42 +107,42 @@
 			_ = in.Close()
 			continue
 		}
-		muted := new(atomic.Bool)
+		blackholed := new(atomic.Bool)
 		r.mu.Lock()
-		r.muted = append(r.muted, muted)
+		r.blackholed = append(r.blackholed, blackholed)
 		r.conns = append(r.conns, in, out)
 		r.mu.Unlock()
-		r.wg.Go(func() { pipe(in, out, muted) })
-		r.wg.Go(func() { pipe(out, in, muted) })
+		r.wg.Go(func() { pipe(in, out, blackholed) })
+		r.wg.Go(func() { pipe(out, in, blackholed) })
 	}
 }
 
-// pipe copies until the source ends, and swallows what comes while muted.
-func pipe(from, to net.Conn, muted *atomic.Bool) {
+// pipe copies until the source ends, and discards the bytes while blackholed.
+func pipe(from, to net.Conn, blackholed *atomic.Bool) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			if !muted.Load() {
+			if !blackholed.Load() {
 				_ = to.Close()
 			}
 			return
 		}
-		if !muted.Load() {
+		if !blackholed.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
-func (r *muteRelay) mute() {
+func (r *blackholeProxy) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.muted {
-		m.Store(true)
+	for _, b := range r.blackholed {
+		b.Store(true)
 	}
 }
 
-func (r *muteRelay) close() {
+func (r *blackholeProxy) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	for _, c := range r.conns {
@@ -178,8 +178,9 @@
 	return a
 }
 
-// issue writes a certificate and key for an instance into a directory.
-func (a *authority) issue(t *testing.T, dir string) *Files {
+// issue writes the certificate and key of an instance, and the certificate of the
+// authority, into a directory.
+func (a *authority) issue(t *testing.T, dir string) *TLSFiles {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
@@ -191,7 +192,7 @@
 	require.NoError(t, err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
-	f := &Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
+	f := &TLSFiles{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 	writePEM(t, f.Cert, "CERTIFICATE", der)
 	writePEM(t, f.Key, "EC PRIVATE KEY", keyDER)
 	writePEM(t, f.CA, "CERTIFICATE", a.cert.Raw)
@@ -202,8 +203,8 @@
 	require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// wire encodes messages as they go over the connection.
-func wire(t *testing.T, messages ...peer.Message) []byte {
+// encode returns the frames of messages as they are sent over a connection.
+func encode(t *testing.T, messages ...peer.Message) []byte {
 	var out []byte
 	for _, m := range messages {
 		frame, err := peer.Encode(m)
@@ -213,7 +214,7 @@
 	return out
 }
 
-// readWelcome reads the answer of a handshake.
+// readWelcome reads the Welcome of a handshake.
 func readWelcome(t *testing.T, r io.Reader) *peer.Welcome {
 	body, err := peer.ReadFrame(r, peer.MaxFrame)
 	require.NoError(t, err)
--- a/transport/peer/monitor.go
+++ b/transport/peer/monitor.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// monitor looks after all connections from one goroutine, so that an idle
-// connection costs no timer of its own.
+// monitor checks all connections from one goroutine, so that an idle connection
+// needs no timer of its own. It also updates the byte counters.
 func (n *Node) monitor() {
 	period := min(n.opts.HeartbeatBusy, n.opts.HeartbeatTimeout) / 2
 	ticker := time.NewTicker(period)
@@ -23,20 +23,20 @@
 		case <-ticker.C:
 		}
 		for _, c := range n.established() {
-			c.check()
+			c.checkLiveness()
 		}
-		in = report(n.metrics.bytesIn, n.bytesIn.Load(), in)
-		out = report(n.metrics.bytesOut, n.bytesOut.Load(), out)
+		in = addGrowth(n.metrics.bytesIn, n.bytesIn.Load(), in)
+		out = addGrowth(n.metrics.bytesOut, n.bytesOut.Load(), out)
 	}
 }
 
-// report adds the growth of a total to a counter and returns the total.
-func report(counter interface{ Inc(int64) }, total, before int64) int64 {
+// addGrowth adds the growth of a total to a counter and returns the total.
+func addGrowth(counter interface{ Inc(int64) }, total, before int64) int64 {
 	counter.Inc(total - before)
 	return total
 }
 
-// established returns the connections whose handshake is done.
+// established returns the connections whose handshake is complete.
 func (n *Node) established() []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,44 +49,45 @@
 	return list
 }
 
-// check finds a connection silent or idle, or sends the heartbeat that will
-// tell.
+// checkLiveness closes a connection that is silent or idle, or sends a heartbeat
+// if one is due.
 //
-// It guards against a path that has lost track of the connection: both sockets
-// stay open, writes succeed into the kernel's buffer, and no answer ever
-// comes. TCP alone would notice after many minutes. A heartbeat that is not
-// answered in time shows it, and the close lets the next use dial anew.
-func (c *conn) check() {
+// It detects a middlebox that has dropped the state of the connection: both
+// sockets stay open, writes succeed into the kernel's buffer, and no response ever
+// arrives. TCP alone would notice after many minutes. A heartbeat without a
+// response reveals the failure, and after the close the next use dials again.
+func (c *conn) checkLiveness() {
 	opts := &c.node.opts
 	now := c.now()
-	waiting := c.waiting()
+	pending := c.pendingCount()
 	if sent := c.heartbeatSent.Load(); sent != 0 {
 		switch {
-		case c.lastIn.Load() >= sent:
+		case c.lastReceived.Load() >= sent:
 			c.heartbeatSent.Store(0)
 		case now-sent > int64(opts.HeartbeatTimeout):
-			// Forgotten, counted, ended, in this order: whoever sees the count
-			// or the end of a call gets a new connection and finds it counted.
-			c.node.forget(c)
+			// Remove, count and close in this order: a goroutine that sees the count
+			// or the end of its call gets a new connection, and one whose call has
+			// ended finds it counted.
+			c.node.removeConn(c)
 			c.node.metrics.silent.Inc(1)
-			klog.V(1).InfoS("Peer connection is silent", "peer", c.peer.Name, "address", c.remote)
+			klog.V(1).InfoS("Peer connection is silent", "peer", c.peer.Name, "address", c.remoteAddress)
 			c.close(errors.Wrapf(ErrSilent, "no answer to a heartbeat for %s", opts.HeartbeatTimeout))
 		}
 		return
 	}
-	if waiting == 0 && now-c.lastUsed.Load() > int64(opts.IdleClose) {
+	if pending == 0 && now-c.lastUsed.Load() > int64(opts.IdleTimeout) {
 		c.close(ErrIdle)
 		return
 	}
-	// A call that gave up before its heartbeat still leaves askedAt behind, or
-	// many short calls would never let a silent connection be found.
-	asked, quietSince := c.askedAt.Load(), c.lastIn.Load()
+	// unansweredSince outlives a call that gave up before a heartbeat was due.
+	// Otherwise a silent connection would never be found under many short calls.
+	unansweredSince, lastReceived := c.unansweredSince.Load(), c.lastReceived.Load()
 	interval := opts.HeartbeatIdle
-	if waiting > 0 || asked > quietSince {
+	if pending > 0 || unansweredSince > lastReceived {
 		interval = opts.HeartbeatBusy
 	}
-	if now-max(quietSince, asked) > int64(interval) {
+	if now-max(lastReceived, unansweredSince) > int64(interval) {
 		c.heartbeatSent.Store(now)
-		_ = c.post(&peer.Heartbeat{Seq: uint64(now)})
+		_ = c.enqueueDroppable(&peer.Heartbeat{Seq: uint64(now)})
 	}
 }
--- a/transport/peer/node.go
+++ b/transport/peer/node.go
@@ -15,31 +15,33 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Node is this instance's end of all connections to other instances.
+// Node manages this instance's connections to other instances.
 type Node struct {
-	opts    Options
-	creds   *credentials
-	server  *tls.Config
-	client  *tls.Config
-	metrics metrics
+	opts      Options
+	creds     *credentials
+	serverTLS *tls.Config
+	clientTLS *tls.Config
+	metrics   metrics
 
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 	listener net.Listener
-	// handlers holds a token for each handler that runs.
-	handlers chan struct{}
-	// posts holds a token for each one-way message that waits for a
+	// handlerSlots holds a token for each running handler.
+	handlerSlots chan struct{}
+	// postSlots holds a token for each message of Post that waits for a
 	// connection.
-	posts chan struct{}
+	postSlots chan struct{}
 
-	mu        sync.Mutex
-	closed    bool
-	conns     map[*conn]struct{}
-	links     map[string]*conn
-	dialing   map[string]*dialAttempt
-	methods   map[string]method
-	onMessage func(from Peer, m peer.Message)
+	mu     sync.Mutex
+	closed bool
+	// conns holds all connections, those in the handshake included.
+	conns map[*conn]struct{}
+	// connByAddress holds the connection to use for each peer address.
+	connByAddress map[string]*conn
+	dialing       map[string]*dialAttempt
+	methods       map[string]method
+	onMessage     func(from Peer, m peer.Message)
 
 	bytesIn  atomic.Int64
 	bytesOut atomic.Int64
@@ -47,48 +49,49 @@
 
 // Stats are counts since the start of a Node.
 type Stats struct {
-	// BytesIn and BytesOut are bytes on the connections, TLS included, TCP
-	// and IP headers not.
+	// BytesIn and BytesOut are the bytes received and sent on the connections,
+	// with the overhead of TLS but without TCP and IP headers.
 	BytesIn  int64
 	BytesOut int64
-	// Conns is the number of connections now.
+	// Conns is the current number of connections.
 	Conns int
 }
 
-// New checks the options and reads the TLS files.
+// New checks the options, reads the TLS files and returns a Node that does not
+// listen yet.
 func New(opts Options) (*Node, error) {
 	opts = opts.withDefaults()
 	if err := opts.validate(); err != nil {
-		return nil, fail(StepListen, opts.Listen, err)
+		return nil, wrapError(StepListen, opts.Listen, err)
 	}
 	n := &Node{
-		opts:     opts,
-		metrics:  newMetrics(opts.Scope),
-		handlers: make(chan struct{}, opts.MaxHandlers),
-		posts:    make(chan struct{}, opts.MaxPosts),
-		conns:    make(map[*conn]struct{}),
-		links:    make(map[string]*conn),
-		dialing:  make(map[string]*dialAttempt),
-		methods:  make(map[string]method),
+		opts:          opts,
+		metrics:       newMetrics(opts.Scope),
+		handlerSlots:  make(chan struct{}, opts.MaxHandlers),
+		postSlots:     make(chan struct{}, opts.MaxPendingPosts),
+		conns:         make(map[*conn]struct{}),
+		connByAddress: make(map[string]*conn),
+		dialing:       make(map[string]*dialAttempt),
+		methods:       make(map[string]method),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if opts.TLS != nil {
 		creds, err := loadCredentials(*opts.TLS)
 		if err != nil {
-			return nil, fail(StepTLS, opts.Listen, err)
+			return nil, wrapError(StepTLS, opts.Listen, err)
 		}
 		n.creds = creds
-		n.server = creds.serverConfig()
-		n.client = creds.clientConfig()
+		n.serverTLS = creds.serverConfig()
+		n.clientTLS = creds.clientConfig()
 	}
 	return n, nil
 }
 
-// Listen binds the address. Connections are accepted from Start on.
+// Listen binds the address of Options.Listen. Start accepts the connections.
 func (n *Node) Listen() error {
 	listener, err := net.Listen("tcp", n.opts.Listen)
 	if err != nil {
-		return fail(StepListen, n.opts.Listen, err)
+		return wrapError(StepListen, n.opts.Listen, err)
 	}
 	n.listener = listener
 	if n.opts.Self.Address == "" {
@@ -97,24 +100,24 @@
 	return nil
 }
 
-// Start begins to accept connections. Handlers and OnMessage are set before.
+// Start begins to accept connections. Handle and OnMessage must be called before.
 func (n *Node) Start() {
-	n.wg.Go(n.accept)
+	n.wg.Go(n.acceptLoop)
 	n.wg.Go(n.monitor)
 	if n.creds != nil {
-		n.wg.Go(func() { n.creds.watch(n.ctx, n.opts.ReloadEvery) })
+		n.wg.Go(func() { n.creds.watch(n.ctx, n.opts.ReloadInterval) })
 	}
 }
 
 // Addr returns the address that peers dial.
 func (n *Node) Addr() string { return n.opts.Self.Address }
 
-// ListenAddr returns the address that is bound, which differs from Addr where
-// an address translation stands before the instance.
+// ListenAddr returns the bound address, which differs from Addr behind network
+// address translation.
 func (n *Node) ListenAddr() string { return n.listener.Addr().String() }
 
-// OnMessage sets the receiver of one-way messages. It is called from the
-// connections' readers and must not block.
+// OnMessage sets the receiver of one-way messages. fn is called from the readers
+// of the connections and must not block.
 func (n *Node) OnMessage(fn func(from Peer, m peer.Message)) { n.onMessage = fn }
 
 // Stats returns the counts.
@@ -124,7 +127,7 @@
 	return Stats{BytesIn: n.bytesIn.Load(), BytesOut: n.bytesOut.Load(), Conns: len(n.conns)}
 }
 
-// Close ends all connections and waits for all goroutines.
+// Close closes the listener and all connections, and waits for all goroutines.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	n.closed = true
@@ -145,35 +148,35 @@
 	return err
 }
 
-// acceptPause is the wait after a failed accept.
-const acceptPause = 500 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 500 * time.Millisecond
 
-// accept takes connections until the listener is closed.
-func (n *Node) accept() {
+// acceptLoop accepts connections until the listener is closed.
+func (n *Node) acceptLoop() {
 	for {
 		nc, err := n.listener.Accept()
 		if err != nil {
 			if n.ctx.Err() != nil {
 				return
 			}
-			// Out of descriptors, for one: without a pause this loop would
-			// take a whole core until some are free again.
+			// The process may be out of file descriptors: without a delay this
+			// loop would use a whole core until some are free again.
 			klog.ErrorS(err, "Accepting a peer connection failed")
-			pause(n.ctx, acceptPause)
+			sleep(n.ctx, acceptRetryDelay)
 			continue
 		}
-		c, err := n.register(nc, "")
+		c, err := n.addConn(nc, "")
 		if err != nil {
 			n.metrics.refused(StepHandshake, err)
 			_ = nc.Close()
 			continue
 		}
-		n.wg.Go(func() { n.serve(c) })
+		n.wg.Go(func() { n.serveAccepted(c) })
 	}
 }
 
-// pause waits for a duration or for the end of the context.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or for the end of the context.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -182,20 +185,22 @@
 	}
 }
 
-// serve does the handshake of an accepted connection and reads from it.
-func (n *Node) serve(c *conn) {
-	if err := n.welcome(c); err != nil {
+// serveAccepted performs the handshake of an accepted connection and reads from
+// it until it ends.
+func (n *Node) serveAccepted(c *conn) {
+	if err := n.acceptHandshake(c); err != nil {
 		n.metrics.refused(StepHandshake, err)
-		klog.V(2).InfoS("Peer connection refused", "peer", c.remote, "err", err)
+		klog.V(2).InfoS("Peer connection refused", "peer", c.remoteAddress, "err", err)
 		c.close(err)
 		return
 	}
-	n.adopt(c)
+	n.setAddress(c)
 	c.run()
 }
 
-// register admits a new socket within the bound of connections.
-func (n *Node) register(nc net.Conn, address string) (*conn, error) {
+// addConn adds a connection over a new socket, or returns ErrBusy if there are
+// MaxConns already. dialedAddress is empty for an accepted connection.
+func (n *Node) addConn(nc net.Conn, dialedAddress string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -204,19 +209,20 @@
 	if len(n.conns) >= n.opts.MaxConns {
 		return nil, errors.Wrapf(ErrBusy, "%d connections", len(n.conns))
 	}
-	c := newConn(n, nc, address)
+	c := newConn(n, nc, dialedAddress)
 	n.conns[c] = struct{}{}
 	return c, nil
 }
 
-// adopt makes an accepted connection the link to its peer if there is none, or
-// if the present one leads to an older run at the same address.
-func (n *Node) adopt(c *conn) {
+// setAddress makes an accepted connection the one to use for its peer's address
+// if there is none. A connection to an earlier incarnation at the same address is
+// replaced and closed.
+func (n *Node) setAddress(c *conn) {
 	address := c.peer.Address
 	n.mu.Lock()
-	old := n.links[address]
+	old := n.connByAddress[address]
 	if old == nil || old.peer.Incarnation < c.peer.Incarnation {
-		n.links[address] = c
+		n.connByAddress[address] = c
 	}
 	n.mu.Unlock()
 	if old != nil && old.peer.Incarnation < c.peer.Incarnation {
@@ -224,25 +230,25 @@
 	}
 }
 
-// forget drops a closed connection.
-func (n *Node) forget(c *conn) {
+// removeConn removes a connection that is being closed from all tables.
+func (n *Node) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
-	n.unlink(c.address, c)
+	n.removeAddress(c.dialedAddress, c)
 	if c.ready.Load() {
-		n.unlink(c.peer.Address, c)
+		n.removeAddress(c.peer.Address, c)
 	}
 }
 
-// unlink drops a connection as the link to an address; n.mu is held.
-func (n *Node) unlink(address string, c *conn) {
-	if n.links[address] == c {
-		delete(n.links, address)
+// removeAddress removes c as the connection to an address; n.mu must be held.
+func (n *Node) removeAddress(address string, c *conn) {
+	if n.connByAddress[address] == c {
+		delete(n.connByAddress, address)
 	}
 }
 
-// metrics are the counters of a Node.
+// metrics holds the counters of a Node.
 type metrics struct {
 	scope    tally.Scope
 	dials    tally.Counter
@@ -253,7 +259,7 @@
 	bytesOut tally.Counter
 }
 
-// newMetrics makes the counters.
+// newMetrics creates the counters.
 func newMetrics(scope tally.Scope) metrics {
 	s := scope.SubScope("peer")
 	return metrics{
@@ -267,14 +273,14 @@
 	}
 }
 
-// refused counts a connection that was refused or broken by bad input.
+// refused counts a connection that was refused or ended by invalid input.
 func (m metrics) refused(step Step, err error) {
-	m.scope.Tagged(map[string]string{"step": string(step), "reason": reason(err)}).Counter("refused").Inc(1)
+	m.scope.Tagged(map[string]string{"step": string(step), "reason": refusalReason(err)}).Counter("refused").Inc(1)
 }
 
-// reason is the tag value of an error; the set is closed, so that bad input
-// can't grow the metrics.
-func reason(err error) string {
+// refusalReason returns the tag value of an error. The set of values is fixed, so
+// that invalid input cannot add time series to the metrics.
+func refusalReason(err error) string {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, peer.ErrFrameSize):
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -27,21 +27,22 @@
 	}, Idempotent())
 }
 
-var goodHello = peer.Hello{Version: peer.Version, Cluster: "c", Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
+var validHello = peer.Hello{Version: peer.Version, Cluster: "c", Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 
-// Something that is no instance of this cluster reaches the peer port. It must
-// be refused with a counted reason, and the node must go on serving.
-func TestBadInputOnThePort(t *testing.T) {
-	old, other, unnamed := goodHello, goodHello, goodHello
+// A client that is not an instance of this cluster connects to the peer port. It
+// must be refused, the reason must be counted, and the node must continue to serve.
+func TestInvalidInputIsRefused(t *testing.T) {
+	old, other, unnamed := validHello, validHello, validHello
 	old.Version, other.Cluster, unnamed.Name = 0, "d", ""
-	long := goodHello
+	long := validHello
 	long.CallerURL = strings.Repeat("x", 1000)
-	hello := wire(t, &goodHello)
+	hello := encode(t, &validHello)
 	after := func(b ...byte) []byte { return slices.Concat(hello, b) }
 	cases := []struct {
 		name  string
 		input []byte
-		// end closes our side after the input; else the node must end it.
+		// end closes the client's side after the input; otherwise the node must
+		// close the connection.
 		end    bool
 		code   peer.Code
 		reason string
@@ -56,12 +57,12 @@
 		{"slow before it", hello[:3], false, -1, "timeout"},
 		{"slow after it", after(0, 0, 0, 9, byte(peer.TypePing)), false, peer.CodeOK, "timeout"},
 		{"silent from the start", nil, false, -1, "timeout"},
-		{"another message first", wire(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
+		{"another message first", encode(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
 		{"a second Hello", after(hello...), false, peer.CodeOK, ""},
-		{"older version", wire(t, &old), false, peer.CodeVersion, "version"},
-		{"another cluster", wire(t, &other), false, peer.CodeCluster, "cluster"},
-		{"no name", wire(t, &unnamed), false, peer.CodeInvalid, "invalid"},
-		{"a long field", wire(t, &long), false, peer.CodeInvalid, "invalid"},
+		{"older version", encode(t, &old), false, peer.CodeVersion, "version"},
+		{"another cluster", encode(t, &other), false, peer.CodeCluster, "cluster"},
+		{"no name", encode(t, &unnamed), false, peer.CodeInvalid, "invalid"},
+		{"a long field", encode(t, &long), false, peer.CodeInvalid, "invalid"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,28 +83,28 @@
 				require.Equal(t, c.code, welcome.Code)
 				require.Equal(t, c.code != peer.CodeOK, welcome.Reason != "")
 			}
-			_, _ = io.Copy(io.Discard, nc) // until the node has closed it
+			_, _ = io.Copy(io.Discard, nc) // until the node closes the connection
 			require.NoError(t, nc.Close())
 			if c.reason != "" {
 				eventually(t, func() bool { return count(scope, "refused", "reason="+c.reason) == 1 }, "refusal is counted")
 			}
 			client, _ := testNode(t, "b", nil)
-			answer, err := client.Call(t.Context(), n.Addr(), "echo", []byte("hi"))
+			response, err := client.Call(t.Context(), n.Addr(), "echo", []byte("hi"))
 			require.NoError(t, err)
-			require.Equal(t, "b:hi", string(answer))
+			require.Equal(t, "b:hi", string(response))
 		})
 	}
 }
 
-// A peer speaks a message type of a later version. The older one must ignore
-// it and read on.
+// A peer sends a message type of a later version. The node must ignore it and
+// continue to read.
 func TestUnknownTypesAreIgnored(t *testing.T) {
 	n, scope := testNode(t, "a", nil, echo)
 	nc, err := net.Dial("tcp", n.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
-	input := append(wire(t, &goodHello), 0, 0, 0, 2, 200, 0xc0)
-	_, err = nc.Write(append(input, wire(t, &peer.Ask{ID: 4, Method: "echo"})...))
+	input := append(encode(t, &validHello), 0, 0, 0, 2, 200, 0xc0)
+	_, err = nc.Write(append(input, encode(t, &peer.Ask{ID: 4, Method: "echo"})...))
 	require.NoError(t, err)
 	require.Equal(t, peer.CodeOK, readWelcome(t, nc).Code)
 	body, err := peer.ReadFrame(nc, peer.MaxFrame)
@@ -114,9 +115,9 @@
 	require.Equal(t, int64(1), count(scope, "unknown"))
 }
 
-// boundAddress returns an address at which nobody listens and that no other process
-// can take meanwhile, as the port of a closed listener could be.
-func boundAddress(t *testing.T) string {
+// refusingAddress returns an address at which nobody listens. The port stays bound,
+// so that no other process can use it, unlike the port of a closed listener.
+func refusingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
@@ -126,12 +127,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// An error must tell the caller of a call whether it may have run, and name
-// the step and the peer.
+// The error of a call must report whether the method may have run, and name the
+// step and the peer.
 func TestCallErrors(t *testing.T) {
 	release := make(chan struct{})
 	server, _ := testNode(t, "a", func(o *Options) { o.MaxHandlers = 1 }, echo, func(n *Node) {
-		n.Handle("fail", func(context.Context, Peer, []byte) ([]byte, error) { return nil, errors.New("no luck") })
+		n.Handle("fail", func(context.Context, Peer, []byte) ([]byte, error) { return nil, errors.New("handler error") })
 		n.Handle("large", func(context.Context, Peer, []byte) ([]byte, error) { return make([]byte, peer.MaxFrame), nil })
 		n.Handle("wait", func(ctx context.Context, _ Peer, _ []byte) ([]byte, error) {
 			<-release
@@ -145,7 +146,7 @@
 		defer close(occupied)
 		_, _ = client.Call(context.Background(), server.Addr(), "wait", nil)
 	}()
-	eventually(t, func() bool { return len(server.handlers) == 1 }, "handler runs")
+	eventually(t, func() bool { return len(server.handlerSlots) == 1 }, "handler runs")
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	cases := []struct {
@@ -157,12 +158,12 @@
 		notRun                bool
 		free                  bool
 	}{
-		{name: "nobody listens", address: boundAddress(t), method: "echo", step: StepDial, notRun: true},
+		{name: "nobody listens", address: refusingAddress(t), method: "echo", step: StepDial, notRun: true},
 		{name: "beyond loopback", address: "10.1.2.3:4", method: "echo", cause: ErrCleartext, step: StepDial, notRun: true},
 		{name: "another cluster", address: foreign.Addr(), method: "echo", cause: ErrCluster, step: StepHandshake, notRun: true},
 		{name: "no such method", address: server.Addr(), method: "none", cause: ErrNoMethod, step: StepCall, notRun: true},
-		// What a cancelled call sent is refused before the next call is, and so can't
-		// take the place of a later one.
+		// The request of the cancelled call is refused before that of the next call,
+		// so it cannot occupy the handler slot of a later one.
 		{name: "cancelled", address: server.Addr(), method: "echo", ctx: cancelled, cause: context.Canceled, step: StepCall},
 		{name: "too many handlers", address: server.Addr(), method: "echo", cause: ErrBusy, step: StepCall, notRun: true},
 		{name: "request too large", address: server.Addr(), method: "echo", body: make([]byte, peer.MaxFrame), cause: peer.ErrFrameSize, step: StepCall, notRun: true},
@@ -175,7 +176,7 @@
 				close(release)
 				<-occupied
 				release = nil
-				eventually(t, func() bool { return len(server.handlers) == 0 }, "handler ended")
+				eventually(t, func() bool { return len(server.handlerSlots) == 0 }, "handler ended")
 			}
 			ctx := t.Context()
 			if c.ctx != nil {
@@ -194,10 +195,10 @@
 	}
 }
 
-// A connection between two instances goes silent: it stays open, writes
-// succeed, nothing arrives any more. New connections work. A caller would wait
-// in vain; instead the heartbeat is missed, and an idempotent call is made
-// again on a new connection, while any other ends with an unknown outcome.
+// A connection between two instances goes silent: it stays open and writes
+// succeed, but nothing arrives any more, while new connections work. Without
+// heartbeats a call would wait until its deadline. With them, an idempotent call is
+// retried on a new connection, and any other call ends with an unknown outcome.
 func TestSilentConnection(t *testing.T) {
 	runs := make(chan string, 8)
 	server, _ := testNode(t, "a", nil, func(n *Node) {
@@ -208,55 +209,55 @@
 			})
 		}
 	})
-	relay := newMuteRelay(t, server.Addr())
+	proxy := newBlackholeProxy(t, server.Addr())
 	client, scope := testNode(t, "b", nil, func(n *Node) { n.Handle("twice", nil, Idempotent()) })
-	_, err := client.Call(t.Context(), relay.addr(), "twice", nil)
+	_, err := client.Call(t.Context(), proxy.address(), "twice", nil)
 	require.NoError(t, err)
 
-	relay.mute()
-	answer, err := client.Call(t.Context(), relay.addr(), "twice", nil)
+	proxy.blackhole()
+	response, err := client.Call(t.Context(), proxy.address(), "twice", nil)
 	require.NoError(t, err)
-	require.Equal(t, "ok", string(answer))
+	require.Equal(t, "ok", string(response))
 	require.Equal(t, int64(1), count(scope, "silent_connections"))
 
-	relay.mute()
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	proxy.blackhole()
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.ErrorIs(t, err, ErrSilent)
 	var e *Error
 	require.ErrorAs(t, err, &e)
 	require.False(t, e.NotRun, "it may have run")
-	require.Len(t, runs, 2, "the mute connections delivered nothing")
+	require.Len(t, runs, 2, "the silent connections delivered nothing")
 
-	// Callers with little patience never wait for a heartbeat; the silent
-	// connection must be found all the same, after one call and under many.
-	impatient := func() bool {
+	// Calls with short deadlines end before a heartbeat is sent. The silent
+	// connection must be found all the same, after one such call and under many.
+	shortCall := func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		_, err := client.Call(ctx, relay.addr(), "once", nil)
+		_, err := client.Call(ctx, proxy.address(), "once", nil)
 		return err == nil
 	}
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.NoError(t, err)
-	relay.mute()
-	require.False(t, impatient())
+	proxy.blackhole()
+	require.False(t, shortCall())
 	eventually(t, func() bool { return count(scope, "silent_connections") == 3 }, "found after one call")
-	_, err = client.Call(t.Context(), relay.addr(), "once", nil)
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.NoError(t, err)
-	relay.mute()
-	eventually(t, impatient, "the silent connection is replaced")
+	proxy.blackhole()
+	eventually(t, shortCall, "the silent connection is replaced")
 }
 
-// A peer stops reading. What it does not take must not pile up here: the
-// oldest gossip gives way, calls are refused, and the write deadline ends the
-// connection.
+// A peer stops reading. The frames for it must not accumulate without limit: the
+// oldest droppable ones are dropped, calls are refused, and the write deadline ends
+// the connection.
 func TestQueueIsBounded(t *testing.T) {
 	q := queue{maxFrames: 3, maxBytes: 10}
 	require.True(t, q.push([]byte("ask")))
-	require.Zero(t, q.pushGossip([]byte("g1")))
-	require.Zero(t, q.pushGossip([]byte("g2")))
-	require.Equal(t, 1, q.pushGossip([]byte("g3")), "the oldest gossip goes")
+	require.Zero(t, q.pushDroppable([]byte("g1")))
+	require.Zero(t, q.pushDroppable([]byte("g2")))
+	require.Equal(t, 1, q.pushDroppable([]byte("g3")), "the oldest droppable frame is dropped")
 	require.False(t, q.push([]byte("ask")), "calls are refused")
-	require.Equal(t, 3, q.pushGossip([]byte("12345678")), "no room at all: the new one goes too")
+	require.Equal(t, 3, q.pushDroppable([]byte("12345678")), "larger than the queue: the new one is dropped too")
 	for _, want := range []string{"ask"} {
 		got, ok := q.pop()
 		require.True(t, ok)
@@ -269,66 +270,67 @@
 	nc, err := net.Dial("tcp", n.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
-	_, err = nc.Write(wire(t, &goodHello))
+	_, err = nc.Write(encode(t, &validHello))
 	require.NoError(t, err)
 	eventually(t, func() bool { return len(n.established()) == 1 }, "connected")
 	c := n.established()[0]
 	for !c.isClosed() {
-		_ = c.post(&peer.Ask{Body: make([]byte, 512<<10)})
+		_ = c.enqueueDroppable(&peer.Ask{Body: make([]byte, 512<<10)})
 	}
 	require.ErrorContains(t, context.Cause(c.ctx), "write")
 }
 
-// A process floods the port with connections. The number that is served is
-// bounded, idle ones are closed, and a restarted peer's link is replaced.
+// A process opens many connections. Their number must be bounded, and idle ones
+// must be closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	server, scope := testNode(t, "a", func(o *Options) {
 		o.MaxConns = 2
-		o.IdleClose = 30 * time.Millisecond
+		o.IdleTimeout = 30 * time.Millisecond
 	}, echo)
 	for range 3 {
 		nc, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer nc.Close()
-		_, err = nc.Write(wire(t, &goodHello))
+		_, err = nc.Write(encode(t, &validHello))
 		require.NoError(t, err)
 	}
 	eventually(t, func() bool { return count(scope, "refused", "reason=busy") == 1 }, "third one refused")
 	eventually(t, func() bool { return server.Stats().Conns == 0 }, "idle ones closed")
 }
 
-// TestFleetReachesOneInstance guards against refused peers in fleets of several hundred:
-// each instance that the holder of a duty refuses asks another one.
-func TestFleetReachesOneInstance(t *testing.T) {
+// An instance must accept a connection from each of several hundred others: all of
+// them call the holder of a fleet-wide role, and each one that is refused there calls
+// another instance instead.
+func TestInstanceAcceptsConnectionsOfTheFleet(t *testing.T) {
 	const peers = 440
 	server, scope := testNode(t, "holder", nil, echo)
-	welcomed := 0
+	accepted := 0
 	for i := range peers {
-		hello := goodHello
+		hello := validHello
 		hello.Name, hello.Address = fmt.Sprint("peer-", i), fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250+1)
 		nc, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer nc.Close()
-		_, err = nc.Write(wire(t, &hello))
+		_, err = nc.Write(encode(t, &hello))
 		require.NoError(t, err)
 		if _, err := peer.ReadFrame(nc, peer.MaxHandshakeFrame); err == nil {
-			welcomed++
+			accepted++
 		}
 	}
-	require.Equal(t, peers, welcomed)
+	require.Equal(t, peers, accepted)
 	require.Zero(t, count(scope, "refused"))
 }
 
-// An instance is started anew at its address. Messages to that address must
-// not go on into the connection of the earlier run.
-func TestNewRunReplacesTheLink(t *testing.T) {
+// An instance restarts at the same address. Messages to that address must not be
+// sent on the connection to its earlier incarnation.
+func TestNewIncarnationReplacesTheConnection(t *testing.T) {
 	n, _ := testNode(t, "a", nil)
 	dial := func(incarnation uint64) net.Conn {
-		hello := goodHello
+		hello := validHello
 		hello.Incarnation = incarnation
 		nc, err := net.Dial("tcp", n.Addr())
 		require.NoError(t, err)
-		_, err = nc.Write(wire(t, &hello))
+		_, err = nc.Write(encode(t, &hello))
 		require.NoError(t, err)
 		readWelcome(t, nc)
 		return nc
@@ -340,7 +342,7 @@
 	defer next.Close()
 	_, err := io.Copy(io.Discard, old)
 	require.NoError(t, err, "the old connection is closed")
-	require.NoError(t, n.Send(t.Context(), goodHello.Address, &membership.SyncRequest{After: "q"}))
+	require.NoError(t, n.Send(t.Context(), validHello.Address, &membership.SyncRequest{After: "q"}))
 	body, err := peer.ReadFrame(next, peer.MaxFrame)
 	require.NoError(t, err)
 	m, err := peer.Decode(body)
@@ -348,8 +350,8 @@
 	require.Equal(t, &membership.SyncRequest{After: "q"}, m)
 }
 
-// Settings without certificates name an address that others can reach: whoever
-// connects could read and forge what instances tell one another.
+// Settings without certificates name an address beyond loopback. They must be
+// refused: others could read and forge the messages between instances.
 func TestCleartextOnLoopbackOnly(t *testing.T) {
 	for _, listen := range []string{"0.0.0.0:0", "10.0.0.1:1", "[::]:0", "example.org:1", ""} {
 		_, err := New(Options{Cluster: "c", Listen: listen, Self: membership.Member{Name: "a", Incarnation: 1}})
@@ -357,19 +359,20 @@
 	}
 }
 
-// Whoever has no certificate of the CA must not become a peer, from either
-// end; a certificate that is replaced on disk is used without a restart.
+// A process without a certificate of the CA must not be accepted as a peer, neither
+// as client nor as server. Certificates that are replaced on disk must be used
+// without a restart.
 func TestMutualTLS(t *testing.T) {
 	ca, otherCA := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	files := ca.issue(t, dir)
-	secure := func(f *Files) func(*Options) { return func(o *Options) { o.TLS = f } }
+	secure := func(f *TLSFiles) func(*Options) { return func(o *Options) { o.TLS = f } }
 	server, scope := testNode(t, "a", secure(files), echo)
 	good, _ := testNode(t, "b", secure(ca.issue(t, t.TempDir())))
 	for range 2 {
-		answer, err := good.Call(t.Context(), server.Addr(), "echo", []byte("hi"))
+		response, err := good.Call(t.Context(), server.Addr(), "echo", []byte("hi"))
 		require.NoError(t, err)
-		require.Equal(t, "b:hi", string(answer))
+		require.Equal(t, "b:hi", string(response))
 	}
 
 	refused := func(client *Node) {
@@ -381,9 +384,9 @@
 	}
 	cleartext, _ := testNode(t, "c", nil)
 	refused(cleartext)
-	stranger, _ := testNode(t, "d", secure(otherCA.issue(t, t.TempDir())))
-	refused(stranger)
-	// This one trusts the server, so that the server alone has to refuse it.
+	otherAuthority, _ := testNode(t, "d", secure(otherCA.issue(t, t.TempDir())))
+	refused(otherAuthority)
+	// This client trusts the server, so that only the server can refuse it.
 	f := otherCA.issue(t, t.TempDir())
 	f.CA = ca.file
 	trusting, _ := testNode(t, "e", secure(f), echo)
@@ -397,8 +400,8 @@
 	require.NoError(t, nc.Close())
 	eventually(t, func() bool { return count(scope, "refused", "reason=tls") >= 4 }, "refusals are counted")
 
-	// The CA changes. Files that do not fit together are left alone; once they
-	// fit, old certificates are refused, on resumed sessions too.
+	// The CA changes. Files that do not match are not used. Once they match, old
+	// certificates are refused, on resumed sessions too.
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key.pem"), []byte("half written"), 0o600))
 	_, err = server.creds.reload()
 	require.Error(t, err)
@@ -406,8 +409,8 @@
 	eventually(t, func() bool {
 		return server.creds.current.Load().roots.Equal(mustRead(t, *f, otherCA.file).roots)
 	}, "files are re-read")
-	again, _ := testNode(t, "f", secure(otherCA.issue(t, t.TempDir())))
-	_, err = again.Call(t.Context(), server.Addr(), "echo", nil)
+	renewed, _ := testNode(t, "f", secure(otherCA.issue(t, t.TempDir())))
+	_, err = renewed.Call(t.Context(), server.Addr(), "echo", nil)
 	require.NoError(t, err)
 	for _, c := range good.established() {
 		c.close(ErrConnLost)
@@ -415,9 +418,9 @@
 	refused(good)
 }
 
-func mustRead(t *testing.T, f Files, ca string) *material {
+func mustRead(t *testing.T, f TLSFiles, ca string) *loadedTLSFiles {
 	f.CA = ca
-	m, err := f.read()
+	m, err := f.load()
 	require.NoError(t, err)
 	return m
 }
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -1,10 +1,10 @@
-// Package peer connects instances over framed TCP: one-way gossip and calls by
-// method name, multiplexed over kept connections.
+// Package peer connects instances over framed TCP: one-way messages and calls
+// by method name, multiplexed over persistent connections.
 //
-// Every wait and every table in it is bounded. A connection on which nothing
-// arrives is probed by a heartbeat; when that is missed the connection counts
-// as silent, is closed, and a new one is tried before the other instance
-// counts as unreachable.
+// Every wait and every table is bounded. When a connection has received nothing
+// for a while, a heartbeat is sent on it. If the heartbeat gets no response, the
+// connection counts as silent and is closed, and a new one is dialled before the
+// other instance counts as unreachable.
 package peer
 
 import (
@@ -19,61 +19,69 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Options are the settings of a Node. Zero durations and counts take the
-// defaults of DefaultOptions.
+// Options are the settings of a Node. Durations and counts that are zero take
+// the values of DefaultOptions.
 type Options struct {
-	// Cluster names the cluster; peers of another one are refused.
+	// Cluster is the name of the cluster; peers of other clusters are refused.
 	Cluster string
-	// Self describes this instance. An empty Address takes the listener's.
+	// Self describes this instance. An empty Address is replaced by the
+	// listener's address.
 	Self membership.Member
 	// Listen is the IP address and port to listen on.
 	Listen string
-	// TLS names the files for mutual TLS. Nil means cleartext, which is
-	// refused on addresses that are not loopback unless Cleartext allows it.
-	TLS       *Files
+	// TLS names the files for mutual TLS. Nil means cleartext, which is only
+	// accepted on loopback addresses unless Cleartext allows it everywhere.
+	TLS       *TLSFiles
 	Cleartext bool
 
 	DialTimeout      time.Duration
 	HandshakeTimeout time.Duration
-	// FrameTimeout bounds the time from a frame's length to its last byte.
+	// FrameTimeout bounds the time from the first to the last byte of a frame.
 	FrameTimeout time.Duration
 	WriteTimeout time.Duration
-	// CallTimeout bounds a call whose context has no deadline, and the time a
-	// handler may take.
+	// CallTimeout bounds a call whose context has no deadline, and the run time
+	// of a handler.
 	CallTimeout time.Duration
-	// HeartbeatBusy is how long nothing may arrive before a heartbeat while a
-	// call waits for its answer, HeartbeatIdle the same while none does.
+	// HeartbeatBusy is the time without received bytes after which a heartbeat
+	// is sent while calls wait for a response, HeartbeatIdle the same while none
+	// does.
 	HeartbeatBusy time.Duration
 	HeartbeatIdle time.Duration
-	// HeartbeatTimeout is how long a heartbeat waits for any sign.
+	// HeartbeatTimeout is the time after a heartbeat within which any bytes must
+	// arrive.
 	HeartbeatTimeout time.Duration
-	// IdleClose closes a connection without messages for so long.
-	IdleClose time.Duration
-	// ReloadEvery is how often the TLS files are looked at for a change.
-	ReloadEvery time.Duration
+	// IdleTimeout is the time without calls and messages after which a
+	// connection is closed.
+	IdleTimeout time.Duration
+	// ReloadInterval is the interval at which the TLS files are checked for
+	// changes.
+	ReloadInterval time.Duration
 
-	// MaxConns bounds the connections, both ways together.
+	// MaxConns bounds the connections, dialled and accepted ones together.
 	MaxConns int
-	// MaxHandlers bounds the handlers that run at once.
+	// MaxHandlers bounds the handlers that run concurrently.
 	MaxHandlers int
-	// MaxPending bounds the calls that wait on one connection.
-	MaxPending int
-	// MaxPosts bounds the one-way messages that wait for a connection.
-	MaxPosts int
-	// QueueLength and QueueBytes bound what waits to be written on one
+	// MaxPendingCalls bounds the calls that wait for a response on one
 	// connection.
+	MaxPendingCalls int
+	// MaxPendingPosts bounds the messages of Post that wait for a connection to
+	// be dialled.
+	MaxPendingPosts int
+	// QueueLength and QueueBytes bound the write queue of one connection, in
+	// frames and bytes.
 	QueueLength int
 	QueueBytes  int
 
-	// Scope takes the metrics; nil drops them.
+	// Scope receives the metrics; nil discards them.
 	Scope tally.Scope
 }
 
-// defaultMaxConns has room for two connections, one dialled from either end, with each
-// of 1,024 instances: in a fleet all of them may ask one.
+// defaultMaxConns allows two connections, one dialled from either end, with each
+// of 1,024 instances, since all instances of a fleet may call the same one.
 const defaultMaxConns = 2 * 1024
 
-// DefaultOptions returns the defaults, without cluster, self and addresses.
+// DefaultOptions returns the default durations, counts and scope. It leaves
+// Cluster, Self, Listen and TLS empty.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout:      time.Second,
@@ -84,19 +92,19 @@
 		HeartbeatBusy:    500 * time.Millisecond,
 		HeartbeatIdle:    20 * time.Second,
 		HeartbeatTimeout: 500 * time.Millisecond,
-		IdleClose:        2 * time.Minute,
-		ReloadEvery:      5 * time.Second,
+		IdleTimeout:      2 * time.Minute,
+		ReloadInterval:   5 * time.Second,
 		MaxConns:         defaultMaxConns,
 		MaxHandlers:      128,
-		MaxPending:       256,
-		MaxPosts:         64,
+		MaxPendingCalls:  256,
+		MaxPendingPosts:  64,
 		QueueLength:      64,
 		QueueBytes:       4 * peer.MaxFrame,
 		Scope:            tally.NoopScope,
 	}
 }
 
-// withDefaults fills what is zero.
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	d := DefaultOptions()
 	o.DialTimeout = cmp.Or(o.DialTimeout, d.DialTimeout)
@@ -107,12 +115,12 @@
 	o.HeartbeatBusy = cmp.Or(o.HeartbeatBusy, d.HeartbeatBusy)
 	o.HeartbeatIdle = cmp.Or(o.HeartbeatIdle, d.HeartbeatIdle)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, d.HeartbeatTimeout)
-	o.IdleClose = cmp.Or(o.IdleClose, d.IdleClose)
-	o.ReloadEvery = cmp.Or(o.ReloadEvery, d.ReloadEvery)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, d.IdleTimeout)
+	o.ReloadInterval = cmp.Or(o.ReloadInterval, d.ReloadInterval)
 	o.MaxConns = cmp.Or(o.MaxConns, d.MaxConns)
 	o.MaxHandlers = cmp.Or(o.MaxHandlers, d.MaxHandlers)
-	o.MaxPending = cmp.Or(o.MaxPending, d.MaxPending)
-	o.MaxPosts = cmp.Or(o.MaxPosts, d.MaxPosts)
+	o.MaxPendingCalls = cmp.Or(o.MaxPendingCalls, d.MaxPendingCalls)
+	o.MaxPendingPosts = cmp.Or(o.MaxPendingPosts, d.MaxPendingPosts)
 	o.QueueLength = cmp.Or(o.QueueLength, d.QueueLength)
 	o.QueueBytes = cmp.Or(o.QueueBytes, d.QueueBytes)
 	if o.Scope == nil {
@@ -121,7 +129,7 @@
 	return o
 }
 
-// validate checks what has no default.
+// validate checks the options that have no default.
 func (o Options) validate() error {
 	if o.Cluster == "" || o.Self.Name == "" || o.Self.Incarnation == 0 {
 		return errors.New("cluster, name and incarnation must be set")
@@ -132,8 +140,8 @@
 	return requireLoopback(o.Listen)
 }
 
-// requireLoopback refuses addresses that a cleartext connection must not use:
-// anyone on the path could read or forge what instances tell one another.
+// requireLoopback returns an error for addresses beyond loopback. Without TLS,
+// anyone on the path could read or forge the messages between instances.
 func requireLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -1,7 +1,6 @@
 package peer
 
-// queue holds the frames that wait to be written on one connection, bounded in
-// number and bytes.
+// queue is the write queue of one connection, bounded in frames and bytes.
 type queue struct {
 	maxFrames int
 	maxBytes  int
@@ -10,11 +9,12 @@
 }
 
 type queuedFrame struct {
-	data   []byte
-	gossip bool
+	data      []byte
+	droppable bool
 }
 
-// push adds a frame that must not be dropped, false if there is no room.
+// push adds a frame that must not be dropped. It returns false if the queue is
+// full.
 func (q *queue) push(data []byte) bool {
 	if !q.fits(data) {
 		return false
@@ -23,22 +23,22 @@
 	return true
 }
 
-// pushGossip adds a frame that newer ones make obsolete. The oldest such
-// frames give way; if there are none, the new one is dropped. It returns how
-// many were dropped.
-func (q *queue) pushGossip(data []byte) int {
+// pushDroppable adds a frame of a kind that newer ones make obsolete. The oldest
+// such frames are dropped until it fits; if none is left, the new one is dropped.
+// It returns the number of dropped frames.
+func (q *queue) pushDroppable(data []byte) int {
 	dropped := 0
 	for !q.fits(data) {
-		if !q.dropOldestGossip() {
+		if !q.dropOldest() {
 			return dropped + 1
 		}
 		dropped++
 	}
-	q.add(queuedFrame{data: data, gossip: true})
+	q.add(queuedFrame{data: data, droppable: true})
 	return dropped
 }
 
-// pop takes the oldest frame.
+// pop removes and returns the oldest frame.
 func (q *queue) pop() ([]byte, bool) {
 	if len(q.frames) == 0 {
 		return nil, false
@@ -48,7 +48,7 @@
 	return f.data, true
 }
 
-// fits tells whether a frame has room.
+// fits reports whether the queue has space for a frame.
 func (q *queue) fits(data []byte) bool {
 	return len(q.frames) < q.maxFrames && q.bytes+len(data) <= q.maxBytes
 }
@@ -58,9 +58,9 @@
 	q.bytes += len(f.data)
 }
 
-func (q *queue) dropOldestGossip() bool {
+func (q *queue) dropOldest() bool {
 	for i, f := range q.frames {
-		if f.gossip {
+		if f.droppable {
 			q.remove(i)
 			return true
 		}
