--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -39,7 +39,7 @@
 // Platform is what an adapter gives: names, formats and calls.
 type Platform struct {
 	Dialect  exchange.Dialect
-	Spelling platform.Spelling
+	Spelling platform.Codec
 	Source   follow.Source
 }
 
@@ -119,11 +119,11 @@
 	g.calls = platform.NewBudget(platform.BudgetOptions{
 		ReadsPerSecond:   s.Platform.CallsPerSecond,
 		RestartPerSecond: s.Platform.CallsPerSecond * restartShare,
-		ProbeEvery:       probeEvery,
+		MaxProbeInterval: probeEvery,
 	})
 	store := platform.New(platform.Options{
 		BaseURL: s.Platform.URL, Instance: s.Instance.Name, Timeout: s.Platform.Timeout,
-		Budget: g.calls, Spelling: p.Spelling, WatchSlack: time.Second,
+		Budget: g.calls, Codec: p.Spelling, WatchSlack: time.Second,
 	})
 	g.registrar = register.New(store, func() membership.Member { return g.self })
 	if err := g.buildCluster(); err != nil {
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -23,7 +23,7 @@
 	fixedRoutes struct{ stats routing.Stats }
 )
 
-func (c *fixedCalls) Stats() platform.Stats { return platform.Stats{Outage: c.read.Held > 0} }
+func (c *fixedCalls) Stats() platform.Stats { return platform.Stats{Outage: c.read.NotAdmitted > 0} }
 
 func (c *fixedCalls) ClassStats(class platform.Class) platform.ClassStats {
 	if class == platform.ClassRead {
@@ -41,7 +41,7 @@
 func TestSamplesFollowTheParts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	scope := tally.NewTestScope("", nil)
-	calls := &fixedCalls{read: platform.ClassStats{Sent: 9, Limited: 2, Failed: 3, Held: 4, Rate: 50}}
+	calls := &fixedCalls{read: platform.ClassStats{Sent: 9, Limited: 2, Failed: 3, NotAdmitted: 4, Rate: 50}}
 	routes := &fixedRoutes{stats: routing.Stats{Ejections: 10, Targets: []routing.TargetStats{
 		{Pool: "a", Leaving: true, Ejected: true}, {Pool: "a", Ejected: true}, {Pool: "a"}, {Pool: "b"},
 	}}}
--- a/daemon/metrics/sample.go
+++ b/daemon/metrics/sample.go
@@ -23,7 +23,7 @@
 		s.series.count(c.Sent-c.Limited-c.Failed, "platform_calls", kind, label{"result", "answered"})
 		s.series.count(c.Limited, "platform_calls", kind, label{"result", "limited"})
 		s.series.count(c.Failed, "platform_calls", kind, label{"result", "failed"})
-		s.series.count(c.Held, "platform_calls", kind, label{"result", "held"})
+		s.series.count(c.NotAdmitted, "platform_calls", kind, label{"result", "held"})
 		s.series.gauge(c.Rate, "platform_rate", kind)
 	}
 	outage := 0.0
--- a/emulator/platform/local.go
+++ b/emulator/platform/local.go
@@ -143,7 +143,7 @@
 	case f.how == FailSilence:
 		<-ctx.Done()
 	}
-	return transport.LostAnswer(call, errNoAnswer)
+	return transport.NoResponseError(call, errNoAnswer)
 }
 
 func copied(object *platformapi.Object) *platformapi.Object {
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -17,29 +17,30 @@
 	DefaultWatchSlack = 2 * time.Second
 )
 
-// patienceShare of Timeout without an answer counts against the platform. Else
-// callers with short deadlines of their own would never find it silent.
-const patienceShare = 4
+// unresponsiveDivisor sets when a missing response counts as a failure of the
+// platform: after Timeout divided by it, even if the caller gives up before Timeout.
+// Otherwise an unresponsive platform would not be detected while all callers have
+// short deadlines.
+const unresponsiveDivisor = 4
 
 // Options are the settings of a Client; zero values mean the defaults.
 type Options struct {
-	// BaseURL is the platform's address, such as "http://10.0.0.1:7000".
+	// BaseURL is the URL of the platform, such as "http://10.0.0.1:7000".
 	BaseURL string
-	// Instance is sent with each call.
+	// Instance is the name of this instance; it is sent with each call.
 	Instance string
-	// HTTP carries the calls; nil means a client of its own that speaks
-	// HTTP/1.1 alone.
+	// HTTP sends the calls; nil means a new client that uses only HTTP/1.1.
 	HTTP *http.Client
-	// Timeout bounds each call from its sending to the end of its answer.
+	// Timeout bounds each call from its start to the end of its response.
 	Timeout time.Duration
-	// WatchSlack is added to a watch's wait. A watch without an answer by then
-	// waits on a silent connection.
+	// WatchSlack is the time after the end of a watch's wait by which a response
+	// must have arrived. Without one, the connection is considered silent.
 	WatchSlack time.Duration
-	// Budget is shared by everything in the process; nil means a new one.
+	// Budget is shared by all clients of the process; nil means a new one.
 	Budget *Budget
-	// Spelling is how the platform writes paths and bodies; nil means that of
+	// Codec encodes the platform's paths and bodies; nil means the format of
 	// package platformapi.
-	Spelling Spelling
+	Codec Codec
 }
 
 // Client is a Store over HTTP.
@@ -52,7 +53,7 @@
 
 var _ Store = (*Client)(nil)
 
-// New returns a client; it makes no call yet.
+// New returns a client without making a call.
 func New(options Options) *Client {
 	options.Timeout = cmp.Or(options.Timeout, DefaultTimeout)
 	options.WatchSlack = cmp.Or(options.WatchSlack, DefaultWatchSlack)
@@ -62,8 +63,8 @@
 	if options.Budget == nil {
 		options.Budget = NewBudget(BudgetOptions{})
 	}
-	if options.Spelling == nil {
-		options.Spelling = plainSpelling{}
+	if options.Codec == nil {
+		options.Codec = defaultCodec{}
 	}
 	return &Client{
 		options: options,
@@ -75,7 +76,7 @@
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, kind, name string) (*platformapi.Object, error) {
-	return c.readObject(ctx, "get "+kind, c.options.Spelling.ObjectPath(kind, name))
+	return c.getObject(ctx, "get "+kind, c.options.Codec.ObjectPath(kind, name))
 }
 
 // List implements Store.
@@ -95,16 +96,16 @@
 
 func (c *Client) listPage(ctx context.Context, kind string, query ListQuery) (platformapi.List, error) {
 	var page platformapi.List
-	err := c.read(ctx, "list "+kind, c.options.Spelling.ListPath(kind, query), func(body []byte) (err error) {
-		page, err = c.options.Spelling.DecodeList(body)
+	err := c.read(ctx, "list "+kind, c.options.Codec.ListPath(kind, query), func(body []byte) (err error) {
+		page, err = c.options.Codec.DecodeList(body)
 		return err
 	})
 	return page, err
 }
 
-// listPages joins the pages of a list. Pages may be of different revisions. The
-// revision given back is the lowest, so that a watch from it replays every
-// change that came between two pages instead of missing it.
+// listPages reads and joins the pages of a list. Pages may have different
+// revisions. The returned revision is the lowest, so that a watch from it replays
+// the changes between two pages instead of missing them.
 func (c *Client) listPages(ctx context.Context, kind string, query ListQuery) (platformapi.List, error) {
 	var all platformapi.List
 	for first := true; ; first = false {
@@ -126,65 +127,65 @@
 
 // Create implements Store.
 func (c *Client) Create(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ListPath(kind, ListQuery{})
+	path := c.options.Codec.ListPath(kind, ListQuery{})
 	return c.write(ctx, "create "+kind, http.MethodPost, path, object)
 }
 
 // Update implements Store.
 func (c *Client) Update(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ObjectPath(kind, object.Metadata.Name)
+	path := c.options.Codec.ObjectPath(kind, object.Metadata.Name)
 	return c.write(ctx, "update "+kind, http.MethodPut, path, object)
 }
 
 // UpdateStatus implements Store.
 func (c *Client) UpdateStatus(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	path := c.options.Spelling.ObjectPath(kind, object.Metadata.Name) + "/status"
+	path := c.options.Codec.ObjectPath(kind, object.Metadata.Name) + "/status"
 	return c.write(ctx, "update status of "+kind, http.MethodPut, path, object)
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, kind, name string, revision uint64) error {
-	path := c.options.Spelling.ObjectPath(kind, name)
+	path := c.options.Codec.ObjectPath(kind, name)
 	if revision != 0 {
 		path += "?revision=" + strconv.FormatUint(revision, 10)
 	}
 	return c.do(ctx, exchange{
-		call:     Call{Step: "delete " + kind, Peer: c.base, Write: true},
-		class:    ClassWrite,
-		method:   http.MethodDelete,
-		path:     path,
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		call:              Call{Step: "delete " + kind, Peer: c.base, Write: true},
+		class:             ClassWrite,
+		method:            http.MethodDelete,
+		path:              path,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 }
 
-// Watch implements Store. While the platform is being tried again after an
-// outage it answers at once instead of waiting, see Budget.
+// Watch implements Store. A watch that is the probe after an outage returns
+// without waiting, since all other calls are held back until it ends.
 func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
 	var watch platformapi.Watch
 	err := c.do(ctx, exchange{
 		call:   Call{Step: "watch " + strings.Join(kinds, ","), Peer: c.base},
 		class:  ClassRead,
 		method: http.MethodGet,
-		path:   c.options.Spelling.WatchPath(kinds, from, wait),
-		probe:  c.options.Spelling.WatchPath(kinds, from, 0),
+		path:   c.options.Codec.WatchPath(kinds, from, wait),
+		probe:  c.options.Codec.WatchPath(kinds, from, 0),
 		decode: func(body []byte) (err error) {
-			watch, err = c.options.Spelling.DecodeWatch(kinds, body)
+			watch, err = c.options.Codec.DecodeWatch(kinds, body)
 			return err
 		},
-		timeout:  wait + c.options.WatchSlack,
-		patience: wait + c.options.WatchSlack,
+		timeout:           wait + c.options.WatchSlack,
+		unresponsiveAfter: wait + c.options.WatchSlack,
 	})
 	return watch, err
 }
 
-// Budget returns the budget of calls, for its counts.
+// Budget returns the budget of the client, for its counts.
 func (c *Client) Budget() *Budget { return c.budget }
 
-func (c *Client) readObject(ctx context.Context, step, path string) (*platformapi.Object, error) {
+func (c *Client) getObject(ctx context.Context, step, path string) (*platformapi.Object, error) {
 	var object platformapi.Object
 	err := c.read(ctx, step, path, func(body []byte) (err error) {
-		object, err = c.options.Spelling.DecodeObject(body)
+		object, err = c.options.Codec.DecodeObject(body)
 		return err
 	})
 	if err != nil {
@@ -195,13 +196,13 @@
 
 func (c *Client) read(ctx context.Context, step, path string, decode func([]byte) error) error {
 	return c.do(ctx, exchange{
-		call:     Call{Step: step, Peer: c.base},
-		class:    ClassRead,
-		method:   http.MethodGet,
-		path:     path,
-		decode:   decode,
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		call:              Call{Step: step, Peer: c.base},
+		class:             ClassRead,
+		method:            http.MethodGet,
+		path:              path,
+		decode:            decode,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 }
 
@@ -214,11 +215,11 @@
 		path:   path,
 		in:     &object,
 		decode: func(body []byte) (err error) {
-			written, err = c.options.Spelling.DecodeObject(body)
+			written, err = c.options.Codec.DecodeObject(body)
 			return err
 		},
-		timeout:  c.options.Timeout,
-		patience: c.options.Timeout / patienceShare,
+		timeout:           c.options.Timeout,
+		unresponsiveAfter: c.options.Timeout / unresponsiveDivisor,
 	})
 	if err != nil {
 		return nil, err
--- a/transport/platform/spelling.go
+++ b/transport/platform/codec.go
@@ -10,36 +10,37 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Spelling is how a platform writes the object API: its paths and its bodies.
-// What the calls mean, and what their errors tell, is the same for all.
-type Spelling interface {
-	// ListPath is the path of a kind, for lists and for new objects.
+// Codec encodes the paths and bodies of a platform's object API. The meaning of the
+// calls and of their errors is the same for all codecs.
+type Codec interface {
+	// ListPath returns the path of a kind, for lists and for new objects.
 	ListPath(kind string, q ListQuery) string
 	ObjectPath(kind, name string) string
 	WatchPath(kinds []string, from uint64, wait time.Duration) string
 	EncodeObject(o platformapi.Object) ([]byte, error)
 	DecodeObject(body []byte) (platformapi.Object, error)
 	DecodeList(body []byte) (platformapi.List, error)
-	// DecodeWatch reads the changes that a watch of kinds was answered with.
+	// DecodeWatch decodes the response to a watch of kinds.
 	DecodeWatch(kinds []string, body []byte) (platformapi.Watch, error)
-	// DecodeConflict reads the object of a conflict; nil if there is none.
+	// DecodeConflict returns the current object from the response to a write
+	// that conflicted; nil if there is none.
 	DecodeConflict(body []byte) *platformapi.Object
 }
 
-// ListQuery narrows a list.
+// ListQuery holds the parameters of a list.
 type ListQuery struct {
-	// After continues a list behind a name.
+	// After is the name after which the list begins; empty means at the start.
 	After string
-	// Limit bounds the objects of the page; 0 is the platform's own bound.
+	// Limit bounds the objects of the page; 0 means the platform's page size.
 	Limit int
-	// Stale lets the platform answer from the past.
+	// Stale allows the platform to return an older state.
 	Stale bool
 }
 
-// plainSpelling is that of package platformapi.
-type plainSpelling struct{}
+// defaultCodec is the Codec of the format of package platformapi.
+type defaultCodec struct{}
 
-func (plainSpelling) ListPath(kind string, q ListQuery) string {
+func (defaultCodec) ListPath(kind string, q ListQuery) string {
 	query := url.Values{}
 	if q.Stale {
 		query.Set("stale", "1")
@@ -57,11 +58,11 @@
 	return path + "?" + query.Encode()
 }
 
-func (plainSpelling) ObjectPath(kind, name string) string {
+func (defaultCodec) ObjectPath(kind, name string) string {
 	return platformapi.PathObjects + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (plainSpelling) WatchPath(kinds []string, from uint64, wait time.Duration) string {
+func (defaultCodec) WatchPath(kinds []string, from uint64, wait time.Duration) string {
 	query := url.Values{
 		"kinds":   {strings.Join(kinds, ",")},
 		"watch":   {strconv.FormatUint(from, 10)},
@@ -70,24 +71,24 @@
 	return platformapi.PathObjects + platformapi.KindAny + "?" + query.Encode()
 }
 
-func (plainSpelling) EncodeObject(o platformapi.Object) ([]byte, error) { return json.Marshal(o) }
+func (defaultCodec) EncodeObject(o platformapi.Object) ([]byte, error) { return json.Marshal(o) }
 
-func (plainSpelling) DecodeObject(body []byte) (o platformapi.Object, err error) {
+func (defaultCodec) DecodeObject(body []byte) (o platformapi.Object, err error) {
 	err = json.Unmarshal(body, &o)
 	return o, err
 }
 
-func (plainSpelling) DecodeList(body []byte) (l platformapi.List, err error) {
+func (defaultCodec) DecodeList(body []byte) (l platformapi.List, err error) {
 	err = json.Unmarshal(body, &l)
 	return l, err
 }
 
-func (plainSpelling) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
+func (defaultCodec) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
 	err = json.Unmarshal(body, &w)
 	return w, err
 }
 
-func (plainSpelling) DecodeConflict(body []byte) *platformapi.Object {
+func (defaultCodec) DecodeConflict(body []byte) *platformapi.Object {
 	var conflict platformapi.Conflict
 	if json.Unmarshal(body, &conflict) != nil {
 		return nil
--- a/transport/platform/contract_test.go
+++ b/transport/platform/contract_test.go
@@ -17,8 +17,8 @@
 
 const kind = platformapi.KindAccounts
 
-// TestWriteContract writes against a store that holds "a" at revision 1 and "b"
-// at revision 2, both with spec {"v":1} and status {"s":1}.
+// TestWriteContract makes each kind of write to a store that holds "a" at revision 1
+// and "b" at revision 2, both with spec {"v":1} and status {"s":1}.
 func TestWriteContract(t *testing.T) {
 	ctx := context.Background()
 	type step func(s platform.Store) (*platformapi.Object, error)
@@ -45,7 +45,7 @@
 		step     step
 		want     string
 		revision uint64 // of the store afterwards
-		spec     string // of "a" afterwards, when it differs
+		spec     string // of "a" afterwards, if it changed
 		status   string
 	}{
 		"create":                    {create(kind, object("c", `{}`)), "done", 3, "", ""},
@@ -101,7 +101,8 @@
 	return fallback
 }
 
-// TestListPages reads a kind of more than two pages whole and in order.
+// TestListPages lists a kind of more than two pages. The list must be complete and in
+// order.
 func TestListPages(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		const count = 2*platformapi.MaxPageItems + 1
@@ -119,8 +120,8 @@
 	})
 }
 
-// TestWatchContract follows one watch over two kinds from before a change to
-// after a deletion, and one whose wait ends without a change.
+// TestWatchContract watches two kinds across a creation and a deletion, until a wait
+// ends without a change.
 func TestWatchContract(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		kinds := []string{platformapi.KindAccounts, platformapi.KindTiers}
@@ -153,13 +154,13 @@
 		require.Empty(t, watch.Events)
 		require.Equal(t, 10*time.Second, time.Since(start))
 		_, err = s.Watch(t.Context(), kinds, 99, time.Second)
-		require.Equal(t, "compacted", class(err), "a store that began anew can't go on")
+		require.Equal(t, "compacted", class(err), "a store that was reset has no history after that revision")
 	})
 }
 
-// TestTargetsLag shows a target to readers only after the lag, in the order of
-// the changes: ready, leaving, gone.
-func TestTargetsLag(t *testing.T) {
+// TestTargetChangesAppearAfterTheLag changes a target from ready to leaving to
+// removed. Readers must see the changes in that order, and only after the lag.
+func TestTargetChangesAppearAfterTheLag(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		watch := func(from uint64, wait time.Duration) platformapi.Watch {
 			w, err := s.Watch(t.Context(), []string{platformapi.KindTargets}, from, wait)
--- a/transport/platform/errors.go
+++ b/transport/platform/errors.go
@@ -12,36 +12,38 @@
 
 // Causes inside a *CallError.
 var (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("object not found")
-	// ErrCompacted says that the watch's history is gone: list again.
+	// ErrCompacted means that the platform no longer has the history of the
+	// watch; the caller must list again.
 	ErrCompacted = errors.New("history is gone")
-	// ErrTooLarge says that the value exceeds platformapi.MaxValueBytes.
+	// ErrTooLarge means that the value exceeds platformapi.MaxValueBytes.
 	ErrTooLarge = errors.New("value too large")
-	// ErrRefused says that the platform doesn't accept the call as it is.
+	// ErrRefused means that the platform does not accept the call, for example
+	// because it is invalid or not permitted.
 	ErrRefused = errors.New("call refused")
 )
 
-// Causes inside an *UnavailableError that never left the process.
+// Causes inside an *UnavailableError of a call that was not sent.
 var (
-	// ErrOutage says that calls are held back because the last ones failed.
+	// ErrOutage means that calls are held back because the last ones failed.
 	ErrOutage = errors.New("calls are held back after failures")
-	// ErrBudget says that the wait for the budget of calls would be too long.
+	// ErrBudget means that the call would have to wait too long for the budget.
 	ErrBudget = errors.New("budget of calls is spent")
 )
 
-// Call names a call in errors: its step, such as "update claims", and its peer.
-// The object's name stays out, since it may derive from a caller's key.
+// Call identifies a call in errors: its step, such as "update claims", and its peer.
+// It does not contain the object's name, which may derive from a caller's key.
 type Call struct {
 	Step string
 	Peer string
-	// Write is true for calls that may change the store.
+	// Write is true if the call may change the store.
 	Write bool
 }
 
 func (c Call) String() string { return fmt.Sprintf("%s at %s", c.Step, c.Peer) }
 
-// CallError is a definite answer of the platform; nothing was done.
+// CallError means that the platform definitely refused the call; nothing was done.
 type CallError struct {
 	Call Call
 	Err  error
@@ -52,19 +54,20 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// ConflictError says that a write's condition didn't hold; nothing was done.
+// ConflictError means that the condition of a write did not hold; nothing was done.
 type ConflictError struct {
 	Call Call
-	// Current is the object as it is now; nil when the answer had none.
+	// Current is the current object; nil if the response did not contain it.
 	Current *platformapi.Object
 }
 
 func (e *ConflictError) Error() string { return fmt.Sprintf("%s: conflict", e.Call) }
 
-// UnavailableError says that the platform couldn't be asked; nothing was done.
+// UnavailableError means that the platform could not execute the call; nothing was
+// done.
 type UnavailableError struct {
 	Call Call
-	// RetryAfter is the least time before another try, 0 when unknown.
+	// RetryAfter is the minimum time before a retry, 0 if unknown.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -76,8 +79,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// UnknownEffectError says that a write's answer was lost: the write may have
-// been done, or may be done later. Read back before relying on either.
+// UnknownEffectError means that a write got no valid response: it may have been
+// done, or may be done later. The caller must read the object to find out.
 type UnknownEffectError struct {
 	Call Call
 	Err  error
@@ -90,18 +93,18 @@
 // Unwrap returns the cause.
 func (e *UnknownEffectError) Unwrap() error { return e.Err }
 
-// LostAnswer is the error of a call that was sent and got no answer. A read
-// changes nothing, so only a write's effect is unknown.
-func LostAnswer(call Call, cause error) error {
+// NoResponseError returns the error of a call that was sent and got no valid
+// response. A read changes nothing, so the effect is unknown only for a write.
+func NoResponseError(call Call, cause error) error {
 	if call.Write {
 		return &UnknownEffectError{Call: call, Err: cause}
 	}
 	return &UnavailableError{Call: call, Err: cause}
 }
 
-// StatusError is the error of an HTTP answer other than success. The contract
-// promises for 429, 503 and the other refusals below that nothing was done; any
-// other status may come from a hop behind which the write went on.
+// StatusError returns the error of an HTTP response other than success. The contract
+// guarantees for 429, 503 and the other refusals below that nothing was done. Any
+// other status may come from a proxy that had already forwarded the write.
 func StatusError(call Call, status int, retryAfter time.Duration, current *platformapi.Object) error {
 	switch status {
 	case http.StatusConflict:
@@ -119,5 +122,5 @@
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusUnauthorized, http.StatusMethodNotAllowed:
 		return &CallError{Call: call, Err: errors.Wrapf(ErrRefused, "status %d", status)}
 	}
-	return LostAnswer(call, errors.Newf("status %d", status))
+	return NoResponseError(call, errors.Newf("status %d", status))
 }
--- a/transport/platform/exchange.go
+++ b/transport/platform/exchange.go
@@ -17,34 +17,34 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// maxAnswerBytes bounds an answer: a page and the one item that may exceed it,
-// with room for the envelope.
-const maxAnswerBytes = platformapi.MaxPageBytes + 4*platformapi.MaxValueBytes
+// maxResponseBytes bounds the body of a response: a page, the one item that may
+// exceed it, and the envelope.
+const maxResponseBytes = platformapi.MaxPageBytes + 4*platformapi.MaxValueBytes
 
-// idleTimeout closes connections that nothing has used for so long.
+// idleTimeout is the time after which unused connections are closed.
 const idleTimeout = 30 * time.Second
 
-// Times of connections to the platform. A watch waits on one that says nothing
-// for seconds; the probes tell within three of them that something on the way has
-// lost track of it.
+// Settings of the connections to the platform. The connection of a waiting watch
+// carries no data for seconds. TCP keep-alive probes detect within three seconds that
+// a middlebox has dropped its state.
 const (
-	connectTimeout  = time.Second
-	keepAliveEvery  = time.Second
-	keepAliveMissed = 2
+	connectTimeout    = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// maxRetryAfterSeconds bounds the wait that an answer may ask for.
+// maxRetryAfterSeconds bounds the wait that a response may require.
 const maxRetryAfterSeconds = 60
 
-// NewTransport returns the transport of a client's own. It speaks HTTP/1.1
-// alone: there, a call that timed out closes its connection, while HTTP/2 would
-// go on sending calls into a connection that has gone silent.
+// NewTransport returns a transport for calls to the platform. It uses only HTTP/1.1,
+// where a call that times out closes its connection. HTTP/2 would continue to send
+// calls on a connection that has gone silent.
 func NewTransport() *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	dialer := net.Dialer{
 		Timeout:         connectTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveMissed},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	return &http.Transport{
 		Protocols:           protocols,
@@ -54,7 +54,7 @@
 	}
 }
 
-// exchange is one call and its answer.
+// exchange describes one HTTP call and how to handle its response.
 type exchange struct {
 	call   Call
 	class  Class
@@ -64,16 +64,16 @@
 	// empty means path.
 	probe string
 	in    *platformapi.Object
-	// decode takes in the body of a success; nil drops it.
+	// decode reads the body of a successful response; nil discards it.
 	decode  func(body []byte) error
 	timeout time.Duration
-	// patience is how long an answer may be missing before that counts against
-	// the platform, even if the caller gave up before timeout.
-	patience time.Duration
+	// unresponsiveAfter is the time without a response after which the call counts
+	// as a failure of the platform, even if the caller gave up before timeout.
+	unresponsiveAfter time.Duration
 }
 
-// NewHTTPClient returns a client over transport that gives back a redirect as
-// the answer: following one would send a write a second time.
+// NewHTTPClient returns a client over transport that does not follow redirects:
+// following one would send a write a second time.
 func NewHTTPClient(transport http.RoundTripper) *http.Client {
 	return &http.Client{
 		Transport: transport,
@@ -83,15 +83,17 @@
 	}
 }
 
-// ending is the end of a call without a whole answer.
-type ending struct {
-	err    error
-	sent   bool
-	after  time.Duration
-	gaveUp bool
+// incompleteCall describes a call that ended without a complete response.
+type incompleteCall struct {
+	err error
+	// sent is true if the call may have reached the platform.
+	sent         bool
+	elapsed      time.Duration
+	callerGaveUp bool
 }
 
-// do takes the call from the budget, carries it out and reports how it went.
+// do waits for the budget to admit the call, sends it and reports its result to
+// the budget.
 func (c *Client) do(ctx context.Context, x exchange) error {
 	permit, err := c.budget.acquire(ctx, x.class)
 	if err != nil {
@@ -101,51 +103,52 @@
 		x.path = x.probe
 	}
 	result, err := c.send(ctx, x)
-	permit.done(result)
+	permit.release(result)
 	return err
 }
 
-// unavailable is the error of a call that the budget didn't let out.
+// unavailable returns the error of a call that the budget did not admit.
 func unavailable(call Call, err error) error {
-	var held *heldError
-	if errors.As(err, &held) {
-		return &UnavailableError{Call: call, RetryAfter: held.retryAfter, Err: held.cause}
+	var notAdmitted *notAdmittedError
+	if errors.As(err, &notAdmitted) {
+		return &UnavailableError{Call: call, RetryAfter: notAdmitted.retryAfter, Err: notAdmitted.cause}
 	}
 	return &UnavailableError{Call: call, Err: err}
 }
 
-// send carries out one exchange within its time limit.
-func (c *Client) send(ctx context.Context, x exchange) (result, error) {
+// send sends the request of an exchange and handles its response, within the
+// exchange's timeout.
+func (c *Client) send(ctx context.Context, x exchange) (callResult, error) {
 	start := time.Now()
 	limited, cancel := context.WithTimeout(ctx, x.timeout)
 	defer cancel()
 
-	// The call counts as sent once it holds a connection. A later mark would be
-	// wrong: the transport may still write after it has returned the error.
+	// The call counts as sent once it has a connection. A later event would be too
+	// late, because the transport may still write after it has returned the error.
 	var sent atomic.Bool
 	traced := httptrace.WithClientTrace(limited, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	request, err := c.newRequest(traced, x)
 	if err != nil {
-		return result{outcome: outcomeNeutral}, &CallError{Call: x.call, Err: errors.Wrapf(ErrRefused, "build request: %v", err)}
+		return callResult{outcome: outcomeNeutral}, &CallError{Call: x.call, Err: errors.Wrapf(ErrRefused, "build request: %v", err)}
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return c.failed(x, ending{err: err, sent: sent.Load(), after: time.Since(start), gaveUp: ctx.Err() != nil})
+		return c.classifyIncomplete(x, incompleteCall{err: err, sent: sent.Load(), elapsed: time.Since(start), callerGaveUp: ctx.Err() != nil})
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return c.failed(x, ending{err: err, sent: true, after: time.Since(start), gaveUp: ctx.Err() != nil})
+		return c.classifyIncomplete(x, incompleteCall{err: err, sent: true, elapsed: time.Since(start), callerGaveUp: ctx.Err() != nil})
 	}
-	return c.readAnswer(x, response, body)
+	return c.decodeResponse(x, response, body)
 }
 
 func (c *Client) newRequest(ctx context.Context, x exchange) (*http.Request, error) {
 	var body io.Reader
 	if x.in != nil {
-		encoded, err := c.options.Spelling.EncodeObject(*x.in)
+		encoded, err := c.options.Codec.EncodeObject(*x.in)
 		if err != nil {
 			return nil, err
 		}
@@ -162,26 +165,28 @@
 	return request, nil
 }
 
-// failed classifies a call without a whole answer.
-func (c *Client) failed(x exchange, e ending) (result, error) {
-	r := result{outcome: outcomeFailed}
-	if e.gaveUp && e.after < x.patience {
-		// The caller gave up early: that says nothing about the platform.
+// classifyIncomplete returns the result and the error of a call that ended without a
+// complete response.
+func (c *Client) classifyIncomplete(x exchange, e incompleteCall) (callResult, error) {
+	r := callResult{outcome: outcomeFailed}
+	if e.callerGaveUp && e.elapsed < x.unresponsiveAfter {
+		// The caller gave up early, which does not mean that the platform failed.
 		r.outcome = outcomeNeutral
 	}
-	if e.after >= x.patience {
-		// A timeout may mean that a middlebox forgot our connections: they stay
-		// open, and each takes one more call down with it. Idle ones of the same
-		// age are likely gone too, so the next calls connect anew.
+	if e.elapsed >= x.unresponsiveAfter {
+		// A timeout may mean that a middlebox has dropped the state of our
+		// connections: they stay open, and one call fails on each of them. Idle
+		// connections of the same age are probably affected too, so close them and
+		// let the next calls connect again.
 		c.http.CloseIdleConnections()
 	}
 	if !e.sent {
 		return r, &UnavailableError{Call: x.call, Err: withoutURL(e.err)}
 	}
-	return r, LostAnswer(x.call, withoutURL(e.err))
+	return r, NoResponseError(x.call, withoutURL(e.err))
 }
 
-// withoutURL takes the URL off an error, since it holds the object's name.
+// withoutURL removes the URL from an error, since it contains the object's name.
 func withoutURL(err error) error {
 	var located *url.Error
 	if errors.As(err, &located) {
@@ -190,33 +195,33 @@
 	return err
 }
 
-// readAnswer decodes a whole answer.
-func (c *Client) readAnswer(x exchange, response *http.Response, body []byte) (result, error) {
+// decodeResponse returns the result and the error of a call with a complete response.
+func (c *Client) decodeResponse(x exchange, response *http.Response, body []byte) (callResult, error) {
 	if response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices {
-		return readSuccess(x, body)
+		return decodeSuccess(x, body)
 	}
 	retryAfter := parseRetryAfter(response.Header.Get("Retry-After"))
 	var current *platformapi.Object
 	if response.StatusCode == http.StatusConflict {
-		// A body that doesn't decode leaves current nil: it is still a conflict.
-		current = c.options.Spelling.DecodeConflict(body)
+		// If the body cannot be decoded, current is nil: it is still a conflict.
+		current = c.options.Codec.DecodeConflict(body)
 	}
 	err := StatusError(x.call, response.StatusCode, retryAfter, current)
-	return result{outcome: outcomeOf(response.StatusCode), retryAfter: retryAfter}, err
+	return callResult{outcome: outcomeOf(response.StatusCode), retryAfter: retryAfter}, err
 }
 
-// readSuccess decodes the body of a success. One that doesn't decode leaves the
-// result unknown, although the platform is up.
-func readSuccess(x exchange, body []byte) (result, error) {
-	ok := result{outcome: outcomeOK}
-	if len(body) > maxAnswerBytes {
-		return ok, LostAnswer(x.call, errors.Newf("answer over %d bytes", maxAnswerBytes))
+// decodeSuccess decodes the body of a successful response. If that fails, the effect
+// of the call is unknown, but the platform counts as available.
+func decodeSuccess(x exchange, body []byte) (callResult, error) {
+	ok := callResult{outcome: outcomeOK}
+	if len(body) > maxResponseBytes {
+		return ok, NoResponseError(x.call, errors.Newf("answer over %d bytes", maxResponseBytes))
 	}
 	if x.decode == nil {
 		return ok, nil
 	}
 	if err := x.decode(body); err != nil {
-		return ok, LostAnswer(x.call, errors.Wrap(err, "decode answer"))
+		return ok, NoResponseError(x.call, errors.Wrap(err, "decode answer"))
 	}
 	return ok, nil
 }
@@ -224,7 +229,7 @@
 func outcomeOf(status int) outcome {
 	switch {
 	case status == http.StatusTooManyRequests:
-		return outcomeLimited
+		return outcomeRateLimited
 	case status >= http.StatusInternalServerError:
 		return outcomeFailed
 	default:
@@ -232,11 +237,13 @@
 	}
 }
 
-// parseRetryAfter reads a Retry-After in seconds; 0 when there is none.
+// parseRetryAfter parses a Retry-After header in seconds. It returns 0 if there is no
+// valid one.
 //
-// Guard: a wrong value, perhaps of a hop before the platform, would hold back all
-// calls of this instance for years, or overflow the duration. The bound has the
-// platform asked again within minutes.
+// The value is bounded by maxRetryAfterSeconds. A wrong value, for example from a
+// proxy in front of the platform, would otherwise hold back all calls of this instance
+// for years, or overflow the duration. With the bound, the platform is called again
+// within minutes.
 func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.Atoi(header)
 	if err != nil || seconds < 0 {
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -16,8 +16,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// TestFaults puts each fault against each kind of call. The object's spec goes
-// from 1 to 2 at revision 2, then the fault sets in; the write under it tries 3.
+// TestFaults makes each kind of call under each fault. The object's spec changes from
+// 1 to 2 at revision 2, then the fault begins, and a write tries to set it to 3.
 func TestFaults(t *testing.T) {
 	const (
 		at2, at3 = "2", "3"
@@ -26,9 +26,9 @@
 	for name, c := range map[string]struct {
 		faults             emulator.Faults
 		read, write, watch string
-		readSpec           string // what the read sees when it is done
-		events             int    // of the watch from revision 1, when done
-		soon, later        string // the spec in truth right after the write, and in the end
+		readSpec           string // the spec that a successful read returns
+		events             int    // number of events of a successful watch from revision 1
+		soon, later        string // the stored spec right after the write, and at the end
 	}{
 		"none":             {emulator.Faults{}, "done", "done", "done", at2, 2, at3, at3},
 		"slow":             {emulator.Faults{LatencyMS: 900}, "done", "done", "done", at2, 2, at3, at3},
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
-				truth := func() string {
+				storedSpec := func() string {
 					faults := e.Faults()
 					e.SetFaults(emulator.Faults{})
 					defer e.SetFaults(faults)
@@ -70,20 +70,20 @@
 				}
 				_, err = s.Update(t.Context(), kind, object("a", "3"))
 				require.Equal(t, c.write, class(err))
-				require.Equal(t, c.soon, truth())
+				require.Equal(t, c.soon, storedSpec())
 				w, err := s.Watch(t.Context(), []string{kind}, 1, time.Second)
 				require.Equal(t, c.watch, class(err))
 				require.Len(t, w.Events, c.events)
 				time.Sleep(lateMS * time.Millisecond) // virtual
 				synctest.Wait()
-				require.Equal(t, c.later, truth())
+				require.Equal(t, c.later, storedSpec())
 			})
 		})
 	}
 }
 
-// TestOutageBreaksWaitingWatch: the platform goes down while a watch waits. The
-// watch must end then, and not at the end of its wait.
+// TestOutageBreaksWaitingWatch stops the platform while a watch waits. The watch must
+// end immediately instead of at the end of its wait.
 func TestOutageBreaksWaitingWatch(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		ended := make(chan error, 1)
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestSkippedEvent: the feed of a waiting watch drops the only event there is.
-// The watch goes on waiting and sees the next change, but never the dropped one.
+// TestSkippedEvent drops the only event of a waiting watch. The watch continues to
+// wait and returns the next change, but never the dropped one.
 func TestSkippedEvent(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		e.SetFaults(emulator.Faults{SkipEvents: 1})
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestRateLimits: the limits hold for all callers together, and a call over them
-// is refused before any effect, with a time to come back.
+// TestRateLimits checks that the limits apply to all callers together, and that a call
+// above them is refused without any effect and with a time for the retry.
 func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{WritesPerSecond: 20, ReadsPerSecond: 10})
@@ -143,22 +143,21 @@
 	})
 }
 
-// TestSilentConnections: every open connection goes silent for good while new
-// ones work, as when a middlebox between the two ends forgets them. A caller
-// sees one call time out; without the guard each idle connection takes one more
-// call down with it.
+// TestSilentConnections makes every open connection permanently silent while new ones
+// work, as if a middlebox had dropped their state. Only one call may time out: if the
+// idle connections were not closed, one more call would fail on each of them.
 func TestSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
-		client, wire := serve(t, e.Handler())
+		client, network := serve(t, e.Handler())
 		e.SetFaults(emulator.Faults{LatencyMS: 10})
-		for range 3 { // three at once leave three idle connections
+		for range 3 { // three concurrent calls leave three idle connections
 			go func() { _, _ = client.List(t.Context(), kind) }()
 		}
 		time.Sleep(timeout) // virtual
 		synctest.Wait()
-		require.EqualValues(t, 3, wire.dials.Load())
-		wire.forget()
+		require.EqualValues(t, 3, network.dials.Load())
+		network.silenceOpenConns()
 
 		start := time.Now()
 		_, err := client.Create(t.Context(), kind, object("a", "1"))
@@ -166,20 +165,20 @@
 		require.Equal(t, timeout, time.Since(start))
 		_, err = client.List(t.Context(), kind)
 		require.NoError(t, err)
-		require.EqualValues(t, 4, wire.dials.Load())
+		require.EqualValues(t, 4, network.dials.Load())
 	})
 }
 
-// TestSilentWatch: the connection of a waiting watch goes silent. The platform's
-// later changes never arrive; the watch must end soon after its wait and say so,
-// or the instance would follow nothing for ever.
+// TestSilentWatch sends a watch on a connection that has gone silent, so that no change
+// ever arrives. The watch must end soon after its wait with an error, or the instance
+// would never see another change.
 func TestSilentWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
-		client, wire := serve(t, e.Handler())
+		client, network := serve(t, e.Handler())
 		_, err := client.List(t.Context(), kind)
 		require.NoError(t, err)
-		wire.forget()
+		network.silenceOpenConns()
 		start := time.Now()
 		_, err = client.Watch(t.Context(), []string{kind}, 0, 20*time.Second)
 		require.Equal(t, "nothing done", class(err))
@@ -187,9 +186,9 @@
 	})
 }
 
-// TestShortDeadlines: the platform is silent, and all callers give up before the
-// client's own time limit. That must count as an outage; a caller that gives up
-// at once must not.
+// TestShortDeadlines checks calls to a silent platform whose callers all give up before
+// the client's timeout. They must count as an outage, unless the callers give up almost
+// immediately.
 func TestShortDeadlines(t *testing.T) {
 	for _, c := range []struct {
 		deadline time.Duration
@@ -210,12 +209,12 @@
 	}
 }
 
-// TestNoConnection: a write that found no connection wasn't done; calling its
-// effect unknown would make the caller read back what can't exist.
+// TestNoConnection checks that a write without a connection counts as not done. With an
+// unknown effect, the caller would read back an object that cannot exist.
 func TestNoConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, wire := serve(t, http.NotFoundHandler())
-		wire.refusing.Store(true)
+		client, network := serve(t, http.NotFoundHandler())
+		network.refusing.Store(true)
 		_, err := client.Update(t.Context(), kind, object("secret-key", "1"))
 		require.Equal(t, "nothing done", class(err))
 		require.NotContains(t, err.Error(), "secret-key")
@@ -223,8 +222,8 @@
 	})
 }
 
-// TestStatuses: only the refusals that the contract names mean that a write
-// wasn't done. A redirect must not be followed: it would send the write twice.
+// TestStatuses checks that only the refusals named in the contract mean that a write
+// was not done. A redirect must not be followed: it would send the write twice.
 func TestStatuses(t *testing.T) {
 	for status, want := range map[int]string{
 		200: "done", 307: "unknown", 400: "refused", 403: "refused", 404: "not found", 408: "unknown", 409: "conflict",
@@ -248,17 +247,17 @@
 	}
 }
 
-// TestEndlessRetryAfter: a hop before the platform answers 429 or 503 with a
-// Retry-After of years, or of more than a duration holds. No record would reach
-// the instance until it is replaced, or the overflow ends its process. Calls must
-// go out again within minutes.
-func TestEndlessRetryAfter(t *testing.T) {
+// TestExcessiveRetryAfterIsBounded has a proxy in front of the platform return 429 or
+// 503 with a Retry-After of years, or of more than a duration can hold. Without a bound,
+// no record would reach the instance until it is replaced, or the overflow would end its
+// process. Calls must be sent again within minutes.
+func TestExcessiveRetryAfterIsBounded(t *testing.T) {
 	for _, status := range []int{429, 503} {
 		for _, seconds := range []string{"1000000000", "9300000000", "99999999999999999999"} {
 			synctest.Test(t, func(t *testing.T) {
-				var well atomic.Bool
+				var healthy atomic.Bool
 				client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-					if !well.Load() {
+					if !healthy.Load() {
 						w.Header().Set("Retry-After", seconds)
 						w.WriteHeader(status)
 					}
@@ -268,7 +267,7 @@
 					_, err := client.Get(t.Context(), kind, "a")
 					require.Equal(t, "nothing done", class(err))
 				}
-				well.Store(true)
+				healthy.Store(true)
 				time.Sleep(2 * time.Minute) // virtual
 				_, err := client.Get(t.Context(), kind, "a")
 				require.NoError(t, err, "%d, %s s", status, seconds)
@@ -277,9 +276,9 @@
 	}
 }
 
-// TestChangeBetweenPages: an object changes while its kind is listed, after its
-// page was read. A watch from the last page's revision would miss the change and
-// the instance keep the old object; the list must give the first page's.
+// TestChangeBetweenPages changes an object while its kind is listed, after its page was
+// read. A watch from the revision of the last page would miss the change, and the
+// instance would keep the old object. The list must have the revision of the first page.
 func TestChangeBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -295,8 +294,9 @@
 	})
 }
 
-// TestCutAnswer: an answer that is cut or no JSON leaves a write unknown.
-func TestCutAnswer(t *testing.T) {
+// TestTruncatedResponse checks that the effect of a write is unknown if its response is
+// truncated JSON.
+func TestTruncatedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(`{"metadata":`))
@@ -308,10 +308,10 @@
 	})
 }
 
-// TestReturnFromOutage: after failures, calls are refused at once and nothing is
-// sent; then a single probe goes out. Here it is a watch: if it waited, every
-// other call would be held back for as long.
-func TestReturnFromOutage(t *testing.T) {
+// TestRecoveryFromOutage checks that after failures calls are refused immediately and
+// nothing is sent, until a single probe is. Here the probe is a watch: if it waited, all
+// other calls would be held back for that time.
+func TestRecoveryFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
 		client, _ := serve(t, e.Handler())
@@ -321,10 +321,10 @@
 			require.Equal(t, "nothing done", class(err))
 		}
 		require.EqualValues(t, 3, e.Calls().Reads)
-		require.Equal(t, platform.Stats{Sent: 3, Failed: 3, Held: 7, Outage: true}, client.Budget().Stats())
+		require.Equal(t, platform.Stats{Sent: 3, Failed: 3, NotAdmitted: 7, Outage: true}, client.Budget().Stats())
 		reads, writes := client.Budget().ClassStats(platform.ClassRead), client.Budget().ClassStats(platform.ClassWrite)
-		require.Equal(t, [3]uint64{3, 3, 7}, [3]uint64{reads.Sent, reads.Failed, reads.Held})
-		require.Equal(t, platform.ClassStats{Rate: 10_000}, writes, "what the rig sets")
+		require.Equal(t, [3]uint64{3, 3, 7}, [3]uint64{reads.Sent, reads.Failed, reads.NotAdmitted})
+		require.Equal(t, platform.ClassStats{Rate: 10_000}, writes, "the rate that the test client sets")
 		e.SetFaults(emulator.Faults{})
 		time.Sleep(5 * time.Second) // virtual
 		start := time.Now()
--- a/transport/platform/harness_test.go
+++ b/transport/platform/harness_test.go
@@ -25,62 +25,64 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// wire joins a client and a server by net.Pipe, so that HTTP runs in virtual
-// time. It can refuse to connect, and make the open connections go silent.
-type wire struct {
+// pipeNetwork connects a client and a server by net.Pipe, so that HTTP runs in virtual
+// time. It can refuse connections, and make the open ones silent.
+type pipeNetwork struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	closing  sync.Once
 	refusing atomic.Bool
-	age      atomic.Int64
-	dials    atomic.Int64
+	// generation counts the calls of silenceOpenConns. What the client writes on a
+	// connection of an earlier generation is discarded.
+	generation atomic.Int64
+	dials      atomic.Int64
 }
 
-type wireConn struct {
+type pipeConn struct {
 	net.Conn
-	wire *wire
-	age  int64
+	network    *pipeNetwork
+	generation int64
 }
 
-func (c *wireConn) Write(p []byte) (int, error) {
-	if c.age < c.wire.age.Load() {
+func (c *pipeConn) Write(p []byte) (int, error) {
+	if c.generation < c.network.generation.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (w *wire) dial(context.Context, string, string) (net.Conn, error) {
-	if w.refusing.Load() {
+func (n *pipeNetwork) dial(context.Context, string, string) (net.Conn, error) {
+	if n.refusing.Load() {
 		return nil, errors.New("connection refused")
 	}
-	w.dials.Add(1)
+	n.dials.Add(1)
 	near, far := net.Pipe()
-	w.accepted <- far
-	return &wireConn{Conn: near, wire: w, age: w.age.Load()}, nil
+	n.accepted <- far
+	return &pipeConn{Conn: near, network: n, generation: n.generation.Load()}, nil
 }
 
-// forget makes the connections open now silent for good.
-func (w *wire) forget() { w.age.Add(1) }
+// silenceOpenConns makes all open connections permanently silent.
+func (n *pipeNetwork) silenceOpenConns() { n.generation.Add(1) }
 
-func (w *wire) Accept() (net.Conn, error) {
+func (n *pipeNetwork) Accept() (net.Conn, error) {
 	select {
-	case conn := <-w.accepted:
+	case conn := <-n.accepted:
 		return conn, nil
-	case <-w.closed:
+	case <-n.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (w *wire) Close() error   { w.closing.Do(func() { close(w.closed) }); return nil }
-func (w *wire) Addr() net.Addr { return &net.IPAddr{} }
+func (n *pipeNetwork) Close() error   { n.closing.Do(func() { close(n.closed) }); return nil }
+func (n *pipeNetwork) Addr() net.Addr { return &net.IPAddr{} }
 
-// serve starts a server for handler in the test's bubble and returns a client.
-func serve(t *testing.T, handler http.Handler) (*platform.Client, *wire) {
-	w := &wire{accepted: make(chan net.Conn), closed: make(chan struct{})}
+// serve starts a server for handler in the test's synctest bubble and returns a client.
+func serve(t *testing.T, handler http.Handler) (*platform.Client, *pipeNetwork) {
+	network := &pipeNetwork{accepted: make(chan net.Conn), closed: make(chan struct{})}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(w) }()
+	go func() { _ = server.Serve(network) }()
 	transport := platform.NewTransport()
-	transport.DialContext = w.dial
+	transport.DialContext = network.dial
 	client := platform.New(platform.Options{
 		BaseURL:  "http://platform",
 		Instance: instance,
@@ -92,7 +94,7 @@
 		transport.CloseIdleConnections()
 		_ = server.Close()
 	})
-	return client, w
+	return client, network
 }
 
 // eachStore runs a test in virtual time against both implementations.
@@ -117,7 +119,7 @@
 	return platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: []byte(spec)}
 }
 
-// class names what an error says about a call.
+// class returns what an error reports about the effect of a call.
 func class(err error) string {
 	var unavailable *platform.UnavailableError
 	var unknown *platform.UnknownEffectError
--- a/transport/platform/share.go
+++ b/transport/platform/share.go
@@ -4,18 +4,18 @@
 
 type waitShareKey struct{}
 
-// WithWaitShare bounds the wait of the calls under ctx for the budget to a share
+// WithWaitShare returns a context whose calls wait for the budget at most for a share
 // of MaxWait, 0 to 1.
 //
-// Guard: calls wait in one line, first come first served. Without a share a burst
-// of requests of a low tier books the whole line, and claims of the highest tier
-// are refused as often as theirs. Calls with a smaller share stop booking earlier,
-// so that the rest of the line stays free for those with a greater one.
+// Calls wait in a single first-in-first-out queue. Without a share, a burst of
+// requests of a low tier would fill the whole queue, and claims of the highest tier
+// would be refused as often as those of the low one. Calls with a smaller share are
+// refused earlier, so that the remaining queue stays free for those with a larger one.
 func WithWaitShare(ctx context.Context, share float64) context.Context {
 	return context.WithValue(ctx, waitShareKey{}, min(max(share, 0), 1))
 }
 
-// waitShare is the share of ctx; without one it is the whole.
+// waitShare returns the share that is set in ctx, or 1 if none is set.
 func waitShare(ctx context.Context) float64 {
 	if share, ok := ctx.Value(waitShareKey{}).(float64); ok {
 		return share
--- a/transport/platform/sockets_test.go
+++ b/transport/platform/sockets_test.go
@@ -11,9 +11,9 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// TestSockets calls the stand-in over TLS on loopback, where the server offers
-// HTTP/2. A call that times out there leaves its connection in use, and if that
-// has gone silent every later call times out too; so HTTP/1.1 must be spoken.
+// TestSockets calls the emulator over TLS on loopback, where the server offers HTTP/2.
+// The client must use HTTP/1.1: with HTTP/2, a call that times out leaves its connection
+// in use, and if that connection is silent, every later call times out too.
 func TestSockets(t *testing.T) {
 	e := emulator.New(emulator.Options{})
 	handler := e.Handler()
