--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -16,29 +16,32 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Peer is the other end of a connection.
+// Peer is the instance at the other end of a connection.
 type Peer struct {
 	membership.Member
 	conn *conn
 }
 
-// Reply sends a one-way message on the connection that the peer used, which is
-// known to carry at least one way.
+// Reply sends a one-way message on the connection that the peer used. That
+// connection is known to work in at least one direction.
 func (p Peer) Reply(m peer.Message) error {
 	return p.conn.enqueueDroppable(m)
 }
 
-// conn is one connection. Its reader runs in run, its writer beside it.
+// conn is one connection. The goroutine of run reads from it, that of writeLoop
+// writes to it.
 type conn struct {
 	node *Node
-	// address is what was dialled, empty for an accepted connection.
+	// dialedAddress is empty for an accepted connection.
 	dialedAddress string
 	remoteAddress string
-	// sock is the bare socket, nc what is read and written: sock or TLS on it.
+	// socket is the TCP connection; nc is the stream that carries the frames:
+	// socket itself, or TLS over it.
 	socket net.Conn
 	nc     net.Conn
 	reader *bufio.Reader
-	// peer is set by the handshake, before any other goroutine sees conn.
+	// peer is set by the handshake. Other goroutines read it only once ready is
+	// set.
 	peer Peer
 
 	ctx    context.Context
@@ -50,22 +53,28 @@
 	pending map[uint64]chan *peer.Answer
 	nextID  uint64
 
-	// ready is set when the handshake is done; peer may be read after it.
+	// ready is set when the handshake is complete.
 	ready atomic.Bool
 
-	// Times are in nanoseconds since started.
-	started         time.Time
-	lastReceived    atomic.Int64
-	lastUsed        atomic.Int64
+	// The times below are in nanoseconds since started.
+	started time.Time
+	// lastReceived is when bytes last arrived.
+	lastReceived atomic.Int64
+	// lastUsed is when a call was last made or a message other than a heartbeat
+	// last arrived.
+	lastUsed atomic.Int64
+	// unansweredSince is the start of the first call after lastReceived. It is at
+	// or before lastReceived if there was none.
 	unansweredSince atomic.Int64
-	heartbeatSent   atomic.Int64
+	// heartbeatSent is when the pending heartbeat was sent; 0 if none is pending.
+	heartbeatSent atomic.Int64
 }
 
-// newConn wraps a socket.
-func newConn(n *Node, nc net.Conn, address string) *conn {
+// newConn returns a conn over a socket, before its handshake.
+func newConn(n *Node, nc net.Conn, dialedAddress string) *conn {
 	c := &conn{
 		node:          n,
-		dialedAddress: address,
+		dialedAddress: dialedAddress,
 		remoteAddress: nc.RemoteAddr().String(),
 		wake:          make(chan struct{}, 1),
 		pending:       make(map[uint64]chan *peer.Answer),
@@ -79,34 +88,36 @@
 	return c
 }
 
-// setTLS reads and writes through TLS from now on.
+// useTLS makes t the stream that carries the frames.
 func (c *conn) useTLS(t *tls.Conn) {
 	c.nc = t
 	c.reader = bufio.NewReader(t)
 }
 
-// setPeer notes who the handshake found.
+// setPeer stores the peer found by the handshake and marks the connection as
+// ready.
 func (c *conn) setPeer(h peer.Hello) {
 	c.peer = Peer{Member: h.Member(), conn: c}
 	c.ready.Store(true)
 }
 
-// now returns the nanoseconds since the connection's start, never 0.
+// now returns the nanoseconds since started; at least 1, since 0 means that no
+// heartbeat is pending.
 func (c *conn) now() int64 { return max(int64(time.Since(c.started)), 1) }
 
-// isClosed tells whether the connection is of no more use.
+// isClosed reports whether the connection is closed.
 func (c *conn) isClosed() bool { return c.ctx.Err() != nil }
 
-// close ends the connection; the first cause is kept.
+// close closes the connection; only the first cause is kept.
 func (c *conn) close(cause error) {
-	// Forgotten first: a call that came between the end and the forgetting would
-	// be given the connection that has just been found silent.
+	// Remove it from the node first: a call between the close and the removal
+	// would otherwise get a connection that has just been found silent.
 	c.node.removeConn(c)
 	c.cancel(cause)
 	_ = c.socket.Close()
 }
 
-// cause returns why the connection ended.
+// closeCause returns the error of a call whose connection was closed.
 func (c *conn) closeCause() error {
 	err := context.Cause(c.ctx)
 	if errors.Is(err, ErrSilent) || errors.Is(err, ErrClosed) {
@@ -115,7 +126,8 @@
 	return errors.Wrapf(ErrConnLost, "%v", err)
 }
 
-// run reads until the connection ends.
+// run starts the writer, then reads and dispatches messages until the connection
+// ends.
 func (c *conn) run() {
 	c.node.wg.Go(c.writeLoop)
 	for {
@@ -132,7 +144,8 @@
 	}
 }
 
-// ended closes the connection after a failed read and counts bad input.
+// closeAfterRead closes the connection after a failed read. It counts invalid
+// input and connections that broke off, but not an orderly end by the peer.
 func (c *conn) closeAfterRead(err error) {
 	orderly := errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 	if !c.isClosed() && !orderly {
@@ -141,9 +154,9 @@
 	c.close(wrapError(StepRead, c.remoteAddress, err))
 }
 
-// read returns the next message. A frame that has begun must end within
-// FrameTimeout: a sender that dribbles bytes would otherwise hold its place
-// for ever, since each byte counts as a sign of life.
+// read returns the next message. Once the first byte of a frame has arrived, the
+// rest must follow within FrameTimeout: a sender of single bytes could otherwise
+// keep its connection for ever, since each byte updates lastReceived.
 func (c *conn) read(limit int) (peer.Message, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
@@ -166,13 +179,13 @@
 	return peer.Decode(body)
 }
 
-// dispatch hands a message on.
+// dispatch passes a message to its receiver.
 func (c *conn) dispatch(m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Heartbeat:
 		_ = c.enqueueDroppable(&peer.HeartbeatAck{Seq: m.Seq})
 	case *peer.HeartbeatAck:
-		// Its arrival was the sign; lastIn has it.
+		// lastReceived was updated when its bytes arrived.
 	case *peer.Hello, *peer.Welcome:
 		c.close(errors.Wrapf(ErrInvalid, "%T after the handshake", m))
 	case *peer.Ask:
@@ -189,7 +202,7 @@
 	}
 }
 
-// writeNow writes a message of the handshake, before the writer runs.
+// writeHandshake writes a message of the handshake, before writeLoop runs.
 func (c *conn) writeHandshake(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -199,8 +212,8 @@
 	return err
 }
 
-// post queues a one-way message; the oldest one gives way when the queue is
-// full.
+// enqueueDroppable queues a one-way message for writing. When the queue is full,
+// the oldest droppable messages are dropped to make space.
 func (c *conn) enqueueDroppable(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -214,8 +227,8 @@
 	return nil
 }
 
-// enqueue queues a message that must not be dropped, or says that there is no
-// room.
+// enqueue queues a message that must not be dropped. It returns ErrBusy if the
+// queue is full.
 func (c *conn) enqueue(m peer.Message) error {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -231,7 +244,7 @@
 	return nil
 }
 
-// signal wakes the writer.
+// wakeWriter makes writeLoop look at the queue.
 func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -239,8 +252,8 @@
 	}
 }
 
-// writeLoop writes queued frames. A peer that does not read makes the write
-// miss its deadline, which closes the connection.
+// writeLoop writes queued frames. If the peer does not read, a write misses its
+// deadline and the connection is closed.
 func (c *conn) writeLoop() {
 	for {
 		select {
@@ -255,7 +268,7 @@
 	}
 }
 
-// flush writes what is queued.
+// flush writes frames until the queue is empty.
 func (c *conn) flush() error {
 	for {
 		c.mu.Lock()
@@ -273,7 +286,7 @@
 	}
 }
 
-// countedConn counts the bytes of a socket and notes when some arrive.
+// countingConn counts the bytes of a socket and records when some arrive.
 type countingConn struct {
 	net.Conn
 	conn *conn
--- a/transport/peer/handshake.go
+++ b/transport/peer/handshake.go
@@ -12,13 +12,13 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// errTLS marks a failed TLS handshake.
+// errTLS marks the errors of failed TLS handshakes.
 var errTLS = errors.New("TLS handshake failed")
 
-// maxNameLength bounds each text of a Hello, in bytes.
+// maxNameLength bounds each string of a Hello, in bytes.
 const maxNameLength = 256
 
-// hello describes this instance.
+// localHello returns the Hello that describes this instance.
 func (n *Node) localHello() peer.Hello {
 	self := n.opts.Self
 	return peer.Hello{
@@ -33,8 +33,9 @@
 	}
 }
 
-// welcome does the accepting end's handshake. All of it shares one deadline,
-// so that a slow or mute client holds its place for a bounded time only.
+// acceptHandshake performs the handshake on an accepted connection. The whole
+// handshake has one deadline, so that a slow or silent client occupies one of the
+// MaxConns connections for a bounded time only.
 func (n *Node) acceptHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
@@ -50,19 +51,20 @@
 	if !ok {
 		return errors.Wrapf(ErrInvalid, "first message is %T", m)
 	}
-	answer := &peer.Welcome{Hello: n.localHello()}
-	answer.Code, answer.Reason = n.validateHello(hello)
-	if err := c.writeHandshake(answer); err != nil {
+	welcome := &peer.Welcome{Hello: n.localHello()}
+	welcome.Code, welcome.Reason = n.validateHello(hello)
+	if err := c.writeHandshake(welcome); err != nil {
 		return err
 	}
-	if answer.Code != peer.CodeOK {
-		return codeError(answer.Code, answer.Reason)
+	if welcome.Code != peer.CodeOK {
+		return codeError(welcome.Code, welcome.Reason)
 	}
 	c.setPeer(*hello)
 	return c.nc.SetDeadline(time.Time{})
 }
 
-// judge says whether a Hello is accepted.
+// validateHello returns CodeOK if the Hello is acceptable, or else the code and
+// the reason of the refusal.
 func (n *Node) validateHello(h *peer.Hello) (peer.Code, string) {
 	if h.Version < peer.MinVersion {
 		return peer.CodeVersion, fmt.Sprintf("version %d is older than %d, the oldest spoken here", h.Version, peer.MinVersion)
@@ -81,7 +83,7 @@
 	return peer.CodeOK, ""
 }
 
-// greet does the dialling end's handshake.
+// dialHandshake performs the handshake on a dialled connection.
 func (n *Node) dialHandshake(c *conn) error {
 	if err := c.nc.SetDeadline(time.Now().Add(n.opts.HandshakeTimeout)); err != nil {
 		return err
@@ -97,21 +99,22 @@
 	if err != nil {
 		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	answer, ok := m.(*peer.Welcome)
+	welcome, ok := m.(*peer.Welcome)
 	if !ok {
 		return wrapError(StepHandshake, c.dialedAddress, errors.Wrapf(ErrInvalid, "answer is %T", m))
 	}
-	if err := codeError(answer.Code, answer.Reason); err != nil {
+	if err := codeError(welcome.Code, welcome.Reason); err != nil {
 		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	if err := codeError(n.validateHello(&answer.Hello)); err != nil {
+	if err := codeError(n.validateHello(&welcome.Hello)); err != nil {
 		return wrapError(StepHandshake, c.dialedAddress, err)
 	}
-	c.setPeer(answer.Hello)
+	c.setPeer(welcome.Hello)
 	return c.nc.SetDeadline(time.Time{})
 }
 
-// startTLS wraps a connection in TLS, or checks that cleartext may be used.
+// startTLS performs the TLS handshake, or checks that cleartext is allowed if TLS
+// is not configured.
 func (n *Node) startTLS(c *conn, config *tls.Config, wrap func(net.Conn, *tls.Config) *tls.Conn) error {
 	if config == nil {
 		if n.opts.Cleartext {
@@ -120,7 +123,8 @@
 		return requireLoopback(c.nc.RemoteAddr().String())
 	}
 	if c.dialedAddress != "" {
-		// The name is only the key of the session cache.
+		// ServerName is only used as the key of the session cache; verify
+		// compares no host names.
 		config = config.Clone()
 		config.ServerName = c.dialedAddress
 	}
@@ -134,15 +138,16 @@
 	return nil
 }
 
-// dialAttempt is one dial that all who need the address wait for.
+// dialAttempt is a dial in progress, shared by all callers that need a
+// connection to the address. conn and err are set before done is closed.
 type dialAttempt struct {
 	done chan struct{}
 	conn *conn
 	err  error
 }
 
-// link returns the connection to an address and dials if there is none, or if
-// a fresh one is asked for.
+// connTo returns the connection to an address. It dials if there is none, or if
+// fresh is set.
 func (n *Node) connTo(ctx context.Context, address string, fresh bool) (*conn, error) {
 	n.mu.Lock()
 	if n.closed {
@@ -168,7 +173,8 @@
 	}
 }
 
-// dial makes a connection, becomes the address's link and reads from it.
+// dial establishes a connection, makes it the connection to its address, and
+// reads from it until it ends.
 func (n *Node) dial(address string, attempt *dialAttempt) {
 	c, err := n.connect(address)
 	n.mu.Lock()
@@ -184,7 +190,7 @@
 	}
 }
 
-// connect dials an address and does the handshake.
+// connect dials an address and performs the handshake.
 func (n *Node) connect(address string) (*conn, error) {
 	n.metrics.dials.Inc(1)
 	if n.clientTLS == nil && !n.opts.Cleartext {
--- a/transport/peer/node.go
+++ b/transport/peer/node.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Node is this instance's end of all connections to other instances.
+// Node manages this instance's connections to other instances.
 type Node struct {
 	opts      Options
 	creds     *credentials
@@ -27,15 +27,17 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 	listener net.Listener
-	// handlers holds a token for each handler that runs.
+	// handlerSlots holds a token for each running handler.
 	handlerSlots chan struct{}
-	// posts holds a token for each one-way message that waits for a
+	// postSlots holds a token for each message of Post that waits for a
 	// connection.
 	postSlots chan struct{}
 
-	mu            sync.Mutex
-	closed        bool
-	conns         map[*conn]struct{}
+	mu     sync.Mutex
+	closed bool
+	// conns holds all connections, those in the handshake included.
+	conns map[*conn]struct{}
+	// connByAddress holds the connection to use for each peer address.
 	connByAddress map[string]*conn
 	dialing       map[string]*dialAttempt
 	methods       map[string]method
@@ -47,15 +49,16 @@
 
 // Stats are counts since the start of a Node.
 type Stats struct {
-	// BytesIn and BytesOut are bytes on the connections, TLS included, TCP
-	// and IP headers not.
+	// BytesIn and BytesOut are the bytes received and sent on the connections,
+	// with the overhead of TLS but without TCP and IP headers.
 	BytesIn  int64
 	BytesOut int64
-	// Conns is the number of connections now.
+	// Conns is the current number of connections.
 	Conns int
 }
 
-// New checks the options and reads the TLS files.
+// New checks the options, reads the TLS files and returns a Node that does not
+// listen yet.
 func New(opts Options) (*Node, error) {
 	opts = opts.withDefaults()
 	if err := opts.validate(); err != nil {
@@ -84,7 +87,7 @@
 	return n, nil
 }
 
-// Listen binds the address. Connections are accepted from Start on.
+// Listen binds the address of Options.Listen. Start accepts the connections.
 func (n *Node) Listen() error {
 	listener, err := net.Listen("tcp", n.opts.Listen)
 	if err != nil {
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// Start begins to accept connections. Handlers and OnMessage are set before.
+// Start begins to accept connections. Handle and OnMessage must be called before.
 func (n *Node) Start() {
 	n.wg.Go(n.acceptLoop)
 	n.wg.Go(n.monitor)
@@ -109,12 +112,12 @@
 // Addr returns the address that peers dial.
 func (n *Node) Addr() string { return n.opts.Self.Address }
 
-// ListenAddr returns the address that is bound, which differs from Addr where
-// an address translation stands before the instance.
+// ListenAddr returns the bound address, which differs from Addr behind network
+// address translation.
 func (n *Node) ListenAddr() string { return n.listener.Addr().String() }
 
-// OnMessage sets the receiver of one-way messages. It is called from the
-// connections' readers and must not block.
+// OnMessage sets the receiver of one-way messages. fn is called from the readers
+// of the connections and must not block.
 func (n *Node) OnMessage(fn func(from Peer, m peer.Message)) { n.onMessage = fn }
 
 // Stats returns the counts.
@@ -124,7 +127,7 @@
 	return Stats{BytesIn: n.bytesIn.Load(), BytesOut: n.bytesOut.Load(), Conns: len(n.conns)}
 }
 
-// Close ends all connections and waits for all goroutines.
+// Close closes the listener and all connections, and waits for all goroutines.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	n.closed = true
@@ -145,10 +148,10 @@
 	return err
 }
 
-// acceptPause is the wait after a failed accept.
+// acceptRetryDelay is the delay after a failed accept.
 const acceptRetryDelay = 500 * time.Millisecond
 
-// accept takes connections until the listener is closed.
+// acceptLoop accepts connections until the listener is closed.
 func (n *Node) acceptLoop() {
 	for {
 		nc, err := n.listener.Accept()
@@ -156,8 +159,8 @@
 			if n.ctx.Err() != nil {
 				return
 			}
-			// Out of descriptors, for one: without a pause this loop would
-			// take a whole core until some are free again.
+			// The process may be out of file descriptors: without a delay this
+			// loop would use a whole core until some are free again.
 			klog.ErrorS(err, "Accepting a peer connection failed")
 			sleep(n.ctx, acceptRetryDelay)
 			continue
@@ -172,7 +175,7 @@
 	}
 }
 
-// pause waits for a duration or for the end of the context.
+// sleep waits for a duration or for the end of the context.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -182,7 +185,8 @@
 	}
 }
 
-// serve does the handshake of an accepted connection and reads from it.
+// serveAccepted performs the handshake of an accepted connection and reads from
+// it until it ends.
 func (n *Node) serveAccepted(c *conn) {
 	if err := n.acceptHandshake(c); err != nil {
 		n.metrics.refused(StepHandshake, err)
@@ -194,8 +198,9 @@
 	c.run()
 }
 
-// register admits a new socket within the bound of connections.
-func (n *Node) addConn(nc net.Conn, address string) (*conn, error) {
+// addConn adds a connection over a new socket, or returns ErrBusy if there are
+// MaxConns already. dialedAddress is empty for an accepted connection.
+func (n *Node) addConn(nc net.Conn, dialedAddress string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -204,13 +209,14 @@
 	if len(n.conns) >= n.opts.MaxConns {
 		return nil, errors.Wrapf(ErrBusy, "%d connections", len(n.conns))
 	}
-	c := newConn(n, nc, address)
+	c := newConn(n, nc, dialedAddress)
 	n.conns[c] = struct{}{}
 	return c, nil
 }
 
-// adopt makes an accepted connection the link to its peer if there is none, or
-// if the present one leads to an older run at the same address.
+// setAddress makes an accepted connection the one to use for its peer's address
+// if there is none. A connection to an earlier incarnation at the same address is
+// replaced and closed.
 func (n *Node) setAddress(c *conn) {
 	address := c.peer.Address
 	n.mu.Lock()
@@ -224,7 +230,7 @@
 	}
 }
 
-// forget drops a closed connection.
+// removeConn removes a connection that is being closed from all tables.
 func (n *Node) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -235,14 +241,14 @@
 	}
 }
 
-// unlink drops a connection as the link to an address; n.mu is held.
+// removeAddress removes c as the connection to an address; n.mu must be held.
 func (n *Node) removeAddress(address string, c *conn) {
 	if n.connByAddress[address] == c {
 		delete(n.connByAddress, address)
 	}
 }
 
-// metrics are the counters of a Node.
+// metrics holds the counters of a Node.
 type metrics struct {
 	scope    tally.Scope
 	dials    tally.Counter
@@ -253,7 +259,7 @@
 	bytesOut tally.Counter
 }
 
-// newMetrics makes the counters.
+// newMetrics creates the counters.
 func newMetrics(scope tally.Scope) metrics {
 	s := scope.SubScope("peer")
 	return metrics{
@@ -267,13 +273,13 @@
 	}
 }
 
-// refused counts a connection that was refused or broken by bad input.
+// refused counts a connection that was refused or ended by invalid input.
 func (m metrics) refused(step Step, err error) {
 	m.scope.Tagged(map[string]string{"step": string(step), "reason": refusalReason(err)}).Counter("refused").Inc(1)
 }
 
-// reason is the tag value of an error; the set is closed, so that bad input
-// can't grow the metrics.
+// refusalReason returns the tag value of an error. The set of values is fixed, so
+// that invalid input cannot add time series to the metrics.
 func refusalReason(err error) string {
 	var netErr net.Error
 	switch {
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -29,8 +29,8 @@
 
 var validHello = peer.Hello{Version: peer.Version, Cluster: "c", Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 
-// Something that is no instance of this cluster reaches the peer port. It must
-// be refused with a counted reason, and the node must go on serving.
+// A client that is not an instance of this cluster connects to the peer port. It
+// must be refused, the reason must be counted, and the node must continue to serve.
 func TestInvalidInputIsRefused(t *testing.T) {
 	old, other, unnamed := validHello, validHello, validHello
 	old.Version, other.Cluster, unnamed.Name = 0, "d", ""
@@ -41,7 +41,8 @@
 	cases := []struct {
 		name  string
 		input []byte
-		// end closes our side after the input; else the node must end it.
+		// end closes the client's side after the input; otherwise the node must
+		// close the connection.
 		end    bool
 		code   peer.Code
 		reason string
@@ -82,21 +83,21 @@
 				require.Equal(t, c.code, welcome.Code)
 				require.Equal(t, c.code != peer.CodeOK, welcome.Reason != "")
 			}
-			_, _ = io.Copy(io.Discard, nc) // until the node has closed it
+			_, _ = io.Copy(io.Discard, nc) // until the node closes the connection
 			require.NoError(t, nc.Close())
 			if c.reason != "" {
 				eventually(t, func() bool { return count(scope, "refused", "reason="+c.reason) == 1 }, "refusal is counted")
 			}
 			client, _ := testNode(t, "b", nil)
-			answer, err := client.Call(t.Context(), n.Addr(), "echo", []byte("hi"))
+			response, err := client.Call(t.Context(), n.Addr(), "echo", []byte("hi"))
 			require.NoError(t, err)
-			require.Equal(t, "b:hi", string(answer))
+			require.Equal(t, "b:hi", string(response))
 		})
 	}
 }
 
-// A peer speaks a message type of a later version. The older one must ignore
-// it and read on.
+// A peer sends a message type of a later version. The node must ignore it and
+// continue to read.
 func TestUnknownTypesAreIgnored(t *testing.T) {
 	n, scope := testNode(t, "a", nil, echo)
 	nc, err := net.Dial("tcp", n.Addr())
@@ -114,8 +115,8 @@
 	require.Equal(t, int64(1), count(scope, "unknown"))
 }
 
-// boundAddress returns an address at which nobody listens and that no other process
-// can take meanwhile, as the port of a closed listener could be.
+// refusingAddress returns an address at which nobody listens. The port stays bound,
+// so that no other process can use it, unlike the port of a closed listener.
 func refusingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -126,12 +127,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// An error must tell the caller of a call whether it may have run, and name
-// the step and the peer.
+// The error of a call must report whether the method may have run, and name the
+// step and the peer.
 func TestCallErrors(t *testing.T) {
 	release := make(chan struct{})
 	server, _ := testNode(t, "a", func(o *Options) { o.MaxHandlers = 1 }, echo, func(n *Node) {
-		n.Handle("fail", func(context.Context, Peer, []byte) ([]byte, error) { return nil, errors.New("no luck") })
+		n.Handle("fail", func(context.Context, Peer, []byte) ([]byte, error) { return nil, errors.New("handler error") })
 		n.Handle("large", func(context.Context, Peer, []byte) ([]byte, error) { return make([]byte, peer.MaxFrame), nil })
 		n.Handle("wait", func(ctx context.Context, _ Peer, _ []byte) ([]byte, error) {
 			<-release
@@ -161,8 +162,8 @@
 		{name: "beyond loopback", address: "10.1.2.3:4", method: "echo", cause: ErrCleartext, step: StepDial, notRun: true},
 		{name: "another cluster", address: foreign.Addr(), method: "echo", cause: ErrCluster, step: StepHandshake, notRun: true},
 		{name: "no such method", address: server.Addr(), method: "none", cause: ErrNoMethod, step: StepCall, notRun: true},
-		// What a cancelled call sent is refused before the next call is, and so can't
-		// take the place of a later one.
+		// The request of the cancelled call is refused before that of the next call,
+		// so it cannot occupy the handler slot of a later one.
 		{name: "cancelled", address: server.Addr(), method: "echo", ctx: cancelled, cause: context.Canceled, step: StepCall},
 		{name: "too many handlers", address: server.Addr(), method: "echo", cause: ErrBusy, step: StepCall, notRun: true},
 		{name: "request too large", address: server.Addr(), method: "echo", body: make([]byte, peer.MaxFrame), cause: peer.ErrFrameSize, step: StepCall, notRun: true},
@@ -194,10 +195,10 @@
 	}
 }
 
-// A connection between two instances goes silent: it stays open, writes
-// succeed, nothing arrives any more. New connections work. A caller would wait
-// in vain; instead the heartbeat is missed, and an idempotent call is made
-// again on a new connection, while any other ends with an unknown outcome.
+// A connection between two instances goes silent: it stays open and writes
+// succeed, but nothing arrives any more, while new connections work. Without
+// heartbeats a call would wait until its deadline. With them, an idempotent call is
+// retried on a new connection, and any other call ends with an unknown outcome.
 func TestSilentConnection(t *testing.T) {
 	runs := make(chan string, 8)
 	server, _ := testNode(t, "a", nil, func(n *Node) {
@@ -208,55 +209,55 @@
 			})
 		}
 	})
-	relay := newBlackholeProxy(t, server.Addr())
+	proxy := newBlackholeProxy(t, server.Addr())
 	client, scope := testNode(t, "b", nil, func(n *Node) { n.Handle("twice", nil, Idempotent()) })
-	_, err := client.Call(t.Context(), relay.address(), "twice", nil)
+	_, err := client.Call(t.Context(), proxy.address(), "twice", nil)
 	require.NoError(t, err)
 
-	relay.blackhole()
-	answer, err := client.Call(t.Context(), relay.address(), "twice", nil)
+	proxy.blackhole()
+	response, err := client.Call(t.Context(), proxy.address(), "twice", nil)
 	require.NoError(t, err)
-	require.Equal(t, "ok", string(answer))
+	require.Equal(t, "ok", string(response))
 	require.Equal(t, int64(1), count(scope, "silent_connections"))
 
-	relay.blackhole()
-	_, err = client.Call(t.Context(), relay.address(), "once", nil)
+	proxy.blackhole()
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.ErrorIs(t, err, ErrSilent)
 	var e *Error
 	require.ErrorAs(t, err, &e)
 	require.False(t, e.NotRun, "it may have run")
-	require.Len(t, runs, 2, "the mute connections delivered nothing")
+	require.Len(t, runs, 2, "the silent connections delivered nothing")
 
-	// Callers with little patience never wait for a heartbeat; the silent
-	// connection must be found all the same, after one call and under many.
-	impatient := func() bool {
+	// Calls with short deadlines end before a heartbeat is sent. The silent
+	// connection must be found all the same, after one such call and under many.
+	shortCall := func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		_, err := client.Call(ctx, relay.address(), "once", nil)
+		_, err := client.Call(ctx, proxy.address(), "once", nil)
 		return err == nil
 	}
-	_, err = client.Call(t.Context(), relay.address(), "once", nil)
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.NoError(t, err)
-	relay.blackhole()
-	require.False(t, impatient())
+	proxy.blackhole()
+	require.False(t, shortCall())
 	eventually(t, func() bool { return count(scope, "silent_connections") == 3 }, "found after one call")
-	_, err = client.Call(t.Context(), relay.address(), "once", nil)
+	_, err = client.Call(t.Context(), proxy.address(), "once", nil)
 	require.NoError(t, err)
-	relay.blackhole()
-	eventually(t, impatient, "the silent connection is replaced")
+	proxy.blackhole()
+	eventually(t, shortCall, "the silent connection is replaced")
 }
 
-// A peer stops reading. What it does not take must not pile up here: the
-// oldest gossip gives way, calls are refused, and the write deadline ends the
-// connection.
+// A peer stops reading. The frames for it must not accumulate without limit: the
+// oldest droppable ones are dropped, calls are refused, and the write deadline ends
+// the connection.
 func TestQueueIsBounded(t *testing.T) {
 	q := queue{maxFrames: 3, maxBytes: 10}
 	require.True(t, q.push([]byte("ask")))
 	require.Zero(t, q.pushDroppable([]byte("g1")))
 	require.Zero(t, q.pushDroppable([]byte("g2")))
-	require.Equal(t, 1, q.pushDroppable([]byte("g3")), "the oldest gossip goes")
+	require.Equal(t, 1, q.pushDroppable([]byte("g3")), "the oldest droppable frame is dropped")
 	require.False(t, q.push([]byte("ask")), "calls are refused")
-	require.Equal(t, 3, q.pushDroppable([]byte("12345678")), "no room at all: the new one goes too")
+	require.Equal(t, 3, q.pushDroppable([]byte("12345678")), "larger than the queue: the new one is dropped too")
 	for _, want := range []string{"ask"} {
 		got, ok := q.pop()
 		require.True(t, ok)
@@ -279,8 +280,8 @@
 	require.ErrorContains(t, context.Cause(c.ctx), "write")
 }
 
-// A process floods the port with connections. The number that is served is
-// bounded, idle ones are closed, and a restarted peer's link is replaced.
+// A process opens many connections. Their number must be bounded, and idle ones
+// must be closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	server, scope := testNode(t, "a", func(o *Options) {
 		o.MaxConns = 2
@@ -297,12 +298,13 @@
 	eventually(t, func() bool { return server.Stats().Conns == 0 }, "idle ones closed")
 }
 
-// TestFleetReachesOneInstance guards against refused peers in fleets of several hundred:
-// each instance that the holder of a duty refuses asks another one.
+// An instance must accept a connection from each of several hundred others: all of
+// them call the holder of a fleet-wide role, and each one that is refused there calls
+// another instance instead.
 func TestInstanceAcceptsConnectionsOfTheFleet(t *testing.T) {
 	const peers = 440
 	server, scope := testNode(t, "holder", nil, echo)
-	welcomed := 0
+	accepted := 0
 	for i := range peers {
 		hello := validHello
 		hello.Name, hello.Address = fmt.Sprint("peer-", i), fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250+1)
@@ -312,15 +314,15 @@
 		_, err = nc.Write(encode(t, &hello))
 		require.NoError(t, err)
 		if _, err := peer.ReadFrame(nc, peer.MaxHandshakeFrame); err == nil {
-			welcomed++
+			accepted++
 		}
 	}
-	require.Equal(t, peers, welcomed)
+	require.Equal(t, peers, accepted)
 	require.Zero(t, count(scope, "refused"))
 }
 
-// An instance is started anew at its address. Messages to that address must
-// not go on into the connection of the earlier run.
+// An instance restarts at the same address. Messages to that address must not be
+// sent on the connection to its earlier incarnation.
 func TestNewIncarnationReplacesTheConnection(t *testing.T) {
 	n, _ := testNode(t, "a", nil)
 	dial := func(incarnation uint64) net.Conn {
@@ -348,8 +350,8 @@
 	require.Equal(t, &membership.SyncRequest{After: "q"}, m)
 }
 
-// Settings without certificates name an address that others can reach: whoever
-// connects could read and forge what instances tell one another.
+// Settings without certificates name an address beyond loopback. They must be
+// refused: others could read and forge the messages between instances.
 func TestCleartextOnLoopbackOnly(t *testing.T) {
 	for _, listen := range []string{"0.0.0.0:0", "10.0.0.1:1", "[::]:0", "example.org:1", ""} {
 		_, err := New(Options{Cluster: "c", Listen: listen, Self: membership.Member{Name: "a", Incarnation: 1}})
@@ -357,8 +359,9 @@
 	}
 }
 
-// Whoever has no certificate of the CA must not become a peer, from either
-// end; a certificate that is replaced on disk is used without a restart.
+// A process without a certificate of the CA must not be accepted as a peer, neither
+// as client nor as server. Certificates that are replaced on disk must be used
+// without a restart.
 func TestMutualTLS(t *testing.T) {
 	ca, otherCA := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
@@ -367,9 +370,9 @@
 	server, scope := testNode(t, "a", secure(files), echo)
 	good, _ := testNode(t, "b", secure(ca.issue(t, t.TempDir())))
 	for range 2 {
-		answer, err := good.Call(t.Context(), server.Addr(), "echo", []byte("hi"))
+		response, err := good.Call(t.Context(), server.Addr(), "echo", []byte("hi"))
 		require.NoError(t, err)
-		require.Equal(t, "b:hi", string(answer))
+		require.Equal(t, "b:hi", string(response))
 	}
 
 	refused := func(client *Node) {
@@ -381,9 +384,9 @@
 	}
 	cleartext, _ := testNode(t, "c", nil)
 	refused(cleartext)
-	stranger, _ := testNode(t, "d", secure(otherCA.issue(t, t.TempDir())))
-	refused(stranger)
-	// This one trusts the server, so that the server alone has to refuse it.
+	otherAuthority, _ := testNode(t, "d", secure(otherCA.issue(t, t.TempDir())))
+	refused(otherAuthority)
+	// This client trusts the server, so that only the server can refuse it.
 	f := otherCA.issue(t, t.TempDir())
 	f.CA = ca.file
 	trusting, _ := testNode(t, "e", secure(f), echo)
@@ -397,8 +400,8 @@
 	require.NoError(t, nc.Close())
 	eventually(t, func() bool { return count(scope, "refused", "reason=tls") >= 4 }, "refusals are counted")
 
-	// The CA changes. Files that do not fit together are left alone; once they
-	// fit, old certificates are refused, on resumed sessions too.
+	// The CA changes. Files that do not match are not used. Once they match, old
+	// certificates are refused, on resumed sessions too.
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key.pem"), []byte("half written"), 0o600))
 	_, err = server.creds.reload()
 	require.Error(t, err)
@@ -406,8 +409,8 @@
 	eventually(t, func() bool {
 		return server.creds.current.Load().roots.Equal(mustRead(t, *f, otherCA.file).roots)
 	}, "files are re-read")
-	again, _ := testNode(t, "f", secure(otherCA.issue(t, t.TempDir())))
-	_, err = again.Call(t.Context(), server.Addr(), "echo", nil)
+	renewed, _ := testNode(t, "f", secure(otherCA.issue(t, t.TempDir())))
+	_, err = renewed.Call(t.Context(), server.Addr(), "echo", nil)
 	require.NoError(t, err)
 	for _, c := range good.established() {
 		c.close(ErrConnLost)
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -1,7 +1,6 @@
 package peer
 
-// queue holds the frames that wait to be written on one connection, bounded in
-// number and bytes.
+// queue is the write queue of one connection, bounded in frames and bytes.
 type queue struct {
 	maxFrames int
 	maxBytes  int
@@ -14,7 +13,8 @@
 	droppable bool
 }
 
-// push adds a frame that must not be dropped, false if there is no room.
+// push adds a frame that must not be dropped. It returns false if the queue is
+// full.
 func (q *queue) push(data []byte) bool {
 	if !q.fits(data) {
 		return false
@@ -23,9 +23,9 @@
 	return true
 }
 
-// pushGossip adds a frame that newer ones make obsolete. The oldest such
-// frames give way; if there are none, the new one is dropped. It returns how
-// many were dropped.
+// pushDroppable adds a frame of a kind that newer ones make obsolete. The oldest
+// such frames are dropped until it fits; if none is left, the new one is dropped.
+// It returns the number of dropped frames.
 func (q *queue) pushDroppable(data []byte) int {
 	dropped := 0
 	for !q.fits(data) {
@@ -38,7 +38,7 @@
 	return dropped
 }
 
-// pop takes the oldest frame.
+// pop removes and returns the oldest frame.
 func (q *queue) pop() ([]byte, bool) {
 	if len(q.frames) == 0 {
 		return nil, false
@@ -48,7 +48,7 @@
 	return f.data, true
 }
 
-// fits tells whether a frame has room.
+// fits reports whether the queue has space for a frame.
 func (q *queue) fits(data []byte) bool {
 	return len(q.frames) < q.maxFrames && q.bytes+len(data) <= q.maxBytes
 }
--- a/transport/platform/governor_test.go
+++ b/transport/platform/call_limiter_test.go
@@ -14,9 +14,9 @@
 
 func testRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// TestBreaker plays outcomes and tells after each what a call meets: "go",
-// "held" or "probe". Time passes by 10 s, over any back-off, before a step that
-// begins with "+".
+// TestBreaker reports a sequence of outcomes and checks after each whether the next call
+// is allowed ("go"), held back ("held") or a probe ("probe"). Before a result that begins
+// with "+", 10 s pass, which is longer than any back-off.
 func TestBreaker(t *testing.T) {
 	ok, failed, neutral := callResult{outcome: outcomeOK}, callResult{outcome: outcomeFailed}, callResult{outcome: outcomeNeutral}
 	type step struct {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestAbandonedProbe: the caller of the probe gives up. The next call must probe
-// in its place, or the process would never come back from the outage.
+// TestAbandonedProbe lets the caller of the probe give up. The next call must be a probe
+// instead, or the process would never recover from the outage.
 func TestAbandonedProbe(t *testing.T) {
 	var b breaker
 	for range failuresToOpen {
@@ -62,9 +62,9 @@
 	require.True(t, probe)
 }
 
-// TestCallsUnderWay: many calls are under way when the platform goes down, and
-// fail one after the other. They have one cause; if each one stretched the
-// back-off, a blip under load would hold calls back for seconds.
+// TestFailuresOfConcurrentCallsBackOffOnce lets many calls that were in flight when the
+// platform failed fail one after the other. They have one cause: if each one extended
+// the back-off, a short failure under load would hold back calls for seconds.
 func TestFailuresOfConcurrentCallsBackOffOnce(t *testing.T) {
 	var b breaker
 	for range 50 {
@@ -74,9 +74,9 @@
 	require.True(t, probe)
 }
 
-// TestFullRateAtOnce: an instance that has just started, or was idle, gets a
-// second's worth of claims at once. They must all go out, or the requests behind
-// them would be refused although the platform is well.
+// TestBurstIsAdmittedWithinMaxWait gives an instance that has just started, or was idle,
+// a second's worth of claims at once. All must be admitted, or their requests would be
+// refused although the platform is healthy.
 func TestBurstIsAdmittedWithinMaxWait(t *testing.T) {
 	p := newPacer(DefaultWritesPerSecond, DefaultBurst, epoch)
 	for _, now := range []time.Time{epoch, epoch.Add(time.Hour)} {
@@ -87,8 +87,9 @@
 	}
 }
 
-// TestPacerBound: whatever the load and the answers, no window of a second sends
-// more than the full rate and one burst, and no admitted call waits over MaxWait.
+// TestPacerBound checks that under any load and any responses, no more calls are sent in
+// a second than the maximum rate and one burst, and no admitted call waits longer than
+// MaxWait.
 func TestPacerBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const full, burst, maxWait = 50, 10, time.Second
@@ -112,22 +113,22 @@
 	})
 }
 
-// fleet plays instances against a platform with a limit. Each has a backlog of
-// calls that it tries to send at every tick.
+// fleet simulates instances that call a platform with a rate limit. Each has a backlog
+// of calls that it tries to send at every tick.
 type fleet struct {
-	limiters      []*callLimiter // nil: every backlog is retried every 100 ms
+	limiters      []*callLimiter // nil: each instance sends its whole backlog every 100 ms
 	backlog       []float64
-	due           [horizon][]int  // ring of ticks → calls of each instance
-	probes        [horizon][]bool // whether the first of them is a probe
+	due           [horizon][]int  // calls due, by tick (a ring) and instance
+	probes        [horizon][]bool // whether the first of these calls is a probe
 	platformLimit *rate.Limiter
 }
 
 const (
 	tick       = 10 * time.Millisecond
 	window     = 10  // ticks
-	horizon    = 256 // ticks, over MaxWait
+	horizon    = 256 // ticks, longer than MaxWait
 	readLimit  = 2000
-	fullRate   = 500  // far over each one's share
+	fullRate   = 500  // far above each instance's share
 	outageFrom = 1500 // ticks
 	outageTo   = 3000
 	fleetEnd   = 7000
@@ -135,18 +136,18 @@
 )
 
 type recovery struct {
-	peak    float64 // busiest window after the return, of the limit's share
-	limited float64 // share of 429 after the return
-	served  float64 // calls a second from 10 s after the return on
+	peak    float64 // calls in the busiest window after the outage, as a share of the limit
+	limited float64 // share of calls with a 429 after the outage
+	served  float64 // successful calls per second from 10 s after the outage on
 }
 
-func newFleet(n int, governed bool) *fleet {
+func newFleet(n int, limited bool) *fleet {
 	f := &fleet{backlog: make([]float64, n), platformLimit: rate.NewLimiter(readLimit, readLimit/10)}
 	for i := range horizon {
 		f.due[i], f.probes[i] = make([]int, n), make([]bool, n)
 	}
 	for i := range n {
-		if governed {
+		if limited {
 			o := BudgetOptions{ReadsPerSecond: fullRate, WritesPerSecond: 1, Burst: DefaultBurst, MaxWait: DefaultMaxWait, Rand: testRand(uint64(i))}
 			f.limiters = append(f.limiters, newCallLimiter(o, epoch))
 		}
@@ -220,10 +221,10 @@
 	return r
 }
 
-// TestReturnWithoutRush: the platform comes back after an outage of 15 s, and
-// every instance has a full backlog. Without a budget they all send it at once
-// and again, and most calls get 429. Held to the budget, the platform sees no
-// rush, and the calls that are due get through.
+// TestRecoveryDoesNotOverloadThePlatform ends an outage of 15 s while every instance has
+// a full backlog. Without a limiter they would all send it repeatedly, and most calls
+// would get a 429. With the limiter, the platform must not be overloaded, and the
+// waiting calls must succeed.
 func TestRecoveryDoesNotOverloadThePlatform(t *testing.T) {
 	for name, c := range map[string]struct {
 		n      int
@@ -236,12 +237,12 @@
 		"440 instances over the limit": {440, 20, recovery{1.35, 0.05, 1900}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			free := newFleet(c.n, false).run(c.demand)
-			held := newFleet(c.n, true).run(c.demand)
-			t.Logf(name+" free %+v held %+v", free, held)
-			require.LessOrEqual(t, held.peak, c.limits.peak)
-			require.LessOrEqual(t, held.limited, c.limits.limited)
-			require.GreaterOrEqual(t, held.served, c.limits.served)
+			unlimited := newFleet(c.n, false).run(c.demand)
+			limited := newFleet(c.n, true).run(c.demand)
+			t.Logf(name+" unlimited %+v limited %+v", unlimited, limited)
+			require.LessOrEqual(t, limited.peak, c.limits.peak)
+			require.LessOrEqual(t, limited.limited, c.limits.limited)
+			require.GreaterOrEqual(t, limited.served, c.limits.served)
 		})
 	}
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -17,27 +17,28 @@
 	DefaultWatchSlack = 2 * time.Second
 )
 
-// patienceShare of Timeout without an answer counts against the platform. Else
-// callers with short deadlines of their own would never find it silent.
+// unresponsiveDivisor sets when a missing response counts as a failure of the
+// platform: after Timeout divided by it, even if the caller gives up before Timeout.
+// Otherwise an unresponsive platform would not be detected while all callers have
+// short deadlines.
 const unresponsiveDivisor = 4
 
 // Options are the settings of a Client; zero values mean the defaults.
 type Options struct {
-	// BaseURL is the platform's address, such as "http://10.0.0.1:7000".
+	// BaseURL is the URL of the platform, such as "http://10.0.0.1:7000".
 	BaseURL string
-	// Instance is sent with each call.
+	// Instance is the name of this instance; it is sent with each call.
 	Instance string
-	// HTTP carries the calls; nil means a client of its own that speaks
-	// HTTP/1.1 alone.
+	// HTTP sends the calls; nil means a new client that uses only HTTP/1.1.
 	HTTP *http.Client
-	// Timeout bounds each call from its sending to the end of its answer.
+	// Timeout bounds each call from its start to the end of its response.
 	Timeout time.Duration
-	// WatchSlack is added to a watch's wait. A watch without an answer by then
-	// waits on a silent connection.
+	// WatchSlack is the time after the end of a watch's wait by which a response
+	// must have arrived. Without one, the connection is considered silent.
 	WatchSlack time.Duration
-	// Budget is shared by everything in the process; nil means a new one.
+	// Budget is shared by all clients of the process; nil means a new one.
 	Budget *Budget
-	// Spelling is how the platform writes paths and bodies; nil means that of
+	// Codec encodes the platform's paths and bodies; nil means the format of
 	// package platformapi.
 	Codec Codec
 }
@@ -52,7 +53,7 @@
 
 var _ Store = (*Client)(nil)
 
-// New returns a client; it makes no call yet.
+// New returns a client without making a call.
 func New(options Options) *Client {
 	options.Timeout = cmp.Or(options.Timeout, DefaultTimeout)
 	options.WatchSlack = cmp.Or(options.WatchSlack, DefaultWatchSlack)
@@ -102,9 +103,9 @@
 	return page, err
 }
 
-// listPages joins the pages of a list. Pages may be of different revisions. The
-// revision given back is the lowest, so that a watch from it replays every
-// change that came between two pages instead of missing it.
+// listPages reads and joins the pages of a list. Pages may have different
+// revisions. The returned revision is the lowest, so that a watch from it replays
+// the changes between two pages instead of missing them.
 func (c *Client) listPages(ctx context.Context, kind string, query ListQuery) (platformapi.List, error) {
 	var all platformapi.List
 	for first := true; ; first = false {
@@ -158,8 +159,8 @@
 	})
 }
 
-// Watch implements Store. While the platform is being tried again after an
-// outage it answers at once instead of waiting, see Budget.
+// Watch implements Store. A watch that is the probe after an outage returns
+// without waiting, since all other calls are held back until it ends.
 func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
 	var watch platformapi.Watch
 	err := c.do(ctx, exchange{
@@ -178,7 +179,7 @@
 	return watch, err
 }
 
-// Budget returns the budget of calls, for its counts.
+// Budget returns the budget of the client, for its counts.
 func (c *Client) Budget() *Budget { return c.budget }
 
 func (c *Client) getObject(ctx context.Context, step, path string) (*platformapi.Object, error) {
--- a/transport/platform/spelling.go
+++ b/transport/platform/codec.go
@@ -10,33 +10,34 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Spelling is how a platform writes the object API: its paths and its bodies.
-// What the calls mean, and what their errors tell, is the same for all.
+// Codec encodes the paths and bodies of a platform's object API. The meaning of the
+// calls and of their errors is the same for all codecs.
 type Codec interface {
-	// ListPath is the path of a kind, for lists and for new objects.
+	// ListPath returns the path of a kind, for lists and for new objects.
 	ListPath(kind string, q ListQuery) string
 	ObjectPath(kind, name string) string
 	WatchPath(kinds []string, from uint64, wait time.Duration) string
 	EncodeObject(o platformapi.Object) ([]byte, error)
 	DecodeObject(body []byte) (platformapi.Object, error)
 	DecodeList(body []byte) (platformapi.List, error)
-	// DecodeWatch reads the changes that a watch of kinds was answered with.
+	// DecodeWatch decodes the response to a watch of kinds.
 	DecodeWatch(kinds []string, body []byte) (platformapi.Watch, error)
-	// DecodeConflict reads the object of a conflict; nil if there is none.
+	// DecodeConflict returns the current object from the response to a write
+	// that conflicted; nil if there is none.
 	DecodeConflict(body []byte) *platformapi.Object
 }
 
-// ListQuery narrows a list.
+// ListQuery holds the parameters of a list.
 type ListQuery struct {
-	// After continues a list behind a name.
+	// After is the name after which the list begins; empty means at the start.
 	After string
-	// Limit bounds the objects of the page; 0 is the platform's own bound.
+	// Limit bounds the objects of the page; 0 means the platform's page size.
 	Limit int
-	// Stale lets the platform answer from the past.
+	// Stale allows the platform to return an older state.
 	Stale bool
 }
 
-// plainSpelling is that of package platformapi.
+// defaultCodec is the Codec of the format of package platformapi.
 type defaultCodec struct{}
 
 func (defaultCodec) ListPath(kind string, q ListQuery) string {
