--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -109,7 +109,7 @@
 	outcome := trialDenied
 	if granted {
 		outcome = trialGranted
-		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Left: remaining})
+		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Remaining: remaining})
 	}
 	b.metrics.trials[outcome].Inc(1)
 	return granted
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -23,7 +23,7 @@
 
 // attemptResult is the result of one attempt.
 type attemptResult struct {
-	response   targetapi.RunAnswer
+	response   targetapi.RunResponse
 	peer       string
 	err        error
 	verdict    outcome.Verdict
@@ -93,7 +93,7 @@
 
 // send makes the call. It recovers from a panic that the response causes, so that the
 // attempt is settled and the router is notified of its end.
-func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunAnswer, meta target.ResponseMeta, err error) {
+func (a *attempt) send(ctx context.Context, call target.Call) (response targetapi.RunResponse, meta target.ResponseMeta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
--- a/daemon/execute/ports.go
+++ b/daemon/execute/ports.go
@@ -25,8 +25,8 @@
 // Caller sends one attempt to a target; *target.Client implements it. Both methods
 // block until the response, the end of the context or a timeout of the client.
 type Caller interface {
-	Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.ResponseMeta, error)
-	Stream(ctx context.Context, call target.Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, target.ResponseMeta, error)
+	Run(ctx context.Context, call target.Call) (targetapi.RunResponse, target.ResponseMeta, error)
+	Stream(ctx context.Context, call target.Call, onToken func(offset int, token string) error) (targetapi.RunResponse, target.ResponseMeta, error)
 }
 
 // Gate admits attempts to a pool, those of higher tiers first; *gate.Group implements
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -46,7 +46,7 @@
 	sentWhenMayHaveRun    int // number of attempts sent when the first one that may have run ended
 }
 
-func (s *scriptedCaller) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.ResponseMeta, error) {
+func (s *scriptedCaller) Run(ctx context.Context, call target.Call) (targetapi.RunResponse, target.ResponseMeta, error) {
 	next := s.begin(call)
 	var err error
 	cancelled := ctx.Done()
@@ -62,10 +62,10 @@
 		err = &target.AttemptError{Step: target.StepHeaders, Peer: call.Address, Outcome: target.Unknown, Reason: target.ReasonCancelled, Err: ctx.Err()}
 	}
 	s.end(ctx, call, err)
-	return targetapi.RunAnswer{Output: call.AttemptID}, target.ResponseMeta{}, err
+	return targetapi.RunResponse{Output: call.AttemptID}, target.ResponseMeta{}, err
 }
 
-func (s *scriptedCaller) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.ResponseMeta, error) {
+func (s *scriptedCaller) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunResponse, target.ResponseMeta, error) {
 	return s.Run(ctx, call)
 }
 
--- a/daemon/follow/fleet_test.go
+++ b/daemon/follow/fleet_test.go
@@ -75,9 +75,9 @@
 	refuses func() bool
 }
 
-func (r refusingStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (r refusingStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	if r.refuses() {
-		return platformapi.Watch{}, errNoAnswer
+		return platformapi.WatchResponse{}, errNoAnswer
 	}
 	return r.timedStore.Watch(ctx, kinds, from, wait)
 }
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -245,7 +245,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.cancelCalls, k.part)
-	event := telemetry.Event{Record: k.kind, Count: f.tracker.Failures(k.part), Known: f.tracker.Age(now, k.part)}
+	event := telemetry.Event{Record: k.kind, Count: f.tracker.Failures(k.part), KnowledgeAge: f.tracker.Age(now, k.part)}
 	if f.tracker.RecordResponse(now, k.part) {
 		f.roster.RecordStoreFailure(now)
 		f.resendWatches(now)
@@ -271,7 +271,7 @@
 	f.mu.Lock()
 	delete(f.cancelCalls, k.part)
 	failed := f.tracker.Failures(k.part)
-	event := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), Known: f.tracker.Age(now, k.part)}
+	event := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), KnowledgeAge: f.tracker.Age(now, k.part)}
 	switch {
 	case errors.Is(err, platform.ErrBudget):
 		f.tracker.RecordNotSent(k.part)
--- a/daemon/follow/poll.go
+++ b/daemon/follow/poll.go
@@ -110,7 +110,7 @@
 	defer f.mu.Unlock()
 	before := f.tracker.Recovered()
 	if f.tracker.RecordReport(polledAt, time.Now(), report) {
-		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: report.Age})
+		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{KnowledgeAge: report.Age})
 		if report.Known {
 			// The watcher responds, but the store is unavailable to it. So the next changes that
 			// this instance receives may be of expired entries, though its own calls didn't fail.
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -85,7 +85,7 @@
 func (q *request) sendHead(status int, header http.Header, length int64) {
 	h := q.w.Header()
 	q.closeIfStopping(h)
-	for name, values := range q.relay.options.Dialect.CallerHeader(header) {
+	for name, values := range q.relay.options.Dialect.CallerResponseHeader(header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
@@ -181,7 +181,7 @@
 // stream without events may mean that nothing remained, but only if its end is marked by more
 // than the end of the connection.
 func (q *request) completesStream(events *sse.Splitter) bool {
-	if len(events.Torn()) > 0 {
+	if len(events.Partial()) > 0 {
 		return false
 	}
 	return events.Events() > 0 || q.requiredResumeID() != "" && q.framing != forward.FramedByClose
@@ -299,7 +299,7 @@
 	q.reason = reason
 	h := q.w.Header()
 	q.closeIfStopping(h)
-	q.relay.options.Dialect.StampAnswer(h, q.call.ID)
+	q.relay.options.Dialect.SetRequestID(h, q.call.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	body := text + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -331,8 +331,8 @@
 	}
 	telemetry.InfoS("Request ended", telemetry.Event{
 		RequestID: q.call.ID, Digest: digest, Pipeline: route, Target: q.target, Reason: q.reason,
-		Status: status, Elapsed: time.Since(q.arrived), Count: q.possibleRuns + q.refusals, Head: q.headTime,
-		Stages: q.timings.stagesWait, First: q.timings.firstEvent, Pause: q.timings.longestPause, Known: q.knowledgeAge,
+		Status: status, Elapsed: time.Since(q.arrived), Count: q.possibleRuns + q.refusals, HeaderDuration: q.headTime,
+		StageWait: q.timings.stagesWait, FirstEvent: q.timings.firstEvent, LongestPause: q.timings.longestPause, KnowledgeAge: q.knowledgeAge,
 		LastEvent: q.lastEventID, Sources: q.sources, Framing: string(q.framing),
 	})
 	q.relay.metrics.recordResponse(status, q.reason, time.Since(q.arrived))
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -137,8 +137,8 @@
 	}
 	for i, s := range q.route.Stages {
 		pieces := 0
-		if i < len(q.call.Pieces) {
-			pieces = q.call.Pieces[i]
+		if i < len(q.call.PieceCounts) {
+			pieces = q.call.PieceCounts[i]
 		}
 		r.Stages = append(r.Stages, gather.Stage{Service: s.Service, After: s.After, Pieces: pieces, ResultBytes: s.ResultBytes})
 	}
@@ -320,15 +320,15 @@
 	}
 	defer reply.Close()
 	q.framing = reply.Framing()
-	parsed := q.relay.options.Dialect.ParseReply(reply.Status, reply.Header)
+	parsed := q.relay.options.Dialect.ParseTargetResponse(reply.Status, reply.Header)
 	if parsed.WrongTarget {
 		q.relay.options.OnLeaving(t.Incarnation)
 	}
 	switch {
 	case parsed.NotRun:
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply, maxBufferedReply)) // allows the connection to be reused
-		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: parsed.InputsGone}
-	case !parsed.Genuine:
+		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: parsed.InputsMissing}
+	case !parsed.Signed:
 		return routing.OutcomeFailed, &failure{cause: errors.Newf("reply with status %d has no signature", reply.Status)}
 	case reply.Header.Get("Content-Encoding") != "":
 		return routing.OutcomeFailed, &failure{cause: errors.New("reply is encoded")}
@@ -380,12 +380,12 @@
 
 // targetRequest returns the request to send to the target.
 func (q *request) targetRequest(t routing.Target) *http.Request {
-	header := q.relay.options.Dialect.TargetHeader(q.r.Header, exchange.Send{
-		Left:        time.Until(q.deadline),
+	header := q.relay.options.Dialect.TargetRequestHeader(q.r.Header, exchange.TargetRequest{
+		Remaining:   time.Until(q.deadline),
 		Target:      t.Name,
 		Account:     q.account,
 		Priority:    q.priority,
-		Prompt:      q.route.PrefixCaching,
+		ToEngine:    q.route.PrefixCaching,
 		Inputs:      q.resultHandles,
 		ResumeAfter: q.resumeID(),
 	})
@@ -406,10 +406,10 @@
 
 // isOwnReply reports whether a reply belongs to this request.
 func (q *request) isOwnReply(status int, h http.Header) bool {
-	id := q.relay.options.Dialect.ParseReply(status, h).ID
+	id := q.relay.options.Dialect.ParseTargetResponse(status, h).ID
 	return id == "" || id == q.call.ID
 }
 
 func (q *request) keepIdle(h http.Header) time.Duration {
-	return q.relay.options.Dialect.ParseReply(http.StatusOK, h).KeepIdle
+	return q.relay.options.Dialect.ParseTargetResponse(http.StatusOK, h).IdleTimeout
 }
--- a/daemon/relay/blocklist_test.go
+++ b/daemon/relay/blocklist_test.go
@@ -17,7 +17,7 @@
 	newRequest := func(method, url, id, account, body string) *request {
 		return &request{
 			r: httptest.NewRequest(method, url, nil), route: &routes.Route{Host: "host.example"},
-			call: exchange.Call{ID: id, ResumeAfter: id}, account: account, body: []byte(body),
+			call: exchange.CallerRequest{ID: id, ResumeAfter: id}, account: account, body: []byte(body),
 		}
 	}
 	first := newRequest("POST", "http://host.example/a?b=c", "1", "account", "body")
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -71,7 +71,7 @@
 // A caller declares a prompt with more tokens than any engine holds, or a negative number of them.
 // Unless the length is clamped it overflows, and an engine would count as idle for it.
 func TestPromptLengthIsClamped(t *testing.T) {
-	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.Call{
+	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.CallerRequest{
 		PromptTokens: math.MaxInt, Prefix: []routing.PrefixPart{{ID: "a", Tokens: math.MinInt}},
 	}}
 	p := q.prompt()
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -30,13 +30,13 @@
 // dialect parses every call as one with the same ID and pieces.
 type dialect struct{ exchange.Dialect }
 
-func (dialect) ParseCall(*http.Request) (exchange.Call, error) {
-	return exchange.Call{ID: "a", Pieces: []int{1}}, nil
+func (dialect) ParseCallerRequest(*http.Request) (exchange.CallerRequest, error) {
+	return exchange.CallerRequest{ID: "a", PieceCounts: []int{1}}, nil
 }
 
-func (dialect) StampAnswer(http.Header, string) {}
+func (dialect) SetRequestID(http.Header, string) {}
 
-func (dialect) CallerHeader(h http.Header) http.Header { return h }
+func (dialect) CallerResponseHeader(h http.Header) http.Header { return h }
 
 // A request has an unknown key, and a store that doesn't answer is asked for a newer configuration.
 // Meanwhile the instance stops. The caller must get a response, and that must be that the request
--- a/daemon/serve/responder.go
+++ b/daemon/serve/responder.go
@@ -55,7 +55,7 @@
 
 func (r *responder) responseBody(result execute.Result) []byte {
 	key := r.request.pipeline.Key
-	body, _ := json.Marshal(callerapi.Answer{ // can't fail: strings and numbers only
+	body, _ := json.Marshal(callerapi.Response{ // can't fail: strings and numbers only
 		RequestID:     r.id,
 		Pipeline:      key.Name,
 		SchemaVersion: key.SchemaVersion,
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -28,7 +28,7 @@
 		})
 	}
 	telemetry.InfoS("Stage call ended", telemetry.Event{
-		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomeTexts[callOutcome], Elapsed: time.Since(started), Known: targetsAge,
+		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomeTexts[callOutcome], Elapsed: time.Since(started), KnowledgeAge: targetsAge,
 	})
 	q.metrics.call(callOutcomeTexts[callOutcome], time.Since(started))
 	q.recordFailures(c, results)
@@ -85,7 +85,7 @@
 func (q *queue) sendCall(c gather.StartCall) ([]gather.PieceResult, gather.CallOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	request, err := q.dialect.StageCall(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
+	request, err := q.dialect.NewStageRequest(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
@@ -100,7 +100,7 @@
 		}
 		reply.Close()
 	}()
-	parsed := q.dialect.ParseReply(reply.Status, reply.Header)
+	parsed := q.dialect.ParseTargetResponse(reply.Status, reply.Header)
 	body, err := io.ReadAll(io.LimitReader(reply, maxReply))
 	switch {
 	case parsed.WrongTarget:
@@ -112,7 +112,7 @@
 	case reply.Status != http.StatusOK:
 		return nil, gather.CallUnanswered, errors.Newf("status %d: %.100s", reply.Status, bytes.TrimSpace(body))
 	}
-	results, err := q.dialect.ParseStageReply(body)
+	results, err := q.dialect.ParseStageResponse(body)
 	if err == nil && len(results) != len(c.Pieces) {
 		err = errors.Newf("%d results for %d pieces", len(results), len(c.Pieces))
 	}
--- a/daemon/stages/queue.go
+++ b/daemon/stages/queue.go
@@ -284,11 +284,11 @@
 		case gather.Completed:
 			q.metrics.completed(a)
 			telemetry.InfoS("Stages done", telemetry.Event{
-				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Needed: a.Predicted, Left: a.TimeToObjective,
+				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Predicted: a.Predicted, Remaining: a.TimeToObjective,
 			})
 		case gather.Refused:
 			q.metrics.refused(string(a.Reason))
-			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Needed: a.Needed, Left: a.TimeToDeadline, RetryAfter: a.RetryAfter})
+			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Predicted: a.Needed, Remaining: a.TimeToDeadline, RetryAfter: a.RetryAfter})
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	handles := q.pendingFree[t]
 	delete(q.pendingFree, t)
 	q.mu.Unlock()
-	request, err := q.dialect.FreeCall(t.Address, t.Name, handles)
+	request, err := q.dialect.NewFreeRequest(t.Address, t.Name, handles)
 	if err != nil {
 		klog.ErrorS(err, "Results could not be freed", "target", t.Incarnation, "count", len(handles))
 		return
--- a/protocol/callerapi/callerapi.go
+++ b/protocol/callerapi/callerapi.go
@@ -44,7 +44,7 @@
 }
 
 // Answer is the whole answer to a request.
-type Answer struct {
+type Response struct {
 	RequestID     string `json:"request_id"`
 	Pipeline      string `json:"pipeline"`
 	SchemaVersion int    `json:"schema_version"`
--- a/protocol/configwire/configwire.go
+++ b/protocol/configwire/configwire.go
@@ -17,19 +17,19 @@
 // instance puts to a peer when the platform's store is away.
 const MethodSnapshot = "config.snapshot"
 
-type version struct {
+type wireVersion struct {
 	Revision     uint64
 	Deleted      bool
 	Spec         []byte
 	SpecRevision uint64
 }
 
-type record struct {
+type wireRecord struct {
 	Kind     string
 	Name     string
-	Newest   version
+	Newest   wireVersion
 	Accepted bool
-	InForce  version
+	InForce  wireVersion
 }
 
 // PageRequest asks for the records behind a cursor.
@@ -45,7 +45,7 @@
 	Last    PageRequest `msgpack:"l"`
 	More    bool        `msgpack:"m"`
 	// Others are the targets and the marks of leaving ones.
-	Others []spread.Record `msgpack:"o"`
+	TargetRecords []spread.Record `msgpack:"o"`
 	// AsOf is the store's revision of the newest full list, by kind. It is
 	// empty when the instance has not seen a full list itself.
 	AsOf map[string]uint64 `msgpack:"a"`
@@ -67,7 +67,7 @@
 	var body bytes.Buffer
 	encoder := msgpack.NewEncoder(&body)
 	encoder.UseArrayEncodedStructs(true) // names of fields would be sent with each record
-	err := encoder.Encode(&record{
+	err := encoder.Encode(&wireRecord{
 		Kind:     string(r.Kind),
 		Name:     r.Name,
 		Newest:   toWire(r.Newest),
@@ -79,7 +79,7 @@
 
 // DecodeRecord reads a record.
 func DecodeRecord(body []byte) (config.Record, error) {
-	var r record
+	var r wireRecord
 	if err := msgpack.Unmarshal(body, &r); err != nil {
 		return config.Record{}, errors.Wrap(err, "decode configuration record")
 	}
@@ -91,10 +91,10 @@
 	}, nil
 }
 
-func toWire(v config.Version) version {
-	return version{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
+func toWire(v config.Version) wireVersion {
+	return wireVersion{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
 }
 
-func fromWire(v version) config.Version {
+func fromWire(v wireVersion) config.Version {
 	return config.Version{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
 }
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -13,13 +13,13 @@
 )
 
 // Call is what a caller's headers say of a request.
-type Call struct {
+type CallerRequest struct {
 	// ID is the caller's id of this attempt.
 	ID string
 	// Wait is how long the caller waits; 0 if it doesn't say.
-	Wait time.Duration
+	Timeout time.Duration
 	// Key is the caller's secret; empty if it sent none.
-	Key string
+	APIKey string
 	// ResumeAfter is the last event that the caller has of a stream.
 	ResumeAfter string
 	Model       string
@@ -28,21 +28,21 @@
 	PromptTokens, OutputTokens int
 	Prefix                     []routing.PrefixPart
 	// Pieces is the number of pieces of each stage.
-	Pieces   []int
-	PieceKey string
+	PieceCounts []int
+	PieceKey    string
 }
 
 // Send is what a target is told of an attempt.
-type Send struct {
+type TargetRequest struct {
 	// Left is the time until the attempt is of no use any more.
-	Left time.Duration
+	Remaining time.Duration
 	// Target is the name of the only one that may take the attempt.
 	Target string
 	// Account is the client account's name; empty without one.
 	Account  string
 	Priority int
 	// Prompt tells that the target is an engine, which orders by Priority.
-	Prompt bool
+	ToEngine bool
 	// Inputs are the handles of the stages' results.
 	Inputs []string
 	// ResumeAfter is the last event that the caller has.
@@ -50,7 +50,7 @@
 }
 
 // Reply is what a target's headers say.
-type Reply struct {
+type TargetResponse struct {
 	// ID is the request that the reply belongs to; empty if it doesn't say.
 	ID string
 	// NotRun tells that the target certainly didn't run the request.
@@ -58,29 +58,29 @@
 	// WrongTarget tells that another process has the address.
 	WrongTarget bool
 	// Genuine tells that the reply bears the target's signature.
-	Genuine bool
+	Signed bool
 	// InputsGone tells that results which the request needs no longer exist.
-	InputsGone bool
+	InputsMissing bool
 	// KeepIdle is how long the target keeps an idle connection; 0 if it doesn't
 	// say.
-	KeepIdle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Dialect is how a wire spells the messages.
 type Dialect interface {
 	// ParseCall reads a caller's request. An error names the header at fault.
-	ParseCall(r *http.Request) (Call, error)
+	ParseCallerRequest(r *http.Request) (CallerRequest, error)
 	// TargetHeader is the header of an attempt: the caller's, without what the
 	// system sets itself, with what it sets.
-	TargetHeader(caller http.Header, s Send) http.Header
-	ParseReply(status int, h http.Header) Reply
+	TargetRequestHeader(caller http.Header, s TargetRequest) http.Header
+	ParseTargetResponse(status int, h http.Header) TargetResponse
 	// CallerHeader is a reply's header as the caller gets it.
-	CallerHeader(h http.Header) http.Header
+	CallerResponseHeader(h http.Header) http.Header
 	// StampAnswer sets the request's id on an answer of the system's own.
-	StampAnswer(h http.Header, id string)
+	SetRequestID(h http.Header, id string)
 	// StageCall is the request for pieces, for the target of that name alone.
-	StageCall(address, target string, pieces []gather.Piece, now time.Time) (*http.Request, error)
-	ParseStageReply(body []byte) ([]gather.PieceResult, error)
+	NewStageRequest(address, target string, pieces []gather.Piece, now time.Time) (*http.Request, error)
+	ParseStageResponse(body []byte) ([]gather.PieceResult, error)
 	// FreeCall is the request that gives results back.
-	FreeCall(address, target string, handles []string) (*http.Request, error)
+	NewFreeRequest(address, target string, handles []string) (*http.Request, error)
 }
--- a/protocol/loadwire/loadwire.go
+++ b/protocol/loadwire/loadwire.go
@@ -15,16 +15,16 @@
 
 // poolShare is the part of a digest, in percent, that pools may fill while
 // targets wait. What one part leaves, the other may use.
-const poolShare = 60
+const poolSharePercent = 60
 
 // errShort says that a packed part ends too early, or is too long.
-var errShort = errors.New("load digest: parts of a wrong length")
+var errBadLength = errors.New("load digest: parts of a wrong length")
 
-type wire struct {
+type packedDigest struct {
 	Targets []byte
 	Pools   []byte
 	// Whole says that no pool with any load was left out.
-	Whole bool
+	Complete bool
 }
 
 // Digest is one instance's load.
@@ -35,16 +35,16 @@
 }
 
 // Received is a peer's digest. It names pools by hash.
-type Received struct {
-	Targets []routing.DigestEntry
-	pools   map[uint32]tiers.Digest
-	whole   bool
+type ReceivedDigest struct {
+	Targets  []routing.DigestEntry
+	pools    map[uint32]tiers.Digest
+	complete bool
 }
 
 // Pool returns the load of a pool, false if the digest had no room for it.
-func (r *Received) Pool(name string) (tiers.Digest, bool) {
+func (r *ReceivedDigest) Pool(name string) (tiers.Digest, bool) {
 	d, ok := r.pools[hashPool(name)]
-	return d, ok || r.whole
+	return d, ok || r.complete
 }
 
 // Encode writes a digest in at most limit bytes. It leaves out the last targets
@@ -54,10 +54,10 @@
 // Guard: the spread drops a digest over its bound, so that under load, when
 // there is most to tell, peers would hear nothing at all.
 func Encode(d Digest, limit int) ([]byte, error) {
-	room := limit - envelope
+	room := limit - msgpackOverhead
 	wanted := len(d.Targets) * targetSize
-	pools, whole := packPools(d.Pools, max(room*poolShare/100, room-wanted))
-	w := wire{Targets: packTargets(d.Targets, room-len(pools)), Pools: pools, Whole: whole}
+	pools, whole := packPools(d.Pools, max(room*poolSharePercent/100, room-wanted))
+	w := packedDigest{Targets: packTargets(d.Targets, room-len(pools)), Pools: pools, Complete: whole}
 	var body bytes.Buffer
 	encoder := msgpack.NewEncoder(&body)
 	encoder.UseArrayEncodedStructs(true) // names of fields would take room
@@ -66,15 +66,15 @@
 }
 
 // Decode reads a digest.
-func Decode(body []byte) (Received, error) {
-	var w wire
+func Decode(body []byte) (ReceivedDigest, error) {
+	var w packedDigest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
-		return Received{}, errors.Wrap(err, "decode load digest")
+		return ReceivedDigest{}, errors.Wrap(err, "decode load digest")
 	}
 	pools, err := unpackPools(w.Pools)
 	if err != nil {
-		return Received{}, errors.Wrap(err, "decode pools")
+		return ReceivedDigest{}, errors.Wrap(err, "decode pools")
 	}
 	targets, err := unpackTargets(w.Targets)
-	return Received{Targets: targets, pools: pools, whole: w.Whole}, errors.Wrap(err, "decode targets")
+	return ReceivedDigest{Targets: targets, pools: pools, complete: w.Complete}, errors.Wrap(err, "decode targets")
 }
--- a/protocol/loadwire/loadwire_test.go
+++ b/protocol/loadwire/loadwire_test.go
@@ -11,7 +11,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-const limit = 128
+const testLimit = 128
 
 // Many pools and targets are busy. The digest must still go out, or instances
 // would hear nothing of one another just when they contend for targets. What
@@ -29,16 +29,16 @@
 			}
 			in.Pools[strconv.Itoa(i)] = d
 		}
-		body, err := Encode(in, limit)
+		body, err := Encode(in, testLimit)
 		require.NoError(t, err)
-		require.LessOrEqual(t, len(body), limit)
+		require.LessOrEqual(t, len(body), testLimit)
 		out, err := Decode(body)
 		require.NoError(t, err)
 		require.Equal(t, in.Targets[:len(out.Targets)], append([]routing.DigestEntry(nil), out.Targets...))
 		for name, sent := range in.Pools {
 			received, told := out.Pool(name)
 			if !told {
-				require.Greater(t, len(body)+poolHeader+tiers.MaxRanks*rankSize, limit*poolShare/100, "left out without need")
+				require.Greater(t, len(body)+poolHeader+tiers.MaxRanks*rankSize, testLimit*poolSharePercent/100, "left out without need")
 				continue
 			}
 			for r := range sent.Ranks {
@@ -62,7 +62,7 @@
 	for i := range 10 {
 		in.Targets = append(in.Targets, routing.DigestEntry{TargetHash: uint32(i), InFlight: routing.Suspected})
 	}
-	body, err := Encode(in, limit)
+	body, err := Encode(in, testLimit)
 	require.NoError(t, err)
 	out, err := Decode(body)
 	require.NoError(t, err)
--- a/protocol/loadwire/pack.go
+++ b/protocol/loadwire/pack.go
@@ -22,7 +22,7 @@
 	// rankSize is the code of the requests in flight and that of the demand.
 	rankSize = 2
 	// envelope bounds what msgpack adds to the two packed parts.
-	envelope = 8
+	msgpackOverhead = 8
 )
 
 // hashPool stands for a pool's name, which would take most of the digest.
@@ -32,7 +32,7 @@
 // whether all did.
 func packPools(pools map[string]tiers.Digest, room int) (packed []byte, whole bool) {
 	names := slices.SortedFunc(maps.Keys(pools), func(a, b string) int {
-		return cmp.Or(cmp.Compare(demand(pools[b]), demand(pools[a])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(totalDemand(pools[b]), totalDemand(pools[a])), cmp.Compare(a, b))
 	})
 	whole = true
 	for _, name := range names {
@@ -54,7 +54,7 @@
 	return packed, whole
 }
 
-func demand(d tiers.Digest) float32 {
+func totalDemand(d tiers.Digest) float32 {
 	sum := float32(0)
 	for _, r := range d.Ranks {
 		sum += max(r.InFlight, r.Demand)
@@ -77,12 +77,12 @@
 	out := make(map[uint32]tiers.Digest, len(packed)/(poolHeader+rankSize))
 	for len(packed) > 0 {
 		if len(packed) < poolHeader {
-			return nil, errShort
+			return nil, errBadLength
 		}
 		hash, ranks := binary.BigEndian.Uint32(packed), int(packed[4])
 		packed = packed[poolHeader:]
 		if ranks > tiers.MaxRanks || len(packed) < ranks*rankSize {
-			return nil, errShort
+			return nil, errBadLength
 		}
 		var d tiers.Digest
 		for r := range ranks {
@@ -107,7 +107,7 @@
 
 func unpackTargets(packed []byte) ([]routing.DigestEntry, error) {
 	if len(packed)%targetSize != 0 {
-		return nil, errShort
+		return nil, errBadLength
 	}
 	out := make([]routing.DigestEntry, 0, len(packed)/targetSize)
 	for ; len(packed) > 0; packed = packed[targetSize:] {
@@ -120,13 +120,13 @@
 }
 
 // loadScale is the number of codes for each doubling of a load.
-const loadScale = 8
+const codesPerDoubling = 8
 
 // packLoad codes a load in one byte, by its logarithm: 0 and 1 are exact, the
 // rest is off by at most one part in twenty, or in forty of the load and one.
 func packLoad(load float32) byte {
-	code := math.Round(loadScale * math.Log2(1+float64(max(load, 0))))
+	code := math.Round(codesPerDoubling * math.Log2(1+float64(max(load, 0))))
 	return byte(min(code, math.MaxUint8))
 }
 
-func unpackLoad(code byte) float32 { return float32(math.Exp2(float64(code)/loadScale) - 1) }
+func unpackLoad(code byte) float32 { return float32(math.Exp2(float64(code)/codesPerDoubling) - 1) }
--- a/protocol/loadwire/wire_test.go
+++ b/protocol/loadwire/wire_test.go
@@ -19,7 +19,7 @@
 	body, err := Encode(Digest{
 		Targets: []routing.DigestEntry{{TargetHash: 0x01020304, InFlight: 5}, {TargetHash: 0x06070809, InFlight: routing.Suspected}},
 		Pools:   map[string]tiers.Digest{"pool": pool},
-	}, limit)
+	}, testLimit)
 	require.NoError(t, err)
 	require.Equal(t, "93c40c01020304000506070809ffffc40989dadb830208101820c3", hex.EncodeToString(body))
 }
--- a/protocol/peer/bounds.go
+++ b/protocol/peer/bounds.go
@@ -60,19 +60,19 @@
 	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
 		return skipBytes(b, 8)
 	case msgpcode.Str8, msgpcode.Bin8:
-		return skipSized(b, 1)
+		return skipLengthPrefixed(b, 1)
 	case msgpcode.Str16, msgpcode.Bin16:
-		return skipSized(b, 2)
+		return skipLengthPrefixed(b, 2)
 	case msgpcode.Str32, msgpcode.Bin32:
-		return skipSized(b, 4)
+		return skipLengthPrefixed(b, 4)
 	case msgpcode.Array16:
-		return skipCounted(b, 2, 1, depth)
+		return skipContainer(b, 2, 1, depth)
 	case msgpcode.Array32:
-		return skipCounted(b, 4, 1, depth)
+		return skipContainer(b, 4, 1, depth)
 	case msgpcode.Map16:
-		return skipCounted(b, 2, 2, depth)
+		return skipContainer(b, 2, 2, depth)
 	case msgpcode.Map32:
-		return skipCounted(b, 4, 2, depth)
+		return skipContainer(b, 4, 2, depth)
 	}
 	return nil, errors.Wrapf(ErrMalformed, "code %#x is not used", c)
 }
@@ -86,8 +86,8 @@
 }
 
 // skipSized drops a string or binary whose length has the given width.
-func skipSized(b []byte, width int) ([]byte, error) {
-	n, b, err := length(b, width)
+func skipLengthPrefixed(b []byte, width int) ([]byte, error) {
+	n, b, err := readLength(b, width)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 }
 
 // skipCounted drops an array or map whose header has the given width.
-func skipCounted(b []byte, width, perElement, depth int) ([]byte, error) {
-	n, b, err := length(b, width)
+func skipContainer(b []byte, width, perElement, depth int) ([]byte, error) {
+	n, b, err := readLength(b, width)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 }
 
 // length reads a big-endian length of 1, 2 or 4 bytes.
-func length(b []byte, width int) (int, []byte, error) {
+func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, errors.Wrap(ErrMalformed, "cut short")
 	}
--- a/protocol/peer/frame.go
+++ b/protocol/peer/frame.go
@@ -39,7 +39,7 @@
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	enc.Reset(&buf)
-	enc.UseArrayEncodedStructs(!selfDescribing(t))
+	enc.UseArrayEncodedStructs(!usesFieldNames(t))
 	enc.UseCompactInts(true)
 	if err := enc.Encode(m); err != nil {
 		return nil, errors.Wrapf(err, "encode %T", m)
@@ -55,7 +55,7 @@
 
 // selfDescribing tells whether a type is sent as a map with field names. The
 // handshake is, because both ends must read it whatever their versions are.
-func selfDescribing(t Type) bool { return t == TypeHello || t == TypeWelcome }
+func usesFieldNames(t Type) bool { return t == TypeHello || t == TypeWelcome }
 
 // Decode reads the body of a frame: type and msgpack.
 func Decode(body []byte) (Message, error) {
--- a/protocol/peer/messages.go
+++ b/protocol/peer/messages.go
@@ -30,13 +30,13 @@
 	TypePingReq      Type = 11
 	TypeAck          Type = 12
 	TypeSyncRequest  Type = 13
-	TypeSyncAnswer   Type = 14
+	TypeSyncResponse Type = 14
 	TypePush         Type = 20
 	TypePull         Type = 21
-	TypePullAnswer   Type = 22
+	TypePullResponse Type = 22
 	TypeLoads        Type = 23
-	TypeAsk          Type = 30
-	TypeAnswer       Type = 31
+	TypeRequest      Type = 30
+	TypeResponse     Type = 31
 )
 
 // Message is any message of this protocol: a pointer to one of the structs of
@@ -103,7 +103,7 @@
 type HeartbeatAck struct{ Seq uint64 }
 
 // Ask is a request by method name. ID is unique on its connection.
-type Ask struct {
+type Request struct {
 	ID     uint64
 	Method string
 	// TimeoutMillis is how long the asker waits.
@@ -112,7 +112,7 @@
 }
 
 // Answer answers the Ask with the same ID.
-type Answer struct {
+type Response struct {
 	ID     uint64
 	Code   Code
 	Reason string
@@ -138,20 +138,20 @@
 		return new(membership.Ack)
 	case TypeSyncRequest:
 		return new(membership.SyncRequest)
-	case TypeSyncAnswer:
+	case TypeSyncResponse:
 		return new(membership.SyncResponse)
 	case TypePush:
 		return new(spread.Push)
 	case TypePull:
 		return new(spread.Pull)
-	case TypePullAnswer:
+	case TypePullResponse:
 		return new(spread.PullResponse)
 	case TypeLoads:
 		return new(spread.Loads)
-	case TypeAsk:
-		return new(Ask)
-	case TypeAnswer:
-		return new(Answer)
+	case TypeRequest:
+		return new(Request)
+	case TypeResponse:
+		return new(Response)
 	}
 	return nil
 }
@@ -176,19 +176,19 @@
 	case *membership.SyncRequest:
 		return TypeSyncRequest
 	case *membership.SyncResponse:
-		return TypeSyncAnswer
+		return TypeSyncResponse
 	case *spread.Push:
 		return TypePush
 	case *spread.Pull:
 		return TypePull
 	case *spread.PullResponse:
-		return TypePullAnswer
+		return TypePullResponse
 	case *spread.Loads:
 		return TypeLoads
-	case *Ask:
-		return TypeAsk
-	case *Answer:
-		return TypeAnswer
+	case *Request:
+		return TypeRequest
+	case *Response:
+		return TypeResponse
 	}
 	return 0
 }
--- a/protocol/peer/versions_test.go
+++ b/protocol/peer/versions_test.go
@@ -10,7 +10,7 @@
 )
 
 // layouts are what a Ping with one member is on the wire, by protocol version.
-var layouts = map[int]string{
+var pingLayouts = map[int]string{
 	2: "9307079198a161a162a163a164010200cd0320",
 }
 
@@ -23,5 +23,5 @@
 		Name: "a", Address: "b", CallerURL: "c", DataCentre: "d", Incarnation: 1, Refutation: 2, Capacity: 800,
 	}}})
 	require.NoError(t, err)
-	require.Equal(t, layouts[Version], hex.EncodeToString(frame[5:]), "a changed layout needs a new Version")
+	require.Equal(t, pingLayouts[Version], hex.EncodeToString(frame[5:]), "a changed layout needs a new Version")
 }
--- a/protocol/peer/wire_test.go
+++ b/protocol/peer/wire_test.go
@@ -47,8 +47,8 @@
 		{"loads", &spread.Loads{Digests: []spread.LoadDigest{
 			{Origin: "origin", Incarnation: 23, Seq: 24, AgeMillis: 25, Body: []byte{26}},
 		}}, "0000001117919195a66f726967696e171819c4011a"},
-		{"ask", &Ask{ID: 27, Method: "method", TimeoutMillis: 28, Body: []byte{29}}, "0000000e1e941ba66d6574686f641cc4011d"},
-		{"answer", &Answer{ID: 30, Code: CodeFailed, Reason: "reason", Body: []byte{31}}, "0000000e1f941e05a6726561736f6ec4011f"},
+		{"ask", &Request{ID: 27, Method: "method", TimeoutMillis: 28, Body: []byte{29}}, "0000000e1e941ba66d6574686f641cc4011d"},
+		{"answer", &Response{ID: 30, Code: CodeFailed, Reason: "reason", Body: []byte{31}}, "0000000e1f941e05a6726561736f6ec4011f"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/protocol/platformapi/platformapi.go
+++ b/protocol/platformapi/platformapi.go
@@ -66,7 +66,7 @@
 
 // Watch is the answer of a watch: the changes after the asked revision, empty
 // when the wait ended without any.
-type Watch struct {
+type WatchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
 	// Unreadable counts changes that can't be read; they are not among Events.
--- a/protocol/record/decode_test.go
+++ b/protocol/record/decode_test.go
@@ -141,7 +141,7 @@
 	assert.False(t, p.Repeatable())
 }
 
-func drawItem(t *rapid.T) catalog.Item {
+func randomItem(t *rapid.T) catalog.Item {
 	name := rapid.StringMatching(`[a-z0-9]([a-z0-9-]{0,20}[a-z0-9])?`)
 	whole := func(label string, low, high int) int { return rapid.IntRange(low, high).Draw(t, label) }
 	millis := func(high int) time.Duration { return time.Duration(whole("ms", 1, high)) * time.Millisecond }
@@ -182,7 +182,7 @@
 
 func TestEncodedRecordsDecodeToTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		item := drawItem(t)
+		item := randomItem(t)
 		kind, name, spec, err := record.Encode(item)
 		require.NoError(t, err)
 		back, err := record.Decode(kind, name, 3, spec)
--- a/protocol/record/fault.go
+++ b/protocol/record/fault.go
@@ -46,7 +46,7 @@
 
 // shift returns the faults of a record that begins at the given line of a
 // file: with lines of the file, and the record's name before each path.
-func (fs Faults) shift(record string, firstLine int) Faults {
+func (fs Faults) relocate(record string, firstLine int) Faults {
 	shifted := make(Faults, len(fs))
 	for i, f := range fs {
 		if f.Field != "" {
@@ -61,7 +61,7 @@
 	return shifted
 }
 
-func join(prefix, field string) string {
+func joinPath(prefix, field string) string {
 	switch {
 	case prefix == "":
 		return field
--- a/protocol/record/file.go
+++ b/protocol/record/file.go
@@ -23,7 +23,7 @@
 }
 
 // Prefix names the document in messages.
-func (d Document) Prefix() string { return string(d.Kind) + "/" + d.Object.Metadata.Name }
+func (d Document) QualifiedName() string { return string(d.Kind) + "/" + d.Object.Metadata.Name }
 
 // ParseFile reads the records of a file: JSON objects one after another, or
 // lists of them. It checks everything but the specs, which Check reads.
@@ -49,7 +49,7 @@
 	if len(documents) == 0 && len(list.faults) == 0 {
 		return nil, Faults{{Line: 1, Reason: "holds no record"}}
 	}
-	reportTwice(list, documents)
+	reportDuplicates(list, documents)
 	return documents, list.faults
 }
 
@@ -65,8 +65,8 @@
 		doc.SpecLine = list.line(spec.offset)
 	}
 	// The status belongs to the system; a file made from an answer may hold it.
-	o.read["status"] = true
-	o.finish()
+	o.consumed["status"] = true
+	o.reportUnknown()
 	return doc
 }
 
@@ -77,22 +77,22 @@
 	}
 	revision, _ := o.integer("revision", 0, math.MaxInt, false)
 	metadata.Revision = uint64(revision)
-	o.finish()
+	o.reportUnknown()
 	return metadata
 }
 
-func reportTwice(list *faultList, documents []Document) {
+func reportDuplicates(list *faultList, documents []Document) {
 	first := map[string]int{}
 	for _, doc := range documents {
 		if doc.Kind == "" || doc.Object.Metadata.Name == "" {
 			continue
 		}
-		if line, twice := first[doc.Prefix()]; twice {
-			list.faults = append(list.faults, Fault{Field: doc.Prefix(), Line: doc.Line,
+		if line, twice := first[doc.QualifiedName()]; twice {
+			list.faults = append(list.faults, Fault{Field: doc.QualifiedName(), Line: doc.Line,
 				Reason: fmt.Sprintf("stands on line %d already", line)})
 			continue
 		}
-		first[doc.Prefix()] = doc.Line
+		first[doc.QualifiedName()] = doc.Line
 	}
 }
 
@@ -105,7 +105,7 @@
 		item, err := Decode(doc.Kind, doc.Object.Metadata.Name, doc.Object.Metadata.Revision, doc.Object.Spec)
 		items[i] = item
 		if fs, ok := err.(Faults); ok {
-			faults = append(faults, fs.shift(doc.Prefix(), doc.SpecLine)...)
+			faults = append(faults, fs.relocate(doc.QualifiedName(), doc.SpecLine)...)
 		}
 	}
 	return items, faults
--- a/protocol/record/object.go
+++ b/protocol/record/object.go
@@ -58,25 +58,25 @@
 // object reads the members of a JSON object by name. Each read of a member
 // reports what is wrong with it; finish reports the members nobody read.
 type object struct {
-	list   *faultList
-	path   string
-	offset int
-	byName map[string]value
-	order  []member
-	read   map[string]bool
+	list     *faultList
+	path     string
+	offset   int
+	byName   map[string]value
+	members  []member
+	consumed map[string]bool
 	// invalid marks a value that was reported already because it is no object.
 	invalid bool
 }
 
 // newObject reports a value that is no object, and members that stand twice.
 func newObject(list *faultList, path string, v value) *object {
-	o := &object{list: list, path: path, offset: v.offset, byName: map[string]value{}, read: map[string]bool{}}
+	o := &object{list: list, path: path, offset: v.offset, byName: map[string]value{}, consumed: map[string]bool{}}
 	if v.kind != valueObject {
 		list.add(v.offset, path, "must be an object, not %s", v.kind)
 		o.invalid = true
 		return o
 	}
-	o.order = v.members
+	o.members = v.members
 	for _, m := range v.members {
 		if _, twice := o.byName[m.name]; twice {
 			list.add(m.offset, o.field(m.name), "stands twice")
@@ -87,7 +87,7 @@
 	return o
 }
 
-func (o *object) field(name string) string { return join(o.path, name) }
+func (o *object) field(name string) string { return joinPath(o.path, name) }
 
 func (o *object) fault(name, format string, args ...any) {
 	offset := o.offset
@@ -100,7 +100,7 @@
 // get fetches a member of the wanted kind. An absent one is reported only when
 // it is required; null counts as a value of the wrong kind.
 func (o *object) get(name string, kind valueKind, required bool) (value, bool) {
-	o.read[name] = true
+	o.consumed[name] = true
 	v, ok := o.byName[name]
 	if !ok {
 		if required && !o.invalid {
@@ -134,7 +134,7 @@
 }
 
 // model reads an optional name of a model or adapter, which is freer in form.
-func (o *object) model(name string) string {
+func (o *object) modelName(name string) string {
 	v, ok := o.get(name, valueString, false)
 	if !ok {
 		return ""
@@ -163,7 +163,7 @@
 
 func (o *object) boolean(name string, required bool) bool {
 	v, _ := o.get(name, valueBool, required)
-	return v.truth
+	return v.boolean
 }
 
 // integer reads a whole number between low and high.
@@ -187,7 +187,7 @@
 	}
 	f, err := strconv.ParseFloat(v.text, 64)
 	if err != nil || math.IsNaN(f) || f < low || f > high {
-		o.fault(name, "%s is not between %v and %v", short(v.text), low, high)
+		o.fault(name, "%s is not between %v and %v", truncate(v.text), low, high)
 		return 0
 	}
 	return f
@@ -200,11 +200,11 @@
 }
 
 // finish reports every member that was never read.
-func (o *object) finish() {
-	for _, m := range o.order {
-		if !o.read[m.name] {
+func (o *object) reportUnknown() {
+	for _, m := range o.members {
+		if !o.consumed[m.name] {
 			o.list.add(m.offset, o.field(m.name), "is not a known field")
-			o.read[m.name] = true
+			o.consumed[m.name] = true
 		}
 	}
 }
@@ -212,7 +212,7 @@
 func wholeNumber(text string, low, high int) (n int, reason string) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, fmt.Sprintf("%s is not a whole number between %d and %d", short(text), low, high)
+		return 0, fmt.Sprintf("%s is not a whole number between %d and %d", truncate(text), low, high)
 	}
 	if n < low || n > high {
 		return 0, fmt.Sprintf("%d is not between %d and %d", n, low, high)
@@ -231,10 +231,10 @@
 	return ""
 }
 
-func quote(s string) string { return strconv.Quote(short(s)) }
+func quote(s string) string { return strconv.Quote(truncate(s)) }
 
 // short keeps hostile input from filling a message.
-func short(s string) string {
+func truncate(s string) string {
 	const most = 40
 	if len(s) <= most {
 		return s
--- a/protocol/record/pipeline.go
+++ b/protocol/record/pipeline.go
@@ -24,19 +24,19 @@
 }
 
 // stageDraft is a stage whose predecessors are still names.
-type stageDraft struct {
-	stage catalog.Stage
-	after []string
-	obj   *object
+type unresolvedStage struct {
+	stage        catalog.Stage
+	predecessors []string
+	obj          *object
 }
 
-func (d *decoding) pipeline() catalog.Item {
+func (d *specDecoder) pipeline() catalog.Item {
 	version, ok := d.schemaVersion(PipelineV1, PipelineV2)
 	if !ok {
 		return nil
 	}
 	p := &catalog.Pipeline{Revision: d.revision}
-	p.Key = catalog.PipelineKey{Name: d.spec.name("pipeline"), SchemaVersion: version}
+	p.Key = catalog.PipelineKey{Name: d.root.name("pipeline"), SchemaVersion: version}
 	if want := PipelineObjectName(p.Key); p.Key.Name != "" && want != d.name {
 		d.list.faults = append(d.list.faults, Fault{Field: "name", Reason: fmt.Sprintf(
 			"%s does not agree with the spec, whose record is named %s", quote(d.name), quote(want))})
@@ -44,29 +44,29 @@
 	p.Stages = d.stages(version)
 	p.Deadlines = d.deadlines(p.CriticalPath())
 	p.MaxAttempts = d.maxAttempts()
-	d.spec.finish()
+	d.root.reportUnknown()
 	return p
 }
 
-func (d *decoding) maxAttempts() int {
-	if !d.spec.has("max_attempts") {
-		d.spec.read["max_attempts"] = true
+func (d *specDecoder) maxAttempts() int {
+	if !d.root.has("max_attempts") {
+		d.root.consumed["max_attempts"] = true
 		return DefaultMaxAttempts
 	}
-	n, _ := d.spec.integer("max_attempts", 1, MaxAttempts, true)
+	n, _ := d.root.integer("max_attempts", 1, MaxAttempts, true)
 	return n
 }
 
-func (d *decoding) stages(version int) []catalog.Stage {
-	v, ok := d.spec.get("stages", valueArray, true)
+func (d *specDecoder) stages(version int) []catalog.Stage {
+	v, ok := d.root.get("stages", valueArray, true)
 	if !ok {
 		return nil
 	}
 	if len(v.items) < 1 || len(v.items) > MaxStages {
-		d.spec.fault("stages", "must hold 1 to %d stages, not %d", MaxStages, len(v.items))
+		d.root.fault("stages", "must hold 1 to %d stages, not %d", MaxStages, len(v.items))
 		return nil
 	}
-	drafts := make([]stageDraft, len(v.items))
+	drafts := make([]unresolvedStage, len(v.items))
 	for i, item := range v.items {
 		drafts[i] = d.stage(i, item, version)
 	}
@@ -74,34 +74,34 @@
 		return nil
 	}
 	if version == PipelineV1 {
-		return inSequence(drafts)
+		return chainStages(drafts)
 	}
-	return d.inOrder(drafts)
+	return d.sortStages(drafts)
 }
 
-func (d *decoding) stage(i int, v value, version int) stageDraft {
+func (d *specDecoder) stage(i int, v value, version int) unresolvedStage {
 	o := newObject(d.list, fmt.Sprintf("stages[%d]", i), v)
 	s := catalog.Stage{
 		Name:             o.name("name"),
 		Pool:             o.name("pool"),
 		ExpectedDuration: o.milliseconds("expected_ms"),
 		Repeatable:       o.boolean("repeatable", true),
-		Model:            o.model("model"),
+		Model:            o.modelName("model"),
 	}
 	s.MaxTokens, _ = o.integer("max_tokens", 0, MaxTokens, false)
-	draft := stageDraft{obj: o}
+	draft := unresolvedStage{obj: o}
 	if version >= PipelineV2 {
 		s.Resumable = o.boolean("resumable", false)
-		s.Adapter = o.model("adapter")
-		draft.after = o.after()
+		s.Adapter = o.modelName("adapter")
+		draft.predecessors = o.predecessors()
 	}
-	o.finish()
+	o.reportUnknown()
 	draft.stage = s
 	return draft
 }
 
 // after reads the names of the stages before.
-func (o *object) after() []string {
+func (o *object) predecessors() []string {
 	v, ok := o.get("after", valueArray, false)
 	if !ok {
 		return nil
@@ -125,7 +125,7 @@
 	return names
 }
 
-func (d *decoding) stageNamesUnique(drafts []stageDraft) bool {
+func (d *specDecoder) stageNamesUnique(drafts []unresolvedStage) bool {
 	unique := true
 	seen := map[string]bool{}
 	for _, draft := range drafts {
@@ -139,7 +139,7 @@
 	return unique
 }
 
-func inSequence(drafts []stageDraft) []catalog.Stage {
+func chainStages(drafts []unresolvedStage) []catalog.Stage {
 	stages := make([]catalog.Stage, len(drafts))
 	for i, draft := range drafts {
 		stages[i] = draft.stage
@@ -152,37 +152,37 @@
 
 // inOrder sorts the stages so that each comes after those it waits for, and
 // keeps the order of the text where it can. The last one gives the answer.
-func (d *decoding) inOrder(drafts []stageDraft) []catalog.Stage {
-	if !d.afterNamesKnown(drafts) {
+func (d *specDecoder) sortStages(drafts []unresolvedStage) []catalog.Stage {
+	if !d.predecessorsExist(drafts) {
 		return nil
 	}
 	placed := map[string]int{}
 	var stages []catalog.Stage
 	for len(stages) < len(drafts) {
-		next := nextStage(drafts, placed)
+		next := nextReadyStage(drafts, placed)
 		if next < 0 {
-			d.cycle(drafts, placed)
+			d.reportCycle(drafts, placed)
 			return nil
 		}
 		s := drafts[next].stage
-		for _, name := range drafts[next].after {
+		for _, name := range drafts[next].predecessors {
 			s.After = append(s.After, placed[name])
 		}
 		placed[s.Name] = len(stages)
 		stages = append(stages, s)
 	}
-	d.oneLast(drafts)
+	d.checkSingleFinalStage(drafts)
 	return stages
 }
 
-func (d *decoding) afterNamesKnown(drafts []stageDraft) bool {
+func (d *specDecoder) predecessorsExist(drafts []unresolvedStage) bool {
 	known := map[string]bool{}
 	for _, draft := range drafts {
 		known[draft.stage.Name] = true
 	}
 	ok := true
 	for _, draft := range drafts {
-		for _, name := range draft.after {
+		for _, name := range draft.predecessors {
 			if !known[name] || name == "" {
 				draft.obj.fault("after", "%s is not a stage of this pipeline", quote(name))
 				ok = false
@@ -195,19 +195,19 @@
 }
 
 // nextStage finds the first stage that isn't placed and waits for none, or -1.
-func nextStage(drafts []stageDraft, placed map[string]int) int {
-	return slices.IndexFunc(drafts, func(draft stageDraft) bool {
+func nextReadyStage(drafts []unresolvedStage, placed map[string]int) int {
+	return slices.IndexFunc(drafts, func(draft unresolvedStage) bool {
 		if _, done := placed[draft.stage.Name]; done {
 			return false
 		}
-		return !slices.ContainsFunc(draft.after, func(name string) bool {
+		return !slices.ContainsFunc(draft.predecessors, func(name string) bool {
 			_, done := placed[name]
 			return !done
 		})
 	})
 }
 
-func (d *decoding) cycle(drafts []stageDraft, placed map[string]int) {
+func (d *specDecoder) reportCycle(drafts []unresolvedStage, placed map[string]int) {
 	for _, draft := range drafts {
 		if _, done := placed[draft.stage.Name]; !done {
 			draft.obj.fault("after", "stage %s waits for itself through a cycle", quote(draft.stage.Name))
@@ -217,14 +217,14 @@
 
 // oneLast refuses a second stage that nobody waits for: its result would be
 // dropped, since only one stage can give the answer.
-func (d *decoding) oneLast(drafts []stageDraft) {
+func (d *specDecoder) checkSingleFinalStage(drafts []unresolvedStage) {
 	needed := map[string]bool{}
 	for _, draft := range drafts {
-		for _, name := range draft.after {
+		for _, name := range draft.predecessors {
 			needed[name] = true
 		}
 	}
-	var last []stageDraft
+	var last []unresolvedStage
 	for _, draft := range drafts {
 		if !needed[draft.stage.Name] {
 			last = append(last, draft)
--- a/protocol/record/tree.go
+++ b/protocol/record/tree.go
@@ -33,7 +33,7 @@
 	offset  int
 	end     int
 	text    string
-	truth   bool
+	boolean bool
 	members []member
 	items   []value
 }
@@ -102,7 +102,7 @@
 	case json.Delim:
 		err = p.composite(&v, t, depth)
 	case bool:
-		v.kind, v.truth = valueBool, t
+		v.kind, v.boolean = valueBool, t
 	case json.Number:
 		v.kind, v.text = valueNumber, t.String()
 	case string:
--- a/protocol/requestid/requestid.go
+++ b/protocol/requestid/requestid.go
@@ -31,20 +31,20 @@
 }
 
 // Source makes the ids of one incarnation. It is safe for concurrent use.
-type Source struct {
+type Generator struct {
 	prefix string
 	next   atomic.Uint64
 }
 
 // NewSource returns the source of ids for an instance and its incarnation.
-func NewSource(instance string, incarnation uint64) *Source {
+func NewGenerator(instance string, incarnation uint64) *Generator {
 	prefix := instance + separator + strconv.FormatUint(incarnation, base) + separator
-	return &Source{prefix: prefix}
+	return &Generator{prefix: prefix}
 }
 
 // Next returns a new id. Its random part keeps one account from guessing the
 // ids of another; access is checked by account all the same.
-func (s *Source) Next() string {
+func (s *Generator) Next() string {
 	serial := strconv.FormatUint(s.next.Add(1), base)
 	noise := strconv.FormatUint(rand.Uint64(), base)
 	return s.prefix + serial + "-" + noise
@@ -56,8 +56,8 @@
 	if len(id) > maxLength {
 		return ID{}, ErrMalformed
 	}
-	rest, serial := cutLast(id)
-	instance, number := cutLast(rest)
+	rest, serial := cutLastSeparator(id)
+	instance, number := cutLastSeparator(rest)
 	if instance == "" || serial == "" {
 		return ID{}, ErrMalformed
 	}
@@ -69,7 +69,7 @@
 }
 
 // cutLast splits a text at its last separator; without one nothing is before.
-func cutLast(text string) (before, after string) {
+func cutLastSeparator(text string) (before, after string) {
 	i := strings.LastIndex(text, separator)
 	if i < 0 {
 		return "", text
--- a/protocol/requestid/requestid_test.go
+++ b/protocol/requestid/requestid_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNextNamesInstanceAndIncarnation(t *testing.T) {
-	s := NewSource("entry-1", 42)
+	s := NewGenerator("entry-1", 42)
 	a, b := s.Next(), s.Next()
 	require.NotEqual(t, a, b)
 	id, err := Parse(a)
@@ -23,7 +23,7 @@
 // the name.
 func TestParseOfNameWithDots(t *testing.T) {
 	for _, name := range []string{"entry-1.kochi-a", "a.b.c", "a.1.b"} {
-		id, err := Parse(NewSource(name, 42).Next())
+		id, err := Parse(NewGenerator(name, 42).Next())
 		require.NoError(t, err, name)
 		require.Equal(t, name, id.Instance)
 		require.EqualValues(t, 42, id.Incarnation)
--- a/protocol/sse/decoder.go
+++ b/protocol/sse/decoder.go
@@ -19,9 +19,9 @@
 	line   []byte
 	// skipLF is set after a carriage return: a line feed that follows belongs
 	// to the same line end, and waiting for it would delay the event.
-	skipLF  bool
-	started bool
-	err     error
+	skipLF     bool
+	bomChecked bool
+	err        error
 }
 
 // NewDecoder returns a decoder that reads from r.
@@ -36,13 +36,13 @@
 }
 
 // pending is the event whose blank line has not come yet.
-type pending struct {
+type partialEvent struct {
 	name, id string
 	data     strings.Builder
 	hasData  bool
 	size     int
 	// open is set once any field of the event was read.
-	open bool
+	hasField bool
 }
 
 // Next returns the next event with data. It returns io.EOF when the stream
@@ -57,10 +57,10 @@
 }
 
 func (d *Decoder) next() (Event, error) {
-	var p pending
+	var p partialEvent
 	for {
 		line, err := d.readLine()
-		if err == io.EOF && (p.open || len(line) > 0) {
+		if err == io.EOF && (p.hasField || len(line) > 0) {
 			// A peer that dies while it writes leaves a prefix of an event,
 			// which may parse well. Only the blank line proves that the
 			// event is whole, so what came without it is dropped.
@@ -78,16 +78,16 @@
 		if p.hasData {
 			return Event{Name: p.name, ID: p.id, Data: p.data.String()}, nil
 		}
-		p = pending{}
+		p = partialEvent{}
 	}
 }
 
 // field adds one line that is not blank to the event.
-func (d *Decoder) field(p *pending, line []byte) error {
+func (d *Decoder) field(p *partialEvent, line []byte) error {
 	if line[0] == ':' {
 		return nil
 	}
-	p.open = true
+	p.hasField = true
 	p.size += len(line)
 	if p.size > d.limits.Event {
 		return ErrEventTooLarge
@@ -137,9 +137,9 @@
 
 // stripBOM removes the byte order mark that may open a stream.
 func (d *Decoder) stripBOM() []byte {
-	if d.started {
+	if d.bomChecked {
 		return d.line
 	}
-	d.started = true
+	d.bomChecked = true
 	return bytes.TrimPrefix(d.line, []byte(utf8BOM))
 }
--- a/protocol/sse/splitter.go
+++ b/protocol/sse/splitter.go
@@ -16,7 +16,7 @@
 	lastID string
 	events int
 	// unnumbered tells that an event without an id came after the last one that had one.
-	unnumbered bool
+	eventWithoutID bool
 }
 
 // NewSplitter returns a splitter for events up to limit bytes; 0 is
@@ -42,7 +42,7 @@
 		if n < 0 {
 			break
 		}
-		if fault = s.note(s.pending[end:n]); fault == nil {
+		if fault = s.acceptEvent(s.pending[end:n]); fault == nil {
 			end = n
 		}
 	}
@@ -74,21 +74,21 @@
 }
 
 // note checks an event against those before it and remembers its id.
-func (s *Splitter) note(event []byte) error {
+func (s *Splitter) acceptEvent(event []byte) error {
 	id, hasData, isEvent := readFields(event)
 	switch {
 	case !isEvent:
-		return ErrNoEvent
+		return ErrNotEvent
 	case id == "" && !hasData:
 		return nil
 	case id == "":
-		s.unnumbered = true
+		s.eventWithoutID = true
 		s.events++
 		return nil
-	case s.lastID != "" && !rises(s.lastID, id):
+	case s.lastID != "" && !mayFollow(s.lastID, id):
 		return ErrOutOfOrder
 	}
-	s.lastID, s.unnumbered = id, false
+	s.lastID, s.eventWithoutID = id, false
 	s.events++
 	return nil
 }
@@ -119,7 +119,7 @@
 
 // rises tells whether an id may follow another. Ids that are no numbers only have to
 // differ.
-func rises(last, id string) bool {
+func mayFollow(last, id string) bool {
 	a, errA := strconv.ParseUint(last, 10, 64)
 	b, errB := strconv.ParseUint(id, 10, 64)
 	if errA != nil || errB != nil {
@@ -134,10 +134,10 @@
 
 // Resumable tells whether the stream can go on behind LastID: no event without an id has
 // come since.
-func (s *Splitter) Resumable() bool { return !s.unnumbered }
+func (s *Splitter) Resumable() bool { return !s.eventWithoutID }
 
 // Events returns the number of whole events so far; comments are none.
 func (s *Splitter) Events() int { return s.events }
 
 // Torn returns the bytes of an event that has not come whole.
-func (s *Splitter) Torn() []byte { return s.pending }
+func (s *Splitter) Partial() []byte { return s.pending }
--- a/protocol/sse/splitter_test.go
+++ b/protocol/sse/splitter_test.go
@@ -28,7 +28,7 @@
 			}
 			require.Equal(t, stream, got.String())
 			require.Equal(t, "2", s.LastID())
-			require.Empty(t, s.Torn())
+			require.Empty(t, s.Partial())
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: a\n\n", string(whole))
 	require.Equal(t, "1", s.LastID())
-	require.Equal(t, "id: 2\ndata: to", string(s.Torn()))
+	require.Equal(t, "id: 2\ndata: to", string(s.Partial()))
 }
 
 func TestSplitterBoundsAnEvent(t *testing.T) {
@@ -74,8 +74,8 @@
 		"text ids":                  {"", "id: b\n\nid: a\n\nid: a\n\n", "id: b\n\nid: a\n\n", sse.ErrOutOfOrder},
 		"comments and empty lines":  {"1", ": c\n\n\nretry: 5\n\nid: 2\n\n", ": c\n\n\nretry: 5\n\nid: 2\n\n", nil},
 		"unknown field of an event": {"", "version: 3\nid: 1\n\n", "version: 3\nid: 1\n\n", nil},
-		"head of another answer":    {"", "id: 1\n\nHTTP/1.1 200 OK\r\nRequest-Id: x\r\n\r\nid: 2\n\n", "id: 1\n\n", sse.ErrNoEvent},
-		"text that is no event":     {"", "failed: badly\n\n", "", sse.ErrNoEvent},
+		"head of another answer":    {"", "id: 1\n\nHTTP/1.1 200 OK\r\nRequest-Id: x\r\n\r\nid: 2\n\n", "id: 1\n\n", sse.ErrNotEvent},
+		"text that is no event":     {"", "failed: badly\n\n", "", sse.ErrNotEvent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/protocol/sse/sse.go
+++ b/protocol/sse/sse.go
@@ -28,7 +28,7 @@
 	// ErrOutOfOrder says that an event's id doesn't rise.
 	ErrOutOfOrder = errors.New("sse: event out of order")
 	// ErrNoEvent says that something else came where an event was due.
-	ErrNoEvent = errors.New("sse: no event where one is due")
+	ErrNotEvent = errors.New("sse: no event where one is due")
 )
 
 // Event is one event of a stream.
--- a/protocol/targetapi/targetapi.go
+++ b/protocol/targetapi/targetapi.go
@@ -14,7 +14,7 @@
 	HeaderPriority = "Priority"
 	HeaderTier     = "Tier"
 	// HeaderExpect names the incarnation the caller means; another one refuses.
-	HeaderExpect = "Expect-Incarnation"
+	HeaderExpectIncarnation = "Expect-Incarnation"
 	// HeaderIncarnation names the incarnation that answers.
 	HeaderIncarnation = "Target-Incarnation"
 	// HeaderNotRun is "true" when the target vouches that nothing was run.
@@ -57,7 +57,7 @@
 }
 
 // RunAnswer is the whole answer of a stage that is not streamed.
-type RunAnswer struct {
+type RunResponse struct {
 	AttemptID string `json:"attempt_id"`
 	Output    string `json:"output"`
 	// Tokens generated, 0 for stages that generate none.
--- a/settings/load.go
+++ b/settings/load.go
@@ -12,7 +12,7 @@
 
 // statusPerInFlight is the least room for status, in requests kept for each
 // that may be in flight: the table's shards don't fill evenly.
-const statusPerInFlight = 2
+const minStatusPerInFlight = 2
 
 // Load reads the file at path over the defaults. When the file is at fault the
 // error holds Faults with every fault in it; the returned Settings are then
@@ -38,26 +38,26 @@
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-	}, lines.clean)
+	}, lines.valid)
 	if err != nil {
 		return s, append(faults, Fault{Reason: err.Error()})
 	}
 	fields := s.fields()
-	faults = append(faults, unknown(lines, fields)...)
+	faults = append(faults, unknownKeys(lines, fields)...)
 	faults = append(faults, assign(file, lines, fields)...)
-	faults = append(faults, s.check(lines)...)
+	faults = append(faults, s.checkCombinations(lines)...)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
 	return s, faults
 }
 
 // unknown reports sections and keys that no setting has: a misspelt key would
 // otherwise leave its default in force without a word.
-func unknown(lines scan, fields []field) Faults {
+func unknownKeys(lines lineIndex, fields []field) Faults {
 	sections := map[string]bool{}
-	keys := map[position]bool{}
+	keys := map[settingKey]bool{}
 	for _, f := range fields {
 		sections[f.section] = true
-		keys[position{f.section, f.key}] = true
+		keys[settingKey{f.section, f.key}] = true
 	}
 	var faults Faults
 	for section, line := range lines.sections {
@@ -77,10 +77,10 @@
 }
 
 // assign parses each key that the file has into its field.
-func assign(file *ini.File, lines scan, fields []field) Faults {
+func assign(file *ini.File, lines lineIndex, fields []field) Faults {
 	var faults Faults
 	for _, f := range fields {
-		line := lines.keys[position{f.section, f.key}]
+		line := lines.keys[settingKey{f.section, f.key}]
 		raw := f.value.format()
 		if line > 0 {
 			raw = file.Section(f.section).Key(f.key).Value()
@@ -104,10 +104,10 @@
 }
 
 // check reports faults that lie between settings.
-func (s *Settings) check(lines scan) Faults {
+func (s *Settings) checkCombinations(lines lineIndex) Faults {
 	var faults Faults
 	report := func(section, key, reason string) {
-		line := lines.keys[position{section, key}]
+		line := lines.keys[settingKey{section, key}]
 		faults = append(faults, Fault{Section: section, Key: key, Line: line, Reason: reason})
 	}
 	files := []struct{ key, path string }{
@@ -123,7 +123,7 @@
 	}
 	// A running request's status is never pushed out, so a table that they can
 	// fill would leave new requests without one.
-	if s.Status.RingSize < statusPerInFlight*s.Limits.MaxInFlight {
+	if s.Status.RingSize < minStatusPerInFlight*s.Limits.MaxInFlight {
 		report("status", "ring_size", "must be at least twice [limits] max_in_flight")
 	}
 	peers, err := netip.ParseAddrPort(s.Listen.Peers)
--- a/settings/scan.go
+++ b/settings/scan.go
@@ -6,24 +6,24 @@
 )
 
 // position names one key of the file.
-type position struct{ section, key string }
+type settingKey struct{ section, key string }
 
 // scan is what one pass over the lines finds. ini.v1 keeps no line numbers and
 // stops at the first line that it can't read; the scan gives both.
-type scan struct {
+type lineIndex struct {
 	// sections holds the line of each section's first header.
 	sections map[string]int
 	// keys holds the line of each key's first appearance.
-	keys   map[position]int
+	keys   map[settingKey]int
 	faults Faults
 	// clean is the file without the lines at fault.
-	clean []byte
+	valid []byte
 }
 
 // scanLines indexes the lines of a file. A repeated key is a fault: ini.v1
 // would let the last one win without a word.
-func scanLines(data []byte) scan {
-	s := scan{sections: map[string]int{}, keys: map[position]int{}}
+func scanLines(data []byte) lineIndex {
+	s := lineIndex{sections: map[string]int{}, keys: map[settingKey]int{}}
 	section := ""
 	var clean strings.Builder
 	for i, line := range strings.Split(string(data), "\n") {
@@ -42,13 +42,13 @@
 		}
 		clean.WriteByte('\n')
 	}
-	s.clean = []byte(clean.String())
+	s.valid = []byte(clean.String())
 	return s
 }
 
 // header reads a section header and returns the section that follows. An
 // unreadable header leaves the section as it was.
-func (s *scan) header(line, section string, number int) (next, fault string) {
+func (s *lineIndex) header(line, section string, number int) (next, fault string) {
 	name, rest, ok := strings.Cut(line[1:], "]")
 	name = strings.TrimSpace(name)
 	if !ok || name == "" || !isComment(rest) {
@@ -61,7 +61,7 @@
 }
 
 // assignment reads a line of the form key = value.
-func (s *scan) assignment(line, section string, number int) (fault string) {
+func (s *lineIndex) assignment(line, section string, number int) (fault string) {
 	key, value, ok := strings.Cut(line, "=")
 	key = strings.TrimSpace(key)
 	value = strings.TrimSpace(value)
@@ -71,7 +71,7 @@
 	case strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`"):
 		return s.fault(section, key, number, "values of several lines are not supported")
 	}
-	at := position{section, key}
+	at := settingKey{section, key}
 	if first, seen := s.keys[at]; seen {
 		return s.fault(section, key, number, "repeats the key of line "+strconv.Itoa(first))
 	}
@@ -79,7 +79,7 @@
 	return ""
 }
 
-func (s *scan) fault(section, key string, line int, reason string) string {
+func (s *lineIndex) fault(section, key string, line int, reason string) string {
 	s.faults = append(s.faults, Fault{Section: section, Key: key, Line: line, Reason: reason})
 	return reason
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -33,7 +33,7 @@
 	index := scanLines(data)
 	last := 0
 	for _, f := range got.fields() {
-		line := index.keys[position{f.section, f.key}]
+		line := index.keys[settingKey{f.section, f.key}]
 		require.Greaterf(t, line, last, "[%s] %s is missing or out of order", f.section, f.key)
 		require.Truef(t, strings.HasPrefix(lines[line-2], "# "), "[%s] %s has no comment", f.section, f.key)
 		last = line
--- a/telemetry/labels.go
+++ b/telemetry/labels.go
@@ -64,7 +64,7 @@
 	}
 	for key, value := range tags {
 		if !slices.Contains(allowedLabels, key) {
-			s.seen.drop(key)
+			s.seen.reportDropped(key)
 			continue
 		}
 		merged[key] = value
@@ -98,7 +98,7 @@
 }
 
 // drop logs a label that is not allowed, once, for the one who wrote it.
-func (l *labelSets) drop(key string) {
+func (l *labelSets) reportDropped(key string) {
 	l.mu.Lock()
 	_, logged := l.dropped[key]
 	full := len(l.dropped) >= maxDroppedLogged
--- a/telemetry/logs.go
+++ b/telemetry/logs.go
@@ -36,17 +36,17 @@
 	Status  int
 	Elapsed time.Duration
 	// Head is the time from a request's first byte to the end of its head.
-	Head time.Duration
+	HeaderDuration time.Duration
 	// Stages is how long a request waited for the results of its stages, First the
 	// time from its sending to its target to the first event or the whole answer, and
 	// Pause the longest time between two events.
-	Stages, First, Pause time.Duration
+	StageWait, FirstEvent, LongestPause time.Duration
 	// Needed is the time that work was predicted to take, Left the time that there
 	// was for it, and RetryAfter when its caller was told to come back.
-	Needed, Left, RetryAfter time.Duration
+	Predicted, Remaining, RetryAfter time.Duration
 	// Known is how old the instance's knowledge was by which it acted: the time since
 	// the store last answered about it.
-	Known time.Duration
+	KnowledgeAge time.Duration
 	// LastEvent is the id of the last event of a stream that its caller got, Sources the
 	// number of targets whose events the caller got, and Framing how the target marked
 	// the end of its answer.
@@ -84,14 +84,14 @@
 		kv = append(kv, "status", e.Status)
 	}
 	kv = appendDuration(kv, "elapsed", e.Elapsed)
-	kv = appendDuration(kv, "head", e.Head)
-	kv = appendDuration(kv, "stages", e.Stages)
-	kv = appendDuration(kv, "first", e.First)
-	kv = appendDuration(kv, "pause", e.Pause)
-	kv = appendDuration(kv, "needed", e.Needed)
-	kv = appendDuration(kv, "left", e.Left)
+	kv = appendDuration(kv, "head", e.HeaderDuration)
+	kv = appendDuration(kv, "stages", e.StageWait)
+	kv = appendDuration(kv, "first", e.FirstEvent)
+	kv = appendDuration(kv, "pause", e.LongestPause)
+	kv = appendDuration(kv, "needed", e.Predicted)
+	kv = appendDuration(kv, "left", e.Remaining)
 	kv = appendDuration(kv, "retry_after", e.RetryAfter)
-	kv = appendDuration(kv, "known", e.Known)
+	kv = appendDuration(kv, "known", e.KnowledgeAge)
 	kv = appendText(kv, "last_event", e.LastEvent)
 	if e.Sources != 0 {
 		kv = append(kv, "sources", e.Sources)
@@ -111,10 +111,10 @@
 	if text == "" {
 		return kv
 	}
-	return append(kv, key, shorten(text))
+	return append(kv, key, truncate(text))
 }
 
-func shorten(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxLogText {
 		return text
 	}
@@ -129,7 +129,7 @@
 // ErrorS logs a failure that an operator may have to act on. The error's text
 // is shortened.
 func ErrorS(err error, msg string, e Event) {
-	klog.ErrorSDepth(1, shortError{err}, msg, e.pairs()...)
+	klog.ErrorSDepth(1, truncatedError{err}, msg, e.pairs()...)
 }
 
 // DebugS logs at the given verbosity. The event is built by the caller, so a
@@ -147,17 +147,17 @@
 }
 
 // shortError bounds the text of an error.
-type shortError struct{ err error }
+type truncatedError struct{ err error }
 
 // Error implements error.
-func (e shortError) Error() string {
+func (e truncatedError) Error() string {
 	if e.err == nil {
 		return ""
 	}
-	return shorten(e.err.Error())
+	return truncate(e.err.Error())
 }
 
-func (e shortError) Unwrap() error { return e.err }
+func (e truncatedError) Unwrap() error { return e.err }
 
 // setupLogs points klog at the output. klog reads its configuration from
 // flags; the set here is private, so the program's own flags stay as they are.
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -29,7 +29,7 @@
 		Registerer:              registry,
 		DefaultTimerType:        tallyprom.HistogramTimerType,
 		DefaultHistogramBuckets: durationBuckets(),
-		OnRegisterError:         metricRefused,
+		OnRegisterError:         logMetricError,
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 MetricsPrefix,
@@ -46,7 +46,7 @@
 // metricRefused logs a metric that Prometheus refuses, such as one name with
 // two sets of labels. tally's default is to panic; a metric that is missing is
 // the smaller harm to an instance that serves.
-func metricRefused(err error) {
+func logMetricError(err error) {
 	ErrorS(err, "metric refused", Event{Reason: "name used with other labels"})
 }
 
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -17,7 +17,7 @@
 	linesPerSecond = 600
 	linesBurst     = 2000
 	// queuedLines wait for the reader of the log.
-	queuedLines = 2048
+	queueCapacity = 2048
 	// flushTimeout bounds the wait for the reader at the end.
 	flushTimeout = 500 * time.Millisecond
 )
@@ -30,13 +30,13 @@
 // for which there is no room, are dropped, counted, and their number is said in the
 // log.
 type LineQueue struct {
-	out     io.Writer
-	limit   *rate.Limiter
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	done    chan struct{}
-	close   sync.Once
+	out             io.Writer
+	limit           *rate.Limiter
+	lines           chan []byte
+	unreportedDrops atomic.Int64
+	droppedTotal    atomic.Int64
+	done            chan struct{}
+	close           sync.Once
 }
 
 // NewLineQueue starts to write to out.
@@ -44,7 +44,7 @@
 	q := &LineQueue{
 		out:   out,
 		limit: rate.NewLimiter(linesPerSecond, linesBurst),
-		lines: make(chan []byte, queuedLines),
+		lines: make(chan []byte, queueCapacity),
 		done:  make(chan struct{}),
 	}
 	go q.run()
@@ -66,17 +66,17 @@
 }
 
 func (q *LineQueue) drop() {
-	q.dropped.Add(1)
-	q.total.Add(1)
+	q.unreportedDrops.Add(1)
+	q.droppedTotal.Add(1)
 }
 
 // Dropped returns how many lines were dropped so far.
-func (q *LineQueue) Dropped() int64 { return q.total.Load() }
+func (q *LineQueue) Dropped() int64 { return q.droppedTotal.Load() }
 
 func (q *LineQueue) run() {
 	defer close(q.done)
 	for line := range q.lines {
-		if n := q.dropped.Swap(0); n > 0 {
+		if n := q.unreportedDrops.Swap(0); n > 0 {
 			line = append(fmt.Appendf(nil, "W log lines dropped count=%d\n", n), line...)
 		}
 		if _, err := q.out.Write(line); err != nil {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -11,12 +11,12 @@
 )
 
 // stuck is a pipe that nobody reads until it is opened.
-type stuck struct {
+type blockedPipe struct {
 	open chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedPipe) Write(p []byte) (int, error) {
 	<-s.open
 	return s.Buffer.Write(p)
 }
@@ -24,9 +24,9 @@
 // Nobody reads the log and the pipe is full. Requests must go on: a line costs no
 // wait, what doesn't fit is dropped, and the log says how much once it is read again.
 func TestLogNeverBlocks(t *testing.T) {
-	pipe := &stuck{open: make(chan struct{})}
+	pipe := &blockedPipe{open: make(chan struct{})}
 	q := NewLineQueue(pipe)
-	const lines = 3 * queuedLines
+	const lines = 3 * queueCapacity
 	for i := range lines {
 		n, err := q.Write(fmt.Appendf(nil, "line %d\n", i))
 		require.NoError(t, err)
@@ -38,12 +38,12 @@
 	text := pipe.String()
 	written := strings.Count(text, "line ")
 	require.EqualValues(t, lines, int64(written)+q.Dropped())
-	require.Equal(t, q.Dropped(), saidDropped(t, text))
+	require.Equal(t, q.Dropped(), reportedDrops(t, text))
 }
 
 // saidDropped adds up the numbers of dropped lines that a log says. It may say them in
 // parts: what was dropped before its writer first ran, and what was later.
-func saidDropped(t *testing.T, text string) int64 {
+func reportedDrops(t *testing.T, text string) int64 {
 	var total int64
 	for line := range strings.Lines(text) {
 		count, ok := strings.CutPrefix(line, "W log lines dropped count=")
--- a/telemetry/traces.go
+++ b/telemetry/traces.go
@@ -34,7 +34,7 @@
 	if _, err := url.ParseRequestURI(o.OTLPEndpoint); err != nil {
 		return errors.Wrap(err, "telemetry: OTLP endpoint")
 	}
-	otel.SetErrorHandler(otel.ErrorHandlerFunc(exportFailed))
+	otel.SetErrorHandler(otel.ErrorHandlerFunc(logExportError))
 	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.OTLPEndpoint))
 	if err != nil {
 		return errors.Wrapf(err, "telemetry: exporter for %s", o.OTLPEndpoint)
@@ -50,7 +50,7 @@
 }
 
 // exportFailed logs spans that are lost, at most once for each batch.
-func exportFailed(err error) {
+func logExportError(err error) {
 	ErrorS(err, "traces not exported", Event{})
 }
 
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -145,8 +145,8 @@
 }
 
 // newRequest returns a request that carries the remaining time of ctx.
-func newRequest(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
-	request := &peer.Ask{ID: id, Method: name, Body: body}
+func newRequest(ctx context.Context, id uint64, name string, body []byte) *peer.Request {
+	request := &peer.Request{ID: id, Method: name, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.TimeoutMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
 	}
@@ -155,7 +155,7 @@
 
 // responseResult returns the body of a response, or the error that its code
 // stands for.
-func responseResult(address string, response *peer.Answer) ([]byte, error) {
+func responseResult(address string, response *peer.Response) ([]byte, error) {
 	if response.Code == peer.CodeOK {
 		return response.Body, nil
 	}
@@ -167,7 +167,7 @@
 }
 
 // registerCall reserves the id of a call and the channel for its response.
-func (c *conn) registerCall() (uint64, chan *peer.Answer, error) {
+func (c *conn) registerCall() (uint64, chan *peer.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= c.node.opts.MaxPendingCalls {
@@ -179,7 +179,7 @@
 		c.unansweredSince.Store(now)
 	}
 	c.nextID++
-	responses := make(chan *peer.Answer, 1)
+	responses := make(chan *peer.Response, 1)
 	c.pending[c.nextID] = responses
 	return c.nextID, responses, nil
 }
@@ -193,7 +193,7 @@
 
 // deliverResponse passes a response to its call. A response whose call has given
 // up, and a second one for the same id, find no channel and are dropped.
-func (c *conn) deliverResponse(response *peer.Answer) {
+func (c *conn) deliverResponse(response *peer.Response) {
 	c.mu.Lock()
 	responses := c.pending[response.ID]
 	delete(c.pending, response.ID)
@@ -212,16 +212,16 @@
 
 // handleRequest runs the handler of a request in its own goroutine, or refuses the
 // request if MaxHandlers are running.
-func (n *Node) handleRequest(c *conn, request *peer.Ask) {
+func (n *Node) handleRequest(c *conn, request *peer.Request) {
 	m, ok := n.method(request.Method)
 	if !ok {
-		c.sendResponse(&peer.Answer{ID: request.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
+		c.sendResponse(&peer.Response{ID: request.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
 		return
 	}
 	select {
 	case n.handlerSlots <- struct{}{}:
 	default:
-		c.sendResponse(&peer.Answer{ID: request.ID, Code: peer.CodeBusy, Reason: "too many calls"})
+		c.sendResponse(&peer.Response{ID: request.ID, Code: peer.CodeBusy, Reason: "too many calls"})
 		return
 	}
 	n.wg.Go(func() {
@@ -235,7 +235,7 @@
 }
 
 // runHandler runs a handler within the requester's timeout, at most CallTimeout.
-func (n *Node) runHandler(c *conn, h Handler, request *peer.Ask) *peer.Answer {
+func (n *Node) runHandler(c *conn, h Handler, request *peer.Request) *peer.Response {
 	timeout := n.opts.CallTimeout
 	if request.TimeoutMillis > 0 {
 		timeout = min(timeout, time.Duration(request.TimeoutMillis)*time.Millisecond)
@@ -244,18 +244,18 @@
 	defer cancel()
 	body, err := h(ctx, c.peer, request.Body)
 	if err != nil {
-		return &peer.Answer{ID: request.ID, Code: peer.CodeFailed, Reason: err.Error()}
+		return &peer.Response{ID: request.ID, Code: peer.CodeFailed, Reason: err.Error()}
 	}
-	return &peer.Answer{ID: request.ID, Body: body}
+	return &peer.Response{ID: request.ID, Body: body}
 }
 
 // sendResponse queues a response; one that is too large is replaced by an error.
 // If the write queue is full, the peer is not reading its responses and the
 // connection is closed.
-func (c *conn) sendResponse(response *peer.Answer) {
+func (c *conn) sendResponse(response *peer.Response) {
 	err := c.enqueue(response)
 	if errors.Is(err, peer.ErrFrameSize) {
-		err = c.enqueue(&peer.Answer{ID: response.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
+		err = c.enqueue(&peer.Response{ID: response.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
 	}
 	if err != nil {
 		c.close(wrapError(StepWrite, c.remoteAddress, err))
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -50,7 +50,7 @@
 
 	mu      sync.Mutex
 	queue   queue
-	pending map[uint64]chan *peer.Answer
+	pending map[uint64]chan *peer.Response
 	nextID  uint64
 
 	// ready is set when the handshake is complete.
@@ -77,7 +77,7 @@
 		dialedAddress: dialedAddress,
 		remoteAddress: nc.RemoteAddr().String(),
 		wake:          make(chan struct{}, 1),
-		pending:       make(map[uint64]chan *peer.Answer),
+		pending:       make(map[uint64]chan *peer.Response),
 		started:       time.Now(),
 	}
 	c.queue = queue{maxFrames: n.opts.QueueLength, maxBytes: n.opts.QueueBytes}
@@ -188,10 +188,10 @@
 		// lastReceived was updated when its bytes arrived.
 	case *peer.Hello, *peer.Welcome:
 		c.close(errors.Wrapf(ErrInvalid, "%T after the handshake", m))
-	case *peer.Ask:
+	case *peer.Request:
 		c.lastUsed.Store(c.now())
 		c.node.handleRequest(c, m)
-	case *peer.Answer:
+	case *peer.Response:
 		c.lastUsed.Store(c.now())
 		c.deliverResponse(m)
 	default:
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -57,7 +57,7 @@
 		{"slow before it", hello[:3], false, -1, "timeout"},
 		{"slow after it", after(0, 0, 0, 9, byte(peer.TypePing)), false, peer.CodeOK, "timeout"},
 		{"silent from the start", nil, false, -1, "timeout"},
-		{"another message first", encode(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
+		{"another message first", encode(t, &peer.Request{ID: 1}), false, -1, "invalid"},
 		{"a second Hello", after(hello...), false, peer.CodeOK, ""},
 		{"older version", encode(t, &old), false, peer.CodeVersion, "version"},
 		{"another cluster", encode(t, &other), false, peer.CodeCluster, "cluster"},
@@ -104,14 +104,14 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	input := append(encode(t, &validHello), 0, 0, 0, 2, 200, 0xc0)
-	_, err = nc.Write(append(input, encode(t, &peer.Ask{ID: 4, Method: "echo"})...))
+	_, err = nc.Write(append(input, encode(t, &peer.Request{ID: 4, Method: "echo"})...))
 	require.NoError(t, err)
 	require.Equal(t, peer.CodeOK, readWelcome(t, nc).Code)
 	body, err := peer.ReadFrame(nc, peer.MaxFrame)
 	require.NoError(t, err)
 	m, err := peer.Decode(body)
 	require.NoError(t, err)
-	require.Equal(t, &peer.Answer{ID: 4, Body: []byte("x:")}, m)
+	require.Equal(t, &peer.Response{ID: 4, Body: []byte("x:")}, m)
 	require.Equal(t, int64(1), count(scope, "unknown"))
 }
 
@@ -275,7 +275,7 @@
 	eventually(t, func() bool { return len(n.established()) == 1 }, "connected")
 	c := n.established()[0]
 	for !c.isClosed() {
-		_ = c.enqueueDroppable(&peer.Ask{Body: make([]byte, 512<<10)})
+		_ = c.enqueueDroppable(&peer.Request{Body: make([]byte, 512<<10)})
 	}
 	require.ErrorContains(t, context.Cause(c.ctx), "write")
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -161,8 +161,8 @@
 
 // Watch implements Store. A watch that is the probe after an outage returns
 // without waiting, since all other calls are held back until it ends.
-func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
-	var watch platformapi.Watch
+func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
+	var watch platformapi.WatchResponse
 	err := c.do(ctx, exchange{
 		call:   Call{Step: "watch " + strings.Join(kinds, ","), Peer: c.base},
 		class:  ClassRead,
--- a/transport/platform/codec.go
+++ b/transport/platform/codec.go
@@ -21,7 +21,7 @@
 	DecodeObject(body []byte) (platformapi.Object, error)
 	DecodeList(body []byte) (platformapi.List, error)
 	// DecodeWatch decodes the response to a watch of kinds.
-	DecodeWatch(kinds []string, body []byte) (platformapi.Watch, error)
+	DecodeWatch(kinds []string, body []byte) (platformapi.WatchResponse, error)
 	// DecodeConflict returns the current object from the response to a write
 	// that conflicted; nil if there is none.
 	DecodeConflict(body []byte) *platformapi.Object
@@ -83,7 +83,7 @@
 	return l, err
 }
 
-func (defaultCodec) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
+func (defaultCodec) DecodeWatch(_ []string, body []byte) (w platformapi.WatchResponse, err error) {
 	err = json.Unmarshal(body, &w)
 	return w, err
 }
--- a/transport/platform/store.go
+++ b/transport/platform/store.go
@@ -43,5 +43,5 @@
 	// Watch waits, at most for wait, until an object of the kinds changes after
 	// revision from, and returns the changes in order. ErrCompacted means that
 	// the platform no longer has the changes and the caller must list again.
-	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error)
+	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error)
 }
--- a/transport/target/response.go
+++ b/transport/target/response.go
@@ -102,22 +102,22 @@
 }
 
 // readWhole reads a response that is not streamed.
-func (x *exchange) readWhole() (targetapi.RunAnswer, error) {
+func (x *exchange) readWhole() (targetapi.RunResponse, error) {
 	body, err := io.ReadAll(x.body)
 	if err != nil {
-		return targetapi.RunAnswer{}, x.fail(StepBody, err)
+		return targetapi.RunResponse{}, x.fail(StepBody, err)
 	}
 	return x.parseAnswer(StepBody, body)
 }
 
 // parseAnswer parses an answer and checks its attempt ID.
-func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunAnswer, error) {
-	var answer targetapi.RunAnswer
+func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunResponse, error) {
+	var answer targetapi.RunResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return targetapi.RunAnswer{}, x.fail(step, contractError{err})
+		return targetapi.RunResponse{}, x.fail(step, contractError{err})
 	}
 	if answer.AttemptID != x.call.AttemptID {
-		return targetapi.RunAnswer{}, x.fail(step, errWrongAttempt)
+		return targetapi.RunResponse{}, x.fail(step, errWrongAttempt)
 	}
 	return answer, nil
 }
--- a/transport/target/rig_test.go
+++ b/transport/target/rig_test.go
@@ -141,7 +141,7 @@
 	r.Helper()
 	text, tokens := emulator.Output(call.Run.Stage, call.Run.Inputs, call.Run.Model, call.Run.MaxTokens)
 	seen := []string{}
-	var answer targetapi.RunAnswer
+	var answer targetapi.RunResponse
 	var meta target.ResponseMeta
 	var err error
 	if stream {
--- a/transport/target/stream.go
+++ b/transport/target/stream.go
@@ -35,7 +35,7 @@
 }
 
 // readStream reads a streamed response up to its done or error event.
-func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunAnswer, error) {
+func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunResponse, error) {
 	limit := int(x.client.options.MaxBody)
 	s := &tokenStream{
 		exchange:   x,
@@ -49,17 +49,17 @@
 			err = errNoDoneEvent
 		}
 		if err != nil {
-			return targetapi.RunAnswer{}, x.fail(StepStream, err)
+			return targetapi.RunResponse{}, x.fail(StepStream, err)
 		}
 		switch event.Name {
 		case targetapi.EventToken:
 			if err := s.handleToken(event); err != nil {
-				return targetapi.RunAnswer{}, err
+				return targetapi.RunResponse{}, err
 			}
 		case targetapi.EventDone:
 			return s.handleDone(event)
 		case targetapi.EventError:
-			return targetapi.RunAnswer{}, s.handleError(event)
+			return targetapi.RunResponse{}, s.handleError(event)
 		}
 	}
 }
@@ -116,20 +116,20 @@
 }
 
 // handleDone checks that the final answer matches the tokens.
-func (s *tokenStream) handleDone(event sse.Event) (targetapi.RunAnswer, error) {
+func (s *tokenStream) handleDone(event sse.Event) (targetapi.RunResponse, error) {
 	x := s.exchange
 	answer, err := x.parseAnswer(StepStream, []byte(event.Data))
 	if err != nil {
-		return targetapi.RunAnswer{}, err
+		return targetapi.RunResponse{}, err
 	}
 	if !s.matches(answer) {
-		return targetapi.RunAnswer{}, x.fail(StepStream, contractError{errTextMismatch})
+		return targetapi.RunResponse{}, x.fail(StepStream, contractError{errTextMismatch})
 	}
 	s.readEnd()
 	return answer, nil
 }
 
-func (s *tokenStream) matches(answer targetapi.RunAnswer) bool {
+func (s *tokenStream) matches(answer targetapi.RunResponse) bool {
 	resumedFrom := s.exchange.call.Run.ResumeFrom
 	if answer.Tokens != s.nextOffset-resumedFrom {
 		return false
