--- a/protocol/peer/bounds.go
+++ b/protocol/peer/bounds.go
@@ -7,31 +7,31 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Bounds on the structure of a message.
+// Limits on the structure of a message.
 const (
-	// maxElements bounds every array and map in a message.
+	// maxElements is the maximum number of elements of an array or map.
 	maxElements = 4096
-	// maxDepth bounds nesting; the deepest message has 4 levels.
+	// maxDepth is the maximum nesting depth; the deepest message has 4 levels.
 	maxDepth = 8
 )
 
-// checkBounds walks a msgpack value without decoding it. The decoder allocates
-// a slice as long as an array's header says before it reads the first element,
-// so a frame of a few bytes could claim four thousand million members and
-// exhaust the memory. Here every header is compared with what the frame can
-// hold, which is known, and with maxElements.
+// checkBounds validates the structure of a msgpack value without decoding it.
+// The decoder allocates a slice of the length in an array's header before it
+// reads the first element, so a frame of a few bytes could claim four billion
+// members and exhaust the memory. checkBounds compares every header with the
+// bytes that remain in the frame and with maxElements.
 func checkBounds(b []byte) error {
-	rest, err := skipValue(b, maxDepth)
+	trailing, err := skipValue(b, maxDepth)
 	if err != nil {
 		return err
 	}
-	if len(rest) != 0 {
-		return errors.Wrapf(ErrMalformed, "%d bytes after the message", len(rest))
+	if len(trailing) != 0 {
+		return errors.Wrapf(ErrMalformed, "%d bytes after the message", len(trailing))
 	}
 	return nil
 }
 
-// skipValue returns what follows the first value of b.
+// skipValue returns the bytes that follow the first value of b.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if depth == 0 {
 		return nil, errors.Wrap(ErrMalformed, "nested too deeply")
@@ -60,24 +60,24 @@
 	case msgpcode.Uint64, msgpcode.Int64, msgpcode.Double:
 		return skipBytes(b, 8)
 	case msgpcode.Str8, msgpcode.Bin8:
-		return skipSized(b, 1)
+		return skipLengthPrefixed(b, 1)
 	case msgpcode.Str16, msgpcode.Bin16:
-		return skipSized(b, 2)
+		return skipLengthPrefixed(b, 2)
 	case msgpcode.Str32, msgpcode.Bin32:
-		return skipSized(b, 4)
+		return skipLengthPrefixed(b, 4)
 	case msgpcode.Array16:
-		return skipCounted(b, 2, 1, depth)
+		return skipContainer(b, 2, 1, depth)
 	case msgpcode.Array32:
-		return skipCounted(b, 4, 1, depth)
+		return skipContainer(b, 4, 1, depth)
 	case msgpcode.Map16:
-		return skipCounted(b, 2, 2, depth)
+		return skipContainer(b, 2, 2, depth)
 	case msgpcode.Map32:
-		return skipCounted(b, 4, 2, depth)
+		return skipContainer(b, 4, 2, depth)
 	}
 	return nil, errors.Wrapf(ErrMalformed, "code %#x is not used", c)
 }
 
-// skipBytes drops n bytes.
+// skipBytes skips n bytes.
 func skipBytes(b []byte, n int) ([]byte, error) {
 	if n > len(b) {
 		return nil, errors.Wrap(ErrMalformed, "cut short")
@@ -85,18 +85,20 @@
 	return b[n:], nil
 }
 
-// skipSized drops a string or binary whose length has the given width.
-func skipSized(b []byte, width int) ([]byte, error) {
-	n, b, err := length(b, width)
+// skipSized skips a string or binary value whose length
+// field has the given width in bytes.
+func skipLengthPrefixed(b []byte, width int) ([]byte, error) {
+	n, b, err := readLength(b, width)
 	if err != nil {
 		return nil, err
 	}
 	return skipBytes(b, n)
 }
 
-// skipCounted drops an array or map whose header has the given width.
-func skipCounted(b []byte, width, perElement, depth int) ([]byte, error) {
-	n, b, err := length(b, width)
+// skipCounted skips an array or map whose element count has the given width in
+// bytes; a map has two values per element.
+func skipContainer(b []byte, width, perElement, depth int) ([]byte, error) {
+	n, b, err := readLength(b, width)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +108,7 @@
 	return skipElements(b, n*perElement, depth)
 }
 
-// skipElements drops n values.
+// skipElements skips n values.
 func skipElements(b []byte, n, depth int) ([]byte, error) {
 	var err error
 	for range n {
@@ -118,7 +120,7 @@
 }
 
 // length reads a big-endian length of 1, 2 or 4 bytes.
-func length(b []byte, width int) (int, []byte, error) {
+func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, errors.Wrap(ErrMalformed, "cut short")
 	}
--- a/protocol/peer/frame.go
+++ b/protocol/peer/frame.go
@@ -9,26 +9,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Limits of a frame, in bytes after the length prefix.
+// Limits on the size of a frame, in bytes after the length prefix.
 const (
-	// MaxFrame bounds every frame.
+	// MaxFrame is the maximum size of a frame.
 	MaxFrame = 1 << 20
-	// MaxHandshakeFrame bounds a frame from a peer that has not yet been
-	// accepted.
+	// MaxHandshakeFrame is the maximum size of a frame from a peer whose
+	// handshake is not complete.
 	MaxHandshakeFrame = 4 << 10
-	// headerSize is the length prefix.
+	// headerSize is the size of the length prefix.
 	headerSize = 4
 )
 
-// Errors of the framing. ErrUnknownType is no fault of the connection: the
-// receiver counts it and reads on.
+// Framing errors. ErrUnknownType does not make the connection unusable: the
+// receiver counts the message and continues with the next frame.
 var (
 	ErrFrameSize   = errors.New("frame size out of bounds")
 	ErrUnknownType = errors.New("unknown message type")
 	ErrMalformed   = errors.New("malformed message")
 )
 
-// Encode returns a whole frame: length, type and msgpack body.
+// Encode returns a complete frame: length, type and msgpack body.
 func Encode(m Message) ([]byte, error) {
 	t := typeOf(m)
 	if t == 0 {
@@ -39,7 +39,7 @@
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	enc.Reset(&buf)
-	enc.UseArrayEncodedStructs(!selfDescribing(t))
+	enc.UseArrayEncodedStructs(!usesFieldNames(t))
 	enc.UseCompactInts(true)
 	if err := enc.Encode(m); err != nil {
 		return nil, errors.Wrapf(err, "encode %T", m)
@@ -53,11 +53,11 @@
 	return frame, nil
 }
 
-// selfDescribing tells whether a type is sent as a map with field names. The
-// handshake is, because both ends must read it whatever their versions are.
-func selfDescribing(t Type) bool { return t == TypeHello || t == TypeWelcome }
+// selfDescribing reports whether a type is encoded as a map with field names. The
+// handshake is, because both ends must be able to read it at any version.
+func usesFieldNames(t Type) bool { return t == TypeHello || t == TypeWelcome }
 
-// Decode reads the body of a frame: type and msgpack.
+// Decode decodes the body of a frame: type and msgpack.
 func Decode(body []byte) (Message, error) {
 	if len(body) == 0 {
 		return nil, errors.Wrap(ErrFrameSize, "empty frame")
@@ -79,9 +79,9 @@
 	return m, nil
 }
 
-// ReadFrame reads the body of one frame. A length of zero or above limit is
-// refused before anything is allocated for it, so that a hostile or confused
-// sender costs no memory.
+// ReadFrame reads the body of one frame. It rejects a length of zero or above
+// limit before it allocates a buffer, so that a hostile or faulty sender cannot
+// exhaust the memory.
 func ReadFrame(r io.Reader, limit int) ([]byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/protocol/peer/frame_test.go
+++ b/protocol/peer/frame_test.go
@@ -14,14 +14,14 @@
 	"github.com/ivyhollow/ivyhollow/coordination/spread"
 )
 
-var someMember = membership.Member{
+var sampleMember = membership.Member{
 	Name: "i1", Address: "127.0.0.1:7", CallerURL: "http://127.0.0.1:8", DataCentre: "kochi-1",
 	Incarnation: 1 << 60, Refutation: 3, State: membership.Suspect,
 }
 
-func oneOfEach() []Message {
+func sampleMessages() []Message {
 	hello := Hello{Version: Version, Cluster: "c", Name: "i1", Address: "127.0.0.1:7", Incarnation: 9}
-	updates := []membership.Member{someMember, someMember}
+	updates := []membership.Member{sampleMember, sampleMember}
 	return []Message{
 		&hello,
 		&Welcome{Code: CodeCluster, Reason: "other", Hello: hello},
@@ -35,13 +35,13 @@
 		&spread.Pull{Root: 1, NewestRevision: 8, Bucket: -1, Leaves: []uint64{1, 1 << 63}},
 		&spread.PullResponse{InSync: true, Buckets: []uint64{3}},
 		&spread.Loads{Digests: []spread.LoadDigest{{Origin: "i1", Incarnation: 2, Seq: 3, AgeMillis: 4, Body: []byte{5}}}},
-		&Ask{ID: 1, Method: "claims.ask", TimeoutMillis: 100, Body: []byte("q")},
-		&Answer{ID: 1, Code: CodeFailed, Reason: "why", Body: []byte("a")},
+		&Request{ID: 1, Method: "claims.ask", TimeoutMillis: 100, Body: []byte("q")},
+		&Response{ID: 1, Code: CodeFailed, Reason: "why", Body: []byte("a")},
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
-	for _, m := range oneOfEach() {
+func TestMessagesRoundTrip(t *testing.T) {
+	for _, m := range sampleMessages() {
 		frame, err := Encode(m)
 		require.NoError(t, err)
 		body, err := ReadFrame(bytes.NewReader(frame), MaxFrame)
@@ -52,14 +52,13 @@
 	}
 }
 
-// frame puts a length before bytes.
-func frame(size uint32, body ...byte) []byte {
+// rawFrame returns body with a length prefix of size, which may be wrong.
+func rawFrame(size uint32, body ...byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, size), body...)
 }
 
-// A peer sends what no instance sends: a client of another protocol, a broken
-// process, someone with bad intent. Each must be told apart at once and must
-// cost no memory.
+// Input of a client of another protocol, a faulty process or an attacker must be
+// rejected with a specific error, before memory is allocated for it.
 func TestBadFrames(t *testing.T) {
 	deep := append([]byte{byte(TypePing)}, bytes.Repeat([]byte{0x91}, 20)...)
 	manyMembers := []byte{byte(TypePing), 0x93, 1, 1, 0xdd, 0, 0x10, 0, 0}
@@ -69,20 +68,20 @@
 		want  error
 		text  string
 	}{
-		{"empty frame", frame(0), ErrFrameSize, "0 bytes"},
-		{"one byte too long", frame(MaxFrame+1, 1), ErrFrameSize, "limit"},
-		{"four gigabytes", frame(1<<32-1, 1), ErrFrameSize, "limit"},
+		{"empty frame", rawFrame(0), ErrFrameSize, "0 bytes"},
+		{"one byte too long", rawFrame(MaxFrame+1, 1), ErrFrameSize, "limit"},
+		{"four gigabytes", rawFrame(1<<32-1, 1), ErrFrameSize, "limit"},
 		{"an HTTP request", []byte("GET / HTTP/1.1\r\n\r\n"), ErrFrameSize, "limit"},
 		{"cut in the length", []byte{0, 0}, io.ErrUnexpectedEOF, ""},
-		{"cut in the body", frame(9, 1, 2), io.ErrUnexpectedEOF, "cut short"},
-		{"type of a later version", frame(2, 200, 0xc0), ErrUnknownType, "200"},
-		{"no body", frame(1, byte(TypePing)), ErrMalformed, "cut short"},
-		{"two bodies", frame(3, byte(TypePing), 0xc0, 0xc0), ErrMalformed, "after the message"},
-		{"field missing", frame(3, byte(TypeHeartbeat), 0x92, 1), ErrMalformed, ""},
-		{"text for a number", frame(4, byte(TypeHeartbeat), 0x91, 0xa1, 'x'), ErrMalformed, ""},
-		{"a million members claimed", frame(uint32(len(manyMembers)), manyMembers...), ErrMalformed, "elements"},
-		{"nested without end", frame(uint32(len(deep)), deep...), ErrMalformed, "deeply"},
-		{"extension type", frame(4, byte(TypePing), 0xd4, 1, 1), ErrMalformed, "not used"},
+		{"cut in the body", rawFrame(9, 1, 2), io.ErrUnexpectedEOF, "cut short"},
+		{"type of a later version", rawFrame(2, 200, 0xc0), ErrUnknownType, "200"},
+		{"no body", rawFrame(1, byte(TypePing)), ErrMalformed, "cut short"},
+		{"two bodies", rawFrame(3, byte(TypePing), 0xc0, 0xc0), ErrMalformed, "after the message"},
+		{"field missing", rawFrame(3, byte(TypeHeartbeat), 0x92, 1), ErrMalformed, ""},
+		{"text for a number", rawFrame(4, byte(TypeHeartbeat), 0x91, 0xa1, 'x'), ErrMalformed, ""},
+		{"a million members claimed", rawFrame(uint32(len(manyMembers)), manyMembers...), ErrMalformed, "elements"},
+		{"nested without end", rawFrame(uint32(len(deep)), deep...), ErrMalformed, "deeply"},
+		{"extension type", rawFrame(4, byte(TypePing), 0xd4, 1, 1), ErrMalformed, "not used"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,14 +93,14 @@
 			require.ErrorContains(t, err, c.text)
 		})
 	}
-	_, err := Encode(&Ask{Body: make([]byte, MaxFrame)})
+	_, err := Encode(&Request{Body: make([]byte, MaxFrame)})
 	require.ErrorIs(t, err, ErrFrameSize)
 	_, err = Encode("text")
 	require.ErrorIs(t, err, ErrUnknownType)
 }
 
-// The state machines bound their messages by estimates of encoded sizes. An
-// estimate below the truth would break the bound on bytes per second.
+// The state machines limit their messages by estimates of encoded sizes. An
+// estimate below the actual size would exceed the limit on bytes per second.
 func TestEstimatedSizesAreUpperBounds(t *testing.T) {
 	const overhead = headerSize + 1 + 1 + 2*9 + 3
 	rapid.Check(t, func(rt *rapid.T) {
@@ -121,10 +120,10 @@
 	})
 }
 
-// FuzzFrame reads arbitrary bytes as frames: no panic, no frame above the
-// limit, and what decodes can be sent on.
+// FuzzFrame reads arbitrary bytes as frames: decoding must not panic, no frame
+// may exceed the limit, and a decoded message must encode again.
 func FuzzFrame(f *testing.F) {
-	for _, m := range oneOfEach() {
+	for _, m := range sampleMessages() {
 		frame, err := Encode(m)
 		require.NoError(f, err)
 		f.Add(frame)
--- a/protocol/peer/messages.go
+++ b/protocol/peer/messages.go
@@ -1,8 +1,9 @@
-// Package peer holds the messages between instances and their framing: a
-// uint32 length in network order, one byte that names the type, and the
-// message in msgpack. The handshake is sent as maps with field names, so that
-// any two versions can read it; all else as arrays to save bytes, and a type
-// whose fields change gets a new number. docs/api/peers.md is the contract.
+// Package peer defines the messages between instances and their framing: a
+// uint32 length in network byte order, one byte for the message type, and the
+// message in msgpack. The handshake is encoded as maps with field names, so that
+// any two versions can read it; all other messages are encoded as arrays to save
+// bytes, and a type whose fields change gets a new number. docs/api/peers.md is
+// the contract.
 package peer
 
 import (
@@ -10,17 +11,17 @@
 	"github.com/ivyhollow/ivyhollow/coordination/spread"
 )
 
-// Version is the protocol version this code speaks, and MinVersion the oldest
-// it accepts.
+// Version is the protocol version of this build, and MinVersion the oldest
+// version that it accepts.
 const (
 	Version    = 2
 	MinVersion = 2
 )
 
-// Type names the type of a message on the wire. A number is never reused.
+// Type is the type number of a message on the wire. A number is never reused.
 type Type byte
 
-// The types of messages.
+// Message types.
 const (
 	TypeHello        Type = 1
 	TypeWelcome      Type = 2
@@ -30,20 +31,20 @@
 	TypePingReq      Type = 11
 	TypeAck          Type = 12
 	TypeSyncRequest  Type = 13
-	TypeSyncAnswer   Type = 14
+	TypeSyncResponse Type = 14
 	TypePush         Type = 20
 	TypePull         Type = 21
-	TypePullAnswer   Type = 22
+	TypePullResponse Type = 22
 	TypeLoads        Type = 23
-	TypeAsk          Type = 30
-	TypeAnswer       Type = 31
+	TypeRequest      Type = 30
+	TypeResponse     Type = 31
 )
 
-// Message is any message of this protocol: a pointer to one of the structs of
+// Message is any message of this protocol: a pointer to a message struct of
 // this package, of membership or of spread.
 type Message any
 
-// Hello opens a connection. Both ends send it; the dialling end first.
+// Hello opens a connection. Both ends send it, the dialing end first.
 type Hello struct {
 	Version     int
 	Cluster     string
@@ -67,59 +68,59 @@
 	}
 }
 
-// Code says how a handshake or a call ended.
+// Code is the result of a handshake or of a call.
 type Code int
 
-// The codes of Welcome and Answer.
+// Codes of Welcome and Response.
 const (
 	CodeOK Code = iota
-	// CodeVersion: the versions have no overlap.
+	// CodeVersion means that the supported versions do not overlap.
 	CodeVersion
-	// CodeCluster: the peer belongs to another cluster.
+	// CodeCluster means that the peer belongs to another cluster.
 	CodeCluster
-	// CodeBusy: a bound of the receiver is reached; nothing was run.
+	// CodeBusy means that a limit of the receiver is reached and no handler ran.
 	CodeBusy
-	// CodeNoMethod: the method is not registered; nothing was run.
+	// CodeNoMethod means that the method is not registered and no handler ran.
 	CodeNoMethod
-	// CodeFailed: the handler returned an error.
+	// CodeFailed means that the handler returned an error.
 	CodeFailed
-	// CodeInvalid: the Hello lacks a field.
+	// CodeInvalid means that the Hello lacks a field.
 	CodeInvalid
 )
 
-// Welcome answers a Hello. With another code than CodeOK, Reason says why the
-// connection is refused, and the connection is closed.
+// Welcome is the response to a Hello. If Code is not CodeOK, the connection is
+// refused and closed, and Reason states why.
 type Welcome struct {
 	Code   Code
 	Reason string
 	Hello  Hello
 }
 
-// Heartbeat asks for a HeartbeatAck, to tell an idle connection from a silent
-// one.
+// Heartbeat requests a HeartbeatAck, to distinguish an idle connection from an
+// unresponsive one.
 type Heartbeat struct{ Seq uint64 }
 
-// HeartbeatAck answers a Heartbeat.
+// HeartbeatAck acknowledges the Heartbeat with the same Seq.
 type HeartbeatAck struct{ Seq uint64 }
 
-// Ask is a request by method name. ID is unique on its connection.
-type Ask struct {
+// Request calls a method by name. ID is unique on its connection.
+type Request struct {
 	ID     uint64
 	Method string
-	// TimeoutMillis is how long the asker waits.
+	// TimeoutMillis is how long the requester waits.
 	TimeoutMillis uint32
 	Body          []byte
 }
 
-// Answer answers the Ask with the same ID.
-type Answer struct {
+// Response is the result of the Request with the same ID.
+type Response struct {
 	ID     uint64
 	Code   Code
 	Reason string
 	Body   []byte
 }
 
-// newMessage returns an empty message of a type, nil for an unknown type.
+// newMessage returns an empty message of type t, or nil if t is unknown.
 func newMessage(t Type) Message {
 	switch t {
 	case TypeHello:
@@ -138,25 +139,25 @@
 		return new(membership.Ack)
 	case TypeSyncRequest:
 		return new(membership.SyncRequest)
-	case TypeSyncAnswer:
+	case TypeSyncResponse:
 		return new(membership.SyncResponse)
 	case TypePush:
 		return new(spread.Push)
 	case TypePull:
 		return new(spread.Pull)
-	case TypePullAnswer:
+	case TypePullResponse:
 		return new(spread.PullResponse)
 	case TypeLoads:
 		return new(spread.Loads)
-	case TypeAsk:
-		return new(Ask)
-	case TypeAnswer:
-		return new(Answer)
+	case TypeRequest:
+		return new(Request)
+	case TypeResponse:
+		return new(Response)
 	}
 	return nil
 }
 
-// typeOf returns the wire type of a message, 0 for anything else.
+// typeOf returns the wire type of m, or 0 if m is not a message.
 func typeOf(m Message) Type {
 	switch m.(type) {
 	case *Hello:
@@ -176,19 +177,19 @@
 	case *membership.SyncRequest:
 		return TypeSyncRequest
 	case *membership.SyncResponse:
-		return TypeSyncAnswer
+		return TypeSyncResponse
 	case *spread.Push:
 		return TypePush
 	case *spread.Pull:
 		return TypePull
 	case *spread.PullResponse:
-		return TypePullAnswer
+		return TypePullResponse
 	case *spread.Loads:
 		return TypeLoads
-	case *Ask:
-		return TypeAsk
-	case *Answer:
-		return TypeAnswer
+	case *Request:
+		return TypeRequest
+	case *Response:
+		return TypeResponse
 	}
 	return 0
 }
--- a/protocol/peer/versions_test.go
+++ b/protocol/peer/versions_test.go
@@ -9,19 +9,19 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// layouts are what a Ping with one member is on the wire, by protocol version.
-var layouts = map[int]string{
+// pingLayouts holds the encoding of a Ping with one member, by protocol version.
+var pingLayouts = map[int]string{
 	2: "9307079198a161a162a163a164010200cd0320",
 }
 
-// Instances are replaced one by one, and for minutes two versions stand side by side.
-// Messages travel as arrays of their fields: with a field more, neither version can
-// read the other's members. Under one version number they would connect all the same,
-// and drop each other's connections again and again.
-func TestLayoutBelongsToItsVersion(t *testing.T) {
+// During a rolling update two versions run side by side for minutes. Messages are
+// encoded as arrays of their fields: after a field is added, neither version can read
+// the other's members. Under one version number both would still connect, and would
+// close each other's connections again and again.
+func TestLayoutMatchesVersion(t *testing.T) {
 	frame, err := Encode(&membership.Ping{Seq: 7, Digest: 7, Updates: []membership.Member{{
 		Name: "a", Address: "b", CallerURL: "c", DataCentre: "d", Incarnation: 1, Refutation: 2, Capacity: 800,
 	}}})
 	require.NoError(t, err)
-	require.Equal(t, layouts[Version], hex.EncodeToString(frame[5:]), "a changed layout needs a new Version")
+	require.Equal(t, pingLayouts[Version], hex.EncodeToString(frame[5:]), "a changed layout needs a new Version")
 }
--- a/testkit/capacity/budgets.go
+++ b/testkit/capacity/budgets.go
@@ -91,8 +91,8 @@
 	from.ApplyGrant(f.now, grant)
 	f.asks++
 	f.bytes += wire(&ask, func(body []byte) peer.Message {
-		return &peer.Ask{ID: 1 << 20, Method: accounts.MethodGrant, TimeoutMillis: 50, Body: body}
-	}) + wire(&grant, func(body []byte) peer.Message { return &peer.Answer{ID: 1 << 20, Body: body} })
+		return &peer.Request{ID: 1 << 20, Method: accounts.MethodGrant, TimeoutMillis: 50, Body: body}
+	}) + wire(&grant, func(body []byte) peer.Message { return &peer.Response{ID: 1 << 20, Body: body} })
 }
 
 // wire returns the bytes of a frame.
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -143,8 +143,8 @@
 }
 
 // newAsk builds an Ask that carries the time left.
-func newAsk(ctx context.Context, id uint64, name string, body []byte) *peer.Ask {
-	ask := &peer.Ask{ID: id, Method: name, Body: body}
+func newAsk(ctx context.Context, id uint64, name string, body []byte) *peer.Request {
+	ask := &peer.Request{ID: id, Method: name, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		ask.TimeoutMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
 	}
@@ -152,7 +152,7 @@
 }
 
 // result translates an Answer.
-func result(address string, a *peer.Answer) ([]byte, error) {
+func result(address string, a *peer.Response) ([]byte, error) {
 	if a.Code == peer.CodeOK {
 		return a.Body, nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // begin reserves an id.
-func (c *conn) begin() (uint64, chan *peer.Answer, error) {
+func (c *conn) begin() (uint64, chan *peer.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= c.node.opts.MaxPending {
@@ -176,7 +176,7 @@
 		c.askedAt.Store(now)
 	}
 	c.nextID++
-	answers := make(chan *peer.Answer, 1)
+	answers := make(chan *peer.Response, 1)
 	c.pending[c.nextID] = answers
 	return c.nextID, answers, nil
 }
@@ -190,7 +190,7 @@
 
 // answered hands an Answer to its call. One whose call has given up, and a
 // second one for the same id, find no channel and are dropped.
-func (c *conn) answered(a *peer.Answer) {
+func (c *conn) answered(a *peer.Response) {
 	c.mu.Lock()
 	answers := c.pending[a.ID]
 	delete(c.pending, a.ID)
@@ -209,16 +209,16 @@
 
 // answer runs the handler of an Ask in its own goroutine, within the bound of
 // handlers.
-func (n *Node) answer(c *conn, ask *peer.Ask) {
+func (n *Node) answer(c *conn, ask *peer.Request) {
 	m, ok := n.method(ask.Method)
 	if !ok {
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
+		c.reply(&peer.Response{ID: ask.ID, Code: peer.CodeNoMethod, Reason: "no such method"})
 		return
 	}
 	select {
 	case n.handlers <- struct{}{}:
 	default:
-		c.reply(&peer.Answer{ID: ask.ID, Code: peer.CodeBusy, Reason: "too many calls"})
+		c.reply(&peer.Response{ID: ask.ID, Code: peer.CodeBusy, Reason: "too many calls"})
 		return
 	}
 	n.wg.Go(func() {
@@ -231,7 +231,7 @@
 }
 
 // runHandler runs a handler under the asker's time limit.
-func (n *Node) runHandler(c *conn, h Handler, ask *peer.Ask) *peer.Answer {
+func (n *Node) runHandler(c *conn, h Handler, ask *peer.Request) *peer.Response {
 	timeout := n.opts.CallTimeout
 	if ask.TimeoutMillis > 0 {
 		timeout = min(timeout, time.Duration(ask.TimeoutMillis)*time.Millisecond)
@@ -240,17 +240,17 @@
 	defer cancel()
 	body, err := h(ctx, c.peer, ask.Body)
 	if err != nil {
-		return &peer.Answer{ID: ask.ID, Code: peer.CodeFailed, Reason: err.Error()}
+		return &peer.Response{ID: ask.ID, Code: peer.CodeFailed, Reason: err.Error()}
 	}
-	return &peer.Answer{ID: ask.ID, Body: body}
+	return &peer.Response{ID: ask.ID, Body: body}
 }
 
 // reply sends an Answer; one that is too large is replaced by its error. If
 // the peer does not take its answers, the connection is of no use.
-func (c *conn) reply(a *peer.Answer) {
+func (c *conn) reply(a *peer.Response) {
 	err := c.enqueue(a)
 	if errors.Is(err, peer.ErrFrameSize) {
-		err = c.enqueue(&peer.Answer{ID: a.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
+		err = c.enqueue(&peer.Response{ID: a.ID, Code: peer.CodeFailed, Reason: "answer exceeds the frame size"})
 	}
 	if err != nil {
 		c.close(fail(StepWrite, c.remote, err))
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -47,7 +47,7 @@
 
 	mu      sync.Mutex
 	queue   queue
-	pending map[uint64]chan *peer.Answer
+	pending map[uint64]chan *peer.Response
 	nextID  uint64
 
 	// ready is set when the handshake is done; peer may be read after it.
@@ -68,7 +68,7 @@
 		address: address,
 		remote:  nc.RemoteAddr().String(),
 		wake:    make(chan struct{}, 1),
-		pending: make(map[uint64]chan *peer.Answer),
+		pending: make(map[uint64]chan *peer.Response),
 		started: time.Now(),
 	}
 	c.queue = queue{maxFrames: n.opts.QueueLength, maxBytes: n.opts.QueueBytes}
@@ -175,10 +175,10 @@
 		// Its arrival was the sign; lastIn has it.
 	case *peer.Hello, *peer.Welcome:
 		c.close(errors.Wrapf(ErrInvalid, "%T after the handshake", m))
-	case *peer.Ask:
+	case *peer.Request:
 		c.lastUsed.Store(c.now())
 		c.node.answer(c, m)
-	case *peer.Answer:
+	case *peer.Response:
 		c.lastUsed.Store(c.now())
 		c.answered(m)
 	default:
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -56,7 +56,7 @@
 		{"slow before it", hello[:3], false, -1, "timeout"},
 		{"slow after it", after(0, 0, 0, 9, byte(peer.TypePing)), false, peer.CodeOK, "timeout"},
 		{"silent from the start", nil, false, -1, "timeout"},
-		{"another message first", wire(t, &peer.Ask{ID: 1}), false, -1, "invalid"},
+		{"another message first", wire(t, &peer.Request{ID: 1}), false, -1, "invalid"},
 		{"a second Hello", after(hello...), false, peer.CodeOK, ""},
 		{"older version", wire(t, &old), false, peer.CodeVersion, "version"},
 		{"another cluster", wire(t, &other), false, peer.CodeCluster, "cluster"},
@@ -103,14 +103,14 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	input := append(wire(t, &goodHello), 0, 0, 0, 2, 200, 0xc0)
-	_, err = nc.Write(append(input, wire(t, &peer.Ask{ID: 4, Method: "echo"})...))
+	_, err = nc.Write(append(input, wire(t, &peer.Request{ID: 4, Method: "echo"})...))
 	require.NoError(t, err)
 	require.Equal(t, peer.CodeOK, readWelcome(t, nc).Code)
 	body, err := peer.ReadFrame(nc, peer.MaxFrame)
 	require.NoError(t, err)
 	m, err := peer.Decode(body)
 	require.NoError(t, err)
-	require.Equal(t, &peer.Answer{ID: 4, Body: []byte("x:")}, m)
+	require.Equal(t, &peer.Response{ID: 4, Body: []byte("x:")}, m)
 	require.Equal(t, int64(1), count(scope, "unknown"))
 }
 
@@ -274,7 +274,7 @@
 	eventually(t, func() bool { return len(n.established()) == 1 }, "connected")
 	c := n.established()[0]
 	for !c.isClosed() {
-		_ = c.post(&peer.Ask{Body: make([]byte, 512<<10)})
+		_ = c.post(&peer.Request{Body: make([]byte, 512<<10)})
 	}
 	require.ErrorContains(t, context.Cause(c.ctx), "write")
 }
