--- a/client/check.go
+++ b/client/check.go
@@ -49,7 +49,7 @@
 	for _, doc := range documents {
 		verdict, ok := inv.set.Verdict(keyOf(doc))
 		if ok && !verdict.Accepted {
-			faults = append(faults, record.Fault{Field: doc.Prefix(), Line: doc.Line, Reason: verdict.Reason})
+			faults = append(faults, record.Fault{Field: doc.QualifiedName(), Line: doc.Line, Reason: verdict.Reason})
 		}
 	}
 	return faults
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -110,7 +110,7 @@
 	var pools []*catalog.Pool
 	for i, doc := range documents {
 		if _, err := store.Create(ctx, string(doc.Kind), doc.Object); err != nil {
-			return nil, errors.Wrapf(err, "dev: write %s", doc.Prefix())
+			return nil, errors.Wrapf(err, "dev: write %s", doc.QualifiedName())
 		}
 		if pool, ok := items[i].(*catalog.Pool); ok {
 			pools = append(pools, pool)
--- a/protocol/record/decode.go
+++ b/protocol/record/decode.go
@@ -10,29 +10,30 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Bounds of what a record may hold.
+// Limits on the contents of a record.
 const (
-	// MaxSpecBytes bounds the text of one record.
+	// MaxSpecBytes is the maximum size of one spec.
 	MaxSpecBytes = 64 << 10
-	// MaxMilliseconds bounds every time in a record: an hour.
+	// MaxMilliseconds is the maximum of every duration in a record: one hour.
 	MaxMilliseconds = 3_600_000
 	MaxStages       = 16
 	MaxAttempts     = 10
-	// DefaultMaxAttempts serves when a pipeline names none.
+	// DefaultMaxAttempts applies to a pipeline without max_attempts.
 	DefaultMaxAttempts = 3
-	// MaxKeys lets an account change its key without a gap, and no more.
+	// MaxKeys allows an account to rotate its key without interruption.
 	MaxKeys      = 2
 	MaxRank      = 99
 	MaxPriority  = 9
 	MaxSlots     = 100_000
 	MaxTokens    = 1_000_000
 	MaxRequestsS = 1_000_000
-	// MaxOverrides bounds the tiers that a pipeline sets a deadline for.
+	// MaxOverrides is the maximum number of tiers for which a pipeline sets a
+	// deadline of its own.
 	MaxOverrides = 100
 )
 
-// Decode reads the spec of a record into a catalog item that carries the
-// revision. The error, if any, is a Faults with everything that is wrong.
+// Decode decodes the spec of a record into a catalog item with the given
+// revision. A non-nil error is always a Faults with every fault of the spec.
 func Decode(kind catalog.RecordKind, name string, revision uint64, spec []byte) (catalog.Item, error) {
 	list := &faultList{text: spec}
 	item := decode(list, kind, name, revision, spec)
@@ -48,8 +49,8 @@
 	if !ok {
 		return nil
 	}
-	d := &decoding{list: list, name: name, revision: revision, spec: newObject(list, "", root)}
-	read := d.reader(kind)
+	d := &specDecoder{list: list, name: name, revision: revision, root: newObject(list, "", root)}
+	read := d.decoderFor(kind)
 	if read == nil {
 		list.faults = append(list.faults, Fault{Field: "kind", Reason: quote(string(kind)) + " is not a kind of record"})
 		return nil
@@ -79,15 +80,15 @@
 	return root, true
 }
 
-// decoding is the reading of one spec.
-type decoding struct {
+// specDecoder decodes one spec and collects its faults.
+type specDecoder struct {
 	list     *faultList
 	name     string
 	revision uint64
-	spec     *object
+	root     *object
 }
 
-func (d *decoding) reader(kind catalog.RecordKind) func() catalog.Item {
+func (d *specDecoder) decoderFor(kind catalog.RecordKind) func() catalog.Item {
 	switch kind {
 	case catalog.RecordPools:
 		return d.pool
@@ -101,64 +102,64 @@
 	return nil
 }
 
-// schemaVersion reads the version and tells whether it is a known one. The
-// other fields are read only if it is: their meaning hangs on it.
-func (d *decoding) schemaVersion(known ...int) (int, bool) {
-	v, ok := d.spec.get("schema_version", valueNumber, true)
+// schemaVersion returns the schema version and whether it is a known one. The
+// other fields are read only if it is, since their meaning depends on it.
+func (d *specDecoder) schemaVersion(known ...int) (int, bool) {
+	v, ok := d.root.get("schema_version", valueNumber, true)
 	if !ok {
 		return 0, false
 	}
 	n, err := strconv.Atoi(v.text)
 	if err != nil || !slices.Contains(known, n) {
-		d.spec.fault("schema_version", "%s is not a known schema version of this kind; known: %v", short(v.text), known)
+		d.root.fault("schema_version", "%s is not a known schema version of this kind; known: %v", truncate(v.text), known)
 		return 0, false
 	}
 	return n, true
 }
 
-func (d *decoding) checkRecordName() {
+func (d *specDecoder) checkRecordName() {
 	if reason := checkName(d.name); reason != "" {
 		d.list.faults = append(d.list.faults, Fault{Field: "name", Reason: reason})
 	}
 }
 
-func (d *decoding) tier() catalog.Item {
+func (d *specDecoder) tier() catalog.Item {
 	d.checkRecordName()
 	if _, ok := d.schemaVersion(1); !ok {
 		return nil
 	}
 	t := &catalog.Tier{Name: d.name, Revision: d.revision}
-	t.Rank, _ = d.spec.integer("rank", 0, MaxRank, true)
-	t.Deadline = d.spec.milliseconds("deadline_ms")
-	t.EnginePriority, _ = d.spec.integer("engine_priority", 0, MaxPriority, true)
-	d.spec.finish()
+	t.Rank, _ = d.root.integer("rank", 0, MaxRank, true)
+	t.Deadline = d.root.milliseconds("deadline_ms")
+	t.EnginePriority, _ = d.root.integer("engine_priority", 0, MaxPriority, true)
+	d.root.reportUnknown()
 	return t
 }
 
-func (d *decoding) account() catalog.Item {
+func (d *specDecoder) account() catalog.Item {
 	d.checkRecordName()
 	if _, ok := d.schemaVersion(1); !ok {
 		return nil
 	}
 	a := &catalog.Account{Name: d.name, Revision: d.revision}
-	a.Tier = d.spec.name("tier")
+	a.Tier = d.root.name("tier")
 	a.KeyHashes = d.keys()
-	a.RequestsPerSecond = d.spec.number("requests_per_s", 0, MaxRequestsS, true)
-	a.Burst = d.spec.number("burst", 0, MaxRequestsS, true)
-	if a.RequestsPerSecond > 0 && a.Burst < 1 && d.spec.has("burst") {
-		d.spec.fault("burst", "must be at least 1 when requests_per_s is above 0: no request would ever pass")
+	a.RequestsPerSecond = d.root.number("requests_per_s", 0, MaxRequestsS, true)
+	a.Burst = d.root.number("burst", 0, MaxRequestsS, true)
+	if a.RequestsPerSecond > 0 && a.Burst < 1 && d.root.has("burst") {
+		d.root.fault("burst", "must be at least 1 when requests_per_s is above 0: no request would ever pass")
 	}
-	d.spec.finish()
+	d.root.reportUnknown()
 	return a
 }
 
-func (d *decoding) keys() [][32]byte {
-	v, ok := d.spec.get("keys", valueArray, true)
+func (d *specDecoder) keys() [][32]byte {
+	v, ok := d.root.get("keys", valueArray, true)
 	if !ok {
 		return nil
 	}
 	if len(v.items) < 1 || len(v.items) > MaxKeys {
-		d.spec.fault("keys", "must hold 1 to %d keys, not %d", MaxKeys, len(v.items))
+		d.root.fault("keys", "must hold 1 to %d keys, not %d", MaxKeys, len(v.items))
 		return nil
 	}
 	var hashes [][32]byte
@@ -170,7 +171,7 @@
 			}
 			hashes = append(hashes, hash)
 		}
-		key.finish()
+		key.reportUnknown()
 	}
 	return hashes
 }
@@ -182,7 +183,7 @@
 	}
 	raw, err := hex.DecodeString(v.text)
 	if err != nil || len(raw) != len(hash) {
-		// The text isn't repeated: it may be the key itself by mistake.
+		// The text is left out of the message: it may be the key itself by mistake.
 		o.fault(name, "must be the SHA-256 digest of the key, as 64 hexadecimal digits")
 		return hash, false
 	}
@@ -190,14 +191,15 @@
 	return hash, true
 }
 
-// deadlines reads the deadlines by tier, in milliseconds.
-func (d *decoding) deadlines(criticalPath time.Duration) map[string]time.Duration {
-	v, ok := d.spec.get("deadlines_ms", valueObject, false)
+// deadlines reads the optional deadlines by tier. A deadline below the critical
+// path of the stages is a fault.
+func (d *specDecoder) deadlines(criticalPath time.Duration) map[string]time.Duration {
+	v, ok := d.root.get("deadlines_ms", valueObject, false)
 	if !ok {
 		return nil
 	}
 	if len(v.members) > MaxOverrides {
-		d.spec.fault("deadlines_ms", "holds more than %d tiers", MaxOverrides)
+		d.root.fault("deadlines_ms", "holds more than %d tiers", MaxOverrides)
 		return nil
 	}
 	tiers := newObject(d.list, "deadlines_ms", v)
--- a/protocol/record/decode_test.go
+++ b/protocol/record/decode_test.go
@@ -26,17 +26,17 @@
 	ones  = strings.Repeat("1", 64)
 )
 
-func pipeline(version int, rest string, stages ...string) string {
-	return fmt.Sprintf(`{"schema_version":%d,"pipeline":"x","stages":[%s]%s}`, version, strings.Join(stages, ","), rest)
+func pipeline(version int, fields string, stages ...string) string {
+	return fmt.Sprintf(`{"schema_version":%d,"pipeline":"x","stages":[%s]%s}`, version, strings.Join(stages, ","), fields)
 }
 
-func tier(rest string) string { return `{"schema_version":1,` + rest + `}` }
+func tier(fields string) string { return `{"schema_version":1,` + fields + `}` }
 
-func account(keys, rest string) string {
-	return `{"schema_version":1,"tier":"gold","keys":[` + keys + `],` + rest + `}`
+func account(keys, fields string) string {
+	return `{"schema_version":1,"tier":"gold","keys":[` + keys + `],` + fields + `}`
 }
 
-// Every bad record must be refused with the path of each fault.
+// Every invalid record must be refused with the path of each fault.
 func TestDecodeFaults(t *testing.T) {
 	goodKey, good := `{"sha256":"`+zeros+`"}`, `"requests_per_s":1,"burst":1`
 	pool := `{"schema_version":1,"kind":"engine","objective":"cost","slots":1,"checks_fencing":true,"ejection_floor":0.5}`
@@ -141,7 +141,7 @@
 	assert.False(t, p.Repeatable())
 }
 
-func drawItem(t *rapid.T) catalog.Item {
+func randomItem(t *rapid.T) catalog.Item {
 	name := rapid.StringMatching(`[a-z0-9]([a-z0-9-]{0,20}[a-z0-9])?`)
 	whole := func(label string, low, high int) int { return rapid.IntRange(low, high).Draw(t, label) }
 	millis := func(high int) time.Duration { return time.Duration(whole("ms", 1, high)) * time.Millisecond }
@@ -180,9 +180,9 @@
 	return p
 }
 
-func TestEncodedRecordsDecodeToTheSame(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		item := drawItem(t)
+		item := randomItem(t)
 		kind, name, spec, err := record.Encode(item)
 		require.NoError(t, err)
 		back, err := record.Decode(kind, name, 3, spec)
@@ -191,7 +191,7 @@
 	})
 }
 
-func TestEncodeRefusesWhatV1CannotSay(t *testing.T) {
+func TestEncodeRefusesStageThatV1CannotExpress(t *testing.T) {
 	item, err := record.Decode(catalog.RecordPipelines, "x.v2", 1, []byte(pipeline(2, "", strings.Replace(stageA, "}", `,"resumable":true}`, 1))))
 	require.NoError(t, err)
 	p := item.(*catalog.Pipeline)
--- a/protocol/record/encode.go
+++ b/protocol/record/encode.go
@@ -49,8 +49,9 @@
 	MaxTokens  int      `json:"max_tokens,omitempty"`
 }
 
-// Encode writes the spec of an item, in the schema version that the item
-// names. It returns the kind and the object's name in the store beside it.
+// Encode returns the kind, the object name in the store and the spec of an item.
+// A pipeline is encoded in the schema version of its key, a pool in the oldest
+// version that can express it.
 func Encode(item catalog.Item) (kind catalog.RecordKind, name string, spec json.RawMessage, err error) {
 	var wire any
 	switch it := item.(type) {
@@ -98,8 +99,8 @@
 	return spec, nil
 }
 
-// fitsV1 tells whether a stage only follows the one before and uses nothing
-// that schema version 1 cannot say.
+// fitsV1 reports whether schema version 1 can express a stage: it depends on
+// exactly the stage before it and uses no field of a later version.
 func fitsV1(stages []catalog.Stage, i int) bool {
 	s := &stages[i]
 	if s.Resumable || s.Adapter != "" {
--- a/protocol/record/fault.go
+++ b/protocol/record/fault.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a record.
+// Fault is one validation error of a record.
 type Fault struct {
-	// Field is the path of the field, such as "stages[2].pool"; empty when
-	// the text as a whole is at fault.
+	// Field is the path of the field, such as "stages[2].pool"; empty for a
+	// fault of the text as a whole.
 	Field string
 	// Line counts from 1 within the text that was decoded; 0 when unknown.
 	Line   int
 	Reason string
 }
 
-// Error describes the fault with its place.
+// Error returns the reason with line and field.
 func (f Fault) Error() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -32,10 +32,10 @@
 	return b.String()
 }
 
-// Faults are all faults of one record or file, in the order of the text.
+// Faults is every fault of one record or file, in the order of the text.
 type Faults []Fault
 
-// Error joins the faults.
+// Error returns the texts of all faults, separated by semicolons.
 func (fs Faults) Error() string {
 	texts := make([]string, len(fs))
 	for i, f := range fs {
@@ -44,9 +44,10 @@
 	return strings.Join(texts, "; ")
 }
 
-// shift returns the faults of a record that begins at the given line of a
-// file: with lines of the file, and the record's name before each path.
-func (fs Faults) shift(record string, firstLine int) Faults {
+// relocate returns the faults of a record as faults of the file that contains
+// it: lines count from the start of the file, given that the record begins at
+// firstLine, and each path is prefixed with the record's name.
+func (fs Faults) relocate(record string, firstLine int) Faults {
 	shifted := make(Faults, len(fs))
 	for i, f := range fs {
 		if f.Field != "" {
@@ -61,7 +62,8 @@
 	return shifted
 }
 
-func join(prefix, field string) string {
+// joinPath joins two field paths with a dot; either may be empty.
+func joinPath(prefix, field string) string {
 	switch {
 	case prefix == "":
 		return field
--- a/protocol/record/file.go
+++ b/protocol/record/file.go
@@ -9,24 +9,24 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// MaxFileBytes bounds a file of records.
+// MaxFileBytes is the maximum size of a file of records.
 const MaxFileBytes = 32 << 20
 
 // Document is one record of a file.
 type Document struct {
 	Kind   catalog.RecordKind
 	Object platformapi.Object
-	// Line is where the record starts in its file and SpecLine where its spec
-	// does, both from 1.
+	// Line is the line on which the record starts in its file and SpecLine the
+	// line on which its spec starts, both counted from 1.
 	Line     int
 	SpecLine int
 }
 
-// Prefix names the document in messages.
-func (d Document) Prefix() string { return string(d.Kind) + "/" + d.Object.Metadata.Name }
+// QualifiedName returns kind/name, which identifies the document in messages.
+func (d Document) QualifiedName() string { return string(d.Kind) + "/" + d.Object.Metadata.Name }
 
-// ParseFile reads the records of a file: JSON objects one after another, or
-// lists of them. It checks everything but the specs, which Check reads.
+// ParseFile parses the records of a file: a sequence of JSON objects, or lists of
+// them. It validates everything except the specs, which Check decodes.
 func ParseFile(text []byte) ([]Document, Faults) {
 	list := &faultList{text: text}
 	if len(text) > MaxFileBytes {
@@ -49,7 +49,7 @@
 	if len(documents) == 0 && len(list.faults) == 0 {
 		return nil, Faults{{Line: 1, Reason: "holds no record"}}
 	}
-	reportTwice(list, documents)
+	reportDuplicates(list, documents)
 	return documents, list.faults
 }
 
@@ -64,9 +64,10 @@
 		doc.Object.Spec = json.RawMessage(list.text[spec.offset:spec.end])
 		doc.SpecLine = list.line(spec.offset)
 	}
-	// The status belongs to the system; a file made from an answer may hold it.
-	o.read["status"] = true
-	o.finish()
+	// The status belongs to the system and is ignored: a file written from the
+	// output of the API contains it.
+	o.consumed["status"] = true
+	o.reportUnknown()
 	return doc
 }
 
@@ -77,27 +78,29 @@
 	}
 	revision, _ := o.integer("revision", 0, math.MaxInt, false)
 	metadata.Revision = uint64(revision)
-	o.finish()
+	o.reportUnknown()
 	return metadata
 }
 
-func reportTwice(list *faultList, documents []Document) {
+// reportDuplicates reports documents whose kind and name occur earlier in the
+// file.
+func reportDuplicates(list *faultList, documents []Document) {
 	first := map[string]int{}
 	for _, doc := range documents {
 		if doc.Kind == "" || doc.Object.Metadata.Name == "" {
 			continue
 		}
-		if line, twice := first[doc.Prefix()]; twice {
-			list.faults = append(list.faults, Fault{Field: doc.Prefix(), Line: doc.Line,
+		if line, twice := first[doc.QualifiedName()]; twice {
+			list.faults = append(list.faults, Fault{Field: doc.QualifiedName(), Line: doc.Line,
 				Reason: fmt.Sprintf("stands on line %d already", line)})
 			continue
 		}
-		first[doc.Prefix()] = doc.Line
+		first[doc.QualifiedName()] = doc.Line
 	}
 }
 
-// Check decodes the specs of documents and returns all faults with paths that
-// begin with kind and name, and lines of the file.
+// Check decodes the specs of documents. Faults have paths that begin with
+// kind/name, and lines of the file.
 func Check(documents []Document) ([]catalog.Item, Faults) {
 	items := make([]catalog.Item, len(documents))
 	var faults Faults
@@ -105,7 +108,7 @@
 		item, err := Decode(doc.Kind, doc.Object.Metadata.Name, doc.Object.Metadata.Revision, doc.Object.Spec)
 		items[i] = item
 		if fs, ok := err.(Faults); ok {
-			faults = append(faults, fs.shift(doc.Prefix(), doc.SpecLine)...)
+			faults = append(faults, fs.relocate(doc.QualifiedName(), doc.SpecLine)...)
 		}
 	}
 	return items, faults
--- a/protocol/record/object.go
+++ b/protocol/record/object.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// MaxNameLength bounds names of records, stages, models and adapters.
+// MaxNameLength is the maximum length of names of records, stages, models and
+// adapters.
 const MaxNameLength = 63
 
 var (
@@ -18,15 +19,15 @@
 	modelPattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._/-]*[A-Za-z0-9])?$`)
 )
 
-// maxFaults bounds the faults that are gathered of one text: a text of some
-// megabytes that holds no records at all would else give a million.
+// maxFaults is the maximum number of faults collected for one text. A file of a
+// few megabytes that contains no records would otherwise yield a million.
 const maxFaults = 1000
 
-// faultList gathers the faults of one text.
+// faultList collects the faults of one text.
 type faultList struct {
 	text   []byte
 	faults Faults
-	// lineStarts are the offsets at which lines start, found on first use.
+	// lineStarts holds the offsets at which lines start, computed on first use.
 	lineStarts []int
 }
 
@@ -38,7 +39,7 @@
 	l.faults = append(l.faults, fault)
 }
 
-// line finds the line, from 1, on which an offset lies.
+// line returns the line of an offset, counted from 1.
 func (l *faultList) line(offset int) int {
 	if l.lineStarts == nil {
 		l.lineStarts = []int{0}
@@ -55,28 +56,29 @@
 	return at
 }
 
-// object reads the members of a JSON object by name. Each read of a member
-// reports what is wrong with it; finish reports the members nobody read.
+// object decodes the members of a JSON object by name. Each access to a member
+// reports its faults; reportUnknown reports the members that were not accessed.
 type object struct {
-	list   *faultList
-	path   string
-	offset int
-	byName map[string]value
-	order  []member
-	read   map[string]bool
-	// invalid marks a value that was reported already because it is no object.
+	list     *faultList
+	path     string
+	offset   int
+	byName   map[string]value
+	members  []member
+	consumed map[string]bool
+	// invalid marks a value that is not an object and was reported as such.
 	invalid bool
 }
 
-// newObject reports a value that is no object, and members that stand twice.
+// newObject wraps a JSON value. It reports a value that is not an object, and
+// duplicate members.
 func newObject(list *faultList, path string, v value) *object {
-	o := &object{list: list, path: path, offset: v.offset, byName: map[string]value{}, read: map[string]bool{}}
+	o := &object{list: list, path: path, offset: v.offset, byName: map[string]value{}, consumed: map[string]bool{}}
 	if v.kind != valueObject {
 		list.add(v.offset, path, "must be an object, not %s", v.kind)
 		o.invalid = true
 		return o
 	}
-	o.order = v.members
+	o.members = v.members
 	for _, m := range v.members {
 		if _, twice := o.byName[m.name]; twice {
 			list.add(m.offset, o.field(m.name), "stands twice")
@@ -87,7 +89,7 @@
 	return o
 }
 
-func (o *object) field(name string) string { return join(o.path, name) }
+func (o *object) field(name string) string { return joinPath(o.path, name) }
 
 func (o *object) fault(name, format string, args ...any) {
 	offset := o.offset
@@ -97,10 +99,10 @@
 	o.list.add(offset, o.field(name), format, args...)
 }
 
-// get fetches a member of the wanted kind. An absent one is reported only when
-// it is required; null counts as a value of the wrong kind.
+// get returns the member of the given name and kind. A missing member is
+// reported only if it is required; null is a value of the wrong kind.
 func (o *object) get(name string, kind valueKind, required bool) (value, bool) {
-	o.read[name] = true
+	o.consumed[name] = true
 	v, ok := o.byName[name]
 	if !ok {
 		if required && !o.invalid {
@@ -120,7 +122,7 @@
 	return ok
 }
 
-// name reads a member that names a record or a stage.
+// name decodes a required name of a record or stage.
 func (o *object) name(name string) string {
 	v, ok := o.get(name, valueString, true)
 	if !ok {
@@ -133,8 +135,9 @@
 	return v.text
 }
 
-// model reads an optional name of a model or adapter, which is freer in form.
-func (o *object) model(name string) string {
+// modelName decodes an optional name of a model or adapter, which may contain
+// more characters than other names.
+func (o *object) modelName(name string) string {
 	v, ok := o.get(name, valueString, false)
 	if !ok {
 		return ""
@@ -146,7 +149,7 @@
 	return v.text
 }
 
-// oneOf reads a member that takes one of a few words.
+// oneOf decodes a required string that must be one of words.
 func (o *object) oneOf(name string, words ...string) string {
 	v, ok := o.get(name, valueString, true)
 	if !ok {
@@ -163,10 +166,10 @@
 
 func (o *object) boolean(name string, required bool) bool {
 	v, _ := o.get(name, valueBool, required)
-	return v.truth
+	return v.boolean
 }
 
-// integer reads a whole number between low and high.
+// integer decodes a whole number between low and high.
 func (o *object) integer(name string, low, high int, required bool) (int, bool) {
 	v, ok := o.get(name, valueNumber, required)
 	if !ok {
@@ -179,7 +182,7 @@
 	return n, reason == ""
 }
 
-// number reads a number between low and high.
+// number decodes a number between low and high.
 func (o *object) number(name string, low, high float64, required bool) float64 {
 	v, ok := o.get(name, valueNumber, required)
 	if !ok {
@@ -187,24 +190,24 @@
 	}
 	f, err := strconv.ParseFloat(v.text, 64)
 	if err != nil || math.IsNaN(f) || f < low || f > high {
-		o.fault(name, "%s is not between %v and %v", short(v.text), low, high)
+		o.fault(name, "%s is not between %v and %v", truncate(v.text), low, high)
 		return 0
 	}
 	return f
 }
 
-// milliseconds reads a time of at least one millisecond.
+// milliseconds decodes a required duration of at least one millisecond.
 func (o *object) milliseconds(name string) time.Duration {
 	n, _ := o.integer(name, 1, MaxMilliseconds, true)
 	return time.Duration(n) * time.Millisecond
 }
 
-// finish reports every member that was never read.
-func (o *object) finish() {
-	for _, m := range o.order {
-		if !o.read[m.name] {
+// reportUnknown reports every member that was not accessed.
+func (o *object) reportUnknown() {
+	for _, m := range o.members {
+		if !o.consumed[m.name] {
 			o.list.add(m.offset, o.field(m.name), "is not a known field")
-			o.read[m.name] = true
+			o.consumed[m.name] = true
 		}
 	}
 }
@@ -212,7 +215,7 @@
 func wholeNumber(text string, low, high int) (n int, reason string) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, fmt.Sprintf("%s is not a whole number between %d and %d", short(text), low, high)
+		return 0, fmt.Sprintf("%s is not a whole number between %d and %d", truncate(text), low, high)
 	}
 	if n < low || n > high {
 		return 0, fmt.Sprintf("%d is not between %d and %d", n, low, high)
@@ -220,7 +223,7 @@
 	return n, ""
 }
 
-// checkName returns what is wrong with a name, or nothing.
+// checkName returns why a name is invalid, or an empty string.
 func checkName(name string) string {
 	if len(name) > MaxNameLength {
 		return fmt.Sprintf("%s is longer than %d characters", quote(name), MaxNameLength)
@@ -231,13 +234,13 @@
 	return ""
 }
 
-func quote(s string) string { return strconv.Quote(short(s)) }
+func quote(s string) string { return strconv.Quote(truncate(s)) }
 
-// short keeps hostile input from filling a message.
-func short(s string) string {
-	const most = 40
-	if len(s) <= most {
+// truncate bounds the length of input that is quoted in a message.
+func truncate(s string) string {
+	const limit = 40
+	if len(s) <= limit {
 		return s
 	}
-	return s[:most] + "..."
+	return s[:limit] + "..."
 }
--- a/protocol/record/pipeline.go
+++ b/protocol/record/pipeline.go
@@ -12,31 +12,32 @@
 const (
 	// PipelineV1 runs its stages one after another.
 	PipelineV1 = 1
-	// PipelineV2 adds the order of stages as a graph, resumable streams and
+	// PipelineV2 adds a dependency graph of stages, resumable streams and
 	// adapters.
 	PipelineV2 = 2
 )
 
-// PipelineObjectName is the name of a pipeline's record in the store. It holds
-// the schema version, so that both versions stand side by side.
+// PipelineObjectName returns the name of a pipeline's object in the store. It
+// contains the schema version, so that both versions can exist side by side.
 func PipelineObjectName(key catalog.PipelineKey) string {
 	return key.Name + ".v" + strconv.Itoa(key.SchemaVersion)
 }
 
-// stageDraft is a stage whose predecessors are still names.
-type stageDraft struct {
-	stage catalog.Stage
-	after []string
-	obj   *object
+// unresolvedStage is a decoded stage whose predecessors are not yet resolved
+// from names to indexes.
+type unresolvedStage struct {
+	stage        catalog.Stage
+	predecessors []string
+	obj          *object
 }
 
-func (d *decoding) pipeline() catalog.Item {
+func (d *specDecoder) pipeline() catalog.Item {
 	version, ok := d.schemaVersion(PipelineV1, PipelineV2)
 	if !ok {
 		return nil
 	}
 	p := &catalog.Pipeline{Revision: d.revision}
-	p.Key = catalog.PipelineKey{Name: d.spec.name("pipeline"), SchemaVersion: version}
+	p.Key = catalog.PipelineKey{Name: d.root.name("pipeline"), SchemaVersion: version}
 	if want := PipelineObjectName(p.Key); p.Key.Name != "" && want != d.name {
 		d.list.faults = append(d.list.faults, Fault{Field: "name", Reason: fmt.Sprintf(
 			"%s does not agree with the spec, whose record is named %s", quote(d.name), quote(want))})
@@ -44,64 +45,64 @@
 	p.Stages = d.stages(version)
 	p.Deadlines = d.deadlines(p.CriticalPath())
 	p.MaxAttempts = d.maxAttempts()
-	d.spec.finish()
+	d.root.reportUnknown()
 	return p
 }
 
-func (d *decoding) maxAttempts() int {
-	if !d.spec.has("max_attempts") {
-		d.spec.read["max_attempts"] = true
+func (d *specDecoder) maxAttempts() int {
+	if !d.root.has("max_attempts") {
+		d.root.consumed["max_attempts"] = true
 		return DefaultMaxAttempts
 	}
-	n, _ := d.spec.integer("max_attempts", 1, MaxAttempts, true)
+	n, _ := d.root.integer("max_attempts", 1, MaxAttempts, true)
 	return n
 }
 
-func (d *decoding) stages(version int) []catalog.Stage {
-	v, ok := d.spec.get("stages", valueArray, true)
+func (d *specDecoder) stages(version int) []catalog.Stage {
+	v, ok := d.root.get("stages", valueArray, true)
 	if !ok {
 		return nil
 	}
 	if len(v.items) < 1 || len(v.items) > MaxStages {
-		d.spec.fault("stages", "must hold 1 to %d stages, not %d", MaxStages, len(v.items))
+		d.root.fault("stages", "must hold 1 to %d stages, not %d", MaxStages, len(v.items))
 		return nil
 	}
-	drafts := make([]stageDraft, len(v.items))
+	unresolved := make([]unresolvedStage, len(v.items))
 	for i, item := range v.items {
-		drafts[i] = d.stage(i, item, version)
+		unresolved[i] = d.stage(i, item, version)
 	}
-	if !d.stageNamesUnique(drafts) {
+	if !d.stageNamesUnique(unresolved) {
 		return nil
 	}
 	if version == PipelineV1 {
-		return inSequence(drafts)
+		return chainStages(unresolved)
 	}
-	return d.inOrder(drafts)
+	return d.sortStages(unresolved)
 }
 
-func (d *decoding) stage(i int, v value, version int) stageDraft {
+func (d *specDecoder) stage(i int, v value, version int) unresolvedStage {
 	o := newObject(d.list, fmt.Sprintf("stages[%d]", i), v)
 	s := catalog.Stage{
 		Name:             o.name("name"),
 		Pool:             o.name("pool"),
 		ExpectedDuration: o.milliseconds("expected_ms"),
 		Repeatable:       o.boolean("repeatable", true),
-		Model:            o.model("model"),
+		Model:            o.modelName("model"),
 	}
 	s.MaxTokens, _ = o.integer("max_tokens", 0, MaxTokens, false)
-	draft := stageDraft{obj: o}
+	u := unresolvedStage{obj: o}
 	if version >= PipelineV2 {
 		s.Resumable = o.boolean("resumable", false)
-		s.Adapter = o.model("adapter")
-		draft.after = o.after()
+		s.Adapter = o.modelName("adapter")
+		u.predecessors = o.predecessors()
 	}
-	o.finish()
-	draft.stage = s
-	return draft
+	o.reportUnknown()
+	u.stage = s
+	return u
 }
 
-// after reads the names of the stages before.
-func (o *object) after() []string {
+// predecessors decodes the optional names of the stages that a stage waits for.
+func (o *object) predecessors() []string {
 	v, ok := o.get("after", valueArray, false)
 	if !ok {
 		return nil
@@ -125,13 +126,13 @@
 	return names
 }
 
-func (d *decoding) stageNamesUnique(drafts []stageDraft) bool {
+func (d *specDecoder) stageNamesUnique(unresolved []unresolvedStage) bool {
 	unique := true
 	seen := map[string]bool{}
-	for _, draft := range drafts {
-		name := draft.stage.Name
+	for _, u := range unresolved {
+		name := u.stage.Name
 		if name != "" && seen[name] {
-			draft.obj.fault("name", "%s names two stages", quote(name))
+			u.obj.fault("name", "%s names two stages", quote(name))
 			unique = false
 		}
 		seen[name] = true
@@ -139,10 +140,11 @@
 	return unique
 }
 
-func inSequence(drafts []stageDraft) []catalog.Stage {
-	stages := make([]catalog.Stage, len(drafts))
-	for i, draft := range drafts {
-		stages[i] = draft.stage
+// chainStages makes each stage wait for the one before it.
+func chainStages(unresolved []unresolvedStage) []catalog.Stage {
+	stages := make([]catalog.Stage, len(unresolved))
+	for i, u := range unresolved {
+		stages[i] = u.stage
 		if i > 0 {
 			stages[i].After = []int{i - 1}
 		}
@@ -150,84 +152,89 @@
 	return stages
 }
 
-// inOrder sorts the stages so that each comes after those it waits for, and
-// keeps the order of the text where it can. The last one gives the answer.
-func (d *decoding) inOrder(drafts []stageDraft) []catalog.Stage {
-	if !d.afterNamesKnown(drafts) {
+// sortStages sorts the stages topologically and otherwise keeps the order of the
+// text. The last stage produces the response.
+func (d *specDecoder) sortStages(unresolved []unresolvedStage) []catalog.Stage {
+	if !d.predecessorsExist(unresolved) {
 		return nil
 	}
-	placed := map[string]int{}
+	sortedIndex := map[string]int{}
 	var stages []catalog.Stage
-	for len(stages) < len(drafts) {
-		next := nextStage(drafts, placed)
+	for len(stages) < len(unresolved) {
+		next := nextReadyStage(unresolved, sortedIndex)
 		if next < 0 {
-			d.cycle(drafts, placed)
+			d.reportCycle(unresolved, sortedIndex)
 			return nil
 		}
-		s := drafts[next].stage
-		for _, name := range drafts[next].after {
-			s.After = append(s.After, placed[name])
+		s := unresolved[next].stage
+		for _, name := range unresolved[next].predecessors {
+			s.After = append(s.After, sortedIndex[name])
 		}
-		placed[s.Name] = len(stages)
+		sortedIndex[s.Name] = len(stages)
 		stages = append(stages, s)
 	}
-	d.oneLast(drafts)
+	d.checkSingleFinalStage(unresolved)
 	return stages
 }
 
-func (d *decoding) afterNamesKnown(drafts []stageDraft) bool {
+// predecessorsExist reports unknown predecessors and returns whether all stages
+// can be sorted.
+func (d *specDecoder) predecessorsExist(unresolved []unresolvedStage) bool {
 	known := map[string]bool{}
-	for _, draft := range drafts {
-		known[draft.stage.Name] = true
+	for _, u := range unresolved {
+		known[u.stage.Name] = true
 	}
 	ok := true
-	for _, draft := range drafts {
-		for _, name := range draft.after {
+	for _, u := range unresolved {
+		for _, name := range u.predecessors {
 			if !known[name] || name == "" {
-				draft.obj.fault("after", "%s is not a stage of this pipeline", quote(name))
+				u.obj.fault("after", "%s is not a stage of this pipeline", quote(name))
 				ok = false
 			}
 		}
-		// A stage without a good name was reported where it was read.
-		ok = ok && draft.stage.Name != ""
+		// A stage without a valid name was reported when it was decoded.
+		ok = ok && u.stage.Name != ""
 	}
 	return ok
 }
 
-// nextStage finds the first stage that isn't placed and waits for none, or -1.
-func nextStage(drafts []stageDraft, placed map[string]int) int {
-	return slices.IndexFunc(drafts, func(draft stageDraft) bool {
-		if _, done := placed[draft.stage.Name]; done {
+// nextReadyStage returns the index of the first stage that is not sorted yet and
+// whose predecessors all are, or -1.
+func nextReadyStage(unresolved []unresolvedStage, sortedIndex map[string]int) int {
+	return slices.IndexFunc(unresolved, func(u unresolvedStage) bool {
+		if _, done := sortedIndex[u.stage.Name]; done {
 			return false
 		}
-		return !slices.ContainsFunc(draft.after, func(name string) bool {
-			_, done := placed[name]
+		return !slices.ContainsFunc(u.predecessors, func(name string) bool {
+			_, done := sortedIndex[name]
 			return !done
 		})
 	})
 }
 
-func (d *decoding) cycle(drafts []stageDraft, placed map[string]int) {
-	for _, draft := range drafts {
-		if _, done := placed[draft.stage.Name]; !done {
-			draft.obj.fault("after", "stage %s waits for itself through a cycle", quote(draft.stage.Name))
+// reportCycle reports every stage that sortStages could not place.
+func (d *specDecoder) reportCycle(unresolved []unresolvedStage, sortedIndex map[string]int) {
+	for _, u := range unresolved {
+		if _, done := sortedIndex[u.stage.Name]; !done {
+			u.obj.fault("after", "stage %s waits for itself through a cycle", quote(u.stage.Name))
 		}
 	}
 }
 
-// oneLast refuses a second stage that nobody waits for: its result would be
-// dropped, since only one stage can give the answer.
-func (d *decoding) oneLast(drafts []stageDraft) {
+// checkSingleFinalStage reports pipelines with several stages that no other stage
+// waits for: only one of them can produce the response, and the results of the
+// others would be discarded.
+func (d *specDecoder) checkSingleFinalStage(unresolved []unresolvedStage) {
 	needed := map[string]bool{}
-	for _, draft := range drafts {
-		for _, name := range draft.after {
+	for _, u := range unresolved {
+		for _, name := range u.predecessors {
 			needed[name] = true
 		}
 	}
-	var last []stageDraft
-	for _, draft := range drafts {
-		if !needed[draft.stage.Name] {
-			last = append(last, draft)
+	var last []unresolvedStage
+	for _, u := range unresolved {
+		if !needed[u.stage.Name] {
+			last = append(last, u)
 		}
 	}
 	for i := 0; i+1 < len(last); i++ {
--- a/protocol/record/pool.go
+++ b/protocol/record/pool.go
@@ -7,13 +7,13 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Schema versions of pools. Version 2 adds what the targets shall have.
+// Schema versions of pools. Version 2 adds the desired state of the targets.
 const (
 	PoolV1 = 1
 	PoolV2 = 2
 )
 
-// Bounds of what a pool's targets shall have.
+// Limits on the desired state of a pool.
 const (
 	MaxDesiredModels   = 16
 	MaxDesiredAdapters = 64
@@ -36,57 +36,58 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-func (d *decoding) pool() catalog.Item {
+func (d *specDecoder) pool() catalog.Item {
 	d.checkRecordName()
 	version, ok := d.schemaVersion(PoolV1, PoolV2)
 	if !ok {
 		return nil
 	}
 	p := &catalog.Pool{Name: d.name, Revision: d.revision}
-	p.Kind = catalog.PoolKind(d.spec.oneOf("kind",
+	p.Kind = catalog.PoolKind(d.root.oneOf("kind",
 		string(catalog.KindEngine), string(catalog.KindEncoder), string(catalog.KindRetriever),
 		string(catalog.KindReranker), string(catalog.KindService)))
-	p.Objective = catalog.Objective(d.spec.oneOf("objective",
+	p.Objective = catalog.Objective(d.root.oneOf("objective",
 		string(catalog.ObjectiveAttainment), string(catalog.ObjectiveCost)))
-	p.Slots, _ = d.spec.integer("slots", 1, MaxSlots, true)
-	p.ChecksFencing = d.spec.boolean("checks_fencing", true)
-	p.EjectionFloor = d.spec.number("ejection_floor", 0, 1, true)
+	p.Slots, _ = d.root.integer("slots", 1, MaxSlots, true)
+	p.ChecksFencing = d.root.boolean("checks_fencing", true)
+	p.EjectionFloor = d.root.number("ejection_floor", 0, 1, true)
 	if version >= PoolV2 {
 		p.Desired = d.desired(p.Kind)
 	}
-	d.spec.finish()
+	d.root.reportUnknown()
 	return p
 }
 
-// desired reads what the targets shall have. Only engines take orders: on
-// another pool it would stand there and never come about.
-func (d *decoding) desired(kind catalog.PoolKind) *catalog.DesiredState {
-	v, ok := d.spec.get("desired", valueObject, false)
+// desired decodes the optional desired state. Only engines accept orders: on
+// another kind of pool the desired state would never be reached.
+func (d *specDecoder) desired(kind catalog.PoolKind) *catalog.DesiredState {
+	v, ok := d.root.get("desired", valueObject, false)
 	if !ok {
 		return nil
 	}
 	if kind != "" && kind != catalog.KindEngine {
-		d.spec.fault("desired", "only pools of kind %s take orders", catalog.KindEngine)
+		d.root.fault("desired", "only pools of kind %s take orders", catalog.KindEngine)
 	}
 	fields := newObject(d.list, "desired", v)
 	desired := &catalog.DesiredState{
-		Models:   fields.models("models", MaxDesiredModels),
-		Adapters: fields.models("adapters", MaxDesiredAdapters),
-		Version:  fields.model("version"),
-		Role:     fields.model("role"),
+		Models:   fields.modelNames("models", MaxDesiredModels),
+		Adapters: fields.modelNames("adapters", MaxDesiredAdapters),
+		Version:  fields.modelName("version"),
+		Role:     fields.modelName("role"),
 	}
-	fields.finish()
+	fields.reportUnknown()
 	return desired
 }
 
-// models reads an optional list of up to most names of models or adapters.
-func (o *object) models(name string, most int) []string {
+// modelNames decodes an optional list of at most limit names of models or
+// adapters.
+func (o *object) modelNames(name string, limit int) []string {
 	v, ok := o.get(name, valueArray, false)
 	if !ok {
 		return nil
 	}
-	if len(v.items) > most {
-		o.fault(name, "holds %d names, more than %d", len(v.items), most)
+	if len(v.items) > limit {
+		o.fault(name, "holds %d names, more than %d", len(v.items), limit)
 		return nil
 	}
 	var names []string
@@ -107,14 +108,14 @@
 	return names
 }
 
-// isModelName tells whether a text can name a model, an adapter, a version or a
-// role.
+// isModelName reports whether text is a valid name of a model, adapter, version
+// or role.
 func isModelName(text string) bool {
 	return len(text) <= MaxNameLength && modelPattern.MatchString(text)
 }
 
-// encodePool writes schema version 1 unless the pool needs version 2, so that
-// instances of an earlier release can read what needs nothing new.
+// encodePool uses schema version 1 unless the pool needs version 2, so that
+// instances of an earlier release can read pools without a desired state.
 func encodePool(p *catalog.Pool) poolSpec {
 	spec := poolSpec{SchemaVersion: PoolV1, Kind: p.Kind, Objective: p.Objective, Slots: p.Slots,
 		ChecksFencing: p.ChecksFencing, EjectionFloor: p.EjectionFloor}
--- a/protocol/record/status.go
+++ b/protocol/record/status.go
@@ -13,15 +13,15 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// States of a record, as operators read them.
+// States of a record, as shown to operators.
 const (
 	StateAccepted = "accepted"
 	StateRefused  = "refused"
-	// StatePending is a spec that no instance has judged yet.
+	// StatePending means that no instance has evaluated the spec yet.
 	StatePending = "pending"
 )
 
-// StatusOf makes the status to write for a verdict on a spec.
+// StatusOf returns the status to write for a verdict on a spec.
 func StatusOf(v config.Verdict, spec []byte) platformapi.RecordStatus {
 	s := platformapi.RecordStatus{Revision: v.Revision, SpecDigest: SpecDigest(spec),
 		Accepted: v.Accepted, Reason: v.Reason, InForce: v.InForce.Revision}
@@ -34,8 +34,8 @@
 	return s
 }
 
-// ReadStatus decodes the status of an object. A status of an earlier spec, or
-// none, counts as pending.
+// ReadStatus decodes the status of an object. Without a status, or with one for
+// another spec, the state is pending.
 func ReadStatus(object *platformapi.Object) (status platformapi.RecordStatus, state string, err error) {
 	if len(object.Status) == 0 {
 		return status, StatePending, nil
@@ -52,8 +52,8 @@
 	return status, StateRefused, nil
 }
 
-// NeedsStatus tells whether a verdict has yet to be written. A verdict on another
-// revision of the object need not be: a newer verdict follows.
+// NeedsStatus reports whether a verdict has yet to be written to the object. A
+// verdict on another revision is not written, since a newer verdict follows.
 func NeedsStatus(object *platformapi.Object, v config.Verdict) bool {
 	if v.Deleted || v.Revision != object.Metadata.Revision {
 		return false
@@ -62,8 +62,9 @@
 	return err != nil || !sameStatus(written, StatusOf(v, object.Spec))
 }
 
-// sameStatus tells whether two statuses say the same. Revisions play no part:
-// writing a status raises the object's, and it would be written for ever.
+// sameStatus reports whether two statuses are equal apart from revisions. Writing
+// a status increments the object's revision, so comparing revisions would cause
+// endless writes.
 func sameStatus(a, b platformapi.RecordStatus) bool {
 	return a.SpecDigest == b.SpecDigest && a.Accepted == b.Accepted && a.Reason == b.Reason &&
 		lastAccepted(a) == lastAccepted(b)
@@ -76,8 +77,8 @@
 	return SpecDigest(s.LastAccepted.Spec)
 }
 
-// FromObject makes the record of an object in the store. Its status tells an
-// instance without peers what was accepted before it started.
+// FromObject returns the record of an object in the store. Its status lets an
+// instance without peers know which version was accepted before it started.
 func FromObject(kind catalog.RecordKind, object *platformapi.Object) config.Record {
 	key := config.Key{Kind: kind, Name: object.Metadata.Name}
 	r := config.LiveRecord(key, object.Metadata.Revision, object.Spec)
@@ -92,7 +93,7 @@
 	return r
 }
 
-// FromEvent makes the record of a change that a watch saw.
+// FromEvent returns the record for a change reported by a watch.
 func FromEvent(kind catalog.RecordKind, event *platformapi.Event) config.Record {
 	if !event.Deleted {
 		return FromObject(kind, &event.Object)
@@ -101,8 +102,8 @@
 	return config.TombstoneRecord(key, event.Object.Metadata.Revision)
 }
 
-// SpecDigest names a spec. White space plays no part, since the store need not
-// keep it.
+// SpecDigest returns a hash that identifies a spec. White space is ignored, since
+// the store need not preserve it.
 func SpecDigest(spec []byte) string {
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, spec); err != nil {
@@ -112,5 +113,5 @@
 	return strconv.FormatUint(xxhash.Sum64(compact.Bytes()), 16)
 }
 
-// SameSpec tells whether two specs differ in nothing but white space.
+// SameSpec reports whether two specs are equal apart from white space.
 func SameSpec(a, b []byte) bool { return SpecDigest(a) == SpecDigest(b) }
--- a/protocol/record/status_test.go
+++ b/protocol/record/status_test.go
@@ -27,10 +27,10 @@
 	return o
 }
 
-// An operator writes a bad spec over an accepted one, and every instance is
-// replaced before any has judged it. A new one finds the bad spec alone; the
-// accepted one must come from the status, or the tier is gone.
-func TestStatusKeepsWhatIsInForce(t *testing.T) {
+// An operator overwrites an accepted spec with an invalid one, and every instance
+// is replaced before any has evaluated it. A new instance finds only the invalid
+// spec; it must take the accepted one from the status, or the tier is lost.
+func TestStatusPreservesVersionInForce(t *testing.T) {
 	key := config.Key{Kind: catalog.RecordTiers, Name: "gold"}
 	written := record.StatusOf(config.Verdict{Key: key, Revision: 5, Accepted: true}, []byte(oldSpec))
 	_, state, err := record.ReadStatus(object(6, oldSpec, written))
@@ -56,8 +56,8 @@
 	assert.False(t, record.NeedsStatus(object(10, newSpec, nil), verdicts[0]), "a verdict on another revision must not be written")
 }
 
-// Somebody wrote a status by hand that can't be read. The record must be judged
-// anew, neither taken for accepted nor held up.
+// A status that cannot be decoded, such as one written by hand, must cause a new
+// evaluation of the record: it must neither count as accepted nor block it.
 func TestBadStatusIsPending(t *testing.T) {
 	_, state, err := record.ReadStatus(object(1, oldSpec, "noise"))
 	assert.Error(t, err)
@@ -92,10 +92,9 @@
 	}
 }
 
-// A file of a few megabytes that holds something else altogether must be
-// refused at once: counting lines anew for each of a million faults took
-// longer than anybody waits.
-func TestFaultsOfAForeignFileAreBounded(t *testing.T) {
+// A file of a few megabytes that contains no records must be refused at once:
+// counting lines from the start for each of a million faults takes far too long.
+func TestFaultsOfFileWithoutRecordsAreBounded(t *testing.T) {
 	_, faults := record.ParseFile([]byte("[1" + strings.Repeat(",\n1", 1<<16) + "]"))
 	assert.Len(t, faults, 1000)
 	assert.Equal(t, 1000, faults[999].Line)
--- a/protocol/record/tree.go
+++ b/protocol/record/tree.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// maxDepth bounds how deeply values nest; records need five levels.
+// maxDepth is the maximum nesting depth of values; records need five levels.
 const maxDepth = 12
 
 type valueKind int
@@ -22,18 +22,18 @@
 	valueObject
 )
 
-// String names the kind as operators know it from JSON.
+// String returns the kind as it appears in error messages.
 func (k valueKind) String() string {
 	return [...]string{"null", "a boolean", "a number", "a string", "a list", "an object"}[k]
 }
 
-// value is a JSON value that knows where it stands in its text.
+// value is a JSON value with its offsets in the text.
 type value struct {
 	kind    valueKind
 	offset  int
 	end     int
 	text    string
-	truth   bool
+	boolean bool
 	members []member
 	items   []value
 }
@@ -44,7 +44,7 @@
 	value  value
 }
 
-// parser builds values from text that is known to be valid JSON.
+// parser builds values from text that was validated as JSON.
 type parser struct {
 	text    []byte
 	decoder *json.Decoder
@@ -52,7 +52,7 @@
 
 var errTooDeep = fmt.Errorf("values nest deeper than %d levels", maxDepth)
 
-// parse reads the JSON values of a text one after another.
+// parse parses a sequence of JSON values.
 func parse(text []byte) ([]value, error) {
 	if err := checkSyntax(text); err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 	}
 }
 
-// checkSyntax validates before tokens are read: the token reader alone lets
-// some malformed texts pass.
+// checkSyntax validates the text before tokens are read: Decoder.Token alone
+// accepts some malformed texts.
 func checkSyntax(text []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	var raw json.RawMessage
@@ -102,7 +102,7 @@
 	case json.Delim:
 		err = p.composite(&v, t, depth)
 	case bool:
-		v.kind, v.truth = valueBool, t
+		v.kind, v.boolean = valueBool, t
 	case json.Number:
 		v.kind, v.text = valueNumber, t.String()
 	case string:
@@ -141,7 +141,7 @@
 	return err
 }
 
-// nextOffset finds where the next token starts.
+// nextOffset returns the offset at which the next token starts.
 func (p *parser) nextOffset() int {
 	offset := int(p.decoder.InputOffset())
 	for offset < len(p.text) && bytes.IndexByte([]byte(" \t\r\n,:"), p.text[offset]) >= 0 {
@@ -150,7 +150,7 @@
 	return offset
 }
 
-// syntaxFault turns a parse error into a fault with its line.
+// syntaxFault converts a parse error into a fault with its line, if known.
 func syntaxFault(text []byte, err error) Fault {
 	fault := Fault{Reason: "not valid JSON: " + err.Error()}
 	var syntax *json.SyntaxError
@@ -166,7 +166,7 @@
 	return fault
 }
 
-// lineOf counts the line, from 1, on which an offset lies.
+// lineOf returns the line of an offset, counted from 1.
 func lineOf(text []byte, offset int) int {
 	offset = min(max(offset, 0), len(text))
 	return 1 + bytes.Count(text[:offset], []byte{'\n'})
--- a/protocol/record/wire_test.go
+++ b/protocol/record/wire_test.go
@@ -12,8 +12,8 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// A renamed field or value changes the records that operators write: those in the
-// store and in files are refused, or read without a part of them.
+// A renamed field or value changes the record format: existing records in the store
+// and in files would be refused, or decoded without some of their fields.
 func TestBytesOfRecordSpecs(t *testing.T) {
 	rows := []struct {
 		name string
@@ -63,8 +63,8 @@
 	}
 }
 
-// A renamed value changes what operators write into a field, or read from one: a
-// pool of a known kind is refused, and a client shows no state.
+// A renamed value changes the accepted or reported values of a field: a pool of a
+// known kind would be refused, and a client would show no state.
 func TestBytesOfRecordValues(t *testing.T) {
 	spec := []byte(`{"a":1}`)
 	rows := []struct {
--- a/testkit/scenario/records.go
+++ b/testkit/scenario/records.go
@@ -39,7 +39,7 @@
 			_, err = store.Update(context.Background(), kind, d.Object)
 		}
 		if err != nil {
-			return errors.Wrap(err, d.Prefix())
+			return errors.Wrap(err, d.QualifiedName())
 		}
 	}
 	return nil
