--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -181,7 +181,7 @@
 // One that brought no event may have nothing left, if it says so by more than the end of
 // its connection.
 func (q *request) endsStream(events *sse.Splitter) bool {
-	if len(events.Torn()) > 0 {
+	if len(events.Partial()) > 0 {
 		return false
 	}
 	return events.Events() > 0 || q.behind() != "" && q.framing != forward.FramedByClose
--- a/protocol/sse/decoder.go
+++ b/protocol/sse/decoder.go
@@ -17,11 +17,11 @@
 	r      *bufio.Reader
 	limits Limits
 	line   []byte
-	// skipLF is set after a carriage return: a line feed that follows belongs
-	// to the same line end, and waiting for it would delay the event.
-	skipLF  bool
-	started bool
-	err     error
+	// skipLF is set after a carriage return: a line feed that follows belongs to
+	// the same line ending, and waiting for it would delay the event.
+	skipLF     bool
+	bomChecked bool
+	err        error
 }
 
 // NewDecoder returns a decoder that reads from r.
@@ -35,18 +35,18 @@
 	return &Decoder{r: bufio.NewReaderSize(r, readBuffer), limits: limits}
 }
 
-// pending is the event whose blank line has not come yet.
-type pending struct {
+// partialEvent is an event whose blank line has not been read yet.
+type partialEvent struct {
 	name, id string
 	data     strings.Builder
 	hasData  bool
 	size     int
-	// open is set once any field of the event was read.
-	open bool
+	// hasField is set once any field of the event was read.
+	hasField bool
 }
 
-// Next returns the next event with data. It returns io.EOF when the stream
-// ended between two events and ErrTruncated when it ended inside one.
+// Next returns the next event with data. It returns io.EOF if the stream ends
+// between two events and ErrTruncated if it ends inside one.
 func (d *Decoder) Next() (Event, error) {
 	if d.err != nil {
 		return Event{}, d.err
@@ -57,13 +57,13 @@
 }
 
 func (d *Decoder) next() (Event, error) {
-	var p pending
+	var p partialEvent
 	for {
 		line, err := d.readLine()
-		if err == io.EOF && (p.open || len(line) > 0) {
-			// A peer that dies while it writes leaves a prefix of an event,
-			// which may parse well. Only the blank line proves that the
-			// event is whole, so what came without it is dropped.
+		if err == io.EOF && (p.hasField || len(line) > 0) {
+			// A peer that fails during a write leaves a prefix of an event,
+			// which may be well-formed. Only the blank line proves that the
+			// event is complete, so an event without it is discarded.
 			return Event{}, ErrTruncated
 		}
 		if err != nil {
@@ -78,16 +78,16 @@
 		if p.hasData {
 			return Event{Name: p.name, ID: p.id, Data: p.data.String()}, nil
 		}
-		p = pending{}
+		p = partialEvent{}
 	}
 }
 
-// field adds one line that is not blank to the event.
-func (d *Decoder) field(p *pending, line []byte) error {
+// field adds a non-blank line to the event.
+func (d *Decoder) field(p *partialEvent, line []byte) error {
 	if line[0] == ':' {
 		return nil
 	}
-	p.open = true
+	p.hasField = true
 	p.size += len(line)
 	if p.size > d.limits.Event {
 		return ErrEventTooLarge
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// readLine returns the next line without its end. The line is valid until the
-// next call. With io.EOF it returns what came after the last line end.
+// readLine returns the next line without its line ending. The line is valid until
+// the next call. With io.EOF it returns the bytes after the last line ending.
 func (d *Decoder) readLine() ([]byte, error) {
 	d.line = d.line[:0]
 	for {
@@ -135,11 +135,11 @@
 	}
 }
 
-// stripBOM removes the byte order mark that may open a stream.
+// stripBOM removes the byte order mark at the start of a stream, if any.
 func (d *Decoder) stripBOM() []byte {
-	if d.started {
+	if d.bomChecked {
 		return d.line
 	}
-	d.started = true
+	d.bomChecked = true
 	return bytes.TrimPrefix(d.line, []byte(utf8BOM))
 }
--- a/protocol/sse/encoder.go
+++ b/protocol/sse/encoder.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBadField says that a name, an id or a comment holds a line end or a NUL,
-// with which a peer could be made to see other events than were meant.
+// ErrBadField means that a name, an id or a comment contains a line ending or a
+// NUL, which would let its text inject other events into the stream.
 var ErrBadField = errors.New("sse: line end or NUL in a field")
 
 const unsafeInField = "\r\n\x00"
@@ -25,8 +25,8 @@
 	return &Encoder{w: w}
 }
 
-// Encode writes the whole event with one Write. Line ends within the data,
-// of whatever kind, reach the reader as line feeds.
+// Encode writes the event with a single Write. Line endings of any kind within the
+// data reach the reader as line feeds.
 func (e *Encoder) Encode(event Event) error {
 	if strings.ContainsAny(event.Name+event.ID, unsafeInField) {
 		return ErrBadField
@@ -40,8 +40,7 @@
 	return err
 }
 
-// Comment writes a comment, which readers skip. It shows the other end that
-// the connection is alive.
+// Comment writes a comment, which readers skip. It serves as a keep-alive.
 func (e *Encoder) Comment(text string) error {
 	if strings.ContainsAny(text, unsafeInField) {
 		return ErrBadField
--- a/protocol/sse/example_test.go
+++ b/protocol/sse/example_test.go
@@ -11,7 +11,7 @@
 	var stream strings.Builder
 	encoder := sse.NewEncoder(&stream)
 	_ = encoder.Encode(sse.Event{Name: "token", ID: "0", Data: "two\nlines"})
-	stream.WriteString("event: done\ndata: cut o") // the peer dies here
+	stream.WriteString("event: done\ndata: cut o") // the peer fails here
 
 	decoder := sse.NewDecoder(strings.NewReader(stream.String()), sse.Limits{})
 	for {
--- a/protocol/sse/splitter.go
+++ b/protocol/sse/splitter.go
@@ -5,23 +5,25 @@
 	"strconv"
 )
 
-// Splitter cuts a stream at the ends of its events and leaves their bytes as
-// they are. It is not safe for concurrent use.
+// Splitter splits a stream into complete events without changing their bytes. It
+// is not safe for concurrent use.
 type Splitter struct {
 	pending []byte
-	// scanned is how far pending was searched for the end of an event.
+	// scanned is the length of the prefix of pending that was searched for the end
+	// of an event.
 	scanned int
-	// limit bounds an event, in bytes.
+	// limit is the maximum size of an event, in bytes.
 	limit  int
 	lastID string
 	events int
-	// unnumbered tells that an event without an id came after the last one that had one.
-	unnumbered bool
+	// eventWithoutID is set if an event without an id followed the last event with
+	// one.
+	eventWithoutID bool
 }
 
-// NewSplitter returns a splitter for events up to limit bytes; 0 is
-// DefaultMaxEvent. The stream goes on behind the event of the id after; empty for a
-// stream from its begin.
+// NewSplitter returns a splitter for events of up to limit bytes; 0 means
+// DefaultMaxEvent. The stream resumes after the event with the id after, which is
+// empty for a stream from its start.
 func NewSplitter(limit int, after string) *Splitter {
 	if limit <= 0 {
 		limit = DefaultMaxEvent
@@ -29,10 +31,11 @@
 	return &Splitter{limit: limit, lastID: after}
 }
 
-// Add takes in bytes and returns the whole events that there are now, up to the first
-// that is at fault. The slice is valid until the next call. ErrEventTooLarge tells of an
-// event over the limit, ErrOutOfOrder of one whose id doesn't rise, and ErrNoEvent of
-// something else in its place; after any of them the stream can't be read further.
+// Add appends bytes of the stream and returns the events that are now complete, up to
+// the first invalid one. The slice is valid until the next call. Add returns
+// ErrEventTooLarge for an event above the limit, ErrOutOfOrder for an event whose id
+// does not increase, and ErrNotEvent for anything that is not an event; after any of
+// them the stream cannot be read further.
 func (s *Splitter) Add(p []byte) ([]byte, error) {
 	s.pending = append(s.pending, p...)
 	end := 0
@@ -42,21 +45,21 @@
 		if n < 0 {
 			break
 		}
-		if fault = s.note(s.pending[end:n]); fault == nil {
+		if fault = s.acceptEvent(s.pending[end:n]); fault == nil {
 			end = n
 		}
 	}
 	if fault == nil && len(s.pending)-end > s.limit {
 		fault = ErrEventTooLarge
 	}
-	whole := s.pending[:end:end]
+	complete := s.pending[:end:end]
 	s.pending = s.pending[end:]
 	s.scanned = max(s.scanned-end, 0)
-	return whole, fault
+	return complete, fault
 }
 
-// eventEnd returns where the event that begins at from ends, -1 if it has not
-// come whole.
+// eventEnd returns the end of the event that begins at from, or -1 if the event is
+// not complete.
 func (s *Splitter) eventEnd(from int) int {
 	for i := max(from, s.scanned); i < len(s.pending); i++ {
 		if s.pending[i] != '\n' {
@@ -73,28 +76,29 @@
 	return -1
 }
 
-// note checks an event against those before it and remembers its id.
-func (s *Splitter) note(event []byte) error {
+// acceptEvent checks an event against those before it and records its id.
+func (s *Splitter) acceptEvent(event []byte) error {
 	id, hasData, isEvent := readFields(event)
 	switch {
 	case !isEvent:
-		return ErrNoEvent
+		return ErrNotEvent
 	case id == "" && !hasData:
 		return nil
 	case id == "":
-		s.unnumbered = true
+		s.eventWithoutID = true
 		s.events++
 		return nil
-	case s.lastID != "" && !rises(s.lastID, id):
+	case s.lastID != "" && !mayFollow(s.lastID, id):
 		return ErrOutOfOrder
 	}
-	s.lastID, s.unnumbered = id, false
+	s.lastID, s.eventWithoutID = id, false
 	s.events++
 	return nil
 }
 
-// readFields reads the fields of an event that matter here. What has lines, but neither a
-// comment nor a field of any event, is none: the head of another answer, say.
+// readFields returns the fields of an event that the splitter needs. Text that has lines
+// but neither a comment nor an event field is not an event: for example the head of
+// another HTTP response.
 func readFields(event []byte) (id string, hasData, isEvent bool) {
 	isEvent = len(bytes.TrimSpace(event)) == 0
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
@@ -117,9 +121,9 @@
 	return id, hasData, isEvent
 }
 
-// rises tells whether an id may follow another. Ids that are no numbers only have to
-// differ.
-func rises(last, id string) bool {
+// mayFollow reports whether an event with the given id may follow the event with the id
+// last. Numeric ids must increase; other ids only have to differ.
+func mayFollow(last, id string) bool {
 	a, errA := strconv.ParseUint(last, 10, 64)
 	b, errB := strconv.ParseUint(id, 10, 64)
 	if errA != nil || errB != nil {
@@ -128,16 +132,16 @@
 	return b > a
 }
 
-// LastID returns the id of the last whole event that had one, before any the one that the
-// stream goes on behind.
+// LastID returns the id of the last complete event that had one, initially the id that
+// the stream resumes after.
 func (s *Splitter) LastID() string { return s.lastID }
 
-// Resumable tells whether the stream can go on behind LastID: no event without an id has
-// come since.
-func (s *Splitter) Resumable() bool { return !s.unnumbered }
+// Resumable reports whether the stream can resume after LastID: no event without an id
+// has followed it.
+func (s *Splitter) Resumable() bool { return !s.eventWithoutID }
 
-// Events returns the number of whole events so far; comments are none.
+// Events returns the number of complete events so far, not counting comments.
 func (s *Splitter) Events() int { return s.events }
 
-// Torn returns the bytes of an event that has not come whole.
-func (s *Splitter) Torn() []byte { return s.pending }
+// Partial returns the bytes of the event that is not complete.
+func (s *Splitter) Partial() []byte { return s.pending }
--- a/protocol/sse/splitter_test.go
+++ b/protocol/sse/splitter_test.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/sse"
 )
 
-// A stream arrives cut at any place. Whole events come out byte for byte, as soon as
-// their last byte is there, and an event that is torn stays behind.
+// A stream may be split at any position. Complete events must be returned unchanged as
+// soon as their last byte arrives, and a partial event must be retained.
 func TestSplitterCutsAtEvents(t *testing.T) {
 	streams := []string{
 		"id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
@@ -22,24 +22,24 @@
 			s := sse.NewSplitter(0, "")
 			var got strings.Builder
 			for _, part := range []string{stream[:cut], stream[cut:]} {
-				whole, err := s.Add([]byte(part))
+				complete, err := s.Add([]byte(part))
 				require.NoError(t, err)
-				got.Write(whole)
+				got.Write(complete)
 			}
 			require.Equal(t, stream, got.String())
 			require.Equal(t, "2", s.LastID())
-			require.Empty(t, s.Torn())
+			require.Empty(t, s.Partial())
 		}
 	}
 }
 
-func TestSplitterKeepsWhatIsTorn(t *testing.T) {
+func TestSplitterRetainsPartialEvent(t *testing.T) {
 	s := sse.NewSplitter(0, "")
-	whole, err := s.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: to"))
+	complete, err := s.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: to"))
 	require.NoError(t, err)
-	require.Equal(t, "id: 1\ndata: a\n\n", string(whole))
+	require.Equal(t, "id: 1\ndata: a\n\n", string(complete))
 	require.Equal(t, "1", s.LastID())
-	require.Equal(t, "id: 2\ndata: to", string(s.Torn()))
+	require.Equal(t, "id: 2\ndata: to", string(s.Partial()))
 }
 
 func TestSplitterBoundsAnEvent(t *testing.T) {
@@ -48,48 +48,47 @@
 	require.ErrorIs(t, err, sse.ErrEventTooLarge)
 }
 
-// TestSplitterKeepsTheIDToGoOnBehind guards against a stream that begins anew after a part
-// without events.
-func TestSplitterKeepsTheIDToGoOnBehind(t *testing.T) {
+// A stream that was resumed and contains no events must not restart from the beginning.
+func TestSplitterKeepsResumeID(t *testing.T) {
 	s := sse.NewSplitter(0, "7")
 	_, err := s.Add([]byte(": comment\n\n"))
 	require.NoError(t, err)
 	require.Equal(t, "7", s.LastID())
 }
 
-// TestSplitterRefusesWhatDoesNotFollow guards against events that come twice, of two runs,
-// or with the head of another answer between them.
-func TestSplitterRefusesWhatDoesNotFollow(t *testing.T) {
+// Duplicate events, events of two runs and the head of another response between events
+// must be rejected.
+func TestSplitterRejectsInvalidSuccessors(t *testing.T) {
 	cases := map[string]struct {
-		after, stream, whole string
-		err                  error
+		after, stream, complete string
+		err                     error
 	}{
-		"ids rise":                  {"", "id: 1\ndata: a\n\nid: 3\ndata: b\n\n", "id: 1\ndata: a\n\nid: 3\ndata: b\n\n", nil},
-		"ids rise in number":        {"", "id: 9\n\nid: 10\n\n", "id: 9\n\nid: 10\n\n", nil},
-		"id comes twice":            {"", "id: 1\n\nid: 1\n\n", "id: 1\n\n", sse.ErrOutOfOrder},
-		"id goes back":              {"", "id: 2\n\nid: 1\n\nid: 3\n\n", "id: 2\n\n", sse.ErrOutOfOrder},
-		"goes on where it should":   {"4", "id: 5\n\n", "id: 5\n\n", nil},
-		"goes on from the first":    {"4", "id: 1\n\n", "", sse.ErrOutOfOrder},
-		"goes on with the last":     {"4", "id: 4\n\n", "", sse.ErrOutOfOrder},
+		"ids increase":              {"", "id: 1\ndata: a\n\nid: 3\ndata: b\n\n", "id: 1\ndata: a\n\nid: 3\ndata: b\n\n", nil},
+		"ids increase as numbers":   {"", "id: 9\n\nid: 10\n\n", "id: 9\n\nid: 10\n\n", nil},
+		"duplicate id":              {"", "id: 1\n\nid: 1\n\n", "id: 1\n\n", sse.ErrOutOfOrder},
+		"id decreases":              {"", "id: 2\n\nid: 1\n\nid: 3\n\n", "id: 2\n\n", sse.ErrOutOfOrder},
+		"resumes after the id":      {"4", "id: 5\n\n", "id: 5\n\n", nil},
+		"restarts from the first":   {"4", "id: 1\n\n", "", sse.ErrOutOfOrder},
+		"repeats the last":          {"4", "id: 4\n\n", "", sse.ErrOutOfOrder},
 		"text ids":                  {"", "id: b\n\nid: a\n\nid: a\n\n", "id: b\n\nid: a\n\n", sse.ErrOutOfOrder},
 		"comments and empty lines":  {"1", ": c\n\n\nretry: 5\n\nid: 2\n\n", ": c\n\n\nretry: 5\n\nid: 2\n\n", nil},
 		"unknown field of an event": {"", "version: 3\nid: 1\n\n", "version: 3\nid: 1\n\n", nil},
-		"head of another answer":    {"", "id: 1\n\nHTTP/1.1 200 OK\r\nRequest-Id: x\r\n\r\nid: 2\n\n", "id: 1\n\n", sse.ErrNoEvent},
-		"text that is no event":     {"", "failed: badly\n\n", "", sse.ErrNoEvent},
+		"head of another response":  {"", "id: 1\n\nHTTP/1.1 200 OK\r\nRequest-Id: x\r\n\r\nid: 2\n\n", "id: 1\n\n", sse.ErrNotEvent},
+		"text that is no event":     {"", "failed: badly\n\n", "", sse.ErrNotEvent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := sse.NewSplitter(0, c.after)
-			whole, err := s.Add([]byte(c.stream))
+			complete, err := s.Add([]byte(c.stream))
 			require.ErrorIs(t, err, c.err)
-			require.Equal(t, c.whole, string(whole))
+			require.Equal(t, c.complete, string(complete))
 		})
 	}
 }
 
-// TestSplitterKnowsWhereAStreamCanGoOn guards against an event that comes twice since it has
-// no id to go on behind.
-func TestSplitterKnowsWhereAStreamCanGoOn(t *testing.T) {
+// A stream must not be resumed after an event without an id: the event would be sent
+// twice.
+func TestSplitterReportsWhetherStreamIsResumable(t *testing.T) {
 	s := sse.NewSplitter(0, "")
 	for _, step := range []struct {
 		text      string
@@ -104,7 +103,7 @@
 	}
 }
 
-// TestSplitterCountsEvents guards against a stream of comments alone that looks whole.
+// A stream that contains only comments must not be mistaken for a complete one.
 func TestSplitterCountsEvents(t *testing.T) {
 	for text, want := range map[string]int{
 		"": 0, ": comment\n\n": 0, "retry: 5\n\n": 0, "id: 1\n\n": 1, "data: a\n\n": 1, "id: 1\ndata: a\n\n: c\n\nid: 2\n\n": 2, "id: 1": 0,
--- a/protocol/sse/sse_test.go
+++ b/protocol/sse/sse_test.go
@@ -16,7 +16,7 @@
 
 var small = sse.Limits{Line: 32, Event: 48}
 
-// decode reads a stream to its end, byte by byte as a slow peer would send it.
+// decode reads a stream to its end, one byte at a time as from a slow peer.
 func decode(input string, limits sse.Limits) ([]sse.Event, error) {
 	decoder := sse.NewDecoder(iotest.OneByteReader(strings.NewReader(input)), limits)
 	var events []sse.Event
@@ -49,13 +49,13 @@
 		"id is not carried over":       {"id: 1\ndata: x\n\ndata: x\n\n", []sse.Event{{ID: "1", Data: "x"}, {Data: "x"}}, io.EOF},
 		"id with a NUL":                {"id: a\x00\ndata: x\n\n", x, io.EOF},
 		"event without data":           {"event: e\n\ndata: x\n\n", x, io.EOF},
-		"cut before the blank line":    {"data: x\n\ndata: y\n", x, sse.ErrTruncated},
-		"cut in a line":                {"data: x\n\ndata: y", x, sse.ErrTruncated},
-		"cut after the name":           {"event: done\n", nil, sse.ErrTruncated},
-		"line at the bound":            {"data: " + strings.Repeat("x", 26) + "\n\n", []sse.Event{{Data: strings.Repeat("x", 26)}}, io.EOF},
-		"line over the bound":          {"data: " + strings.Repeat("x", 27) + "\n\n", nil, sse.ErrLineTooLong},
-		"event over the bound":         {strings.Repeat("data: x\n", 7) + "\n", nil, sse.ErrEventTooLarge},
-		"unknown fields have no bound": {strings.Repeat("f: x\n\n", 100), nil, io.EOF},
+		"truncated before blank line":  {"data: x\n\ndata: y\n", x, sse.ErrTruncated},
+		"truncated in a line":          {"data: x\n\ndata: y", x, sse.ErrTruncated},
+		"truncated after the name":     {"event: done\n", nil, sse.ErrTruncated},
+		"line at the limit":            {"data: " + strings.Repeat("x", 26) + "\n\n", []sse.Event{{Data: strings.Repeat("x", 26)}}, io.EOF},
+		"line over the limit":          {"data: " + strings.Repeat("x", 27) + "\n\n", nil, sse.ErrLineTooLong},
+		"event over the limit":         {strings.Repeat("data: x\n", 7) + "\n", nil, sse.ErrEventTooLarge},
+		"unknown fields have no limit": {strings.Repeat("f: x\n\n", 100), nil, io.EOF},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Story: the line feed of a CR LF pair has not arrived yet. The event is whole,
-// and waiting for one byte more would hold a token back until the next one.
-func TestEventIsNotHeldBackForALineFeed(t *testing.T) {
+// If the line feed of a CR LF pair has not arrived yet, the event is complete, and
+// waiting for the line feed would delay a token until the next one.
+func TestEventIsNotDelayedForLineFeed(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = writer.Close() }()
 	go func() { _, _ = writer.Write([]byte("data: x\r\n\r")) }()
@@ -77,16 +77,16 @@
 	require.Equal(t, "x", event.Data)
 }
 
-// Story: a token of a model holds line ends or the text of a field. Written
-// carelessly it would become events that the target never sent.
-func TestEncodedEventsComeBack(t *testing.T) {
-	nasty := rapid.StringOf(rapid.SampledFrom([]rune("ab: \r\n\x00é")))
+// If a token of a model contains line endings or the text of a field, an encoder
+// without escaping would emit events that the target never sent.
+func TestEventsRoundTrip(t *testing.T) {
+	text := rapid.StringOf(rapid.SampledFrom([]rune("ab: \r\n\x00é")))
 	rapid.Check(t, func(t *rapid.T) {
 		var stream bytes.Buffer
 		encoder := sse.NewEncoder(&stream)
 		var want []sse.Event
 		for range rapid.IntRange(0, 5).Draw(t, "events") {
-			event := sse.Event{Name: nasty.Draw(t, "name"), ID: nasty.Draw(t, "id"), Data: nasty.Draw(t, "data")}
+			event := sse.Event{Name: text.Draw(t, "name"), ID: text.Draw(t, "id"), Data: text.Draw(t, "data")}
 			if strings.ContainsAny(event.Name+event.ID, "\r\n\x00") {
 				require.ErrorIs(t, encoder.Encode(event), sse.ErrBadField)
 				continue
@@ -103,9 +103,9 @@
 	})
 }
 
-// FuzzDecode checks that no input makes the decoder hold more than its bounds,
-// that what it reads survives a round trip, and that a stream cut anywhere
-// yields a prefix of the events and never another event.
+// FuzzDecode checks that no input makes the decoder exceed its limits, that decoded
+// events survive a round trip, and that a truncated stream yields a prefix of the
+// events and never a different event.
 func FuzzDecode(f *testing.F) {
 	f.Add("event: token\nid: 0\ndata: {}\n\n", 9)
 	f.Add("data: x\r\rdata: y\r\n\r\n: c\n\n", 8)
