--- a/protocol/loadwire/loadwire.go
+++ b/protocol/loadwire/loadwire.go
@@ -1,6 +1,6 @@
-// Package loadwire is the form of the load digest that an instance spreads to
-// its peers. A digest is cut to a bound of bytes: an instance hears of hundreds
-// of others, and pays for each byte of a digest as often.
+// Package loadwire is the encoding of the load digest that an instance gossips to
+// its peers. The size of a digest is limited: an instance receives the digests of
+// hundreds of others, so each byte of a digest costs as many times.
 package loadwire
 
 import (
@@ -13,68 +13,71 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// poolShare is the part of a digest, in percent, that pools may fill while
-// targets wait. What one part leaves, the other may use.
-const poolShare = 60
+// poolSharePercent is the percentage of a digest that pools may use if targets need
+// the remainder. Space that one of the two leaves free is available to the other.
+const poolSharePercent = 60
 
-// errShort says that a packed part ends too early, or is too long.
-var errShort = errors.New("load digest: parts of a wrong length")
+// errBadLength means that a packed part is too short or too long.
+var errBadLength = errors.New("load digest: parts of a wrong length")
 
-type wire struct {
+// packedDigest is the digest on the wire, sent as an array of its fields.
+type packedDigest struct {
 	Targets []byte
 	Pools   []byte
-	// Whole says that no pool with any load was left out.
-	Whole bool
+	// Complete reports that no pool with any load was left out.
+	Complete bool
 }
 
-// Digest is one instance's load.
+// Digest is the load of one instance.
 type Digest struct {
-	// Targets are in the order of their weight, the first being kept longest.
+	// Targets is in descending order of importance: the last entries are left out
+	// first.
 	Targets []routing.DigestEntry
 	Pools   map[string]tiers.Digest
 }
 
-// Received is a peer's digest. It names pools by hash.
-type Received struct {
-	Targets []routing.DigestEntry
-	pools   map[uint32]tiers.Digest
-	whole   bool
+// ReceivedDigest is the digest of a peer. It identifies pools by hash.
+type ReceivedDigest struct {
+	Targets  []routing.DigestEntry
+	pools    map[uint32]tiers.Digest
+	complete bool
 }
 
-// Pool returns the load of a pool, false if the digest had no room for it.
-func (r *Received) Pool(name string) (tiers.Digest, bool) {
+// Pool returns the load of a pool, and false if the pool may have been left out of
+// the digest for lack of space.
+func (r *ReceivedDigest) Pool(name string) (tiers.Digest, bool) {
 	d, ok := r.pools[hashPool(name)]
-	return d, ok || r.whole
+	return d, ok || r.complete
 }
 
-// Encode writes a digest in at most limit bytes. It leaves out the last targets
-// and the pools of least demand that don't fit. Loads of pools are rounded, to
-// one part in twenty.
+// Encode encodes a digest in at most limit bytes. It leaves out the last targets
+// and the pools of least demand that do not fit. Loads of pools are rounded, with
+// an error of at most one part in twenty.
 //
-// Guard: the spread drops a digest over its bound, so that under load, when
-// there is most to tell, peers would hear nothing at all.
+// Gossip drops a digest above its size limit. Without the limit here, peers would
+// receive nothing at all under load, when digests are largest.
 func Encode(d Digest, limit int) ([]byte, error) {
-	room := limit - envelope
+	space := limit - msgpackOverhead
 	wanted := len(d.Targets) * targetSize
-	pools, whole := packPools(d.Pools, max(room*poolShare/100, room-wanted))
-	w := wire{Targets: packTargets(d.Targets, room-len(pools)), Pools: pools, Whole: whole}
+	pools, complete := packPools(d.Pools, max(space*poolSharePercent/100, space-wanted))
+	w := packedDigest{Targets: packTargets(d.Targets, space-len(pools)), Pools: pools, Complete: complete}
 	var body bytes.Buffer
 	encoder := msgpack.NewEncoder(&body)
-	encoder.UseArrayEncodedStructs(true) // names of fields would take room
+	encoder.UseArrayEncodedStructs(true) // field names would take up space
 	err := encoder.Encode(&w)
 	return body.Bytes(), errors.Wrap(err, "encode load digest")
 }
 
-// Decode reads a digest.
-func Decode(body []byte) (Received, error) {
-	var w wire
+// Decode decodes a digest.
+func Decode(body []byte) (ReceivedDigest, error) {
+	var w packedDigest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
-		return Received{}, errors.Wrap(err, "decode load digest")
+		return ReceivedDigest{}, errors.Wrap(err, "decode load digest")
 	}
 	pools, err := unpackPools(w.Pools)
 	if err != nil {
-		return Received{}, errors.Wrap(err, "decode pools")
+		return ReceivedDigest{}, errors.Wrap(err, "decode pools")
 	}
 	targets, err := unpackTargets(w.Targets)
-	return Received{Targets: targets, pools: pools, whole: w.Whole}, errors.Wrap(err, "decode targets")
+	return ReceivedDigest{Targets: targets, pools: pools, complete: w.Complete}, errors.Wrap(err, "decode targets")
 }
--- a/protocol/loadwire/loadwire_test.go
+++ b/protocol/loadwire/loadwire_test.go
@@ -11,12 +11,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-const limit = 128
+const testLimit = 128
 
-// Many pools and targets are busy. The digest must still go out, or instances
-// would hear nothing of one another just when they contend for targets. What
-// does arrive is what was sent, the loads of pools to one part in twenty.
-func TestDigestFitsAndSurvivesTheWire(t *testing.T) {
+// If many pools and targets are busy, the digest must still be sent, or instances
+// would have no news of one another while they contend for targets. Decoded values
+// must equal the encoded ones, with the loads of pools to one part in twenty.
+func TestDigestFitsAndRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Digest{Pools: map[string]tiers.Digest{}}
 		for i := range rapid.IntRange(0, 128).Draw(t, "targets") {
@@ -29,16 +29,16 @@
 			}
 			in.Pools[strconv.Itoa(i)] = d
 		}
-		body, err := Encode(in, limit)
+		body, err := Encode(in, testLimit)
 		require.NoError(t, err)
-		require.LessOrEqual(t, len(body), limit)
+		require.LessOrEqual(t, len(body), testLimit)
 		out, err := Decode(body)
 		require.NoError(t, err)
 		require.Equal(t, in.Targets[:len(out.Targets)], append([]routing.DigestEntry(nil), out.Targets...))
 		for name, sent := range in.Pools {
-			received, told := out.Pool(name)
-			if !told {
-				require.Greater(t, len(body)+poolHeader+tiers.MaxRanks*rankSize, limit*poolShare/100, "left out without need")
+			received, known := out.Pool(name)
+			if !known {
+				require.Greater(t, len(body)+poolHeader+tiers.MaxRanks*rankSize, testLimit*poolSharePercent/100, "left out without need")
 				continue
 			}
 			for r := range sent.Ranks {
@@ -49,8 +49,9 @@
 	})
 }
 
-// The sizes of today, all busy, are told whole, and ejected targets come first.
-func TestSizesOfTodayFit(t *testing.T) {
+// A digest of typical size, with all pools and targets busy, must be sent complete
+// and in order.
+func TestTypicalDigestFits(t *testing.T) {
 	in := Digest{Pools: map[string]tiers.Digest{"idle": {}}}
 	for i := range 5 {
 		var d tiers.Digest
@@ -62,21 +63,21 @@
 	for i := range 10 {
 		in.Targets = append(in.Targets, routing.DigestEntry{TargetHash: uint32(i), InFlight: routing.Suspected})
 	}
-	body, err := Encode(in, limit)
+	body, err := Encode(in, testLimit)
 	require.NoError(t, err)
 	out, err := Decode(body)
 	require.NoError(t, err)
 	require.Equal(t, in.Targets, out.Targets)
 	for name, sent := range in.Pools {
-		received, told := out.Pool(name)
-		require.True(t, told, name)
+		received, known := out.Pool(name)
+		require.True(t, known, name)
 		require.Equal(t, sent, received)
 	}
 }
 
-// A peer of another release, or a broken one, must not crash the instance nor
-// make it route by half a digest.
-func TestDecodeRefusesWhatIsNoDigest(t *testing.T) {
+// A digest of another release or of a faulty peer must not crash the instance, and
+// must not be used in part for routing.
+func TestDecodeRejectsInvalidDigests(t *testing.T) {
 	short := func(targets, pools string) []byte {
 		body := append([]byte{0x93, 0xc4, byte(len(targets))}, targets...)
 		return append(append(append(body, 0xc4, byte(len(pools))), pools...), 0xc3)
--- a/protocol/loadwire/pack.go
+++ b/protocol/loadwire/pack.go
@@ -15,34 +15,36 @@
 
 // Sizes of the packed parts, in bytes.
 const (
-	// targetSize is a target's hash and its count.
+	// targetSize is the size of a target's hash and its requests in flight.
 	targetSize = 4 + 2
-	// poolHeader is a pool's hash and the number of its ranks.
+	// poolHeader is the size of a pool's hash and the number of its ranks.
 	poolHeader = 4 + 1
-	// rankSize is the code of the requests in flight and that of the demand.
+	// rankSize is the size of the codes of requests in flight and of demand.
 	rankSize = 2
-	// envelope bounds what msgpack adds to the two packed parts.
-	envelope = 8
+	// msgpackOverhead is an upper bound on the bytes that msgpack adds to the two
+	// packed parts.
+	msgpackOverhead = 8
 )
 
-// hashPool stands for a pool's name, which would take most of the digest.
+// hashPool returns the hash that replaces a pool's name, since names would take up
+// most of the digest.
 func hashPool(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// packPools packs the pools of most demand first, as far as they fit, and tells
-// whether all did.
-func packPools(pools map[string]tiers.Digest, room int) (packed []byte, whole bool) {
+// packPools packs the pools in descending order of demand as far as they fit into
+// limit bytes, and reports whether all did.
+func packPools(pools map[string]tiers.Digest, limit int) (packed []byte, complete bool) {
 	names := slices.SortedFunc(maps.Keys(pools), func(a, b string) int {
-		return cmp.Or(cmp.Compare(demand(pools[b]), demand(pools[a])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(totalDemand(pools[b]), totalDemand(pools[a])), cmp.Compare(a, b))
 	})
-	whole = true
+	complete = true
 	for _, name := range names {
 		load := pools[name]
 		ranks := ranksInUse(load)
 		if ranks == 0 {
 			continue
 		}
-		if len(packed)+poolHeader+ranks*rankSize > room {
-			whole = false
+		if len(packed)+poolHeader+ranks*rankSize > limit {
+			complete = false
 			continue
 		}
 		packed = binary.BigEndian.AppendUint32(packed, hashPool(name))
@@ -51,10 +53,10 @@
 			packed = append(packed, packLoad(r.InFlight), packLoad(r.Demand))
 		}
 	}
-	return packed, whole
+	return packed, complete
 }
 
-func demand(d tiers.Digest) float32 {
+func totalDemand(d tiers.Digest) float32 {
 	sum := float32(0)
 	for _, r := range d.Ranks {
 		sum += max(r.InFlight, r.Demand)
@@ -62,7 +64,7 @@
 	return sum
 }
 
-// ranksInUse counts the ranks up to the last that has any load.
+// ranksInUse returns the number of ranks up to the last that has any load.
 func ranksInUse(d tiers.Digest) int {
 	for rank := len(d.Ranks); rank > 0; rank-- {
 		if r := d.Ranks[rank-1]; r.InFlight > 0 || r.Demand > 0 {
@@ -72,17 +74,17 @@
 	return 0
 }
 
-// unpackPools reads the pools by the hashes of their names.
+// unpackPools returns the pools by the hashes of their names.
 func unpackPools(packed []byte) (map[uint32]tiers.Digest, error) {
 	out := make(map[uint32]tiers.Digest, len(packed)/(poolHeader+rankSize))
 	for len(packed) > 0 {
 		if len(packed) < poolHeader {
-			return nil, errShort
+			return nil, errBadLength
 		}
 		hash, ranks := binary.BigEndian.Uint32(packed), int(packed[4])
 		packed = packed[poolHeader:]
 		if ranks > tiers.MaxRanks || len(packed) < ranks*rankSize {
-			return nil, errShort
+			return nil, errBadLength
 		}
 		var d tiers.Digest
 		for r := range ranks {
@@ -94,9 +96,9 @@
 	return out, nil
 }
 
-// packTargets packs entries in their order, as far as they fit.
-func packTargets(entries []routing.DigestEntry, room int) []byte {
-	n := min(len(entries), max(room, 0)/targetSize)
+// packTargets packs entries in their order as far as they fit into limit bytes.
+func packTargets(entries []routing.DigestEntry, limit int) []byte {
+	n := min(len(entries), max(limit, 0)/targetSize)
 	out := make([]byte, 0, n*targetSize)
 	for _, e := range entries[:n] {
 		out = binary.BigEndian.AppendUint32(out, e.TargetHash)
@@ -107,7 +109,7 @@
 
 func unpackTargets(packed []byte) ([]routing.DigestEntry, error) {
 	if len(packed)%targetSize != 0 {
-		return nil, errShort
+		return nil, errBadLength
 	}
 	out := make([]routing.DigestEntry, 0, len(packed)/targetSize)
 	for ; len(packed) > 0; packed = packed[targetSize:] {
@@ -119,14 +121,15 @@
 	return out, nil
 }
 
-// loadScale is the number of codes for each doubling of a load.
-const loadScale = 8
+// codesPerDoubling is the number of codes per doubling of a load.
+const codesPerDoubling = 8
 
-// packLoad codes a load in one byte, by its logarithm: 0 and 1 are exact, the
-// rest is off by at most one part in twenty, or in forty of the load and one.
+// packLoad encodes a load in one byte by its logarithm: 0 and 1 are exact, other
+// loads have an error of at most one part in twenty, or one part in forty of
+// load+1.
 func packLoad(load float32) byte {
-	code := math.Round(loadScale * math.Log2(1+float64(max(load, 0))))
+	code := math.Round(codesPerDoubling * math.Log2(1+float64(max(load, 0))))
 	return byte(min(code, math.MaxUint8))
 }
 
-func unpackLoad(code byte) float32 { return float32(math.Exp2(float64(code)/loadScale) - 1) }
+func unpackLoad(code byte) float32 { return float32(math.Exp2(float64(code)/codesPerDoubling) - 1) }
--- a/protocol/loadwire/wire_test.go
+++ b/protocol/loadwire/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// A part of the digest is moved, or a load packed in another order: the other build
-// would refuse the digest, or route by loads of other targets and pools.
+// If a part of the digest is moved or loads are packed in a different order, another
+// build refuses the digest, or routes by the loads of the wrong targets and pools.
 func TestBytesOfLoadDigest(t *testing.T) {
 	var pool tiers.Digest
 	pool.Ranks[0] = tiers.RankLoad{InFlight: 1, Demand: 3}
@@ -19,7 +19,7 @@
 	body, err := Encode(Digest{
 		Targets: []routing.DigestEntry{{TargetHash: 0x01020304, InFlight: 5}, {TargetHash: 0x06070809, InFlight: routing.Suspected}},
 		Pools:   map[string]tiers.Digest{"pool": pool},
-	}, limit)
+	}, testLimit)
 	require.NoError(t, err)
 	require.Equal(t, "93c40c01020304000506070809ffffc40989dadb830208101820c3", hex.EncodeToString(body))
 }
