--- a/daemon/confsync/bootstrap.go
+++ b/daemon/confsync/bootstrap.go
@@ -115,7 +115,7 @@
 		}
 		g.records = append(g.records, r)
 	}
-	g.others = append(g.others, page.Others...)
+	g.others = append(g.others, page.TargetRecords...)
 	return nil
 }
 
--- a/daemon/confsync/snapshot.go
+++ b/daemon/confsync/snapshot.go
@@ -62,7 +62,7 @@
 // otherPage makes the page of a kind; next is the kind that comes after it.
 // It needs the lock.
 func (s *Sync) otherPage(records []spread.Record, kind, next string) configwire.Page {
-	page := configwire.Page{Others: records, AsOf: s.asOf()}
+	page := configwire.Page{TargetRecords: records, AsOf: s.asOf()}
 	switch {
 	case len(records) > 0:
 		page.More = true
--- a/daemon/confsync/targets_test.go
+++ b/daemon/confsync/targets_test.go
@@ -108,7 +108,7 @@
 		require.NoError(t, err)
 		var page configwire.Page
 		require.NoError(t, msgpack.Unmarshal(answer, &page))
-		count += len(page.Others)
+		count += len(page.TargetRecords)
 		if !page.More {
 			return count
 		}
--- a/protocol/configwire/configwire.go
+++ b/protocol/configwire/configwire.go
@@ -1,5 +1,5 @@
-// Package configwire is the form of configuration records between instances:
-// msgpack arrays, so that names of fields are not sent with each record.
+// Package configwire is the encoding of configuration records between instances:
+// msgpack arrays, so that field names are not sent with each record.
 package configwire
 
 import (
@@ -13,61 +13,63 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// MethodSnapshot names the question for a page of all records, which a new
-// instance puts to a peer when the platform's store is away.
+// MethodSnapshot is the method that returns a page of all records. A new instance
+// calls it at a peer while the platform's store is unavailable.
 const MethodSnapshot = "config.snapshot"
 
-type version struct {
+// wireVersion is a config.Version on the wire, sent as an array of its fields.
+type wireVersion struct {
 	Revision     uint64
 	Deleted      bool
 	Spec         []byte
 	SpecRevision uint64
 }
 
-type record struct {
+// wireRecord is a config.Record on the wire, sent as an array of its fields.
+type wireRecord struct {
 	Kind     string
 	Name     string
-	Newest   version
+	Newest   wireVersion
 	Accepted bool
-	InForce  version
+	InForce  wireVersion
 }
 
-// PageRequest asks for the records behind a cursor.
+// PageRequest requests the records after a cursor.
 type PageRequest struct {
 	Revision uint64 `msgpack:"r"`
 	Kind     string `msgpack:"k"`
 	Name     string `msgpack:"n"`
 }
 
-// Page is one page of all records that an instance holds.
+// Page is one page of the records that an instance holds.
 type Page struct {
 	Records [][]byte    `msgpack:"r"`
 	Last    PageRequest `msgpack:"l"`
 	More    bool        `msgpack:"m"`
-	// Others are the targets and the marks of leaving ones.
-	Others []spread.Record `msgpack:"o"`
-	// AsOf is the store's revision of the newest full list, by kind. It is
-	// empty when the instance has not seen a full list itself.
+	// TargetRecords holds the records of targets and of targets that are leaving.
+	TargetRecords []spread.Record `msgpack:"o"`
+	// AsOf is the store revision of the newest full list, by kind. It is empty if
+	// the instance has not received a full list itself.
 	AsOf map[string]uint64 `msgpack:"a"`
 }
 
-// Cursor returns the place that the request names.
+// Cursor returns the cursor of the request.
 func (p PageRequest) Cursor() config.Cursor {
 	key := config.Key{Kind: catalog.RecordKind(p.Kind), Name: p.Name}
 	return config.Cursor{Revision: p.Revision, Key: key}
 }
 
-// RequestAfter makes the request for what follows a cursor.
+// RequestAfter returns the request for the records after a cursor.
 func RequestAfter(c config.Cursor) PageRequest {
 	return PageRequest{Revision: c.Revision, Kind: string(c.Kind), Name: c.Name}
 }
 
-// EncodeRecord writes a record.
+// EncodeRecord encodes a record.
 func EncodeRecord(r config.Record) ([]byte, error) {
 	var body bytes.Buffer
 	encoder := msgpack.NewEncoder(&body)
-	encoder.UseArrayEncodedStructs(true) // names of fields would be sent with each record
-	err := encoder.Encode(&record{
+	encoder.UseArrayEncodedStructs(true) // field names would be sent with each record
+	err := encoder.Encode(&wireRecord{
 		Kind:     string(r.Kind),
 		Name:     r.Name,
 		Newest:   toWire(r.Newest),
@@ -77,9 +79,9 @@
 	return body.Bytes(), errors.Wrap(err, "encode configuration record")
 }
 
-// DecodeRecord reads a record.
+// DecodeRecord decodes a record.
 func DecodeRecord(body []byte) (config.Record, error) {
-	var r record
+	var r wireRecord
 	if err := msgpack.Unmarshal(body, &r); err != nil {
 		return config.Record{}, errors.Wrap(err, "decode configuration record")
 	}
@@ -91,10 +93,10 @@
 	}, nil
 }
 
-func toWire(v config.Version) version {
-	return version{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
+func toWire(v config.Version) wireVersion {
+	return wireVersion{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
 }
 
-func fromWire(v version) config.Version {
+func fromWire(v wireVersion) config.Version {
 	return config.Version{Revision: v.Revision, Deleted: v.Deleted, Spec: v.Spec, SpecRevision: v.SpecRevision}
 }
--- a/protocol/configwire/configwire_test.go
+++ b/protocol/configwire/configwire_test.go
@@ -10,7 +10,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/configwire"
 )
 
-func TestRecordsSurviveTheWire(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	key := config.Key{Kind: "tiers", Name: "gold"}
 	tombstone := config.TombstoneRecord(key, 9)
 	tombstone.Newest.Spec, tombstone.Newest.SpecRevision = []byte(`{"rank":1}`), 7
@@ -21,7 +21,7 @@
 	for _, want := range []config.Record{tombstone, refused, accepted} {
 		body, err := configwire.EncodeRecord(want)
 		require.NoError(t, err)
-		assert.NotContains(t, string(body), "SpecRevision", "names of fields must not be sent")
+		assert.NotContains(t, string(body), "SpecRevision", "field names must not be sent")
 		got, err := configwire.DecodeRecord(body)
 		require.NoError(t, err)
 		assert.Equal(t, want, got)
--- a/protocol/configwire/wire_test.go
+++ b/protocol/configwire/wire_test.go
@@ -12,19 +12,19 @@
 	"github.com/ivyhollow/ivyhollow/protocol/configwire"
 )
 
-// A field gets another name or type: instances of two builds stand side by side for
-// minutes, and the other would read an empty configuration.
+// Instances of two builds run side by side for minutes during an update. If a field gets
+// another name or type, the other build would read an empty configuration.
 func TestBytesOfConfigurationPages(t *testing.T) {
 	cases := []struct {
 		name    string
 		message any
 		want    string
 	}{
-		{"question", &configwire.PageRequest{Revision: 1, Kind: "kind", Name: "name"}, "83a172cf0000000000000001a16ba46b696e64a16ea46e616d65"},
+		{"request", &configwire.PageRequest{Revision: 1, Kind: "kind", Name: "name"}, "83a172cf0000000000000001a16ba46b696e64a16ea46e616d65"},
 		{"page", &configwire.Page{
 			Records: [][]byte{{2}, {3, 4}}, Last: configwire.PageRequest{Revision: 5, Kind: "last", Name: "name"}, More: true,
-			Others: []spread.Record{{Kind: "other", Name: "target", Revision: 6, Deleted: true, Body: []byte{7}}},
-			AsOf:   map[string]uint64{"tiers": 8},
+			TargetRecords: []spread.Record{{Kind: "other", Name: "target", Revision: 6, Deleted: true, Body: []byte{7}}},
+			AsOf:          map[string]uint64{"tiers": 8},
 		}, "85a17292c40102c4020304a16c83a172cf0000000000000005a16ba46c617374a16ea46e616d65a16dc3a16f9185a44b696e" +
 			"64a56f74686572a44e616d65a6746172676574a85265766973696f6ecf0000000000000006a744656c65746564c3a4426f64" +
 			"79c40107a16181a57469657273cf0000000000000008"},
@@ -38,8 +38,8 @@
 	}
 }
 
-// A field of a record is moved or added: the other build would read another value from
-// the same place, and put in force what nobody wrote.
+// If a field of a record is moved or added, another build reads a different value at the
+// same position, and puts a configuration in force that nobody wrote.
 func TestBytesOfConfigurationRecord(t *testing.T) {
 	body, err := configwire.EncodeRecord(config.Record{
 		Key:      config.Key{Kind: "tiers", Name: "gold"},
