--- a/client/harness_test.go
+++ b/client/harness_test.go
@@ -116,8 +116,8 @@
 	return m.leave("delete")
 }
 
-func (m *memory) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.Watch, error) {
-	watch := platformapi.Watch{Revision: m.revision}
+func (m *memory) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.WatchResponse, error) {
+	watch := platformapi.WatchResponse{Revision: m.revision}
 	err := m.enter("watch")
 	for _, event := range m.events {
 		if event.Object.Metadata.Revision > from && slices.Contains(kinds, event.Kind) {
--- a/client/store.go
+++ b/client/store.go
@@ -19,7 +19,7 @@
 	Create(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error)
 	Update(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error)
 	Delete(ctx context.Context, kind, name string, revision uint64) error
-	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error)
+	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error)
 }
 
 var _ Store = (*platform.Client)(nil)
--- a/client/submit.go
+++ b/client/submit.go
@@ -115,14 +115,14 @@
 }
 
 func (a *app) wholeAnswer(cmd *cli.Command, response *http.Response) error {
-	var answer callerapi.Answer
+	var answer callerapi.Response
 	if err := readJSON(response, &answer); err != nil {
 		return cutOff(response, err)
 	}
 	return a.printAnswer(cmd, answer)
 }
 
-func (a *app) printAnswer(cmd *cli.Command, answer callerapi.Answer) error {
+func (a *app) printAnswer(cmd *cli.Command, answer callerapi.Response) error {
 	if cmd.String(flagOutput) == outputJSON {
 		return printJSON(a.Stdout, answer)
 	}
@@ -162,7 +162,7 @@
 	case callerapi.EventToken:
 		return false, s.token(event)
 	case callerapi.EventDone:
-		var answer callerapi.Answer
+		var answer callerapi.Response
 		if err := json.Unmarshal([]byte(event.Data), &answer); err != nil {
 			return false, cutOff(s.response, err)
 		}
@@ -197,7 +197,7 @@
 
 // end prints what the tokens left out of the answer. A kept answer comes without
 // tokens: printed as it came, it would be an empty line and a success.
-func (s *answerStream) end(answer callerapi.Answer) error {
+func (s *answerStream) end(answer callerapi.Response) error {
 	rest, ok := strings.CutPrefix(answer.Output, s.text.String())
 	if !ok {
 		return cutOff(s.response, errors.New("the tokens are not the answer"))
--- a/client/watch.go
+++ b/client/watch.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (f *follower) showAll(changes platformapi.Watch) error {
+func (f *follower) showAll(changes platformapi.WatchResponse) error {
 	for i := range changes.Events {
 		if err := f.show(&changes.Events[i]); err != nil {
 			return err
--- a/client/wire_test.go
+++ b/client/wire_test.go
@@ -54,7 +54,7 @@
 			f := &follower{app: &app{Options: Options{Stdout: &b.stdout}}, kind: "k", json: true, known: map[string]uint64{}}
 			return f.show(&platformapi.Event{Object: object})
 		}, "{\"kind\":\"k\",\"metadata\":{\"name\":\"n\",\"revision\":1},\"spec\":{\"a\":2},\"status\":{\"b\":3}}\n"},
-		{"answer", printed(callerapi.Answer{RequestID: "r", Pipeline: "p", SchemaVersion: 1, Output: "<out>", Tokens: 2}), "{\n  \"request_id\": \"r\",\n  \"pipeline\": \"p\",\n  \"schema_version\": 1,\n  \"output\": \"<out>\",\n  \"tokens\": 2\n}\n"},
+		{"answer", printed(callerapi.Response{RequestID: "r", Pipeline: "p", SchemaVersion: 1, Output: "<out>", Tokens: 2}), "{\n  \"request_id\": \"r\",\n  \"pipeline\": \"p\",\n  \"schema_version\": 1,\n  \"output\": \"<out>\",\n  \"tokens\": 2\n}\n"},
 		{"sent request", func(b *bench) error {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(&b.stdout, r.Body)
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -308,7 +308,7 @@
 		Budgets:      a.budgets,
 		Status:       a.status,
 		Forward:      forwarder{a.cluster},
-		IDs:          requestid.NewSource(a.self.Name, a.self.Incarnation),
+		IDs:          requestid.NewGenerator(a.self.Name, a.self.Incarnation),
 		Scope:        a.telemetry.Scope,
 		Tracer:       a.telemetry.Tracer,
 		MaxBodyBytes: limits.MaxBodyBytes,
--- a/daemon/app/overhead_test.go
+++ b/daemon/app/overhead_test.go
@@ -176,12 +176,12 @@
 				if name == "generate" {
 					tokens = 24
 				}
-				var answer targetapi.RunAnswer
+				var answer targetapi.RunResponse
 				s.stage(name, input, "application/json", tokens, into(b, &answer))
 				input = answer.Output
 			}
 		})
-		path.add(func() { s.ask("dossier", "application/json", into(b, &callerapi.Answer{})) })
+		path.add(func() { s.ask("dossier", "application/json", into(b, &callerapi.Response{})) })
 	}
 	s.report(direct, path, 1)
 }
--- a/daemon/confsync/inforce_bench_test.go
+++ b/daemon/confsync/inforce_bench_test.go
@@ -61,7 +61,7 @@
 	share float64
 }
 
-func (s skippingStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (s skippingStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	w, err := s.Store.Watch(ctx, kinds, from, wait)
 	w.Events = slices.DeleteFunc(w.Events, func(platformapi.Event) bool { return rand.Float64() < s.share })
 	return w, err
--- a/daemon/confsync/watch.go
+++ b/daemon/confsync/watch.go
@@ -47,7 +47,7 @@
 
 // watchOnce waits for changes. The store's client would wait longer for an
 // answer that never comes than a change may take to be in force.
-func (s *Sync) watchOnce(ctx context.Context, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (s *Sync) watchOnce(ctx context.Context, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
 	return s.opts.Store.Watch(ctx, watchedKinds, from, wait)
--- a/daemon/execute/attempt.go
+++ b/daemon/execute/attempt.go
@@ -23,7 +23,7 @@
 
 // attemptResult is the fate of one attempt.
 type attemptResult struct {
-	answer     targetapi.RunAnswer
+	answer     targetapi.RunResponse
 	peer       string
 	err        error
 	verdict    outcome.Verdict
@@ -93,7 +93,7 @@
 
 // send makes the call. A panic on its answer is contained here already, so that
 // the attempt is settled and the router learns that it ended.
-func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunAnswer, meta target.Meta, err error) {
+func (a *attempt) send(ctx context.Context, call target.Call) (answer targetapi.RunResponse, meta target.Meta, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("attempt %s at %s panicked: %v", a.id, call.Address, cause)
--- a/daemon/execute/ports.go
+++ b/daemon/execute/ports.go
@@ -25,8 +25,8 @@
 // Caller makes one attempt at a target; *target.Client is one. Both methods
 // block until the answer, the context's end or a bound of the client.
 type Caller interface {
-	Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error)
-	Stream(ctx context.Context, call target.Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, target.Meta, error)
+	Run(ctx context.Context, call target.Call) (targetapi.RunResponse, target.Meta, error)
+	Stream(ctx context.Context, call target.Call, onToken func(offset int, token string) error) (targetapi.RunResponse, target.Meta, error)
 }
 
 // Gate lets attempts through to a pool, the higher tiers first;
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -46,7 +46,7 @@
 	mayHaveRunAt int // attempts sent when the first one ended that may have run
 }
 
-func (s *script) Run(ctx context.Context, call target.Call) (targetapi.RunAnswer, target.Meta, error) {
+func (s *script) Run(ctx context.Context, call target.Call) (targetapi.RunResponse, target.Meta, error) {
 	next := s.begin(call)
 	var err error
 	cancelled := ctx.Done()
@@ -62,10 +62,10 @@
 		err = &target.AttemptError{Step: target.StepHeaders, Peer: call.Address, Outcome: target.Unknown, Reason: target.ReasonCancelled, Err: ctx.Err()}
 	}
 	s.end(ctx, call, err)
-	return targetapi.RunAnswer{Output: call.AttemptID}, target.Meta{}, err
+	return targetapi.RunResponse{Output: call.AttemptID}, target.Meta{}, err
 }
 
-func (s *script) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunAnswer, target.Meta, error) {
+func (s *script) Stream(ctx context.Context, call target.Call, _ func(int, string) error) (targetapi.RunResponse, target.Meta, error) {
 	return s.Run(ctx, call)
 }
 
--- a/daemon/follow/patrol_test.go
+++ b/daemon/follow/patrol_test.go
@@ -75,9 +75,9 @@
 	refuses func() bool
 }
 
-func (r refusing) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (r refusing) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	if r.refuses() {
-		return platformapi.Watch{}, errNoAnswer
+		return platformapi.WatchResponse{}, errNoAnswer
 	}
 	return r.timedStore.Watch(ctx, kinds, from, wait)
 }
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -150,19 +150,19 @@
 	return &o, nil
 }
 
-func (s *timedStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (s *timedStore) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	begun := time.Now()
 	s.mu.Lock()
 	s.watches++
 	s.mu.Unlock()
 	if s.isSilent(begun) {
-		return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
+		return platformapi.WatchResponse{}, unanswered(ctx, begun.Add(wait+watchSlack))
 	}
 	over := time.After(wait)
 	for {
 		w, changed := s.since(kinds, from)
 		if s.forgets(begun) {
-			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
+			return platformapi.WatchResponse{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		if len(w.Events) == 0 {
 			select {
@@ -170,13 +170,13 @@
 				continue
 			case <-over:
 			case <-ctx.Done():
-				return platformapi.Watch{}, ctx.Err()
+				return platformapi.WatchResponse{}, ctx.Err()
 			}
 			w, _ = s.since(kinds, from)
 		}
 		time.Sleep(answerTime) // virtual
 		if s.isSilent(time.Now()) || s.forgets(begun) {
-			return platformapi.Watch{}, unanswered(ctx, begun.Add(wait+watchSlack))
+			return platformapi.WatchResponse{}, unanswered(ctx, begun.Add(wait+watchSlack))
 		}
 		return w, nil
 	}
@@ -189,10 +189,10 @@
 	return s.watches
 }
 
-func (s *timedStore) since(kinds []string, from uint64) (platformapi.Watch, <-chan struct{}) {
+func (s *timedStore) since(kinds []string, from uint64) (platformapi.WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := platformapi.Watch{Revision: s.revision}
+	w := platformapi.WatchResponse{Revision: s.revision}
 	for _, c := range s.history {
 		if c.event.Object.Metadata.Revision > from && slices.Contains(kinds, c.kind) {
 			w.Events = append(w.Events, c.event)
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -85,7 +85,7 @@
 func (q *request) sendHead(status int, header http.Header, length int64) {
 	h := q.w.Header()
 	q.announceStop(h)
-	for name, values := range q.relay.options.Dialect.CallerHeader(header) {
+	for name, values := range q.relay.options.Dialect.CallerResponseHeader(header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
@@ -298,7 +298,7 @@
 	q.reason = reason
 	h := q.w.Header()
 	q.announceStop(h)
-	q.relay.options.Dialect.StampAnswer(h, q.call.ID)
+	q.relay.options.Dialect.SetRequestID(h, q.call.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	body := text + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -139,8 +139,8 @@
 	}
 	for i, s := range q.route.Stages {
 		pieces := 0
-		if i < len(q.call.Pieces) {
-			pieces = q.call.Pieces[i]
+		if i < len(q.call.PieceCounts) {
+			pieces = q.call.PieceCounts[i]
 		}
 		r.Stages = append(r.Stages, gather.Stage{Service: s.Service, After: s.After, Pieces: pieces, ResultBytes: s.ResultBytes})
 	}
@@ -321,15 +321,15 @@
 	}
 	defer reply.Close()
 	q.framing = reply.Framing()
-	said := q.relay.options.Dialect.ParseReply(reply.Status, reply.Header)
+	said := q.relay.options.Dialect.ParseTargetResponse(reply.Status, reply.Header)
 	if said.WrongTarget {
 		q.relay.options.Leaving(t.Incarnation)
 	}
 	switch {
 	case said.NotRun:
 		_, _ = io.Copy(io.Discard, io.LimitReader(reply, bufferedAnswer)) // only so that the connection can be kept
-		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: said.InputsGone}
-	case !said.Genuine:
+		return routing.OutcomeNotRun, &failure{cause: errors.Newf("target refused with status %d", reply.Status), notRun: true, inputsGone: said.InputsMissing}
+	case !said.Signed:
 		return routing.OutcomeFailed, &failure{cause: errors.Newf("reply with status %d has no signature", reply.Status)}
 	case reply.Header.Get("Content-Encoding") != "":
 		return routing.OutcomeFailed, &failure{cause: errors.New("reply is encoded")}
@@ -382,12 +382,12 @@
 
 // outgoing is the request as the target gets it.
 func (q *request) outgoing(t routing.Target) *http.Request {
-	header := q.relay.options.Dialect.TargetHeader(q.r.Header, exchange.Send{
-		Left:        time.Until(q.deadline),
+	header := q.relay.options.Dialect.TargetRequestHeader(q.r.Header, exchange.TargetRequest{
+		Remaining:   time.Until(q.deadline),
 		Target:      t.Name,
 		Account:     q.account,
 		Priority:    q.priority,
-		Prompt:      q.route.PrefixCaching,
+		ToEngine:    q.route.PrefixCaching,
 		Inputs:      q.handles,
 		ResumeAfter: q.lastID(),
 	})
@@ -408,10 +408,10 @@
 
 // belongs tells whether a reply is this request's.
 func (q *request) belongs(status int, h http.Header) bool {
-	id := q.relay.options.Dialect.ParseReply(status, h).ID
+	id := q.relay.options.Dialect.ParseTargetResponse(status, h).ID
 	return id == "" || id == q.call.ID
 }
 
 func (q *request) keepIdle(h http.Header) time.Duration {
-	return q.relay.options.Dialect.ParseReply(http.StatusOK, h).KeepIdle
+	return q.relay.options.Dialect.ParseTargetResponse(http.StatusOK, h).IdleTimeout
 }
--- a/daemon/relay/content_test.go
+++ b/daemon/relay/content_test.go
@@ -16,7 +16,7 @@
 	ask := func(method, url, id, account, body string) *request {
 		return &request{
 			r: httptest.NewRequest(method, url, nil), route: &routes.Route{Host: "host.example"},
-			call: exchange.Call{ID: id, ResumeAfter: id}, account: account, body: []byte(body),
+			call: exchange.CallerRequest{ID: id, ResumeAfter: id}, account: account, body: []byte(body),
 		}
 	}
 	first := ask("POST", "http://host.example/a?b=c", "1", "account", "body")
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -126,7 +126,7 @@
 	relay *Relay
 	w     http.ResponseWriter
 	r     *http.Request
-	call  exchange.Call
+	call  exchange.CallerRequest
 	// hasID tells that the request's id is its own while it is in progress.
 	hasID   bool
 	route   *routes.Route
@@ -227,7 +227,7 @@
 		return false
 	}
 	var err error
-	if q.call, err = q.relay.options.Dialect.ParseCall(q.r); err != nil {
+	if q.call, err = q.relay.options.Dialect.ParseCallerRequest(q.r); err != nil {
 		q.deny(http.StatusBadRequest, err.Error())
 		return false
 	}
@@ -279,7 +279,7 @@
 	if !table.RequiresKeys || route.Anonymous {
 		return 0
 	}
-	account, ok := table.AccountByKey(q.call.Key)
+	account, ok := table.AccountByKey(q.call.APIKey)
 	if !ok {
 		return http.StatusUnauthorized
 	}
@@ -306,7 +306,7 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if wait := q.call.Wait; wait > 0 {
+	if wait := q.call.Timeout; wait > 0 {
 		timeout = min(timeout, wait-min(answerMargin, wait/10))
 	}
 	q.deadline = q.arrived.Add(timeout)
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -71,7 +71,7 @@
 // A caller says that its prompt has more tokens than any engine holds, or fewer than
 // none. Taken at its word its length overflows, and an engine counts as idle for it.
 func TestLengthOfAPromptIsBounded(t *testing.T) {
-	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.Call{
+	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.CallerRequest{
 		PromptTokens: math.MaxInt, Prefix: []routing.PrefixPart{{ID: "a", Tokens: math.MinInt}},
 	}}
 	p := q.prompt()
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -30,13 +30,13 @@
 // dialect reads nothing of a call but its id and its pieces.
 type dialect struct{ exchange.Dialect }
 
-func (dialect) ParseCall(*http.Request) (exchange.Call, error) {
-	return exchange.Call{ID: "a", Pieces: []int{1}}, nil
+func (dialect) ParseCallerRequest(*http.Request) (exchange.CallerRequest, error) {
+	return exchange.CallerRequest{ID: "a", PieceCounts: []int{1}}, nil
 }
 
-func (dialect) StampAnswer(http.Header, string) {}
+func (dialect) SetRequestID(http.Header, string) {}
 
-func (dialect) CallerHeader(h http.Header) http.Header { return h }
+func (dialect) CallerResponseHeader(h http.Header) http.Header { return h }
 
 // A request has a key that nobody knows, and whether a newer configuration knows it is
 // asked at a store that doesn't answer. The instance stops meanwhile. Its caller must
--- a/daemon/serve/answer.go
+++ b/daemon/serve/answer.go
@@ -55,7 +55,7 @@
 
 func (a *answerer) answerBody(result execute.Result) []byte {
 	key := a.call.pipeline.Key
-	body, _ := json.Marshal(callerapi.Answer{ // strings and numbers only: it can't fail
+	body, _ := json.Marshal(callerapi.Response{ // strings and numbers only: it can't fail
 		RequestID:     a.id,
 		Pipeline:      key.Name,
 		SchemaVersion: key.SchemaVersion,
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -100,7 +100,7 @@
 			return run(ctx, job)
 		}),
 		Status: requests.New(requests.Options{MaxRequests: 64, Retention: time.Hour}),
-		IDs:    requestid.NewSource("one", 1), Scope: tally.NoopScope,
+		IDs:    requestid.NewGenerator("one", 1), Scope: tally.NoopScope,
 		Tracer:       noop.NewTracerProvider().Tracer(""),
 		MaxBodyBytes: 1 << 10, MaxInFlight: 2, MaxStreams: 1, StreamIdle: time.Second,
 	}
@@ -184,7 +184,7 @@
 		isProblem = strings.Contains(last, "event: "+callerapi.EventError)
 		last = last[strings.LastIndex(last, "data: ")+len("data: "):]
 	}
-	var whole callerapi.Answer
+	var whole callerapi.Response
 	if isProblem {
 		require.NoError(t, json.Unmarshal([]byte(last), &got.problem))
 	} else {
--- a/daemon/serve/server.go
+++ b/daemon/serve/server.go
@@ -56,7 +56,7 @@
 	Budgets  Budgets
 	Status   *requests.Table
 	Forward  Forwarder
-	IDs      *requestid.Source
+	IDs      *requestid.Generator
 	Scope    tally.Scope
 	Tracer   trace.Tracer
 
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -85,7 +85,7 @@
 func (o *Owner) exchange(c gather.StartCall) ([]gather.PieceResult, gather.CallOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	request, err := o.dialect.StageCall(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
+	request, err := o.dialect.NewStageRequest(c.Target.Address, c.Target.Name, c.Pieces, time.Now())
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
@@ -100,7 +100,7 @@
 		}
 		reply.Close()
 	}()
-	said := o.dialect.ParseReply(reply.Status, reply.Header)
+	said := o.dialect.ParseTargetResponse(reply.Status, reply.Header)
 	body, err := io.ReadAll(io.LimitReader(reply, maxReply))
 	switch {
 	case said.WrongTarget:
@@ -112,7 +112,7 @@
 	case reply.Status != http.StatusOK:
 		return nil, gather.CallUnanswered, errors.Newf("status %d: %.100s", reply.Status, bytes.TrimSpace(body))
 	}
-	results, err := o.dialect.ParseStageReply(body)
+	results, err := o.dialect.ParseStageResponse(body)
 	if err == nil && len(results) != len(c.Pieces) {
 		err = errors.Newf("%d results for %d pieces", len(results), len(c.Pieces))
 	}
--- a/daemon/stages/moving_test.go
+++ b/daemon/stages/moving_test.go
@@ -79,7 +79,7 @@
 	called []string
 }
 
-func (d *stubDialect) StageCall(address, name string, _ []gather.Piece, _ time.Time) (*http.Request, error) {
+func (d *stubDialect) NewStageRequest(address, name string, _ []gather.Piece, _ time.Time) (*http.Request, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.called = append(d.called, name)
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -331,7 +331,7 @@
 	handles := o.freeing[t]
 	delete(o.freeing, t)
 	o.mu.Unlock()
-	request, err := o.dialect.FreeCall(t.Address, t.Name, handles)
+	request, err := o.dialect.NewFreeRequest(t.Address, t.Name, handles)
 	if err != nil {
 		klog.ErrorS(err, "Results could not be freed", "target", t.Incarnation, "count", len(handles))
 		return
--- a/emulator/platform/local.go
+++ b/emulator/platform/local.go
@@ -114,7 +114,7 @@
 }
 
 // Watch implements transport.Store.
-func (l *Local) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
+func (l *Local) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+l.store.options.LocalTimeout)
 	defer cancel()
 	watch, f := l.store.watch(ctx, l.request(""), kinds, from, wait)
--- a/emulator/platform/store.go
+++ b/emulator/platform/store.go
@@ -165,10 +165,10 @@
 
 // watch waits for changes of the kinds. Muted, it waits to the end and keeps the
 // revision, as a watch that lost its feed does.
-func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, *failed) {
+func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, *failed) {
 	r.kind = CallWatch
 	if f := s.enter(ctx, r); f != nil {
-		return platformapi.Watch{}, f
+		return platformapi.WatchResponse{}, f
 	}
 	defer s.waiting()()
 	limited, cancel := context.WithCancel(ctx)
@@ -195,16 +195,16 @@
 
 // observe looks once and returns what is closed at the next change of the table
 // or of the faults. An outage breaks watches that already wait.
-func (s *Store) observe(r request, kinds []string, from uint64) (platformapi.Watch, <-chan struct{}, *failed) {
+func (s *Store) observe(r request, kinds []string, from uint64) (platformapi.WatchResponse, <-chan struct{}, *failed) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.table.changed
 	faulty := s.faults.hits(r.instance)
 	if faulty && s.faults.covers(CallWatch) && s.faults.Down != FailNot {
-		return platformapi.Watch{}, changed, down(s.faults.Down)
+		return platformapi.WatchResponse{}, changed, down(s.faults.Down)
 	}
 	if faulty && s.faults.MuteWatches {
-		return platformapi.Watch{Events: []platformapi.Event{}, Revision: from}, changed, nil
+		return platformapi.WatchResponse{Events: []platformapi.Event{}, Revision: from}, changed, nil
 	}
 	watch, bad := s.table.since(kinds, from)
 	if bad != nil {
--- a/emulator/platform/table.go
+++ b/emulator/platform/table.go
@@ -210,8 +210,8 @@
 
 // since returns the changes of the kinds after a revision, as many as fit one
 // answer, and the revision from which the next watch goes on.
-func (t *table) since(kinds []string, from uint64) (platformapi.Watch, *refusal) {
-	watch := platformapi.Watch{Events: []platformapi.Event{}, Revision: t.revision}
+func (t *table) since(kinds []string, from uint64) (platformapi.WatchResponse, *refusal) {
+	watch := platformapi.WatchResponse{Events: []platformapi.Event{}, Revision: t.revision}
 	if from < t.compacted || from > t.revision {
 		return watch, refuse(http.StatusGone, "history is gone")
 	}
--- a/emulator/target/answer.go
+++ b/emulator/target/answer.go
@@ -24,7 +24,7 @@
 func (*wholeAnswer) token(int, string) error { return nil }
 func (*wholeAnswer) idle() error             { return nil }
 
-func (o *wholeAnswer) done(result targetapi.RunAnswer) error {
+func (o *wholeAnswer) done(result targetapi.RunResponse) error {
 	body, err := json.Marshal(o.a.crossed(result))
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	}
 }
 
-func (o *streamAnswer) done(result targetapi.RunAnswer) error {
+func (o *streamAnswer) done(result targetapi.RunResponse) error {
 	if o.a.faults.has(FaultTruncate) {
 		// The HTTP body ends in good order: only the event tells.
 		o.half(targetapi.EventDone)
--- a/emulator/target/attempt.go
+++ b/emulator/target/attempt.go
@@ -45,7 +45,7 @@
 	token(offset int, token string) error
 	// idle is called while there is nothing to send.
 	idle() error
-	done(targetapi.RunAnswer) error
+	done(targetapi.RunResponse) error
 }
 
 // start waits for a slot. After an error nothing was run.
@@ -71,19 +71,19 @@
 }
 
 // run does the work and returns the whole answer.
-func (a *attempt) run() (targetapi.RunAnswer, error) {
+func (a *attempt) run() (targetapi.RunResponse, error) {
 	text, tokens := Output(a.request.Stage, a.request.Inputs, a.request.Model, a.request.MaxTokens)
 	if err := a.spend(a.target.options.CallTime); err != nil {
-		return targetapi.RunAnswer{}, err
+		return targetapi.RunResponse{}, err
 	}
 	read, err := a.prefill()
 	if err != nil {
-		return targetapi.RunAnswer{}, err
+		return targetapi.RunResponse{}, err
 	}
 	if err := a.generate(tokens); err != nil {
-		return targetapi.RunAnswer{}, err
+		return targetapi.RunResponse{}, err
 	}
-	return targetapi.RunAnswer{
+	return targetapi.RunResponse{
 		AttemptID:     a.id,
 		Output:        text,
 		Tokens:        len(tokens) - a.request.ResumeFrom,
--- a/emulator/target/broken_answer.go
+++ b/emulator/target/broken_answer.go
@@ -39,7 +39,7 @@
 }
 
 // crossed gives the answer the id of another attempt when a fault says so.
-func (a *attempt) crossed(result targetapi.RunAnswer) targetapi.RunAnswer {
+func (a *attempt) crossed(result targetapi.RunResponse) targetapi.RunResponse {
 	if a.faults.has(FaultCrossed) {
 		result.AttemptID = crossedID(a.id)
 	}
--- a/emulator/target/run_handler.go
+++ b/emulator/target/run_handler.go
@@ -26,7 +26,7 @@
 func (t *Target) serveRun(w http.ResponseWriter, r *http.Request) {
 	t.describe(w.Header())
 	w.Header().Set(targetapi.HeaderAttempt, r.Header.Get(targetapi.HeaderAttempt))
-	expected := r.Header.Get(targetapi.HeaderExpect)
+	expected := r.Header.Get(targetapi.HeaderExpectIncarnation)
 	if expected != "" && expected != t.options.Incarnation {
 		refuse(w, http.StatusMisdirectedRequest, "another incarnation serves here")
 		return
@@ -156,7 +156,7 @@
 // finish runs the attempt and answers.
 func (a *attempt) finish(w http.ResponseWriter) {
 	err := a.answer.begin()
-	var result targetapi.RunAnswer
+	var result targetapi.RunResponse
 	if err == nil {
 		result, err = a.run()
 	}
--- a/protocol/callerapi/callerapi.go
+++ b/protocol/callerapi/callerapi.go
@@ -1,12 +1,12 @@
-// Package callerapi holds the typed messages between callers and an instance.
+// Package callerapi defines the typed messages between callers and an instance.
 // docs/api/callers.md is the contract.
 package callerapi
 
-// Headers of a request and its answer.
+// Headers of a request and its response.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderSchemaVersion chooses the schema version of the pipeline; without
-	// it the oldest one in force serves.
+	// HeaderSchemaVersion selects the schema version of the pipeline; the default
+	// is the oldest version in force.
 	HeaderSchemaVersion = "Ivyhollow-Schema-Version"
 	HeaderRequestID     = "Request-Id"
 	HeaderRetryAfter    = "Retry-After"
@@ -19,18 +19,18 @@
 	MediaProblem = "application/problem+json"
 )
 
-// Outcome says what became of the work behind a request.
+// Outcome states whether the work of a request was run.
 type Outcome string
 
-// The outcomes. A refusal with OutcomeNotRun is a promise: no stage that may
-// not be repeated was or ever will be run for it.
+// Outcomes. A refusal with OutcomeNotRun is a guarantee: no stage that may not be
+// repeated was run for the request, or ever will be.
 const (
 	OutcomeNotRun  Outcome = "not_run"
 	OutcomeRan     Outcome = "ran"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Part is one shared part of a prompt, in order.
+// Part is one shared part of a prompt; the order of parts matters.
 type Part struct {
 	ID     string `json:"id"`
 	Tokens int    `json:"tokens"`
@@ -43,8 +43,8 @@
 	Prefix    []Part `json:"prefix,omitempty"`
 }
 
-// Answer is the whole answer to a request.
-type Answer struct {
+// Response is the complete response to a request.
+type Response struct {
 	RequestID     string `json:"request_id"`
 	Pipeline      string `json:"pipeline"`
 	SchemaVersion int    `json:"schema_version"`
@@ -52,15 +52,15 @@
 	Tokens        int    `json:"tokens,omitempty"`
 }
 
-// Events of a streamed answer: token events carry the offset as id and
-// TokenEvent as data, one done event carries Answer, one error event Problem.
+// Events of a streamed response. A token event has the offset as id and TokenEvent
+// as data. The data of the done event is Response, that of the error event Problem.
 const (
 	EventToken = "token"
 	EventDone  = "done"
 	EventError = "error"
 )
 
-// TokenEvent is one token of a streamed answer.
+// TokenEvent is one token of a streamed response.
 type TokenEvent struct {
 	Token string `json:"token"`
 }
@@ -73,15 +73,15 @@
 	Detail    string  `json:"detail,omitempty"`
 	RequestID string  `json:"request_id,omitempty"`
 	Outcome   Outcome `json:"outcome"`
-	// Step and Peer tell where the failure arose.
+	// Step and Peer state where the failure occurred.
 	Step string `json:"step,omitempty"`
 	Peer string `json:"peer,omitempty"`
-	// Field names the offending field of a bad request.
+	// Field is the invalid field of a bad request.
 	Field        string `json:"field,omitempty"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// RequestStatus is the answer of GET /v1/requests/{id}.
+// RequestStatus is the response body of GET /v1/requests/{id}.
 type RequestStatus struct {
 	RequestID     string `json:"request_id"`
 	Pipeline      string `json:"pipeline"`
@@ -96,13 +96,13 @@
 	Stages     []StageStatus `json:"stages"`
 }
 
-// StageStatus tells how one stage fared.
+// StageStatus is the status of one stage.
 type StageStatus struct {
 	Stage    string          `json:"stage"`
 	Attempts []AttemptStatus `json:"attempts"`
 }
 
-// AttemptStatus tells how one attempt fared.
+// AttemptStatus is the status of one attempt.
 type AttemptStatus struct {
 	AttemptID string `json:"attempt_id"`
 	Target    string `json:"target"`
--- a/protocol/callerapi/wire_test.go
+++ b/protocol/callerapi/wire_test.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-// A renamed field or value changes what callers send and read: their requests are
-// refused, and their clients miss parts of answers and of problems.
+// A renamed field or value changes the caller API: requests would be refused, and
+// clients would miss fields of responses and problems.
 func TestBytesOfCallerMessages(t *testing.T) {
 	rows := []struct {
 		name  string
@@ -20,7 +20,7 @@
 		{"request", callerapi.Request{
 			Input: "in", MaxTokens: 1, Prefix: []callerapi.Part{{ID: "a", Tokens: 2}, {ID: "b", Tokens: 3}},
 		}, `{"input":"in","max_tokens":1,"prefix":[{"id":"a","tokens":2},{"id":"b","tokens":3}]}`},
-		{"answer", callerapi.Answer{RequestID: "r", Pipeline: "p", SchemaVersion: 1, Output: "out", Tokens: 2}, `{"request_id":"r","pipeline":"p","schema_version":1,"output":"out","tokens":2}`},
+		{"response", callerapi.Response{RequestID: "r", Pipeline: "p", SchemaVersion: 1, Output: "out", Tokens: 2}, `{"request_id":"r","pipeline":"p","schema_version":1,"output":"out","tokens":2}`},
 		{"token event", callerapi.TokenEvent{Token: "t"}, `{"token":"t"}`},
 		{"problem", callerapi.Problem{
 			Type: "type", Title: "title", Status: 1, Detail: "detail", RequestID: "r", Outcome: callerapi.OutcomeRan,
@@ -37,7 +37,7 @@
 		{"empty status", callerapi.RequestStatus{}, `{"request_id":"","pipeline":"","schema_version":0,"account":"","tier":"","state":"","deadline_ms":0,"elapsed_ms":0,"stages":null}`},
 		{"empty attempt", callerapi.AttemptStatus{}, `{"attempt_id":"","target":"","result":"","elapsed_ms":0,"work_ms":0}`},
 		{"empty request", callerapi.Request{}, `{"input":""}`},
-		{"empty answer", callerapi.Answer{}, `{"request_id":"","pipeline":"","schema_version":0,"output":""}`},
+		{"empty response", callerapi.Response{}, `{"request_id":"","pipeline":"","schema_version":0,"output":""}`},
 		{"outcomes", []callerapi.Outcome{callerapi.OutcomeNotRun, callerapi.OutcomeRan, callerapi.OutcomeUnknown}, `["not_run","ran","unknown"]`},
 		{"events", []string{callerapi.EventToken, callerapi.EventDone, callerapi.EventError}, `["token","done","error"]`},
 		{"media types", []string{callerapi.MediaJSON, callerapi.MediaStream, callerapi.MediaProblem}, `["application/json","text/event-stream","application/problem+json"]`},
--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange holds the typed messages of relayed requests: what a caller's
-// headers say, what a target is told and what its reply says. A Dialect turns
-// them into the headers and bodies of a wire; everything else of the product
-// knows only these types.
+// Package exchange defines the typed messages of relayed requests: the request of
+// a caller, the request to a target and the response of the target. A Dialect
+// converts them from and to the headers and bodies of a wire protocol; all other
+// packages use only these types.
 package exchange
 
 import (
@@ -12,75 +12,82 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Call is what a caller's headers say of a request.
-type Call struct {
-	// ID is the caller's id of this attempt.
+// CallerRequest holds the fields of a caller's request headers.
+type CallerRequest struct {
+	// ID is the id that the caller gave this attempt.
 	ID string
-	// Wait is how long the caller waits; 0 if it doesn't say.
-	Wait time.Duration
-	// Key is the caller's secret; empty if it sent none.
-	Key string
-	// ResumeAfter is the last event that the caller has of a stream.
+	// Timeout is how long the caller waits; 0 if the request does not state it.
+	Timeout time.Duration
+	// APIKey is the secret of the client account; empty if the request has none.
+	APIKey string
+	// ResumeAfter is the id of the last event of a stream that the caller received.
 	ResumeAfter string
 	Model       string
-	// PromptTokens and OutputTokens are the size of a prompt and the bound of
-	// its answer.
+	// PromptTokens is the size of the prompt and OutputTokens the maximum size of
+	// the response.
 	PromptTokens, OutputTokens int
 	Prefix                     []routing.PrefixPart
-	// Pieces is the number of pieces of each stage.
-	Pieces   []int
-	PieceKey string
+	// PieceCounts is the number of pieces of each stage.
+	PieceCounts []int
+	PieceKey    string
 }
 
-// Send is what a target is told of an attempt.
-type Send struct {
-	// Left is the time until the attempt is of no use any more.
-	Left time.Duration
-	// Target is the name of the only one that may take the attempt.
+// TargetRequest holds the fields of an attempt that are sent to a target.
+type TargetRequest struct {
+	// Remaining is the time until the deadline of the attempt.
+	Remaining time.Duration
+	// Target is the name of the only target that may accept the attempt.
 	Target string
 	// Account is the client account's name; empty without one.
 	Account  string
 	Priority int
-	// Prompt tells that the target is an engine, which orders by Priority.
-	Prompt bool
-	// Inputs are the handles of the stages' results.
+	// ToEngine is set if the target is an engine, which schedules by Priority.
+	ToEngine bool
+	// Inputs holds the handles of the stages' results.
 	Inputs []string
-	// ResumeAfter is the last event that the caller has.
+	// ResumeAfter is the id of the last event that the caller received.
 	ResumeAfter string
 }
 
-// Reply is what a target's headers say.
-type Reply struct {
-	// ID is the request that the reply belongs to; empty if it doesn't say.
+// TargetResponse holds the fields of a target's response headers.
+type TargetResponse struct {
+	// ID is the id of the request that the response belongs to; empty if the
+	// response does not state it.
 	ID string
-	// NotRun tells that the target certainly didn't run the request.
+	// NotRun is set if the target guarantees that it did not run the request.
 	NotRun bool
-	// WrongTarget tells that another process has the address.
+	// WrongTarget is set if another process now has the target's address.
 	WrongTarget bool
-	// Genuine tells that the reply bears the target's signature.
-	Genuine bool
-	// InputsGone tells that results which the request needs no longer exist.
-	InputsGone bool
-	// KeepIdle is how long the target keeps an idle connection; 0 if it doesn't
-	// say.
-	KeepIdle time.Duration
+	// Signed is set if the response carries the target's signature.
+	Signed bool
+	// InputsMissing is set if results that the request needs no longer exist.
+	InputsMissing bool
+	// IdleTimeout is how long the target keeps an idle connection; 0 if the
+	// response does not state it.
+	IdleTimeout time.Duration
 }
 
-// Dialect is how a wire spells the messages.
+// Dialect is the encoding of the messages in a wire protocol.
 type Dialect interface {
-	// ParseCall reads a caller's request. An error names the header at fault.
-	ParseCall(r *http.Request) (Call, error)
-	// TargetHeader is the header of an attempt: the caller's, without what the
-	// system sets itself, with what it sets.
-	TargetHeader(caller http.Header, s Send) http.Header
-	ParseReply(status int, h http.Header) Reply
-	// CallerHeader is a reply's header as the caller gets it.
-	CallerHeader(h http.Header) http.Header
-	// StampAnswer sets the request's id on an answer of the system's own.
-	StampAnswer(h http.Header, id string)
-	// StageCall is the request for pieces, for the target of that name alone.
-	StageCall(address, target string, pieces []gather.Piece, now time.Time) (*http.Request, error)
-	ParseStageReply(body []byte) ([]gather.PieceResult, error)
-	// FreeCall is the request that gives results back.
-	FreeCall(address, target string, handles []string) (*http.Request, error)
+	// ParseCallerRequest parses a caller's request. An error names the invalid
+	// header.
+	ParseCallerRequest(r *http.Request) (CallerRequest, error)
+	// TargetRequestHeader returns the header of an attempt: the caller's header, in
+	// which the fields that the system controls are replaced by those of s.
+	TargetRequestHeader(caller http.Header, s TargetRequest) http.Header
+	// ParseTargetResponse parses the status and header of a target's response.
+	ParseTargetResponse(status int, h http.Header) TargetResponse
+	// CallerResponseHeader returns the header of a target's response as it is sent
+	// to the caller.
+	CallerResponseHeader(h http.Header) http.Header
+	// SetRequestID sets the request's id on a response that the system itself
+	// generates.
+	SetRequestID(h http.Header, id string)
+	// NewStageRequest returns the request to run pieces, which only the target of
+	// that name accepts.
+	NewStageRequest(address, target string, pieces []gather.Piece, now time.Time) (*http.Request, error)
+	// ParseStageResponse parses the body of the response to a stage request.
+	ParseStageResponse(body []byte) ([]gather.PieceResult, error)
+	// NewFreeRequest returns the request to free the results with the given handles.
+	NewFreeRequest(address, target string, handles []string) (*http.Request, error)
 }
--- a/protocol/platformapi/http.go
+++ b/protocol/platformapi/http.go
@@ -4,16 +4,16 @@
 const (
 	PathObjects = "/v1/objects/"
 	PathWeights = "/v1/weights/"
-	// HeaderInstance names the instance that calls.
+	// HeaderInstance is the name of the calling instance.
 	HeaderInstance = "Instance"
-	// KindAny stands in a watch's path when ?kinds= names several kinds.
+	// KindAny replaces the kind in a watch's path if ?kinds= lists several kinds.
 	KindAny = "*"
-	// MaxValueBytes bounds spec and status of an object together.
+	// MaxValueBytes is the maximum total size of an object's spec and status.
 	MaxValueBytes = 1 << 20
-	// MaxPageItems and MaxPageBytes bound one answer of a list or a watch; the
-	// first item is always given, whatever its size.
+	// MaxPageItems and MaxPageBytes limit one response to a list or watch; the
+	// first item is always included, whatever its size.
 	MaxPageItems = 500
 	MaxPageBytes = 4 << 20
-	// MaxWatchWaitMS bounds the wait of one watch, in milliseconds.
+	// MaxWatchWaitMS is the maximum wait of one watch, in milliseconds.
 	MaxWatchWaitMS = 60_000
 )
--- a/protocol/platformapi/platformapi.go
+++ b/protocol/platformapi/platformapi.go
@@ -1,5 +1,5 @@
-// Package platformapi holds the typed messages of the platform's object API.
-// docs/api/platform.md is the contract that stand-in and client both meet.
+// Package platformapi defines the typed messages of the platform's object API.
+// docs/api/platform.md is the contract of the emulator and the client.
 package platformapi
 
 import (
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Kinds of objects. Records are written by operators, targets by the platform,
-// the others by the system.
+// Kinds of objects. Operators write the kinds in RecordKinds, the platform writes
+// targets, and the system writes the others.
 const (
 	KindPipelines = "pipelines"
 	KindTiers     = "tiers"
 	KindAccounts  = "accounts"
 	KindPools     = "pools"
-	// KindTargets is the platform's lagging list of live and leaving targets.
+	// KindTargets is the platform's list of live and leaving targets, which lags
+	// behind.
 	KindTargets = "targets"
-	// KindInstances holds one object per entry instance, written once at its
-	// start and deleted at its planned stop: where a new instance finds peers.
+	// KindInstances holds one object per instance, written once at its start and
+	// deleted at its planned stop. A new instance finds its peers there.
 	KindInstances = "instances"
 	KindClaims    = "claims"
 	KindLeases    = "leases"
 	KindDigests   = "digests"
-	// KindOrders holds one object a pool that has a desired state.
+	// KindOrders holds one object per pool with a desired state.
 	KindOrders = "orders"
 )
 
 // RecordKinds are the kinds that operators write.
 var RecordKinds = []string{KindPools, KindTiers, KindPipelines, KindAccounts}
 
-// Metadata describes an object in the store.
+// Metadata identifies an object in the store and its version.
 type Metadata struct {
 	Name string `json:"name"`
-	// Revision is the store's revision of the object's last change. In a
-	// write it is the condition; 0 means unconditional.
+	// Revision is the store revision of the object's last change. In a write it
+	// is the expected current revision; 0 means unconditional.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Object is one stored object. Spec belongs to its writer, Status to the system.
+// Object is one stored object. Its writer owns Spec, the system owns Status.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec,omitempty"`
@@ -47,16 +48,16 @@
 // List is a page of objects of one kind.
 type List struct {
 	Items []Object `json:"items"`
-	// Revision is the store's revision as of the list; watch from it.
+	// Revision is the store revision of the list, from which to watch.
 	Revision uint64 `json:"revision"`
-	// Next continues the list when it is not empty.
+	// Next is the token of the next page; empty on the last page.
 	Next string `json:"next,omitempty"`
-	// Unreadable counts objects that have no name or can't be read; they are not
-	// among Items.
+	// Unreadable is the number of objects that have no name or cannot be decoded;
+	// they are not in Items.
 	Unreadable int `json:"-"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	// Kind is the object's kind, since one watch may follow several.
 	Kind    string `json:"kind"`
@@ -64,22 +65,24 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Watch is the answer of a watch: the changes after the asked revision, empty
-// when the wait ended without any.
-type Watch struct {
+// WatchResponse holds the changes after the requested revision; it is empty if the
+// wait ended without any.
+type WatchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
-	// Unreadable counts changes that can't be read; they are not among Events.
+	// Unreadable is the number of changes that cannot be decoded; they are not in
+	// Events.
 	Unreadable int `json:"-"`
 }
 
-// Conflict is the body of a 409 answer: what the object is now.
+// Conflict is the body of a 409 response, with the current object.
 type Conflict struct {
 	Error   string  `json:"error"`
 	Current *Object `json:"current,omitempty"`
 }
 
-// TargetEntry is the spec of an object of KindTargets, named by incarnation.
+// TargetEntry is the spec of an object of KindTargets. The incarnation is the
+// object's name.
 type TargetEntry struct {
 	Pool        string `json:"pool"`
 	Address     string `json:"address"`
@@ -105,21 +108,22 @@
 	Capacity uint32 `json:"capacity,omitempty"`
 }
 
-// RecordStatus is the status of a record: the system's verdict on it.
+// RecordStatus is the status of a record: the system's verdict on its spec.
 type RecordStatus struct {
-	// Revision is the version of the record that was judged. Writing the
-	// status raises the object's revision beyond it.
+	// Revision is the revision of the record that was evaluated. Writing the status
+	// increments the object's revision beyond it.
 	Revision uint64 `json:"revision"`
-	// SpecDigest identifies the spec that was judged.
+	// SpecDigest identifies the spec that was evaluated.
 	SpecDigest string `json:"spec_digest"`
 	Accepted   bool   `json:"accepted"`
-	// Reason says why the version is refused.
+	// Reason states why the version is refused.
 	Reason string `json:"reason,omitempty"`
-	// InForce is the revision that goes on serving in place of a refused one.
+	// InForce is the revision that stays in force in place of a refused one.
 	InForce uint64 `json:"in_force,omitempty"`
-	// LastAccepted is the version in force, also when that is the judged one: a
-	// later write replaces the spec and leaves the status. So it outlives every
-	// instance, and a new one knows what to serve should the write be refused.
+	// LastAccepted is the version in force, even if it is the evaluated one: a
+	// later write replaces the spec but not the status. It therefore survives the
+	// replacement of every instance, and a new instance knows which version to
+	// use if the later write is refused.
 	LastAccepted *RecordVersion `json:"last_accepted,omitempty"`
 }
 
@@ -129,8 +133,8 @@
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// DigestEntry is the spec of an object of KindDigests, named by instance: how
-// the requests of a span of time fared.
+// DigestEntry is the spec of an object of KindDigests, whose name is the instance:
+// a summary of the results of requests in a period.
 type DigestEntry struct {
 	Instance string      `json:"instance"`
 	From     time.Time   `json:"from"`
@@ -138,16 +142,17 @@
 	Rows     []DigestRow `json:"rows"`
 }
 
-// DigestRow sums up one pipeline, stage, tier and client account. The row of a
-// whole request has no stage; an account that is not among the busiest is
-// summed up under no name.
+// DigestRow holds the totals of one pipeline, stage, tier and client account. The
+// row of a complete request has no stage. Accounts that are not among the busiest
+// are combined in rows without an account.
 type DigestRow struct {
 	Pipeline string `json:"pipeline"`
 	Stage    string `json:"stage,omitempty"`
 	Tier     string `json:"tier"`
 	Account  string `json:"account,omitempty"`
 	Count    uint64 `json:"count"`
-	// Attained counts the requests answered whole within their deadline.
+	// Attained is the number of requests that received a complete response within
+	// their deadline.
 	Attained      uint64 `json:"attained,omitempty"`
 	ElapsedMS     int64  `json:"elapsed_ms"`
 	WorkMS        int64  `json:"work_ms,omitempty"`
@@ -156,24 +161,24 @@
 	PrefillTokens uint64 `json:"prefill_tokens,omitempty"`
 }
 
-// OrdersEntry is the spec of an object of KindOrders, named by pool: what its
-// targets have against what its record desires.
+// OrdersEntry is the spec of an object of KindOrders, whose name is the pool: the
+// state of the pool's targets compared with its desired state.
 type OrdersEntry struct {
-	// DesiredRevision is that of the pool's record.
+	// DesiredRevision is the revision of the pool's record.
 	DesiredRevision uint64 `json:"desired_revision"`
-	// Fencing is the number of the lease holder that wrote it.
+	// Fencing is the fencing number of the lease holder that wrote the entry.
 	Fencing uint64 `json:"fencing"`
 	Targets int    `json:"targets"`
-	// Complete counts the targets that have all they should.
+	// Complete is the number of targets that match the desired state.
 	Complete int `json:"complete"`
-	// Lacking names some of the others.
+	// Lacking lists some of the other targets.
 	Lacking []LackingTarget `json:"lacking,omitempty"`
 }
 
-// LackingTarget is a target that doesn't have all it should.
+// LackingTarget is a target that does not match the desired state.
 type LackingTarget struct {
 	Incarnation string `json:"incarnation"`
-	// Lacks lists the orders it needs, as "load_model writer"; it is empty when
-	// the target couldn't be read.
+	// Lacks lists the orders that it needs, such as "load_model writer"; it is
+	// empty if the state of the target could not be read.
 	Lacks []string `json:"lacks,omitempty"`
 }
--- a/protocol/platformapi/wire_test.go
+++ b/protocol/platformapi/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// A renamed field or value changes what the store holds: entries that were written
-// before the change, or by others, are read as empty.
+// A renamed field or value changes the format of stored objects: entries written before
+// the change, or by other builds, would be decoded as empty.
 func TestBytesOfStoreMessages(t *testing.T) {
 	object := platformapi.Object{
 		Metadata: platformapi.Metadata{Name: "n", Revision: 1},
@@ -25,7 +25,7 @@
 	}{
 		{"object", object, `{"metadata":{"name":"n","revision":1},"spec":{"a":2},"status":{"b":3}}`},
 		{"list", platformapi.List{Items: []platformapi.Object{object}, Revision: 4, Next: "m", Unreadable: 5}, `{"items":[{"metadata":{"name":"n","revision":1},"spec":{"a":2},"status":{"b":3}}],"revision":4,"next":"m"}`},
-		{"watch", platformapi.Watch{
+		{"watch", platformapi.WatchResponse{
 			Events: []platformapi.Event{{Kind: "k", Object: object, Deleted: true}}, Revision: 4, Unreadable: 5,
 		}, `{"events":[{"kind":"k","object":{"metadata":{"name":"n","revision":1},"spec":{"a":2},"status":{"b":3}},"deleted":true}],"revision":4}`},
 		{"conflict", platformapi.Conflict{Error: "error", Current: &object}, `{"error":"error","current":{"metadata":{"name":"n","revision":1},"spec":{"a":2},"status":{"b":3}}}`},
@@ -48,7 +48,7 @@
 		}, `{"desired_revision":1,"fencing":2,"targets":3,"complete":4,"lacking":[{"incarnation":"i","lacks":["x","y"]}]}`},
 		{"empty object", platformapi.Object{}, `{"metadata":{"name":""}}`},
 		{"empty list", platformapi.List{}, `{"items":null,"revision":0}`},
-		{"empty watch", platformapi.Watch{}, `{"events":null,"revision":0}`},
+		{"empty watch", platformapi.WatchResponse{}, `{"events":null,"revision":0}`},
 		{"empty event", platformapi.Event{}, `{"kind":"","object":{"metadata":{"name":""}}}`},
 		{"empty conflict", platformapi.Conflict{}, `{"error":""}`},
 		{"empty target", platformapi.TargetEntry{}, `{"pool":"","address":"","data_centre":"","incarnation":"","state":""}`},
--- a/protocol/requestid/requestid_test.go
+++ b/protocol/requestid/requestid_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNextNamesInstanceAndIncarnation(t *testing.T) {
-	s := NewSource("entry-1", 42)
+func TestNextContainsInstanceAndIncarnation(t *testing.T) {
+	s := NewGenerator("entry-1", 42)
 	a, b := s.Next(), s.Next()
 	require.NotEqual(t, a, b)
 	id, err := Parse(a)
@@ -17,22 +17,21 @@
 	require.EqualValues(t, 42, id.Incarnation)
 }
 
-// An operator names an instance "entry-1.kochi-a", as the settings allow. Its
-// callers then find no status under the ids that it gave them, and other
-// instances can't pass the question on: the name's dot was read as the end of
-// the name.
-func TestParseOfNameWithDots(t *testing.T) {
+// The settings allow dots in the name of an instance, such as "entry-1.kochi-a". If
+// Parse took the dot for the end of the name, callers would find no status under
+// the ids of that instance, and other instances could not forward the query.
+func TestParseNameWithDots(t *testing.T) {
 	for _, name := range []string{"entry-1.kochi-a", "a.b.c", "a.1.b"} {
-		id, err := Parse(NewSource(name, 42).Next())
+		id, err := Parse(NewGenerator(name, 42).Next())
 		require.NoError(t, err, name)
 		require.Equal(t, name, id.Instance)
 		require.EqualValues(t, 42, id.Incarnation)
 	}
 }
 
-// A caller asks for an id of its own making: it must be told that there is no such
-// request, and no other instance be asked for it.
-func TestParseRefusesWhatIsNotOurs(t *testing.T) {
+// A query for an id that no instance generated must be reported as an unknown
+// request, and must not be forwarded to another instance.
+func TestParseRejectsForeignIDs(t *testing.T) {
 	for _, bad := range []string{"", "a", "a.b", "a.!.c", ".1.c", "a.1.", "a.1.!.c", "a.1.b.", strings.Repeat("x", 500)} {
 		_, err := Parse(bad)
 		require.ErrorIs(t, err, ErrMalformed, bad)
--- a/protocol/targetapi/targetapi.go
+++ b/protocol/targetapi/targetapi.go
@@ -1,27 +1,28 @@
-// Package targetapi holds the typed messages of the interface that targets
-// offer. docs/api/targets.md is the contract that stand-in and client both meet.
+// Package targetapi defines the typed messages of the targets' HTTP interface.
+// docs/api/targets.md is the contract of the emulator and the client.
 package targetapi
 
-// Headers of a stage call and of its answer.
+// Headers of a stage call and of its response.
 const (
-	// HeaderAttempt carries the id of the attempt; the target echoes it.
+	// HeaderAttempt is the id of the attempt; the target echoes it.
 	HeaderAttempt = "Attempt-Id"
-	// HeaderRequest carries the id of the request the attempt belongs to.
+	// HeaderRequest is the id of the request that the attempt belongs to.
 	HeaderRequest = "Request-Id"
-	// HeaderDeadline is how many milliseconds the answer is still of use.
+	// HeaderDeadline is the time until the deadline, in milliseconds.
 	HeaderDeadline = "Deadline-Ms"
-	// HeaderPriority is 0 (most urgent) to 9.
+	// HeaderPriority ranges from 0 (most urgent) to 9.
 	HeaderPriority = "Priority"
 	HeaderTier     = "Tier"
-	// HeaderExpect names the incarnation the caller means; another one refuses.
-	HeaderExpect = "Expect-Incarnation"
-	// HeaderIncarnation names the incarnation that answers.
+	// HeaderExpectIncarnation is the incarnation that the call is meant for; any
+	// other incarnation refuses it.
+	HeaderExpectIncarnation = "Expect-Incarnation"
+	// HeaderIncarnation is the incarnation that responds.
 	HeaderIncarnation = "Target-Incarnation"
-	// HeaderNotRun is "true" when the target vouches that nothing was run.
+	// HeaderNotRun is "true" if the target guarantees that nothing was run.
 	HeaderNotRun = "Not-Run"
-	// HeaderLoad is "active,queued,slots" as of some moments ago.
+	// HeaderLoad is "active,queued,slots", slightly out of date.
 	HeaderLoad = "Target-Load"
-	// HeaderLeaving is "true" when the target is shutting down.
+	// HeaderLeaving is "true" if the target is shutting down.
 	HeaderLeaving = "Target-Leaving"
 )
 
@@ -43,35 +44,35 @@
 	Tokens int    `json:"tokens"`
 }
 
-// RunRequest asks a target to run one stage.
+// RunRequest is the request to run one stage.
 type RunRequest struct {
 	Stage string `json:"stage"`
-	// Inputs are the outputs of the stages before, or the caller's input.
+	// Inputs holds the outputs of the preceding stages, or the caller's input.
 	Inputs    []string `json:"inputs"`
 	Model     string   `json:"model,omitempty"`
 	Adapter   string   `json:"adapter,omitempty"`
 	MaxTokens int      `json:"max_tokens,omitempty"`
 	Prefix    []Part   `json:"prefix,omitempty"`
-	// ResumeFrom is the number of tokens that the caller already has.
+	// ResumeFrom is the number of tokens that the caller already received.
 	ResumeFrom int `json:"resume_from,omitempty"`
 }
 
-// RunAnswer is the whole answer of a stage that is not streamed.
-type RunAnswer struct {
+// RunResponse is the complete response of a stage that is not streamed.
+type RunResponse struct {
 	AttemptID string `json:"attempt_id"`
 	Output    string `json:"output"`
-	// Tokens generated, 0 for stages that generate none.
+	// Tokens is the number of generated tokens, 0 for stages that generate none.
 	Tokens int `json:"tokens,omitempty"`
-	// PrefillTokens read because no cache held them.
+	// PrefillTokens is the number of prompt tokens that were not cached.
 	PrefillTokens int `json:"prefill_tokens,omitempty"`
-	// WorkMS is how long the target worked, in milliseconds.
+	// WorkMS is the processing time of the target, in milliseconds.
 	WorkMS int64 `json:"work_ms"`
 }
 
-// Names of the events of a streamed answer (text/event-stream). A token event
-// carries the token's offset, counted from 0, as its id and TokenEvent as its
-// data; the stream ends with one done event carrying RunAnswer, whose Output
-// is the whole text, or with an error event carrying Refusal.
+// Events of a streamed response (text/event-stream). A token event has the token's
+// offset, counted from 0, as id and TokenEvent as data. The stream ends with one
+// done event with RunResponse as data, whose Output is the complete text, or with
+// an error event with Refusal as data.
 const (
 	EventToken = "token"
 	EventDone  = "done"
@@ -83,19 +84,20 @@
 	Token string `json:"token"`
 }
 
-// Refusal is the body of an answer that is not 200.
+// Refusal is the body of a response whose status is not 200.
 type Refusal struct {
 	Error string `json:"error"`
-	// RetryAfterMS is when to come back, in milliseconds; 0 when unknown.
+	// RetryAfterMS is the time until a retry is useful, in milliseconds; 0 if
+	// unknown.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// CancelRequest stops a running or queued attempt.
+// CancelRequest is the request to stop a running or queued attempt.
 type CancelRequest struct {
 	AttemptID string `json:"attempt_id"`
 }
 
-// Load is a target's own report, some hundred milliseconds old.
+// Load is a target's report of its load, a few hundred milliseconds old.
 type Load struct {
 	Incarnation string   `json:"incarnation"`
 	Active      int      `json:"active"`
@@ -106,17 +108,19 @@
 	Adapters    []string `json:"adapters,omitempty"`
 	Version     string   `json:"version,omitempty"`
 	Role        string   `json:"role,omitempty"`
-	// Fencing is the highest fencing number of the orders accepted.
+	// Fencing is the highest fencing number of the accepted orders.
 	Fencing uint64 `json:"fencing,omitempty"`
 }
 
-// Order asks a target to load weights or to change its role.
+// Order is the request to load weights or to change the role.
 type Order struct {
 	ID string `json:"id"`
-	// Fencing is the holder's fencing number. Some targets refuse an older
-	// one than they have seen with 409; others ignore it.
+	// Fencing is the fencing number of the lease holder. Some targets refuse a
+	// number lower than the highest one that they have received with 409; others
+	// ignore it.
 	Fencing uint64 `json:"fencing"`
-	// Action is one of the Action constants.
+	// Action is ActionLoadModel, ActionLoadAdapter, ActionSetVersion or
+	// ActionSetRole.
 	Action string `json:"action"`
 	// Value is the model, adapter, version or role.
 	Value string `json:"value"`
@@ -130,23 +134,25 @@
 	ActionSetRole     = "set_role"
 )
 
-// CacheEvent tells that a part of a prompt came into the cache or left it.
+// CacheEvent reports that a part of a prompt was added to the cache or removed
+// from it.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Added bool   `json:"added"`
 	Part  string `json:"part"`
 }
 
-// CacheEvents is a page of cache events: late, and some never arrive.
+// CacheEvents is a page of cache events. Events are delayed, and some are lost.
 type CacheEvents struct {
 	Incarnation string       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
 	Next        uint64       `json:"next"`
-	// Lost says that events between the asked number and these are gone.
+	// Lost is set if events between the requested number and these are no longer
+	// available.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// KVMove exports or imports the cache of one part of a prompt.
+// KVMove is the request to export or import the cache of one part of a prompt.
 type KVMove struct {
 	Part   string `json:"part"`
 	Tokens int    `json:"tokens"`
--- a/protocol/targetapi/wire_test.go
+++ b/protocol/targetapi/wire_test.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// A renamed field or value changes what targets read and answer: they run a stage
-// without its input, or obey none of the orders.
+// A renamed field or value changes the target interface: targets would run a stage
+// without its input, or ignore orders.
 func TestBytesOfTargetMessages(t *testing.T) {
 	rows := []struct {
 		name  string
@@ -21,7 +21,7 @@
 			Stage: "s", Inputs: []string{"a", "b"}, Model: "m", Adapter: "l", MaxTokens: 1,
 			Prefix: []targetapi.Part{{ID: "p", Tokens: 2}}, ResumeFrom: 3,
 		}, `{"stage":"s","inputs":["a","b"],"model":"m","adapter":"l","max_tokens":1,"prefix":[{"id":"p","tokens":2}],"resume_from":3}`},
-		{"run answer", targetapi.RunAnswer{AttemptID: "x", Output: "out", Tokens: 1, PrefillTokens: 2, WorkMS: 3}, `{"attempt_id":"x","output":"out","tokens":1,"prefill_tokens":2,"work_ms":3}`},
+		{"run response", targetapi.RunResponse{AttemptID: "x", Output: "out", Tokens: 1, PrefillTokens: 2, WorkMS: 3}, `{"attempt_id":"x","output":"out","tokens":1,"prefill_tokens":2,"work_ms":3}`},
 		{"token event", targetapi.TokenEvent{Token: "t"}, `{"token":"t"}`},
 		{"refusal", targetapi.Refusal{Error: "error", RetryAfterMS: 1}, `{"error":"error","retry_after_ms":1}`},
 		{"cancel request", targetapi.CancelRequest{AttemptID: "x"}, `{"attempt_id":"x"}`},
@@ -35,7 +35,7 @@
 		}, `{"incarnation":"i","events":[{"seq":1,"added":true,"part":"p"}],"next":2,"lost":true}`},
 		{"move", targetapi.KVMove{Part: "p", Tokens: 1, Source: "s"}, `{"part":"p","tokens":1,"source":"s"}`},
 		{"empty run request", targetapi.RunRequest{}, `{"stage":"","inputs":null}`},
-		{"empty run answer", targetapi.RunAnswer{}, `{"attempt_id":"","output":"","work_ms":0}`},
+		{"empty run response", targetapi.RunResponse{}, `{"attempt_id":"","output":"","work_ms":0}`},
 		{"empty refusal", targetapi.Refusal{}, `{"error":""}`},
 		{"empty load", targetapi.Load{}, `{"incarnation":"","active":0,"queued":0,"slots":0}`},
 		{"empty cache events", targetapi.CacheEvents{}, `{"incarnation":"","events":null,"next":0}`},
@@ -50,7 +50,7 @@
 		}, `["/v1/run","/v1/cancel","/v1/load","/healthz","/v1/orders","/v1/cache-events","/v1/kv/export","/v1/kv/import"]`},
 		{"headers", []string{
 			targetapi.HeaderAttempt, targetapi.HeaderRequest, targetapi.HeaderDeadline, targetapi.HeaderPriority,
-			targetapi.HeaderTier, targetapi.HeaderExpect, targetapi.HeaderIncarnation, targetapi.HeaderNotRun,
+			targetapi.HeaderTier, targetapi.HeaderExpectIncarnation, targetapi.HeaderIncarnation, targetapi.HeaderNotRun,
 			targetapi.HeaderLoad, targetapi.HeaderLeaving,
 		}, `["Attempt-Id","Request-Id","Deadline-Ms","Priority","Tier","Expect-Incarnation","Target-Incarnation","Not-Run","Target-Load","Target-Leaving"]`},
 	}
--- a/testkit/scenario/call.go
+++ b/testkit/scenario/call.go
@@ -39,7 +39,7 @@
 type Reply struct {
 	Status  int
 	Header  http.Header
-	Answer  callerapi.Answer
+	Answer  callerapi.Response
 	Problem *callerapi.Problem
 }
 
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -160,8 +160,8 @@
 
 // Watch implements Store. While the platform is being tried again after an
 // outage it answers at once instead of waiting, see Budget.
-func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
-	var watch platformapi.Watch
+func (c *Client) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
+	var watch platformapi.WatchResponse
 	err := c.do(ctx, exchange{
 		call:   Call{Step: "watch " + strings.Join(kinds, ","), Peer: c.base},
 		class:  ClassRead,
--- a/transport/platform/contract_test.go
+++ b/transport/platform/contract_test.go
@@ -125,7 +125,7 @@
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		kinds := []string{platformapi.KindAccounts, platformapi.KindTiers}
 		others := e.Local("other")
-		seen := make(chan platformapi.Watch, 1)
+		seen := make(chan platformapi.WatchResponse, 1)
 		go func() {
 			watch, err := s.Watch(t.Context(), kinds, 0, time.Minute)
 			require.NoError(t, err)
@@ -161,7 +161,7 @@
 // the changes: ready, leaving, gone.
 func TestTargetsLag(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
-		watch := func(from uint64, wait time.Duration) platformapi.Watch {
+		watch := func(from uint64, wait time.Duration) platformapi.WatchResponse {
 			w, err := s.Watch(t.Context(), []string{platformapi.KindTargets}, from, wait)
 			require.NoError(t, err)
 			return w
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -103,7 +103,7 @@
 func TestSkippedEvent(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		e.SetFaults(emulator.Faults{SkipEvents: 1})
-		seen := make(chan platformapi.Watch, 1)
+		seen := make(chan platformapi.WatchResponse, 1)
 		go func() {
 			watch, _ := s.Watch(t.Context(), []string{kind}, 0, time.Minute)
 			seen <- watch
--- a/transport/platform/spelling.go
+++ b/transport/platform/spelling.go
@@ -21,7 +21,7 @@
 	DecodeObject(body []byte) (platformapi.Object, error)
 	DecodeList(body []byte) (platformapi.List, error)
 	// DecodeWatch reads the changes that a watch of kinds was answered with.
-	DecodeWatch(kinds []string, body []byte) (platformapi.Watch, error)
+	DecodeWatch(kinds []string, body []byte) (platformapi.WatchResponse, error)
 	// DecodeConflict reads the object of a conflict; nil if there is none.
 	DecodeConflict(body []byte) *platformapi.Object
 }
@@ -82,7 +82,7 @@
 	return l, err
 }
 
-func (plainSpelling) DecodeWatch(_ []string, body []byte) (w platformapi.Watch, err error) {
+func (plainSpelling) DecodeWatch(_ []string, body []byte) (w platformapi.WatchResponse, err error) {
 	err = json.Unmarshal(body, &w)
 	return w, err
 }
--- a/transport/platform/store.go
+++ b/transport/platform/store.go
@@ -41,5 +41,5 @@
 	// Watch waits until an object of the kinds changes after revision from, at
 	// most for wait, and returns the changes in order. ErrCompacted means that
 	// the changes are no longer kept: list again.
-	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error)
+	Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, error)
 }
--- a/transport/target/answer.go
+++ b/transport/target/answer.go
@@ -102,22 +102,22 @@
 }
 
 // readWhole reads an answer that is not streamed.
-func (x *exchange) readWhole() (targetapi.RunAnswer, error) {
+func (x *exchange) readWhole() (targetapi.RunResponse, error) {
 	body, err := io.ReadAll(x.body)
 	if err != nil {
-		return targetapi.RunAnswer{}, x.failure(StepBody, err)
+		return targetapi.RunResponse{}, x.failure(StepBody, err)
 	}
 	return x.parseAnswer(StepBody, body)
 }
 
 // parseAnswer parses an answer and checks that it is this attempt's.
-func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunAnswer, error) {
-	var answer targetapi.RunAnswer
+func (x *exchange) parseAnswer(step Step, body []byte) (targetapi.RunResponse, error) {
+	var answer targetapi.RunResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return targetapi.RunAnswer{}, x.failure(step, garbledError{err})
+		return targetapi.RunResponse{}, x.failure(step, garbledError{err})
 	}
 	if answer.AttemptID != x.call.AttemptID {
-		return targetapi.RunAnswer{}, x.failure(step, errCrossed)
+		return targetapi.RunResponse{}, x.failure(step, errCrossed)
 	}
 	return answer, nil
 }
--- a/transport/target/bench_test.go
+++ b/transport/target/bench_test.go
@@ -19,7 +19,7 @@
 // bytes to the same server, and gives the ratio of their times.
 func BenchmarkRunOverhead(b *testing.B) {
 	call := attempt("x")
-	answer, err := json.Marshal(targetapi.RunAnswer{AttemptID: call.AttemptID, Output: "out"})
+	answer, err := json.Marshal(targetapi.RunResponse{AttemptID: call.AttemptID, Output: "out"})
 	require.NoError(b, err)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/transport/target/client.go
+++ b/transport/target/client.go
@@ -77,10 +77,10 @@
 
 // Run makes one attempt and returns the whole answer. Its error is always an
 // *AttemptError.
-func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Run(ctx context.Context, call Call) (targetapi.RunResponse, Meta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeJSON)
 	if err != nil {
-		return targetapi.RunAnswer{}, meta, err
+		return targetapi.RunResponse{}, meta, err
 	}
 	answer, err := x.readWhole()
 	return answer, meta, x.finish(err)
@@ -89,10 +89,10 @@
 // Stream makes one attempt and passes each token on as it arrives. Offsets
 // start at call.Run.ResumeFrom and have no gap. An error of onToken ends the
 // attempt, and is wrapped in the *AttemptError that Stream returns.
-func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunAnswer, Meta, error) {
+func (c *Client) Stream(ctx context.Context, call Call, onToken func(offset int, token string) error) (targetapi.RunResponse, Meta, error) {
 	x, meta, err := c.send(ctx, call, contentTypeStream)
 	if err != nil {
-		return targetapi.RunAnswer{}, meta, err
+		return targetapi.RunResponse{}, meta, err
 	}
 	answer, err := x.readStream(onToken)
 	return answer, meta, x.finish(err)
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -126,7 +126,7 @@
 		set(targetapi.HeaderTier, x.call.Tier)
 	}
 	if x.call.Incarnation != "" {
-		set(targetapi.HeaderExpect, x.call.Incarnation)
+		set(targetapi.HeaderExpectIncarnation, x.call.Incarnation)
 	}
 	if !x.call.Deadline.IsZero() {
 		left := targetDeadline(time.Until(x.call.Deadline))
--- a/transport/target/rig_test.go
+++ b/transport/target/rig_test.go
@@ -140,7 +140,7 @@
 	r.Helper()
 	text, tokens := emulator.Output(call.Run.Stage, call.Run.Inputs, call.Run.Model, call.Run.MaxTokens)
 	seen := []string{}
-	var answer targetapi.RunAnswer
+	var answer targetapi.RunResponse
 	var meta target.Meta
 	var err error
 	if stream {
--- a/transport/target/stream.go
+++ b/transport/target/stream.go
@@ -35,7 +35,7 @@
 }
 
 // readStream reads a streamed answer up to its done or error event.
-func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunAnswer, error) {
+func (x *exchange) readStream(onToken func(offset int, token string) error) (targetapi.RunResponse, error) {
 	limit := int(x.client.options.MaxBody)
 	s := &tokenStream{
 		exchange: x,
@@ -49,17 +49,17 @@
 			err = errNoDone
 		}
 		if err != nil {
-			return targetapi.RunAnswer{}, x.failure(StepStream, err)
+			return targetapi.RunResponse{}, x.failure(StepStream, err)
 		}
 		switch event.Name {
 		case targetapi.EventToken:
 			if err := s.token(event); err != nil {
-				return targetapi.RunAnswer{}, err
+				return targetapi.RunResponse{}, err
 			}
 		case targetapi.EventDone:
 			return s.done(event)
 		case targetapi.EventError:
-			return targetapi.RunAnswer{}, s.failed(event)
+			return targetapi.RunResponse{}, s.failed(event)
 		}
 	}
 }
@@ -115,20 +115,20 @@
 }
 
 // done checks that the whole answer is what the tokens add up to.
-func (s *tokenStream) done(event sse.Event) (targetapi.RunAnswer, error) {
+func (s *tokenStream) done(event sse.Event) (targetapi.RunResponse, error) {
 	x := s.exchange
 	answer, err := x.parseAnswer(StepStream, []byte(event.Data))
 	if err != nil {
-		return targetapi.RunAnswer{}, err
+		return targetapi.RunResponse{}, err
 	}
 	if !s.matches(answer) {
-		return targetapi.RunAnswer{}, x.failure(StepStream, garbledError{errMismatch})
+		return targetapi.RunResponse{}, x.failure(StepStream, garbledError{errMismatch})
 	}
 	s.readEnd()
 	return answer, nil
 }
 
-func (s *tokenStream) matches(answer targetapi.RunAnswer) bool {
+func (s *tokenStream) matches(answer targetapi.RunResponse) bool {
 	resumedFrom := s.exchange.call.Run.ResumeFrom
 	if answer.Tokens != s.next-resumedFrom {
 		return false
