--- a/settings/fault.go
+++ b/settings/fault.go
@@ -5,13 +5,12 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a settings file.
+// Fault is one validation error of a settings file.
 type Fault struct {
-	// Section and Key name the setting; Key is empty for a fault of a section.
+	// Section and Key identify the setting; Key is empty for a fault of a section.
 	Section string
 	Key     string
-	// Line counts from 1; it is 0 when the file has no line for the setting,
-	// because the key is missing.
+	// Line counts from 1; it is 0 if the key is missing from the file.
 	Line   int
 	Reason string
 }
@@ -33,7 +32,7 @@
 // Faults is every fault of one file, in the order of its lines.
 type Faults []Fault
 
-// Error implements error with one fault a line.
+// Error implements error, with one fault per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -42,7 +41,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.As find each Fault.
+// Unwrap returns the faults as separate errors, for errors.As.
 func (f Faults) Unwrap() []error {
 	errs := make([]error, len(f))
 	for i := range f {
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Limits of the values, beyond which a setting is more likely a slip than a wish.
+// Upper limits of values. A setting above them is more likely a mistake than
+// intended.
 const (
-	maxBytes     = 64 << 20
-	maxHeader    = 1 << 20
-	maxCount     = 1 << 20
-	maxCores     = 1024
-	maxLogLevel  = 10
-	maxRetention = 366 * 24 * time.Hour
+	maxBodyBytes   = 64 << 20
+	maxHeaderBytes = 1 << 20
+	maxCount       = 1 << 20
+	maxCores       = 1024
+	maxLogLevel    = 10
+	maxRetention   = 366 * 24 * time.Hour
 )
 
-// field binds one key of the file to its place in Settings.
+// field binds one key of the file to a field of Settings.
 type field struct {
 	section  string
 	key      string
@@ -20,7 +21,7 @@
 	required bool
 }
 
-// fields lists every key in the order of example.ini.
+// fields returns every key in the order of example.ini.
 func (s *Settings) fields() []field {
 	return []field{
 		{"instance", "name", name(&s.Instance.Name), true},
@@ -43,8 +44,8 @@
 		{"peers", "tls_ca", text{p: &s.Peers.TLSCA}, false},
 		{"peers", "cleartext", boolean{&s.Peers.Cleartext}, true},
 
-		{"limits", "max_body_bytes", integer[int64]{&s.Limits.MaxBodyBytes, 1, maxBytes}, true},
-		{"limits", "max_header_bytes", integer[int]{&s.Limits.MaxHeaderBytes, 1024, maxHeader}, true},
+		{"limits", "max_body_bytes", integer[int64]{&s.Limits.MaxBodyBytes, 1, maxBodyBytes}, true},
+		{"limits", "max_header_bytes", integer[int]{&s.Limits.MaxHeaderBytes, 1024, maxHeaderBytes}, true},
 		{"limits", "header_timeout", duration{&s.Limits.HeaderTimeout, time.Millisecond, time.Minute}, true},
 		{"limits", "idle_timeout", duration{&s.Limits.IdleTimeout, time.Millisecond, time.Hour}, true},
 		{"limits", "max_streams", integer[int]{&s.Limits.MaxStreams, 1, maxCount}, true},
--- a/settings/load.go
+++ b/settings/load.go
@@ -10,13 +10,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// statusPerInFlight is the least room for status, in requests kept for each
-// that may be in flight: the table's shards don't fill evenly.
-const statusPerInFlight = 2
+// minStatusPerInFlight is the minimum number of status entries per request that
+// may be in flight. It is above 1 since the table's shards do not fill evenly.
+const minStatusPerInFlight = 2
 
-// Load reads the file at path over the defaults. When the file is at fault the
-// error holds Faults with every fault in it; the returned Settings are then
-// not fit for use.
+// Load reads the file at path on top of the defaults. If the file is invalid, the
+// error wraps Faults with every fault of the file, and the returned Settings must
+// not be used.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return s, nil
 }
 
-// Parse reads the content of a settings file over the defaults.
+// Parse parses the content of a settings file on top of the defaults.
 func Parse(data []byte) (Settings, Faults) {
 	s := Default()
 	lines := scanLines(data)
@@ -38,26 +38,26 @@
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-	}, lines.clean)
+	}, lines.valid)
 	if err != nil {
 		return s, append(faults, Fault{Reason: err.Error()})
 	}
 	fields := s.fields()
-	faults = append(faults, unknown(lines, fields)...)
+	faults = append(faults, unknownKeys(lines, fields)...)
 	faults = append(faults, assign(file, lines, fields)...)
-	faults = append(faults, s.check(lines)...)
+	faults = append(faults, s.checkCombinations(lines)...)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
 	return s, faults
 }
 
-// unknown reports sections and keys that no setting has: a misspelt key would
-// otherwise leave its default in force without a word.
-func unknown(lines scan, fields []field) Faults {
+// unknownKeys reports sections and keys that do not exist: a misspelled key would
+// otherwise silently leave its default in force.
+func unknownKeys(lines lineIndex, fields []field) Faults {
 	sections := map[string]bool{}
-	keys := map[position]bool{}
+	keys := map[settingKey]bool{}
 	for _, f := range fields {
 		sections[f.section] = true
-		keys[position{f.section, f.key}] = true
+		keys[settingKey{f.section, f.key}] = true
 	}
 	var faults Faults
 	for section, line := range lines.sections {
@@ -76,11 +76,11 @@
 	return faults
 }
 
-// assign parses each key that the file has into its field.
-func assign(file *ini.File, lines scan, fields []field) Faults {
+// assign parses each key of the file into its field.
+func assign(file *ini.File, lines lineIndex, fields []field) Faults {
 	var faults Faults
 	for _, f := range fields {
-		line := lines.keys[position{f.section, f.key}]
+		line := lines.keys[settingKey{f.section, f.key}]
 		raw := f.value.format()
 		if line > 0 {
 			raw = file.Section(f.section).Key(f.key).Value()
@@ -90,7 +90,7 @@
 		case raw == "" && f.required:
 			reason = "must be set"
 		case raw == "" || line == 0:
-			// An optional setting left out, or a default.
+			// An optional setting that is empty, or a default.
 		default:
 			if err := f.value.parse(raw); err != nil {
 				reason = err.Error()
@@ -103,11 +103,11 @@
 	return faults
 }
 
-// check reports faults that lie between settings.
-func (s *Settings) check(lines scan) Faults {
+// checkCombinations reports settings that are invalid together.
+func (s *Settings) checkCombinations(lines lineIndex) Faults {
 	var faults Faults
 	report := func(section, key, reason string) {
-		line := lines.keys[position{section, key}]
+		line := lines.keys[settingKey{section, key}]
 		faults = append(faults, Fault{Section: section, Key: key, Line: line, Reason: reason})
 	}
 	files := []struct{ key, path string }{
@@ -121,9 +121,9 @@
 			report("peers", f.key, "must be set: mutual TLS needs tls_cert, tls_key and tls_ca")
 		}
 	}
-	// A running request's status is never pushed out, so a table that they can
-	// fill would leave new requests without one.
-	if s.Status.RingSize < statusPerInFlight*s.Limits.MaxInFlight {
+	// The status of a running request is never evicted, so if running requests
+	// could fill the table, new requests would have no status.
+	if s.Status.RingSize < minStatusPerInFlight*s.Limits.MaxInFlight {
 		report("status", "ring_size", "must be at least twice [limits] max_in_flight")
 	}
 	peers, err := netip.ParseAddrPort(s.Listen.Peers)
@@ -133,8 +133,8 @@
 	if peers.Addr().IsUnspecified() {
 		report("listen", "peers", "other instances are told to connect to this address: it can't be unspecified")
 	}
-	// Without mutual TLS any host that reaches the port could pose as an
-	// instance and hand out records and answers.
+	// Without mutual TLS, any host that can reach the port could impersonate an
+	// instance and serve records and responses.
 	if !anyTLS && !s.Peers.Cleartext && !peers.Addr().Unmap().IsLoopback() {
 		report("listen", "peers", "without mutual TLS ([peers] tls_cert, tls_key, tls_ca) only a loopback address is allowed")
 	}
--- a/settings/scan.go
+++ b/settings/scan.go
@@ -5,27 +5,28 @@
 	"strings"
 )
 
-// position names one key of the file.
-type position struct{ section, key string }
+// settingKey identifies one key of the file.
+type settingKey struct{ section, key string }
 
-// scan is what one pass over the lines finds. ini.v1 keeps no line numbers and
-// stops at the first line that it can't read; the scan gives both.
-type scan struct {
-	// sections holds the line of each section's first header.
+// lineIndex is the result of one pass over the lines of a file. ini.v1 keeps no
+// line numbers and stops at the first invalid line; lineIndex provides line numbers
+// and the faults of all lines.
+type lineIndex struct {
+	// sections holds the line of the first header of each section.
 	sections map[string]int
-	// keys holds the line of each key's first appearance.
-	keys   map[position]int
+	// keys holds the line of the first occurrence of each key.
+	keys   map[settingKey]int
 	faults Faults
-	// clean is the file without the lines at fault.
-	clean []byte
+	// valid is the file with invalid lines left empty.
+	valid []byte
 }
 
-// scanLines indexes the lines of a file. A repeated key is a fault: ini.v1
-// would let the last one win without a word.
-func scanLines(data []byte) scan {
-	s := scan{sections: map[string]int{}, keys: map[position]int{}}
+// scanLines indexes the lines of a file. A repeated key is a fault: ini.v1 would
+// silently use the last one.
+func scanLines(data []byte) lineIndex {
+	s := lineIndex{sections: map[string]int{}, keys: map[settingKey]int{}}
 	section := ""
-	var clean strings.Builder
+	var valid strings.Builder
 	for i, line := range strings.Split(string(data), "\n") {
 		number := i + 1
 		trimmed := strings.TrimSpace(strings.TrimPrefix(line, "\ufeff"))
@@ -38,20 +39,20 @@
 			fault = s.assignment(trimmed, section, number)
 		}
 		if fault == "" {
-			clean.WriteString(trimmed)
+			valid.WriteString(trimmed)
 		}
-		clean.WriteByte('\n')
+		valid.WriteByte('\n')
 	}
-	s.clean = []byte(clean.String())
+	s.valid = []byte(valid.String())
 	return s
 }
 
-// header reads a section header and returns the section that follows. An
-// unreadable header leaves the section as it was.
-func (s *scan) header(line, section string, number int) (next, fault string) {
-	name, rest, ok := strings.Cut(line[1:], "]")
+// header parses a section header and returns the section of the lines after it. An
+// invalid header leaves the section unchanged.
+func (s *lineIndex) header(line, section string, number int) (next, fault string) {
+	name, trailing, ok := strings.Cut(line[1:], "]")
 	name = strings.TrimSpace(name)
-	if !ok || name == "" || !isComment(rest) {
+	if !ok || name == "" || !isComment(trailing) {
 		return section, s.fault(section, "", number, "a section header is [name]")
 	}
 	if _, seen := s.sections[name]; !seen {
@@ -60,8 +61,8 @@
 	return name, ""
 }
 
-// assignment reads a line of the form key = value.
-func (s *scan) assignment(line, section string, number int) (fault string) {
+// assignment parses a line of the form key = value.
+func (s *lineIndex) assignment(line, section string, number int) (fault string) {
 	key, value, ok := strings.Cut(line, "=")
 	key = strings.TrimSpace(key)
 	value = strings.TrimSpace(value)
@@ -71,7 +72,7 @@
 	case strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`"):
 		return s.fault(section, key, number, "values of several lines are not supported")
 	}
-	at := position{section, key}
+	at := settingKey{section, key}
 	if first, seen := s.keys[at]; seen {
 		return s.fault(section, key, number, "repeats the key of line "+strconv.Itoa(first))
 	}
@@ -79,12 +80,13 @@
 	return ""
 }
 
-func (s *scan) fault(section, key string, line int, reason string) string {
+func (s *lineIndex) fault(section, key string, line int, reason string) string {
 	s.faults = append(s.faults, Fault{Section: section, Key: key, Line: line, Reason: reason})
 	return reason
 }
 
-func isComment(rest string) bool {
-	rest = strings.TrimSpace(rest)
-	return rest == "" || rest[0] == '#' || rest[0] == ';'
+// isComment reports whether text is empty or a comment.
+func isComment(text string) bool {
+	text = strings.TrimSpace(text)
+	return text == "" || text[0] == '#' || text[0] == ';'
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,11 +1,11 @@
-// Package settings reads an instance's INI file into typed settings. Every
-// fault of a file is reported at once, each with its section, key and line.
-// example.ini beside this file documents every key.
+// Package settings parses an instance's INI file into typed settings. All faults of
+// a file are reported at once, each with its section, key and line. example.ini in
+// this folder documents every key.
 package settings
 
 import "time"
 
-// Settings is all that an instance learns from its file.
+// Settings holds all settings of an instance.
 type Settings struct {
 	Instance  Instance
 	Listen    Listen
@@ -21,16 +21,16 @@
 	Retries   Retries
 }
 
-// Instance says who this instance is.
+// Instance identifies this instance.
 type Instance struct {
 	// Name is unique among the live instances of the cluster.
 	Name string
-	// DataCentre is where the instance runs.
+	// DataCentre is the data centre in which the instance runs.
 	DataCentre string
 	// Cluster separates installations that share one platform.
 	Cluster string
 	// Capacity is the instance's processor share, in cores. Duties that one
-	// instance does for all go to the largest.
+	// instance performs for all are assigned to the one with the largest capacity.
 	Capacity float64
 }
 
@@ -38,71 +38,73 @@
 type Listen struct {
 	// Callers is the address of the callers' HTTP API.
 	Callers string
-	// Peers is the address for other instances. They are told to connect to
-	// it, so it can't be the unspecified address.
+	// Peers is the address for other instances. It is advertised to them, so it
+	// cannot be the unspecified address.
 	Peers string
 	// Admin is the address of health, readiness and metrics.
 	Admin string
-	// Metrics is a second address of the metrics alone; empty for none.
+	// Metrics is an additional address that serves only metrics; empty for none.
 	Metrics string
 }
 
-// Platform says how to reach the platform's object API.
+// Platform configures access to the platform's object API.
 type Platform struct {
 	URL string
-	// Timeout bounds one call; a watch is bounded by the platform.
+	// Timeout limits one call; the platform limits a watch.
 	Timeout time.Duration
-	// CallsPerSecond bounds the reads of this instance, retries included;
-	// writes have a fixed share of it beside that.
+	// CallsPerSecond limits the reads of this instance, including retries. Writes
+	// have a separate limit, a fixed fraction of this one.
 	CallsPerSecond float64
 }
 
-// Peers says how instances reach and authenticate one another.
+// Peers configures how instances connect to and authenticate one another.
 type Peers struct {
 	// Seeds are peer addresses, IP:port, to try before the platform's list of
 	// live instances is known.
 	Seeds []string
-	// TLSCert, TLSKey and TLSCA are PEM files for mutual TLS: all three or
-	// none. Without them Listen.Peers must be a loopback address.
+	// TLSCert, TLSKey and TLSCA are PEM files for mutual TLS: all three or none.
+	// Without them Listen.Peers must be a loopback address, unless Cleartext is
+	// set.
 	TLSCert string
 	TLSKey  string
 	TLSCA   string
-	// Cleartext allows connections between instances without TLS on other than
-	// loopback addresses. It is for networks that only instances reach.
+	// Cleartext allows connections between instances without TLS on non-loopback
+	// addresses, for networks that only instances can reach.
 	Cleartext bool
 }
 
-// TLS tells whether mutual TLS is configured.
+// TLS reports whether mutual TLS is configured.
 func (p Peers) TLS() bool {
 	return p.TLSCert != "" && p.TLSKey != "" && p.TLSCA != ""
 }
 
-// Limits bounds what a caller may take of the instance.
+// Limits limits the resources that callers may use.
 type Limits struct {
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
-	// HeaderTimeout bounds the reading of a request's header.
+	// HeaderTimeout limits the time to read a request's header.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes a kept-alive connection without a request.
+	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
-	// MaxStreams bounds the streamed answers that are open at once.
+	// MaxStreams is the maximum number of concurrent streamed responses.
 	MaxStreams int
-	// MaxInFlight bounds the requests that are served at once.
+	// MaxInFlight is the maximum number of concurrent requests.
 	MaxInFlight int
 }
 
-// Routing holds the choices of routing that differ by instance.
+// Routing holds the routing settings of an instance.
 type Routing struct {
-	// Subset is how many targets of a pool the instance connects to; 0 is all.
+	// Subset is the number of targets of a pool that the instance connects to; 0
+	// means all.
 	Subset int
 }
 
-// Shutdown holds the times of a graceful shutdown.
+// Shutdown configures the phases of a graceful shutdown.
 type Shutdown struct {
-	// Grace bounds the wait for requests in flight.
+	// Grace is the maximum wait for requests in flight.
 	Grace time.Duration
-	// BalancerDelay is how long the balancer may send new requests after the
-	// instance reports that it is not ready.
+	// BalancerDelay is how long the load balancer may continue to send requests
+	// after the instance reports that it is not ready.
 	BalancerDelay time.Duration
 }
 
@@ -110,44 +112,44 @@
 type Telemetry struct {
 	// OTLPEndpoint is the URL of an OTLP/HTTP collector; empty turns tracing off.
 	OTLPEndpoint string
-	// LogLevel is the klog verbosity; 0 logs what an operator must see.
+	// LogLevel is the klog verbosity; 0 logs only what an operator must see.
 	LogLevel int
 }
 
-// Status bounds the request status kept in memory.
+// Status limits the request status kept in memory.
 type Status struct {
-	// RingSize is the greatest number of requests kept.
+	// RingSize is the maximum number of requests kept.
 	RingSize int
-	// Retention is how long a finished request is kept.
+	// Retention is how long the status of a finished request is kept.
 	Retention time.Duration
 }
 
 // Claims configures the claims of requests that may not be repeated.
 type Claims struct {
-	// Retention is how long a claim stays after its request; a retry with the
-	// same idempotency key within it gets the recorded answer.
+	// Retention is how long a claim is kept after its request. A retry with the
+	// same idempotency key within this time gets the recorded response.
 	Retention time.Duration
 }
 
-// Orders bounds the orders that instances give to targets.
+// Orders limits the orders that instances send to targets.
 type Orders struct {
-	// LongestOrder bounds an order from its check to its end at the target. The
-	// successor of a holder that died waits it out before it orders targets that
-	// don't check fencing numbers.
+	// LongestOrder is the maximum time from the check of an order to its end at the
+	// target. The successor of a failed lease holder waits for this time before it
+	// sends orders to targets that do not check fencing numbers.
 	LongestOrder time.Duration
 }
 
-// Retries bounds the requests that the whole fleet sends to a service once more.
+// Retries limits the requests that all instances together retry at a service.
 type Retries struct {
-	// Share is what they may be of the requests for the service, 0 to 1, Slack
-	// what may come on top within Window.
+	// Share is the maximum fraction of the service's requests that are retries, 0
+	// to 1, and Slack the number of retries allowed on top, both within Window.
 	Share  float64
 	Slack  float64
 	Window time.Duration
 }
 
 // Default returns the settings of an empty file. The required keys
-// (instance.name, instance.data_centre, platform.url) are empty in it.
+// (instance.name, instance.data_centre, platform.url) are empty.
 func Default() Settings {
 	return Settings{
 		Instance: Instance{Cluster: "ivyhollow", Capacity: 1},
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,10 +14,9 @@
 
 const required = "[instance]\nname = a\ndata_centre = dc-1\n[platform]\nurl = http://127.0.0.1:1\n"
 
-// The example is the operators' only list of settings. A key added to the code
-// and not to the file, or a changed default, would show only when an operator
-// is surprised by it.
-func TestExampleInStepWithCode(t *testing.T) {
+// The example file is the operators' only list of settings. It must contain every key
+// of the code, in the same order and with the same default.
+func TestExampleMatchesCode(t *testing.T) {
 	data, err := os.ReadFile("example.ini")
 	require.NoError(t, err)
 	got, err := Load("example.ini")
@@ -33,7 +32,7 @@
 	index := scanLines(data)
 	last := 0
 	for _, f := range got.fields() {
-		line := index.keys[position{f.section, f.key}]
+		line := index.keys[settingKey{f.section, f.key}]
 		require.Greaterf(t, line, last, "[%s] %s is missing or out of order", f.section, f.key)
 		require.Truef(t, strings.HasPrefix(lines[line-2], "# "), "[%s] %s has no comment", f.section, f.key)
 		last = line
@@ -111,8 +110,8 @@
 	require.True(t, got.Peers.TLS())
 }
 
-// An operator makes a slip in the file. The instance must not start with a default
-// in its place, and all slips must be named at once with their lines.
+// If a file contains mistakes, the instance must not start with defaults in their
+// place, and all mistakes must be reported at once with their lines.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
 		file string
@@ -138,17 +137,17 @@
 		"not whole":         {required + "[limits]\nmax_streams = 1.5", []string{`line 7: [limits] max_streams: "1.5" is not a whole number`}},
 		"negative":          {required + "[routing]\nsubset = -1", []string{"line 7: [routing] subset: -1 is out of range: want 0 to 1048576"}},
 		"overflow":          {required + "[routing]\nsubset = 99999999999999999999", []string{`line 7: [routing] subset: "99999999999999999999" is not a whole number`}},
-		"emptied default":   {required + "timeout =", []string{"line 6: [platform] timeout: must be set"}},
+		"empty default":     {required + "timeout =", []string{"line 6: [platform] timeout: must be set"}},
 		"host name":         {required + "[listen]\nadmin = localhost:1", []string{`line 7: [listen] admin: "localhost:1" is not an IP address with a port, such as 127.0.0.1:8080`}},
 		"bad seed":          {required + "[peers]\nseeds = 10.0.0.1:1,, 10.0.0.1:0", []string{`line 7: [peers] seeds: "" is not the IP address and port of a peer`}},
 		"secret in URL":     {required + "[telemetry]\notlp_endpoint = http://u:hunter2@h/", []string{"line 7: [telemetry] otlp_endpoint: a URL here can't hold credentials"}},
 		"cleartext peers off loopback": {required + "[listen]\npeers = 10.0.0.1:1",
 			[]string{"line 7: [listen] peers: without mutual TLS ([peers] tls_cert, tls_key, tls_ca) only a loopback address is allowed"}},
-		"half of mutual TLS": {required + "[peers]\ntls_cert = /c\ntls_key =", []string{
+		"incomplete mutual TLS": {required + "[peers]\ntls_cert = /c\ntls_key =", []string{
 			"[peers] tls_ca: must be set: mutual TLS needs tls_cert, tls_key and tls_ca",
 			"line 8: [peers] tls_key: must be set: mutual TLS needs tls_cert, tls_key and tls_ca",
 		}},
-		"fewer statuses than in flight": {required + "[limits]\nmax_in_flight = 6\n[status]\nring_size = 11",
+		"too few status entries": {required + "[limits]\nmax_in_flight = 6\n[status]\nring_size = 11",
 			[]string{"line 9: [status] ring_size: must be at least twice [limits] max_in_flight"}},
 		"peers unspecified": {required + "[peers]\ntls_cert=/c\ntls_key=/k\ntls_ca=/a\n[listen]\npeers = [::]:1",
 			[]string{"line 11: [listen] peers: other instances are told to connect to this address: it can't be unspecified"}},
@@ -180,8 +179,8 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// A file from anywhere, cut short or not text at all, must end in faults and
-// never in a panic or in a line that is silently left out.
+// Arbitrary input, such as a truncated or binary file, must result in faults and never
+// in a panic or in a line that is silently ignored.
 func TestParseAnyBytes(t *testing.T) {
 	pieces := rapid.SampledFrom([]string{"[", "]", "=", "\n", "name", "[limits]\n", "`", `"""`, "\\", "\r", "#", ";", "%(x)s", "\x00", "\ufeff", " ", "max_streams = 3\n"})
 	rapid.Check(t, func(t *rapid.T) {
--- a/settings/values.go
+++ b/settings/values.go
@@ -11,14 +11,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// value parses and formats one typed setting. parse leaves the setting as it
-// was when it returns an error.
+// value parses and formats one typed setting. If parse returns an error, it leaves
+// the setting unchanged.
 type value interface {
 	parse(raw string) error
 	format() string
 }
 
-// text is a string that may be bound to a pattern.
+// text is a string, optionally restricted by a pattern.
 type text struct {
 	p       *string
 	pattern *regexp.Regexp
@@ -26,7 +26,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// name is a string that may stand in object names and request ids.
+// name returns a string setting that is valid in object names and request ids.
 func name(p *string) text { return text{p: p, pattern: namePattern} }
 
 func (t text) parse(raw string) error {
@@ -39,7 +39,7 @@
 
 func (t text) format() string { return *t.p }
 
-// address is an IP:port to listen on; port 0 lets the system choose.
+// address is an IP:port to listen on; port 0 selects a free port.
 type address struct{ p *string }
 
 func (a address) parse(raw string) error {
@@ -71,8 +71,8 @@
 
 func (l addressList) format() string { return strings.Join(*l.p, ", ") }
 
-// httpURL is an absolute URL with scheme http or https and no credentials,
-// which logs and errors would repeat.
+// httpURL is an absolute http or https URL. Credentials are refused, since they
+// would appear in logs and errors.
 type httpURL struct{ p *string }
 
 func (u httpURL) parse(raw string) error {
@@ -154,7 +154,7 @@
 	if err != nil {
 		return errors.Newf("%q is not a number", raw)
 	}
-	// Written so that NaN, which compares as neither, is out of range.
+	// Negated so that NaN, for which both comparisons are false, is out of range.
 	if !(v >= f.min && v <= f.max) {
 		return errors.Newf("%g is out of range: want %g to %g", v, f.min, f.max)
 	}
