--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -106,7 +106,7 @@
 	outcome := trialDenied
 	if granted {
 		outcome = trialGranted
-		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Left: left})
+		telemetry.InfoS("Request on trial, one run is allowed", telemetry.Event{Digest: digest.String(), Remaining: left})
 	}
 	b.metrics.trials[outcome].Inc(1)
 	return granted
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -247,7 +247,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.sent, k.part)
-	told := telemetry.Event{Record: k.kind, Count: f.watching.Failures(k.part), Known: f.watching.Age(now, k.part)}
+	told := telemetry.Event{Record: k.kind, Count: f.watching.Failures(k.part), KnowledgeAge: f.watching.Age(now, k.part)}
 	if f.watching.RecordResponse(now, k.part) {
 		f.roster.RecordStoreFailure(now)
 		f.resend(now)
@@ -273,7 +273,7 @@
 	f.mu.Lock()
 	delete(f.sent, k.part)
 	failed := f.watching.Failures(k.part)
-	told := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), Known: f.watching.Age(now, k.part)}
+	told := telemetry.Event{Record: k.kind, Count: failed, Elapsed: now.Sub(started), KnowledgeAge: f.watching.Age(now, k.part)}
 	switch {
 	case errors.Is(err, platform.ErrBudget):
 		f.watching.RecordNotSent(k.part)
--- a/daemon/follow/patrol.go
+++ b/daemon/follow/patrol.go
@@ -112,7 +112,7 @@
 	defer f.mu.Unlock()
 	before := f.watching.Recovered()
 	if f.watching.RecordReport(asked, time.Now(), word) {
-		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{Known: word.Age})
+		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{KnowledgeAge: word.Age})
 		if word.Known {
 			// The store is away for a watcher that lives. What this instance hears first,
 			// though none of its own calls failed, may be of entries that ran out.
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -331,8 +331,8 @@
 	}
 	telemetry.InfoS("Request ended", telemetry.Event{
 		RequestID: q.call.ID, Digest: digest, Pipeline: route, Target: q.target, Reason: q.reason,
-		Status: status, Elapsed: time.Since(q.arrived), Count: q.sent + q.refused, Head: q.head,
-		Stages: q.parts.stages, First: q.parts.first, Pause: q.parts.pause, Known: q.known,
+		Status: status, Elapsed: time.Since(q.arrived), Count: q.sent + q.refused, HeaderDuration: q.head,
+		StageWait: q.parts.stages, FirstEvent: q.parts.first, LongestPause: q.parts.pause, KnowledgeAge: q.known,
 		LastEvent: q.lastEvent, Sources: q.sources, Framing: string(q.framing),
 	})
 	q.relay.metrics.ended(status, q.reason, time.Since(q.arrived))
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -28,7 +28,7 @@
 		})
 	}
 	telemetry.InfoS("Stage call ended", telemetry.Event{
-		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomes[how], Elapsed: time.Since(started), Known: known,
+		Target: c.Target.Incarnation, Pool: c.Service, Count: len(c.Pieces), Reason: callOutcomes[how], Elapsed: time.Since(started), KnowledgeAge: known,
 	})
 	o.metrics.call(callOutcomes[how], time.Since(started))
 	o.noteFailures(c, results)
--- a/daemon/stages/owner.go
+++ b/daemon/stages/owner.go
@@ -281,11 +281,11 @@
 		case gather.Completed:
 			o.metrics.done(a)
 			telemetry.InfoS("Stages done", telemetry.Event{
-				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Needed: a.Predicted, Left: a.TimeToObjective,
+				RequestID: a.Request, Pipeline: a.Route, Stage: timesText(a.Times), Elapsed: a.Elapsed, Predicted: a.Predicted, Remaining: a.TimeToObjective,
 			})
 		case gather.Refused:
 			o.metrics.refused(string(a.Reason))
-			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Needed: a.Needed, Left: a.TimeToDeadline, RetryAfter: a.RetryAfter})
+			telemetry.InfoS("Stages refused", telemetry.Event{RequestID: a.Request, Reason: string(a.Reason), Predicted: a.Needed, Remaining: a.TimeToDeadline, RetryAfter: a.RetryAfter})
 		}
 	}
 }
--- a/telemetry/labels.go
+++ b/telemetry/labels.go
@@ -9,10 +9,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// allowedLabels are the keys that a metric may be tagged with. Each takes its
-// values from the program or from records that operators write. Account, request,
-// attempt, target and peer are not among them: their values come and go without
-// limit, and every one would be a time series for ever.
+// allowedLabels lists the labels that a metric may have. Their values come from the
+// program or from records that operators write. Account, request, attempt, target
+// and peer are excluded: the number of their values is unbounded, and every value
+// would be a time series that is never removed.
 var allowedLabels = []string{
 	"pipeline", "stage", "tier", "pool", "result", "outcome", "reason", "kind",
 	"operation", "state", "role", "code", "step", "verdict", "rank",
@@ -21,17 +21,17 @@
 var errUnknownLabel = errors.New("not in the list of bounded labels")
 
 const (
-	// maxLabelSets bounds the distinct sets of labels of an instance.
+	// maxLabelSets is the maximum number of distinct label sets of an instance.
 	maxLabelSets = 2048
-	// overflowValue replaces every value of a set beyond the bound.
+	// overflowValue replaces every value of a label set above the limit.
 	overflowValue = "other"
 )
 
-// boundedScope is a tally scope whose series can't grow without limit. The
-// failure it guards against: a label with values from outside makes a series a
-// value, which shows as an instance that grows until it is killed and as a
-// Prometheus that no longer answers. Labels outside the list are dropped, and
-// past maxLabelSets new sets share one whose values are overflowValue.
+// boundedScope is a tally scope with a bounded number of time series. A label whose
+// values come from outside would create one series per value: the memory of the
+// instance would grow until it is killed, and Prometheus would stop responding.
+// Labels that are not allowed are dropped, and above maxLabelSets new label sets
+// share one whose values are overflowValue.
 type boundedScope struct {
 	tally.Scope
 	tags map[string]string
@@ -44,8 +44,8 @@
 	dropped map[string]struct{}
 }
 
-// maxDroppedLogged bounds the labels whose loss is logged. They are written in
-// the program, so only a fault reaches it.
+// maxDroppedLogged is the maximum number of dropped labels that are logged. Labels
+// are constants of the program, so only a programming error reaches it.
 const maxDroppedLogged = 64
 
 func newBoundedScope(scope tally.Scope) tally.Scope {
@@ -55,8 +55,8 @@
 	}}
 }
 
-// Tagged implements tally.Scope. It costs a lock and a map, so a hot path keeps
-// the scope or the counter that it returns.
+// Tagged implements tally.Scope. It takes a lock and allocates a map, so hot paths
+// should keep the returned scope or its metrics.
 func (s *boundedScope) Tagged(tags map[string]string) tally.Scope {
 	merged := make(map[string]string, len(s.tags)+len(tags))
 	for key, value := range s.tags {
@@ -64,7 +64,7 @@
 	}
 	for key, value := range tags {
 		if !slices.Contains(allowedLabels, key) {
-			s.seen.drop(key)
+			s.seen.reportDropped(key)
 			continue
 		}
 		merged[key] = value
@@ -82,7 +82,7 @@
 	return &boundedScope{Scope: s.Scope.SubScope(name), tags: s.tags, seen: s.seen}
 }
 
-// admit tells whether the set is known or there is room for it.
+// admit reports whether the set is known or can be added within the limit.
 func (l *labelSets) admit(tags map[string]string) bool {
 	key := setKey(tags)
 	l.mu.Lock()
@@ -97,8 +97,8 @@
 	return true
 }
 
-// drop logs a label that is not allowed, once, for the one who wrote it.
-func (l *labelSets) drop(key string) {
+// reportDropped logs a label that is not allowed, once per label.
+func (l *labelSets) reportDropped(key string) {
 	l.mu.Lock()
 	_, logged := l.dropped[key]
 	full := len(l.dropped) >= maxDroppedLogged
@@ -111,6 +111,7 @@
 	}
 }
 
+// setKey returns a key that is equal for equal label sets.
 func setKey(tags map[string]string) string {
 	pairs := make([]string, 0, len(tags))
 	for key, value := range tags {
--- a/telemetry/logs.go
+++ b/telemetry/logs.go
@@ -9,47 +9,48 @@
 	"k8s.io/klog/v2"
 )
 
-// maxLogText bounds an error's text in a log line, in bytes: an error that
-// wraps a peer's answer can't flood the log.
+// maxLogText is the maximum length of a text in a log line, in bytes, so that an
+// error that wraps a peer's response cannot flood the log.
 const maxLogText = 512
 
-// Event is what a log line may say beside its message. Empty fields are left
-// out. There is no field for a body or a key, so neither can be logged by a
-// slip.
+// Event holds the key-value pairs of a log line. Empty fields are left out. There is
+// no field for a body or a key, so neither can be logged by mistake.
 type Event struct {
 	RequestID string
 	Stage     string
 	Target    string
 	Peer      string
 	AttemptID string
-	// Digest tells requests of different content apart, and is the same for repeats.
+	// Digest identifies the content of a request; it is the same for repeats.
 	Digest   string
 	Pipeline string
 	Pool     string
-	// Record names a record of the platform, as kind/name.
+	// Record is a record of the platform, as kind/name.
 	Record   string
 	Revision uint64
-	// Reason is a short, fixed text from the program, never one from outside.
+	// Reason is a short constant text of the program, never one from outside.
 	Reason string
 	Count  int
-	// Status is that of an HTTP answer; 0 tells that there was none.
+	// Status is the status code of an HTTP response; 0 if there was none.
 	Status  int
 	Elapsed time.Duration
-	// Head is the time from a request's first byte to the end of its head.
-	Head time.Duration
-	// Stages is how long a request waited for the results of its stages, First the
-	// time from its sending to its target to the first event or the whole answer, and
-	// Pause the longest time between two events.
-	Stages, First, Pause time.Duration
-	// Needed is the time that work was predicted to take, Left the time that there
-	// was for it, and RetryAfter when its caller was told to come back.
-	Needed, Left, RetryAfter time.Duration
-	// Known is how old the instance's knowledge was by which it acted: the time since
-	// the store last answered about it.
-	Known time.Duration
-	// LastEvent is the id of the last event of a stream that its caller got, Sources the
-	// number of targets whose events the caller got, and Framing how the target marked
-	// the end of its answer.
+	// HeaderDuration is the time from a request's first byte to the end of its
+	// header.
+	HeaderDuration time.Duration
+	// StageWait is how long a request waited for the results of its stages.
+	// FirstEvent is the time from sending it to its target until the first event or
+	// the complete response. LongestPause is the longest time between two events.
+	StageWait, FirstEvent, LongestPause time.Duration
+	// Predicted is the predicted duration of the work, Remaining the time that was
+	// available for it, and RetryAfter the delay after which the caller was asked to
+	// retry.
+	Predicted, Remaining, RetryAfter time.Duration
+	// KnowledgeAge is the age of the state on which the instance acted: the time
+	// since the store last responded about it.
+	KnowledgeAge time.Duration
+	// LastEvent is the id of the last event of a stream that the caller received,
+	// Sources the number of targets whose events the caller received, and Framing how
+	// the target marked the end of its response.
 	LastEvent string
 	Sources   int
 	Framing   string
@@ -57,11 +58,10 @@
 	Address string
 }
 
-// maxPairs is the number of keys and values that an Event and an instance
-// make at most.
+// maxPairs is the maximum number of keys and values of an Event and an instance.
 const maxPairs = 2 * 26
 
-// pairs lists the fields that are set, as klog wants them.
+// pairs returns the non-empty fields as alternating keys and values for klog.
 func (e *Event) pairs() []any {
 	kv := make([]any, 0, maxPairs)
 	kv = appendText(kv, "request_id", e.RequestID)
@@ -84,14 +84,14 @@
 		kv = append(kv, "status", e.Status)
 	}
 	kv = appendDuration(kv, "elapsed", e.Elapsed)
-	kv = appendDuration(kv, "head", e.Head)
-	kv = appendDuration(kv, "stages", e.Stages)
-	kv = appendDuration(kv, "first", e.First)
-	kv = appendDuration(kv, "pause", e.Pause)
-	kv = appendDuration(kv, "needed", e.Needed)
-	kv = appendDuration(kv, "left", e.Left)
+	kv = appendDuration(kv, "head", e.HeaderDuration)
+	kv = appendDuration(kv, "stages", e.StageWait)
+	kv = appendDuration(kv, "first", e.FirstEvent)
+	kv = appendDuration(kv, "pause", e.LongestPause)
+	kv = appendDuration(kv, "needed", e.Predicted)
+	kv = appendDuration(kv, "left", e.Remaining)
 	kv = appendDuration(kv, "retry_after", e.RetryAfter)
-	kv = appendDuration(kv, "known", e.Known)
+	kv = appendDuration(kv, "known", e.KnowledgeAge)
 	kv = appendText(kv, "last_event", e.LastEvent)
 	if e.Sources != 0 {
 		kv = append(kv, "sources", e.Sources)
@@ -111,10 +111,10 @@
 	if text == "" {
 		return kv
 	}
-	return append(kv, key, shorten(text))
+	return append(kv, key, truncate(text))
 }
 
-func shorten(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxLogText {
 		return text
 	}
@@ -126,14 +126,14 @@
 	klog.InfoSDepth(1, msg, e.pairs()...)
 }
 
-// ErrorS logs a failure that an operator may have to act on. The error's text
-// is shortened.
+// ErrorS logs a failure that an operator may have to act on. The error text is
+// truncated.
 func ErrorS(err error, msg string, e Event) {
-	klog.ErrorSDepth(1, shortError{err}, msg, e.pairs()...)
+	klog.ErrorSDepth(1, truncatedError{err}, msg, e.pairs()...)
 }
 
-// DebugS logs at the given verbosity. The event is built by the caller, so a
-// hot path asks DebugEnabled first.
+// DebugS logs at the given verbosity. Since the caller builds the event, hot paths
+// should check DebugEnabled first.
 func DebugS(level int, msg string, e Event) {
 	if !DebugEnabled(level) {
 		return
@@ -141,26 +141,26 @@
 	klog.InfoSDepth(1, msg, e.pairs()...)
 }
 
-// DebugEnabled tells whether lines of the given verbosity are written.
+// DebugEnabled reports whether lines of the given verbosity are logged.
 func DebugEnabled(level int) bool {
 	return klog.V(klog.Level(level)).Enabled()
 }
 
-// shortError bounds the text of an error.
-type shortError struct{ err error }
+// truncatedError limits the length of an error's text.
+type truncatedError struct{ err error }
 
 // Error implements error.
-func (e shortError) Error() string {
+func (e truncatedError) Error() string {
 	if e.err == nil {
 		return ""
 	}
-	return shorten(e.err.Error())
+	return truncate(e.err.Error())
 }
 
-func (e shortError) Unwrap() error { return e.err }
+func (e truncatedError) Unwrap() error { return e.err }
 
-// setupLogs points klog at the output. klog reads its configuration from
-// flags; the set here is private, so the program's own flags stay as they are.
+// setupLogs configures klog. klog reads its configuration from flags; the flag set
+// here is private, so the program's own flags are unaffected.
 func setupLogs(o Options) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
@@ -169,7 +169,7 @@
 		{"v", strconv.Itoa(o.LogLevel)},
 		{"logtostderr", toStderr},
 		{"alsologtostderr", "false"},
-		// A daemon's log goes to one place: errors are not repeated elsewhere.
+		// The log has a single output: errors are not duplicated elsewhere.
 		{"stderrthreshold", "FATAL"},
 		{"one_output", "true"},
 	}
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -8,14 +8,14 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// MetricsPrefix begins the name of every metric.
+// MetricsPrefix is the prefix of every metric name.
 const MetricsPrefix = "ivyhollow"
 
-// reportInterval is how long a metric may lag behind on /metrics.
+// reportInterval is the maximum delay of a value on /metrics.
 const reportInterval = time.Second
 
-// durationBuckets are the upper bounds of timers, in seconds: from a local hop
-// to the longest deadline.
+// durationBuckets returns the upper bounds of the timers' histogram buckets, in
+// seconds, from the duration of a local hop to the longest deadline.
 func durationBuckets() []float64 {
 	return []float64{
 		0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
@@ -29,7 +29,7 @@
 		Registerer:              registry,
 		DefaultTimerType:        tallyprom.HistogramTimerType,
 		DefaultHistogramBuckets: durationBuckets(),
-		OnRegisterError:         metricRefused,
+		OnRegisterError:         logMetricError,
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 MetricsPrefix,
@@ -43,15 +43,15 @@
 	t.closers = append(t.closers, closer)
 }
 
-// metricRefused logs a metric that Prometheus refuses, such as one name with
-// two sets of labels. tally's default is to panic; a metric that is missing is
-// the smaller harm to an instance that serves.
-func metricRefused(err error) {
+// logMetricError logs a metric that Prometheus refuses, such as one name with two
+// sets of labels. tally panics by default; for a running instance a missing metric
+// is the lesser harm.
+func logMetricError(err error) {
 	ErrorS(err, "metric refused", Event{Reason: "name used with other labels"})
 }
 
-// sanitizer is the reporter's own but for the values of labels, which keep the
-// dots and dashes of names: "a-b" and "a.b" stay two.
+// sanitizer returns the reporter's default options, except that label values keep
+// dots and dashes, so that "a-b" and "a.b" remain distinct.
 func sanitizer() *tally.SanitizeOptions {
 	o := tallyprom.DefaultSanitizerOpts
 	o.ValueCharacters.Characters = tally.UnderscoreDashDotCharacters
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -10,48 +10,48 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the log of one instance.
+// Limits on the log of one instance.
 const (
-	// linesPerSecond is the most that is written on average, a few times what an
-	// instance writes at the heaviest load measured; linesBurst may come at once.
+	// linesPerSecond is the maximum average rate, a few times what an instance
+	// writes at the highest measured load. linesBurst is the maximum burst.
 	linesPerSecond = 600
 	linesBurst     = 2000
-	// queuedLines wait for the reader of the log.
-	queuedLines = 2048
-	// flushTimeout bounds the wait for the reader at the end.
+	// queueCapacity is the maximum number of lines that wait for the reader of the
+	// log.
+	queueCapacity = 2048
+	// flushTimeout limits the wait for the reader in Close.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// LineQueue takes log lines without ever blocking and writes them in the
-// background.
+// LineQueue is an io.Writer that accepts log lines without blocking and writes them
+// in the background.
 //
-// It guards against a log that nobody reads: a pipe that is full would stop every
-// goroutine that logs, and with them all requests. Lines over the bound, and those
-// for which there is no room, are dropped, counted, and their number is said in the
-// log.
+// If nobody reads the log, a full pipe would otherwise block every goroutine that
+// logs, and with them all requests. Lines above the rate limit, and lines that do not
+// fit into the queue, are dropped and counted, and their number is logged.
 type LineQueue struct {
-	out     io.Writer
-	limit   *rate.Limiter
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	done    chan struct{}
-	close   sync.Once
+	out             io.Writer
+	limit           *rate.Limiter
+	lines           chan []byte
+	unreportedDrops atomic.Int64
+	droppedTotal    atomic.Int64
+	done            chan struct{}
+	close           sync.Once
 }
 
-// NewLineQueue starts to write to out.
+// NewLineQueue returns a queue that writes to out.
 func NewLineQueue(out io.Writer) *LineQueue {
 	q := &LineQueue{
 		out:   out,
 		limit: rate.NewLimiter(linesPerSecond, linesBurst),
-		lines: make(chan []byte, queuedLines),
+		lines: make(chan []byte, queueCapacity),
 		done:  make(chan struct{}),
 	}
 	go q.run()
 	return q
 }
 
-// Write takes one line. It never fails and never waits.
+// Write enqueues one line. It never fails and never blocks.
 func (q *LineQueue) Write(line []byte) (int, error) {
 	if !q.limit.Allow() {
 		q.drop()
@@ -66,26 +66,27 @@
 }
 
 func (q *LineQueue) drop() {
-	q.dropped.Add(1)
-	q.total.Add(1)
+	q.unreportedDrops.Add(1)
+	q.droppedTotal.Add(1)
 }
 
-// Dropped returns how many lines were dropped so far.
-func (q *LineQueue) Dropped() int64 { return q.total.Load() }
+// Dropped returns the number of lines dropped so far.
+func (q *LineQueue) Dropped() int64 { return q.droppedTotal.Load() }
 
 func (q *LineQueue) run() {
 	defer close(q.done)
 	for line := range q.lines {
-		if n := q.dropped.Swap(0); n > 0 {
+		if n := q.unreportedDrops.Swap(0); n > 0 {
 			line = append(fmt.Appendf(nil, "W log lines dropped count=%d\n", n), line...)
 		}
 		if _, err := q.out.Write(line); err != nil {
-			q.drop() // nobody reads the log; there is no other place to say so
+			q.drop() // nobody reads the log, and there is no other place to report it
 		}
 	}
 }
 
-// Close writes what waits, for a bounded time. Nothing may be written after it.
+// Close flushes the queue, waiting at most flushTimeout. Write must not be called
+// after it.
 func (q *LineQueue) Close() {
 	q.close.Do(func() { close(q.lines) })
 	select {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -10,23 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a pipe that nobody reads until it is opened.
-type stuck struct {
+// blockedPipe is a pipe whose writes block until open is closed.
+type blockedPipe struct {
 	open chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedPipe) Write(p []byte) (int, error) {
 	<-s.open
 	return s.Buffer.Write(p)
 }
 
-// Nobody reads the log and the pipe is full. Requests must go on: a line costs no
-// wait, what doesn't fit is dropped, and the log says how much once it is read again.
+// If nobody reads the log and the pipe is full, requests must continue: Write does not
+// block, lines that do not fit are dropped, and their number is logged once the log is
+// read again.
 func TestLogNeverBlocks(t *testing.T) {
-	pipe := &stuck{open: make(chan struct{})}
+	pipe := &blockedPipe{open: make(chan struct{})}
 	q := NewLineQueue(pipe)
-	const lines = 3 * queuedLines
+	const lines = 3 * queueCapacity
 	for i := range lines {
 		n, err := q.Write(fmt.Appendf(nil, "line %d\n", i))
 		require.NoError(t, err)
@@ -38,12 +39,12 @@
 	text := pipe.String()
 	written := strings.Count(text, "line ")
 	require.EqualValues(t, lines, int64(written)+q.Dropped())
-	require.Equal(t, q.Dropped(), saidDropped(t, text))
+	require.Equal(t, q.Dropped(), reportedDrops(t, text))
 }
 
-// saidDropped adds up the numbers of dropped lines that a log says. It may say them in
-// parts: what was dropped before its writer first ran, and what was later.
-func saidDropped(t *testing.T, text string) int64 {
+// reportedDrops returns the sum of the dropped lines that a log reports. There may be
+// several reports, of the lines dropped before the writer first ran and of later ones.
+func reportedDrops(t *testing.T, text string) int64 {
 	var total int64
 	for line := range strings.Lines(text) {
 		count, ok := strings.CutPrefix(line, "W log lines dropped count=")
@@ -57,7 +58,7 @@
 	return total
 }
 
-// A storm of lines is cut to the bound, whoever reads.
+// A burst of lines is limited to the bound, whether or not the log is read.
 func TestLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	q := NewLineQueue(&out)
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,7 +1,7 @@
-// Package telemetry sets up what operators see of an instance: structured
-// logs, metrics for Prometheus and traces for an OTLP collector. Request
-// bodies and secrets have no way into any of the three: a log line takes a
-// typed Event, and a metric takes labels from a fixed set.
+// Package telemetry sets up the telemetry of an instance: structured logs, metrics
+// for Prometheus and traces for an OTLP collector. None of the three can contain
+// request bodies or secrets: a log line takes a typed Event, and a metric takes
+// labels from a fixed set.
 package telemetry
 
 import (
@@ -15,7 +15,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// instrumentation names the tracer in exported spans.
+// instrumentation is the name of the tracer in exported spans.
 const instrumentation = "github.com/ivyhollow/ivyhollow"
 
 // Options configures the telemetry of one instance.
@@ -23,28 +23,28 @@
 	Instance   string
 	DataCentre string
 	Cluster    string
-	// Version is the program's version, for the resource of exported spans.
+	// Version is the program version in the resource of exported spans.
 	Version string
 	// OTLPEndpoint is the URL of an OTLP/HTTP collector; empty turns tracing off.
 	OTLPEndpoint string
 	// LogLevel is the klog verbosity.
 	LogLevel int
-	// LogOutput takes the log lines; nil is standard error. klog is one logger
-	// for the process: the last Start with an output wins.
+	// LogOutput receives the log lines; nil means standard error. klog is one
+	// logger per process: the last Start with an output takes effect.
 	LogOutput io.Writer
 }
 
 // Telemetry is the running telemetry of one instance.
 type Telemetry struct {
-	// Scope is the root of the metrics. Its labels are bounded; see
+	// Scope is the root scope of the metrics. Its labels are bounded; see
 	// allowedLabels.
 	Scope tally.Scope
 	// Tracer starts the spans.
 	Tracer trace.Tracer
-	// TracerProvider is for instrumentation that makes its own tracer.
+	// TracerProvider is for instrumentation that creates its own tracer.
 	TracerProvider trace.TracerProvider
-	// Propagator reads and writes the W3C trace headers, also with tracing off,
-	// so that an instance never breaks a caller's trace.
+	// Propagator reads and writes the W3C trace headers. It works with tracing off
+	// too, so that an instance never breaks a caller's trace.
 	Propagator propagation.TextMapPropagator
 
 	metrics  http.Handler
@@ -52,7 +52,7 @@
 	flushers []func(context.Context) error
 }
 
-// Start sets up logs, metrics and traces. The caller ends them by Shutdown.
+// Start sets up logs, metrics and traces. The caller must call Shutdown.
 func Start(ctx context.Context, o Options) (*Telemetry, error) {
 	if err := setupLogs(o); err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 // MetricsHandler serves the metrics in Prometheus' text format.
 func (t *Telemetry) MetricsHandler() http.Handler { return t.metrics }
 
-// Shutdown flushes what is buffered and ends the reporters. The context bounds
-// the wait for a collector that does not answer.
+// Shutdown flushes buffered data and stops the reporters. The context limits the
+// wait for an unresponsive collector.
 func (t *Telemetry) Shutdown(ctx context.Context) error {
 	var err error
 	for _, flush := range t.flushers {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -35,7 +35,8 @@
 	return tel
 }
 
-// scrape reads /metrics after a shutdown, which reports the last values.
+// scrape returns the content of /metrics after a shutdown, which reports the last
+// values.
 func scrape(t *testing.T, tel *Telemetry) string {
 	t.Helper()
 	require.NoError(t, tel.Shutdown(t.Context()))
@@ -57,9 +58,9 @@
 	require.Contains(t, text, "ivyhollow_in_flight 2")
 }
 
-// An operator finds an instance killed for its memory, and Prometheus with
-// millions of series: somebody tagged a counter with the account or request.
-// The label is dropped, so the counts stay and the series don't grow.
+// A counter tagged with the account or request would create millions of series, until
+// the instance is killed for its memory. The label must be dropped, so that the counts
+// remain and the number of series does not grow.
 func TestUnboundedLabelsDropped(t *testing.T) {
 	var log bytes.Buffer
 	tel := start(t, Options{LogOutput: &log})
@@ -74,8 +75,8 @@
 	require.Equal(t, 1, strings.Count(log.String(), `reason="account"`))
 }
 
-// The same end, reached through an allowed label whose values come from
-// outside: past the bound they are counted together.
+// An allowed label whose values come from outside would have the same effect: above
+// the limit, values must be counted together.
 func TestLabelSetsBounded(t *testing.T) {
 	tel := start(t, Options{LogOutput: io.Discard})
 	const beyond = 7
@@ -87,8 +88,8 @@
 	require.Contains(t, text, fmt.Sprintf(`ivyhollow_x_refused{reason="other"} %d`, beyond))
 }
 
-// A counter with the same name and other labels is a slip in the program. It
-// must cost that counter alone and not the instance.
+// Two counters with the same name and different labels are a programming error. Only
+// the second counter may be lost; the instance must not panic.
 func TestRefusedMetricDoesNotPanic(t *testing.T) {
 	var log bytes.Buffer
 	tel := start(t, Options{LogOutput: &log})
@@ -98,9 +99,9 @@
 	require.Contains(t, log.String(), "metric refused")
 }
 
-// A caller's trace must go on to the targets also when this instance exports
-// nothing, or the trace ends at the first hop that has tracing off.
-func TestTraceContextPassedOnWithTracingOff(t *testing.T) {
+// A caller's trace context must be propagated to the targets even if this instance
+// exports nothing, or the trace would end at the first hop with tracing off.
+func TestTraceContextPropagatedWithTracingOff(t *testing.T) {
 	tel := start(t, Options{LogOutput: io.Discard})
 	in := propagation.MapCarrier{"traceparent": remoteParent}
 	ctx, span := tel.Tracer.Start(otel.GetTextMapPropagator().Extract(t.Context(), in), "stage")
@@ -128,9 +129,9 @@
 	}
 }
 
-// An instance that stops while the collector takes connections and never
-// answers must not wait past the time that its shutdown has left.
-func TestShutdownBoundedBySilentCollector(t *testing.T) {
+// If the collector accepts connections but never responds, the shutdown must end when
+// its context does.
+func TestShutdownBoundedWithUnresponsiveCollector(t *testing.T) {
 	release := make(chan struct{})
 	reached := make(chan struct{}, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -150,8 +151,8 @@
 	require.Error(t, tel.Shutdown(ctx))
 }
 
-// A misspelt URL would send the spans to the exporter's own default, a collector
-// that nobody named.
+// With a misspelled URL the exporter would send spans to its own default, a collector
+// that was not configured.
 func TestStartRefusesBadEndpoint(t *testing.T) {
 	_, err := Start(t.Context(), Options{OTLPEndpoint: "http://%zz", LogOutput: io.Discard})
 	require.ErrorContains(t, err, "telemetry")
--- a/telemetry/traces.go
+++ b/telemetry/traces.go
@@ -14,7 +14,7 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Attributes of a span. None carries a body or a key.
+// Span attributes. None contains a body or a key.
 const (
 	AttrRequestID = attribute.Key("ivyhollow.request_id")
 	AttrStage     = attribute.Key("ivyhollow.stage")
@@ -29,12 +29,12 @@
 		t.Tracer = t.TracerProvider.Tracer(instrumentation)
 		return nil
 	}
-	// The exporter answers a URL that it can't read by its own default, so spans
-	// would go to a collector that nobody named.
+	// The exporter replaces an invalid URL by its own default, so spans would be
+	// sent to a collector that was not configured.
 	if _, err := url.ParseRequestURI(o.OTLPEndpoint); err != nil {
 		return errors.Wrap(err, "telemetry: OTLP endpoint")
 	}
-	otel.SetErrorHandler(otel.ErrorHandlerFunc(exportFailed))
+	otel.SetErrorHandler(otel.ErrorHandlerFunc(logExportError))
 	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.OTLPEndpoint))
 	if err != nil {
 		return errors.Wrapf(err, "telemetry: exporter for %s", o.OTLPEndpoint)
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// exportFailed logs spans that are lost, at most once for each batch.
-func exportFailed(err error) {
+// logExportError logs the loss of spans, at most once per batch.
+func logExportError(err error) {
 	ErrorS(err, "traces not exported", Event{})
 }
 
