--- a/protocol/exchange/exchange.go
+++ b/protocol/exchange/exchange.go
@@ -73,8 +73,8 @@
 	// header.
 	ParseCallerRequest(r *http.Request) (CallerRequest, error)
 	// TargetRequestHeader returns the header of an attempt: the caller's header, in
-	// which the fields that the system controls are replaced by those of s.
-	TargetRequestHeader(caller http.Header, s TargetRequest) http.Header
+	// which the fields that the system controls are replaced by those of r.
+	TargetRequestHeader(caller http.Header, r TargetRequest) http.Header
 	// ParseTargetResponse parses the status and header of a target's response.
 	ParseTargetResponse(status int, h http.Header) TargetResponse
 	// CallerResponseHeader returns the header of a target's response as it is sent
--- a/protocol/peer/bounds.go
+++ b/protocol/peer/bounds.go
@@ -85,8 +85,8 @@
 	return b[n:], nil
 }
 
-// skipSized skips a string or binary value whose length
-// field has the given width in bytes.
+// skipLengthPrefixed skips a string or binary value whose length field has the
+// given width in bytes.
 func skipLengthPrefixed(b []byte, width int) ([]byte, error) {
 	n, b, err := readLength(b, width)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return skipBytes(b, n)
 }
 
-// skipCounted skips an array or map whose element count has the given width in
+// skipContainer skips an array or map whose element count has the given width in
 // bytes; a map has two values per element.
 func skipContainer(b []byte, width, perElement, depth int) ([]byte, error) {
 	n, b, err := readLength(b, width)
@@ -119,7 +119,7 @@
 	return b, nil
 }
 
-// length reads a big-endian length of 1, 2 or 4 bytes.
+// readLength reads a big-endian length of 1, 2 or 4 bytes.
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, errors.Wrap(ErrMalformed, "cut short")
--- a/protocol/peer/frame.go
+++ b/protocol/peer/frame.go
@@ -53,7 +53,7 @@
 	return frame, nil
 }
 
-// selfDescribing reports whether a type is encoded as a map with field names. The
+// usesFieldNames reports whether a type is encoded as a map with field names. The
 // handshake is, because both ends must be able to read it at any version.
 func usesFieldNames(t Type) bool { return t == TypeHello || t == TypeWelcome }
 
--- a/protocol/peer/frame_test.go
+++ b/protocol/peer/frame_test.go
@@ -58,7 +58,7 @@
 }
 
 // Input of a client of another protocol, a faulty process or an attacker must be
-// rejected with a specific error, before memory is allocated for it.
+// rejected at once with a specific error, without using memory.
 func TestBadFrames(t *testing.T) {
 	deep := append([]byte{byte(TypePing)}, bytes.Repeat([]byte{0x91}, 20)...)
 	manyMembers := []byte{byte(TypePing), 0x93, 1, 1, 0xdd, 0, 0x10, 0, 0}
--- a/protocol/requestid/requestid.go
+++ b/protocol/requestid/requestid.go
@@ -44,10 +44,10 @@
 
 // Next returns a new id. Its random part prevents an account from guessing the ids
 // of another; access is also checked by account.
-func (s *Generator) Next() string {
-	serial := strconv.FormatUint(s.next.Add(1), base)
+func (g *Generator) Next() string {
+	serial := strconv.FormatUint(g.next.Add(1), base)
 	random := strconv.FormatUint(rand.Uint64(), base)
-	return s.prefix + serial + "-" + random
+	return g.prefix + serial + "-" + random
 }
 
 // Parse parses an id; its error is ErrMalformed. It splits from the end, since the
--- a/protocol/requestid/requestid_test.go
+++ b/protocol/requestid/requestid_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestNextContainsInstanceAndIncarnation(t *testing.T) {
-	s := NewGenerator("entry-1", 42)
-	a, b := s.Next(), s.Next()
+	g := NewGenerator("entry-1", 42)
+	a, b := g.Next(), g.Next()
 	require.NotEqual(t, a, b)
 	id, err := Parse(a)
 	require.NoError(t, err)
