--- a/protocol/loadwire/wire_test.go
+++ b/protocol/loadwire/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/tiers"
 )
 
-// A part of the digest is moved, or a load packed in another order: the other build
-// would refuse the digest, or route by loads of other targets and pools.
+// If a part of the digest is moved or loads are packed in a different order, another
+// build refuses the digest, or routes by the loads of the wrong targets and pools.
 func TestBytesOfLoadDigest(t *testing.T) {
 	var pool tiers.Digest
 	pool.Ranks[0] = tiers.RankLoad{InFlight: 1, Demand: 3}
--- a/protocol/peer/frame_test.go
+++ b/protocol/peer/frame_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range sampleMessages() {
 		frame, err := Encode(m)
 		require.NoError(t, err)
@@ -52,14 +52,13 @@
 	}
 }
 
-// frame puts a length before bytes.
+// rawFrame returns body with a length prefix of size, which may be wrong.
 func rawFrame(size uint32, body ...byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, size), body...)
 }
 
-// A peer sends what no instance sends: a client of another protocol, a broken
-// process, someone with bad intent. Each must be told apart at once and must
-// cost no memory.
+// Input of a client of another protocol, a faulty process or an attacker must be
+// rejected at once with a specific error, without using memory.
 func TestBadFrames(t *testing.T) {
 	deep := append([]byte{byte(TypePing)}, bytes.Repeat([]byte{0x91}, 20)...)
 	manyMembers := []byte{byte(TypePing), 0x93, 1, 1, 0xdd, 0, 0x10, 0, 0}
@@ -100,8 +99,8 @@
 	require.ErrorIs(t, err, ErrUnknownType)
 }
 
-// The state machines bound their messages by estimates of encoded sizes. An
-// estimate below the truth would break the bound on bytes per second.
+// The state machines limit their messages by estimates of encoded sizes. An
+// estimate below the actual size would exceed the limit on bytes per second.
 func TestEstimatedSizesAreUpperBounds(t *testing.T) {
 	const overhead = headerSize + 1 + 1 + 2*9 + 3
 	rapid.Check(t, func(rt *rapid.T) {
@@ -121,8 +120,8 @@
 	})
 }
 
-// FuzzFrame reads arbitrary bytes as frames: no panic, no frame above the
-// limit, and what decodes can be sent on.
+// FuzzFrame reads arbitrary bytes as frames: decoding must not panic, no frame
+// may exceed the limit, and a decoded message must encode again.
 func FuzzFrame(f *testing.F) {
 	for _, m := range sampleMessages() {
 		frame, err := Encode(m)
--- a/protocol/platformapi/wire_test.go
+++ b/protocol/platformapi/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// A renamed field or value changes what the store holds: entries that were written
-// before the change, or by others, are read as empty.
+// A renamed field or value changes the format of stored objects: entries written before
+// the change, or by other builds, would be decoded as empty.
 func TestBytesOfStoreMessages(t *testing.T) {
 	object := platformapi.Object{
 		Metadata: platformapi.Metadata{Name: "n", Revision: 1},
--- a/protocol/record/decode.go
+++ b/protocol/record/decode.go
@@ -10,29 +10,30 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Bounds of what a record may hold.
+// Limits on the contents of a record.
 const (
-	// MaxSpecBytes bounds the text of one record.
+	// MaxSpecBytes is the maximum size of one spec.
 	MaxSpecBytes = 64 << 10
-	// MaxMilliseconds bounds every time in a record: an hour.
+	// MaxMilliseconds is the maximum of every duration in a record: one hour.
 	MaxMilliseconds = 3_600_000
 	MaxStages       = 16
 	MaxAttempts     = 10
-	// DefaultMaxAttempts serves when a pipeline names none.
+	// DefaultMaxAttempts applies to a pipeline without max_attempts.
 	DefaultMaxAttempts = 3
-	// MaxKeys lets an account change its key without a gap, and no more.
+	// MaxKeys allows an account to rotate its key without interruption.
 	MaxKeys      = 2
 	MaxRank      = 99
 	MaxPriority  = 9
 	MaxSlots     = 100_000
 	MaxTokens    = 1_000_000
 	MaxRequestsS = 1_000_000
-	// MaxOverrides bounds the tiers that a pipeline sets a deadline for.
+	// MaxOverrides is the maximum number of tiers for which a pipeline sets a
+	// deadline of its own.
 	MaxOverrides = 100
 )
 
-// Decode reads the spec of a record into a catalog item that carries the
-// revision. The error, if any, is a Faults with everything that is wrong.
+// Decode decodes the spec of a record into a catalog item with the given
+// revision. A non-nil error is always a Faults with every fault of the spec.
 func Decode(kind catalog.RecordKind, name string, revision uint64, spec []byte) (catalog.Item, error) {
 	list := &faultList{text: spec}
 	item := decode(list, kind, name, revision, spec)
@@ -79,7 +80,7 @@
 	return root, true
 }
 
-// decoding is the reading of one spec.
+// specDecoder decodes one spec and collects its faults.
 type specDecoder struct {
 	list     *faultList
 	name     string
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// schemaVersion reads the version and tells whether it is a known one. The
-// other fields are read only if it is: their meaning hangs on it.
+// schemaVersion returns the schema version and whether it is a known one. The
+// other fields are read only if it is, since their meaning depends on it.
 func (d *specDecoder) schemaVersion(known ...int) (int, bool) {
 	v, ok := d.root.get("schema_version", valueNumber, true)
 	if !ok {
@@ -182,7 +183,7 @@
 	}
 	raw, err := hex.DecodeString(v.text)
 	if err != nil || len(raw) != len(hash) {
-		// The text isn't repeated: it may be the key itself by mistake.
+		// The text is left out of the message: it may be the key itself by mistake.
 		o.fault(name, "must be the SHA-256 digest of the key, as 64 hexadecimal digits")
 		return hash, false
 	}
@@ -190,7 +191,8 @@
 	return hash, true
 }
 
-// deadlines reads the deadlines by tier, in milliseconds.
+// deadlines reads the optional deadlines by tier. A deadline below the critical
+// path of the stages is a fault.
 func (d *specDecoder) deadlines(criticalPath time.Duration) map[string]time.Duration {
 	v, ok := d.root.get("deadlines_ms", valueObject, false)
 	if !ok {
--- a/protocol/record/file.go
+++ b/protocol/record/file.go
@@ -9,24 +9,24 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// MaxFileBytes bounds a file of records.
+// MaxFileBytes is the maximum size of a file of records.
 const MaxFileBytes = 32 << 20
 
 // Document is one record of a file.
 type Document struct {
 	Kind   catalog.RecordKind
 	Object platformapi.Object
-	// Line is where the record starts in its file and SpecLine where its spec
-	// does, both from 1.
+	// Line is the line on which the record starts in its file and SpecLine the
+	// line on which its spec starts, both counted from 1.
 	Line     int
 	SpecLine int
 }
 
-// Prefix names the document in messages.
+// QualifiedName returns kind/name, which identifies the document in messages.
 func (d Document) QualifiedName() string { return string(d.Kind) + "/" + d.Object.Metadata.Name }
 
-// ParseFile reads the records of a file: JSON objects one after another, or
-// lists of them. It checks everything but the specs, which Check reads.
+// ParseFile parses the records of a file: a sequence of JSON objects, or lists of
+// them. It validates everything except the specs, which Check decodes.
 func ParseFile(text []byte) ([]Document, Faults) {
 	list := &faultList{text: text}
 	if len(text) > MaxFileBytes {
@@ -64,7 +64,8 @@
 		doc.Object.Spec = json.RawMessage(list.text[spec.offset:spec.end])
 		doc.SpecLine = list.line(spec.offset)
 	}
-	// The status belongs to the system; a file made from an answer may hold it.
+	// The status belongs to the system and is ignored: a file written from the
+	// output of the API contains it.
 	o.consumed["status"] = true
 	o.reportUnknown()
 	return doc
@@ -81,6 +82,8 @@
 	return metadata
 }
 
+// reportDuplicates reports documents whose kind and name occur earlier in the
+// file.
 func reportDuplicates(list *faultList, documents []Document) {
 	first := map[string]int{}
 	for _, doc := range documents {
@@ -96,8 +99,8 @@
 	}
 }
 
-// Check decodes the specs of documents and returns all faults with paths that
-// begin with kind and name, and lines of the file.
+// Check decodes the specs of documents. Faults have paths that begin with
+// kind/name, and lines of the file.
 func Check(documents []Document) ([]catalog.Item, Faults) {
 	items := make([]catalog.Item, len(documents))
 	var faults Faults
--- a/protocol/record/pool.go
+++ b/protocol/record/pool.go
@@ -7,13 +7,13 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Schema versions of pools. Version 2 adds what the targets shall have.
+// Schema versions of pools. Version 2 adds the desired state of the targets.
 const (
 	PoolV1 = 1
 	PoolV2 = 2
 )
 
-// Bounds of what a pool's targets shall have.
+// Limits on the desired state of a pool.
 const (
 	MaxDesiredModels   = 16
 	MaxDesiredAdapters = 64
@@ -58,8 +58,8 @@
 	return p
 }
 
-// desired reads what the targets shall have. Only engines take orders: on
-// another pool it would stand there and never come about.
+// desired decodes the optional desired state. Only engines accept orders: on
+// another kind of pool the desired state would never be reached.
 func (d *specDecoder) desired(kind catalog.PoolKind) *catalog.DesiredState {
 	v, ok := d.root.get("desired", valueObject, false)
 	if !ok {
@@ -79,14 +79,15 @@
 	return desired
 }
 
-// models reads an optional list of up to most names of models or adapters.
-func (o *object) modelNames(name string, most int) []string {
+// modelNames decodes an optional list of at most limit names of models or
+// adapters.
+func (o *object) modelNames(name string, limit int) []string {
 	v, ok := o.get(name, valueArray, false)
 	if !ok {
 		return nil
 	}
-	if len(v.items) > most {
-		o.fault(name, "holds %d names, more than %d", len(v.items), most)
+	if len(v.items) > limit {
+		o.fault(name, "holds %d names, more than %d", len(v.items), limit)
 		return nil
 	}
 	var names []string
@@ -107,14 +108,14 @@
 	return names
 }
 
-// isModelName tells whether a text can name a model, an adapter, a version or a
-// role.
+// isModelName reports whether text is a valid name of a model, adapter, version
+// or role.
 func isModelName(text string) bool {
 	return len(text) <= MaxNameLength && modelPattern.MatchString(text)
 }
 
-// encodePool writes schema version 1 unless the pool needs version 2, so that
-// instances of an earlier release can read what needs nothing new.
+// encodePool uses schema version 1 unless the pool needs version 2, so that
+// instances of an earlier release can read pools without a desired state.
 func encodePool(p *catalog.Pool) poolSpec {
 	spec := poolSpec{SchemaVersion: PoolV1, Kind: p.Kind, Objective: p.Objective, Slots: p.Slots,
 		ChecksFencing: p.ChecksFencing, EjectionFloor: p.EjectionFloor}
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Limits of the values, beyond which a setting is more likely a slip than a wish.
+// Upper limits of values. A setting above them is more likely a mistake than
+// intended.
 const (
 	maxBodyBytes   = 64 << 20
 	maxHeaderBytes = 1 << 20
@@ -12,7 +13,7 @@
 	maxRetention   = 366 * 24 * time.Hour
 )
 
-// field binds one key of the file to its place in Settings.
+// field binds one key of the file to a field of Settings.
 type field struct {
 	section  string
 	key      string
@@ -20,7 +21,7 @@
 	required bool
 }
 
-// fields lists every key in the order of example.ini.
+// fields returns every key in the order of example.ini.
 func (s *Settings) fields() []field {
 	return []field{
 		{"instance", "name", name(&s.Instance.Name), true},
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -10,25 +10,25 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the log of one instance.
+// Limits on the log of one instance.
 const (
-	// linesPerSecond is the most that is written on average, a few times what an
-	// instance writes at the heaviest load measured; linesBurst may come at once.
+	// linesPerSecond is the maximum average rate, a few times what an instance
+	// writes at the highest measured load. linesBurst is the maximum burst.
 	linesPerSecond = 600
 	linesBurst     = 2000
-	// queuedLines wait for the reader of the log.
+	// queueCapacity is the maximum number of lines that wait for the reader of the
+	// log.
 	queueCapacity = 2048
-	// flushTimeout bounds the wait for the reader at the end.
+	// flushTimeout limits the wait for the reader in Close.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// LineQueue takes log lines without ever blocking and writes them in the
-// background.
+// LineQueue is an io.Writer that accepts log lines without blocking and writes them
+// in the background.
 //
-// It guards against a log that nobody reads: a pipe that is full would stop every
-// goroutine that logs, and with them all requests. Lines over the bound, and those
-// for which there is no room, are dropped, counted, and their number is said in the
-// log.
+// If nobody reads the log, a full pipe would otherwise block every goroutine that
+// logs, and with them all requests. Lines above the rate limit, and lines that do not
+// fit into the queue, are dropped and counted, and their number is logged.
 type LineQueue struct {
 	out             io.Writer
 	limit           *rate.Limiter
@@ -39,7 +39,7 @@
 	close           sync.Once
 }
 
-// NewLineQueue starts to write to out.
+// NewLineQueue returns a queue that writes to out.
 func NewLineQueue(out io.Writer) *LineQueue {
 	q := &LineQueue{
 		out:   out,
@@ -51,7 +51,7 @@
 	return q
 }
 
-// Write takes one line. It never fails and never waits.
+// Write enqueues one line. It never fails and never blocks.
 func (q *LineQueue) Write(line []byte) (int, error) {
 	if !q.limit.Allow() {
 		q.drop()
@@ -70,7 +70,7 @@
 	q.droppedTotal.Add(1)
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (q *LineQueue) Dropped() int64 { return q.droppedTotal.Load() }
 
 func (q *LineQueue) run() {
@@ -80,12 +80,13 @@
 			line = append(fmt.Appendf(nil, "W log lines dropped count=%d\n", n), line...)
 		}
 		if _, err := q.out.Write(line); err != nil {
-			q.drop() // nobody reads the log; there is no other place to say so
+			q.drop() // nobody reads the log, and there is no other place to report it
 		}
 	}
 }
 
-// Close writes what waits, for a bounded time. Nothing may be written after it.
+// Close flushes the queue, waiting at most flushTimeout. Write must not be called
+// after it.
 func (q *LineQueue) Close() {
 	q.close.Do(func() { close(q.lines) })
 	select {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a pipe that nobody reads until it is opened.
+// blockedPipe is a pipe whose writes block until open is closed.
 type blockedPipe struct {
 	open chan struct{}
 	bytes.Buffer
@@ -21,8 +21,9 @@
 	return s.Buffer.Write(p)
 }
 
-// Nobody reads the log and the pipe is full. Requests must go on: a line costs no
-// wait, what doesn't fit is dropped, and the log says how much once it is read again.
+// If nobody reads the log and the pipe is full, requests must continue: Write does not
+// block, lines that do not fit are dropped, and their number is logged once the log is
+// read again.
 func TestLogNeverBlocks(t *testing.T) {
 	pipe := &blockedPipe{open: make(chan struct{})}
 	q := NewLineQueue(pipe)
@@ -41,8 +42,8 @@
 	require.Equal(t, q.Dropped(), reportedDrops(t, text))
 }
 
-// saidDropped adds up the numbers of dropped lines that a log says. It may say them in
-// parts: what was dropped before its writer first ran, and what was later.
+// reportedDrops returns the sum of the dropped lines that a log reports. There may be
+// several reports, of the lines dropped before the writer first ran and of later ones.
 func reportedDrops(t *testing.T, text string) int64 {
 	var total int64
 	for line := range strings.Lines(text) {
@@ -57,7 +58,7 @@
 	return total
 }
 
-// A storm of lines is cut to the bound, whoever reads.
+// A burst of lines is limited to the bound, whether or not the log is read.
 func TestLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	q := NewLineQueue(&out)
