--- a/testkit/soak/callers.go
+++ b/testkit/soak/callers.go
@@ -135,8 +135,8 @@
 	}
 	request.Host = "host.example"
 	request.Header = standin.Call{
-		ID: a.id, Key: (*c.world.keys.Load())[0], Wait: requestWait, Subject: "s1", Pieces: a.pieces[:], PieceKey: "key" + a.id,
-		After: a.after,
+		ID: a.id, Key: (*c.world.keys.Load())[0], Wait: requestWait, SharedPart: "s1", Pieces: a.pieces[:], PieceKey: "key" + a.id,
+		LastEvent: a.after,
 	}.Header()
 	response, err := c.client.Do(request)
 	if err != nil {
--- a/testkit/soak/check.go
+++ b/testkit/soak/check.go
@@ -24,7 +24,7 @@
 		for _, a := range t.Arrivals() {
 			s.arrived[a.ID] = append(s.arrived[a.ID], a)
 		}
-		for handle, p := range t.Made() {
+		for handle, p := range t.Results() {
 			s.made[handle] = p
 			s.pieces[p.ID]++
 		}
@@ -63,7 +63,7 @@
 func runs(arrivals []standin.Arrival) int {
 	ran := 0
 	for _, arrival := range arrivals {
-		if arrival.Ran {
+		if arrival.Executed {
 			ran++
 		}
 	}
@@ -114,7 +114,7 @@
 			w.breach("%s %s reached a target changed: %v", a.path, id, arrival)
 		}
 		if after, err := lastID(arrival); err != nil || after < a.after {
-			w.breach("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.after, arrival.GoesOnAfter())
+			w.breach("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.after, arrival.ResumesAfter())
 		}
 		if a.path == "/stream-staged/a" {
 			w.checkInputs(id, arrival.Inputs(), a.pieces[1], 1, made)
@@ -124,10 +124,10 @@
 
 // lastID is the event behind which a target was told to go on; 0 for none.
 func lastID(a standin.Arrival) (int, error) {
-	if a.GoesOnAfter() == "" {
+	if a.ResumesAfter() == "" {
 		return 0, nil
 	}
-	return strconv.Atoi(a.GoesOnAfter())
+	return strconv.Atoi(a.ResumesAfter())
 }
 
 // checkInputs looks at the results that are read together: all of one stage of one
--- a/testkit/soak/check_test.go
+++ b/testkit/soak/check_test.go
@@ -51,7 +51,7 @@
 func TestChecksWhereAStreamGoesOn(t *testing.T) {
 	for asked, broken := range map[int]bool{0: true, 1: true, 2: false, 3: false} {
 		w := &world{conduct: newConduct(1)}
-		header := standin.Call{ID: "1", After: asked}.Header()
+		header := standin.Call{ID: "1", LastEvent: asked}.Header()
 		header.Del("Authorization")
 		header.Set("Tenant", "account-1")
 		a := answer{id: "1", path: "/stream-resume/a", after: 2}
--- a/testkit/soak/conduct.go
+++ b/testkit/soak/conduct.go
@@ -13,15 +13,15 @@
 
 // streamFaults are what a stream may meet at an engine.
 var streamFaults = []standin.Fault{
-	standin.Full, standin.Fails, standin.Silent, standin.Cuts, standin.Resets, standin.Unsigned,
-	standin.Stray, standin.Unframed, standin.InputsGone, standin.NoContent, standin.Restarts, standin.Twice,
-	standin.Empty, standin.CutsTheEnd, standin.UnnumberedThenCuts, standin.CommentsThenCuts, standin.EmptyUnframed,
+	standin.Full, standin.Fails, standin.Silent, standin.Truncates, standin.Resets, standin.Unsigned,
+	standin.StrayResponse, standin.Unframed, standin.InputsMissing, standin.NoContent, standin.RestartsStream, standin.SecondResponse,
+	standin.EmptyStream, standin.TruncatesEnd, standin.UnnumberedThenTruncates, standin.CommentsThenTruncates, standin.EmptyUnframedStream,
 }
 
 // breakFaults break a stream off whose caller has a part of it. Half of the first faults are
 // of these: the budget of repeats lets few requests go on, and only these go on in the
 // middle of an answer.
-var breakFaults = []standin.Fault{standin.Cuts, standin.CutsTheEnd, standin.CommentsThenCuts, standin.Twice}
+var breakFaults = []standin.Fault{standin.Truncates, standin.TruncatesEnd, standin.CommentsThenTruncates, standin.SecondResponse}
 
 const (
 	// troubleLeast and troubleMost bound a span in which all engines misbehave, and
@@ -60,14 +60,14 @@
 	if isCrashing(a) {
 		return crashFault(target)
 	}
-	fault := standin.Well
+	fault := standin.NoFault
 	if alone := c.alone[target]; alone != nil {
 		fault = alone()
 	}
 	if !strings.HasPrefix(target, "engine-") {
 		return fault
 	}
-	if fault == standin.Well && c.every > 0 {
+	if fault == standin.NoFault && c.every > 0 {
 		fault = c.draw(a, len(c.met[a.ID]))
 	}
 	c.met[a.ID] = append(c.met[a.ID], fault)
@@ -81,7 +81,7 @@
 	_, _ = id.Write([]byte(a.ID)) // a hash takes all
 	random := rand.New(rand.NewPCG(c.seed, id.Sum64()))
 	if random.IntN(c.every) > 0 {
-		return standin.Well
+		return standin.NoFault
 	}
 	faults := streamFaults
 	if random.IntN(2) == 0 {
@@ -91,12 +91,12 @@
 	for range others {
 		fault = streamFaults[random.IntN(len(streamFaults))]
 		if random.IntN(wellAgain) == 0 {
-			fault = standin.Well
+			fault = standin.NoFault
 		}
 	}
-	if fault == standin.Empty && a.GoesOnAfter() != "" {
+	if fault == standin.EmptyStream && a.ResumesAfter() != "" {
 		// Behind an event this is the whole answer of a target that has nothing left.
-		return standin.EmptyUnframed
+		return standin.EmptyUnframedStream
 	}
 	return fault
 }
--- a/testkit/soak/conduct_test.go
+++ b/testkit/soak/conduct_test.go
@@ -22,7 +22,7 @@
 		drawn[[2]standin.Fault{first, c.fault("engine-2", a)}] = true
 	}
 	for _, first := range streamFaults {
-		for _, second := range append([]standin.Fault{standin.Well}, streamFaults...) {
+		for _, second := range append([]standin.Fault{standin.NoFault}, streamFaults...) {
 			require.True(t, drawn[[2]standin.Fault{first, second}], "%v, %v", first, second)
 		}
 	}
@@ -30,7 +30,7 @@
 
 // TestAllFaultsOfTargetsAreDrawn guards against a fault of targets that the soak doesn't play.
 func TestAllFaultsOfTargetsAreDrawn(t *testing.T) {
-	for fault := standin.Full; fault <= standin.CommentsThenCuts; fault++ {
+	for fault := standin.Full; fault <= standin.CommentsThenTruncates; fault++ {
 		require.Contains(t, streamFaults, fault)
 	}
 }
@@ -60,8 +60,8 @@
 	c.trouble(1)
 	for i := range 1000 {
 		a := standin.Arrival{ID: fmt.Sprintf("%010x", i), Header: http.Header{}}
-		a.Header = standin.Call{ID: a.ID, After: 1}.Header()
-		require.NotEqual(t, standin.Empty, c.fault("engine-1", a))
+		a.Header = standin.Call{ID: a.ID, LastEvent: 1}.Header()
+		require.NotEqual(t, standin.EmptyStream, c.fault("engine-1", a))
 	}
 }
 
@@ -70,13 +70,13 @@
 func TestOtherTargetsServeWell(t *testing.T) {
 	c := newConduct(1)
 	for i := range 1000 {
-		require.Equal(t, standin.Well, c.fault("engine-1", standin.Arrival{ID: fmt.Sprintf("%010x", i)}))
+		require.Equal(t, standin.NoFault, c.fault("engine-1", standin.Arrival{ID: fmt.Sprintf("%010x", i)}))
 	}
 	c.trouble(1)
-	require.Equal(t, standin.Well, c.fault("plain-1", standin.Arrival{ID: "1"}))
-	end := c.misbehave("plain-1", func() standin.Fault { return standin.Cuts })
-	require.Equal(t, standin.Cuts, c.fault("plain-1", standin.Arrival{ID: "1"}))
-	require.Equal(t, standin.Well, c.fault("plain-2", standin.Arrival{ID: "1"}))
+	require.Equal(t, standin.NoFault, c.fault("plain-1", standin.Arrival{ID: "1"}))
+	end := c.misbehave("plain-1", func() standin.Fault { return standin.Truncates })
+	require.Equal(t, standin.Truncates, c.fault("plain-1", standin.Arrival{ID: "1"}))
+	require.Equal(t, standin.NoFault, c.fault("plain-2", standin.Arrival{ID: "1"}))
 	end()
-	require.Equal(t, standin.Well, c.fault("plain-1", standin.Arrival{ID: "1"}))
+	require.Equal(t, standin.NoFault, c.fault("plain-1", standin.Arrival{ID: "1"}))
 }
--- a/testkit/soak/crashing.go
+++ b/testkit/soak/crashing.go
@@ -32,7 +32,7 @@
 // it: nothing listens there until the target is back.
 func (w *world) canCrash(name string) {
 	target, path := w.target(name)
-	target.AfterCrash(crashedFor, func() {
+	target.SetCrashRecovery(crashedFor, func() {
 		path.Refuse()
 		path.Reset()
 	}, func() {
@@ -75,9 +75,9 @@
 	var crashes, arrivals []time.Time
 	for _, a := range all {
 		for _, arrival := range s.arrived[a.id] {
-			arrivals = append(arrivals, arrival.At)
-			if arrival.Ran {
-				crashes = append(crashes, arrival.At)
+			arrivals = append(arrivals, arrival.ReceivedAt)
+			if arrival.Executed {
+				crashes = append(crashes, arrival.ReceivedAt)
 			}
 		}
 		w.checkAnswer(a, s.arrived[a.id])
--- a/testkit/soak/faults.go
+++ b/testkit/soak/faults.go
@@ -123,7 +123,7 @@
 		if n++; n%every == 0 {
 			return fault
 		}
-		return standin.Well
+		return standin.NoFault
 	})
 	time.Sleep(span)
 	end()
--- a/testkit/soak/keepers.go
+++ b/testkit/soak/keepers.go
@@ -171,7 +171,7 @@
 		panic(err) // a path of our own
 	}
 	request.Header = standin.Call{
-		ID: x.id, Key: (*c.world.keys.Load())[settledKey], Wait: x.wait, Subject: "s1", Pieces: x.pieces[:], PieceKey: "key" + x.id,
+		ID: x.id, Key: (*c.world.keys.Load())[settledKey], Wait: x.wait, SharedPart: "s1", Pieces: x.pieces[:], PieceKey: "key" + x.id,
 	}.Header()
 	var text bytes.Buffer
 	if err := request.Write(&text); err != nil {
--- a/testkit/soak/losses_test.go
+++ b/testkit/soak/losses_test.go
@@ -62,7 +62,7 @@
 	cut.whole = false
 	overdue := answered(0, requestWait, http.StatusOK, "")
 	overdue.whole = false
-	ran := seen{arrived: map[string][]standin.Arrival{"1": {{ID: "1", Ran: true}}}}
+	ran := seen{arrived: map[string][]standin.Arrival{"1": {{ID: "1", Executed: true}}}}
 	turnedAway := seen{arrived: map[string][]standin.Arrival{"1": {{ID: "1"}}}}
 	made := seen{pieces: map[string]int{"1": 1}}
 	cases := map[string]struct {
--- a/testkit/soak/silence.go
+++ b/testkit/soak/silence.go
@@ -32,13 +32,13 @@
 		span := between(random, silenceLeast, silenceMost)
 		silent, reset := random.IntN(2) == 0, random.IntN(3) > 0
 		w.note("the store is silent for %v, connections reset: %v, then %s leaves, without a word: %v", span, reset, name, silent)
-		w.store.Silence(true)
+		w.store.SetUnresponsive(true)
 		if reset {
 			// What waits is sent again at once, into the silence.
 			w.storeHTTP.CloseClientConnections()
 		}
 		time.Sleep(span)
-		w.store.Silence(false)
+		w.store.SetUnresponsive(false)
 		time.Sleep(settledAfter)
 		if silent {
 			w.store.Delete("servers", name)
--- a/testkit/soak/targets.go
+++ b/testkit/soak/targets.go
@@ -32,8 +32,8 @@
 	if w.options.Planned {
 		pace = streamPacePlanned
 	}
-	t.Stream(eventsOfAStream, pace)
-	t.Behave(func(a standin.Arrival) standin.Fault { return w.conduct.fault(name, a) })
+	t.SetStream(eventsOfAStream, pace)
+	t.SetFaults(func(a standin.Arrival) standin.Fault { return w.conduct.fault(name, a) })
 	path, err := relay.Start("127.0.0.1:0", t.Address())
 	if err != nil {
 		return err
