--- a/daemon/confsync/birth_test.go
+++ b/daemon/confsync/birth_test.go
@@ -38,14 +38,14 @@
 		for i := range many {
 			f.write("accounts", fmt.Sprint("a", i), accountSpec("gold", i+1))
 			f.store.RegisterTarget(target(fmt.Sprint("t", i)))
-			f.pass(inForceBound / 100)
+			f.advance(inForceBound / 100)
 		}
 		f.addN(3)
 		f.instances[2].sync.MarkLeaving("t7")
 		f.store.SetFaults(emulator.Faults{Down: emulator.FailRefuse})
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		born := f.add(nil)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		select {
 		case <-born.sync.Ready():
 		default:
@@ -72,10 +72,10 @@
 				in := f.add(func(s platform.Store) platform.Store {
 					return partialStore{s, func(kind string) bool { return kind == failed && !answers.Load() }}
 				})
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				assert.Nil(t, in.sync.Snapshot())
 				answers.Store(true)
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				assert.Equal(t, 1, in.sync.Snapshot().Accounts.Len())
 			})
 		})
@@ -98,20 +98,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t)
 				f.addN(3)
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				f.store.SetFaults(c.faults)
 				f.write("tiers", "gold", tierSpec(700))
 				f.write("accounts", "demo", accountSpec("gold", 1))
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				born := f.newInstance()
-				born.set(func() { born.cut = c.alone > 0 })
+				born.set(func() { born.partitioned = c.alone > 0 })
 				f.start(born, nil)
-				f.pass(c.alone)
-				born.set(func() { born.cut = false })
-				f.pass(inForceBound)
+				f.advance(c.alone)
+				born.set(func() { born.partitioned = false })
+				f.advance(inForceBound)
 				assert.Equal(t, int64(700), born.deadline())
 				assert.Equal(t, 1, born.sync.Snapshot().Accounts.Len())
-				assert.Len(t, born.revision, 1, "an older configuration must not be in force before")
+				assert.Len(t, born.revisions, 1, "an older configuration must not be in force before")
 			})
 		})
 	}
@@ -138,7 +138,7 @@
 		f.start(late, func(s platform.Store) platform.Store {
 			return partialStore{s, func(string) bool { return true }}
 		})
-		f.pass(4 * inForceBound)
+		f.advance(4 * inForceBound)
 		assert.Greater(t, calls, 2)
 		assert.Equal(t, 1, late.sync.Snapshot().Accounts.Len())
 	})
--- a/daemon/confsync/codec.go
+++ b/daemon/confsync/codec.go
@@ -11,7 +11,7 @@
 // has in force, when a peer has said otherwise.
 const inForceSuffix = "/in-force"
 
-func toSpread(records []config.Record) []spread.Record {
+func encodeRecords(records []config.Record) []spread.Record {
 	out := make([]spread.Record, 0, len(records))
 	for _, r := range records {
 		body, err := configwire.EncodeRecord(r)
@@ -31,7 +31,7 @@
 
 // fromSpread reads the configuration records among what a peer has spread. One
 // that can't be read was made by a newer release and is left out.
-func fromSpread(records []spread.Record) []config.Record {
+func decodeRecords(records []spread.Record) []config.Record {
 	out := make([]config.Record, 0, len(records))
 	for _, r := range records {
 		if r.Kind == platformapi.KindTargets || r.Kind == kindLeaving {
@@ -50,14 +50,14 @@
 // revision, so without this each would keep to its own judgement for ever. All
 // take over what one has accepted, so both records come into force everywhere.
 // It needs the lock.
-func (s *Sync) contradict(records []config.Record) {
+func (s *Sync) publishNewerInForce(records []config.Record) {
 	for i := range records {
 		held, known := s.set.Get(records[i].Key)
-		if !known || held.Accepted || held.InForce.Revision <= accepted(records[i]) {
+		if !known || held.Accepted || held.InForce.Revision <= acceptedRevision(records[i]) {
 			continue
 		}
 		said := config.Record{Key: held.Key, Newest: held.InForce, Accepted: true}
-		for _, r := range toSpread([]config.Record{said}) {
+		for _, r := range encodeRecords([]config.Record{said}) {
 			r.Kind += inForceSuffix
 			s.outbox = append(s.outbox, r)
 		}
@@ -65,7 +65,7 @@
 }
 
 // accepted is the revision that a record says is in force, 0 for none.
-func accepted(r config.Record) uint64 {
+func acceptedRevision(r config.Record) uint64 {
 	if r.Accepted {
 		return r.Newest.Revision
 	}
--- a/daemon/confsync/helpers_test.go
+++ b/daemon/confsync/helpers_test.go
@@ -28,10 +28,10 @@
 // fleet is some instances on one store. A record that one spreads reaches those
 // that are not cut off at once.
 type fleet struct {
-	t     *testing.T
-	store *emulator.Store
-	ops   *emulator.Local
-	own   map[string]int // the operator's writes, by kind
+	t              *testing.T
+	store          *emulator.Store
+	ops            *emulator.Local
+	operatorWrites map[string]int // the operator's writes, by kind
 
 	mu        sync.Mutex
 	instances []*instance
@@ -44,18 +44,18 @@
 	stop  context.CancelFunc
 	table *spread.Table
 
-	mu       sync.Mutex
-	onCall   func() // before it asks a peer
-	cut      bool   // no peer reaches it, nor it a peer
-	dead     bool
-	targets  []platformapi.TargetEntry
-	leaving  []string
-	revision []uint64 // of each snapshot, in order
+	mu          sync.Mutex
+	onCall      func() // before it asks a peer
+	partitioned bool   // no peer reaches it, nor it a peer
+	killed      bool
+	targets     []platformapi.TargetEntry
+	leaving     []string
+	revisions   []uint64 // of each snapshot, in order
 }
 
 func newFleet(t *testing.T) *fleet {
 	store := emulator.New(emulator.Options{TargetLag: time.Millisecond})
-	f := &fleet{t: t, store: store, ops: store.Local("operator"), own: map[string]int{}}
+	f := &fleet{t: t, store: store, ops: store.Local("operator"), operatorWrites: map[string]int{}}
 	f.write("pools", "p", poolSpec)
 	f.write("tiers", "gold", tierSpec(900))
 	return f
@@ -84,7 +84,7 @@
 		store = wrap(store)
 	}
 	in.sync = confsync.New(confsync.Options{
-		Store: store, Spreader: in, Peers: in, WatcherRank: in.rank, Scope: tally.NoopScope,
+		Store: store, Publisher: in, Peers: in, WatcherRank: in.rank, Scope: tally.NoopScope,
 		OnSnapshot: in.onSnapshot, OnTargets: in.onTargets, OnLeaving: in.onLeaving,
 	})
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -98,22 +98,22 @@
 func (f *fleet) addN(n int) {
 	for range n {
 		f.add(nil)
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 }
 
 // pass lets virtual time go by.
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func (f *fleet) write(kind, name, spec string) uint64 {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: json.RawMessage(spec)}
-	f.own[kind]++
+	f.operatorWrites[kind]++
 	written, err := f.ops.Update(f.t.Context(), kind, object)
 	if errors.Is(err, platform.ErrNotFound) {
-		f.own[kind]++
+		f.operatorWrites[kind]++
 		written, err = f.ops.Create(f.t.Context(), kind, object)
 	}
 	require.NoError(f.t, err)
@@ -130,7 +130,7 @@
 
 // statusWrites counts the writes that are not the operator's.
 func (f *fleet) statusWrites(kind string) int {
-	return int(f.store.Calls().Kinds[kind].Writes) - f.own[kind]
+	return int(f.store.Calls().Kinds[kind].Writes) - f.operatorWrites[kind]
 }
 
 func (f *fleet) others(self *instance) []*instance {
@@ -139,7 +139,7 @@
 	var out []*instance
 	for _, in := range f.instances {
 		in.mu.Lock()
-		reached := in != self && !in.cut && !in.dead
+		reached := in != self && !in.partitioned && !in.killed
 		in.mu.Unlock()
 		if reached {
 			out = append(out, in)
@@ -155,14 +155,14 @@
 }
 
 func (in *instance) kill() {
-	in.set(func() { in.dead = true })
+	in.set(func() { in.killed = true })
 	in.stop()
 }
 
-func (in *instance) isCut() bool {
+func (in *instance) isolated() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.cut || in.dead
+	return in.partitioned || in.killed
 }
 
 // rank is the place among the first live instances.
@@ -175,7 +175,7 @@
 			break
 		}
 		other.mu.Lock()
-		if !other.dead {
+		if !other.killed {
 			place++
 		}
 		other.mu.Unlock()
@@ -186,29 +186,29 @@
 // Publish is the spreader: as cluster does, it tells the instance itself first.
 func (in *instance) Publish(records []spread.Record) {
 	for _, r := range records {
-		in.take(r)
+		in.receive(r)
 	}
 }
 
-func (in *instance) take(r spread.Record) {
+func (in *instance) receive(r spread.Record) {
 	in.mu.Lock()
-	news := !in.dead && in.table.Apply(r)
+	news := !in.killed && in.table.Apply(r)
 	in.mu.Unlock()
 	if !news {
 		return
 	}
 	in.sync.Receive([]spread.Record{r})
-	if in.isCut() {
+	if in.isolated() {
 		return
 	}
 	for _, other := range in.fleet.others(in) {
-		other.take(r)
+		other.receive(r)
 	}
 }
 
 func (in *instance) Others() []string {
 	var names []string
-	if !in.isCut() {
+	if !in.isolated() {
 		for _, other := range in.fleet.others(in) {
 			names = append(names, other.name)
 		}
@@ -224,7 +224,7 @@
 		onCall()
 	}
 	for _, other := range in.fleet.others(in) {
-		if other.name == name && !in.isCut() {
+		if other.name == name && !in.isolated() {
 			return other.sync.HandleSnapshot(body)
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 func (in *instance) onSnapshot(s *catalog.Snapshot) {
-	in.set(func() { in.revision = append(in.revision, s.Revision) })
+	in.set(func() { in.revisions = append(in.revisions, s.Revision) })
 }
 
 func (in *instance) onTargets(list []platformapi.TargetEntry) { in.set(func() { in.targets = list }) }
--- a/daemon/confsync/inforce_bench_test.go
+++ b/daemon/confsync/inforce_bench_test.go
@@ -29,7 +29,7 @@
 const (
 	benchInstances = 8
 	// givenUp ends the wait for a change that is never in force.
-	givenUp = 30 * time.Second
+	waitLimit = 30 * time.Second
 )
 
 // benchFleet is real clusters on loopback and a platform over HTTP.
@@ -40,7 +40,7 @@
 	watchers int
 	skip     float64
 	nodes    []*benchNode
-	made     int
+	created  int
 }
 
 type benchNode struct {
@@ -50,9 +50,9 @@
 	sync    *confsync.Sync
 	stop    func()
 
-	mu      sync.Mutex
-	inForce map[int64]time.Time // when a deadline of tier gold came in force
-	told    map[int64]time.Time // when a target was known to leave
+	mu        sync.Mutex
+	inForceAt map[int64]time.Time // when a deadline of tier gold came in force
+	leavingAt map[int64]time.Time // when a target was known to leave
 }
 
 // skippingStore leaves events out of watches at random.
@@ -78,13 +78,13 @@
 	for range benchInstances {
 		f.start()
 	}
-	f.whole()
+	f.awaitReady()
 	return f
 }
 
 func (f *benchFleet) start() {
-	n := &benchNode{fleet: f, name: fmt.Sprint("b", f.made), inForce: make(map[int64]time.Time), told: make(map[int64]time.Time)}
-	f.made++
+	n := &benchNode{fleet: f, name: fmt.Sprint("b", f.created), inForceAt: make(map[int64]time.Time), leavingAt: make(map[int64]time.Time)}
+	f.created++
 	var seeds []string
 	for _, other := range f.nodes {
 		seeds = append(seeds, other.cluster.Self().Address)
@@ -101,7 +101,7 @@
 	require.NoError(f.b, err)
 	store := skippingStore{platform.New(platform.Options{BaseURL: f.url, Instance: n.name}), f.skip}
 	n.sync = confsync.New(confsync.Options{
-		Store: store, Spreader: n, Peers: n, WatcherRank: n.rank, Scope: tally.NoopScope,
+		Store: store, Publisher: n, Peers: n, WatcherRank: n.rank, Scope: tally.NoopScope,
 		OnSnapshot: n.onSnapshot, OnTargets: func([]platformapi.TargetEntry) {},
 		OnLeaving: n.onLeaving,
 	})
@@ -122,8 +122,8 @@
 }
 
 // whole waits until all see each other and have a configuration.
-func (f *benchFleet) whole() {
-	ctx, cancel := context.WithTimeout(f.b.Context(), givenUp)
+func (f *benchFleet) awaitReady() {
+	ctx, cancel := context.WithTimeout(f.b.Context(), waitLimit)
 	defer cancel()
 	for _, n := range f.nodes {
 		require.NoError(f.b, n.cluster.WaitView(ctx, func(v *membership.View) bool { return len(v.Live()) == len(f.nodes) }))
@@ -168,7 +168,7 @@
 	if tier, ok := s.Tier("gold"); ok {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.inForce[tier.Deadline.Milliseconds()] = now
+		n.inForceAt[tier.Deadline.Milliseconds()] = now
 	}
 }
 
@@ -177,11 +177,11 @@
 	defer n.mu.Unlock()
 	var number int64
 	if _, err := fmt.Sscanf(incarnation, "t%d", &number); err == nil {
-		n.told[number] = time.Now()
+		n.leavingAt[number] = time.Now()
 	}
 }
 
-func (n *benchNode) since(times map[int64]time.Time, what int64) (time.Time, bool) {
+func (n *benchNode) timeOf(times map[int64]time.Time, what int64) (time.Time, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at, ok := times[what]
@@ -208,18 +208,18 @@
 
 // last waits until all nodes have a time of something and returns how long the
 // last of them took.
-func last(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, what int64, begun time.Time) time.Duration {
+func slowest(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, what int64, begun time.Time) time.Duration {
 	longest := time.Duration(0)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for _, n := range nodes {
-		at, ok := n.since(times(n), what)
-		for !ok && time.Since(begun) < givenUp {
+		at, ok := n.timeOf(times(n), what)
+		for !ok && time.Since(begun) < waitLimit {
 			<-poll.C
-			at, ok = n.since(times(n), what)
+			at, ok = n.timeOf(times(n), what)
 		}
 		if !ok {
-			return givenUp
+			return waitLimit
 		}
 		longest = max(longest, at.Sub(begun))
 	}
@@ -227,7 +227,7 @@
 }
 
 // pause lets changes fall on any moment of the watchers' rounds.
-func pause(least time.Duration) { <-time.After(least + rand.N(time.Second)) }
+func randomPause(least time.Duration) { <-time.After(least + rand.N(time.Second)) }
 
 // BenchmarkInForce measures the time from a write in the store until it is in
 // force on the last of eight instances.
@@ -260,15 +260,15 @@
 				}
 			}
 			f.store.SetFaults(emulator.Faults{Instances: others, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); pause(2 * time.Second) }},
+		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/store down for all watchers", watchers: confsync.Watchers, fault: func(f *benchFleet) {
 			watching := []string{f.watcher(0).name, f.watcher(1).name, f.watcher(2).name}
 			f.store.SetFaults(emulator.Faults{Instances: watching, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); pause(2 * time.Second) }},
+		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/the writer killed", watchers: confsync.Watchers, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.whole() }},
+			mend: func(f *benchFleet) { f.start(); f.awaitReady() }},
 		{name: "one/the writer killed", watchers: 1, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.whole() }},
+			mend: func(f *benchFleet) { f.start(); f.awaitReady() }},
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
@@ -278,13 +278,13 @@
 			calls, begun := f.store.Calls(), time.Now()
 			deadline := int64(1)
 			for b.Loop() {
-				pause(0)
+				randomPause(0)
 				deadline++
 				written := f.change(deadline)
 				if c.fault != nil {
 					c.fault(f)
 				}
-				took = append(took, last(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForce }, deadline, written))
+				took = append(took, slowest(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForceAt }, deadline, written))
 				if c.mend != nil {
 					c.mend(f)
 				}
@@ -304,13 +304,13 @@
 	var took []time.Duration
 	number := int64(0)
 	for b.Loop() {
-		pause(0)
+		randomPause(0)
 		number++
 		place := rand.IntN(len(f.nodes))
 		begun := time.Now()
 		f.nodes[place].sync.MarkLeaving(fmt.Sprint("t", number))
 		others := slices.Concat(f.nodes[:place], f.nodes[place+1:])
-		took = append(took, last(others, func(n *benchNode) map[int64]time.Time { return n.told }, number, begun))
+		took = append(took, slowest(others, func(n *benchNode) map[int64]time.Time { return n.leavingAt }, number, begun))
 	}
 	report(b, took)
 }
--- a/daemon/confsync/leaving.go
+++ b/daemon/confsync/leaving.go
@@ -14,8 +14,8 @@
 const kindLeaving = "leaving"
 
 const (
-	markSet     = 1
-	markDeleted = 2
+	markSetRevision     = 1
+	markDeletedRevision = 2
 )
 
 // Bounds of the marks.
@@ -38,32 +38,32 @@
 type leavingMarks struct {
 	// set holds when the target was last known to be listed, deleted when a
 	// mark was deleted.
-	set     map[string]time.Time
-	deleted map[string]time.Time
+	lastListed map[string]time.Time
+	deletedAt  map[string]time.Time
 }
 
 func newLeavingMarks() *leavingMarks {
-	return &leavingMarks{set: make(map[string]time.Time), deleted: make(map[string]time.Time)}
+	return &leavingMarks{lastListed: make(map[string]time.Time), deletedAt: make(map[string]time.Time)}
 }
 
 // add sets a mark and tells whether it is news.
 func (m *leavingMarks) add(now time.Time, incarnation string) bool {
-	_, known := m.set[incarnation]
-	_, gone := m.deleted[incarnation]
-	if known || gone || len(m.set) >= maxMarks {
+	_, known := m.lastListed[incarnation]
+	_, gone := m.deletedAt[incarnation]
+	if known || gone || len(m.lastListed) >= maxMarks {
 		return false
 	}
-	m.set[incarnation] = now
+	m.lastListed[incarnation] = now
 	return true
 }
 
 // remove deletes a mark and tells whether that is news.
 func (m *leavingMarks) remove(now time.Time, incarnation string) bool {
-	if _, known := m.set[incarnation]; !known {
+	if _, known := m.lastListed[incarnation]; !known {
 		return false
 	}
-	delete(m.set, incarnation)
-	m.deleted[incarnation] = now
+	delete(m.lastListed, incarnation)
+	m.deletedAt[incarnation] = now
 	return true
 }
 
@@ -71,16 +71,16 @@
 // returns them.
 func (m *leavingMarks) expire(now time.Time, listed func(string) bool) []string {
 	var expired []string
-	for incarnation, since := range m.set {
+	for incarnation, since := range m.lastListed {
 		if listed(incarnation) {
-			m.set[incarnation] = now
+			m.lastListed[incarnation] = now
 		} else if now.Sub(since) > markRetention && m.remove(now, incarnation) {
 			expired = append(expired, incarnation)
 		}
 	}
-	for incarnation, since := range m.deleted {
+	for incarnation, since := range m.deletedAt {
 		if now.Sub(since) > deletedRetention {
-			delete(m.deleted, incarnation)
+			delete(m.deletedAt, incarnation)
 		}
 	}
 	return expired
@@ -89,48 +89,48 @@
 // after returns the marks behind a name, in the order of names.
 func (m *leavingMarks) after(name string, limit int) []spread.Record {
 	var page []spread.Record
-	for _, next := range slices.Sorted(maps.Keys(m.set)) {
+	for _, next := range slices.Sorted(maps.Keys(m.lastListed)) {
 		if next > name && len(page) < limit {
-			page = append(page, mark(next))
+			page = append(page, markRecord(next))
 		}
 	}
 	return page
 }
 
-func mark(incarnation string) spread.Record {
-	return spread.Record{Kind: kindLeaving, Name: incarnation, Revision: markSet}
+func markRecord(incarnation string) spread.Record {
+	return spread.Record{Kind: kindLeaving, Name: incarnation, Revision: markSetRevision}
 }
 
 // MarkLeaving tells all instances that a target's incarnation is leaving, as it
 // said itself to this one. It costs nothing for one that is marked already.
 func (s *Sync) MarkLeaving(incarnation string) {
-	s.locked(func() {
+	s.withLock(func() {
 		if s.leaving.add(time.Now(), incarnation) {
-			s.outbox = append(s.outbox, mark(incarnation))
+			s.outbox = append(s.outbox, markRecord(incarnation))
 		}
 	})
 }
 
 // takeMark takes a mark that a peer has set or deleted. It needs the lock.
-func (s *Sync) takeMark(r spread.Record) {
+func (s *Sync) applyMark(r spread.Record) {
 	if r.Deleted {
 		s.leaving.remove(time.Now(), r.Name)
 		return
 	}
 	if s.leaving.add(time.Now(), r.Name) && s.opts.OnLeaving != nil {
-		s.told = append(s.told, r.Name)
-		s.metrics.leaving.Inc(1)
+		s.newlyLeaving = append(s.newlyLeaving, r.Name)
+		s.metrics.leavingByPeers.Inc(1)
 	}
 }
 
 // expireLeaving deletes old marks until the context ends. Every instance does
 // so: the tombstones are the same, and there is no duty to lose.
-func (s *Sync) expireLeaving(ctx context.Context) {
+func (s *Sync) expireMarks(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, expireInterval)
-		s.locked(func() {
-			for _, incarnation := range s.leaving.expire(time.Now(), s.targets.isLive) {
-				s.outbox = append(s.outbox, spread.Record{Kind: kindLeaving, Name: incarnation, Revision: markDeleted, Deleted: true})
+		s.withLock(func() {
+			for _, incarnation := range s.leaving.expire(time.Now(), s.targets.isListed) {
+				s.outbox = append(s.outbox, spread.Record{Kind: kindLeaving, Name: incarnation, Revision: markDeletedRevision, Deleted: true})
 			}
 		})
 	}
--- a/daemon/confsync/snapshot.go
+++ b/daemon/confsync/snapshot.go
@@ -13,8 +13,8 @@
 
 // Bounds of one page.
 const (
-	pageRecords = 512
-	pageBytes   = 512 << 10
+	maxPageRecords = 512
+	maxPageBytes   = 512 << 10
 )
 
 // HandleSnapshot answers a peer that starts; it is the handler of
@@ -39,11 +39,11 @@
 func (s *Sync) page(request configwire.PageRequest) (configwire.Page, error) {
 	switch request.Kind {
 	case platformapi.KindTargets:
-		return s.otherPage(s.targets.after(request.Name, pageRecords, pageBytes), platformapi.KindTargets, kindLeaving), nil
+		return s.otherPage(s.targets.after(request.Name, maxPageRecords, maxPageBytes), platformapi.KindTargets, kindLeaving), nil
 	case kindLeaving:
-		return s.otherPage(s.leaving.after(request.Name, pageRecords), kindLeaving, ""), nil
+		return s.otherPage(s.leaving.after(request.Name, maxPageRecords), kindLeaving, ""), nil
 	}
-	limit := config.PageLimit{Records: pageRecords, Bytes: pageBytes}
+	limit := config.PageLimit{Records: maxPageRecords, Bytes: maxPageBytes}
 	records, last, more := s.set.Records(request.Cursor(), limit, config.AllBuckets)
 	page := configwire.Page{Last: configwire.RequestAfter(last), More: true, AsOf: s.asOf()}
 	if !more {
@@ -76,7 +76,7 @@
 
 // asOf needs the lock. It is empty until this instance is complete itself.
 func (s *Sync) asOf() map[string]uint64 {
-	if !s.started || !s.set.Complete() {
+	if !s.bootstrapped || !s.set.Complete() {
 		return nil
 	}
 	out := make(map[string]uint64, len(config.Kinds)+1)
--- a/daemon/confsync/sync.go
+++ b/daemon/confsync/sync.go
@@ -31,10 +31,10 @@
 	watchGrace = 500 * time.Millisecond
 	// relistEvery is how often a watcher reads everything again, against a
 	// watch that skips a change. Each page of a list adds as much again.
-	relistEvery  = 2 * time.Second
-	roleInterval = 500 * time.Millisecond
-	retryMin     = 200 * time.Millisecond
-	retryMax     = 2 * time.Second
+	minRelistInterval = 2 * time.Second
+	followInterval    = 500 * time.Millisecond
+	retryMin          = 200 * time.Millisecond
+	retryMax          = 2 * time.Second
 )
 
 // failureLogLevel is the verbosity at which each failed round is logged.
@@ -46,7 +46,7 @@
 
 // Spreader passes records on to all instances; *cluster.Cluster is one. Publish
 // doesn't block.
-type Spreader interface {
+type Publisher interface {
 	Publish(records []spread.Record)
 }
 
@@ -59,9 +59,9 @@
 
 // Options are the parts that a Sync works with.
 type Options struct {
-	Store    platform.Store
-	Spreader Spreader
-	Peers    Peers
+	Store     platform.Store
+	Publisher Publisher
+	Peers     Peers
 	// WatcherRank returns this instance's place among the watchers, from 0,
 	// or false when it is none. Place 0 writes the verdicts to the store.
 	WatcherRank func() (rank int, ok bool)
@@ -78,15 +78,15 @@
 // Sync is the driver. Its methods are safe for concurrent use.
 type Sync struct {
 	opts     Options
-	current  atomic.Pointer[catalog.Snapshot]
+	inForce  atomic.Pointer[catalog.Snapshot]
 	complete atomic.Bool
 	ready    chan struct{}
 	verdicts *verdictWriter
 	metrics  metrics
 	// failing tells that the last round failed; only Run uses it.
-	failing bool
+	lastFailed bool
 	// pages is how many pages the last lists had; only Run uses it.
-	pages int
+	listPages int
 
 	mu      sync.Mutex
 	set     *config.Set
@@ -94,11 +94,11 @@
 	leaving *leavingMarks
 	// started is false until peers and store were both asked: until then
 	// nothing is published, lest the older of the two comes into force.
-	started bool
+	bootstrapped bool
 	// outbox holds what is to be spread once the lock is given back, told the
 	// incarnations that OnLeaving is to be told.
-	outbox []spread.Record
-	told   []string
+	outbox       []spread.Record
+	newlyLeaving []string
 }
 
 // New makes a driver that holds nothing yet.
@@ -116,7 +116,7 @@
 }
 
 // Snapshot returns the configuration in force, nil before the first one.
-func (s *Sync) Snapshot() *catalog.Snapshot { return s.current.Load() }
+func (s *Sync) Snapshot() *catalog.Snapshot { return s.inForce.Load() }
 
 // Ready is closed once a whole configuration is in force.
 func (s *Sync) Ready() <-chan struct{} { return s.ready }
@@ -125,15 +125,15 @@
 func (s *Sync) Run(ctx context.Context) error {
 	var drivers sync.WaitGroup
 	drivers.Go(func() { s.verdicts.run(ctx) })
-	drivers.Go(func() { s.expireLeaving(ctx) })
+	drivers.Go(func() { s.expireMarks(ctx) })
 	defer drivers.Wait()
 	pause := retryMin
 	for ctx.Err() == nil {
-		err := s.follow(ctx)
+		err := s.syncOnce(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		s.note(err, pause)
+		s.recordResult(err, pause)
 		if err == nil {
 			pause = retryMin
 			continue
@@ -146,28 +146,28 @@
 
 // note logs the first failed round of a series, and its end: while the store is
 // away for an hour, a line a round would hide everything else.
-func (s *Sync) note(err error, pause time.Duration) {
+func (s *Sync) recordResult(err error, pause time.Duration) {
 	switch {
-	case err == nil && s.failing:
+	case err == nil && s.lastFailed:
 		telemetry.InfoS("configuration is read again", telemetry.Event{})
-	case err != nil && !s.failing:
+	case err != nil && !s.lastFailed:
 		telemetry.ErrorS(err, "configuration not read; the one in force goes on", telemetry.Event{Reason: "store"})
 	case err != nil:
 		telemetry.DebugS(failureLogLevel, "configuration not read", telemetry.Event{Reason: "store", Elapsed: pause})
 	}
-	s.failing = err != nil
+	s.lastFailed = err != nil
 	if err != nil {
-		s.metrics.failed.Inc(1)
+		s.metrics.failures.Inc(1)
 	}
 }
 
 // follow does one round by the instance's role.
-func (s *Sync) follow(ctx context.Context) error {
+func (s *Sync) syncOnce(ctx context.Context) error {
 	if !s.complete.Load() {
 		return s.bootstrap(ctx)
 	}
 	if s.role() == follower {
-		return s.sample(ctx)
+		return s.listOccasionally(ctx)
 	}
 	return s.watch(ctx)
 }
@@ -175,11 +175,11 @@
 // sample waits a little and now and then lists the store, so that the followers
 // together do so about as often as one watcher. All watchers may have lost the
 // store while the followers have it, and a change would wait for their return.
-func (s *Sync) sample(ctx context.Context) error {
-	sleep(ctx, roleInterval)
+func (s *Sync) listOccasionally(ctx context.Context) error {
+	sleep(ctx, followInterval)
 	followers := max(1, len(s.opts.Peers.Others())+1-Watchers)
-	between := float64(s.untilList()) * float64(followers)
-	if ctx.Err() != nil || rand.Float64() > float64(roleInterval)/between {
+	between := float64(s.relistInterval()) * float64(followers)
+	if ctx.Err() != nil || rand.Float64() > float64(followInterval)/between {
 		return nil
 	}
 	_, err := s.list(ctx)
@@ -188,36 +188,36 @@
 
 // Receive takes records that a peer has spread.
 func (s *Sync) Receive(records []spread.Record) {
-	s.locked(func() {
-		s.applyRecords(fromSpread(records))
+	s.withLock(func() {
+		s.applyRecords(decodeRecords(records))
 		for _, r := range records {
-			s.takeOther(r)
+			s.applyOther(r)
 		}
-		s.publishTargets()
+		s.notifyTargets()
 	})
 }
 
 // takeOther takes a record that is no record of operators. It needs the lock.
-func (s *Sync) takeOther(r spread.Record) {
+func (s *Sync) applyOther(r spread.Record) {
 	switch r.Kind {
 	case platformapi.KindTargets:
 		s.targets.put(r.Name, r.Revision, r.Deleted, r.Body)
 	case kindLeaving:
-		s.takeMark(r)
+		s.applyMark(r)
 	}
 }
 
 // locked runs a step under the lock and spreads what it brought without it: the
 // spreader hands news back to Receive before it returns, which would wait for
 // the lock for ever.
-func (s *Sync) locked(step func()) {
+func (s *Sync) withLock(step func()) {
 	s.mu.Lock()
 	step()
-	news, told := s.outbox, s.told
-	s.outbox, s.told = nil, nil
+	news, told := s.outbox, s.newlyLeaving
+	s.outbox, s.newlyLeaving = nil, nil
 	s.mu.Unlock()
 	if len(news) > 0 {
-		s.opts.Spreader.Publish(news)
+		s.opts.Publisher.Publish(news)
 	}
 	for _, incarnation := range told {
 		s.opts.OnLeaving(incarnation)
@@ -236,18 +236,18 @@
 	if len(records) == 0 {
 		return
 	}
-	s.settle(s.set.Apply(records))
-	s.contradict(records)
+	s.publishChanges(s.set.Apply(records))
+	s.publishNewerInForce(records)
 }
 
 // settle publishes what a change of the set brought. It needs the lock.
-func (s *Sync) settle(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
-	s.outbox = append(s.outbox, toSpread(changed)...)
+func (s *Sync) publishChanges(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
+	s.outbox = append(s.outbox, encodeRecords(changed)...)
 	s.queueVerdicts(verdicts)
-	if !s.started || !s.set.Complete() {
+	if !s.bootstrapped || !s.set.Complete() {
 		return
 	}
-	if old := s.current.Swap(snapshot); old != snapshot {
+	if old := s.inForce.Swap(snapshot); old != snapshot {
 		s.metrics.revision.Update(float64(snapshot.Revision))
 		s.opts.OnSnapshot(snapshot)
 	}
@@ -257,8 +257,8 @@
 }
 
 // publishTargets needs the lock.
-func (s *Sync) publishTargets() {
-	if list, changed := s.targets.take(); changed {
+func (s *Sync) notifyTargets() {
+	if list, changed := s.targets.takeLive(); changed {
 		s.opts.OnTargets(list)
 	}
 }
--- a/daemon/confsync/targets.go
+++ b/daemon/confsync/targets.go
@@ -20,9 +20,9 @@
 	tombstones int
 	// floor is the revision at or below which an unknown target is one that
 	// was deleted: a full list, or a tombstone since forgotten, has shown it.
-	floor   uint64
-	news    map[string]struct{}
-	changed bool
+	floor       uint64
+	unsent      map[string]struct{}
+	liveChanged bool
 }
 
 type targetEntry struct {
@@ -33,7 +33,7 @@
 }
 
 func newTargetList() *targetList {
-	return &targetList{entries: make(map[string]targetEntry), news: make(map[string]struct{})}
+	return &targetList{entries: make(map[string]targetEntry), unsent: make(map[string]struct{})}
 }
 
 // put takes an entry unless it is an old one. A store that answers from the
@@ -57,8 +57,8 @@
 		l.tombstones--
 	}
 	l.entries[name] = entry
-	l.news[name] = struct{}{}
-	l.changed = true
+	l.unsent[name] = struct{}{}
+	l.liveChanged = true
 	l.prune()
 }
 
@@ -100,13 +100,13 @@
 	for _, name := range deleted[:len(deleted)/2] {
 		l.raiseFloor(l.entries[name].revision)
 		delete(l.entries, name)
-		delete(l.news, name)
+		delete(l.unsent, name)
 		l.tombstones--
 	}
 }
 
 // isLive tells whether the list has a target.
-func (l *targetList) isLive(name string) bool {
+func (l *targetList) isListed(name string) bool {
 	e, known := l.entries[name]
 	return known && !e.deleted
 }
@@ -133,22 +133,22 @@
 }
 
 // takeNews returns what changed since the last call, to be passed on.
-func (l *targetList) takeNews() []spread.Record {
-	news := make([]spread.Record, 0, len(l.news))
-	for name := range l.news {
+func (l *targetList) takeUnsent() []spread.Record {
+	news := make([]spread.Record, 0, len(l.unsent))
+	for name := range l.unsent {
 		news = append(news, l.record(name))
 	}
-	clear(l.news)
+	clear(l.unsent)
 	return news
 }
 
 // take returns the live entries when they changed since the last call.
-func (l *targetList) take() ([]platformapi.TargetEntry, bool) {
-	if !l.changed {
+func (l *targetList) takeLive() ([]platformapi.TargetEntry, bool) {
+	if !l.liveChanged {
 		return nil, false
 	}
-	l.changed = false
-	clear(l.news)
+	l.liveChanged = false
+	clear(l.unsent)
 	list := make([]platformapi.TargetEntry, 0, len(l.entries)-l.tombstones)
 	for _, e := range l.entries {
 		if !e.deleted {
--- a/daemon/confsync/targets_test.go
+++ b/daemon/confsync/targets_test.go
@@ -25,7 +25,7 @@
 		for range 3 {
 			f.instances[7].sync.MarkLeaving("t1")
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		for _, in := range f.instances[:7] {
 			assert.Equal(t, []string{"t1"}, in.leaving, in.name)
 		}
@@ -46,14 +46,14 @@
 			mark, _ = in.table.Get("leaving", "t1")
 			return mark
 		}
-		f.pass(time.Hour)
+		f.advance(time.Hour)
 		for _, in := range f.instances {
 			assert.Equal(t, uint64(1), held(in).Revision, "the target is still listed")
 		}
 		f.store.RemoveTarget("t1")
-		f.pass(5 * time.Minute)
+		f.advance(5 * time.Minute)
 		assert.False(t, held(f.instances[1]).Deleted, "the list may still bring it back")
-		f.pass(10 * time.Minute)
+		f.advance(10 * time.Minute)
 		for _, in := range f.instances {
 			assert.True(t, held(in).Deleted, in.name)
 		}
@@ -71,7 +71,7 @@
 		for i := range 6000 {
 			f.instances[0].sync.MarkLeaving(fmt.Sprint("t", i))
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		assert.Len(t, f.instances[1].leaving, 4096)
 	})
 }
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		in := f.add(nil)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		body := []byte(`{"pool":"p","incarnation":"t0"}`)
 		put := func(name string, revision uint64, deleted bool) {
 			in.sync.Receive([]spread.Record{{Kind: platformapi.KindTargets, Name: name, Revision: revision, Deleted: deleted, Body: body}})
@@ -94,12 +94,12 @@
 		put("t0", 100, false)
 		put("t5999", 100, false)
 		assert.Empty(t, in.targets)
-		assert.LessOrEqual(t, handedOn(t, in), 4096)
+		assert.LessOrEqual(t, countSnapshotTargets(t, in), 4096)
 	})
 }
 
 // handedOn counts the targets, tombstones included, that a new peer would get.
-func handedOn(t *testing.T, in *instance) (count int) {
+func countSnapshotTargets(t *testing.T, in *instance) (count int) {
 	request := configwire.PageRequest{}
 	for {
 		question, err := msgpack.Marshal(&request)
--- a/daemon/confsync/verdicts.go
+++ b/daemon/confsync/verdicts.go
@@ -19,8 +19,8 @@
 // Bounds of the writing of verdicts: operators wait for one, but a change of
 // thousands of records must not take the store's writes from the claims.
 const (
-	verdictInterval = 50 * time.Millisecond
-	maxVerdicts     = 65536
+	verdictInterval   = 50 * time.Millisecond
+	maxQueuedVerdicts = 65536
 )
 
 // verdictWriter writes each record's verdict to its status, once. Only the
@@ -47,10 +47,10 @@
 }
 
 // add has a verdict written unless a newer one of the record waits.
-func (w *verdictWriter) add(v config.Verdict) {
+func (w *verdictWriter) enqueue(v config.Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting(v.Key).Revision > v.Revision {
+	if w.queued(v.Key).Revision > v.Revision {
 		return
 	}
 	delete(w.refused, v.Key)
@@ -59,14 +59,14 @@
 	if v.Accepted {
 		due = w.accepted
 	}
-	if len(due) < maxVerdicts {
+	if len(due) < maxQueuedVerdicts {
 		due[v.Key] = v
 	}
-	w.report()
+	w.updateMetrics()
 }
 
 // waiting needs the lock.
-func (w *verdictWriter) waiting(key config.Key) config.Verdict {
+func (w *verdictWriter) queued(key config.Key) config.Verdict {
 	if v, ok := w.refused[key]; ok {
 		return v
 	}
@@ -74,7 +74,7 @@
 }
 
 // report needs the lock.
-func (w *verdictWriter) report() {
+func (w *verdictWriter) updateMetrics() {
 	w.metrics.verdictsDue.Update(float64(len(w.refused) + len(w.accepted)))
 }
 
@@ -85,25 +85,25 @@
 	defer w.mu.Unlock()
 	clear(w.refused)
 	clear(w.accepted)
-	w.report()
+	w.updateMetrics()
 }
 
 // run writes due verdicts one by one until the context ends.
 func (w *verdictWriter) run(ctx context.Context) {
 	for sleep(ctx, verdictInterval); ctx.Err() == nil; sleep(ctx, verdictInterval) {
-		if v, ok := w.next(); ok {
+		if v, ok := w.dequeue(); ok {
 			w.write(ctx, v)
 		}
 	}
 }
 
-func (w *verdictWriter) next() (config.Verdict, bool) {
+func (w *verdictWriter) dequeue() (config.Verdict, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, due := range []map[config.Key]config.Verdict{w.refused, w.accepted} {
 		for key, v := range due {
 			delete(due, key)
-			w.report()
+			w.updateMetrics()
 			return v, true
 		}
 	}
@@ -114,11 +114,11 @@
 // store doesn't take now is tried again.
 func (w *verdictWriter) write(ctx context.Context, v config.Verdict) {
 	err := w.tryWrite(ctx, v)
-	if err == nil || nothingToWrite(err) {
+	if err == nil || isObsoleteWrite(err) {
 		return
 	}
-	w.metrics.failed.Inc(1)
-	w.add(v)
+	w.metrics.failures.Inc(1)
+	w.enqueue(v)
 	sleep(ctx, retryMax)
 }
 
@@ -142,7 +142,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write verdict")
 	}
-	w.metrics.verdicts.Inc(1)
+	w.metrics.verdictsWritten.Inc(1)
 	if !v.Accepted {
 		telemetry.InfoS("record refused", telemetry.Event{Record: string(v.Kind) + "/" + v.Name, Revision: v.Revision})
 	}
@@ -150,7 +150,7 @@
 }
 
 // writes tells whether this instance writes the verdicts now.
-func (s *Sync) writes() bool {
+func (s *Sync) isVerdictWriter() bool {
 	rank, ok := s.opts.WatcherRank()
 	return ok && rank == 0
 }
@@ -158,21 +158,21 @@
 // queueVerdicts has verdicts that changed written, if this instance is the one
 // that writes them. It needs the lock.
 func (s *Sync) queueVerdicts(verdicts []config.Verdict) {
-	if !s.writes() {
+	if !s.isVerdictWriter() {
 		return
 	}
 	for _, v := range verdicts {
 		if !v.Deleted {
-			s.verdicts.add(v)
+			s.verdicts.enqueue(v)
 		}
 	}
 }
 
 // compareStatus has the verdict on an object written that its status lacks: one
 // that the writer before could not write any more. It needs the lock.
-func (s *Sync) compareStatus(kind string, object *platformapi.Object) {
+func (s *Sync) queueMissingVerdict(kind string, object *platformapi.Object) {
 	key := config.Key{Kind: catalog.RecordKind(kind), Name: object.Metadata.Name}
 	if v, judged := s.set.Verdict(key); judged && record.NeedsStatus(object, v) {
-		s.verdicts.add(v)
+		s.verdicts.enqueue(v)
 	}
 }
--- a/daemon/confsync/verdicts_test.go
+++ b/daemon/confsync/verdicts_test.go
@@ -31,24 +31,24 @@
 		var writer atomic.Int64
 		for i := 1; i < 4; i++ {
 			f.add(func(s platform.Store) platform.Store {
-				return racingStore{s, func(error) { assert.Equal(t, int64(i), writer.Load(), "only one instance writes") }}
+				return observedStore{s, func(error) { assert.Equal(t, int64(i), writer.Load(), "only one instance writes") }}
 			})
 		}
 		const many = 1000
 		for i := range many {
 			f.write("accounts", fmt.Sprint("a", i), accountSpec("gold", i+1))
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"))
 		f.instances[0].kill()
 		writer.Store(1)
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		f.add(nil)
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"), "after a change of the writer")
 		f.write("tiers", "gold", tierSpec(700))
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"), "after a change of a tier that all use")
 	})
 }
@@ -61,9 +61,9 @@
 		f := newFleet(t)
 		f.write("accounts", "demo", accountSpec("gold", 1))
 		f.addN(3)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.write("accounts", "demo", accountSpec("ruby", 1))
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		status, state := f.status("accounts", "demo")
 		assert.Equal(t, record.StateRefused, state)
 		assert.Contains(t, status.Reason, "tier ruby does not exist")
@@ -72,7 +72,7 @@
 			in.kill()
 		}
 		alone := f.add(nil)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		account, ok := alone.sync.Snapshot().Accounts.Get("demo")
 		require.True(t, ok)
 		assert.Equal(t, "gold", account.Tier)
@@ -97,9 +97,9 @@
 				f.write("tiers", "gold", tierSpec(700))
 				synctest.Wait() // all have judged, nothing is written yet
 				fail(f)
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				f.store.SetFaults(emulator.Faults{})
-				f.pass(2 * inForceBound)
+				f.advance(2 * inForceBound)
 				_, state := f.status("tiers", "gold")
 				assert.Equal(t, record.StateAccepted, state)
 				assert.LessOrEqual(t, f.statusWrites("tiers"), 5, "a storm")
@@ -109,17 +109,17 @@
 }
 
 // racingStore tells of each write of a status, before and after.
-type racingStore struct {
+type observedStore struct {
 	platform.Store
-	on func(err error)
+	onWrite func(err error)
 }
 
-var errBefore = errors.New("not yet written")
+var errNotYetWritten = errors.New("not yet written")
 
-func (r racingStore) UpdateStatus(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
-	r.on(errBefore)
+func (r observedStore) UpdateStatus(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
+	r.onWrite(errNotYetWritten)
 	written, err := r.Store.UpdateStatus(ctx, kind, o)
-	r.on(err)
+	r.onWrite(err)
 	return written, err
 }
 
@@ -130,19 +130,19 @@
 		f := newFleet(t)
 		good, raced := false, []error{}
 		f.add(func(s platform.Store) platform.Store {
-			return racingStore{s, func(err error) {
+			return observedStore{s, func(err error) {
 				_, missing := f.ops.Get(t.Context(), "accounts", "demo")
-				if missing == nil && err == errBefore && !good {
+				if missing == nil && err == errNotYetWritten && !good {
 					good = true
 					f.write("accounts", "demo", accountSpec("gold", 2))
-				} else if good && err != errBefore {
+				} else if good && err != errNotYetWritten {
 					raced = append(raced, err)
 				}
 			}}
 		})
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.write("accounts", "demo", accountSpec("ruby", 1))
-		f.pass(2 * inForceBound)
+		f.advance(2 * inForceBound)
 		var conflict *platform.ConflictError
 		require.Len(t, raced, 2)
 		assert.ErrorAs(t, raced[0], &conflict)
@@ -160,28 +160,28 @@
 		f := newFleet(t)
 		f.write("pipelines", "chat.v1", pipelineSpec(100))
 		f.addN(4)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		apart := f.instances[3]
-		apart.set(func() { apart.cut = true })
+		apart.set(func() { apart.partitioned = true })
 		f.store.SetFaults(emulator.Faults{Instances: []string{apart.name}, Down: emulator.FailRefuse})
 		f.write("tiers", "gold", tierSpec(300))
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		revision := f.write("pipelines", "chat.v1", pipelineSpec(800))
 		first := config.LiveRecord(config.Key{Kind: "pipelines", Name: "chat.v1"}, revision, []byte(pipelineSpec(800)))
 		body, err := configwire.EncodeRecord(first)
 		require.NoError(t, err)
-		apart.take(spread.Record{Kind: "pipelines", Name: "chat.v1", Revision: revision, Body: body})
-		f.pass(inForceBound)
+		apart.receive(spread.Record{Kind: "pipelines", Name: "chat.v1", Revision: revision, Body: body})
+		f.advance(inForceBound)
 		assert.Equal(t, int64(900), apart.deadline(), "it has not heard of the tier")
 
 		f.store.SetFaults(emulator.Faults{})
-		apart.set(func() { apart.cut = false })
+		apart.set(func() { apart.partitioned = false })
 		for _, key := range [][2]string{{"tiers", "gold"}, {"pipelines", "chat.v1"}} {
 			r, ok := f.instances[0].table.Get(key[0], key[1])
 			require.True(t, ok)
-			apart.take(r)
+			apart.receive(r)
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		for _, in := range f.instances {
 			p, ok := in.sync.Snapshot().Pipeline("chat", 1)
 			require.True(t, ok)
--- a/daemon/confsync/watch.go
+++ b/daemon/confsync/watch.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	until := time.Now().Add(s.untilList())
+	until := time.Now().Add(s.relistInterval())
 	for time.Now().Before(until) && ctx.Err() == nil && s.role() == role {
 		changes, err := s.watchOnce(ctx, from, min(watchWait, time.Until(until)))
 		if errors.Is(err, platform.ErrCompacted) {
@@ -77,7 +77,9 @@
 const pageSize = platformapi.MaxPageItems
 
 // untilList is the time between two lists of everything.
-func (s *Sync) untilList() time.Duration { return time.Duration(1+s.pages) * relistEvery }
+func (s *Sync) relistInterval() time.Duration {
+	return time.Duration(1+s.listPages) * minRelistInterval
+}
 
 // list reads all watched kinds and returns the least revision of the lists, to
 // watch from.
@@ -88,13 +90,13 @@
 		if err != nil {
 			return 0, errors.Wrapf(err, "list %s", kind)
 		}
-		s.locked(func() { s.mergeList(kind, list) })
+		s.withLock(func() { s.mergeList(kind, list) })
 		if i == 0 || list.Revision < from {
 			from = list.Revision
 		}
 		pages += len(list.Items) / pageSize
 	}
-	s.pages = pages
+	s.listPages = pages
 	return from, nil
 }
 
@@ -102,25 +104,25 @@
 func (s *Sync) mergeList(kind string, list platformapi.List) {
 	if kind == platformapi.KindTargets {
 		s.targets.applyList(list)
-		s.spreadTargets()
+		s.gossipTargets()
 		return
 	}
 	records := make([]config.Record, 0, len(list.Items))
 	for i := range list.Items {
 		records = append(records, record.FromObject(catalog.RecordKind(kind), &list.Items[i]))
 	}
-	s.settle(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
-	s.contradict(records)
-	if !s.writes() {
+	s.publishChanges(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
+	s.publishNewerInForce(records)
+	if !s.isVerdictWriter() {
 		return
 	}
 	for i := range list.Items {
-		s.compareStatus(kind, &list.Items[i])
+		s.queueMissingVerdict(kind, &list.Items[i])
 	}
 }
 
 func (s *Sync) applyEvents(events []platformapi.Event) {
-	s.locked(func() { s.mergeEvents(events) })
+	s.withLock(func() { s.mergeEvents(events) })
 }
 
 // mergeEvents needs the lock.
@@ -135,20 +137,20 @@
 		records = append(records, record.FromEvent(catalog.RecordKind(e.Kind), e))
 	}
 	s.applyRecords(records)
-	s.spreadTargets()
-	if !s.writes() {
+	s.gossipTargets()
+	if !s.isVerdictWriter() {
 		return
 	}
 	for i := range events {
 		if e := &events[i]; !e.Deleted && e.Kind != platformapi.KindTargets {
-			s.compareStatus(e.Kind, &e.Object)
+			s.queueMissingVerdict(e.Kind, &e.Object)
 		}
 	}
 }
 
 // spreadTargets passes what is new in the list of targets on to the peers and
 // to the router. It needs the lock.
-func (s *Sync) spreadTargets() {
-	s.outbox = append(s.outbox, s.targets.takeNews()...)
-	s.publishTargets()
+func (s *Sync) gossipTargets() {
+	s.outbox = append(s.outbox, s.targets.takeUnsent()...)
+	s.notifyTargets()
 }
--- a/daemon/confsync/watch_test.go
+++ b/daemon/confsync/watch_test.go
@@ -28,22 +28,22 @@
 			f.store.SetFaults(emulator.Faults{Instances: []string{"i0", "i1"}, Down: emulator.FailRefuse})
 		},
 		"writer and next killed": func(f *fleet) { f.instances[0].kill(); f.instances[1].kill() },
-		"a watcher parted":       func(f *fleet) { f.instances[0].set(func() { f.instances[0].cut = true }) },
+		"a watcher parted":       func(f *fleet) { f.instances[0].set(func() { f.instances[0].partitioned = true }) },
 	}
 	for name, fail := range cases {
 		t.Run(name, func(t *testing.T) {
 			eachPhase(t, func(t *testing.T, phase time.Duration) {
 				f := newFleet(t)
 				f.addN(8)
-				f.pass(inForceBound + phase)
+				f.advance(inForceBound + phase)
 				fail(f)
 				f.write("tiers", "gold", tierSpec(700))
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				for _, in := range f.instances {
-					if !in.dead {
+					if !in.killed {
 						assert.Equal(t, int64(700), in.deadline(), in.name)
 					}
-					assert.IsNonDecreasing(t, in.revision, in.name)
+					assert.IsNonDecreasing(t, in.revisions, in.name)
 				}
 			})
 		})
@@ -66,26 +66,26 @@
 		f.write("accounts", "demo", accountSpec("gold", 1))
 		f.store.RegisterTarget(target("t1"))
 		f.addN(4)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		assert.True(t, f.instances[3].hasTarget("t1"))
 
 		f.write("tiers", "gold", tierSpec(700))
 		assert.NoError(t, f.ops.Delete(t.Context(), "accounts", "demo", 0))
 		f.store.RemoveTarget("t1")
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.store.RegisterTarget(target("t2"))
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		f.store.SetFaults(emulator.Faults{StaleBy: 12})
 		f.addN(1) // born while the store answers from the past
-		f.pass(2 * inForceBound)
+		f.advance(2 * inForceBound)
 		f.instances[0].kill()
-		f.pass(2 * inForceBound)
+		f.advance(2 * inForceBound)
 		for _, in := range f.instances {
 			assert.Equal(t, int64(700), in.deadline(), in.name)
 			assert.Zero(t, in.sync.Snapshot().Accounts.Len(), in.name)
 			assert.False(t, in.hasTarget("t1"), in.name)
 			assert.True(t, in.hasTarget("t2"), in.name)
-			assert.IsNonDecreasing(t, in.revision, in.name)
+			assert.IsNonDecreasing(t, in.revisions, in.name)
 		}
 	})
 }
@@ -96,16 +96,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.addN(8)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.store.SetFaults(emulator.Faults{Instances: []string{"i0", "i1", "i2"}, Down: emulator.FailRefuse})
 		f.write("tiers", "gold", tierSpec(700))
-		f.pass(time.Minute) // 2 s on average
+		f.advance(time.Minute) // 2 s on average
 		for _, in := range f.instances {
 			assert.Equal(t, int64(700), in.deadline(), in.name)
 		}
 		before := f.store.Calls().Reads
 		f.store.SetFaults(emulator.Faults{})
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Less(t, f.store.Calls().Reads-before, uint64(60*20), "few calls, whoever makes them")
 	})
 }
@@ -117,12 +117,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.addN(4)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		far := f.instances[3]
-		far.set(func() { far.cut = true })
+		far.set(func() { far.partitioned = true })
 		f.write("accounts", "demo", accountSpec("gold", 1))
 		f.write("tiers", "gold", tierSpec(700))
-		f.pass(10 * time.Millisecond) // before it asks for itself
+		f.advance(10 * time.Millisecond) // before it asks for itself
 		later, ok := f.instances[0].table.Get("tiers", "gold")
 		assert.True(t, ok)
 		earlier, ok := f.instances[0].table.Get("accounts", "demo")
@@ -132,13 +132,13 @@
 			t.Fatal("the instance has heard of the change already")
 		}
 		far.sync.Receive([]spread.Record{later})
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		assert.Equal(t, int64(700), far.deadline())
 		assert.Zero(t, far.sync.Snapshot().Accounts.Len())
 		far.sync.Receive([]spread.Record{earlier})
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		assert.Equal(t, int64(700), far.deadline())
 		assert.Equal(t, 1, far.sync.Snapshot().Accounts.Len())
-		assert.IsNonDecreasing(t, far.revision)
+		assert.IsNonDecreasing(t, far.revisions)
 	})
 }
--- a/daemon/discovery/discovery.go
+++ b/daemon/discovery/discovery.go
@@ -35,11 +35,11 @@
 	targets  []platformapi.TargetEntry
 	loaded   map[string]weights
 	// handed is what was handed to the router last, by pool.
-	handed map[string]handed
+	published map[string]publishedPool
 }
 
 // handed is a pool and its targets as the router has them.
-type handed struct {
+type publishedPool struct {
 	pool    catalog.Pool
 	entries []platformapi.TargetEntry
 }
@@ -47,11 +47,11 @@
 // New makes a discovery that knows nothing yet.
 func New(router Router, gates Gates, now func() time.Time) *Discovery {
 	return &Discovery{
-		router: router,
-		gates:  gates,
-		now:    now,
-		loaded: make(map[string]weights),
-		handed: make(map[string]handed),
+		router:    router,
+		gates:     gates,
+		now:       now,
+		loaded:    make(map[string]weights),
+		published: make(map[string]publishedPool),
 	}
 }
 
@@ -60,7 +60,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.snapshot = s
-	d.update()
+	d.publishChanges()
 }
 
 // SetTargets takes the platform's whole list.
@@ -68,8 +68,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.targets = targets
-	d.forget()
-	d.update()
+	d.pruneLoaded()
+	d.publishChanges()
 }
 
 // SetLoaded takes what an engine says that it has loaded.
@@ -83,10 +83,10 @@
 	d.loaded[incarnation] = weights{models: models, adapters: adapters}
 	for _, t := range d.targets {
 		if t.Incarnation == incarnation {
-			delete(d.handed, t.Pool)
+			delete(d.published, t.Pool)
 		}
 	}
-	d.update()
+	d.publishChanges()
 }
 
 // Engines returns the listed engines; keep chooses among them.
@@ -108,7 +108,7 @@
 
 // forget drops the weights of engines that are not listed any more. It needs
 // the lock.
-func (d *Discovery) forget() {
+func (d *Discovery) pruneLoaded() {
 	listed := make(map[string]bool, len(d.targets))
 	for _, t := range d.targets {
 		listed[t.Incarnation] = true
@@ -125,7 +125,7 @@
 // Guard: each change of the list comes alone. When a data centre with hundreds
 // of targets is lost, handing on all pools for each one would rank all targets
 // as often, and keep a core busy for seconds just when requests must be moved.
-func (d *Discovery) update() {
+func (d *Discovery) publishChanges() {
 	if d.snapshot == nil {
 		return
 	}
@@ -135,21 +135,21 @@
 	}
 	for name, pool := range d.snapshot.Pools {
 		entries := byPool[name]
-		old, known := d.handed[name]
+		old, known := d.published[name]
 		if known && old.pool == *pool && slices.Equal(old.entries, entries) {
 			continue
 		}
-		d.handed[name] = handed{pool: *pool, entries: entries}
-		d.updatePool(pool, entries)
+		d.published[name] = publishedPool{pool: *pool, entries: entries}
+		d.publishPool(pool, entries)
 	}
 }
 
-func (d *Discovery) updatePool(pool *catalog.Pool, entries []platformapi.TargetEntry) {
+func (d *Discovery) publishPool(pool *catalog.Pool, entries []platformapi.TargetEntry) {
 	now := d.now()
 	targets := make([]routing.Target, 0, len(entries))
 	slots := 0
 	for _, e := range entries {
-		serves := d.serves(pool, e.Incarnation)
+		serves := d.effectiveWeights(pool, e.Incarnation)
 		targets = append(targets, routing.Target{
 			Incarnation: e.Incarnation,
 			Pool:        pool.Name,
@@ -159,7 +159,7 @@
 			Models:      serves.models,
 			Adapters:    serves.adapters,
 		})
-		if e.State == platformapi.TargetReady && !serves.noModel() {
+		if e.State == platformapi.TargetReady && !serves.hasNoModel() {
 			slots += pool.Slots
 		}
 	}
--- a/daemon/discovery/marking.go
+++ b/daemon/discovery/marking.go
@@ -10,14 +10,14 @@
 // that says it is leaving is taken out here and marked for all other instances,
 // which would otherwise have to hear it from the target or from the platform's
 // list, and that lags by seconds.
-type Marking struct {
+type MarkingTable struct {
 	*routing.Table
 	// Mark tells the other instances; it must not block.
-	Mark func(incarnation string)
+	MarkLeaving func(incarnation string)
 }
 
 // Leaving takes a target out and marks it.
-func (m Marking) Leaving(now time.Time, incarnation string) {
+func (m MarkingTable) Leaving(now time.Time, incarnation string) {
 	m.Table.Leaving(now, incarnation)
-	m.Mark(incarnation)
+	m.MarkLeaving(incarnation)
 }
--- a/daemon/discovery/marking_test.go
+++ b/daemon/discovery/marking_test.go
@@ -17,7 +17,7 @@
 	table := routing.New(routing.Config{Instance: "one", LocalDataCentre: "a"})
 	table.SetTargets(now, routing.Pool{Name: "p"}, []routing.Target{{Incarnation: "t1", Pool: "p", DataCentre: "a", Slots: 1}})
 	var marked []string
-	marking := discovery.Marking{Table: table, Mark: func(incarnation string) { marked = append(marked, incarnation) }}
+	marking := discovery.MarkingTable{Table: table, MarkLeaving: func(incarnation string) { marked = append(marked, incarnation) }}
 	marking.Leaving(now, "t1")
 	assert.Equal(t, []string{"t1"}, marked)
 	assert.True(t, table.Stats(now).Targets[0].Leaving)
--- a/daemon/orders/group.go
+++ b/daemon/orders/group.go
@@ -17,13 +17,13 @@
 
 // followEvery is the time between two looks at the configuration and at the
 // instances that compete for leases.
-const followEvery = 500 * time.Millisecond
+const updateInterval = 500 * time.Millisecond
 
 // GroupOptions configure a Group. All but Keeper's own fields are required.
 type GroupOptions struct {
 	// Keeper holds what all keepers share. Its Holder names the incarnation;
 	// Pool, Members, ChecksFencing and DownloadSlots are set by the Group.
-	Keeper Options
+	Controller Options
 	// Snapshot returns the configuration in force, nil before there is one.
 	Snapshot func() *catalog.Snapshot
 	// Members returns the live targets of a pool.
@@ -40,19 +40,19 @@
 type Group struct {
 	opts GroupOptions
 
-	mu      sync.Mutex
-	keepers map[string]*kept
+	mu          sync.Mutex
+	controllers map[string]*runningController
 	// started counts the keepers; it makes their holders' names unique.
-	started int
-	stopped bool
-	running sync.WaitGroup
+	startCount int
+	stopped    bool
+	running    sync.WaitGroup
 }
 
 // kept is a keeper that runs.
-type kept struct {
-	keeper *Keeper
-	stop   context.CancelFunc
-	pool   *catalog.Pool
+type runningController struct {
+	controller *Controller
+	stop       context.CancelFunc
+	pool       *catalog.Pool
 }
 
 // NewGroup returns a Group that does nothing before Run.
@@ -60,15 +60,15 @@
 	if opts.WeightSlots == 0 {
 		opts.WeightSlots = DefaultWeightSlots
 	}
-	return &Group{opts: opts, keepers: make(map[string]*kept)}
+	return &Group{opts: opts, controllers: make(map[string]*runningController)}
 }
 
 // Run follows the configuration until ctx ends, then hands the leases over.
 func (g *Group) Run(ctx context.Context) error {
-	ticker := time.NewTicker(followEvery)
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
 	for {
-		g.follow(ctx)
+		g.update(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 // HandOver gives all leases up for good, at a planned stop, and waits for it at
 // most until ctx ends. A lease under which an order may still be under way is
 // left to lapse.
-func (g *Group) HandOver(ctx context.Context) error {
+func (g *Group) ReleaseLeases(ctx context.Context) error {
 	g.stopAll()
 	done := make(chan struct{})
 	go func() {
@@ -101,37 +101,37 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopped = true
-	for _, k := range g.keepers {
+	for _, k := range g.controllers {
 		k.stop()
 	}
 }
 
 // follow starts, tells and stops keepers as the configuration and the other
 // instances have it now.
-func (g *Group) follow(ctx context.Context) {
-	wanted := g.wanted()
+func (g *Group) update(ctx context.Context) {
+	wanted := g.poolsToRun()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped || wanted == nil {
 		return
 	}
-	for name, k := range g.keepers {
+	for name, k := range g.controllers {
 		if wanted[name] == nil {
 			k.stop()
 		}
 	}
 	for name, pool := range wanted {
-		k, runs := g.keepers[name]
+		k, runs := g.controllers[name]
 		if !runs {
 			k = g.start(ctx, name)
 		}
-		k.follow(pool)
+		k.update(pool)
 	}
 }
 
 // wanted returns the pools that this instance shall compete for; nil before
 // there is a configuration.
-func (g *Group) wanted() map[string]*catalog.Pool {
+func (g *Group) poolsToRun() map[string]*catalog.Pool {
 	snapshot := g.opts.Snapshot()
 	if snapshot == nil {
 		return nil
@@ -148,34 +148,34 @@
 // start needs the lock. Guard: each keeper has a holder's name of its own. One
 // that took up the lease of an earlier keeper of this instance would know
 // nothing of that one's orders, and its write numbers would begin again.
-func (g *Group) start(ctx context.Context, name string) *kept {
-	g.started++
-	options := g.opts.Keeper
-	options.Holder = fmt.Sprintf("%s-%d", options.Holder, g.started)
+func (g *Group) start(ctx context.Context, name string) *runningController {
+	g.startCount++
+	options := g.opts.Controller
+	options.Holder = fmt.Sprintf("%s-%d", options.Holder, g.startCount)
 	options.Pool = name
 	options.Members = func() []Member { return g.opts.Members(name) }
-	options.DownloadSlots = g.share
+	options.DownloadSlots = g.downloadSlots
 	options.ChecksFencing = func() bool { return g.checksFencing(name) }
 	ctx, cancel := context.WithCancel(ctx)
-	k := &kept{keeper: New(options), stop: cancel}
-	g.keepers[name] = k
+	k := &runningController{controller: New(options), stop: cancel}
+	g.controllers[name] = k
 	g.running.Go(func() {
 		defer cancel()
-		_ = k.keeper.Run(ctx) // it ends with its context
+		_ = k.controller.Run(ctx) // it ends with its context
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.keepers, name)
+		delete(g.controllers, name)
 	})
 	return k
 }
 
 // follow tells the keeper of a changed pool.
-func (k *kept) follow(pool *catalog.Pool) {
+func (k *runningController) update(pool *catalog.Pool) {
 	if k.pool != nil && k.pool.Revision == pool.Revision {
 		return
 	}
 	d := pool.Desired
-	err := k.keeper.SetDesired(Desired{
+	err := k.controller.SetDesired(Desired{
 		Revision: pool.Revision, Models: d.Models, Adapters: d.Adapters, Version: d.Version, Role: d.Role,
 	})
 	if err != nil {
@@ -196,7 +196,7 @@
 
 // share is how much of the weight store's rate limit one pool has. All
 // instances work it out from the same configuration, so no message is needed.
-func (g *Group) share() int {
+func (g *Group) downloadSlots() int {
 	snapshot := g.opts.Snapshot()
 	pools := 0
 	if snapshot != nil {
--- a/daemon/orders/keeper.go
+++ b/daemon/orders/keeper.go
@@ -27,7 +27,7 @@
 
 // Targets reads the state of targets and gives them orders. The client of
 // package transport/target is one.
-type Targets interface {
+type TargetClient interface {
 	Load(ctx context.Context, address string) (targetapi.Load, error)
 	Order(ctx context.Context, address string, order targetapi.Order) (targetapi.Load, error)
 }
@@ -56,7 +56,7 @@
 	Holder  string
 	Pool    string
 	Store   Store
-	Targets Targets
+	Client  TargetClient
 	Members func() []Member
 	// ChecksFencing tells whether the pool's targets refuse old numbers.
 	ChecksFencing func() bool
@@ -64,9 +64,9 @@
 	// pool's share of what the weight store's rate limit allows. It is asked
 	// once a round.
 	DownloadSlots func() int
-	Terms         lease.Timing
+	Timing        lease.Timing
 	// CheckEvery is the time between two comparisons with the targets.
-	CheckEvery time.Duration
+	CheckInterval time.Duration
 	// StoreTimeout bounds one call to the store.
 	StoreTimeout time.Duration
 	// Now is the clock; it must run while the process is paused. The default
@@ -77,7 +77,7 @@
 
 // Defaults of Options.
 const (
-	DefaultCheckEvery    = 2 * time.Second
+	DefaultCheckInterval = 2 * time.Second
 	DefaultStoreTimeout  = time.Second
 	DefaultDownloadSlots = 1
 )
@@ -87,9 +87,9 @@
 
 // Keeper competes for the lease of one pool and, while it holds it, gives the
 // orders that its targets need. It is safe for concurrent use.
-type Keeper struct {
+type Controller struct {
 	opts    Options
-	changed chan struct{}
+	wakeup  chan struct{}
 	metrics metrics
 
 	mu      sync.Mutex
@@ -99,29 +99,29 @@
 	// may be under way.
 	busyUntil map[string]time.Time
 	// readings are what was read of the members last, by incarnation.
-	readings map[string]reading
-	round    uint64
+	observations map[string]observation
+	pass         uint64
 	// written is the state that operators can read.
-	written writtenState
+	stored storedState
 }
 
 // New returns a Keeper that does nothing before Run.
-func New(opts Options) *Keeper {
+func New(opts Options) *Controller {
 	opts = opts.withDefaults()
-	return &Keeper{
-		opts:      opts,
-		changed:   make(chan struct{}, 1),
-		metrics:   newMetrics(opts.Scope, opts.Pool),
-		lease:     lease.New(opts.Holder, opts.Terms),
-		busyUntil: make(map[string]time.Time),
-		readings:  make(map[string]reading),
+	return &Controller{
+		opts:         opts,
+		wakeup:       make(chan struct{}, 1),
+		metrics:      newMetrics(opts.Scope, opts.Pool),
+		lease:        lease.New(opts.Holder, opts.Timing),
+		busyUntil:    make(map[string]time.Time),
+		observations: make(map[string]observation),
 	}
 }
 
 // SetDesired puts an accepted desired state in force. An older revision than
 // the one in force is refused with ErrStale, so that a late or reordered record
 // never reverts the targets.
-func (k *Keeper) SetDesired(d Desired) error {
+func (k *Controller) SetDesired(d Desired) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if d.Revision < k.desired.Revision {
@@ -133,7 +133,7 @@
 }
 
 // Held returns the fencing number while this instance holds the lease.
-func (k *Keeper) Held() (uint64, bool) {
+func (k *Controller) Held() (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Held(k.opts.Now())
@@ -141,10 +141,10 @@
 
 // Run competes for the lease and gives orders until ctx ends. It then gives
 // the lease up, unless an order may still be under way.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	group, inner := errgroup.WithContext(ctx)
-	group.Go(func() error { return k.keepLease(inner) })
-	group.Go(func() error { return k.reconcileOften(inner) })
+	group.Go(func() error { return k.maintainLease(inner) })
+	group.Go(func() error { return k.reconcileLoop(inner) })
 	err := group.Wait()
 	k.release(context.WithoutCancel(ctx))
 	k.metrics.held.Update(0)
@@ -152,9 +152,9 @@
 }
 
 // wake starts a reconciliation soon.
-func (k *Keeper) wake() {
+func (k *Controller) wake() {
 	select {
-	case k.changed <- struct{}{}:
+	case k.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -166,14 +166,14 @@
 	if o.Scope == nil {
 		o.Scope = tally.NoopScope
 	}
-	if o.Terms == (lease.Timing{}) {
-		o.Terms = lease.DefaultTiming
+	if o.Timing == (lease.Timing{}) {
+		o.Timing = lease.DefaultTiming
 	}
 	if o.ChecksFencing == nil {
 		o.ChecksFencing = func() bool { return false }
 	}
-	if o.CheckEvery == 0 {
-		o.CheckEvery = DefaultCheckEvery
+	if o.CheckInterval == 0 {
+		o.CheckInterval = DefaultCheckInterval
 	}
 	if o.StoreTimeout == 0 {
 		o.StoreTimeout = DefaultStoreTimeout
@@ -186,22 +186,22 @@
 
 // metrics are the counters of a Keeper, under the scope "orders".
 type metrics struct {
-	held    tally.Gauge
-	given   tally.Counter
-	fenced  tally.Counter
-	failed  tally.Counter
-	lapsed  tally.Counter
-	waiting tally.Gauge
+	held       tally.Gauge
+	sent       tally.Counter
+	fenced     tally.Counter
+	failed     tally.Counter
+	lost       tally.Counter
+	waitingOut tally.Gauge
 }
 
 func newMetrics(scope tally.Scope, pool string) metrics {
 	sub := scope.SubScope("orders").Tagged(map[string]string{"pool": pool})
 	return metrics{
-		held:    sub.Gauge("lease_held"),
-		given:   sub.Counter("given"),
-		fenced:  sub.Counter("fenced"),
-		failed:  sub.Counter("failed"),
-		lapsed:  sub.Counter("lease_lost"),
-		waiting: sub.Gauge("waiting_out"),
+		held:       sub.Gauge("lease_held"),
+		sent:       sub.Counter("given"),
+		fenced:     sub.Counter("fenced"),
+		failed:     sub.Counter("failed"),
+		lost:       sub.Counter("lease_lost"),
+		waitingOut: sub.Gauge("waiting_out"),
 	}
 }
--- a/daemon/orders/keeper_test.go
+++ b/daemon/orders/keeper_test.go
@@ -20,16 +20,16 @@
 
 // fakeTarget obeys orders, at once unless a pause stands before the sending.
 type fakeTarget struct {
-	mu     sync.Mutex
-	checks bool
-	load   targetapi.Load
-	roles  []string
+	mu            sync.Mutex
+	checksFencing bool
+	load          targetapi.Load
+	roles         []string
 }
 
-func (f *fakeTarget) obey(order targetapi.Order) error {
+func (f *fakeTarget) execute(order targetapi.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.checks && order.Fencing < f.load.Fencing {
+	if f.checksFencing && order.Fencing < f.load.Fencing {
 		return target.ErrFenced
 	}
 	f.load.Fencing = max(f.load.Fencing, order.Fencing)
@@ -42,9 +42,9 @@
 type link struct {
 	*fakeTarget
 	// pauses holds an order back between the keeper's check and the sending.
-	pauses time.Duration
+	sendDelay time.Duration
 	// loses drops the answer to an order that stays under way.
-	loses bool
+	losesResponse bool
 }
 
 func (l *link) Load(context.Context, string) (targetapi.Load, error) {
@@ -54,15 +54,15 @@
 }
 
 func (l *link) Order(_ context.Context, _ string, order targetapi.Order) (targetapi.Load, error) {
-	time.Sleep(l.pauses)
-	if l.loses {
-		l.note(order)
+	time.Sleep(l.sendDelay)
+	if l.losesResponse {
+		l.recordRole(order)
 		return targetapi.Load{}, &target.ControlError{Outcome: target.Unknown, Err: errors.New("lost")}
 	}
-	return targetapi.Load{}, l.obey(order)
+	return targetapi.Load{}, l.execute(order)
 }
 
-func (f *fakeTarget) note(order targetapi.Order) {
+func (f *fakeTarget) recordRole(order targetapi.Order) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roles = append(f.roles, order.Value)
@@ -87,11 +87,11 @@
 }
 
 // keeper starts a keeper that wants one role; stop ends it.
-func keeper(t *testing.T, store *emulator.Store, name string, l *link, role string) (k *Keeper, stop func()) {
+func startController(t *testing.T, store *emulator.Store, name string, l *link, role string) (k *Controller, stop func()) {
 	k = New(Options{
-		Holder: name, Pool: "engines", Store: store.Local(name), Targets: l, Now: time.Now,
+		Holder: name, Pool: "engines", Store: store.Local(name), Client: l, Now: time.Now,
 		Members:       func() []Member { return []Member{{Incarnation: "t1", Address: "t1"}} },
-		ChecksFencing: func() bool { return l.checks },
+		ChecksFencing: func() bool { return l.checksFencing },
 	})
 	require.NoError(t, k.SetDesired(Desired{Revision: 1, Role: role}))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -120,14 +120,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := emulator.New(emulator.Options{})
-				f := &fakeTarget{checks: tc.checks, load: targetapi.Load{Incarnation: "t1"}}
-				first, stopFirst := keeper(t, store, "a", &link{fakeTarget: f, pauses: 90 * time.Second}, "prefill")
+				f := &fakeTarget{checksFencing: tc.checks, load: targetapi.Load{Incarnation: "t1"}}
+				first, stopFirst := startController(t, store, "a", &link{fakeTarget: f, sendDelay: 90 * time.Second}, "prefill")
 				time.Sleep(5 * time.Second)
 				_, held := first.Held()
 				require.True(t, held)
 				store.SetFaults(emulator.Faults{Instances: []string{"a"}, Down: emulator.FailRefuse})
 
-				second, stopSecond := keeper(t, store, "b", &link{fakeTarget: f}, "decode")
+				second, stopSecond := startController(t, store, "b", &link{fakeTarget: f}, "decode")
 				time.Sleep(20 * time.Second)
 				_, held = first.Held()
 				require.False(t, held, "the paused holder's lease has lapsed")
@@ -154,11 +154,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			store := emulator.New(emulator.Options{})
 			f := &fakeTarget{load: targetapi.Load{Incarnation: "t1"}}
-			_, stop := keeper(t, store, "a", &link{fakeTarget: f, loses: loses}, "prefill")
+			_, stop := startController(t, store, "a", &link{fakeTarget: f, losesResponse: loses}, "prefill")
 			time.Sleep(5 * time.Second)
 			require.Equal(t, []string{"prefill"}, f.history(), "an order whose answer was lost isn't repeated at once")
 			stop()
-			_, stopSecond := keeper(t, store, "b", &link{fakeTarget: f}, "decode")
+			_, stopSecond := startController(t, store, "b", &link{fakeTarget: f}, "decode")
 			time.Sleep(6 * time.Second)
 			require.Equal(t, !loses, f.role() == "decode")
 			time.Sleep(time.Minute)
@@ -173,8 +173,8 @@
 func TestOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
-		f := &fakeTarget{checks: true, load: targetapi.Load{Incarnation: "t1"}}
-		k, stop := keeper(t, store, "a", &link{fakeTarget: f}, "prefill")
+		f := &fakeTarget{checksFencing: true, load: targetapi.Load{Incarnation: "t1"}}
+		k, stop := startController(t, store, "a", &link{fakeTarget: f}, "prefill")
 		time.Sleep(5 * time.Second)
 		require.Equal(t, "prefill", f.role())
 		store.SetFaults(emulator.Faults{Down: emulator.FailSilence})
@@ -197,8 +197,8 @@
 func TestHolderRisesAboveTheNumbersSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
-		f := &fakeTarget{checks: true, load: targetapi.Load{Incarnation: "t1", Fencing: 41}}
-		k, stop := keeper(t, store, "a", &link{fakeTarget: f}, "prefill")
+		f := &fakeTarget{checksFencing: true, load: targetapi.Load{Incarnation: "t1", Fencing: 41}}
+		k, stop := startController(t, store, "a", &link{fakeTarget: f}, "prefill")
 		time.Sleep(20 * time.Second)
 		number, _ := k.Held()
 		require.Equal(t, uint64(42), number)
--- a/daemon/orders/reconcile.go
+++ b/daemon/orders/reconcile.go
@@ -16,13 +16,13 @@
 
 // reconcileOften compares the targets with the desired state, at intervals and
 // after each change.
-func (k *Keeper) reconcileOften(ctx context.Context) error {
-	timer := time.NewTicker(k.opts.CheckEvery)
+func (k *Controller) reconcileLoop(ctx context.Context) error {
+	timer := time.NewTicker(k.opts.CheckInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-k.changed:
+		case <-k.wakeup:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -35,7 +35,7 @@
 
 // reconcile reads the due targets back and gives the orders they lack, no more
 // at once than the pool's share of the weight store allows.
-func (k *Keeper) reconcile(ctx context.Context) {
+func (k *Controller) reconcile(ctx context.Context) {
 	if _, may := k.mayOrder(); !may {
 		return
 	}
@@ -43,7 +43,7 @@
 	slots := make(chan struct{}, max(k.opts.DownloadSlots(), 1))
 	var group errgroup.Group
 	group.SetLimit(parallelReads)
-	for _, m := range k.due(members) {
+	for _, m := range k.selectDue(members) {
 		group.Go(func() error {
 			k.reconcileTarget(ctx, m, slots)
 			return nil
@@ -53,18 +53,18 @@
 	k.writeState(ctx, members)
 }
 
-func (k *Keeper) reconcileTarget(ctx context.Context, m Member, slots chan struct{}) {
+func (k *Controller) reconcileTarget(ctx context.Context, m Member, slots chan struct{}) {
 	if _, may := k.mayOrder(); !may || k.busy(m) {
 		return
 	}
-	load, err := k.opts.Targets.Load(ctx, m.Address)
-	if err != nil || load.Incarnation != m.Incarnation || k.outranked(load) {
-		k.forgetReading(m)
+	load, err := k.opts.Client.Load(ctx, m.Address)
+	if err != nil || load.Incarnation != m.Incarnation || k.yieldIfFenced(load) {
+		k.recordReadFailure(m)
 		return
 	}
-	desired := k.wanted()
+	desired := k.desiredState()
 	lacks := Missing(load, desired)
-	k.noteReading(m, desired.Revision, lacks)
+	k.recordObservation(m, desired.Revision, lacks)
 	if len(lacks) == 0 {
 		return
 	}
@@ -75,15 +75,15 @@
 		return
 	}
 	for i, order := range lacks {
-		if k.wanted().Revision != desired.Revision || !k.give(ctx, m, order) {
+		if k.desiredState().Revision != desired.Revision || !k.sendOrder(ctx, m, order) {
 			return
 		}
-		k.noteReading(m, desired.Revision, lacks[i+1:])
+		k.recordObservation(m, desired.Revision, lacks[i+1:])
 	}
 }
 
 // outranked gives the lease up when the target has obeyed a higher number.
-func (k *Keeper) outranked(load targetapi.Load) bool {
+func (k *Controller) yieldIfFenced(load targetapi.Load) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.opts.Now()
@@ -96,7 +96,7 @@
 
 // give checks the lease and gives one order. The check comes right before the
 // order; see docs/design/leases.md for what a pause between the two can do.
-func (k *Keeper) give(ctx context.Context, m Member, order targetapi.Order) bool {
+func (k *Controller) sendOrder(ctx context.Context, m Member, order targetapi.Order) bool {
 	number, may := k.mayOrder()
 	if !may {
 		return false
@@ -104,16 +104,16 @@
 	order.Fencing = number
 	order.ID = fmt.Sprintf("%s-%d-%s-%s", k.opts.Pool, number, order.Action, order.Value)
 	sent := k.opts.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Terms.LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, k.opts.Timing.LongestOrder)
 	defer cancel()
-	_, err := k.opts.Targets.Order(ctx, m.Address, order)
-	return k.given(m, order, sent, err)
+	_, err := k.opts.Client.Order(ctx, m.Address, order)
+	return k.recordResult(m, order, sent, err)
 }
 
 // given notes how an order ended.
-func (k *Keeper) given(m Member, order targetapi.Order, sent time.Time, err error) bool {
+func (k *Controller) recordResult(m Member, order targetapi.Order, sent time.Time, err error) bool {
 	if err == nil {
-		k.metrics.given.Inc(1)
+		k.metrics.sent.Inc(1)
 		klog.V(1).InfoS("orders: given", "pool", k.opts.Pool, "target", m.Incarnation,
 			"action", order.Action, "value", order.Value, "fencing", order.Fencing)
 		return true
@@ -131,7 +131,7 @@
 	default:
 		// Guard: the answer was lost and the order may still be under way at
 		// the target. A second order now could be overtaken by the first.
-		k.busyUntil[m.Incarnation] = sent.Add(k.opts.Terms.LongestOrder)
+		k.busyUntil[m.Incarnation] = sent.Add(k.opts.Timing.LongestOrder)
 	}
 	return false
 }
@@ -139,21 +139,21 @@
 // mayOrder tells whether orders may be given now, and under which number.
 // Targets that ignore the number are left alone until the orders of earlier
 // holders are over.
-func (k *Keeper) mayOrder() (uint64, bool) {
+func (k *Controller) mayOrder() (uint64, bool) {
 	checks := k.opts.ChecksFencing()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.opts.Now()
 	number, held := k.lease.Held(now)
 	if held && !checks && !k.lease.SafeWithoutFencing(now) {
-		k.metrics.waiting.Update(k.lease.SafeWithoutFencingAt().Sub(now).Seconds())
+		k.metrics.waitingOut.Update(k.lease.SafeWithoutFencingAt().Sub(now).Seconds())
 		return 0, false
 	}
-	k.metrics.waiting.Update(0)
+	k.metrics.waitingOut.Update(0)
 	return number, held
 }
 
-func (k *Keeper) busy(m Member) bool {
+func (k *Controller) busy(m Member) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.pruneBusy(k.opts.Now())
@@ -161,7 +161,7 @@
 	return busy
 }
 
-func (k *Keeper) pruneBusy(now time.Time) {
+func (k *Controller) pruneBusy(now time.Time) {
 	for incarnation, until := range k.busyUntil {
 		if !now.Before(until) {
 			delete(k.busyUntil, incarnation)
@@ -169,7 +169,7 @@
 	}
 }
 
-func (k *Keeper) wanted() Desired {
+func (k *Controller) desiredState() Desired {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.desired
--- a/daemon/orders/renew.go
+++ b/daemon/orders/renew.go
@@ -14,14 +14,14 @@
 )
 
 // keepLease does what the lease asks for, one call after another.
-func (k *Keeper) keepLease(ctx context.Context) error {
+func (k *Controller) maintainLease(ctx context.Context) error {
 	wasHeld := false
 	for ctx.Err() == nil {
 		k.mu.Lock()
 		action := k.lease.Next(k.opts.Now())
 		_, held := k.lease.Held(k.opts.Now())
 		k.mu.Unlock()
-		k.noteHeld(wasHeld, held)
+		k.reportHeld(wasHeld, held)
 		wasHeld = held
 		k.perform(ctx, action)
 	}
@@ -34,23 +34,23 @@
 // given up, the lease's revision would be unknown: it couldn't be given up and
 // the successor would wait for the lapse. So a call, which is bounded, is
 // finished; only a wait is cut short.
-func (k *Keeper) perform(ctx context.Context, action lease.Action) {
+func (k *Controller) perform(ctx context.Context, action lease.Action) {
 	call := context.WithoutCancel(ctx)
 	switch a := action.(type) {
 	case lease.Wait:
-		pause(ctx, a.Until.Sub(k.opts.Now()))
+		sleep(ctx, a.Until.Sub(k.opts.Now()))
 	case lease.Write:
 		object, err := k.write(call, a)
-		k.told(object, err, true)
+		k.recordResponse(object, err, true)
 	case lease.Read:
 		call, cancel := context.WithTimeout(call, k.opts.StoreTimeout)
 		defer cancel()
 		object, err := k.opts.Store.Get(call, platformapi.KindLeases, k.opts.Pool)
-		k.told(object, err, false)
+		k.recordResponse(object, err, false)
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, w lease.Write) (*platformapi.Object, error) {
+func (k *Controller) write(ctx context.Context, w lease.Write) (*platformapi.Object, error) {
 	spec, err := json.Marshal(w.Record)
 	if err != nil {
 		return nil, errors.Wrap(err, "orders: encode lease")
@@ -68,7 +68,7 @@
 }
 
 // told passes the store's answer to the lease.
-func (k *Keeper) told(object *platformapi.Object, err error, wrote bool) {
+func (k *Controller) recordResponse(object *platformapi.Object, err error, wrote bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.opts.Now()
@@ -81,11 +81,11 @@
 			k.wake()
 		}
 	case err == nil:
-		k.seen(now, object)
+		k.observeLease(now, object)
 	case errors.Is(err, platform.ErrNotFound):
 		k.lease.ObservedAbsent(now)
 	case errors.As(err, &conflict) && conflict.Current != nil:
-		k.seen(now, conflict.Current)
+		k.observeLease(now, conflict.Current)
 	default:
 		k.lease.CallFailed(now)
 	}
@@ -93,7 +93,7 @@
 
 // seen passes a stored lease on. A record that can't be read counts as no
 // answer: taking it for a free lease could make two holders.
-func (k *Keeper) seen(now time.Time, object *platformapi.Object) {
+func (k *Controller) observeLease(now time.Time, object *platformapi.Object) {
 	var r lease.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
 		klog.ErrorS(err, "orders: lease can't be read", "pool", k.opts.Pool)
@@ -106,7 +106,7 @@
 // release gives the lease up at a planned stop. Guard: while an order whose
 // answer was lost may still be under way, the lease is left to lapse, so that
 // the successor waits the order out.
-func (k *Keeper) release(ctx context.Context) {
+func (k *Controller) release(ctx context.Context) {
 	k.mu.Lock()
 	now := k.opts.Now()
 	k.pruneBusy(now)
@@ -125,13 +125,13 @@
 	klog.InfoS("orders: lease given up", "pool", k.opts.Pool)
 }
 
-func (k *Keeper) noteHeld(was, is bool) {
+func (k *Controller) reportHeld(was, is bool) {
 	if was == is {
 		return
 	}
 	if !is {
 		k.metrics.held.Update(0)
-		k.metrics.lapsed.Inc(1)
+		k.metrics.lost.Inc(1)
 		klog.InfoS("orders: lease lost", "pool", k.opts.Pool)
 		return
 	}
@@ -139,7 +139,7 @@
 	klog.InfoS("orders: lease held", "pool", k.opts.Pool)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/orders/wire_test.go
+++ b/daemon/orders/wire_test.go
@@ -20,22 +20,22 @@
 	rows := []struct {
 		name string
 		kind string
-		act  func(ctx context.Context, k *Keeper) error
+		act  func(ctx context.Context, k *Controller) error
 		want string
 	}{
-		{"lease", platformapi.KindLeases, func(ctx context.Context, k *Keeper) error {
+		{"lease", platformapi.KindLeases, func(ctx context.Context, k *Controller) error {
 			_, err := k.write(ctx, lease.Write{Record: lease.Record{
 				Holder: "one", Fencing: 1, TermMS: 2, Attempt: 3, LongestOrderMS: 4,
 			}})
 			return err
 		}, `{"holder":"one","fencing":1,"term_ms":2,"attempt":3,"longest_order_ms":4}`},
-		{"orders", platformapi.KindOrders, func(ctx context.Context, k *Keeper) error {
+		{"orders", platformapi.KindOrders, func(ctx context.Context, k *Controller) error {
 			k.lease.ObservedAbsent(k.opts.Now())
 			k.lease.Next(k.opts.Now())
 			k.lease.Written(k.opts.Now(), 5)
 			k.desired.Revision = 6
-			k.readings["a"] = reading{revision: 6, fencing: 1}
-			k.readings["b"] = reading{revision: 6, fencing: 1, lacks: []targetapi.Order{
+			k.observations["a"] = observation{revision: 6, fencing: 1}
+			k.observations["b"] = observation{revision: 6, fencing: 1, missing: []targetapi.Order{
 				{Action: targetapi.ActionLoadModel, Value: "m"}, {Action: targetapi.ActionSetRole, Value: "r"},
 			}}
 			k.writeState(ctx, []Member{{Incarnation: "a"}, {Incarnation: "b"}, {Incarnation: "c"}})
--- a/daemon/register/register.go
+++ b/daemon/register/register.go
@@ -26,19 +26,19 @@
 	store platform.Store
 	self  func() membership.Member
 	// missing has a value when a list did not have the entry.
-	missing chan struct{}
+	rewrite chan struct{}
 	// removed is set once a planned stop removes the entry.
 	removed atomic.Bool
 	// written is set once the store has the entry.
 	written atomic.Bool
 	// found is the entry that a list had under the instance's name before that; nil if
 	// none.
-	found atomic.Pointer[platformapi.Object]
+	existing atomic.Pointer[platformapi.Object]
 }
 
 // New makes a registrar; self tells what the entry says.
 func New(store platform.Store, self func() membership.Member) *Registrar {
-	return &Registrar{store: store, self: self, missing: make(chan struct{}, 1)}
+	return &Registrar{store: store, self: self, rewrite: make(chan struct{}, 1)}
 }
 
 // Run writes the entry, trying until the store takes it, and again when List
@@ -49,22 +49,22 @@
 // find this one among their peers.
 func (r *Registrar) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		r.writeUntilTaken(ctx)
+		r.writeWithRetry(ctx)
 		select {
-		case <-r.missing:
+		case <-r.rewrite:
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-func (r *Registrar) writeUntilTaken(ctx context.Context) {
+func (r *Registrar) writeWithRetry(ctx context.Context) {
 	pause := retryMin
 	for ctx.Err() == nil && !r.removed.Load() {
 		if r.write(ctx) == nil {
 			return
 		}
-		wait(ctx, pause)
+		sleep(ctx, pause)
 		pause = min(2*pause, retryMax)
 	}
 }
@@ -90,7 +90,7 @@
 	if !errors.As(err, &conflict) {
 		return errors.Wrap(err, "register instance")
 	}
-	if found := r.found.Swap(nil); found != nil && r.replace(ctx, object, found) == nil {
+	if found := r.existing.Swap(nil); found != nil && r.replace(ctx, object, found) == nil {
 		return nil
 	}
 	// There was no list yet, or the entry has changed since.
@@ -174,19 +174,19 @@
 		members = append(members, member)
 		if member.Name == r.self().Name {
 			listed = true
-			r.noteFound(&list.Items[i])
+			r.rememberExisting(&list.Items[i])
 		}
 	}
 	if !listed && written {
-		r.writeAgain()
+		r.requestRewrite()
 	}
 	return members, nil
 }
 
 // noteFound notes the entry under the instance's name for the first write.
-func (r *Registrar) noteFound(entry *platformapi.Object) {
+func (r *Registrar) rememberExisting(entry *platformapi.Object) {
 	if !r.written.Load() {
-		r.found.Store(entry)
+		r.existing.Store(entry)
 	}
 }
 
@@ -206,14 +206,14 @@
 }
 
 // writeAgain wakes Run, unless it is to wake up already.
-func (r *Registrar) writeAgain() {
+func (r *Registrar) requestRewrite() {
 	select {
-	case r.missing <- struct{}{}:
+	case r.rewrite <- struct{}{}:
 	default:
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
