--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -208,7 +208,7 @@
 	a.marking = discovery.Marking{Table: a.router, Mark: func(incarnation string) { a.sync.MarkLeaving(incarnation) }}
 	a.sync = confsync.New(confsync.Options{
 		Store:       a.store,
-		Spreader:    peers{a.cluster},
+		Publisher:   peers{a.cluster},
 		Peers:       peers{a.cluster},
 		WatcherRank: a.watcherRank,
 		OnSnapshot:  a.discovery.SetSnapshot,
--- a/daemon/confsync/bootstrap.go
+++ b/daemon/confsync/bootstrap.go
@@ -13,95 +13,96 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Bounds of a start from a peer.
+// Limits of the bootstrap from peers.
 const (
-	maxPeersAsked    = 3
-	maxSnapshotPages = 1024
-	// peerTimeout bounds one page. A peer on a silent connection must not hold
-	// up a start that another peer or the store could serve.
-	peerTimeout = time.Second
-	// joinWait is how long a start waits for a first peer to be known.
-	joinWait     = 500 * time.Millisecond
-	joinInterval = 50 * time.Millisecond
+	maxBootstrapPeers = 3
+	maxSnapshotPages  = 1024
+	// pageTimeout bounds the request for one page. A peer behind a silent connection
+	// must not delay a bootstrap that another peer or the store could serve.
+	pageTimeout = time.Second
+	// firstPeerWait is how long a bootstrap waits until a first peer is known.
+	firstPeerWait         = 500 * time.Millisecond
+	firstPeerPollInterval = 50 * time.Millisecond
 )
 
-// errNoPeer says that no peer could hand a whole configuration on.
-var errNoPeer = errors.New("no peer has a whole configuration")
+// errNoPeer reports that no peer could send a complete configuration.
+var errNoPeer = errors.New("no peer has a complete configuration")
 
-// bootstrap gets a first whole configuration from a peer and from the store and
-// takes the newest version of each record. Either alone would do in an outage
-// of the other. But a store that answers from the past would bring a record
-// back on this instance alone, and a peer that was parted for long would too.
+// bootstrap reads a first complete configuration from a peer and from the store and
+// uses the newest version of each record. During an outage of one the other is
+// sufficient. Both are read because a store that serves stale data, or a peer that was
+// partitioned for long, would restore an outdated record on this instance alone.
 func (s *Sync) bootstrap(ctx context.Context) error {
-	peerErr := s.fromPeers(ctx)
+	peerErr := s.bootstrapFromPeers(ctx)
 	_, storeErr := s.list(ctx)
 	if peerErr != nil && storeErr != nil {
 		return errors.CombineErrors(storeErr, peerErr)
 	}
-	s.start()
+	s.finishBootstrap()
 	return nil
 }
 
-// start puts in force what was gathered.
-func (s *Sync) start() {
-	s.locked(func() {
-		s.started = true
-		s.settle(s.set.Apply(nil))
+// finishBootstrap puts the collected records in force.
+func (s *Sync) finishBootstrap() {
+	s.withLock(func() {
+		s.bootstrapped = true
+		s.publishChanges(s.set.Apply(nil))
 	})
 }
 
-// fromPeers asks a few peers in turn until one has a whole configuration.
-func (s *Sync) fromPeers(ctx context.Context) error {
+// bootstrapFromPeers requests the records of a few peers, one after the other, until one
+// has a complete configuration.
+func (s *Sync) bootstrapFromPeers(ctx context.Context) error {
 	others := s.opts.Peers.Others()
-	for waited := time.Duration(0); len(others) == 0 && waited < joinWait; waited += joinInterval {
-		sleep(ctx, joinInterval)
+	for waited := time.Duration(0); len(others) == 0 && waited < firstPeerWait; waited += firstPeerPollInterval {
+		sleep(ctx, firstPeerPollInterval)
 		others = s.opts.Peers.Others()
 	}
 	err := errNoPeer
 	for i, peer := range others {
-		if i == maxPeersAsked {
+		if i == maxBootstrapPeers {
 			break
 		}
-		if err = s.fromPeer(ctx, peer); err == nil {
+		if err = s.bootstrapFromPeer(ctx, peer); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// snapshot is what a peer has handed on.
-type snapshot struct {
-	records []config.Record
-	others  []spread.Record
-	// asOf are the revisions of the peer's newest full lists, by kind.
+// peerSnapshot holds all records that a peer has sent.
+type peerSnapshot struct {
+	records      []config.Record
+	otherRecords []spread.Record
+	// asOf holds the revisions of the peer's newest full lists, by kind.
 	asOf map[string]uint64
 }
 
-// fromPeer reads all pages of a peer's records before any of them counts: half
-// a configuration would refuse what the other half allows.
-func (s *Sync) fromPeer(ctx context.Context, peer string) error {
-	var got snapshot
+// bootstrapFromPeer reads all pages of a peer's records before it applies any of them:
+// half a configuration would refuse what the other half allows.
+func (s *Sync) bootstrapFromPeer(ctx context.Context, peer string) error {
+	var got peerSnapshot
 	request := configwire.PageRequest{}
 	for range maxSnapshotPages {
-		page, err := s.askPage(ctx, peer, request)
+		page, err := s.requestPage(ctx, peer, request)
 		if err != nil {
 			return err
 		}
-		if err := got.add(page); err != nil {
+		if err := got.addPage(page); err != nil {
 			return err
 		}
 		if !page.More {
-			return s.adopt(got)
+			return s.applySnapshot(got)
 		}
 		request = page.Last
 	}
 	return errors.Newf("snapshot from %s: more than %d pages", peer, maxSnapshotPages)
 }
 
-// add takes one page. The first page's revisions count: a list that the peer
-// reads while it hands out pages may stand for records that a page before left
-// out, and such a revision would have them taken for deleted.
-func (g *snapshot) add(page configwire.Page) error {
+// addPage adds one page. Only the first page's revisions are used: if the peer reads a
+// new list between pages, that list may contain records that the earlier pages lack, and
+// with its revision they would be treated as deleted.
+func (g *peerSnapshot) addPage(page configwire.Page) error {
 	if g.asOf == nil {
 		g.asOf = page.AsOf
 	}
@@ -115,40 +116,40 @@
 		}
 		g.records = append(g.records, r)
 	}
-	g.others = append(g.others, page.Others...)
+	g.otherRecords = append(g.otherRecords, page.Others...)
 	return nil
 }
 
-func (s *Sync) askPage(ctx context.Context, peer string, request configwire.PageRequest) (configwire.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+func (s *Sync) requestPage(ctx context.Context, peer string, request configwire.PageRequest) (configwire.Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	var page configwire.Page
 	body, err := msgpack.Marshal(&request)
 	if err != nil {
-		return page, errors.Wrap(err, "ask for snapshot: encode")
+		return page, errors.Wrap(err, "request snapshot: encode")
 	}
-	answer, err := s.opts.Peers.Call(ctx, peer, configwire.MethodSnapshot, body)
+	response, err := s.opts.Peers.Call(ctx, peer, configwire.MethodSnapshot, body)
 	if err != nil {
-		return page, errors.Wrapf(err, "ask for snapshot at %s", peer)
+		return page, errors.Wrapf(err, "request snapshot from %s", peer)
 	}
-	err = msgpack.Unmarshal(answer, &page)
-	return page, errors.Wrapf(err, "ask for snapshot at %s: decode", peer)
+	err = msgpack.Unmarshal(response, &page)
+	return page, errors.Wrapf(err, "request snapshot from %s: decode", peer)
 }
 
-// adopt takes a peer's lists over, then once more its records by themselves:
-// where the store has listed a kind already as of a later revision, the peer's
-// list does not count, but what the peer has seen since still does.
-func (s *Sync) adopt(got snapshot) error {
-	s.locked(func() {
+// applySnapshot applies a peer's lists, then its records once more as single records:
+// if the store has already listed a kind as of a later revision, the peer's list is
+// ignored, but newer versions that the peer has received since still apply.
+func (s *Sync) applySnapshot(got peerSnapshot) error {
+	s.withLock(func() {
 		for _, kind := range config.Kinds {
-			s.settle(s.set.ApplyList(kind, got.records, got.asOf[string(kind)]))
+			s.publishChanges(s.set.ApplyList(kind, got.records, got.asOf[string(kind)]))
 		}
 		s.applyRecords(got.records)
-		for _, r := range got.others {
-			s.takeOther(r)
+		for _, r := range got.otherRecords {
+			s.applyOther(r)
 		}
 		s.targets.raiseFloor(got.asOf[platformapi.KindTargets])
-		s.spreadTargets()
+		s.gossipTargets()
 	})
 	return nil
 }
--- a/daemon/confsync/codec.go
+++ b/daemon/confsync/codec.go
@@ -7,11 +7,13 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// inForceSuffix marks the kind of a record that tells which version its sender
-// has in force, when a peer has said otherwise.
+// inForceSuffix marks the kind of a record that carries the version in force on its
+// sender, sent after a peer has reported an older one.
 const inForceSuffix = "/in-force"
 
-func toSpread(records []config.Record) []spread.Record {
+// encodeRecords converts configuration records for gossip. It omits records that can't be
+// encoded.
+func encodeRecords(records []config.Record) []spread.Record {
 	out := make([]spread.Record, 0, len(records))
 	for _, r := range records {
 		body, err := configwire.EncodeRecord(r)
@@ -29,9 +31,9 @@
 	return out
 }
 
-// fromSpread reads the configuration records among what a peer has spread. One
-// that can't be read was made by a newer release and is left out.
-func fromSpread(records []spread.Record) []config.Record {
+// decodeRecords returns the configuration records among the records of a peer. It omits
+// records that can't be decoded, which come from a newer release.
+func decodeRecords(records []spread.Record) []config.Record {
 	out := make([]config.Record, 0, len(records))
 	for _, r := range records {
 		if r.Kind == platformapi.KindTargets || r.Kind == kindLeaving {
@@ -44,28 +46,28 @@
 	return out
 }
 
-// contradict tells the others which version is in force here, where a record
-// said that an older one is. Two records of which only one fits may be judged
-// in another order by another instance. Spread drops a second record of one
-// revision, so without this each would keep to its own judgement for ever. All
-// take over what one has accepted, so both records come into force everywhere.
-// It needs the lock.
-func (s *Sync) contradict(records []config.Record) {
+// publishNewerInForce publishes the version in force here of each record for which the
+// sender reported an older one. If two records are each valid only without the other,
+// instances that evaluate them in different orders accept different ones. As gossip drops
+// a second record of the same revision, they would never converge. Each instance adopts
+// what another has accepted, so both records come into force everywhere. The caller holds
+// the lock.
+func (s *Sync) publishNewerInForce(records []config.Record) {
 	for i := range records {
 		held, known := s.set.Get(records[i].Key)
-		if !known || held.Accepted || held.InForce.Revision <= accepted(records[i]) {
+		if !known || held.Accepted || held.InForce.Revision <= acceptedRevision(records[i]) {
 			continue
 		}
-		said := config.Record{Key: held.Key, Newest: held.InForce, Accepted: true}
-		for _, r := range toSpread([]config.Record{said}) {
+		inForce := config.Record{Key: held.Key, Newest: held.InForce, Accepted: true}
+		for _, r := range encodeRecords([]config.Record{inForce}) {
 			r.Kind += inForceSuffix
 			s.outbox = append(s.outbox, r)
 		}
 	}
 }
 
-// accepted is the revision that a record says is in force, 0 for none.
-func accepted(r config.Record) uint64 {
+// acceptedRevision returns the revision in force on the sender of a record, 0 if none.
+func acceptedRevision(r config.Record) uint64 {
 	if r.Accepted {
 		return r.Newest.Revision
 	}
--- a/daemon/confsync/errors.go
+++ b/daemon/confsync/errors.go
@@ -7,27 +7,28 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// nothingToWrite tells whether a failed write of a status is final: the record
-// has changed, and its new version gets a verdict of its own, or it is gone.
-func nothingToWrite(err error) bool {
+// isObsoleteWrite reports whether a failed write of a status must not be retried, because
+// the record was deleted, or has changed and its new version gets its own verdict.
+func isObsoleteWrite(err error) bool {
 	var conflict *platform.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, platform.ErrNotFound)
 }
 
+// metrics holds the metrics of a Sync.
 type metrics struct {
-	failed      tally.Counter
-	revision    tally.Gauge
-	verdicts    tally.Counter
-	verdictsDue tally.Gauge
-	leaving     tally.Counter
+	failures        tally.Counter
+	revision        tally.Gauge
+	verdictsWritten tally.Counter
+	verdictsDue     tally.Gauge
+	leavingByPeers  tally.Counter
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		failed:      scope.Counter("config_sync_failures"),
-		revision:    scope.Gauge("config_revision"),
-		verdicts:    scope.Counter("config_verdicts_written"),
-		verdictsDue: scope.Gauge("config_verdicts_due"),
-		leaving:     scope.Counter("targets_leaving_by_peers"),
+		failures:        scope.Counter("config_sync_failures"),
+		revision:        scope.Gauge("config_revision"),
+		verdictsWritten: scope.Counter("config_verdicts_written"),
+		verdictsDue:     scope.Gauge("config_verdicts_due"),
+		leavingByPeers:  scope.Counter("targets_leaving_by_peers"),
 	}
 }
--- a/daemon/confsync/helpers_test.go
+++ b/daemon/confsync/helpers_test.go
@@ -22,16 +22,16 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// inForceBound is the time in which a change has to be in force everywhere.
+// inForceBound is the time within which a change has to be in force everywhere.
 const inForceBound = 3 * time.Second
 
-// fleet is some instances on one store. A record that one spreads reaches those
-// that are not cut off at once.
+// fleet is a set of instances on one store. Published records reach all instances that
+// aren't partitioned without delay.
 type fleet struct {
-	t     *testing.T
-	store *emulator.Store
-	ops   *emulator.Local
-	own   map[string]int // the operator's writes, by kind
+	t              *testing.T
+	store          *emulator.Store
+	ops            *emulator.Local
+	operatorWrites map[string]int // by kind
 
 	mu        sync.Mutex
 	instances []*instance
@@ -44,47 +44,46 @@
 	stop  context.CancelFunc
 	table *spread.Table
 
-	mu       sync.Mutex
-	onCall   func() // before it asks a peer
-	cut      bool   // no peer reaches it, nor it a peer
-	dead     bool
-	targets  []platformapi.TargetEntry
-	leaving  []string
-	revision []uint64 // of each snapshot, in order
+	mu          sync.Mutex
+	onCall      func() // called before each request to a peer
+	partitioned bool   // no messages to or from its peers
+	killed      bool
+	targets     []platformapi.TargetEntry
+	leaving     []string
+	revisions   []uint64 // of the snapshots, in order
 }
 
 func newFleet(t *testing.T) *fleet {
 	store := emulator.New(emulator.Options{TargetLag: time.Millisecond})
-	f := &fleet{t: t, store: store, ops: store.Local("operator"), own: map[string]int{}}
+	f := &fleet{t: t, store: store, ops: store.Local("operator"), operatorWrites: map[string]int{}}
 	f.write("pools", "p", poolSpec)
 	f.write("tiers", "gold", tierSpec(900))
 	return f
 }
 
-// add starts an instance; wrap may put a fake before its store.
+// add starts an instance; wrap, if not nil, wraps its store.
 func (f *fleet) add(wrap func(platform.Store) platform.Store) *instance {
 	in := f.newInstance()
 	f.start(in, wrap)
 	return in
 }
 
-// newInstance returns an instance that the others don't know of yet.
+// newInstance returns an instance that the others don't know yet.
 func (f *fleet) newInstance() *instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &instance{fleet: f, name: fmt.Sprint("i", len(f.instances)), table: spread.NewTable(1 << 16)}
 }
 
-// start runs a new instance. The others know of it once it is whole: those that run
-// already tell every instance that they know of what they learn, from goroutines of
-// their own.
+// start runs a new instance. The others know it only once it is fully set up, because
+// they publish records to every known instance from their own goroutines.
 func (f *fleet) start(in *instance, wrap func(platform.Store) platform.Store) {
 	var store platform.Store = f.store.Local(in.name)
 	if wrap != nil {
 		store = wrap(store)
 	}
 	in.sync = confsync.New(confsync.Options{
-		Store: store, Spreader: in, Peers: in, WatcherRank: in.rank, Scope: tally.NoopScope,
+		Store: store, Publisher: in, Peers: in, WatcherRank: in.rank, Scope: tally.NoopScope,
 		OnSnapshot: in.onSnapshot, OnTargets: in.onTargets, OnLeaving: in.onLeaving,
 	})
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -98,22 +97,22 @@
 func (f *fleet) addN(n int) {
 	for range n {
 		f.add(nil)
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 }
 
-// pass lets virtual time go by.
-func (f *fleet) pass(d time.Duration) {
+// advance lets virtual time pass.
+func (f *fleet) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func (f *fleet) write(kind, name, spec string) uint64 {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: json.RawMessage(spec)}
-	f.own[kind]++
+	f.operatorWrites[kind]++
 	written, err := f.ops.Update(f.t.Context(), kind, object)
 	if errors.Is(err, platform.ErrNotFound) {
-		f.own[kind]++
+		f.operatorWrites[kind]++
 		written, err = f.ops.Create(f.t.Context(), kind, object)
 	}
 	require.NoError(f.t, err)
@@ -130,7 +129,7 @@
 
 // statusWrites counts the writes that are not the operator's.
 func (f *fleet) statusWrites(kind string) int {
-	return int(f.store.Calls().Kinds[kind].Writes) - f.own[kind]
+	return int(f.store.Calls().Kinds[kind].Writes) - f.operatorWrites[kind]
 }
 
 func (f *fleet) others(self *instance) []*instance {
@@ -139,9 +138,9 @@
 	var out []*instance
 	for _, in := range f.instances {
 		in.mu.Lock()
-		reached := in != self && !in.cut && !in.dead
+		reachable := in != self && !in.partitioned && !in.killed
 		in.mu.Unlock()
-		if reached {
+		if reachable {
 			out = append(out, in)
 		}
 	}
@@ -155,60 +154,61 @@
 }
 
 func (in *instance) kill() {
-	in.set(func() { in.dead = true })
+	in.set(func() { in.killed = true })
 	in.stop()
 }
 
-func (in *instance) isCut() bool {
+func (in *instance) isolated() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.cut || in.dead
+	return in.partitioned || in.killed
 }
 
-// rank is the place among the first live instances.
+// rank returns the instance's rank among the live instances, in the order of their start.
 func (in *instance) rank() (int, bool) {
 	in.fleet.mu.Lock()
 	defer in.fleet.mu.Unlock()
-	place := 0
+	rank := 0
 	for _, other := range in.fleet.instances {
 		if other == in {
 			break
 		}
 		other.mu.Lock()
-		if !other.dead {
-			place++
+		if !other.killed {
+			rank++
 		}
 		other.mu.Unlock()
 	}
-	return place, place < confsync.Watchers
+	return rank, rank < confsync.Watchers
 }
 
-// Publish is the spreader: as cluster does, it tells the instance itself first.
+// Publish implements confsync.Publisher. Like the cluster, it passes the records to the
+// instance itself first.
 func (in *instance) Publish(records []spread.Record) {
 	for _, r := range records {
-		in.take(r)
+		in.receive(r)
 	}
 }
 
-func (in *instance) take(r spread.Record) {
+func (in *instance) receive(r spread.Record) {
 	in.mu.Lock()
-	news := !in.dead && in.table.Apply(r)
+	isNew := !in.killed && in.table.Apply(r)
 	in.mu.Unlock()
-	if !news {
+	if !isNew {
 		return
 	}
 	in.sync.Receive([]spread.Record{r})
-	if in.isCut() {
+	if in.isolated() {
 		return
 	}
 	for _, other := range in.fleet.others(in) {
-		other.take(r)
+		other.receive(r)
 	}
 }
 
 func (in *instance) Others() []string {
 	var names []string
-	if !in.isCut() {
+	if !in.isolated() {
 		for _, other := range in.fleet.others(in) {
 			names = append(names, other.name)
 		}
@@ -224,15 +224,15 @@
 		onCall()
 	}
 	for _, other := range in.fleet.others(in) {
-		if other.name == name && !in.isCut() {
+		if other.name == name && !in.isolated() {
 			return other.sync.HandleSnapshot(body)
 		}
 	}
-	return nil, errors.New("not reached")
+	return nil, errors.New("unreachable")
 }
 
 func (in *instance) onSnapshot(s *catalog.Snapshot) {
-	in.set(func() { in.revision = append(in.revision, s.Revision) })
+	in.set(func() { in.revisions = append(in.revisions, s.Revision) })
 }
 
 func (in *instance) onTargets(list []platformapi.TargetEntry) { in.set(func() { in.targets = list }) }
@@ -241,7 +241,7 @@
 	in.set(func() { in.leaving = append(in.leaving, incarnation) })
 }
 
-// deadline is that of tier gold in force, in milliseconds; 0 for none.
+// deadline returns the deadline of tier gold that is in force, in milliseconds; 0 if none.
 func (in *instance) deadline() int64 {
 	if s := in.sync.Snapshot(); s != nil {
 		if tier, ok := s.Tier("gold"); ok {
@@ -264,12 +264,12 @@
 
 const poolSpec = `{"schema_version":1,"kind":"encoder","objective":"attainment","slots":8,"checks_fencing":true,"ejection_floor":0.5}`
 
-func tierSpec(deadline int) string {
-	return fmt.Sprintf(`{"schema_version":1,"rank":0,"deadline_ms":%d,"engine_priority":0}`, deadline)
+func tierSpec(deadlineMS int) string {
+	return fmt.Sprintf(`{"schema_version":1,"rank":0,"deadline_ms":%d,"engine_priority":0}`, deadlineMS)
 }
 
-func pipelineSpec(expected int) string {
-	return fmt.Sprintf(`{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":%d,"repeatable":true}]}`, expected)
+func pipelineSpec(expectedMS int) string {
+	return fmt.Sprintf(`{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":%d,"repeatable":true}]}`, expectedMS)
 }
 
 func accountSpec(tier string, n int) string {
--- a/daemon/confsync/inforce_bench_test.go
+++ b/daemon/confsync/inforce_bench_test.go
@@ -28,11 +28,11 @@
 
 const (
 	benchInstances = 8
-	// givenUp ends the wait for a change that is never in force.
-	givenUp = 30 * time.Second
+	// waitLimit ends the wait for a change that does not come into force.
+	waitLimit = 30 * time.Second
 )
 
-// benchFleet is real clusters on loopback and a platform over HTTP.
+// benchFleet is a set of real clusters on the loopback interface and a platform over HTTP.
 type benchFleet struct {
 	b        *testing.B
 	store    *emulator.Store
@@ -40,7 +40,7 @@
 	watchers int
 	skip     float64
 	nodes    []*benchNode
-	made     int
+	created  int
 }
 
 type benchNode struct {
@@ -50,12 +50,12 @@
 	sync    *confsync.Sync
 	stop    func()
 
-	mu      sync.Mutex
-	inForce map[int64]time.Time // when a deadline of tier gold came in force
-	told    map[int64]time.Time // when a target was known to leave
+	mu        sync.Mutex
+	inForceAt map[int64]time.Time // when each deadline of tier gold came into force
+	leavingAt map[int64]time.Time // when each target was reported as leaving
 }
 
-// skippingStore leaves events out of watches at random.
+// skippingStore omits a random share of the events from watches.
 type skippingStore struct {
 	platform.Store
 	share float64
@@ -78,13 +78,13 @@
 	for range benchInstances {
 		f.start()
 	}
-	f.whole()
+	f.awaitReady()
 	return f
 }
 
 func (f *benchFleet) start() {
-	n := &benchNode{fleet: f, name: fmt.Sprint("b", f.made), inForce: make(map[int64]time.Time), told: make(map[int64]time.Time)}
-	f.made++
+	n := &benchNode{fleet: f, name: fmt.Sprint("b", f.created), inForceAt: make(map[int64]time.Time), leavingAt: make(map[int64]time.Time)}
+	f.created++
 	var seeds []string
 	for _, other := range f.nodes {
 		seeds = append(seeds, other.cluster.Self().Address)
@@ -101,7 +101,7 @@
 	require.NoError(f.b, err)
 	store := skippingStore{platform.New(platform.Options{BaseURL: f.url, Instance: n.name}), f.skip}
 	n.sync = confsync.New(confsync.Options{
-		Store: store, Spreader: n, Peers: n, WatcherRank: n.rank, Scope: tally.NoopScope,
+		Store: store, Publisher: n, Peers: n, WatcherRank: n.rank, Scope: tally.NoopScope,
 		OnSnapshot: n.onSnapshot, OnTargets: func([]platformapi.TargetEntry) {},
 		OnLeaving: n.onLeaving,
 	})
@@ -121,9 +121,9 @@
 	f.nodes = append(f.nodes, n)
 }
 
-// whole waits until all see each other and have a configuration.
-func (f *benchFleet) whole() {
-	ctx, cancel := context.WithTimeout(f.b.Context(), givenUp)
+// awaitReady waits until all instances see each other and have a configuration.
+func (f *benchFleet) awaitReady() {
+	ctx, cancel := context.WithTimeout(f.b.Context(), waitLimit)
 	defer cancel()
 	for _, n := range f.nodes {
 		require.NoError(f.b, n.cluster.WaitView(ctx, func(v *membership.View) bool { return len(v.Live()) == len(f.nodes) }))
@@ -168,7 +168,7 @@
 	if tier, ok := s.Tier("gold"); ok {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.inForce[tier.Deadline.Milliseconds()] = now
+		n.inForceAt[tier.Deadline.Milliseconds()] = now
 	}
 }
 
@@ -177,28 +177,28 @@
 	defer n.mu.Unlock()
 	var number int64
 	if _, err := fmt.Sscanf(incarnation, "t%d", &number); err == nil {
-		n.told[number] = time.Now()
+		n.leavingAt[number] = time.Now()
 	}
 }
 
-func (n *benchNode) since(times map[int64]time.Time, what int64) (time.Time, bool) {
+func (n *benchNode) timeOf(times map[int64]time.Time, key int64) (time.Time, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at, ok := times[what]
+	at, ok := times[key]
 	return at, ok
 }
 
-// watcher returns the live node of a rank.
+// watcher returns the live node with a rank.
 func (f *benchFleet) watcher(rank int) *benchNode {
 	for _, n := range f.nodes {
-		if place, ok := n.rank(); ok && place == rank {
+		if r, ok := n.rank(); ok && r == rank {
 			return n
 		}
 	}
 	return f.nodes[0]
 }
 
-// change writes a deadline and returns when.
+// change writes a deadline and returns the time after the write.
 func (f *benchFleet) change(deadline int64) time.Time {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: "gold"}, Spec: json.RawMessage(tierSpec(int(deadline)))}
 	_, err := f.store.Local("operator").Update(f.b.Context(), "tiers", object)
@@ -206,28 +206,28 @@
 	return time.Now()
 }
 
-// last waits until all nodes have a time of something and returns how long the
-// last of them took.
-func last(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, what int64, begun time.Time) time.Duration {
+// slowest waits until all nodes have a time for a key and returns how long the last of
+// them took.
+func slowest(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, key int64, begun time.Time) time.Duration {
 	longest := time.Duration(0)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for _, n := range nodes {
-		at, ok := n.since(times(n), what)
-		for !ok && time.Since(begun) < givenUp {
+		at, ok := n.timeOf(times(n), key)
+		for !ok && time.Since(begun) < waitLimit {
 			<-poll.C
-			at, ok = n.since(times(n), what)
+			at, ok = n.timeOf(times(n), key)
 		}
 		if !ok {
-			return givenUp
+			return waitLimit
 		}
 		longest = max(longest, at.Sub(begun))
 	}
 	return longest
 }
 
-// pause lets changes fall on any moment of the watchers' rounds.
-func pause(least time.Duration) { <-time.After(least + rand.N(time.Second)) }
+// randomPause waits a random time, so that changes come at any phase of the watches.
+func randomPause(least time.Duration) { <-time.After(least + rand.N(time.Second)) }
 
 // BenchmarkInForce measures the time from a write in the store until it is in
 // force on the last of eight instances.
@@ -237,10 +237,11 @@
 		name     string
 		watchers int
 		skip     float64
-		// accounts are written before; their verdicts are still being written.
+		// accounts is the number of accounts written before the measurement. Their
+		// verdicts are still being written during it.
 		accounts int
-		// fault comes right after the write, mend before the next one.
-		fault, mend func(f *benchFleet)
+		// fault is called right after each write, recovery before the next one.
+		fault, recovery func(f *benchFleet)
 	}{
 		{name: "few/no fault", watchers: confsync.Watchers},
 		{name: "few/a thousand new records", watchers: confsync.Watchers, accounts: 1000},
@@ -260,36 +261,36 @@
 				}
 			}
 			f.store.SetFaults(emulator.Faults{Instances: others, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); pause(2 * time.Second) }},
+		}, recovery: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/store down for all watchers", watchers: confsync.Watchers, fault: func(f *benchFleet) {
 			watching := []string{f.watcher(0).name, f.watcher(1).name, f.watcher(2).name}
 			f.store.SetFaults(emulator.Faults{Instances: watching, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); pause(2 * time.Second) }},
+		}, recovery: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/the writer killed", watchers: confsync.Watchers, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.whole() }},
+			recovery: func(f *benchFleet) { f.start(); f.awaitReady() }},
 		{name: "one/the writer killed", watchers: 1, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.whole() }},
+			recovery: func(f *benchFleet) { f.start(); f.awaitReady() }},
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			f := newBenchFleet(b, c.watchers, c.skip)
 			f.addAccounts(c.accounts)
-			var took []time.Duration
+			var durations []time.Duration
 			calls, begun := f.store.Calls(), time.Now()
 			deadline := int64(1)
 			for b.Loop() {
-				pause(0)
+				randomPause(0)
 				deadline++
 				written := f.change(deadline)
 				if c.fault != nil {
 					c.fault(f)
 				}
-				took = append(took, last(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForce }, deadline, written))
-				if c.mend != nil {
-					c.mend(f)
+				durations = append(durations, slowest(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForceAt }, deadline, written))
+				if c.recovery != nil {
+					c.recovery(f)
 				}
 			}
-			report(b, took)
+			report(b, durations)
 			now, seconds := f.store.Calls(), time.Since(begun).Seconds()
 			b.ReportMetric(float64(now.Reads-calls.Reads)/seconds, "reads/s")
 			b.ReportMetric(float64(now.Watches-calls.Watches)/seconds, "watches/s")
@@ -297,25 +298,25 @@
 	}
 }
 
-// BenchmarkLeaving measures the time from one instance's learning that a target
-// leaves until the last of the seven others knows.
+// BenchmarkLeaving measures the time from the moment when one instance learns that a
+// target is leaving until the last of the seven others knows it.
 func BenchmarkLeaving(b *testing.B) {
 	f := newBenchFleet(b, confsync.Watchers, 0)
-	var took []time.Duration
+	var durations []time.Duration
 	number := int64(0)
 	for b.Loop() {
-		pause(0)
+		randomPause(0)
 		number++
-		place := rand.IntN(len(f.nodes))
+		leaver := rand.IntN(len(f.nodes))
 		begun := time.Now()
-		f.nodes[place].sync.MarkLeaving(fmt.Sprint("t", number))
-		others := slices.Concat(f.nodes[:place], f.nodes[place+1:])
-		took = append(took, last(others, func(n *benchNode) map[int64]time.Time { return n.told }, number, begun))
+		f.nodes[leaver].sync.MarkLeaving(fmt.Sprint("t", number))
+		others := slices.Concat(f.nodes[:leaver], f.nodes[leaver+1:])
+		durations = append(durations, slowest(others, func(n *benchNode) map[int64]time.Time { return n.leavingAt }, number, begun))
 	}
-	report(b, took)
+	report(b, durations)
 }
 
-// addAccounts writes accounts as fast as the store takes them.
+// addAccounts creates accounts as fast as the store accepts them.
 func (f *benchFleet) addAccounts(n int) {
 	operator := f.store.Local("operator")
 	for i := range n {
@@ -327,16 +328,16 @@
 	}
 }
 
-// kill ends a node without any farewell.
+// kill stops a node without announcing it to the others.
 func (f *benchFleet) kill(n *benchNode) {
 	f.nodes = slices.DeleteFunc(f.nodes, func(other *benchNode) bool { return other == n })
 	n.stop()
 }
 
-func report(b *testing.B, took []time.Duration) {
-	slices.Sort(took)
+func report(b *testing.B, durations []time.Duration) {
+	slices.Sort(durations)
 	ms := func(share float64) float64 {
-		return float64(took[int(share*float64(len(took)-1))]) / float64(time.Millisecond)
+		return float64(durations[int(share*float64(len(durations)-1))]) / float64(time.Millisecond)
 	}
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(ms(0.5), "p50-ms")
--- a/daemon/confsync/snapshot.go
+++ b/daemon/confsync/snapshot.go
@@ -11,16 +11,16 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Bounds of one page.
+// Limits of one page.
 const (
-	pageRecords = 512
-	pageBytes   = 512 << 10
+	maxPageRecords = 512
+	maxPageBytes   = 512 << 10
 )
 
-// HandleSnapshot answers a peer that starts; it is the handler of
-// configwire.MethodSnapshot. The records of operators come first, then the
-// targets, then the marks of leaving ones: an instance that is born in an outage
-// of the store has no other place to learn them from.
+// HandleSnapshot handles configwire.MethodSnapshot, with which a starting peer requests
+// all records. The configuration records come first, then the targets, then the marks of
+// leaving targets: an instance that starts during an outage of the store has no other
+// source for them.
 func (s *Sync) HandleSnapshot(body []byte) ([]byte, error) {
 	var request configwire.PageRequest
 	if err := msgpack.Unmarshal(body, &request); err != nil {
@@ -35,15 +35,15 @@
 	return msgpack.Marshal(&page)
 }
 
-// page needs the lock.
+// page returns the page of records that follows a request. The caller holds the lock.
 func (s *Sync) page(request configwire.PageRequest) (configwire.Page, error) {
 	switch request.Kind {
 	case platformapi.KindTargets:
-		return s.otherPage(s.targets.after(request.Name, pageRecords, pageBytes), platformapi.KindTargets, kindLeaving), nil
+		return s.otherPage(s.targets.after(request.Name, maxPageRecords, maxPageBytes), platformapi.KindTargets, kindLeaving), nil
 	case kindLeaving:
-		return s.otherPage(s.leaving.after(request.Name, pageRecords), kindLeaving, ""), nil
+		return s.otherPage(s.leaving.after(request.Name, maxPageRecords), kindLeaving, ""), nil
 	}
-	limit := config.PageLimit{Records: pageRecords, Bytes: pageBytes}
+	limit := config.PageLimit{Records: maxPageRecords, Bytes: maxPageBytes}
 	records, last, more := s.set.Records(request.Cursor(), limit, config.AllBuckets)
 	page := configwire.Page{Last: configwire.RequestAfter(last), More: true, AsOf: s.asOf()}
 	if !more {
@@ -59,24 +59,25 @@
 	return page, nil
 }
 
-// otherPage makes the page of a kind; next is the kind that comes after it.
-// It needs the lock.
-func (s *Sync) otherPage(records []spread.Record, kind, next string) configwire.Page {
+// otherPage returns a page of records that are not configuration; nextKind is the kind
+// that follows, empty if there is none. The caller holds the lock.
+func (s *Sync) otherPage(records []spread.Record, kind, nextKind string) configwire.Page {
 	page := configwire.Page{Others: records, AsOf: s.asOf()}
 	switch {
 	case len(records) > 0:
 		page.More = true
 		page.Last = configwire.PageRequest{Kind: kind, Name: records[len(records)-1].Name}
-	case next != "":
+	case nextKind != "":
 		page.More = true
-		page.Last = configwire.PageRequest{Kind: next}
+		page.Last = configwire.PageRequest{Kind: nextKind}
 	}
 	return page
 }
 
-// asOf needs the lock. It is empty until this instance is complete itself.
+// asOf returns the revisions of the newest full lists, by kind; nil until this instance
+// has a complete configuration. The caller holds the lock.
 func (s *Sync) asOf() map[string]uint64 {
-	if !s.started || !s.set.Complete() {
+	if !s.bootstrapped || !s.set.Complete() {
 		return nil
 	}
 	out := make(map[string]uint64, len(config.Kinds)+1)
--- a/daemon/confsync/sync.go
+++ b/daemon/confsync/sync.go
@@ -1,7 +1,6 @@
-// Package confsync keeps the configuration and the list of targets in force on
-// an instance. A few instances watch the platform's store; the others learn of
-// changes from their peers. A new instance starts from its peers and the store
-// and takes the newest that either has.
+// Package confsync keeps an instance's configuration and list of targets up to date. A
+// few instances watch the platform's store and gossip the changes to the others. A new
+// instance reads all records from a peer and from the store and uses the newest versions.
 package confsync
 
 import (
@@ -22,86 +21,91 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Times of the driver.
+// Intervals and timeouts.
 const (
-	// watchWait is how long one watch waits, watchGrace how long its answer may
-	// take beyond. Both are short, so that a watch whose connection went silent
-	// is noticed within the 3 s in which a change has to be in force.
+	// watchWait is how long one watch waits for changes, and watchGrace how much longer
+	// its response may take. Both are short, so that a silent connection is detected
+	// within the 3 s in which a change has to be in force.
 	watchWait  = time.Second
 	watchGrace = 500 * time.Millisecond
-	// relistEvery is how often a watcher reads everything again, against a
-	// watch that skips a change. Each page of a list adds as much again.
-	relistEvery  = 2 * time.Second
-	roleInterval = 500 * time.Millisecond
-	retryMin     = 200 * time.Millisecond
-	retryMax     = 2 * time.Second
+	// minRelistInterval is the time between two lists of all kinds on a watcher, which
+	// find changes that the watch has skipped. Each full page of the lists adds the same
+	// time again.
+	minRelistInterval = 2 * time.Second
+	followInterval    = 500 * time.Millisecond
+	retryMin          = 200 * time.Millisecond
+	retryMax          = 2 * time.Second
 )
 
-// failureLogLevel is the verbosity at which each failed round is logged.
+// failureLogLevel is the verbosity at which every failure after the first is logged.
 const failureLogLevel = 1
 
-// Watchers is how many instances watch the store. Two may die at once, or one
-// may sit on a silent connection, and a change still spreads at once.
+// Watchers is the number of instances that watch the store. Changes are still gossiped
+// without delay if two of them fail at once or if one has a silent connection.
 const Watchers = 3
 
-// Spreader passes records on to all instances; *cluster.Cluster is one. Publish
-// doesn't block.
-type Spreader interface {
+// Publisher gossips records to all instances.
+type Publisher interface {
+	// Publish must not block. It may pass the records to Receive before it returns.
 	Publish(records []spread.Record)
 }
 
-// Peers asks another instance for all records; *cluster.Cluster is one.
+// Peers gives access to the other instances.
 type Peers interface {
+	// Call sends a request to an instance, by name, and returns its response.
 	Call(ctx context.Context, instance, method string, body []byte) ([]byte, error)
-	// Others names live instances other than this one, in random order.
+	// Others returns the names of the other live instances in random order.
 	Others() []string
 }
 
-// Options are the parts that a Sync works with.
+// Options configure a Sync.
 type Options struct {
-	Store    platform.Store
-	Spreader Spreader
-	Peers    Peers
-	// WatcherRank returns this instance's place among the watchers, from 0,
-	// or false when it is none. Place 0 writes the verdicts to the store.
+	Store     platform.Store
+	Publisher Publisher
+	Peers     Peers
+	// WatcherRank returns this instance's rank among the watchers, starting at 0, or
+	// false if it isn't a watcher. The watcher of rank 0 writes the verdicts to the
+	// store.
 	WatcherRank func() (rank int, ok bool)
-	// OnSnapshot is told of each new configuration, one at a time.
+	// OnSnapshot is called with each new configuration. Calls don't overlap.
 	OnSnapshot func(*catalog.Snapshot)
-	// OnTargets is told of the whole list of targets after each change of it.
+	// OnTargets is called with the complete list of targets after each change.
 	OnTargets func([]platformapi.TargetEntry)
-	// OnLeaving is told once of each incarnation that a peer saw leaving; nil
-	// if nobody listens. It must not block.
+	// OnLeaving is called once for each incarnation that a peer has marked as leaving;
+	// it may be nil. It must not block.
 	OnLeaving func(incarnation string)
 	Scope     tally.Scope
 }
 
-// Sync is the driver. Its methods are safe for concurrent use.
+// Sync keeps the configuration and the targets of an instance in step with the store and
+// the peers. Its methods are safe for concurrent use.
 type Sync struct {
 	opts     Options
-	current  atomic.Pointer[catalog.Snapshot]
+	inForce  atomic.Pointer[catalog.Snapshot]
 	complete atomic.Bool
 	ready    chan struct{}
 	verdicts *verdictWriter
 	metrics  metrics
-	// failing tells that the last round failed; only Run uses it.
-	failing bool
-	// pages is how many pages the last lists had; only Run uses it.
-	pages int
+	// lastFailed reports whether the last read of the configuration failed. It is only
+	// used by Run.
+	lastFailed bool
+	// listPages is the number of full pages in the last lists. It is only used by Run.
+	listPages int
 
 	mu      sync.Mutex
 	set     *config.Set
 	targets *targetList
 	leaving *leavingMarks
-	// started is false until peers and store were both asked: until then
-	// nothing is published, lest the older of the two comes into force.
-	started bool
-	// outbox holds what is to be spread once the lock is given back, told the
-	// incarnations that OnLeaving is to be told.
-	outbox []spread.Record
-	told   []string
+	// bootstrapped is false until both the peers and the store have been tried. Until
+	// then no configuration is put in force, because it could be the older of the two.
+	bootstrapped bool
+	// outbox holds the records to gossip, and newlyLeaving the incarnations to pass to
+	// OnLeaving, once the lock is released.
+	outbox       []spread.Record
+	newlyLeaving []string
 }
 
-// New makes a driver that holds nothing yet.
+// New returns a Sync without any records.
 func New(o Options) *Sync {
 	m := newMetrics(o.Scope)
 	return &Sync{
@@ -115,25 +119,25 @@
 	}
 }
 
-// Snapshot returns the configuration in force, nil before the first one.
-func (s *Sync) Snapshot() *catalog.Snapshot { return s.current.Load() }
+// Snapshot returns the configuration in force, nil if there is none yet.
+func (s *Sync) Snapshot() *catalog.Snapshot { return s.inForce.Load() }
 
-// Ready is closed once a whole configuration is in force.
+// Ready returns a channel that is closed once a complete configuration is in force.
 func (s *Sync) Ready() <-chan struct{} { return s.ready }
 
-// Run follows the store or the peers until the context ends.
+// Run keeps the configuration up to date until the context ends.
 func (s *Sync) Run(ctx context.Context) error {
-	var drivers sync.WaitGroup
-	drivers.Go(func() { s.verdicts.run(ctx) })
-	drivers.Go(func() { s.expireLeaving(ctx) })
-	defer drivers.Wait()
+	var background sync.WaitGroup
+	background.Go(func() { s.verdicts.run(ctx) })
+	background.Go(func() { s.expireMarks(ctx) })
+	defer background.Wait()
 	pause := retryMin
 	for ctx.Err() == nil {
-		err := s.follow(ctx)
+		err := s.syncOnce(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		s.note(err, pause)
+		s.recordResult(err, pause)
 		if err == nil {
 			pause = retryMin
 			continue
@@ -144,110 +148,113 @@
 	return nil
 }
 
-// note logs the first failed round of a series, and its end: while the store is
-// away for an hour, a line a round would hide everything else.
-func (s *Sync) note(err error, pause time.Duration) {
+// recordResult counts failures and logs the first of a series and the end of the series:
+// a line for each failure would hide all others during an hour's outage of the store.
+func (s *Sync) recordResult(err error, pause time.Duration) {
 	switch {
-	case err == nil && s.failing:
+	case err == nil && s.lastFailed:
 		telemetry.InfoS("configuration is read again", telemetry.Event{})
-	case err != nil && !s.failing:
+	case err != nil && !s.lastFailed:
 		telemetry.ErrorS(err, "configuration not read; the one in force goes on", telemetry.Event{Reason: "store"})
 	case err != nil:
 		telemetry.DebugS(failureLogLevel, "configuration not read", telemetry.Event{Reason: "store", Elapsed: pause})
 	}
-	s.failing = err != nil
+	s.lastFailed = err != nil
 	if err != nil {
-		s.metrics.failed.Inc(1)
+		s.metrics.failures.Inc(1)
 	}
 }
 
-// follow does one round by the instance's role.
-func (s *Sync) follow(ctx context.Context) error {
+// syncOnce bootstraps, watches or follows once, depending on the instance's state and role.
+func (s *Sync) syncOnce(ctx context.Context) error {
 	if !s.complete.Load() {
 		return s.bootstrap(ctx)
 	}
 	if s.role() == follower {
-		return s.sample(ctx)
+		return s.listOccasionally(ctx)
 	}
 	return s.watch(ctx)
 }
 
-// sample waits a little and now and then lists the store, so that the followers
-// together do so about as often as one watcher. All watchers may have lost the
-// store while the followers have it, and a change would wait for their return.
-func (s *Sync) sample(ctx context.Context) error {
-	sleep(ctx, roleInterval)
+// listOccasionally waits for followInterval and then lists the store with a probability
+// at which all followers together do so about as often as one watcher. This covers the
+// case that only the watchers can't reach the store: a change would otherwise wait until
+// one of them can.
+func (s *Sync) listOccasionally(ctx context.Context) error {
+	sleep(ctx, followInterval)
 	followers := max(1, len(s.opts.Peers.Others())+1-Watchers)
-	between := float64(s.untilList()) * float64(followers)
-	if ctx.Err() != nil || rand.Float64() > float64(roleInterval)/between {
+	meanInterval := float64(s.relistInterval()) * float64(followers)
+	if ctx.Err() != nil || rand.Float64() > float64(followInterval)/meanInterval {
 		return nil
 	}
 	_, err := s.list(ctx)
 	return err
 }
 
-// Receive takes records that a peer has spread.
+// Receive applies records from a peer's gossip.
 func (s *Sync) Receive(records []spread.Record) {
-	s.locked(func() {
-		s.applyRecords(fromSpread(records))
+	s.withLock(func() {
+		s.applyRecords(decodeRecords(records))
 		for _, r := range records {
-			s.takeOther(r)
+			s.applyOther(r)
 		}
-		s.publishTargets()
+		s.notifyTargets()
 	})
 }
 
-// takeOther takes a record that is no record of operators. It needs the lock.
-func (s *Sync) takeOther(r spread.Record) {
+// applyOther applies a record of a target or a mark; it ignores configuration records.
+// The caller holds the lock.
+func (s *Sync) applyOther(r spread.Record) {
 	switch r.Kind {
 	case platformapi.KindTargets:
 		s.targets.put(r.Name, r.Revision, r.Deleted, r.Body)
 	case kindLeaving:
-		s.takeMark(r)
+		s.applyMark(r)
 	}
 }
 
-// locked runs a step under the lock and spreads what it brought without it: the
-// spreader hands news back to Receive before it returns, which would wait for
-// the lock for ever.
-func (s *Sync) locked(step func()) {
+// withLock runs a step under the lock and publishes its results after releasing it: the
+// publisher passes the records to Receive before it returns, which would otherwise
+// deadlock.
+func (s *Sync) withLock(step func()) {
 	s.mu.Lock()
 	step()
-	news, told := s.outbox, s.told
-	s.outbox, s.told = nil, nil
+	records, leaving := s.outbox, s.newlyLeaving
+	s.outbox, s.newlyLeaving = nil, nil
 	s.mu.Unlock()
-	if len(news) > 0 {
-		s.opts.Spreader.Publish(news)
+	if len(records) > 0 {
+		s.opts.Publisher.Publish(records)
 	}
-	for _, incarnation := range told {
+	for _, incarnation := range leaving {
 		s.opts.OnLeaving(incarnation)
 	}
 }
 
-// Digest sums up the configuration held, for status and tests.
+// Digest returns a digest of the configuration records, for the status and tests.
 func (s *Sync) Digest() config.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.Digest()
 }
 
-// applyRecords needs the lock.
+// applyRecords applies configuration records. The caller holds the lock.
 func (s *Sync) applyRecords(records []config.Record) {
 	if len(records) == 0 {
 		return
 	}
-	s.settle(s.set.Apply(records))
-	s.contradict(records)
+	s.publishChanges(s.set.Apply(records))
+	s.publishNewerInForce(records)
 }
 
-// settle publishes what a change of the set brought. It needs the lock.
-func (s *Sync) settle(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
-	s.outbox = append(s.outbox, toSpread(changed)...)
+// publishChanges publishes the results of a change of the record set. The caller holds the
+// lock.
+func (s *Sync) publishChanges(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
+	s.outbox = append(s.outbox, encodeRecords(changed)...)
 	s.queueVerdicts(verdicts)
-	if !s.started || !s.set.Complete() {
+	if !s.bootstrapped || !s.set.Complete() {
 		return
 	}
-	if old := s.current.Swap(snapshot); old != snapshot {
+	if old := s.inForce.Swap(snapshot); old != snapshot {
 		s.metrics.revision.Update(float64(snapshot.Revision))
 		s.opts.OnSnapshot(snapshot)
 	}
@@ -256,9 +263,9 @@
 	}
 }
 
-// publishTargets needs the lock.
-func (s *Sync) publishTargets() {
-	if list, changed := s.targets.take(); changed {
+// notifyTargets calls OnTargets if the list has changed. The caller holds the lock.
+func (s *Sync) notifyTargets() {
+	if list, changed := s.targets.takeLive(); changed {
 		s.opts.OnTargets(list)
 	}
 }
--- a/daemon/confsync/targets.go
+++ b/daemon/confsync/targets.go
@@ -10,19 +10,19 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// maxTombstones bounds the deleted targets that are remembered.
+// maxTombstones bounds the number of deleted targets that are remembered.
 const maxTombstones = 4096
 
-// targetList holds the newest known entry of each target. Like the records of
-// the configuration, an entry's revision only grows.
+// targetList holds the newest known entry of each target. As with configuration records,
+// an entry's revision only increases.
 type targetList struct {
 	entries    map[string]targetEntry
 	tombstones int
-	// floor is the revision at or below which an unknown target is one that
-	// was deleted: a full list, or a tombstone since forgotten, has shown it.
-	floor   uint64
-	news    map[string]struct{}
-	changed bool
+	// floor is the highest revision of a full list or of a pruned tombstone. An unknown
+	// target with a revision up to it has been deleted.
+	floor       uint64
+	unsent      map[string]struct{}
+	liveChanged bool
 }
 
 type targetEntry struct {
@@ -33,12 +33,12 @@
 }
 
 func newTargetList() *targetList {
-	return &targetList{entries: make(map[string]targetEntry), news: make(map[string]struct{})}
+	return &targetList{entries: make(map[string]targetEntry), unsent: make(map[string]struct{})}
 }
 
-// put takes an entry unless it is an old one. A store that answers from the
-// past, or a peer that was parted, would otherwise bring a target back that is
-// gone, and requests would be sent to it.
+// put stores an entry unless it is outdated. Otherwise a store that serves stale data, or
+// a peer that was partitioned, would restore a removed target, and requests would be sent
+// to it.
 func (l *targetList) put(name string, revision uint64, deleted bool, spec []byte) {
 	old, known := l.entries[name]
 	if known && old.revision >= revision || !known && revision <= l.floor {
@@ -57,13 +57,13 @@
 		l.tombstones--
 	}
 	l.entries[name] = entry
-	l.news[name] = struct{}{}
-	l.changed = true
+	l.unsent[name] = struct{}{}
+	l.liveChanged = true
 	l.prune()
 }
 
-// applyList takes a full list as of a revision and deletes what it no longer
-// has. What is newer than the list stays: the store may answer from the past.
+// applyList applies a full list as of a revision and deletes the targets that it lacks.
+// Entries newer than the list stay, because the store may serve stale data.
 func (l *targetList) applyList(list platformapi.List) {
 	present := make(map[string]bool, len(list.Items))
 	for i := range list.Items {
@@ -79,11 +79,11 @@
 	l.raiseFloor(list.Revision)
 }
 
-// raiseFloor takes the revision of a full list that was taken over.
+// raiseFloor raises the floor to the revision of a full list or a pruned tombstone.
 func (l *targetList) raiseFloor(asOf uint64) { l.floor = max(l.floor, asOf) }
 
-// prune forgets the oldest half of the tombstones when there are too many. The
-// floor rises with them and takes their place.
+// prune drops the oldest half of the tombstones if there are too many. The floor is
+// raised to their revisions and replaces them.
 func (l *targetList) prune() {
 	if l.tombstones <= maxTombstones {
 		return
@@ -100,29 +100,30 @@
 	for _, name := range deleted[:len(deleted)/2] {
 		l.raiseFloor(l.entries[name].revision)
 		delete(l.entries, name)
-		delete(l.news, name)
+		delete(l.unsent, name)
 		l.tombstones--
 	}
 }
 
-// isLive tells whether the list has a target.
-func (l *targetList) isLive(name string) bool {
+// isListed reports whether the list contains a target.
+func (l *targetList) isListed(name string) bool {
 	e, known := l.entries[name]
 	return known && !e.deleted
 }
 
-// after returns the entries behind a name, in the order of names.
-func (l *targetList) after(name string, limit, bytes int) []spread.Record {
+// after returns the entries that follow a name, sorted by name: at most limit of them,
+// with specs of about maxBytes in total.
+func (l *targetList) after(name string, limit, maxBytes int) []spread.Record {
 	var page []spread.Record
 	for _, next := range slices.Sorted(maps.Keys(l.entries)) {
 		if next <= name {
 			continue
 		}
-		if len(page) == limit || bytes <= 0 {
+		if len(page) == limit || maxBytes <= 0 {
 			break
 		}
 		page = append(page, l.record(next))
-		bytes -= len(l.entries[next].spec)
+		maxBytes -= len(l.entries[next].spec)
 	}
 	return page
 }
@@ -132,23 +133,24 @@
 	return spread.Record{Kind: platformapi.KindTargets, Name: name, Revision: e.revision, Deleted: e.deleted, Body: e.spec}
 }
 
-// takeNews returns what changed since the last call, to be passed on.
-func (l *targetList) takeNews() []spread.Record {
-	news := make([]spread.Record, 0, len(l.news))
-	for name := range l.news {
-		news = append(news, l.record(name))
+// takeUnsent returns the entries to gossip: those changed since the last call of takeUnsent
+// or takeLive.
+func (l *targetList) takeUnsent() []spread.Record {
+	changes := make([]spread.Record, 0, len(l.unsent))
+	for name := range l.unsent {
+		changes = append(changes, l.record(name))
 	}
-	clear(l.news)
-	return news
+	clear(l.unsent)
+	return changes
 }
 
-// take returns the live entries when they changed since the last call.
-func (l *targetList) take() ([]platformapi.TargetEntry, bool) {
-	if !l.changed {
+// takeLive returns the live entries, and false if nothing has changed since the last call.
+func (l *targetList) takeLive() ([]platformapi.TargetEntry, bool) {
+	if !l.liveChanged {
 		return nil, false
 	}
-	l.changed = false
-	clear(l.news)
+	l.liveChanged = false
+	clear(l.unsent)
 	list := make([]platformapi.TargetEntry, 0, len(l.entries)-l.tombstones)
 	for _, e := range l.entries {
 		if !e.deleted {
--- a/daemon/confsync/targets_test.go
+++ b/daemon/confsync/targets_test.go
@@ -15,9 +15,9 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// A target tells one instance that it leaves; the platform's list says so only
-// much later. The others would go on sending it requests.
-func TestALeavingMarkReachesAll(t *testing.T) {
+// A target reports to one instance that it is leaving, and the platform's list shows it
+// only much later. Without the mark the other instances would keep sending it requests.
+func TestLeavingMarkReachesAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.store.RegisterTarget(target("t1"))
@@ -25,45 +25,44 @@
 		for range 3 {
 			f.instances[7].sync.MarkLeaving("t1")
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		for _, in := range f.instances[:7] {
 			assert.Equal(t, []string{"t1"}, in.leaving, in.name)
 		}
-		assert.Empty(t, f.instances[7].leaving, "it knows already")
+		assert.Empty(t, f.instances[7].leaving, "it set the mark itself")
 	})
 }
 
-// A target leaves, the list forgets it, and an instance that was parted
-// meanwhile still has the mark. The mark is kept while the list has the target,
-// deleted long after, and not set again by the late one.
-func TestALeavingMarkEndsLongAfterItsTarget(t *testing.T) {
+// A target leaves and disappears from the list. Its mark must be kept while the target is
+// listed, be deleted some time afterwards, and not be set again by an outdated record from
+// a peer that was partitioned.
+func TestLeavingMarkExpiresAfterItsTargetIsUnlisted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.store.RegisterTarget(target("t1"))
 		f.addN(4)
 		f.instances[0].sync.MarkLeaving("t1")
-		held := func(in *instance) (mark spread.Record) {
+		markOn := func(in *instance) (mark spread.Record) {
 			mark, _ = in.table.Get("leaving", "t1")
 			return mark
 		}
-		f.pass(time.Hour)
+		f.advance(time.Hour)
 		for _, in := range f.instances {
-			assert.Equal(t, uint64(1), held(in).Revision, "the target is still listed")
+			assert.Equal(t, uint64(1), markOn(in).Revision, "the target is still listed")
 		}
 		f.store.RemoveTarget("t1")
-		f.pass(5 * time.Minute)
-		assert.False(t, held(f.instances[1]).Deleted, "the list may still bring it back")
-		f.pass(10 * time.Minute)
+		f.advance(5 * time.Minute)
+		assert.False(t, markOn(f.instances[1]).Deleted, "the list may still contain it again")
+		f.advance(10 * time.Minute)
 		for _, in := range f.instances {
-			assert.True(t, held(in).Deleted, in.name)
+			assert.True(t, markOn(in).Deleted, in.name)
 		}
 		f.instances[3].sync.Receive([]spread.Record{{Kind: "leaving", Name: "t1", Revision: 1}})
-		assert.Len(t, f.instances[3].leaving, 1, "told once")
+		assert.Len(t, f.instances[3].leaving, 1, "reported once")
 	})
 }
 
-// A pool's many targets leave and their marks are more than are kept: memory
-// stays bounded.
+// More targets leave than there may be marks: the memory in use must stay bounded.
 func TestLeavingMarksAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -71,18 +70,18 @@
 		for i := range 6000 {
 			f.instances[0].sync.MarkLeaving(fmt.Sprint("t", i))
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		assert.Len(t, f.instances[1].leaving, 4096)
 	})
 }
 
-// Targets come and go for weeks. Their tombstones are bounded, and one that was
-// forgotten must still hold off an old entry.
+// Targets are added and removed for weeks. The number of tombstones must stay bounded, and
+// an old entry must be refused also after its tombstone was dropped.
 func TestTombstonesOfTargetsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		in := f.add(nil)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		body := []byte(`{"pool":"p","incarnation":"t0"}`)
 		put := func(name string, revision uint64, deleted bool) {
 			in.sync.Receive([]spread.Record{{Kind: platformapi.KindTargets, Name: name, Revision: revision, Deleted: deleted, Body: body}})
@@ -94,20 +93,20 @@
 		put("t0", 100, false)
 		put("t5999", 100, false)
 		assert.Empty(t, in.targets)
-		assert.LessOrEqual(t, handedOn(t, in), 4096)
+		assert.LessOrEqual(t, countSnapshotTargets(t, in), 4096)
 	})
 }
 
-// handedOn counts the targets, tombstones included, that a new peer would get.
-func handedOn(t *testing.T, in *instance) (count int) {
+// countSnapshotTargets counts the targets, tombstones included, that a new peer would get.
+func countSnapshotTargets(t *testing.T, in *instance) (count int) {
 	request := configwire.PageRequest{}
 	for {
-		question, err := msgpack.Marshal(&request)
+		body, err := msgpack.Marshal(&request)
 		require.NoError(t, err)
-		answer, err := in.sync.HandleSnapshot(question)
+		response, err := in.sync.HandleSnapshot(body)
 		require.NoError(t, err)
 		var page configwire.Page
-		require.NoError(t, msgpack.Unmarshal(answer, &page))
+		require.NoError(t, msgpack.Unmarshal(response, &page))
 		count += len(page.Others)
 		if !page.More {
 			return count
--- a/daemon/confsync/verdicts.go
+++ b/daemon/confsync/verdicts.go
@@ -16,23 +16,22 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Bounds of the writing of verdicts: operators wait for one, but a change of
-// thousands of records must not take the store's writes from the claims.
+// Limits of the writes of verdicts. Operators wait for a verdict, but a change of
+// thousands of records must not use up the store's write capacity, which claims need.
 const (
-	verdictInterval = 50 * time.Millisecond
-	maxVerdicts     = 65536
+	verdictInterval   = 50 * time.Millisecond
+	maxQueuedVerdicts = 65536
 )
 
-// verdictWriter writes each record's verdict to its status, once. Only the
-// first watcher has anything to write.
+// verdictWriter writes each record's verdict to its status, once. Only the watcher of
+// rank 0 has verdicts to write.
 type verdictWriter struct {
 	store   platform.Store
 	metrics metrics
 
 	mu sync.Mutex
-	// refused and accepted hold the verdicts to write; the newest of a record
-	// replaces the one before. Refused ones go first: somebody has to mend the
-	// record.
+	// refused and accepted hold the verdicts to write, the newest one of each record.
+	// Refusals are written first, because somebody has to fix the record.
 	refused  map[config.Key]config.Verdict
 	accepted map[config.Key]config.Verdict
 }
@@ -46,86 +45,88 @@
 	}
 }
 
-// add has a verdict written unless a newer one of the record waits.
-func (w *verdictWriter) add(v config.Verdict) {
+// enqueue queues a verdict to be written unless a newer one of the record is queued.
+func (w *verdictWriter) enqueue(v config.Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting(v.Key).Revision > v.Revision {
+	if w.queued(v.Key).Revision > v.Revision {
 		return
 	}
 	delete(w.refused, v.Key)
 	delete(w.accepted, v.Key)
-	due := w.refused
+	queue := w.refused
 	if v.Accepted {
-		due = w.accepted
+		queue = w.accepted
 	}
-	if len(due) < maxVerdicts {
-		due[v.Key] = v
+	if len(queue) < maxQueuedVerdicts {
+		queue[v.Key] = v
 	}
-	w.report()
+	w.updateMetrics()
 }
 
-// waiting needs the lock.
-func (w *verdictWriter) waiting(key config.Key) config.Verdict {
+// queued returns the queued verdict of a record, the zero value if there is none. The
+// caller holds the lock.
+func (w *verdictWriter) queued(key config.Key) config.Verdict {
 	if v, ok := w.refused[key]; ok {
 		return v
 	}
 	return w.accepted[key]
 }
 
-// report needs the lock.
-func (w *verdictWriter) report() {
+// updateMetrics reports the number of queued verdicts. The caller holds the lock.
+func (w *verdictWriter) updateMetrics() {
 	w.metrics.verdictsDue.Update(float64(len(w.refused) + len(w.accepted)))
 }
 
-// clear forgets what waits, when another instance has taken the duty over: it
-// lists the store and finds by itself what has to be written.
+// clear empties the queues, when another instance has become the writer. That instance
+// lists the store and determines itself which verdicts to write.
 func (w *verdictWriter) clear() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(w.refused)
 	clear(w.accepted)
-	w.report()
+	w.updateMetrics()
 }
 
-// run writes due verdicts one by one until the context ends.
+// run writes the queued verdicts one by one until the context ends.
 func (w *verdictWriter) run(ctx context.Context) {
 	for sleep(ctx, verdictInterval); ctx.Err() == nil; sleep(ctx, verdictInterval) {
-		if v, ok := w.next(); ok {
+		if v, ok := w.dequeue(); ok {
 			w.write(ctx, v)
 		}
 	}
 }
 
-func (w *verdictWriter) next() (config.Verdict, bool) {
+// dequeue removes a verdict from the queues and returns it, false if there is none.
+func (w *verdictWriter) dequeue() (config.Verdict, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, due := range []map[config.Key]config.Verdict{w.refused, w.accepted} {
-		for key, v := range due {
-			delete(due, key)
-			w.report()
+	for _, queue := range []map[config.Key]config.Verdict{w.refused, w.accepted} {
+		for key, v := range queue {
+			delete(queue, key)
+			w.updateMetrics()
 			return v, true
 		}
 	}
 	return config.Verdict{}, false
 }
 
-// write puts the verdict into the record's status, if it isn't there. What the
-// store doesn't take now is tried again.
+// write writes a verdict to the record's status unless the status has it already. A write
+// that fails is retried.
 func (w *verdictWriter) write(ctx context.Context, v config.Verdict) {
 	err := w.tryWrite(ctx, v)
-	if err == nil || nothingToWrite(err) {
+	if err == nil || isObsoleteWrite(err) {
 		return
 	}
-	w.metrics.failed.Inc(1)
-	w.add(v)
+	w.metrics.failures.Inc(1)
+	w.enqueue(v)
 	sleep(ctx, retryMax)
 }
 
-// tryWrite reads the record first: another writer may have been faster, and a
-// read is far cheaper for the store than a write. The write is conditional on
-// the version that was judged. Were it not, a verdict on a spec that is gone
-// would raise the revision under an operator who is about to write.
+// tryWrite reads the record first, because another writer may already have written the
+// status, and a read is much cheaper for the store than a write. The write is conditional
+// on the version that was evaluated. Otherwise a verdict on a replaced spec would raise
+// the record's revision and cause a conflict for an operator who is about to write.
 func (w *verdictWriter) tryWrite(ctx context.Context, v config.Verdict) error {
 	object, err := w.store.Get(ctx, string(v.Kind), v.Name)
 	if err != nil {
@@ -142,37 +143,37 @@
 	if err != nil {
 		return errors.Wrap(err, "write verdict")
 	}
-	w.metrics.verdicts.Inc(1)
+	w.metrics.verdictsWritten.Inc(1)
 	if !v.Accepted {
 		telemetry.InfoS("record refused", telemetry.Event{Record: string(v.Kind) + "/" + v.Name, Revision: v.Revision})
 	}
 	return nil
 }
 
-// writes tells whether this instance writes the verdicts now.
-func (s *Sync) writes() bool {
+// isVerdictWriter reports whether this instance currently writes the verdicts.
+func (s *Sync) isVerdictWriter() bool {
 	rank, ok := s.opts.WatcherRank()
 	return ok && rank == 0
 }
 
-// queueVerdicts has verdicts that changed written, if this instance is the one
-// that writes them. It needs the lock.
+// queueVerdicts queues changed verdicts if this instance writes the verdicts. The caller
+// holds the lock.
 func (s *Sync) queueVerdicts(verdicts []config.Verdict) {
-	if !s.writes() {
+	if !s.isVerdictWriter() {
 		return
 	}
 	for _, v := range verdicts {
 		if !v.Deleted {
-			s.verdicts.add(v)
+			s.verdicts.enqueue(v)
 		}
 	}
 }
 
-// compareStatus has the verdict on an object written that its status lacks: one
-// that the writer before could not write any more. It needs the lock.
-func (s *Sync) compareStatus(kind string, object *platformapi.Object) {
+// queueMissingVerdict queues the verdict on an object if its status lacks it, because the
+// previous writer could not write it. The caller holds the lock.
+func (s *Sync) queueMissingVerdict(kind string, object *platformapi.Object) {
 	key := config.Key{Kind: catalog.RecordKind(kind), Name: object.Metadata.Name}
-	if v, judged := s.set.Verdict(key); judged && record.NeedsStatus(object, v) {
-		s.verdicts.add(v)
+	if v, evaluated := s.set.Verdict(key); evaluated && record.NeedsStatus(object, v) {
+		s.verdicts.enqueue(v)
 	}
 }
--- a/daemon/confsync/verdicts_test.go
+++ b/daemon/confsync/verdicts_test.go
@@ -21,9 +21,9 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// An operator reads the verdict on a record. It is written once by one
-// instance: neither the write itself, nor lists, nor a new writer may answer it
-// by further writes, which would take the store's writes from the claims.
+// Each verdict is written once by one instance. Neither the write itself, nor lists, nor a
+// new writer may cause further writes, which would use up the store's write capacity that
+// claims need.
 func TestEachVerdictIsWrittenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -31,39 +31,38 @@
 		var writer atomic.Int64
 		for i := 1; i < 4; i++ {
 			f.add(func(s platform.Store) platform.Store {
-				return racingStore{s, func(error) { assert.Equal(t, int64(i), writer.Load(), "only one instance writes") }}
+				return observedStore{s, func(error) { assert.Equal(t, int64(i), writer.Load(), "only one instance writes") }}
 			})
 		}
 		const many = 1000
 		for i := range many {
 			f.write("accounts", fmt.Sprint("a", i), accountSpec("gold", i+1))
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"))
 		f.instances[0].kill()
 		writer.Store(1)
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		f.add(nil)
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"), "after a change of the writer")
 		f.write("tiers", "gold", tierSpec(700))
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		assert.Equal(t, many, f.statusWrites("accounts"), "after a change of a tier that all use")
 	})
 }
 
-// A refused record must say why, and what it left in force must outlive every
-// instance: one that starts alone, with the store as its only source, goes on
-// serving the accepted version.
-func TestARefusedRecordKeepsItsAcceptedVersion(t *testing.T) {
+// The status of a refused record must have the reason and the accepted version, so that an
+// instance that starts with the store as its only source serves the accepted version.
+func TestRefusedRecordKeepsItsAcceptedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.write("accounts", "demo", accountSpec("gold", 1))
 		f.addN(3)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.write("accounts", "demo", accountSpec("ruby", 1))
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		status, state := f.status("accounts", "demo")
 		assert.Equal(t, record.StateRefused, state)
 		assert.Contains(t, status.Reason, "tier ruby does not exist")
@@ -72,19 +71,19 @@
 			in.kill()
 		}
 		alone := f.add(nil)
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		account, ok := alone.sync.Snapshot().Accounts.Get("demo")
 		require.True(t, ok)
 		assert.Equal(t, "gold", account.Tier)
 	})
 }
 
-// The writer dies, or loses the store, right after a change: its successor
-// finds that the status is missing and writes it.
-func TestTheNextWriterWritesWhatIsMissing(t *testing.T) {
+// The writer fails, or its writes to the store do, right after a change. The status that
+// is missing must be written nevertheless, by its successor or by a retry.
+func TestMissingVerdictIsWrittenAfterFaults(t *testing.T) {
 	cases := map[string]func(f *fleet){
-		"killed":            func(f *fleet) { f.instances[0].kill() },
-		"loses all answers": func(f *fleet) { f.store.SetFaults(emulator.Faults{LoseWrites: 5}) },
+		"killed":              func(f *fleet) { f.instances[0].kill() },
+		"loses all responses": func(f *fleet) { f.store.SetFaults(emulator.Faults{LoseWrites: 5}) },
 		"writes refused for a while": func(f *fleet) {
 			f.store.SetFaults(emulator.Faults{Calls: []emulator.CallKind{emulator.CallWrite}, Instances: []string{"i0"}, Down: emulator.FailRefuse})
 		},
@@ -95,99 +94,100 @@
 				f := newFleet(t)
 				f.addN(4)
 				f.write("tiers", "gold", tierSpec(700))
-				synctest.Wait() // all have judged, nothing is written yet
+				synctest.Wait() // all have evaluated the record, nothing is written yet
 				fail(f)
-				f.pass(inForceBound)
+				f.advance(inForceBound)
 				f.store.SetFaults(emulator.Faults{})
-				f.pass(2 * inForceBound)
+				f.advance(2 * inForceBound)
 				_, state := f.status("tiers", "gold")
 				assert.Equal(t, record.StateAccepted, state)
-				assert.LessOrEqual(t, f.statusWrites("tiers"), 5, "a storm")
+				assert.LessOrEqual(t, f.statusWrites("tiers"), 5, "writes must not repeat without limit")
 			})
 		})
 	}
 }
 
-// racingStore tells of each write of a status, before and after.
-type racingStore struct {
+// observedStore calls onWrite before each write of a status, with errNotYetWritten, and after
+// it, with its result.
+type observedStore struct {
 	platform.Store
-	on func(err error)
+	onWrite func(err error)
 }
 
-var errBefore = errors.New("not yet written")
+var errNotYetWritten = errors.New("not yet written")
 
-func (r racingStore) UpdateStatus(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
-	r.on(errBefore)
+func (r observedStore) UpdateStatus(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
+	r.onWrite(errNotYetWritten)
 	written, err := r.Store.UpdateStatus(ctx, kind, o)
-	r.on(err)
+	r.onWrite(err)
 	return written, err
 }
 
-// An operator replaces a bad spec by a good one while the refusal of the bad
-// one is being written. That write must fail, and the good spec get its own.
-func TestASpecChangeBeatsTheStatusOfTheOneBefore(t *testing.T) {
+// An operator replaces an invalid spec with a valid one while the refusal of the invalid
+// one is being written. That write must fail, and the valid spec must get its own verdict.
+func TestSpecChangeDuringStatusWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		good, raced := false, []error{}
+		replaced, results := false, []error{}
 		f.add(func(s platform.Store) platform.Store {
-			return racingStore{s, func(err error) {
-				_, missing := f.ops.Get(t.Context(), "accounts", "demo")
-				if missing == nil && err == errBefore && !good {
-					good = true
+			return observedStore{s, func(err error) {
+				_, readErr := f.ops.Get(t.Context(), "accounts", "demo")
+				if readErr == nil && err == errNotYetWritten && !replaced {
+					replaced = true
 					f.write("accounts", "demo", accountSpec("gold", 2))
-				} else if good && err != errBefore {
-					raced = append(raced, err)
+				} else if replaced && err != errNotYetWritten {
+					results = append(results, err)
 				}
 			}}
 		})
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		f.write("accounts", "demo", accountSpec("ruby", 1))
-		f.pass(2 * inForceBound)
+		f.advance(2 * inForceBound)
 		var conflict *platform.ConflictError
-		require.Len(t, raced, 2)
-		assert.ErrorAs(t, raced[0], &conflict)
-		assert.NoError(t, raced[1])
+		require.Len(t, results, 2)
+		assert.ErrorAs(t, results[0], &conflict)
+		assert.NoError(t, results[1])
 		status, state := f.status("accounts", "demo")
 		assert.Equal(t, record.StateAccepted, state, status.Reason)
 	})
 }
 
-// Two operators write at once: one makes a tier faster, one a pipeline slower.
-// Each fits alone. Instances that hear of them in another order judge them
-// differently, and each would keep to its own judgement for ever.
-func TestRecordsThatFitOnlySinglyEndTheSameEverywhere(t *testing.T) {
+// Two operators write at the same time: one shortens a tier's deadline, one makes a
+// pipeline slower. Each record is valid only without the other, so instances that receive
+// them in different orders accept different ones. They must converge.
+func TestConflictingRecordsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.write("pipelines", "chat.v1", pipelineSpec(100))
 		f.addN(4)
-		f.pass(inForceBound)
-		apart := f.instances[3]
-		apart.set(func() { apart.cut = true })
-		f.store.SetFaults(emulator.Faults{Instances: []string{apart.name}, Down: emulator.FailRefuse})
+		f.advance(inForceBound)
+		separated := f.instances[3]
+		separated.set(func() { separated.partitioned = true })
+		f.store.SetFaults(emulator.Faults{Instances: []string{separated.name}, Down: emulator.FailRefuse})
 		f.write("tiers", "gold", tierSpec(300))
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		revision := f.write("pipelines", "chat.v1", pipelineSpec(800))
 		first := config.LiveRecord(config.Key{Kind: "pipelines", Name: "chat.v1"}, revision, []byte(pipelineSpec(800)))
 		body, err := configwire.EncodeRecord(first)
 		require.NoError(t, err)
-		apart.take(spread.Record{Kind: "pipelines", Name: "chat.v1", Revision: revision, Body: body})
-		f.pass(inForceBound)
-		assert.Equal(t, int64(900), apart.deadline(), "it has not heard of the tier")
+		separated.receive(spread.Record{Kind: "pipelines", Name: "chat.v1", Revision: revision, Body: body})
+		f.advance(inForceBound)
+		assert.Equal(t, int64(900), separated.deadline(), "it has not received the tier")
 
 		f.store.SetFaults(emulator.Faults{})
-		apart.set(func() { apart.cut = false })
+		separated.set(func() { separated.partitioned = false })
 		for _, key := range [][2]string{{"tiers", "gold"}, {"pipelines", "chat.v1"}} {
 			r, ok := f.instances[0].table.Get(key[0], key[1])
 			require.True(t, ok)
-			apart.take(r)
+			separated.receive(r)
 		}
-		f.pass(inForceBound)
+		f.advance(inForceBound)
 		for _, in := range f.instances {
 			p, ok := in.sync.Snapshot().Pipeline("chat", 1)
 			require.True(t, ok)
 			assert.Equal(t, 800*time.Millisecond, p.CriticalPath(), in.name)
 			assert.Equal(t, int64(300), in.deadline(), in.name)
-			assert.True(t, in.sync.Digest().Same(apart.sync.Digest()), in.name)
+			assert.True(t, in.sync.Digest().Same(separated.sync.Digest()), in.name)
 		}
 	})
 }
--- a/daemon/confsync/watch.go
+++ b/daemon/confsync/watch.go
@@ -13,14 +13,14 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// watchedKinds are read by one waiting call together.
+// watchedKinds lists the kinds that one watch covers together.
 var watchedKinds = append([]string{platformapi.KindTargets}, platformapi.RecordKinds...)
 
-// watch lists everything, then waits for changes until the instance's role
-// changes, the time for a new list comes or the store fails.
+// watch lists all kinds, then waits for changes until the instance's role changes, the
+// next list is due or the store fails.
 //
-// A new writer of the verdicts lists too: the one before may have died with
-// verdicts unwritten, and only the store knows which.
+// An instance that becomes the verdict writer lists again as well: its predecessor may
+// have stopped with unwritten verdicts, and only the store shows which.
 func (s *Sync) watch(ctx context.Context) error {
 	role := s.role()
 	if role != writer {
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	until := time.Now().Add(s.untilList())
+	until := time.Now().Add(s.relistInterval())
 	for time.Now().Before(until) && ctx.Err() == nil && s.role() == role {
 		changes, err := s.watchOnce(ctx, from, min(watchWait, time.Until(until)))
 		if errors.Is(err, platform.ErrCompacted) {
@@ -45,20 +45,23 @@
 	return nil
 }
 
-// watchOnce waits for changes. The store's client would wait longer for an
-// answer that never comes than a change may take to be in force.
+// watchOnce waits for changes. It sets its own timeout, because the store client's is
+// longer than the time in which a change has to be in force.
 func (s *Sync) watchOnce(ctx context.Context, from uint64, wait time.Duration) (platformapi.Watch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
 	return s.opts.Store.Watch(ctx, watchedKinds, from, wait)
 }
 
-// role is what an instance does for the others.
+// role is the part that an instance has in the synchronisation.
 type role int
 
 const (
+	// follower learns changes from gossip.
 	follower role = iota
+	// watcher watches the store.
 	watcher
+	// writer is the watcher that also writes the verdicts.
 	writer
 )
 
@@ -76,11 +79,13 @@
 // pageSize is the number of objects in a page of the platform's list.
 const pageSize = platformapi.MaxPageItems
 
-// untilList is the time between two lists of everything.
-func (s *Sync) untilList() time.Duration { return time.Duration(1+s.pages) * relistEvery }
+// relistInterval returns the time between two lists of all kinds.
+func (s *Sync) relistInterval() time.Duration {
+	return time.Duration(1+s.listPages) * minRelistInterval
+}
 
-// list reads all watched kinds and returns the least revision of the lists, to
-// watch from.
+// list reads all watched kinds and returns the lowest revision of the lists, from which
+// to watch.
 func (s *Sync) list(ctx context.Context) (from uint64, err error) {
 	pages := 0
 	for i, kind := range watchedKinds {
@@ -88,42 +93,42 @@
 		if err != nil {
 			return 0, errors.Wrapf(err, "list %s", kind)
 		}
-		s.locked(func() { s.mergeList(kind, list) })
+		s.withLock(func() { s.mergeList(kind, list) })
 		if i == 0 || list.Revision < from {
 			from = list.Revision
 		}
 		pages += len(list.Items) / pageSize
 	}
-	s.pages = pages
+	s.listPages = pages
 	return from, nil
 }
 
-// mergeList needs the lock.
+// mergeList applies a full list of one kind. The caller holds the lock.
 func (s *Sync) mergeList(kind string, list platformapi.List) {
 	if kind == platformapi.KindTargets {
 		s.targets.applyList(list)
-		s.spreadTargets()
+		s.gossipTargets()
 		return
 	}
 	records := make([]config.Record, 0, len(list.Items))
 	for i := range list.Items {
 		records = append(records, record.FromObject(catalog.RecordKind(kind), &list.Items[i]))
 	}
-	s.settle(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
-	s.contradict(records)
-	if !s.writes() {
+	s.publishChanges(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
+	s.publishNewerInForce(records)
+	if !s.isVerdictWriter() {
 		return
 	}
 	for i := range list.Items {
-		s.compareStatus(kind, &list.Items[i])
+		s.queueMissingVerdict(kind, &list.Items[i])
 	}
 }
 
 func (s *Sync) applyEvents(events []platformapi.Event) {
-	s.locked(func() { s.mergeEvents(events) })
+	s.withLock(func() { s.mergeEvents(events) })
 }
 
-// mergeEvents needs the lock.
+// mergeEvents applies the changes of a watch. The caller holds the lock.
 func (s *Sync) mergeEvents(events []platformapi.Event) {
 	var records []config.Record
 	for i := range events {
@@ -135,20 +140,20 @@
 		records = append(records, record.FromEvent(catalog.RecordKind(e.Kind), e))
 	}
 	s.applyRecords(records)
-	s.spreadTargets()
-	if !s.writes() {
+	s.gossipTargets()
+	if !s.isVerdictWriter() {
 		return
 	}
 	for i := range events {
 		if e := &events[i]; !e.Deleted && e.Kind != platformapi.KindTargets {
-			s.compareStatus(e.Kind, &e.Object)
+			s.queueMissingVerdict(e.Kind, &e.Object)
 		}
 	}
 }
 
-// spreadTargets passes what is new in the list of targets on to the peers and
-// to the router. It needs the lock.
-func (s *Sync) spreadTargets() {
-	s.outbox = append(s.outbox, s.targets.takeNews()...)
-	s.publishTargets()
+// gossipTargets queues the changes of the list of targets for gossip and calls OnTargets.
+// The caller holds the lock.
+func (s *Sync) gossipTargets() {
+	s.outbox = append(s.outbox, s.targets.takeUnsent()...)
+	s.notifyTargets()
 }
