--- a/daemon/app/orders.go
+++ b/daemon/app/orders.go
@@ -22,12 +22,12 @@
 	terms := lease.DefaultTiming
 	terms.LongestOrder = a.settings.Orders.LongestOrder
 	a.orders = orders.NewGroup(orders.GroupOptions{
-		Keeper: orders.Options{
-			Holder:  a.self.Name + "-" + strconv.FormatUint(a.self.Incarnation, 10),
-			Store:   a.store,
-			Targets: a.targets,
-			Scope:   a.telemetry.Scope,
-			Terms:   terms,
+		Controller: orders.Options{
+			Holder: a.self.Name + "-" + strconv.FormatUint(a.self.Incarnation, 10),
+			Store:  a.store,
+			Client: a.targets,
+			Scope:  a.telemetry.Scope,
+			Timing: terms,
 		},
 		Snapshot: a.sync.Snapshot,
 		Members:  a.orderedTargets,
@@ -58,5 +58,5 @@
 
 // handOverOrders gives up the leases under which this instance gives orders.
 func (a *App) handOverOrders() {
-	bounded(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.HandOver(ctx) })
+	bounded(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.ReleaseLeases(ctx) })
 }
--- a/daemon/orders/keeper_test.go
+++ b/daemon/orders/controller_test.go
@@ -18,18 +18,18 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// fakeTarget obeys orders, at once unless a pause stands before the sending.
+// fakeTarget executes orders without delay.
 type fakeTarget struct {
-	mu     sync.Mutex
-	checks bool
-	load   targetapi.Load
-	roles  []string
+	mu            sync.Mutex
+	checksFencing bool
+	load          targetapi.Load
+	roles         []string
 }
 
-func (f *fakeTarget) obey(order targetapi.Order) error {
+func (f *fakeTarget) execute(order targetapi.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.checks && order.Fencing < f.load.Fencing {
+	if f.checksFencing && order.Fencing < f.load.Fencing {
 		return target.ErrFenced
 	}
 	f.load.Fencing = max(f.load.Fencing, order.Fencing)
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// link is how one keeper reaches the target.
+// link is one controller's connection to the target.
 type link struct {
 	*fakeTarget
-	// pauses holds an order back between the keeper's check and the sending.
-	pauses time.Duration
-	// loses drops the answer to an order that stays under way.
-	loses bool
+	// sendDelay delays an order between the controller's check and the sending.
+	sendDelay time.Duration
+	// losesResponse drops the response to an order that stays in progress.
+	losesResponse bool
 }
 
 func (l *link) Load(context.Context, string) (targetapi.Load, error) {
@@ -54,15 +54,15 @@
 }
 
 func (l *link) Order(_ context.Context, _ string, order targetapi.Order) (targetapi.Load, error) {
-	time.Sleep(l.pauses)
-	if l.loses {
-		l.note(order)
+	time.Sleep(l.sendDelay)
+	if l.losesResponse {
+		l.recordRole(order)
 		return targetapi.Load{}, &target.ControlError{Outcome: target.Unknown, Err: errors.New("lost")}
 	}
-	return targetapi.Load{}, l.obey(order)
+	return targetapi.Load{}, l.execute(order)
 }
 
-func (f *fakeTarget) note(order targetapi.Order) {
+func (f *fakeTarget) recordRole(order targetapi.Order) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roles = append(f.roles, order.Value)
@@ -86,28 +86,28 @@
 	return slices.Clone(f.roles)
 }
 
-// keeper starts a keeper that wants one role; stop ends it.
-func keeper(t *testing.T, store *emulator.Store, name string, l *link, role string) (k *Keeper, stop func()) {
-	k = New(Options{
-		Holder: name, Pool: "engines", Store: store.Local(name), Targets: l, Now: time.Now,
+// startController starts a controller that desires one role; stop ends it.
+func startController(t *testing.T, store *emulator.Store, name string, l *link, role string) (c *Controller, stop func()) {
+	c = New(Options{
+		Holder: name, Pool: "engines", Store: store.Local(name), Client: l, Now: time.Now,
 		Members:       func() []Member { return []Member{{Incarnation: "t1", Address: "t1"}} },
-		ChecksFencing: func() bool { return l.checks },
+		ChecksFencing: func() bool { return l.checksFencing },
 	})
-	require.NoError(t, k.SetDesired(Desired{Revision: 1, Role: role}))
+	require.NoError(t, c.SetDesired(Desired{Revision: 1, Role: role}))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- k.Run(ctx) }()
-	return k, func() {
+	go func() { ended <- c.Run(ctx) }()
+	return c, func() {
 		cancel()
 		require.ErrorIs(t, <-ended, context.Canceled)
 	}
 }
 
-// Story: the holder checks its lease and is paused before it sends the order.
-// Meanwhile it lapses, a successor takes over and gives its own order; then the
-// late order leaves. A target that checks refuses it. A target that doesn't
-// obeys it, since no wait can outlast a pause of unknown length; the successor
-// reads back and repairs it within its next checks.
+// The holder checks its lease and is paused before it sends the order. Meanwhile the lease
+// expires, a successor acquires it and sends its own order; then the delayed order is sent.
+// A target that checks the fencing number refuses it. Another target executes it, since no
+// wait is longer than every pause; the successor detects and corrects that in its next
+// comparisons.
 func TestPauseBetweenCheckAndSend(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -120,17 +120,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := emulator.New(emulator.Options{})
-				f := &fakeTarget{checks: tc.checks, load: targetapi.Load{Incarnation: "t1"}}
-				first, stopFirst := keeper(t, store, "a", &link{fakeTarget: f, pauses: 90 * time.Second}, "prefill")
+				f := &fakeTarget{checksFencing: tc.checks, load: targetapi.Load{Incarnation: "t1"}}
+				first, stopFirst := startController(t, store, "a", &link{fakeTarget: f, sendDelay: 90 * time.Second}, "prefill")
 				time.Sleep(5 * time.Second)
 				_, held := first.Held()
 				require.True(t, held)
 				store.SetFaults(emulator.Faults{Instances: []string{"a"}, Down: emulator.FailRefuse})
 
-				second, stopSecond := keeper(t, store, "b", &link{fakeTarget: f}, "decode")
+				second, stopSecond := startController(t, store, "b", &link{fakeTarget: f}, "decode")
 				time.Sleep(20 * time.Second)
 				_, held = first.Held()
-				require.False(t, held, "the paused holder's lease has lapsed")
+				require.False(t, held, "the paused holder's lease has expired")
 				number, held := second.Held()
 				require.True(t, held)
 				require.Equal(t, uint64(2), number)
@@ -146,21 +146,21 @@
 	}
 }
 
-// Story: the holder stops as planned. Its successor takes the lease without
-// waiting, since no order is under way. When the answer to an order was lost
-// instead, the lease is left to lapse and the successor waits the order out.
+// The holder stops as planned. Its successor must acquire the lease without waiting, since
+// no order is in progress. If the response to an order was lost, the lease must be left to
+// expire, and the successor must wait for the order's end.
 func TestPlannedStop(t *testing.T) {
-	for _, loses := range []bool{false, true} {
+	for _, losesResponse := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			store := emulator.New(emulator.Options{})
 			f := &fakeTarget{load: targetapi.Load{Incarnation: "t1"}}
-			_, stop := keeper(t, store, "a", &link{fakeTarget: f, loses: loses}, "prefill")
+			_, stop := startController(t, store, "a", &link{fakeTarget: f, losesResponse: losesResponse}, "prefill")
 			time.Sleep(5 * time.Second)
-			require.Equal(t, []string{"prefill"}, f.history(), "an order whose answer was lost isn't repeated at once")
+			require.Equal(t, []string{"prefill"}, f.history(), "an order whose response was lost isn't repeated at once")
 			stop()
-			_, stopSecond := keeper(t, store, "b", &link{fakeTarget: f}, "decode")
+			_, stopSecond := startController(t, store, "b", &link{fakeTarget: f}, "decode")
 			time.Sleep(6 * time.Second)
-			require.Equal(t, !loses, f.role() == "decode")
+			require.Equal(t, !losesResponse, f.role() == "decode")
 			time.Sleep(time.Minute)
 			require.Equal(t, "decode", f.role())
 			stopSecond()
@@ -168,21 +168,21 @@
 	}
 }
 
-// Story: the store is down for longer than a term. The holder must give up by
-// itself, give no order meanwhile, and come back when the store does.
-func TestOutageOfTheStore(t *testing.T) {
+// The store is down for longer than a lease's term. The holder must stop sending orders by
+// itself, and send them again once the store is available.
+func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
-		f := &fakeTarget{checks: true, load: targetapi.Load{Incarnation: "t1"}}
-		k, stop := keeper(t, store, "a", &link{fakeTarget: f}, "prefill")
+		f := &fakeTarget{checksFencing: true, load: targetapi.Load{Incarnation: "t1"}}
+		c, stop := startController(t, store, "a", &link{fakeTarget: f}, "prefill")
 		time.Sleep(5 * time.Second)
 		require.Equal(t, "prefill", f.role())
 		store.SetFaults(emulator.Faults{Down: emulator.FailSilence})
 		time.Sleep(15 * time.Second)
-		require.NoError(t, k.SetDesired(Desired{Revision: 2, Role: "decode"}))
-		require.ErrorIs(t, k.SetDesired(Desired{Revision: 1, Role: "prefill"}), ErrStale)
+		require.NoError(t, c.SetDesired(Desired{Revision: 2, Role: "decode"}))
+		require.ErrorIs(t, c.SetDesired(Desired{Revision: 1, Role: "prefill"}), ErrStale)
 		time.Sleep(time.Minute)
-		_, held := k.Held()
+		_, held := c.Held()
 		require.False(t, held)
 		require.Equal(t, "prefill", f.role(), "no order without a lease")
 		store.SetFaults(emulator.Faults{})
@@ -192,24 +192,24 @@
 	})
 }
 
-// Story: the lease was removed from the store by hand, so its numbers begin
-// again, while targets have seen higher ones. The holder takes a number above.
-func TestHolderRisesAboveTheNumbersSeen(t *testing.T) {
+// The lease was deleted from the store by hand, so its fencing numbers start again, while
+// targets have accepted higher ones. The holder must acquire a number above those.
+func TestHolderRaisesItsFencingNumberAboveTheTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
-		f := &fakeTarget{checks: true, load: targetapi.Load{Incarnation: "t1", Fencing: 41}}
-		k, stop := keeper(t, store, "a", &link{fakeTarget: f}, "prefill")
+		f := &fakeTarget{checksFencing: true, load: targetapi.Load{Incarnation: "t1", Fencing: 41}}
+		c, stop := startController(t, store, "a", &link{fakeTarget: f}, "prefill")
 		time.Sleep(20 * time.Second)
-		number, _ := k.Held()
+		number, _ := c.Held()
 		require.Equal(t, uint64(42), number)
 		require.Equal(t, "prefill", f.role())
 		stop()
 	})
 }
 
-// Story: two operators change the desired state of one pool at once. Both read
-// revision 1; the second writer must see the conflict and the newer record.
-func TestOperatorsRace(t *testing.T) {
+// Two operators change the desired state of one pool at the same time. Both read revision
+// 1; the second writer must get a conflict with the newer record.
+func TestConcurrentWritesOfOperatorsConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{}).Local("operator")
 		created, err := store.Create(t.Context(), platformapi.KindPools, platformapi.Object{
--- a/daemon/orders/group.go
+++ b/daemon/orders/group.go
@@ -11,64 +11,68 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// DefaultWeightSlots is what the weight store's rate limit allows: so many
-// orders under way at once over all pools.
+// DefaultWeightSlots is the number of concurrent orders, over all pools, that the weight
+// store's rate limit allows.
 const DefaultWeightSlots = 8
 
-// followEvery is the time between two looks at the configuration and at the
-// instances that compete for leases.
-const followEvery = 500 * time.Millisecond
+// updateInterval is the time between two checks of the configuration and of the instances
+// that compete for leases.
+const updateInterval = 500 * time.Millisecond
 
-// GroupOptions configure a Group. All but Keeper's own fields are required.
+// GroupOptions configure a Group. All fields but WeightSlots are required.
 type GroupOptions struct {
-	// Keeper holds what all keepers share. Its Holder names the incarnation;
-	// Pool, Members, ChecksFencing and DownloadSlots are set by the Group.
-	Keeper Options
-	// Snapshot returns the configuration in force, nil before there is one.
+	// Controller holds the options common to all controllers. Its Holder names the
+	// incarnation; Pool, Members, ChecksFencing and DownloadSlots are set by the Group.
+	Controller Options
+	// Snapshot returns the configuration in force, nil if there is none yet.
 	Snapshot func() *catalog.Snapshot
 	// Members returns the live targets of a pool.
 	Members func(pool string) []Member
-	// Competes tells whether this instance competes for a pool's lease. It is
-	// a hint that keeps the reads of the store few; the lease alone decides.
+	// Competes reports whether this instance competes for a pool's lease. It only limits
+	// the reads of the store; which instance holds the lease is decided by the lease
+	// alone.
 	Competes func(pool string) bool
-	// WeightSlots bounds the orders of all pools; DefaultWeightSlots when 0.
+	// WeightSlots bounds the concurrent orders of all pools; 0 means
+	// DefaultWeightSlots.
 	WeightSlots int
 }
 
-// Group runs one Keeper for each pool that has a desired state and for whose
-// lease this instance competes. It is safe for concurrent use.
+// Group runs a Controller for each pool that has a desired state and for whose lease this
+// instance competes. It is safe for concurrent use.
 type Group struct {
 	opts GroupOptions
 
-	mu      sync.Mutex
-	keepers map[string]*kept
-	// started counts the keepers; it makes their holders' names unique.
-	started int
-	stopped bool
-	running sync.WaitGroup
+	mu          sync.Mutex
+	controllers map[string]*runningController
+	// startCount is the number of controllers started so far. It makes their holder
+	// names unique.
+	startCount int
+	stopped    bool
+	running    sync.WaitGroup
 }
 
-// kept is a keeper that runs.
-type kept struct {
-	keeper *Keeper
-	stop   context.CancelFunc
-	pool   *catalog.Pool
+// runningController is a controller that has been started.
+type runningController struct {
+	controller *Controller
+	stop       context.CancelFunc
+	pool       *catalog.Pool
 }
 
-// NewGroup returns a Group that does nothing before Run.
+// NewGroup returns a Group that is started by Run.
 func NewGroup(opts GroupOptions) *Group {
 	if opts.WeightSlots == 0 {
 		opts.WeightSlots = DefaultWeightSlots
 	}
-	return &Group{opts: opts, keepers: make(map[string]*kept)}
+	return &Group{opts: opts, controllers: make(map[string]*runningController)}
 }
 
-// Run follows the configuration until ctx ends, then hands the leases over.
+// Run starts and stops controllers as the configuration changes. When ctx ends it stops
+// them all and returns once they have released their leases.
 func (g *Group) Run(ctx context.Context) error {
-	ticker := time.NewTicker(followEvery)
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
 	for {
-		g.follow(ctx)
+		g.update(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -79,10 +83,10 @@
 	}
 }
 
-// HandOver gives all leases up for good, at a planned stop, and waits for it at
-// most until ctx ends. A lease under which an order may still be under way is
-// left to lapse.
-func (g *Group) HandOver(ctx context.Context) error {
+// ReleaseLeases stops all controllers for good, at a planned stop, and waits until they
+// have released their leases or ctx ends. A lease under which an order may still be in
+// progress is left to expire.
+func (g *Group) ReleaseLeases(ctx context.Context) error {
 	g.stopAll()
 	done := make(chan struct{})
 	go func() {
@@ -101,88 +105,89 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopped = true
-	for _, k := range g.keepers {
-		k.stop()
+	for _, c := range g.controllers {
+		c.stop()
 	}
 }
 
-// follow starts, tells and stops keepers as the configuration and the other
-// instances have it now.
-func (g *Group) follow(ctx context.Context) {
-	wanted := g.wanted()
+// update starts, updates and stops controllers to match the configuration in force and the
+// pools for which this instance competes.
+func (g *Group) update(ctx context.Context) {
+	pools := g.poolsToRun()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.stopped || wanted == nil {
+	if g.stopped || pools == nil {
 		return
 	}
-	for name, k := range g.keepers {
-		if wanted[name] == nil {
-			k.stop()
+	for name, c := range g.controllers {
+		if pools[name] == nil {
+			c.stop()
 		}
 	}
-	for name, pool := range wanted {
-		k, runs := g.keepers[name]
-		if !runs {
-			k = g.start(ctx, name)
+	for name, pool := range pools {
+		c, running := g.controllers[name]
+		if !running {
+			c = g.start(ctx, name)
 		}
-		k.follow(pool)
+		c.update(pool)
 	}
 }
 
-// wanted returns the pools that this instance shall compete for; nil before
-// there is a configuration.
-func (g *Group) wanted() map[string]*catalog.Pool {
+// poolsToRun returns the pools for whose lease this instance competes, nil if there is no
+// configuration yet.
+func (g *Group) poolsToRun() map[string]*catalog.Pool {
 	snapshot := g.opts.Snapshot()
 	if snapshot == nil {
 		return nil
 	}
-	wanted := make(map[string]*catalog.Pool)
+	pools := make(map[string]*catalog.Pool)
 	for name, pool := range snapshot.Pools {
 		if pool.Desired != nil && g.opts.Competes(name) {
-			wanted[name] = pool
+			pools[name] = pool
 		}
 	}
-	return wanted
+	return pools
 }
 
-// start needs the lock. Guard: each keeper has a holder's name of its own. One
-// that took up the lease of an earlier keeper of this instance would know
-// nothing of that one's orders, and its write numbers would begin again.
-func (g *Group) start(ctx context.Context, name string) *kept {
-	g.started++
-	options := g.opts.Keeper
-	options.Holder = fmt.Sprintf("%s-%d", options.Holder, g.started)
+// start starts the controller of a pool. The caller holds the lock. Each controller gets
+// its own holder name: one that continued the lease of an earlier controller of this
+// instance would not know that one's orders in progress, and its numbering of the lease's
+// writes would start again.
+func (g *Group) start(ctx context.Context, name string) *runningController {
+	g.startCount++
+	options := g.opts.Controller
+	options.Holder = fmt.Sprintf("%s-%d", options.Holder, g.startCount)
 	options.Pool = name
 	options.Members = func() []Member { return g.opts.Members(name) }
-	options.DownloadSlots = g.share
+	options.DownloadSlots = g.downloadSlots
 	options.ChecksFencing = func() bool { return g.checksFencing(name) }
 	ctx, cancel := context.WithCancel(ctx)
-	k := &kept{keeper: New(options), stop: cancel}
-	g.keepers[name] = k
+	c := &runningController{controller: New(options), stop: cancel}
+	g.controllers[name] = c
 	g.running.Go(func() {
 		defer cancel()
-		_ = k.keeper.Run(ctx) // it ends with its context
+		_ = c.controller.Run(ctx) // returns only the error of its context
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.keepers, name)
+		delete(g.controllers, name)
 	})
-	return k
+	return c
 }
 
-// follow tells the keeper of a changed pool.
-func (k *kept) follow(pool *catalog.Pool) {
-	if k.pool != nil && k.pool.Revision == pool.Revision {
+// update passes the pool's desired state to the controller if the pool has changed.
+func (c *runningController) update(pool *catalog.Pool) {
+	if c.pool != nil && c.pool.Revision == pool.Revision {
 		return
 	}
 	d := pool.Desired
-	err := k.keeper.SetDesired(Desired{
+	err := c.controller.SetDesired(Desired{
 		Revision: pool.Revision, Models: d.Models, Adapters: d.Adapters, Version: d.Version, Role: d.Role,
 	})
 	if err != nil {
 		klog.ErrorS(err, "orders: desired state not taken", "pool", pool.Name)
 		return
 	}
-	k.pool = pool
+	c.pool = pool
 }
 
 func (g *Group) checksFencing(name string) bool {
@@ -194,9 +199,9 @@
 	return ok && pool.ChecksFencing
 }
 
-// share is how much of the weight store's rate limit one pool has. All
-// instances work it out from the same configuration, so no message is needed.
-func (g *Group) share() int {
+// downloadSlots returns one pool's share of the weight store's rate limit. All instances
+// compute it from the same configuration, so they need not exchange it.
+func (g *Group) downloadSlots() int {
 	snapshot := g.opts.Snapshot()
 	pools := 0
 	if snapshot != nil {
--- a/daemon/orders/group_test.go
+++ b/daemon/orders/group_test.go
@@ -18,7 +18,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// fleet is targets that obey, by address.
+// fleet is a set of targets that execute orders, by address.
 type fleet struct {
 	byAddress map[string]*fakeTarget
 	reads     atomic.Int64
@@ -28,7 +28,7 @@
 	f := &fleet{byAddress: map[string]*fakeTarget{}}
 	for i := range n {
 		name := fmt.Sprint("t", i)
-		f.byAddress[name] = &fakeTarget{checks: true, load: targetapi.Load{Incarnation: name}}
+		f.byAddress[name] = &fakeTarget{checksFencing: true, load: targetapi.Load{Incarnation: name}}
 	}
 	return f
 }
@@ -40,7 +40,7 @@
 
 func (f *fleet) Order(_ context.Context, address string, order targetapi.Order) (targetapi.Load, error) {
 	time.Sleep(10 * time.Millisecond)
-	return targetapi.Load{}, f.byAddress[address].obey(order)
+	return targetapi.Load{}, f.byAddress[address].execute(order)
 }
 
 func (f *fleet) members(string) []Member {
@@ -51,7 +51,7 @@
 	return members
 }
 
-func ordered(revision uint64, role string, pools ...string) *catalog.Snapshot {
+func snapshotOf(revision uint64, role string, pools ...string) *catalog.Snapshot {
 	s := &catalog.Snapshot{Pools: map[string]*catalog.Pool{}}
 	for _, name := range pools {
 		s.Pools[name] = &catalog.Pool{Name: name, Revision: revision, ChecksFencing: true, Desired: &catalog.DesiredState{Role: role}}
@@ -59,10 +59,10 @@
 	return s
 }
 
-// lateAnswers is a store whose updates take effect at once and are answered late.
-type lateAnswers struct{ Store }
+// delayedResponses is a store that applies updates at once and responds with a delay.
+type delayedResponses struct{ Store }
 
-func (l lateAnswers) Update(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
+func (l delayedResponses) Update(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
 	stored, err := l.Store.Update(ctx, kind, o)
 	select {
 	case <-time.After(400 * time.Millisecond):
@@ -72,15 +72,15 @@
 	}
 }
 
-func group(t *testing.T, store *emulator.Store, name string, f *fleet, s *atomic.Pointer[catalog.Snapshot], competes bool) (*Group, func()) {
-	return groupAt(t, store.Local(name), name, f, s, competes)
+func startGroup(t *testing.T, store *emulator.Store, name string, f *fleet, s *atomic.Pointer[catalog.Snapshot], competes bool) (*Group, func()) {
+	return startGroupAt(t, store.Local(name), name, f, s, competes)
 }
 
-// groupAt starts a group; stop ends it.
-func groupAt(t *testing.T, store Store, name string, f *fleet, s *atomic.Pointer[catalog.Snapshot], competes bool) (g *Group, stop func()) {
+// startGroupAt starts a group; stop ends it.
+func startGroupAt(t *testing.T, store Store, name string, f *fleet, s *atomic.Pointer[catalog.Snapshot], competes bool) (g *Group, stop func()) {
 	g = NewGroup(GroupOptions{
-		Keeper:   Options{Holder: name, Store: store, Targets: f, Now: time.Now},
-		Snapshot: s.Load, Members: f.members, Competes: func(string) bool { return competes },
+		Controller: Options{Holder: name, Store: store, Client: f, Now: time.Now},
+		Snapshot:   s.Load, Members: f.members, Competes: func(string) bool { return competes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -98,73 +98,73 @@
 	return entry
 }
 
-// Story: an operator changes a pool; then the holder is told to stop. Were the
-// lease left to lapse, the pool would have nobody to give orders for a term. The
-// operator reads what the targets lack; a pool at rest must cost no writes.
-func TestPlannedStopHandsOver(t *testing.T) {
+// An operator changes a pool, then the holder stops as planned. If the lease were left to
+// expire, the pool would get no orders for a term. The pool's state must be in the store,
+// and an idle pool must cause no writes.
+func TestPlannedStopReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, f := emulator.New(emulator.Options{}), newFleet(3)
 		var s atomic.Pointer[catalog.Snapshot]
-		first, stopFirst := group(t, store, "a", f, &s, true)
+		first, stopFirst := startGroup(t, store, "a", f, &s, true)
 		time.Sleep(5 * time.Second)
-		s.Store(ordered(7, "prefill", "engines"))
+		s.Store(snapshotOf(7, "prefill", "engines"))
 		time.Sleep(5 * time.Second)
 		require.Equal(t, platformapi.OrdersEntry{DesiredRevision: 7, Fencing: 1, Targets: 3, Complete: 3}, stateOf(t, store, "engines"))
 		writes := store.Calls().Kinds[platformapi.KindOrders].Writes
-		_, stopSecond := group(t, store, "b", f, &s, true)
+		_, stopSecond := startGroup(t, store, "b", f, &s, true)
 		time.Sleep(time.Minute)
-		require.Equal(t, writes, store.Calls().Kinds[platformapi.KindOrders].Writes, "a pool at rest costs no writes")
-		require.NoError(t, first.HandOver(t.Context()))
-		s.Store(ordered(8, "decode", "engines"))
+		require.Equal(t, writes, store.Calls().Kinds[platformapi.KindOrders].Writes, "an idle pool causes no writes")
+		require.NoError(t, first.ReleaseLeases(t.Context()))
+		s.Store(snapshotOf(8, "decode", "engines"))
 		time.Sleep(6 * time.Second)
 		require.Equal(t, platformapi.OrdersEntry{DesiredRevision: 8, Fencing: 2, Targets: 3, Complete: 3}, stateOf(t, store, "engines"))
 		f.byAddress["t1"].set("")
 		time.Sleep(5 * time.Second)
-		require.Equal(t, "decode", f.byAddress["t1"].role(), "what a target lost is given again")
+		require.Equal(t, "decode", f.byAddress["t1"].role(), "a state that a target has lost is restored")
 		stopFirst()
 		stopSecond()
 	})
 }
 
-// Story: the instance is told to stop at any moment, also while the store takes
-// long over a renewal. Were the renewal's answer given up, the lease couldn't be
-// given up any more, and the pool would have no holder for a term.
+// A planned stop comes at any moment, also while the store is slow to respond to a renewal.
+// If the response were abandoned, the lease could not be released, and the pool would have
+// no holder for a term.
 func TestPlannedStopDuringARenewal(t *testing.T) {
 	for offset := time.Duration(0); offset < lease.DefaultTiming.RenewInterval; offset += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			store, f := emulator.New(emulator.Options{}), newFleet(1)
 			var s atomic.Pointer[catalog.Snapshot]
-			s.Store(ordered(1, "decode", "engines"))
-			g, stop := groupAt(t, lateAnswers{store.Local("a")}, "a", f, &s, true)
+			s.Store(snapshotOf(1, "decode", "engines"))
+			g, stop := startGroupAt(t, delayedResponses{store.Local("a")}, "a", f, &s, true)
 			time.Sleep(20*time.Second + offset)
 			began := time.Now()
-			require.NoError(t, g.HandOver(t.Context()))
+			require.NoError(t, g.ReleaseLeases(t.Context()))
 			require.LessOrEqual(t, time.Since(began), 2*DefaultStoreTimeout)
 			object, err := store.Local("operator").Get(t.Context(), platformapi.KindLeases, "engines")
 			require.NoError(t, err)
 			var r lease.Record
 			require.NoError(t, json.Unmarshal(object.Spec, &r))
-			require.Empty(t, r.Holder, "stopped %v into a renewal's time", offset)
+			require.Empty(t, r.Holder, "stopped %v after the start of a renewal interval", offset)
 			stop()
 		})
 	}
 }
 
-// Story: the instance competes for a lease no more while an order whose answer
-// was lost is under way, and soon competes again. Were it to take up its old
-// lease at once, it would order again beside its own first order.
-func TestKeeperDoesNotTakeUpTheLeaseOfAnEarlierOne(t *testing.T) {
+// An instance stops competing for a lease while an order whose response was lost is in
+// progress, and soon competes again. If it continued its old lease at once, it would send a
+// second order concurrently with its own first one.
+func TestControllerDoesNotContinueTheLeaseOfAnEarlierOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
 		f := &fakeTarget{load: targetapi.Load{Incarnation: "t1"}}
 		var s atomic.Pointer[catalog.Snapshot]
-		s.Store(ordered(1, "prefill", "engines"))
+		s.Store(snapshotOf(1, "prefill", "engines"))
 		s.Load().Pools["engines"].ChecksFencing = false
 		var competes atomic.Bool
 		competes.Store(true)
 		g := NewGroup(GroupOptions{
-			Keeper:   Options{Holder: "a", Store: store.Local("a"), Targets: &link{fakeTarget: f, loses: true}, Now: time.Now},
-			Snapshot: s.Load, Competes: func(string) bool { return competes.Load() },
+			Controller: Options{Holder: "a", Store: store.Local("a"), Client: &link{fakeTarget: f, losesResponse: true}, Now: time.Now},
+			Snapshot:   s.Load, Competes: func(string) bool { return competes.Load() },
 			Members: func(string) []Member { return []Member{{Incarnation: "t1", Address: "t1"}} },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -176,7 +176,7 @@
 		time.Sleep(2 * time.Second)
 		competes.Store(true)
 		time.Sleep(20 * time.Second)
-		require.Len(t, f.history(), 1, "the first order may still be under way")
+		require.Len(t, f.history(), 1, "the first order may still be in progress")
 		time.Sleep(40 * time.Second)
 		require.Greater(t, len(f.history()), 1)
 		cancel()
@@ -184,19 +184,19 @@
 	})
 }
 
-// Story: hundreds of instances and targets. If each instance competed for each
-// lease, or the holder read all targets back each time, the store and the
-// network would be full of it while nothing happens.
-func TestCostOfAPoolAtRest(t *testing.T) {
+// Hundreds of instances and targets are idle. If each instance competed for each lease, or
+// the holder read all targets each time, the store and the network would be busy without
+// need.
+func TestCostOfAnIdlePool(t *testing.T) {
 	pools := []string{"a", "b", "c", "d", "e", "f"}
 	for _, instances := range []int{3, 440} {
 		synctest.Test(t, func(t *testing.T) {
 			store, f := emulator.New(emulator.Options{}), newFleet(40)
 			var s atomic.Pointer[catalog.Snapshot]
-			s.Store(ordered(1, "decode", pools...))
+			s.Store(snapshotOf(1, "decode", pools...))
 			var stops []func()
 			for i := range instances {
-				_, stop := group(t, store, fmt.Sprint("i", i), f, &s, i < 2)
+				_, stop := startGroup(t, store, fmt.Sprint("i", i), f, &s, i < 2)
 				stops = append(stops, stop)
 			}
 			time.Sleep(time.Minute)
@@ -209,8 +209,8 @@
 			require.LessOrEqual(t, int(writes), len(pools)*21)
 			require.LessOrEqual(t, int(reads), len(pools)*21)
 			require.Equal(t, before.Kinds[platformapi.KindOrders], after.Kinds[platformapi.KindOrders])
-			rounds := int64(time.Minute/DefaultCheckEvery) + 1
-			require.LessOrEqual(t, f.reads.Load()-read, int64(len(pools)*againPerRound)*rounds)
+			passes := int64(time.Minute/DefaultCheckInterval) + 1
+			require.LessOrEqual(t, f.reads.Load()-read, int64(len(pools)*maxRechecksPerPass)*passes)
 			for _, stop := range stops {
 				stop()
 			}
@@ -218,8 +218,8 @@
 	}
 }
 
-// Story: seven pools load weights at once. The shares of the weight store's
-// rate must add up to no more than it allows, while each pool can go on.
+// Seven pools load weights at once. Their shares of the weight store's rate limit must not
+// add up to more than the limit, and each pool must have at least one slot.
 func TestSharesOfTheWeightStore(t *testing.T) {
 	var s atomic.Pointer[catalog.Snapshot]
 	g := NewGroup(GroupOptions{Snapshot: s.Load})
@@ -227,8 +227,8 @@
 		pools []string
 		want  int
 	}{{nil, 8}, {[]string{"a"}, 8}, {[]string{"a", "b", "c"}, 2}, {[]string{"a", "b", "c", "d", "e", "f", "g"}, 1}} {
-		s.Store(ordered(1, "decode", tc.pools...))
-		require.Equal(t, tc.want, g.share())
-		require.LessOrEqual(t, g.share()*len(tc.pools), DefaultWeightSlots)
+		s.Store(snapshotOf(1, "decode", tc.pools...))
+		require.Equal(t, tc.want, g.downloadSlots())
+		require.LessOrEqual(t, g.downloadSlots()*len(tc.pools), DefaultWeightSlots)
 	}
 }
--- a/daemon/orders/reconcile.go
+++ b/daemon/orders/reconcile.go
@@ -14,58 +14,58 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// reconcileOften compares the targets with the desired state, at intervals and
+// reconcileLoop compares the targets with the desired state at regular intervals and
 // after each change.
-func (k *Keeper) reconcileOften(ctx context.Context) error {
-	timer := time.NewTicker(k.opts.CheckEvery)
-	defer timer.Stop()
+func (c *Controller) reconcileLoop(ctx context.Context) error {
+	ticker := time.NewTicker(c.opts.CheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-timer.C:
-		case <-k.changed:
+		case <-ticker.C:
+		case <-c.wakeup:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		k.reconcile(ctx)
+		c.reconcile(ctx)
 	}
 }
 
-// parallelReads bounds the targets read back at once.
+// parallelReads bounds the number of concurrent reads of targets.
 const parallelReads = 8
 
-// reconcile reads the due targets back and gives the orders they lack, no more
-// at once than the pool's share of the weight store allows.
-func (k *Keeper) reconcile(ctx context.Context) {
-	if _, may := k.mayOrder(); !may {
+// reconcile reads the targets that are due and sends them the orders that they need, at
+// most as many at once as the pool's share of the weight store allows.
+func (c *Controller) reconcile(ctx context.Context) {
+	if _, may := c.mayOrder(); !may {
 		return
 	}
-	members := k.opts.Members()
-	slots := make(chan struct{}, max(k.opts.DownloadSlots(), 1))
+	members := c.opts.Members()
+	slots := make(chan struct{}, max(c.opts.DownloadSlots(), 1))
 	var group errgroup.Group
 	group.SetLimit(parallelReads)
-	for _, m := range k.due(members) {
+	for _, m := range c.selectDue(members) {
 		group.Go(func() error {
-			k.reconcileTarget(ctx, m, slots)
+			c.reconcileTarget(ctx, m, slots)
 			return nil
 		})
 	}
 	_ = group.Wait() // no target returns an error
-	k.writeState(ctx, members)
+	c.writeState(ctx, members)
 }
 
-func (k *Keeper) reconcileTarget(ctx context.Context, m Member, slots chan struct{}) {
-	if _, may := k.mayOrder(); !may || k.busy(m) {
+func (c *Controller) reconcileTarget(ctx context.Context, m Member, slots chan struct{}) {
+	if _, may := c.mayOrder(); !may || c.busy(m) {
 		return
 	}
-	load, err := k.opts.Targets.Load(ctx, m.Address)
-	if err != nil || load.Incarnation != m.Incarnation || k.outranked(load) {
-		k.forgetReading(m)
+	load, err := c.opts.Client.Load(ctx, m.Address)
+	if err != nil || load.Incarnation != m.Incarnation || c.yieldIfFenced(load) {
+		c.recordReadFailure(m)
 		return
 	}
-	desired := k.wanted()
-	lacks := Missing(load, desired)
-	k.noteReading(m, desired.Revision, lacks)
-	if len(lacks) == 0 {
+	desired := c.desiredState()
+	missing := Missing(load, desired)
+	c.recordObservation(m, desired.Revision, missing)
+	if len(missing) == 0 {
 		return
 	}
 	select {
@@ -74,109 +74,111 @@
 	case <-ctx.Done():
 		return
 	}
-	for i, order := range lacks {
-		if k.wanted().Revision != desired.Revision || !k.give(ctx, m, order) {
+	for i, order := range missing {
+		if c.desiredState().Revision != desired.Revision || !c.sendOrder(ctx, m, order) {
 			return
 		}
-		k.noteReading(m, desired.Revision, lacks[i+1:])
+		c.recordObservation(m, desired.Revision, missing[i+1:])
 	}
 }
 
-// outranked gives the lease up when the target has obeyed a higher number.
-func (k *Keeper) outranked(load targetapi.Load) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.opts.Now()
-	number, held := k.lease.Held(now)
+// yieldIfFenced gives up the lease if the target has accepted a higher fencing number. It
+// reports whether orders to the target are ruled out, for this reason or because the lease
+// isn't held.
+func (c *Controller) yieldIfFenced(load targetapi.Load) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.opts.Now()
+	number, held := c.lease.Held(now)
 	if held && load.Fencing > number {
-		k.lease.Fenced(now, load.Fencing)
+		c.lease.Fenced(now, load.Fencing)
 	}
 	return !held || load.Fencing > number
 }
 
-// give checks the lease and gives one order. The check comes right before the
-// order; see docs/design/leases.md for what a pause between the two can do.
-func (k *Keeper) give(ctx context.Context, m Member, order targetapi.Order) bool {
-	number, may := k.mayOrder()
+// sendOrder checks the lease and sends one order. The check comes immediately before the
+// sending; docs/design/leases.md describes the effects of a pause between the two.
+func (c *Controller) sendOrder(ctx context.Context, m Member, order targetapi.Order) bool {
+	number, may := c.mayOrder()
 	if !may {
 		return false
 	}
 	order.Fencing = number
-	order.ID = fmt.Sprintf("%s-%d-%s-%s", k.opts.Pool, number, order.Action, order.Value)
-	sent := k.opts.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Terms.LongestOrder)
+	order.ID = fmt.Sprintf("%s-%d-%s-%s", c.opts.Pool, number, order.Action, order.Value)
+	sent := c.opts.Now()
+	ctx, cancel := context.WithTimeout(ctx, c.opts.Timing.LongestOrder)
 	defer cancel()
-	_, err := k.opts.Targets.Order(ctx, m.Address, order)
-	return k.given(m, order, sent, err)
+	_, err := c.opts.Client.Order(ctx, m.Address, order)
+	return c.recordResult(m, order, sent, err)
 }
 
-// given notes how an order ended.
-func (k *Keeper) given(m Member, order targetapi.Order, sent time.Time, err error) bool {
+// recordResult records how an order ended and reports whether it succeeded.
+func (c *Controller) recordResult(m Member, order targetapi.Order, sent time.Time, err error) bool {
 	if err == nil {
-		k.metrics.given.Inc(1)
-		klog.V(1).InfoS("orders: given", "pool", k.opts.Pool, "target", m.Incarnation,
+		c.metrics.sent.Inc(1)
+		klog.V(1).InfoS("orders: given", "pool", c.opts.Pool, "target", m.Incarnation,
 			"action", order.Action, "value", order.Value, "fencing", order.Fencing)
 		return true
 	}
-	k.metrics.failed.Inc(1)
-	klog.InfoS("orders: failed", "pool", k.opts.Pool, "target", m.Incarnation, "action", order.Action, "err", err)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	c.metrics.failed.Inc(1)
+	klog.InfoS("orders: failed", "pool", c.opts.Pool, "target", m.Incarnation, "action", order.Action, "err", err)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var control *target.ControlError
 	switch {
 	case errors.Is(err, target.ErrFenced):
-		k.metrics.fenced.Inc(1)
-		k.lease.Fenced(k.opts.Now(), 0)
+		c.metrics.fenced.Inc(1)
+		c.lease.Fenced(c.opts.Now(), 0)
 	case errors.As(err, &control) && control.Outcome == target.NotRun:
 	default:
-		// Guard: the answer was lost and the order may still be under way at
-		// the target. A second order now could be overtaken by the first.
-		k.busyUntil[m.Incarnation] = sent.Add(k.opts.Terms.LongestOrder)
+		// The response was lost and the order may still be in progress at the target.
+		// A second order sent now could be executed before the first.
+		c.busyUntil[m.Incarnation] = sent.Add(c.opts.Timing.LongestOrder)
 	}
 	return false
 }
 
-// mayOrder tells whether orders may be given now, and under which number.
-// Targets that ignore the number are left alone until the orders of earlier
-// holders are over.
-func (k *Keeper) mayOrder() (uint64, bool) {
-	checks := k.opts.ChecksFencing()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.opts.Now()
-	number, held := k.lease.Held(now)
-	if held && !checks && !k.lease.SafeWithoutFencing(now) {
-		k.metrics.waiting.Update(k.lease.SafeWithoutFencingAt().Sub(now).Seconds())
+// mayOrder reports whether orders may be sent now, and under which fencing number. Targets
+// that ignore the number get no orders until those of earlier holders have ended.
+func (c *Controller) mayOrder() (uint64, bool) {
+	checks := c.opts.ChecksFencing()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.opts.Now()
+	number, held := c.lease.Held(now)
+	if held && !checks && !c.lease.SafeWithoutFencing(now) {
+		c.metrics.waitingOut.Update(c.lease.SafeWithoutFencingAt().Sub(now).Seconds())
 		return 0, false
 	}
-	k.metrics.waiting.Update(0)
+	c.metrics.waitingOut.Update(0)
 	return number, held
 }
 
-func (k *Keeper) busy(m Member) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pruneBusy(k.opts.Now())
-	_, busy := k.busyUntil[m.Incarnation]
+// busy reports whether an order whose response was lost may be in progress at a target.
+func (c *Controller) busy(m Member) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pruneBusy(c.opts.Now())
+	_, busy := c.busyUntil[m.Incarnation]
 	return busy
 }
 
-func (k *Keeper) pruneBusy(now time.Time) {
-	for incarnation, until := range k.busyUntil {
+func (c *Controller) pruneBusy(now time.Time) {
+	for incarnation, until := range c.busyUntil {
 		if !now.Before(until) {
-			delete(k.busyUntil, incarnation)
+			delete(c.busyUntil, incarnation)
 		}
 	}
 }
 
-func (k *Keeper) wanted() Desired {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.desired
+func (c *Controller) desiredState() Desired {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.desired
 }
 
-// Missing returns the orders that bring a target from its reported state to
-// the desired one, without ids and fencing numbers.
+// Missing returns the orders that bring a target from its reported state to the desired
+// one, without IDs and fencing numbers.
 func Missing(load targetapi.Load, d Desired) []targetapi.Order {
 	var orders []targetapi.Order
 	add := func(action, value string) {
--- a/daemon/orders/renew.go
+++ b/daemon/orders/renew.go
@@ -13,133 +13,133 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// keepLease does what the lease asks for, one call after another.
-func (k *Keeper) keepLease(ctx context.Context) error {
+// maintainLease performs the actions of the lease one after the other.
+func (c *Controller) maintainLease(ctx context.Context) error {
 	wasHeld := false
 	for ctx.Err() == nil {
-		k.mu.Lock()
-		action := k.lease.Next(k.opts.Now())
-		_, held := k.lease.Held(k.opts.Now())
-		k.mu.Unlock()
-		k.noteHeld(wasHeld, held)
+		c.mu.Lock()
+		action := c.lease.Next(c.opts.Now())
+		_, held := c.lease.Held(c.opts.Now())
+		c.mu.Unlock()
+		c.reportHeld(wasHeld, held)
 		wasHeld = held
-		k.perform(ctx, action)
+		c.perform(ctx, action)
 	}
 	return ctx.Err()
 }
 
-// perform does what the lease asks for, within StoreTimeout at most.
+// perform performs one action of the lease. Calls to the store take at most StoreTimeout.
 //
-// Guard: a planned stop comes while a renewal is under way. Were its answer
-// given up, the lease's revision would be unknown: it couldn't be given up and
-// the successor would wait for the lapse. So a call, which is bounded, is
-// finished; only a wait is cut short.
-func (k *Keeper) perform(ctx context.Context, action lease.Action) {
+// A planned stop interrupts a wait but not a call. If the response to a renewal were
+// abandoned, the lease's revision would be unknown, so the lease could not be released and
+// the successor would have to wait until it expires.
+func (c *Controller) perform(ctx context.Context, action lease.Action) {
 	call := context.WithoutCancel(ctx)
 	switch a := action.(type) {
 	case lease.Wait:
-		pause(ctx, a.Until.Sub(k.opts.Now()))
+		sleep(ctx, a.Until.Sub(c.opts.Now()))
 	case lease.Write:
-		object, err := k.write(call, a)
-		k.told(object, err, true)
+		object, err := c.write(call, a)
+		c.recordResponse(object, err, true)
 	case lease.Read:
-		call, cancel := context.WithTimeout(call, k.opts.StoreTimeout)
+		call, cancel := context.WithTimeout(call, c.opts.StoreTimeout)
 		defer cancel()
-		object, err := k.opts.Store.Get(call, platformapi.KindLeases, k.opts.Pool)
-		k.told(object, err, false)
+		object, err := c.opts.Store.Get(call, platformapi.KindLeases, c.opts.Pool)
+		c.recordResponse(object, err, false)
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, w lease.Write) (*platformapi.Object, error) {
+func (c *Controller) write(ctx context.Context, w lease.Write) (*platformapi.Object, error) {
 	spec, err := json.Marshal(w.Record)
 	if err != nil {
 		return nil, errors.Wrap(err, "orders: encode lease")
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.StoreTimeout)
 	defer cancel()
 	object := platformapi.Object{
-		Metadata: platformapi.Metadata{Name: k.opts.Pool, Revision: w.Revision},
+		Metadata: platformapi.Metadata{Name: c.opts.Pool, Revision: w.Revision},
 		Spec:     spec,
 	}
 	if w.Revision == 0 {
-		return k.opts.Store.Create(ctx, platformapi.KindLeases, object)
+		return c.opts.Store.Create(ctx, platformapi.KindLeases, object)
 	}
-	return k.opts.Store.Update(ctx, platformapi.KindLeases, object)
+	return c.opts.Store.Update(ctx, platformapi.KindLeases, object)
 }
 
-// told passes the store's answer to the lease.
-func (k *Keeper) told(object *platformapi.Object, err error, wrote bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.opts.Now()
+// recordResponse passes the store's response to the lease.
+func (c *Controller) recordResponse(object *platformapi.Object, err error, wrote bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.opts.Now()
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil && wrote:
-		_, held := k.lease.Held(now)
-		k.lease.Written(now, object.Metadata.Revision)
+		_, held := c.lease.Held(now)
+		c.lease.Written(now, object.Metadata.Revision)
 		if !held {
-			k.wake()
+			c.wake()
 		}
 	case err == nil:
-		k.seen(now, object)
+		c.observeLease(now, object)
 	case errors.Is(err, platform.ErrNotFound):
-		k.lease.ObservedAbsent(now)
+		c.lease.ObservedAbsent(now)
 	case errors.As(err, &conflict) && conflict.Current != nil:
-		k.seen(now, conflict.Current)
+		c.observeLease(now, conflict.Current)
 	default:
-		k.lease.CallFailed(now)
+		c.lease.CallFailed(now)
 	}
 }
 
-// seen passes a stored lease on. A record that can't be read counts as no
-// answer: taking it for a free lease could make two holders.
-func (k *Keeper) seen(now time.Time, object *platformapi.Object) {
+// observeLease passes a stored lease to the lease's state machine. A record that can't be
+// decoded counts as a failed call: treating it as a free lease could result in two holders.
+func (c *Controller) observeLease(now time.Time, object *platformapi.Object) {
 	var r lease.Record
 	if err := json.Unmarshal(object.Spec, &r); err != nil {
-		klog.ErrorS(err, "orders: lease can't be read", "pool", k.opts.Pool)
-		k.lease.CallFailed(now)
+		klog.ErrorS(err, "orders: lease can't be read", "pool", c.opts.Pool)
+		c.lease.CallFailed(now)
 		return
 	}
-	k.lease.Observed(now, r, object.Metadata.Revision)
+	c.lease.Observed(now, r, object.Metadata.Revision)
 }
 
-// release gives the lease up at a planned stop. Guard: while an order whose
-// answer was lost may still be under way, the lease is left to lapse, so that
-// the successor waits the order out.
-func (k *Keeper) release(ctx context.Context) {
-	k.mu.Lock()
-	now := k.opts.Now()
-	k.pruneBusy(now)
+// release releases the lease at a planned stop. While an order whose response was lost may
+// still be in progress, the lease is left to expire, so that the successor waits for the
+// order's end.
+func (c *Controller) release(ctx context.Context) {
+	c.mu.Lock()
+	now := c.opts.Now()
+	c.pruneBusy(now)
 	w, held := lease.Write{}, false
-	if len(k.busyUntil) == 0 {
-		w, held = k.lease.Release(now)
+	if len(c.busyUntil) == 0 {
+		w, held = c.lease.Release(now)
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if !held {
 		return
 	}
-	if _, err := k.write(ctx, w); err != nil {
-		klog.InfoS("orders: lease not given up, it lapses", "pool", k.opts.Pool, "err", err)
+	if _, err := c.write(ctx, w); err != nil {
+		klog.InfoS("orders: lease not given up, it lapses", "pool", c.opts.Pool, "err", err)
 		return
 	}
-	klog.InfoS("orders: lease given up", "pool", k.opts.Pool)
+	klog.InfoS("orders: lease given up", "pool", c.opts.Pool)
 }
 
-func (k *Keeper) noteHeld(was, is bool) {
+// reportHeld reports a change of the lease's holder to the log and the metrics.
+func (c *Controller) reportHeld(was, is bool) {
 	if was == is {
 		return
 	}
 	if !is {
-		k.metrics.held.Update(0)
-		k.metrics.lapsed.Inc(1)
-		klog.InfoS("orders: lease lost", "pool", k.opts.Pool)
+		c.metrics.held.Update(0)
+		c.metrics.lost.Inc(1)
+		klog.InfoS("orders: lease lost", "pool", c.opts.Pool)
 		return
 	}
-	k.metrics.held.Update(1)
-	klog.InfoS("orders: lease held", "pool", k.opts.Pool)
+	c.metrics.held.Update(1)
+	klog.InfoS("orders: lease held", "pool", c.opts.Pool)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/orders/state.go
+++ b/daemon/orders/state.go
@@ -14,90 +14,92 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// maxLackingTold bounds the targets that a pool's state names one by one.
-const maxLackingTold = 32
+// maxListedLacking bounds the targets that a pool's state lists one by one.
+const maxListedLacking = 32
 
-// writtenState is the pool's state as it was written last.
-type writtenState struct {
+// storedState is the pool's state as last written to the store.
+type storedState struct {
 	revision uint64
 	spec     []byte
 }
 
-// writeState tells operators what the pool's targets have against what is
-// desired. It writes only what changed, so that a pool at rest costs nothing.
-func (k *Keeper) writeState(ctx context.Context, members []Member) {
-	entry, held := k.state(members)
+// writeState writes to the store, for operators, how the pool's targets differ from the
+// desired state. It writes only changes, so that an idle pool causes no writes.
+func (c *Controller) writeState(ctx context.Context, members []Member) {
+	entry, held := c.describeState(members)
 	if !held {
 		return
 	}
 	spec, err := json.Marshal(entry)
-	if err != nil || bytes.Equal(spec, k.written.spec) {
+	if err != nil || bytes.Equal(spec, c.stored.spec) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.StoreTimeout)
 	defer cancel()
-	object := platformapi.Object{Metadata: platformapi.Metadata{Name: k.opts.Pool, Revision: k.written.revision}, Spec: spec}
+	object := platformapi.Object{Metadata: platformapi.Metadata{Name: c.opts.Pool, Revision: c.stored.revision}, Spec: spec}
 	var stored *platformapi.Object
 	if object.Metadata.Revision == 0 {
-		stored, err = k.opts.Store.Create(ctx, platformapi.KindOrders, object)
+		stored, err = c.opts.Store.Create(ctx, platformapi.KindOrders, object)
 	} else {
-		stored, err = k.opts.Store.Update(ctx, platformapi.KindOrders, object)
+		stored, err = c.opts.Store.Update(ctx, platformapi.KindOrders, object)
 	}
 	if err == nil {
-		k.written = writtenState{revision: stored.Metadata.Revision, spec: spec}
+		c.stored = storedState{revision: stored.Metadata.Revision, spec: spec}
 		return
 	}
-	k.stateNotWritten(entry, err)
+	c.handleStateWriteError(entry, err)
 }
 
-// stateNotWritten learns from a conflict what stands in the store. Guard: a
-// holder that was paused wakes and tells of its targets as they were. The state
-// of a higher fencing number stays as it is.
-func (k *Keeper) stateNotWritten(mine platformapi.OrdersEntry, err error) {
-	k.written = writtenState{}
+// handleStateWriteError uses a conflict to learn the stored revision, for a retry. If the
+// stored state has a higher fencing number, it is kept: this holder was paused and its own
+// state is outdated.
+func (c *Controller) handleStateWriteError(own platformapi.OrdersEntry, err error) {
+	c.stored = storedState{}
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) || conflict.Current == nil {
-		klog.V(1).InfoS("orders: state not written", "pool", k.opts.Pool, "err", err)
+		klog.V(1).InfoS("orders: state not written", "pool", c.opts.Pool, "err", err)
 		return
 	}
-	var theirs platformapi.OrdersEntry
-	if json.Unmarshal(conflict.Current.Spec, &theirs) == nil && theirs.Fencing > mine.Fencing {
+	var current platformapi.OrdersEntry
+	if json.Unmarshal(conflict.Current.Spec, &current) == nil && current.Fencing > own.Fencing {
 		return
 	}
-	k.written.revision = conflict.Current.Metadata.Revision
-	k.wake()
+	c.stored.revision = conflict.Current.Metadata.Revision
+	c.wake()
 }
 
-// state describes the members as they were read last.
-func (k *Keeper) state(members []Member) (platformapi.OrdersEntry, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	number, held := k.lease.Held(k.opts.Now())
+// describeState returns the state of the members as of their last observation, and whether
+// the lease is held.
+func (c *Controller) describeState(members []Member) (platformapi.OrdersEntry, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	number, held := c.lease.Held(c.opts.Now())
 	entry := platformapi.OrdersEntry{
-		DesiredRevision: k.desired.Revision,
+		DesiredRevision: c.desired.Revision,
 		Fencing:         number,
 		Targets:         len(members),
 	}
 	for _, m := range members {
-		r := k.readings[m.Incarnation]
-		if r.fencing == number && r.revision == k.desired.Revision && len(r.lacks) == 0 {
+		o := c.observations[m.Incarnation]
+		if o.fencing == number && o.revision == c.desired.Revision && len(o.missing) == 0 {
 			entry.Complete++
 			continue
 		}
-		entry.Lacking = append(entry.Lacking, platformapi.LackingTarget{Incarnation: m.Incarnation, Lacks: r.text()})
+		entry.Lacking = append(entry.Lacking, platformapi.LackingTarget{Incarnation: m.Incarnation, Lacks: o.describeMissing()})
 	}
 	slices.SortFunc(entry.Lacking, func(a, b platformapi.LackingTarget) int {
 		return strings.Compare(a.Incarnation, b.Incarnation)
 	})
-	entry.Lacking = entry.Lacking[:min(len(entry.Lacking), maxLackingTold)]
+	entry.Lacking = entry.Lacking[:min(len(entry.Lacking), maxListedLacking)]
 	return entry, held
 }
 
-// text lists what a target lacks; nothing when it couldn't be read.
-func (r reading) text() []string {
-	lacks := make([]string, 0, len(r.lacks))
-	for _, order := range r.lacks {
-		lacks = append(lacks, order.Action+" "+order.Value)
+// describeMissing returns the orders that a target needs as text; none if it couldn't be
+// read.
+func (o observation) describeMissing() []string {
+	texts := make([]string, 0, len(o.missing))
+	for _, order := range o.missing {
+		texts = append(texts, order.Action+" "+order.Value)
 	}
-	return lacks
+	return texts
 }
--- a/daemon/orders/wire_test.go
+++ b/daemon/orders/wire_test.go
@@ -20,25 +20,25 @@
 	rows := []struct {
 		name string
 		kind string
-		act  func(ctx context.Context, k *Keeper) error
+		act  func(ctx context.Context, c *Controller) error
 		want string
 	}{
-		{"lease", platformapi.KindLeases, func(ctx context.Context, k *Keeper) error {
-			_, err := k.write(ctx, lease.Write{Record: lease.Record{
+		{"lease", platformapi.KindLeases, func(ctx context.Context, c *Controller) error {
+			_, err := c.write(ctx, lease.Write{Record: lease.Record{
 				Holder: "one", Fencing: 1, TermMS: 2, Attempt: 3, LongestOrderMS: 4,
 			}})
 			return err
 		}, `{"holder":"one","fencing":1,"term_ms":2,"attempt":3,"longest_order_ms":4}`},
-		{"orders", platformapi.KindOrders, func(ctx context.Context, k *Keeper) error {
-			k.lease.ObservedAbsent(k.opts.Now())
-			k.lease.Next(k.opts.Now())
-			k.lease.Written(k.opts.Now(), 5)
-			k.desired.Revision = 6
-			k.readings["a"] = reading{revision: 6, fencing: 1}
-			k.readings["b"] = reading{revision: 6, fencing: 1, lacks: []targetapi.Order{
+		{"orders", platformapi.KindOrders, func(ctx context.Context, c *Controller) error {
+			c.lease.ObservedAbsent(c.opts.Now())
+			c.lease.Next(c.opts.Now())
+			c.lease.Written(c.opts.Now(), 5)
+			c.desired.Revision = 6
+			c.observations["a"] = observation{revision: 6, fencing: 1}
+			c.observations["b"] = observation{revision: 6, fencing: 1, missing: []targetapi.Order{
 				{Action: targetapi.ActionLoadModel, Value: "m"}, {Action: targetapi.ActionSetRole, Value: "r"},
 			}}
-			k.writeState(ctx, []Member{{Incarnation: "a"}, {Incarnation: "b"}, {Incarnation: "c"}})
+			c.writeState(ctx, []Member{{Incarnation: "a"}, {Incarnation: "b"}, {Incarnation: "c"}})
 			return nil
 		}, `{"desired_revision":6,"fencing":1,"targets":3,"complete":1,"lacking":[{"incarnation":"b","lacks":["load_model m","set_role r"]},{"incarnation":"c"}]}`},
 	}
@@ -46,8 +46,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := emulator.New(emulator.Options{})
-				k := New(Options{Holder: "one", Pool: "engines", Store: store.Local("one"), Now: time.Now})
-				require.NoError(t, row.act(t.Context(), k))
+				c := New(Options{Holder: "one", Pool: "engines", Store: store.Local("one"), Now: time.Now})
+				require.NoError(t, row.act(t.Context(), c))
 				object, err := store.Local("other").Get(t.Context(), row.kind, "engines")
 				require.NoError(t, err)
 				require.Equal(t, row.want, string(object.Spec))
