--- a/daemon/register/register.go
+++ b/daemon/register/register.go
@@ -1,4 +1,4 @@
-// Package register lists this instance in the platform's store from its start
+// Package register keeps an entry for this instance in the platform's store from its start
 // until its planned stop, so that new instances find their peers.
 package register
 
@@ -15,63 +15,63 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Times between two tries of an entry that could not be written.
+// Limits of the delay before a failed write of the entry is retried.
 const (
 	retryMin = 500 * time.Millisecond
 	retryMax = 10 * time.Second
 )
 
-// Registrar keeps the entry of one instance.
+// Registrar maintains the entry of one instance.
 type Registrar struct {
 	store platform.Store
 	self  func() membership.Member
-	// missing has a value when a list did not have the entry.
-	missing chan struct{}
-	// removed is set once a planned stop removes the entry.
+	// rewrite receives a value when a list lacks the entry.
+	rewrite chan struct{}
+	// removed is true once a planned stop has begun to remove the entry.
 	removed atomic.Bool
-	// written is set once the store has the entry.
+	// written is true once the store has the entry.
 	written atomic.Bool
-	// found is the entry that a list had under the instance's name before that; nil if
-	// none.
-	found atomic.Pointer[platformapi.Object]
+	// existing is the entry that a list had under the instance's name before the first
+	// write, nil if none.
+	existing atomic.Pointer[platformapi.Object]
 }
 
-// New makes a registrar; self tells what the entry says.
+// New returns a registrar. self returns the member that the entry describes.
 func New(store platform.Store, self func() membership.Member) *Registrar {
-	return &Registrar{store: store, self: self, missing: make(chan struct{}, 1)}
+	return &Registrar{store: store, self: self, rewrite: make(chan struct{}, 1)}
 }
 
-// Run writes the entry, trying until the store takes it, and again when List
-// does not find it. It returns at the end of the context.
+// Run writes the entry, with retries, and writes it again when List does not find it. It
+// returns when the context ends.
 //
-// Guard: an instance that is cut off for hours counts as gone, and its entry is
-// removed. Were it not written again, instances that start later would never
-// find this one among their peers.
+// The entry of an instance that is unreachable for hours is removed by others. If it were
+// not written again, instances that start later would never find this one.
 func (r *Registrar) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		r.writeUntilTaken(ctx)
+		r.writeWithRetry(ctx)
 		select {
-		case <-r.missing:
+		case <-r.rewrite:
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-func (r *Registrar) writeUntilTaken(ctx context.Context) {
+func (r *Registrar) writeWithRetry(ctx context.Context) {
 	pause := retryMin
 	for ctx.Err() == nil && !r.removed.Load() {
 		if r.write(ctx) == nil {
 			return
 		}
-		wait(ctx, pause)
+		sleep(ctx, pause)
 		pause = min(2*pause, retryMax)
 	}
 }
 
-// write creates the entry or replaces that of an earlier incarnation. That of a
-// later one stays, which counts as written: this process is the outdated one.
-// So does the own one, whose write was taken while its answer was lost.
+// write creates the entry or replaces that of an earlier incarnation. If the store has the
+// entry of a later incarnation, this process is outdated; the entry stays and the write
+// counts as successful. The same applies if the store has this incarnation's entry, from a
+// write whose response was lost.
 func (r *Registrar) write(ctx context.Context) error {
 	err := r.writeOnce(ctx)
 	if err == nil {
@@ -90,10 +90,10 @@
 	if !errors.As(err, &conflict) {
 		return errors.Wrap(err, "register instance")
 	}
-	if found := r.found.Swap(nil); found != nil && r.replace(ctx, object, found) == nil {
+	if found := r.existing.Swap(nil); found != nil && r.replace(ctx, object, found) == nil {
 		return nil
 	}
-	// There was no list yet, or the entry has changed since.
+	// There is no earlier list, or the entry has changed since.
 	found, err := r.store.Get(ctx, platformapi.KindInstances, object.Metadata.Name)
 	if err != nil {
 		return errors.Wrap(err, "register instance: read")
@@ -101,7 +101,7 @@
 	return r.replace(ctx, object, found)
 }
 
-// entry is what the store is to say of this instance.
+// entry returns the entry of this instance.
 func (r *Registrar) entry() (platformapi.Object, error) {
 	self := r.self()
 	spec, err := json.Marshal(platformapi.InstanceEntry{
@@ -115,12 +115,12 @@
 	return object, errors.Wrap(err, "register instance: encode")
 }
 
-// replace overwrites the entry of an earlier incarnation, as it was found. The update
-// is conditional: one that appears after that makes it fail.
+// replace overwrites the entry of an earlier incarnation. The update is conditional on the
+// revision that was found, so it fails if another incarnation has written meanwhile.
 func (r *Registrar) replace(ctx context.Context, object platformapi.Object, found *platformapi.Object) error {
 	var entry platformapi.InstanceEntry
-	known := json.Unmarshal(found.Spec, &entry) == nil // else not of our making
-	if known && entry.Incarnation >= r.self().Incarnation {
+	valid := json.Unmarshal(found.Spec, &entry) == nil // else not written by an instance
+	if valid && entry.Incarnation >= r.self().Incarnation {
 		return nil
 	}
 	object.Metadata.Revision = found.Metadata.Revision
@@ -128,14 +128,14 @@
 	return errors.Wrap(err, "register instance: replace")
 }
 
-// Remove deletes the entry at a planned stop, unless a later incarnation has
-// taken it over. From then on it is not written again.
+// Remove deletes the entry at a planned stop, unless a later incarnation has replaced it.
+// After the call the entry is not written again.
 func (r *Registrar) Remove(ctx context.Context) error {
 	r.removed.Store(true)
 	err := r.remove(ctx)
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, platform.ErrNotFound) {
-		return nil // replaced meanwhile, or gone
+		return nil // replaced or deleted meanwhile
 	}
 	return errors.Wrap(err, "remove instance")
 }
@@ -156,9 +156,9 @@
 	return r.store.Delete(ctx, platformapi.KindInstances, self.Name, object.Metadata.Revision)
 }
 
-// List returns the instances that the store lists, as candidates for peers.
+// List returns the instances with an entry in the store, as candidates for peers.
 func (r *Registrar) List(ctx context.Context) ([]membership.Member, error) {
-	// Before the entry is written for the first time its absence is no news.
+	// Before its first write the entry is expected to be absent.
 	written := r.written.Load()
 	list, err := r.store.List(ctx, platformapi.KindInstances)
 	if err != nil {
@@ -169,27 +169,29 @@
 	for i := range list.Items {
 		member, ok := memberOf(&list.Items[i])
 		if !ok {
-			continue // not of our making
+			continue // not written by an instance
 		}
 		members = append(members, member)
 		if member.Name == r.self().Name {
 			listed = true
-			r.noteFound(&list.Items[i])
+			r.rememberExisting(&list.Items[i])
 		}
 	}
 	if !listed && written {
-		r.writeAgain()
+		r.requestRewrite()
 	}
 	return members, nil
 }
 
-// noteFound notes the entry under the instance's name for the first write.
-func (r *Registrar) noteFound(entry *platformapi.Object) {
+// rememberExisting keeps the entry under the instance's name for the first write, which
+// then need not read it.
+func (r *Registrar) rememberExisting(entry *platformapi.Object) {
 	if !r.written.Load() {
-		r.found.Store(entry)
+		r.existing.Store(entry)
 	}
 }
 
+// memberOf decodes an entry and reports whether it is valid.
 func memberOf(object *platformapi.Object) (membership.Member, bool) {
 	var entry platformapi.InstanceEntry
 	if json.Unmarshal(object.Spec, &entry) != nil {
@@ -205,15 +207,15 @@
 	}, true
 }
 
-// writeAgain wakes Run, unless it is to wake up already.
-func (r *Registrar) writeAgain() {
+// requestRewrite makes Run write the entry again.
+func (r *Registrar) requestRewrite() {
 	select {
-	case r.missing <- struct{}{}:
+	case r.rewrite <- struct{}{}:
 	default:
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/daemon/register/register_test.go
+++ b/daemon/register/register_test.go
@@ -17,11 +17,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a store in virtual time with registrars that run until the test ends.
+// rig is a store in virtual time, with registrars that run until the test ends.
 type rig struct {
 	t     *testing.T
 	store *emulator.Store
-	// ctx ends the registrars.
+	// ctx is the context of the registrars.
 	ctx context.Context
 }
 
@@ -42,7 +42,7 @@
 	return registrar
 }
 
-// incarnations returns those that a new instance finds in the store.
+// incarnations returns the incarnations that a new instance finds in the store.
 func (r *rig) incarnations() []uint64 {
 	members, err := New(r.store.Local("two"), func() membership.Member { return membership.Member{} }).List(r.t.Context())
 	require.NoError(r.t, err)
@@ -53,10 +53,10 @@
 	return incarnations
 }
 
-// An instance is replaced under its own name while the old process still runs:
-// it starts late against a store that was away, or stops last. Were it to write
-// or remove the entry, new instances would look for a process that is gone.
-func TestEarlierIncarnationLeavesTheEntry(t *testing.T) {
+// An instance is replaced under its own name while the old process still runs: its first
+// write is delayed by an outage of the store, or it stops after its successor's start. If
+// it wrote or removed the entry, new instances would not find the successor.
+func TestEarlierIncarnationKeepsTheEntryOfALaterOne(t *testing.T) {
 	earlier := map[string]func(r *rig){
 		"stops": func(r *rig) {
 			old := r.start(1)
@@ -85,12 +85,12 @@
 	}
 }
 
-// The store is away when an instance starts, or loses the answer to its write.
-// Once the store is back, new instances must find the entry, and once only.
-func TestEntryIsWrittenInTheEnd(t *testing.T) {
+// The store is down when an instance starts, or the response to its write is lost. Once the
+// store is available, new instances must find the entry exactly once.
+func TestEntryIsWrittenAfterFaults(t *testing.T) {
 	faults := map[string]emulator.Faults{
-		"store down":  {Down: emulator.FailRefuse},
-		"answer lost": {LoseWrites: 1},
+		"store down":    {Down: emulator.FailRefuse},
+		"response lost": {LoseWrites: 1},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -106,10 +106,10 @@
 	}
 }
 
-// A region is cut off for hours, and the others take the entries of its
-// instances for those of the dead. When it is back, an instance that finds its
-// own entry missing writes it again, or new ones would never find it.
-func TestMissingEntryIsWrittenAgain(t *testing.T) {
+// A region is unreachable for hours, and other instances remove the entries of its
+// instances. When it is reachable again, an instance that finds its entry missing must
+// write it again, or new instances would never find it.
+func TestMissingEntryIsRewritten(t *testing.T) {
 	inRig(t, func(r *rig) {
 		one := r.start(1)
 		require.NoError(r.t, r.store.Local("two").Delete(r.t.Context(), platformapi.KindInstances, "one", 0))
@@ -120,8 +120,8 @@
 	})
 }
 
-// A planned stop removes the entry; a list that is read meanwhile must not
-// bring it back, and a second try finds nothing to do.
+// A planned stop removes the entry. A list that is read afterwards must not restore it, and
+// a second removal must succeed.
 func TestRemoveIsFinal(t *testing.T) {
 	inRig(t, func(r *rig) {
 		one := r.start(1)
@@ -134,7 +134,7 @@
 	})
 }
 
-// replacedStore lets another incarnation write right before a delete.
+// replacedStore calls replace right before each delete.
 type replacedStore struct {
 	platform.Store
 	replace func()
@@ -145,9 +145,9 @@
 	return s.Store.Delete(ctx, kind, name, revision)
 }
 
-// The later incarnation writes between the read and the delete of the earlier
-// one's planned stop: the delete is conditional, so the entry stays.
-func TestRemoveLosesTheRace(t *testing.T) {
+// A later incarnation writes its entry between the read and the delete of the earlier one's
+// planned stop. The delete is conditional, so the entry must stay.
+func TestRemoveKeepsAConcurrentlyReplacedEntry(t *testing.T) {
 	inRig(t, func(r *rig) {
 		old := r.start(1)
 		old.store = replacedStore{Store: old.store, replace: func() { r.start(2) }}
@@ -177,20 +177,20 @@
 	return s.Store.Update(ctx, kind, o)
 }
 
-// TestStartMakesFewCalls guards against calls that each of hundreds of instances makes as
-// all start together: a second write since its first list came before its entry, and a
-// read of an entry that the list told.
+// Hundreds of instances start together. None may make needless calls: a second write of its
+// entry because its first list preceded the entry, or a read of an entry that the list
+// contained.
 func TestStartMakesFewCalls(t *testing.T) {
 	inRig(t, func(r *rig) {
 		for incarnation, calls := range []int{1, 2, 2} {
 			self := membership.Member{Name: "one", Address: "127.0.0.1:1", Incarnation: uint64(incarnation + 1)}
-			made := 0
-			registrar := New(countedStore{r.store.Local("one"), &made}, func() membership.Member { return self })
+			callCount := 0
+			registrar := New(countedStore{r.store.Local("one"), &callCount}, func() membership.Member { return self })
 			_, err := registrar.List(r.ctx)
 			require.NoError(r.t, err)
 			go func() { _ = registrar.Run(r.ctx) }()
 			synctest.Wait()
-			require.Equal(r.t, calls, made)
+			require.Equal(r.t, calls, callCount)
 			require.Equal(r.t, []uint64{uint64(incarnation + 1)}, r.incarnations())
 		}
 	})
