--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -77,7 +77,7 @@
 	cluster   *cluster.Cluster
 	sync      *confsync.Sync
 	router    *routing.Table
-	marking   discovery.Marking
+	marking   discovery.MarkingTable
 	gates     *gate.Group
 	extra     *retrybudget.Budgets
 	budgets   *accounts.Budgets
@@ -205,7 +205,7 @@
 	}
 	a.self = a.cluster.Self()
 	a.discovery = discovery.New(a.router, a.gates, time.Now)
-	a.marking = discovery.Marking{Table: a.router, Mark: func(incarnation string) { a.sync.MarkLeaving(incarnation) }}
+	a.marking = discovery.MarkingTable{Table: a.router, MarkLeaving: func(incarnation string) { a.sync.MarkLeaving(incarnation) }}
 	a.sync = confsync.New(confsync.Options{
 		Store:       a.store,
 		Publisher:   peers{a.cluster},
--- a/daemon/discovery/discovery.go
+++ b/daemon/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery joins the platform's list of targets with the pools'
-// records and hands the result to the router and to the gates.
+// Package discovery joins the platform's list of targets with the pools' records and
+// passes the result to the router and the gates.
 package discovery
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Router takes the targets of each pool; *routing.Table is one.
+// Router receives the targets of each pool. *routing.Table implements it.
 type Router interface {
 	SetTargets(now time.Time, pool routing.Pool, targets []routing.Target)
 	Leaving(now time.Time, incarnation string)
 }
 
-// Gates take the number of slots of each pool; *gate.Group is one.
+// Gates receives the number of slots of each pool. *gate.Group implements it.
 type Gates interface {
 	SetCapacity(pool string, slots int, ordered bool)
 }
 
-// Discovery holds the newest list and the newest records. It is safe for
-// concurrent use; updates reach the router one at a time.
+// Discovery holds the newest list of targets and the configuration in force. It is safe
+// for concurrent use; updates reach the router one at a time.
 type Discovery struct {
 	router Router
 	gates  Gates
@@ -33,46 +33,47 @@
 	mu       sync.Mutex
 	snapshot *catalog.Snapshot
 	targets  []platformapi.TargetEntry
-	loaded   map[string]weights
-	// handed is what was handed to the router last, by pool.
-	handed map[string]handed
+	// loaded holds what the engines have reported as loaded, by incarnation.
+	loaded map[string]weights
+	// published holds what was last passed to the router, by pool.
+	published map[string]publishedPool
 }
 
-// handed is a pool and its targets as the router has them.
-type handed struct {
+// publishedPool is a pool and its targets as last passed to the router.
+type publishedPool struct {
 	pool    catalog.Pool
 	entries []platformapi.TargetEntry
 }
 
-// New makes a discovery that knows nothing yet.
+// New returns a Discovery without targets and configuration.
 func New(router Router, gates Gates, now func() time.Time) *Discovery {
 	return &Discovery{
-		router: router,
-		gates:  gates,
-		now:    now,
-		loaded: make(map[string]weights),
-		handed: make(map[string]handed),
+		router:    router,
+		gates:     gates,
+		now:       now,
+		loaded:    make(map[string]weights),
+		published: make(map[string]publishedPool),
 	}
 }
 
-// SetSnapshot takes the configuration in force.
+// SetSnapshot sets the configuration in force.
 func (d *Discovery) SetSnapshot(s *catalog.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.snapshot = s
-	d.update()
+	d.publishChanges()
 }
 
-// SetTargets takes the platform's whole list.
+// SetTargets sets the complete list of targets of the platform.
 func (d *Discovery) SetTargets(targets []platformapi.TargetEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.targets = targets
-	d.forget()
-	d.update()
+	d.pruneLoaded()
+	d.publishChanges()
 }
 
-// SetLoaded takes what an engine says that it has loaded.
+// SetLoaded sets the models and adapters that an engine has reported as loaded.
 func (d *Discovery) SetLoaded(incarnation string, models, adapters []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,13 +84,13 @@
 	d.loaded[incarnation] = weights{models: models, adapters: adapters}
 	for _, t := range d.targets {
 		if t.Incarnation == incarnation {
-			delete(d.handed, t.Pool)
+			delete(d.published, t.Pool)
 		}
 	}
-	d.update()
+	d.publishChanges()
 }
 
-// Engines returns the listed engines; keep chooses among them.
+// Engines returns the listed engines for which keep returns true.
 func (d *Discovery) Engines(keep func(incarnation string) bool) []platformapi.TargetEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,9 +107,9 @@
 	return engines
 }
 
-// forget drops the weights of engines that are not listed any more. It needs
-// the lock.
-func (d *Discovery) forget() {
+// pruneLoaded drops the weights of engines that are no longer listed. The caller holds the
+// lock.
+func (d *Discovery) pruneLoaded() {
 	listed := make(map[string]bool, len(d.targets))
 	for _, t := range d.targets {
 		listed[t.Incarnation] = true
@@ -120,12 +121,13 @@
 	}
 }
 
-// update hands on the pools in which something has changed. It needs the lock.
+// publishChanges passes the changed pools to the router and the gates. The caller holds the
+// lock.
 //
-// Guard: each change of the list comes alone. When a data centre with hundreds
-// of targets is lost, handing on all pools for each one would rank all targets
-// as often, and keep a core busy for seconds just when requests must be moved.
-func (d *Discovery) update() {
+// Each change of the list arrives on its own. When a data centre with hundreds of targets
+// fails, passing on all pools for each target would rank all targets as many times and keep
+// a core busy for seconds just when requests must be moved.
+func (d *Discovery) publishChanges() {
 	if d.snapshot == nil {
 		return
 	}
@@ -135,31 +137,32 @@
 	}
 	for name, pool := range d.snapshot.Pools {
 		entries := byPool[name]
-		old, known := d.handed[name]
+		old, known := d.published[name]
 		if known && old.pool == *pool && slices.Equal(old.entries, entries) {
 			continue
 		}
-		d.handed[name] = handed{pool: *pool, entries: entries}
-		d.updatePool(pool, entries)
+		d.published[name] = publishedPool{pool: *pool, entries: entries}
+		d.publishPool(pool, entries)
 	}
 }
 
-func (d *Discovery) updatePool(pool *catalog.Pool, entries []platformapi.TargetEntry) {
+// publishPool passes one pool to the router and its number of slots to the gates.
+func (d *Discovery) publishPool(pool *catalog.Pool, entries []platformapi.TargetEntry) {
 	now := d.now()
 	targets := make([]routing.Target, 0, len(entries))
 	slots := 0
 	for _, e := range entries {
-		serves := d.serves(pool, e.Incarnation)
+		w := d.effectiveWeights(pool, e.Incarnation)
 		targets = append(targets, routing.Target{
 			Incarnation: e.Incarnation,
 			Pool:        pool.Name,
 			Address:     e.Address,
 			DataCentre:  e.DataCentre,
 			Slots:       pool.Slots,
-			Models:      serves.models,
-			Adapters:    serves.adapters,
+			Models:      w.models,
+			Adapters:    w.adapters,
 		})
-		if e.State == platformapi.TargetReady && !serves.noModel() {
+		if e.State == platformapi.TargetReady && !w.hasNoModel() {
 			slots += pool.Slots
 		}
 	}
--- a/daemon/discovery/discovery_test.go
+++ b/daemon/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// sink notes what is handed on.
+// sink records what is passed to the router and the gates.
 type sink struct {
 	sets    []string
 	targets map[string][]routing.Target
@@ -47,10 +47,10 @@
 	return list
 }
 
-// A data centre is lost: the list changes hundreds of times in a second, one
-// target at a time, and most pools are as they were. Each change must reach the
-// router, and nothing else may be ranked anew for it.
-func TestOnlyChangedPoolsAreHandedOn(t *testing.T) {
+// A data centre fails: the list changes hundreds of times in a second, one target at a
+// time, and most pools don't change. Each change must reach the router, and no other pool
+// may be ranked again for it.
+func TestOnlyChangedPoolsArePublished(t *testing.T) {
 	var s *sink
 	var d *Discovery
 	list := targets(9)
@@ -65,8 +65,8 @@
 		change func()
 		want   []string
 	}{
-		"nothing":          {func() { d.SetTargets(targets(9)); d.SetSnapshot(pools(4)) }, nil},
-		"a target is gone": {func() { d.SetTargets(list[:8]) }, []string{"c"}},
+		"nothing":             {func() { d.SetTargets(targets(9)); d.SetSnapshot(pools(4)) }, nil},
+		"a target is removed": {func() { d.SetTargets(list[:8]) }, []string{"c"}},
 		"a target leaves": {func() {
 			changed := targets(9)
 			changed[0].State = platformapi.TargetLeaving
--- a/daemon/discovery/marking.go
+++ b/daemon/discovery/marking.go
@@ -6,18 +6,18 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Marking is the router for those who hear from targets themselves. A target
-// that says it is leaving is taken out here and marked for all other instances,
-// which would otherwise have to hear it from the target or from the platform's
-// list, and that lags by seconds.
-type Marking struct {
+// MarkingTable is the routing table for callers that receive reports from targets. A
+// target that reports itself as leaving is recorded in the table and marked for all other
+// instances, which would otherwise learn it only from the target or from the platform's
+// list, which lags by seconds.
+type MarkingTable struct {
 	*routing.Table
-	// Mark tells the other instances; it must not block.
-	Mark func(incarnation string)
+	// MarkLeaving notifies the other instances; it must not block.
+	MarkLeaving func(incarnation string)
 }
 
-// Leaving takes a target out and marks it.
-func (m Marking) Leaving(now time.Time, incarnation string) {
+// Leaving records that a target is leaving and marks it.
+func (m MarkingTable) Leaving(now time.Time, incarnation string) {
 	m.Table.Leaving(now, incarnation)
-	m.Mark(incarnation)
+	m.MarkLeaving(incarnation)
 }
