--- a/daemon/confsync/bootstrap.go
+++ b/daemon/confsync/bootstrap.go
@@ -13,25 +13,25 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Bounds of a start from a peer.
+// Limits of the bootstrap from peers.
 const (
 	maxBootstrapPeers = 3
 	maxSnapshotPages  = 1024
-	// peerTimeout bounds one page. A peer on a silent connection must not hold
-	// up a start that another peer or the store could serve.
+	// pageTimeout bounds the request for one page. A peer behind a silent connection
+	// must not delay a bootstrap that another peer or the store could serve.
 	pageTimeout = time.Second
-	// joinWait is how long a start waits for a first peer to be known.
+	// firstPeerWait is how long a bootstrap waits until a first peer is known.
 	firstPeerWait         = 500 * time.Millisecond
 	firstPeerPollInterval = 50 * time.Millisecond
 )
 
-// errNoPeer says that no peer could hand a whole configuration on.
-var errNoPeer = errors.New("no peer has a whole configuration")
+// errNoPeer reports that no peer could send a complete configuration.
+var errNoPeer = errors.New("no peer has a complete configuration")
 
-// bootstrap gets a first whole configuration from a peer and from the store and
-// takes the newest version of each record. Either alone would do in an outage
-// of the other. But a store that answers from the past would bring a record
-// back on this instance alone, and a peer that was parted for long would too.
+// bootstrap reads a first complete configuration from a peer and from the store and
+// uses the newest version of each record. During an outage of one the other is
+// sufficient. Both are read because a store that serves stale data, or a peer that was
+// partitioned for long, would restore an outdated record on this instance alone.
 func (s *Sync) bootstrap(ctx context.Context) error {
 	peerErr := s.bootstrapFromPeers(ctx)
 	_, storeErr := s.list(ctx)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// start puts in force what was gathered.
+// finishBootstrap puts the collected records in force.
 func (s *Sync) finishBootstrap() {
 	s.withLock(func() {
 		s.bootstrapped = true
@@ -50,7 +50,8 @@
 	})
 }
 
-// fromPeers asks a few peers in turn until one has a whole configuration.
+// bootstrapFromPeers requests the records of a few peers, one after the other, until one
+// has a complete configuration.
 func (s *Sync) bootstrapFromPeers(ctx context.Context) error {
 	others := s.opts.Peers.Others()
 	for waited := time.Duration(0); len(others) == 0 && waited < firstPeerWait; waited += firstPeerPollInterval {
@@ -69,16 +70,16 @@
 	return err
 }
 
-// snapshot is what a peer has handed on.
+// peerSnapshot holds all records that a peer has sent.
 type peerSnapshot struct {
 	records      []config.Record
 	otherRecords []spread.Record
-	// asOf are the revisions of the peer's newest full lists, by kind.
+	// asOf holds the revisions of the peer's newest full lists, by kind.
 	asOf map[string]uint64
 }
 
-// fromPeer reads all pages of a peer's records before any of them counts: half
-// a configuration would refuse what the other half allows.
+// bootstrapFromPeer reads all pages of a peer's records before it applies any of them:
+// half a configuration would refuse what the other half allows.
 func (s *Sync) bootstrapFromPeer(ctx context.Context, peer string) error {
 	var got peerSnapshot
 	request := configwire.PageRequest{}
@@ -98,9 +99,9 @@
 	return errors.Newf("snapshot from %s: more than %d pages", peer, maxSnapshotPages)
 }
 
-// add takes one page. The first page's revisions count: a list that the peer
-// reads while it hands out pages may stand for records that a page before left
-// out, and such a revision would have them taken for deleted.
+// addPage adds one page. Only the first page's revisions are used: if the peer reads a
+// new list between pages, that list may contain records that the earlier pages lack, and
+// with its revision they would be treated as deleted.
 func (g *peerSnapshot) addPage(page configwire.Page) error {
 	if g.asOf == nil {
 		g.asOf = page.AsOf
@@ -125,19 +126,19 @@
 	var page configwire.Page
 	body, err := msgpack.Marshal(&request)
 	if err != nil {
-		return page, errors.Wrap(err, "ask for snapshot: encode")
+		return page, errors.Wrap(err, "request snapshot: encode")
 	}
-	answer, err := s.opts.Peers.Call(ctx, peer, configwire.MethodSnapshot, body)
+	response, err := s.opts.Peers.Call(ctx, peer, configwire.MethodSnapshot, body)
 	if err != nil {
-		return page, errors.Wrapf(err, "ask for snapshot at %s", peer)
+		return page, errors.Wrapf(err, "request snapshot from %s", peer)
 	}
-	err = msgpack.Unmarshal(answer, &page)
-	return page, errors.Wrapf(err, "ask for snapshot at %s: decode", peer)
+	err = msgpack.Unmarshal(response, &page)
+	return page, errors.Wrapf(err, "request snapshot from %s: decode", peer)
 }
 
-// adopt takes a peer's lists over, then once more its records by themselves:
-// where the store has listed a kind already as of a later revision, the peer's
-// list does not count, but what the peer has seen since still does.
+// applySnapshot applies a peer's lists, then its records once more as single records:
+// if the store has already listed a kind as of a later revision, the peer's list is
+// ignored, but newer versions that the peer has received since still apply.
 func (s *Sync) applySnapshot(got peerSnapshot) error {
 	s.withLock(func() {
 		for _, kind := range config.Kinds {
--- a/daemon/confsync/errors.go
+++ b/daemon/confsync/errors.go
@@ -7,13 +7,14 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// nothingToWrite tells whether a failed write of a status is final: the record
-// has changed, and its new version gets a verdict of its own, or it is gone.
+// isObsoleteWrite reports whether a failed write of a status must not be retried, because
+// the record was deleted, or has changed and its new version gets its own verdict.
 func isObsoleteWrite(err error) bool {
 	var conflict *platform.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, platform.ErrNotFound)
 }
 
+// metrics holds the metrics of a Sync.
 type metrics struct {
 	failures        tally.Counter
 	revision        tally.Gauge
--- a/daemon/confsync/helpers_test.go
+++ b/daemon/confsync/helpers_test.go
@@ -22,16 +22,16 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// inForceBound is the time in which a change has to be in force everywhere.
+// inForceBound is the time within which a change has to be in force everywhere.
 const inForceBound = 3 * time.Second
 
-// fleet is some instances on one store. A record that one spreads reaches those
-// that are not cut off at once.
+// fleet is a set of instances on one store. Published records reach all instances that
+// aren't partitioned without delay.
 type fleet struct {
 	t              *testing.T
 	store          *emulator.Store
 	ops            *emulator.Local
-	operatorWrites map[string]int // the operator's writes, by kind
+	operatorWrites map[string]int // by kind
 
 	mu        sync.Mutex
 	instances []*instance
@@ -45,12 +45,12 @@
 	table *spread.Table
 
 	mu          sync.Mutex
-	onCall      func() // before it asks a peer
-	partitioned bool   // no peer reaches it, nor it a peer
+	onCall      func() // called before each request to a peer
+	partitioned bool   // no messages to or from its peers
 	killed      bool
 	targets     []platformapi.TargetEntry
 	leaving     []string
-	revisions   []uint64 // of each snapshot, in order
+	revisions   []uint64 // of the snapshots, in order
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -61,23 +61,22 @@
 	return f
 }
 
-// add starts an instance; wrap may put a fake before its store.
+// add starts an instance; wrap, if not nil, wraps its store.
 func (f *fleet) add(wrap func(platform.Store) platform.Store) *instance {
 	in := f.newInstance()
 	f.start(in, wrap)
 	return in
 }
 
-// newInstance returns an instance that the others don't know of yet.
+// newInstance returns an instance that the others don't know yet.
 func (f *fleet) newInstance() *instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &instance{fleet: f, name: fmt.Sprint("i", len(f.instances)), table: spread.NewTable(1 << 16)}
 }
 
-// start runs a new instance. The others know of it once it is whole: those that run
-// already tell every instance that they know of what they learn, from goroutines of
-// their own.
+// start runs a new instance. The others know it only once it is fully set up, because
+// they publish records to every known instance from their own goroutines.
 func (f *fleet) start(in *instance, wrap func(platform.Store) platform.Store) {
 	var store platform.Store = f.store.Local(in.name)
 	if wrap != nil {
@@ -102,7 +101,7 @@
 	}
 }
 
-// pass lets virtual time go by.
+// advance lets virtual time pass.
 func (f *fleet) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -139,9 +138,9 @@
 	var out []*instance
 	for _, in := range f.instances {
 		in.mu.Lock()
-		reached := in != self && !in.partitioned && !in.killed
+		reachable := in != self && !in.partitioned && !in.killed
 		in.mu.Unlock()
-		if reached {
+		if reachable {
 			out = append(out, in)
 		}
 	}
@@ -165,25 +164,26 @@
 	return in.partitioned || in.killed
 }
 
-// rank is the place among the first live instances.
+// rank returns the instance's rank among the live instances, in the order of their start.
 func (in *instance) rank() (int, bool) {
 	in.fleet.mu.Lock()
 	defer in.fleet.mu.Unlock()
-	place := 0
+	rank := 0
 	for _, other := range in.fleet.instances {
 		if other == in {
 			break
 		}
 		other.mu.Lock()
 		if !other.killed {
-			place++
+			rank++
 		}
 		other.mu.Unlock()
 	}
-	return place, place < confsync.Watchers
+	return rank, rank < confsync.Watchers
 }
 
-// Publish is the spreader: as cluster does, it tells the instance itself first.
+// Publish implements confsync.Publisher. Like the cluster, it passes the records to the
+// instance itself first.
 func (in *instance) Publish(records []spread.Record) {
 	for _, r := range records {
 		in.receive(r)
@@ -192,9 +192,9 @@
 
 func (in *instance) receive(r spread.Record) {
 	in.mu.Lock()
-	news := !in.killed && in.table.Apply(r)
+	isNew := !in.killed && in.table.Apply(r)
 	in.mu.Unlock()
-	if !news {
+	if !isNew {
 		return
 	}
 	in.sync.Receive([]spread.Record{r})
@@ -228,7 +228,7 @@
 			return other.sync.HandleSnapshot(body)
 		}
 	}
-	return nil, errors.New("not reached")
+	return nil, errors.New("unreachable")
 }
 
 func (in *instance) onSnapshot(s *catalog.Snapshot) {
@@ -241,7 +241,7 @@
 	in.set(func() { in.leaving = append(in.leaving, incarnation) })
 }
 
-// deadline is that of tier gold in force, in milliseconds; 0 for none.
+// deadline returns the deadline of tier gold that is in force, in milliseconds; 0 if none.
 func (in *instance) deadline() int64 {
 	if s := in.sync.Snapshot(); s != nil {
 		if tier, ok := s.Tier("gold"); ok {
@@ -264,12 +264,12 @@
 
 const poolSpec = `{"schema_version":1,"kind":"encoder","objective":"attainment","slots":8,"checks_fencing":true,"ejection_floor":0.5}`
 
-func tierSpec(deadline int) string {
-	return fmt.Sprintf(`{"schema_version":1,"rank":0,"deadline_ms":%d,"engine_priority":0}`, deadline)
+func tierSpec(deadlineMS int) string {
+	return fmt.Sprintf(`{"schema_version":1,"rank":0,"deadline_ms":%d,"engine_priority":0}`, deadlineMS)
 }
 
-func pipelineSpec(expected int) string {
-	return fmt.Sprintf(`{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":%d,"repeatable":true}]}`, expected)
+func pipelineSpec(expectedMS int) string {
+	return fmt.Sprintf(`{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":%d,"repeatable":true}]}`, expectedMS)
 }
 
 func accountSpec(tier string, n int) string {
--- a/daemon/confsync/inforce_bench_test.go
+++ b/daemon/confsync/inforce_bench_test.go
@@ -28,11 +28,11 @@
 
 const (
 	benchInstances = 8
-	// givenUp ends the wait for a change that is never in force.
+	// waitLimit ends the wait for a change that does not come into force.
 	waitLimit = 30 * time.Second
 )
 
-// benchFleet is real clusters on loopback and a platform over HTTP.
+// benchFleet is a set of real clusters on the loopback interface and a platform over HTTP.
 type benchFleet struct {
 	b        *testing.B
 	store    *emulator.Store
@@ -51,11 +51,11 @@
 	stop    func()
 
 	mu        sync.Mutex
-	inForceAt map[int64]time.Time // when a deadline of tier gold came in force
-	leavingAt map[int64]time.Time // when a target was known to leave
+	inForceAt map[int64]time.Time // when each deadline of tier gold came into force
+	leavingAt map[int64]time.Time // when each target was reported as leaving
 }
 
-// skippingStore leaves events out of watches at random.
+// skippingStore omits a random share of the events from watches.
 type skippingStore struct {
 	platform.Store
 	share float64
@@ -121,7 +121,7 @@
 	f.nodes = append(f.nodes, n)
 }
 
-// whole waits until all see each other and have a configuration.
+// awaitReady waits until all instances see each other and have a configuration.
 func (f *benchFleet) awaitReady() {
 	ctx, cancel := context.WithTimeout(f.b.Context(), waitLimit)
 	defer cancel()
@@ -181,24 +181,24 @@
 	}
 }
 
-func (n *benchNode) timeOf(times map[int64]time.Time, what int64) (time.Time, bool) {
+func (n *benchNode) timeOf(times map[int64]time.Time, key int64) (time.Time, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at, ok := times[what]
+	at, ok := times[key]
 	return at, ok
 }
 
-// watcher returns the live node of a rank.
+// watcher returns the live node with a rank.
 func (f *benchFleet) watcher(rank int) *benchNode {
 	for _, n := range f.nodes {
-		if place, ok := n.rank(); ok && place == rank {
+		if r, ok := n.rank(); ok && r == rank {
 			return n
 		}
 	}
 	return f.nodes[0]
 }
 
-// change writes a deadline and returns when.
+// change writes a deadline and returns the time after the write.
 func (f *benchFleet) change(deadline int64) time.Time {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: "gold"}, Spec: json.RawMessage(tierSpec(int(deadline)))}
 	_, err := f.store.Local("operator").Update(f.b.Context(), "tiers", object)
@@ -206,17 +206,17 @@
 	return time.Now()
 }
 
-// last waits until all nodes have a time of something and returns how long the
-// last of them took.
-func slowest(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, what int64, begun time.Time) time.Duration {
+// slowest waits until all nodes have a time for a key and returns how long the last of
+// them took.
+func slowest(nodes []*benchNode, times func(*benchNode) map[int64]time.Time, key int64, begun time.Time) time.Duration {
 	longest := time.Duration(0)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for _, n := range nodes {
-		at, ok := n.timeOf(times(n), what)
+		at, ok := n.timeOf(times(n), key)
 		for !ok && time.Since(begun) < waitLimit {
 			<-poll.C
-			at, ok = n.timeOf(times(n), what)
+			at, ok = n.timeOf(times(n), key)
 		}
 		if !ok {
 			return waitLimit
@@ -226,7 +226,7 @@
 	return longest
 }
 
-// pause lets changes fall on any moment of the watchers' rounds.
+// randomPause waits a random time, so that changes come at any phase of the watches.
 func randomPause(least time.Duration) { <-time.After(least + rand.N(time.Second)) }
 
 // BenchmarkInForce measures the time from a write in the store until it is in
@@ -237,10 +237,11 @@
 		name     string
 		watchers int
 		skip     float64
-		// accounts are written before; their verdicts are still being written.
+		// accounts is the number of accounts written before the measurement. Their
+		// verdicts are still being written during it.
 		accounts int
-		// fault comes right after the write, mend before the next one.
-		fault, mend func(f *benchFleet)
+		// fault is called right after each write, recovery before the next one.
+		fault, recovery func(f *benchFleet)
 	}{
 		{name: "few/no fault", watchers: confsync.Watchers},
 		{name: "few/a thousand new records", watchers: confsync.Watchers, accounts: 1000},
@@ -260,21 +261,21 @@
 				}
 			}
 			f.store.SetFaults(emulator.Faults{Instances: others, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
+		}, recovery: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/store down for all watchers", watchers: confsync.Watchers, fault: func(f *benchFleet) {
 			watching := []string{f.watcher(0).name, f.watcher(1).name, f.watcher(2).name}
 			f.store.SetFaults(emulator.Faults{Instances: watching, Down: emulator.FailRefuse})
-		}, mend: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
+		}, recovery: func(f *benchFleet) { f.store.SetFaults(emulator.Faults{}); randomPause(2 * time.Second) }},
 		{name: "few/the writer killed", watchers: confsync.Watchers, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.awaitReady() }},
+			recovery: func(f *benchFleet) { f.start(); f.awaitReady() }},
 		{name: "one/the writer killed", watchers: 1, fault: func(f *benchFleet) { f.kill(f.watcher(0)) },
-			mend: func(f *benchFleet) { f.start(); f.awaitReady() }},
+			recovery: func(f *benchFleet) { f.start(); f.awaitReady() }},
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			f := newBenchFleet(b, c.watchers, c.skip)
 			f.addAccounts(c.accounts)
-			var took []time.Duration
+			var durations []time.Duration
 			calls, begun := f.store.Calls(), time.Now()
 			deadline := int64(1)
 			for b.Loop() {
@@ -284,12 +285,12 @@
 				if c.fault != nil {
 					c.fault(f)
 				}
-				took = append(took, slowest(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForceAt }, deadline, written))
-				if c.mend != nil {
-					c.mend(f)
+				durations = append(durations, slowest(f.nodes, func(n *benchNode) map[int64]time.Time { return n.inForceAt }, deadline, written))
+				if c.recovery != nil {
+					c.recovery(f)
 				}
 			}
-			report(b, took)
+			report(b, durations)
 			now, seconds := f.store.Calls(), time.Since(begun).Seconds()
 			b.ReportMetric(float64(now.Reads-calls.Reads)/seconds, "reads/s")
 			b.ReportMetric(float64(now.Watches-calls.Watches)/seconds, "watches/s")
@@ -297,25 +298,25 @@
 	}
 }
 
-// BenchmarkLeaving measures the time from one instance's learning that a target
-// leaves until the last of the seven others knows.
+// BenchmarkLeaving measures the time from the moment when one instance learns that a
+// target is leaving until the last of the seven others knows it.
 func BenchmarkLeaving(b *testing.B) {
 	f := newBenchFleet(b, confsync.Watchers, 0)
-	var took []time.Duration
+	var durations []time.Duration
 	number := int64(0)
 	for b.Loop() {
 		randomPause(0)
 		number++
-		place := rand.IntN(len(f.nodes))
+		leaver := rand.IntN(len(f.nodes))
 		begun := time.Now()
-		f.nodes[place].sync.MarkLeaving(fmt.Sprint("t", number))
-		others := slices.Concat(f.nodes[:place], f.nodes[place+1:])
-		took = append(took, slowest(others, func(n *benchNode) map[int64]time.Time { return n.leavingAt }, number, begun))
+		f.nodes[leaver].sync.MarkLeaving(fmt.Sprint("t", number))
+		others := slices.Concat(f.nodes[:leaver], f.nodes[leaver+1:])
+		durations = append(durations, slowest(others, func(n *benchNode) map[int64]time.Time { return n.leavingAt }, number, begun))
 	}
-	report(b, took)
+	report(b, durations)
 }
 
-// addAccounts writes accounts as fast as the store takes them.
+// addAccounts creates accounts as fast as the store accepts them.
 func (f *benchFleet) addAccounts(n int) {
 	operator := f.store.Local("operator")
 	for i := range n {
@@ -327,16 +328,16 @@
 	}
 }
 
-// kill ends a node without any farewell.
+// kill stops a node without announcing it to the others.
 func (f *benchFleet) kill(n *benchNode) {
 	f.nodes = slices.DeleteFunc(f.nodes, func(other *benchNode) bool { return other == n })
 	n.stop()
 }
 
-func report(b *testing.B, took []time.Duration) {
-	slices.Sort(took)
+func report(b *testing.B, durations []time.Duration) {
+	slices.Sort(durations)
 	ms := func(share float64) float64 {
-		return float64(took[int(share*float64(len(took)-1))]) / float64(time.Millisecond)
+		return float64(durations[int(share*float64(len(durations)-1))]) / float64(time.Millisecond)
 	}
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(ms(0.5), "p50-ms")
--- a/daemon/orders/keeper.go
+++ b/daemon/orders/controller.go
@@ -1,6 +1,6 @@
 // Package orders brings the targets of a pool to the state that the accepted
-// configuration asks for: models, adapters, version and role. One instance at
-// a time gives the orders of a pool, under a lease with a fencing number.
+// configuration requires: models, adapters, version and role. One instance at a time
+// sends the orders of a pool, under a lease with a fencing number.
 package orders
 
 import (
@@ -18,59 +18,59 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// Store is the part of the platform's store that leases use.
+// Store is the part of the platform's store that holds the leases and the states of pools.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (*platformapi.Object, error)
 	Create(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error)
 	Update(ctx context.Context, kind string, object platformapi.Object) (*platformapi.Object, error)
 }
 
-// Targets reads the state of targets and gives them orders. The client of
-// package transport/target is one.
+// TargetClient reads the state of targets and sends them orders. The client of package
+// transport/target implements it.
 type TargetClient interface {
 	Load(ctx context.Context, address string) (targetapi.Load, error)
 	Order(ctx context.Context, address string, order targetapi.Order) (targetapi.Load, error)
 }
 
-// Member is one live target of the pool.
+// Member is a live target of a pool.
 type Member struct {
 	Incarnation string
 	Address     string
 }
 
-// Desired is the state that an accepted record asks of each target of a pool.
+// Desired is the state that an accepted record requires of each target of a pool.
 type Desired struct {
-	// Revision is that of the record.
+	// Revision is the record's revision.
 	Revision uint64
 	Models   []string
 	Adapters []string
-	// Version and Role are left as they are when empty.
+	// An empty Version or Role leaves the target's as it is.
 	Version string
 	Role    string
 }
 
-// Options configure a Keeper. Holder, Pool, Store, Targets and Members are
-// required.
+// Options configure a Controller. Holder, Pool, Store, Client and Members are required.
 type Options struct {
-	// Holder names this incarnation; no two processes share it.
+	// Holder identifies this incarnation; it must be unique among all processes.
 	Holder  string
 	Pool    string
 	Store   Store
 	Client  TargetClient
 	Members func() []Member
-	// ChecksFencing tells whether the pool's targets refuse old numbers.
+	// ChecksFencing reports whether the pool's targets refuse orders with outdated
+	// fencing numbers.
 	ChecksFencing func() bool
-	// DownloadSlots bounds the orders under way at once in this pool: the
-	// pool's share of what the weight store's rate limit allows. It is asked
-	// once a round.
+	// DownloadSlots returns the maximum number of concurrent orders in this pool, the
+	// pool's share of what the weight store's rate limit allows. It is called once for
+	// each reconciliation.
 	DownloadSlots func() int
 	Timing        lease.Timing
-	// CheckEvery is the time between two comparisons with the targets.
+	// CheckInterval is the time between two comparisons with the targets.
 	CheckInterval time.Duration
 	// StoreTimeout bounds one call to the store.
 	StoreTimeout time.Duration
-	// Now is the clock; it must run while the process is paused. The default
-	// is boottime.Now.
+	// Now is the clock. It must keep running while the process is paused. The default is
+	// boottime.Now.
 	Now   func() time.Time
 	Scope tally.Scope
 }
@@ -82,11 +82,11 @@
 	DefaultDownloadSlots = 1
 )
 
-// ErrStale says that a newer desired state is already in force here.
+// ErrStale reports that a newer desired state is already in force.
 var ErrStale = errors.New("orders: desired state is older than the one in force")
 
-// Keeper competes for the lease of one pool and, while it holds it, gives the
-// orders that its targets need. It is safe for concurrent use.
+// Controller competes for the lease of one pool and, while it holds the lease, sends the
+// orders that the pool's targets need. It is safe for concurrent use.
 type Controller struct {
 	opts    Options
 	wakeup  chan struct{}
@@ -95,17 +95,19 @@
 	mu      sync.Mutex
 	lease   *lease.Lease
 	desired Desired
-	// busyUntil is, by incarnation, until when an order whose answer was lost
-	// may be under way.
+	// busyUntil holds, by incarnation, until when an order whose response was lost may
+	// be in progress.
 	busyUntil map[string]time.Time
-	// readings are what was read of the members last, by incarnation.
+	// observations holds the last observation of each member, by incarnation.
 	observations map[string]observation
-	pass         uint64
-	// written is the state that operators can read.
+	// pass is the number of the current reconciliation.
+	pass uint64
+	// stored is the pool's state as last written to the store. It is only used by the
+	// reconciliation.
 	stored storedState
 }
 
-// New returns a Keeper that does nothing before Run.
+// New returns a Controller that is started by Run.
 func New(opts Options) *Controller {
 	opts = opts.withDefaults()
 	return &Controller{
@@ -118,43 +120,43 @@
 	}
 }
 
-// SetDesired puts an accepted desired state in force. An older revision than
-// the one in force is refused with ErrStale, so that a late or reordered record
-// never reverts the targets.
-func (k *Controller) SetDesired(d Desired) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if d.Revision < k.desired.Revision {
-		return errors.Wrapf(ErrStale, "pool %s: revision %d under %d", k.opts.Pool, d.Revision, k.desired.Revision)
+// SetDesired puts an accepted desired state in force. It refuses a revision older than the
+// one in force with ErrStale, so that a delayed or reordered record never reverts the
+// targets.
+func (c *Controller) SetDesired(d Desired) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if d.Revision < c.desired.Revision {
+		return errors.Wrapf(ErrStale, "pool %s: revision %d under %d", c.opts.Pool, d.Revision, c.desired.Revision)
 	}
-	k.desired = d
-	k.wake()
+	c.desired = d
+	c.wake()
 	return nil
 }
 
-// Held returns the fencing number while this instance holds the lease.
-func (k *Controller) Held() (uint64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lease.Held(k.opts.Now())
+// Held returns the fencing number and whether this instance holds the lease.
+func (c *Controller) Held() (uint64, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lease.Held(c.opts.Now())
 }
 
-// Run competes for the lease and gives orders until ctx ends. It then gives
-// the lease up, unless an order may still be under way.
-func (k *Controller) Run(ctx context.Context) error {
+// Run competes for the lease and sends orders until ctx ends. It then releases the lease,
+// unless an order may still be in progress.
+func (c *Controller) Run(ctx context.Context) error {
 	group, inner := errgroup.WithContext(ctx)
-	group.Go(func() error { return k.maintainLease(inner) })
-	group.Go(func() error { return k.reconcileLoop(inner) })
+	group.Go(func() error { return c.maintainLease(inner) })
+	group.Go(func() error { return c.reconcileLoop(inner) })
 	err := group.Wait()
-	k.release(context.WithoutCancel(ctx))
-	k.metrics.held.Update(0)
+	c.release(context.WithoutCancel(ctx))
+	c.metrics.held.Update(0)
 	return err
 }
 
-// wake starts a reconciliation soon.
-func (k *Controller) wake() {
+// wake triggers a reconciliation without waiting for the interval.
+func (c *Controller) wake() {
 	select {
-	case k.wakeup <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -184,7 +186,7 @@
 	return o
 }
 
-// metrics are the counters of a Keeper, under the scope "orders".
+// metrics holds the metrics of a Controller, under the scope "orders".
 type metrics struct {
 	held       tally.Gauge
 	sent       tally.Counter
--- a/daemon/orders/group_test.go
+++ b/daemon/orders/group_test.go
@@ -18,7 +18,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// fleet is targets that obey, by address.
+// fleet is a set of targets that execute orders, by address.
 type fleet struct {
 	byAddress map[string]*fakeTarget
 	reads     atomic.Int64
@@ -59,7 +59,7 @@
 	return s
 }
 
-// lateAnswers is a store whose updates take effect at once and are answered late.
+// delayedResponses is a store that applies updates at once and responds with a delay.
 type delayedResponses struct{ Store }
 
 func (l delayedResponses) Update(ctx context.Context, kind string, o platformapi.Object) (*platformapi.Object, error) {
@@ -76,7 +76,7 @@
 	return startGroupAt(t, store.Local(name), name, f, s, competes)
 }
 
-// groupAt starts a group; stop ends it.
+// startGroupAt starts a group; stop ends it.
 func startGroupAt(t *testing.T, store Store, name string, f *fleet, s *atomic.Pointer[catalog.Snapshot], competes bool) (g *Group, stop func()) {
 	g = NewGroup(GroupOptions{
 		Controller: Options{Holder: name, Store: store, Client: f, Now: time.Now},
@@ -98,10 +98,10 @@
 	return entry
 }
 
-// Story: an operator changes a pool; then the holder is told to stop. Were the
-// lease left to lapse, the pool would have nobody to give orders for a term. The
-// operator reads what the targets lack; a pool at rest must cost no writes.
-func TestPlannedStopHandsOver(t *testing.T) {
+// An operator changes a pool, then the holder stops as planned. If the lease were left to
+// expire, the pool would get no orders for a term. The pool's state must be in the store,
+// and an idle pool must cause no writes.
+func TestPlannedStopReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, f := emulator.New(emulator.Options{}), newFleet(3)
 		var s atomic.Pointer[catalog.Snapshot]
@@ -113,22 +113,22 @@
 		writes := store.Calls().Kinds[platformapi.KindOrders].Writes
 		_, stopSecond := startGroup(t, store, "b", f, &s, true)
 		time.Sleep(time.Minute)
-		require.Equal(t, writes, store.Calls().Kinds[platformapi.KindOrders].Writes, "a pool at rest costs no writes")
+		require.Equal(t, writes, store.Calls().Kinds[platformapi.KindOrders].Writes, "an idle pool causes no writes")
 		require.NoError(t, first.ReleaseLeases(t.Context()))
 		s.Store(snapshotOf(8, "decode", "engines"))
 		time.Sleep(6 * time.Second)
 		require.Equal(t, platformapi.OrdersEntry{DesiredRevision: 8, Fencing: 2, Targets: 3, Complete: 3}, stateOf(t, store, "engines"))
 		f.byAddress["t1"].set("")
 		time.Sleep(5 * time.Second)
-		require.Equal(t, "decode", f.byAddress["t1"].role(), "what a target lost is given again")
+		require.Equal(t, "decode", f.byAddress["t1"].role(), "a state that a target has lost is restored")
 		stopFirst()
 		stopSecond()
 	})
 }
 
-// Story: the instance is told to stop at any moment, also while the store takes
-// long over a renewal. Were the renewal's answer given up, the lease couldn't be
-// given up any more, and the pool would have no holder for a term.
+// A planned stop comes at any moment, also while the store is slow to respond to a renewal.
+// If the response were abandoned, the lease could not be released, and the pool would have
+// no holder for a term.
 func TestPlannedStopDuringARenewal(t *testing.T) {
 	for offset := time.Duration(0); offset < lease.DefaultTiming.RenewInterval; offset += 250 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -144,16 +144,16 @@
 			require.NoError(t, err)
 			var r lease.Record
 			require.NoError(t, json.Unmarshal(object.Spec, &r))
-			require.Empty(t, r.Holder, "stopped %v into a renewal's time", offset)
+			require.Empty(t, r.Holder, "stopped %v after the start of a renewal interval", offset)
 			stop()
 		})
 	}
 }
 
-// Story: the instance competes for a lease no more while an order whose answer
-// was lost is under way, and soon competes again. Were it to take up its old
-// lease at once, it would order again beside its own first order.
-func TestKeeperDoesNotTakeUpTheLeaseOfAnEarlierOne(t *testing.T) {
+// An instance stops competing for a lease while an order whose response was lost is in
+// progress, and soon competes again. If it continued its old lease at once, it would send a
+// second order concurrently with its own first one.
+func TestControllerDoesNotContinueTheLeaseOfAnEarlierOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.New(emulator.Options{})
 		f := &fakeTarget{load: targetapi.Load{Incarnation: "t1"}}
@@ -176,7 +176,7 @@
 		time.Sleep(2 * time.Second)
 		competes.Store(true)
 		time.Sleep(20 * time.Second)
-		require.Len(t, f.history(), 1, "the first order may still be under way")
+		require.Len(t, f.history(), 1, "the first order may still be in progress")
 		time.Sleep(40 * time.Second)
 		require.Greater(t, len(f.history()), 1)
 		cancel()
@@ -184,10 +184,10 @@
 	})
 }
 
-// Story: hundreds of instances and targets. If each instance competed for each
-// lease, or the holder read all targets back each time, the store and the
-// network would be full of it while nothing happens.
-func TestCostOfAPoolAtRest(t *testing.T) {
+// Hundreds of instances and targets are idle. If each instance competed for each lease, or
+// the holder read all targets each time, the store and the network would be busy without
+// need.
+func TestCostOfAnIdlePool(t *testing.T) {
 	pools := []string{"a", "b", "c", "d", "e", "f"}
 	for _, instances := range []int{3, 440} {
 		synctest.Test(t, func(t *testing.T) {
@@ -209,8 +209,8 @@
 			require.LessOrEqual(t, int(writes), len(pools)*21)
 			require.LessOrEqual(t, int(reads), len(pools)*21)
 			require.Equal(t, before.Kinds[platformapi.KindOrders], after.Kinds[platformapi.KindOrders])
-			rounds := int64(time.Minute/DefaultCheckInterval) + 1
-			require.LessOrEqual(t, f.reads.Load()-read, int64(len(pools)*maxRechecksPerPass)*rounds)
+			passes := int64(time.Minute/DefaultCheckInterval) + 1
+			require.LessOrEqual(t, f.reads.Load()-read, int64(len(pools)*maxRechecksPerPass)*passes)
 			for _, stop := range stops {
 				stop()
 			}
@@ -218,8 +218,8 @@
 	}
 }
 
-// Story: seven pools load weights at once. The shares of the weight store's
-// rate must add up to no more than it allows, while each pool can go on.
+// Seven pools load weights at once. Their shares of the weight store's rate limit must not
+// add up to more than the limit, and each pool must have at least one slot.
 func TestSharesOfTheWeightStore(t *testing.T) {
 	var s atomic.Pointer[catalog.Snapshot]
 	g := NewGroup(GroupOptions{Snapshot: s.Load})
