--- a/daemon/accounts/budgets.go
+++ b/daemon/accounts/budgets.go
@@ -21,7 +21,7 @@
 const MethodGrant = "budget.grant"
 
 // maxRounds bounds how often one request looks again after a grant came.
-const maxRounds = 3
+const maxDecisions = 3
 
 // Peers asks another instance; *cluster.Node is one. Call blocks until the
 // answer or the context's end.
@@ -37,37 +37,37 @@
 	config func() *catalog.Snapshot
 	now    func() time.Time
 
-	questions [questionShards]questions
+	shards [shardCount]pendingRequests
 }
 
 // questionShards is as many as the ledger has, so that requests of different
 // accounts contend here no more than there.
-const questionShards = 16
+const shardCount = 16
 
 // questions are the questions under way about some of the accounts.
-type questions struct {
+type pendingRequests struct {
 	mu sync.Mutex
 	// asking holds a channel for each account whose home is being asked; it is
 	// closed when the answer is in.
-	asking map[string]chan struct{}
+	done map[string]chan struct{}
 }
 
 // New makes the driver of a ledger.
 func New(ledger *budget.Ledger, peers Peers, config func() *catalog.Snapshot, now func() time.Time) *Budgets {
 	b := &Budgets{ledger: ledger, peers: peers, config: config, now: now}
-	for i := range b.questions {
-		b.questions[i].asking = make(map[string]chan struct{})
+	for i := range b.shards {
+		b.shards[i].done = make(map[string]chan struct{})
 	}
 	return b
 }
 
-func (b *Budgets) questionsOf(account string) *questions {
-	return &b.questions[xxhash.Sum64String(account)%questionShards]
+func (b *Budgets) shardOf(account string) *pendingRequests {
+	return &b.shards[xxhash.Sum64String(account)%shardCount]
 }
 
 // Take spends one request of the account's budget, or says when to come back.
 func (b *Budgets) Take(ctx context.Context, account *catalog.Account) (ok bool, retryAfter time.Duration) {
-	for range maxRounds {
+	for range maxDecisions {
 		decision, answered := b.decide(account)
 		switch decision.Verdict {
 		case budget.Allowed:
@@ -88,16 +88,16 @@
 // request would be told to wait for a question that nobody finds yet, look again at
 // once, and be refused after maxRounds although the answer is on its way.
 func (b *Budgets) decide(account *catalog.Account) (budget.Decision, <-chan struct{}) {
-	q := b.questionsOf(account.Name)
+	q := b.shardOf(account.Name)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	decision := b.ledger.Allow(b.now(), account)
-	if decision.Request != nil && q.asking[account.Name] == nil {
+	if decision.Request != nil && q.done[account.Name] == nil {
 		answered := make(chan struct{})
-		q.asking[account.Name] = answered
-		go b.ask(q, *decision.Request, answered)
+		q.done[account.Name] = answered
+		go b.requestGrant(q, *decision.Request, answered)
 	}
-	return decision, q.asking[account.Name]
+	return decision, q.done[account.Name]
 }
 
 // wait blocks until the answer is in, at most for limit.
@@ -112,9 +112,9 @@
 }
 
 // ask puts the question to the home and ends it.
-func (b *Budgets) ask(q *questions, ask budget.GrantRequest, answered chan struct{}) {
-	grant, err := b.call(ask)
-	b.settle(q, ask, grant, err)
+func (b *Budgets) requestGrant(q *pendingRequests, ask budget.GrantRequest, answered chan struct{}) {
+	grant, err := b.callHome(ask)
+	b.completeRequest(q, ask, grant, err)
 	close(answered)
 }
 
@@ -124,10 +124,10 @@
 // Both happen under one lock. Between them, a request that the grant serves could
 // raise the next question while the old one still counts as under way; it would be
 // dropped, and the ledger would wait for its answer to the time-out.
-func (b *Budgets) settle(q *questions, ask budget.GrantRequest, grant budget.Grant, err error) {
+func (b *Budgets) completeRequest(q *pendingRequests, ask budget.GrantRequest, grant budget.Grant, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.asking, ask.Account)
+	delete(q.done, ask.Account)
 	if err != nil {
 		telemetry.ErrorS(err, "Home of a budget didn't answer", telemetry.Event{Peer: ask.Home})
 		b.ledger.RequestFailed(b.now(), ask)
@@ -136,7 +136,7 @@
 	b.ledger.ApplyGrant(b.now(), grant)
 }
 
-func (b *Budgets) call(ask budget.GrantRequest) (budget.Grant, error) {
+func (b *Budgets) callHome(ask budget.GrantRequest) (budget.Grant, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), budget.DefaultRequestTimeout)
 	defer cancel()
 	body, err := msgpack.Marshal(&ask)
--- a/daemon/accounts/budgets_test.go
+++ b/daemon/accounts/budgets_test.go
@@ -102,11 +102,11 @@
 					})
 				}
 				wg.Wait()
-				require.LessOrEqual(t, time.Since(start), maxRounds*budget.DefaultRequestTimeout)
+				require.LessOrEqual(t, time.Since(start), maxDecisions*budget.DefaultRequestTimeout)
 				time.Sleep(budget.DefaultRequestTimeout) // virtual: a question ahead of need ends
 				synctest.Wait()
-				for i := range own.questions {
-					require.Empty(t, own.questions[i].asking)
+				for i := range own.shards {
+					require.Empty(t, own.shards[i].done)
 				}
 				require.Equal(t, c.served, served.Load())
 				require.Equal(t, c.questions, questions.Load())
--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -19,9 +19,9 @@
 
 // Methods that instances call at one another.
 const (
-	methodClaim  = "claim.ask"
-	methodStatus = "request.status"
-	methodAnswer = "request.answer"
+	methodClaimStatus   = "claim.ask"
+	methodRequestStatus = "request.status"
+	methodResponse      = "request.answer"
 )
 
 // errNotMember says that no live instance has the name, or the incarnation.
@@ -57,11 +57,11 @@
 }
 
 // asker puts questions about claims to their claimants.
-type asker struct{ cluster *cluster.Cluster }
+type claimStatusClient struct{ cluster *cluster.Cluster }
 
 // AskClaim implements claims.Asker. Only the very incarnation that made the
 // claim can answer for it: a later one has none of its memory.
-func (a asker) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
+func (a claimStatusClient) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	var answer claim.StatusResponse
 	member, ok := a.cluster.View().Find(claimant.Instance)
 	if !ok || !member.Live() || member.Incarnation != claimant.Incarnation {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return answer, errors.Wrap(err, "ask claim: encode")
 	}
-	reply, err := a.cluster.Call(ctx, member.Address, methodClaim, body)
+	reply, err := a.cluster.Call(ctx, member.Address, methodClaimStatus, body)
 	if err != nil {
 		return answer, errors.Wrapf(err, "ask claim at %s", claimant.Instance)
 	}
@@ -80,7 +80,7 @@
 }
 
 // statusQuestion asks for the status of a request on behalf of an account.
-type statusQuestion struct {
+type statusQuery struct {
 	ID      string `msgpack:"i"`
 	Account string `msgpack:"a"`
 	// Wait is how long to wait for an answer, for methodAnswer alone.
@@ -93,19 +93,19 @@
 // RequestStatus implements serve.Forwarder.
 func (f forwarder) RequestStatus(ctx context.Context, id requestid.ID, account, text string) (*callerapi.RequestStatus, error) {
 	var status *callerapi.RequestStatus
-	err := f.ask(ctx, id, methodStatus, statusQuestion{ID: text, Account: account}, &status)
+	err := f.call(ctx, id, methodRequestStatus, statusQuery{ID: text, Account: account}, &status)
 	return status, err
 }
 
 // RequestAnswer implements serve.Forwarder.
 func (f forwarder) AwaitResponse(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*serve.JoinResult, error) {
 	var joined *serve.JoinResult
-	err := f.ask(ctx, id, methodAnswer, statusQuestion{ID: text, Account: account, Wait: wait}, &joined)
+	err := f.call(ctx, id, methodResponse, statusQuery{ID: text, Account: account, Wait: wait}, &joined)
 	return joined, err
 }
 
 // ask puts a question to the very incarnation that the request's id names.
-func (f forwarder) ask(ctx context.Context, id requestid.ID, method string, q statusQuestion, answer any) error {
+func (f forwarder) call(ctx context.Context, id requestid.ID, method string, q statusQuery, answer any) error {
 	member, ok := f.cluster.View().Find(id.Instance)
 	if !ok || !member.Live() || member.Incarnation != id.Incarnation {
 		return errors.Wrapf(errNotMember, "%s at %s", method, id.Instance)
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -53,12 +53,12 @@
 const sweeperKey = "claims-sweeper"
 
 // streamIdle bounds the wait for a caller that does not read its stream.
-const streamIdle = 10 * time.Second
+const callerWriteTimeout = 10 * time.Second
 
 // eventGap is how long a stream may stay without a byte. Engines send a token
 // every hundred milliseconds or a comment meanwhile; a longer silence is that of
 // a connection which something between the two ends has lost track of.
-const eventGap = 2 * time.Second
+const maxEventGap = 2 * time.Second
 
 // retryReserve is how many extra attempts a pool may have before it has earned
 // any. An instance that serves few requests earns slowly: with a reserve of two
@@ -67,31 +67,31 @@
 
 // App is one instance.
 type App struct {
-	settings  settings.Settings
-	self      membership.Member
-	telemetry *telemetry.Telemetry
-	store     platform.Store
-	calls     *platform.Budget
-	targets   *target.Client
-
-	cluster   *cluster.Cluster
-	sync      *confsync.Sync
-	router    *routing.Table
-	marking   discovery.Marking
-	gates     *gate.Group
-	extra     *retrybudget.Budgets
-	budgets   *accounts.Budgets
-	ledger    *budget.Ledger
-	claims    *claims.Service
-	status    *requests.Table
-	server    *serve.Server
-	registrar *register.Registrar
-	exchange  *load.Exchange
-	discovery *discovery.Discovery
-	poller    *poll.Poller
-	orders    *orders.Group
-	reporter  *report.Reporter
-	tidier    *tidy.Tidier
+	settings   settings.Settings
+	self       membership.Member
+	telemetry  *telemetry.Telemetry
+	store      platform.Store
+	callBudget *platform.Budget
+	targets    *target.Client
+
+	cluster        *cluster.Cluster
+	sync           *confsync.Sync
+	router         *routing.Table
+	marking        discovery.Marking
+	gates          *gate.Group
+	retryBudgets   *retrybudget.Budgets
+	accountBudgets *accounts.Budgets
+	budgetLedger   *budget.Ledger
+	claims         *claims.Service
+	status         *requests.Table
+	server         *serve.Server
+	registrar      *register.Registrar
+	exchange       *load.Exchange
+	discovery      *discovery.Discovery
+	poller         *poll.Poller
+	orders         *orders.Group
+	reporter       *report.Reporter
+	tidier         *tidy.Tidier
 	// blocklist holds the requests that crash their targets.
 	blocklist *blocklist.Blocklist
 
@@ -99,15 +99,15 @@
 	admin    net.Listener
 	draining atomic.Bool
 	// listed counts the instances that the platform listed last.
-	listed atomic.Int64
+	listedCount atomic.Int64
 }
 
 // New puts an instance together and opens its ports. A nil store means the
 // platform that the settings name.
 func New(s settings.Settings, t *telemetry.Telemetry, store platform.Store) (*App, error) {
-	a := &App{settings: s, telemetry: t, store: store, calls: newCalls(s)}
+	a := &App{settings: s, telemetry: t, store: store, callBudget: newCallBudget(s)}
 	if store == nil {
-		a.store = newStore(s, a.calls)
+		a.store = newStore(s, a.callBudget)
 	}
 	if err := a.listen(); err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 		DataCentre:  s.Instance.DataCentre,
 		Incarnation: uint64(time.Now().UnixNano()),
 	}
-	a.buildDecisions()
+	a.buildLocalParts()
 	if err := a.buildCluster(); err != nil {
 		return nil, err
 	}
@@ -138,17 +138,17 @@
 	})
 }
 
-func newCalls(s settings.Settings) *platform.Budget {
+func newCallBudget(s settings.Settings) *platform.Budget {
 	calls := s.Platform.CallsPerSecond
 	return platform.NewBudget(platform.BudgetOptions{
 		ReadsPerSecond:  calls,
-		WritesPerSecond: calls * writeShare,
+		WritesPerSecond: calls * writeRateShare,
 	})
 }
 
 // writeShare is the part of the budget of calls that may be writes: the
 // platform takes far fewer of them.
-const writeShare = 0.4
+const writeRateShare = 0.4
 
 func (a *App) listen() error {
 	var err error
@@ -161,7 +161,7 @@
 }
 
 // buildDecisions makes the pure parts and those that need nothing else.
-func (a *App) buildDecisions() {
+func (a *App) buildLocalParts() {
 	s := a.settings
 	a.router = routing.New(routing.Config{
 		Instance:        s.Instance.Name,
@@ -169,13 +169,13 @@
 		SubsetSize:      s.Routing.Subset,
 	})
 	a.gates = gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{Preempt: true}}, time.Now)
-	a.ledger = budget.NewLedger(time.Now(), budget.Config{Self: s.Instance.Name})
-	a.extra = retrybudget.New(retry.Config{Reserve: retryReserve})
+	a.budgetLedger = budget.NewLedger(time.Now(), budget.Config{Self: s.Instance.Name})
+	a.retryBudgets = retrybudget.New(retry.Config{Reserve: retryReserve})
 	a.status = requests.New(requests.Options{
 		MaxRequests: s.Status.RingSize,
 		Retention:   s.Status.Retention,
 	})
-	a.targets = target.New(target.Options{EventGap: eventGap, Tracer: a.telemetry.Tracer})
+	a.targets = target.New(target.Options{EventGap: maxEventGap, Tracer: a.telemetry.Tracer})
 	a.registrar = register.New(a.store, func() membership.Member { return a.self })
 }
 
@@ -195,7 +195,7 @@
 			Scope:   a.telemetry.Scope,
 		},
 		Membership:    membership.DefaultConfig(),
-		Spread:        load.SpreadConfig(),
+		Gossip:        load.GossipConfig(),
 		Seeds:         s.Peers.Seeds,
 		ListInstances: a.listInstances,
 		OnRecord:      func(r spread.Record) { a.sync.Receive([]spread.Record{r}) },
@@ -216,11 +216,11 @@
 		OnLeaving:   func(incarnation string) { a.router.Leaving(time.Now(), incarnation) },
 		Scope:       a.telemetry.Scope,
 	})
-	a.budgets = accounts.New(a.ledger, peers{a.cluster}, a.sync.Snapshot, time.Now)
-	a.exchange = load.New(s.Instance.Name, a.cluster, a.router, a.gates, a.instances)
+	a.accountBudgets = accounts.New(a.budgetLedger, peers{a.cluster}, a.sync.Snapshot, time.Now)
+	a.exchange = load.New(s.Instance.Name, a.cluster, a.router, a.gates, a.liveCount)
 	a.poller = poll.New(a.targets, a.marking, a.engines, a.discovery.SetLoaded)
 	a.reporter = report.New(a.store, s.Instance.Name, a.status, time.Now)
-	a.tidier = tidy.New(a.store, a.firstWatcher, a.isLive, time.Now)
+	a.tidier = tidy.New(a.store, a.isFirstWatcher, a.isLive, time.Now)
 	return nil
 }
 
@@ -238,13 +238,13 @@
 	return engines
 }
 
-func (a *App) firstWatcher() bool {
+func (a *App) isFirstWatcher() bool {
 	rank, ok := a.watcherRank()
 	return ok && rank == 0
 }
 
 // owns tells whether this instance is the first owner of a key.
-func (a *App) owns(key string) bool {
+func (a *App) isFirstOwner(key string) bool {
 	owners := a.cluster.Owners(key, 1)
 	return len(owners) > 0 && owners[0].Name == a.self.Name
 }
@@ -257,12 +257,12 @@
 func (a *App) listInstances(ctx context.Context) ([]membership.Member, error) {
 	members, err := a.registrar.List(ctx)
 	if err == nil {
-		a.listed.Store(int64(len(members)))
+		a.listedCount.Store(int64(len(members)))
 	}
 	return members, err
 }
 
-func (a *App) instances() int { return len(a.cluster.View().Live()) }
+func (a *App) liveCount() int { return len(a.cluster.View().Live()) }
 
 // watcherRank returns this instance's place among those that watch the store.
 func (a *App) watcherRank() (int, bool) {
@@ -278,9 +278,9 @@
 	a.claims = claims.New(claims.Options{
 		Owner:        claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
 		Storage:      claims.NewObjectStorage(a.store),
-		StatusClient: asker{a.cluster},
+		StatusClient: claimStatusClient{a.cluster},
 		Retention:    a.settings.Claims.Retention,
-		IsSweeper:    func() bool { return a.owns(sweeperKey) },
+		IsSweeper:    func() bool { return a.isFirstOwner(sweeperKey) },
 		Scope:        a.telemetry.Scope,
 	})
 }
@@ -291,7 +291,7 @@
 		Router:  a.marking,
 		Targets: a.targets,
 		Gate:    a.gates,
-		Budgets: a.extra,
+		Budgets: a.retryBudgets,
 		Times:   deadline.NewTimes(deadline.Config{}),
 		Status:  a.status,
 		Config:  a.sync.Snapshot,
@@ -305,7 +305,7 @@
 		Config:             a.sync.Snapshot,
 		Executor:           executor,
 		Claims:             a.claims,
-		Budgets:            a.budgets,
+		Budgets:            a.accountBudgets,
 		Status:             a.status,
 		Forward:            forwarder{a.cluster},
 		IDs:                requestid.NewSource(a.self.Name, a.self.Incarnation),
@@ -314,7 +314,7 @@
 		MaxBodyBytes:       limits.MaxBodyBytes,
 		MaxInFlight:        limits.MaxInFlight,
 		MaxStreams:         limits.MaxStreams,
-		CallerWriteTimeout: streamIdle,
+		CallerWriteTimeout: callerWriteTimeout,
 	})
 }
 
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -21,15 +21,15 @@
 		return func(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) { return f(body) }
 	}
 	a.cluster.Handle(configwire.MethodSnapshot, plain(a.sync.HandleSnapshot), peer.Idempotent())
-	a.cluster.Handle(accounts.MethodGrant, plain(a.budgets.HandleGrant))
-	a.cluster.Handle(methodClaim, a.handleClaim, peer.Idempotent())
-	a.cluster.Handle(methodStatus, plain(a.handleStatus), peer.Idempotent())
-	waiting := make(chan struct{}, maxPeerJoins)
-	a.cluster.Handle(methodAnswer, func(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+	a.cluster.Handle(accounts.MethodGrant, plain(a.accountBudgets.HandleGrant))
+	a.cluster.Handle(methodClaimStatus, a.handleClaimStatus, peer.Idempotent())
+	a.cluster.Handle(methodRequestStatus, plain(a.handleRequestStatus), peer.Idempotent())
+	waiting := make(chan struct{}, maxJoinHandlers)
+	a.cluster.Handle(methodResponse, func(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
 		select {
 		case waiting <- struct{}{}:
 			defer func() { <-waiting }()
-			return a.handleAnswer(ctx, body)
+			return a.handleAwaitResponse(ctx, body)
 		default:
 			return nil, errTooManyJoins
 		}
@@ -38,12 +38,12 @@
 
 // maxPeerJoins bounds the handlers that wait for answers: without a bound they
 // could take every place, and questions about claims would find none.
-const maxPeerJoins = 32
+const maxJoinHandlers = 32
 
 var errTooManyJoins = errors.New("too many questions wait for answers")
 
-func (a *App) handleAnswer(ctx context.Context, body []byte) ([]byte, error) {
-	var q statusQuestion
+func (a *App) handleAwaitResponse(ctx context.Context, body []byte) ([]byte, error) {
+	var q statusQuery
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer a join: decode")
 	}
@@ -56,7 +56,7 @@
 	return json.Marshal(joined)
 }
 
-func (a *App) handleClaim(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
+func (a *App) handleClaimStatus(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
 	var q claim.StatusRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer claim: decode")
@@ -65,8 +65,8 @@
 	return msgpack.Marshal(&answer)
 }
 
-func (a *App) handleStatus(body []byte) ([]byte, error) {
-	var q statusQuestion
+func (a *App) handleRequestStatus(body []byte) ([]byte, error) {
+	var q statusQuery
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer request status: decode")
 	}
--- a/daemon/app/join_test.go
+++ b/daemon/app/join_test.go
@@ -20,7 +20,7 @@
 // the balancer sends it where it likes. It must get the very same answer.
 func TestJoinOnAnotherInstance(t *testing.T) {
 	started, release := make(chan string, 1), make(chan struct{})
-	world := startWorld(t, dev.BeforeTargets(func(next http.Handler) http.Handler {
+	world := startWorld(t, dev.WrapTargets(func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if strings.Contains(r.Header.Get(targetapi.HeaderAttempt), "/encode/") {
 				select {
--- a/daemon/app/metrics.go
+++ b/daemon/app/metrics.go
@@ -9,12 +9,12 @@
 // sampleMetrics sets the metrics of the parts that count for themselves.
 func (a *App) sampleMetrics(ctx context.Context) error {
 	sampler := metrics.New(metrics.Options{
-		Calls:  a.calls,
-		Gates:  a.gates,
-		Router: a.router,
-		Status: a.status,
-		Extra:  a.extra,
-		Scope:  a.telemetry.Scope,
+		Calls:        a.callBudget,
+		Gates:        a.gates,
+		Router:       a.router,
+		Status:       a.status,
+		RetryBudgets: a.retryBudgets,
+		Scope:        a.telemetry.Scope,
 	})
 	return sampler.Run(ctx)
 }
--- a/daemon/app/orders.go
+++ b/daemon/app/orders.go
@@ -12,10 +12,10 @@
 const (
 	// ordersKey and a pool's name make the key whose owners compete for the
 	// pool's lease.
-	ordersKey = "orders/"
+	leaseKeyPrefix = "orders/"
 	// competitors is how many instances compete for a lease: the holder and
 	// one that takes over. The others need not read the store for it.
-	competitors = 2
+	leaseCompetitors = 2
 )
 
 func (a *App) buildOrders() {
@@ -31,12 +31,12 @@
 		},
 		Snapshot: a.sync.Snapshot,
 		Members:  a.orderedTargets,
-		Competes: func(pool string) bool { return a.ownsAmong(ordersKey+pool, competitors) },
+		Competes: func(pool string) bool { return a.isOwner(leaseKeyPrefix+pool, leaseCompetitors) },
 	})
 }
 
 // ownsAmong tells whether this instance is among the first n owners of a key.
-func (a *App) ownsAmong(key string, n int) bool {
+func (a *App) isOwner(key string, n int) bool {
 	for _, owner := range a.cluster.Owners(key, n) {
 		if owner.Name == a.self.Name {
 			return true
@@ -57,6 +57,6 @@
 }
 
 // handOverOrders gives up the leases under which this instance gives orders.
-func (a *App) handOverOrders() {
-	bounded(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.HandOver(ctx) })
+func (a *App) handOverLeases() {
+	runWithTimeout(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.HandOver(ctx) })
 }
--- a/daemon/app/run.go
+++ b/daemon/app/run.go
@@ -16,13 +16,13 @@
 const (
 	// answerTimeout is for the answers of requests that the stop ends: they are a few
 	// hundred bytes, and their outcomes are recorded within half a second.
-	answerTimeout      = time.Second
-	drainClaimsTimeout = 3 * time.Second
-	leaveTimeout       = 2 * time.Second
-	adminReadTimeout   = 5 * time.Second
+	cancelledResponseTimeout = time.Second
+	drainClaimsTimeout       = 3 * time.Second
+	leaveTimeout             = 2 * time.Second
+	adminHeaderTimeout       = 5 * time.Second
 	// adminTimeout bounds the last answers to probes and scrapes: they take a
 	// millisecond.
-	adminTimeout = 100 * time.Millisecond
+	adminStopTimeout = 100 * time.Millisecond
 )
 
 // Run runs the instance until ctx ends, then stops it as planned: it reports
@@ -37,13 +37,13 @@
 	defer cancel()
 	var group run.Group
 	callers := a.callersServer()
-	admin := inbound.New(a.admin, a.adminHandler(), inbound.Options{HeaderTimeout: adminReadTimeout})
+	admin := inbound.New(a.admin, a.adminHandler(), inbound.Options{HeaderTimeout: adminHeaderTimeout})
 	group.Add(func() error { return a.lifecycle(ctx, callers) }, func(error) {})
 	addServer(&group, callers)
 	addServer(&group, admin)
 	group.Add(a.cluster.Execute, a.cluster.Interrupt)
 	for _, loop := range []func(context.Context) error{
-		a.sync.Run, a.claims.Run, a.gates.Run, a.exchange.Run, a.registrar.Run, a.followView,
+		a.sync.Run, a.claims.Run, a.gates.Run, a.exchange.Run, a.registrar.Run, a.followMembership,
 		a.poller.Run, a.reporter.Run, a.tidier.Run, a.orders.Run, a.blocklist.Run, a.sampleMetrics,
 	} {
 		loopContext, stop := context.WithCancel(background)
@@ -71,7 +71,7 @@
 
 // addServer adds an HTTP server to the group.
 func addServer(group *run.Group, server *inbound.Server) {
-	group.Add(server.Serve, func(error) { server.Stop(adminTimeout) })
+	group.Add(server.Serve, func(error) { server.Stop(adminStopTimeout) })
 }
 
 // lifecycle waits for the end of ctx and does the planned stop.
@@ -79,22 +79,22 @@
 	<-ctx.Done()
 	telemetry.InfoS("planned stop", telemetry.Event{Count: a.server.InFlight()})
 	a.draining.Store(true)
-	a.handOverOrders()
-	wait(a.settings.Shutdown.BalancerDelay)
-	bounded(a.settings.Shutdown.Grace, "finish requests in flight", callers.Finish)
+	a.handOverLeases()
+	sleep(a.settings.Shutdown.BalancerDelay)
+	runWithTimeout(a.settings.Shutdown.Grace, "finish requests in flight", callers.Finish)
 	a.server.Stop()
-	bounded(answerTimeout, "answer what did not end", callers.Finish)
-	bounded(drainClaimsTimeout, "record outcomes", a.claims.Drain)
-	bounded(leaveTimeout, "write the last report", func(ctx context.Context) error {
+	runWithTimeout(cancelledResponseTimeout, "answer what did not end", callers.Finish)
+	runWithTimeout(drainClaimsTimeout, "record outcomes", a.claims.Drain)
+	runWithTimeout(leaveTimeout, "write the last report", func(ctx context.Context) error {
 		a.reporter.Write(ctx)
 		return nil
 	})
-	bounded(leaveTimeout, "leave the cluster", a.cluster.Leave)
-	bounded(leaveTimeout, "remove the entry in the store", a.registrar.Remove)
+	runWithTimeout(leaveTimeout, "leave the cluster", a.cluster.Leave)
+	runWithTimeout(leaveTimeout, "remove the entry in the store", a.registrar.Remove)
 	return context.Canceled
 }
 
-func bounded(limit time.Duration, step string, do func(context.Context) error) {
+func runWithTimeout(limit time.Duration, step string, do func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := do(ctx); err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-func wait(d time.Duration) {
+func sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	<-timer.C
@@ -110,7 +110,7 @@
 
 // followView tells the account budgets and the budget of calls of each change of
 // the membership.
-func (a *App) followView(ctx context.Context) error {
+func (a *App) followMembership(ctx context.Context) error {
 	version := uint64(0)
 	for ctx.Err() == nil {
 		view := a.cluster.View()
@@ -128,7 +128,7 @@
 	for _, m := range view.Live() {
 		names = append(names, m.Name)
 	}
-	listed := int(a.listed.Load())
-	a.ledger.SetMembers(time.Now(), names, listed)
-	a.calls.SetInstances(max(listed, len(names)))
+	listed := int(a.listedCount.Load())
+	a.budgetLedger.SetMembers(time.Now(), names, listed)
+	a.callBudget.SetInstances(max(listed, len(names)))
 }
--- a/daemon/app/trace_test.go
+++ b/daemon/app/trace_test.go
@@ -138,7 +138,7 @@
 	server := httptest.NewServer(got)
 	t.Cleanup(server.Close)
 	targets := &tracedTargets{}
-	a := startInstanceWith(t, server.URL+"/v1/traces", dev.BeforeTargets(targets.before))
+	a := startInstanceWith(t, server.URL+"/v1/traces", dev.WrapTargets(targets.before))
 	targets.tracer = a.telemetry.Tracer
 	provider := a.telemetry.TracerProvider.(*sdktrace.TracerProvider)
 	caller := sdktrace.NewTracerProvider().Tracer("caller")
--- a/daemon/app/wire_test.go
+++ b/daemon/app/wire_test.go
@@ -30,8 +30,8 @@
 			"64c4403036303030303030303030303030303030303030303030303030303030303030303030303030303030303030303030" +
 			"3030303030303030303030303030303037"},
 		{"answer without an outcome", &claim.StatusResponse{State: claim.TokenRunning}, "82a173a772756e6e696e67a16bc0"},
-		{"question for an answer", &statusQuestion{ID: "id", Account: "account", Wait: 8}, "83a169a26964a161a76163636f756e74a177d30000000000000008"},
-		{"question for a status", &statusQuestion{ID: "id", Account: "account"}, "82a169a26964a161a76163636f756e74"},
+		{"question for an answer", &statusQuery{ID: "id", Account: "account", Wait: 8}, "83a169a26964a161a76163636f756e74a177d30000000000000008"},
+		{"question for a status", &statusQuery{ID: "id", Account: "account"}, "82a169a26964a161a76163636f756e74"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -15,12 +15,12 @@
 
 // Listed returns how many instances the platform's list last named, those included that
 // are gone. It waits for the first list, or for its failure.
-func (c *Cluster) Listed(ctx context.Context) int {
+func (c *Cluster) ListedCount(ctx context.Context) int {
 	select {
-	case <-c.listTried:
+	case <-c.firstListDone:
 	case <-ctx.Done():
 	}
-	return int(c.listed.Load())
+	return int(c.listedCount.Load())
 }
 
 // Peers returns the other live instances.
@@ -37,7 +37,7 @@
 
 // Neighbours returns the addresses of the instances to whom there are connections anyway.
 func (c *Cluster) Neighbours() []string {
-	peers, _ := c.spreadPeers()
+	peers, _ := c.gossipPeers()
 	return slices.Clone(peers)
 }
 
@@ -51,7 +51,7 @@
 func (c *Cluster) WaitView(ctx context.Context, met func(*membership.View) bool) error {
 	for {
 		c.mu.Lock()
-		changed := c.changed
+		changed := c.viewChanged
 		view := c.view.Load()
 		c.mu.Unlock()
 		if met(view) {
@@ -88,13 +88,13 @@
 func (c *Cluster) SendDigest(body []byte) {
 	now := time.Now()
 	self := c.opts.Transport.Self
-	c.spreadMu.Lock()
-	defer c.spreadMu.Unlock()
-	c.loadSeq++
-	c.spread.SetLoad(now, spread.LoadDigest{
+	c.gossipMu.Lock()
+	defer c.gossipMu.Unlock()
+	c.digestSeq++
+	c.gossip.SetLoad(now, spread.LoadDigest{
 		Origin:      self.Name,
 		Incarnation: self.Incarnation,
-		Seq:         c.loadSeq,
+		Seq:         c.digestSeq,
 		Body:        body,
 	})
 }
@@ -102,15 +102,15 @@
 // Loads returns the latest load digest of each instance with its age.
 func (c *Cluster) Loads() []spread.Load {
 	now := time.Now()
-	c.spreadMu.Lock()
-	defer c.spreadMu.Unlock()
-	return c.spread.Loads(now)
+	c.gossipMu.Lock()
+	defer c.gossipMu.Unlock()
+	return c.gossip.Loads(now)
 }
 
 // Put takes over a record learned from the store and spreads it. OnRecord is
 // told if it is news.
 func (c *Cluster) Put(r spread.Record) {
-	c.withSpread(nil, func(s *spread.Gossip) []spread.Action { return s.Put(r) })
+	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Put(r) })
 }
 
 // Stats returns the counts of the connections.
@@ -121,7 +121,7 @@
 // until Interrupt.
 func (c *Cluster) Leave(ctx context.Context) error {
 	now := time.Now()
-	c.membership(nil, func(m *membership.Membership) []membership.Action {
+	c.stepMembership(nil, func(m *membership.Membership) []membership.Action {
 		c.leaving = true
 		return m.Leave(now)
 	})
@@ -160,7 +160,7 @@
 // AwaitPeer waits until this instance knows another one, or the context ends. It doesn't
 // wait where the platform's list names no other.
 func (c *Cluster) AwaitPeer(ctx context.Context) {
-	if c.Listed(ctx); c.listedOthers.Load() == 0 {
+	if c.ListedCount(ctx); c.listedOtherCount.Load() == 0 {
 		return
 	}
 	_ = c.WaitView(ctx, func(v *membership.View) bool { return len(v.Live()) > 1 }) // the context bounds it
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -20,9 +20,9 @@
 
 // Defaults of Options.
 const (
-	defaultTick      = 50 * time.Millisecond
-	defaultListEvery = 5 * time.Minute
-	defaultListRetry = 5 * time.Second
+	defaultTick              = 50 * time.Millisecond
+	defaultListInterval      = 5 * time.Minute
+	defaultListRetryInterval = 5 * time.Second
 	// maxTombstones bounds the deleted records that are remembered.
 	maxTombstones = 4096
 )
@@ -31,7 +31,7 @@
 type Options struct {
 	Transport  peer.Options
 	Membership membership.Config
-	Spread     spread.Config
+	Gossip     spread.Config
 	// Seeds are peer addresses from the settings.
 	Seeds []string
 	// ListInstances asks the platform for its list of instances; nil if there
@@ -39,8 +39,8 @@
 	ListInstances func(ctx context.Context) ([]membership.Member, error)
 	// ListEvery is the time between two listings, ListRetry the time after a
 	// failed one or while no other instance is known. Both are jittered.
-	ListEvery time.Duration
-	ListRetry time.Duration
+	ListInterval      time.Duration
+	ListRetryInterval time.Duration
 	// OnRecord is told each record that is news. It must not block. Calls may
 	// overlap and come out of order: the receiver keeps the highest revision.
 	OnRecord func(r spread.Record)
@@ -53,11 +53,11 @@
 	if o.Tick == 0 {
 		o.Tick = defaultTick
 	}
-	if o.ListEvery == 0 {
-		o.ListEvery = defaultListEvery
+	if o.ListInterval == 0 {
+		o.ListInterval = defaultListInterval
 	}
-	if o.ListRetry == 0 {
-		o.ListRetry = defaultListRetry
+	if o.ListRetryInterval == 0 {
+		o.ListRetryInterval = defaultListRetryInterval
 	}
 	if o.Membership.Rings == 0 {
 		o.Membership.Rings = membership.DefaultConfig().Rings
@@ -78,26 +78,26 @@
 
 	view atomic.Pointer[membership.View]
 	// listed is how many instances the platform's list last named.
-	listed atomic.Int64
+	listedCount atomic.Int64
 	// listedOthers is how many of these aren't this instance, in any of its runs.
-	listedOthers atomic.Int64
+	listedOtherCount atomic.Int64
 	// listTried is closed once the list was asked for, with an answer or without.
-	listTried chan struct{}
-	listDone  sync.Once
+	firstListDone chan struct{}
+	firstListOnce sync.Once
 
-	mu         sync.Mutex
-	members    *membership.Membership
-	changed    chan struct{}
-	left       chan struct{}
-	joined     chan struct{}
-	leaving    bool
-	superseded sync.Once
+	mu             sync.Mutex
+	members        *membership.Membership
+	viewChanged    chan struct{}
+	left           chan struct{}
+	joined         chan struct{}
+	leaving        bool
+	supersededOnce sync.Once
 
-	spreadMu  sync.Mutex
-	spread    *spread.Gossip
+	gossipMu  sync.Mutex
+	gossip    *spread.Gossip
 	peers     []string
 	peersView *membership.View
-	loadSeq   uint64
+	digestSeq uint64
 }
 
 // New binds the peer address. Handlers are registered before Execute.
@@ -113,20 +113,20 @@
 	self := opts.Transport.Self
 	self.Address = node.Addr()
 	c := &Cluster{
-		opts:    opts,
-		node:    node,
-		metrics: newMetrics(opts.Transport.Scope),
-		changed: make(chan struct{}),
-		left:    make(chan struct{}),
-		joined:  make(chan struct{}),
+		opts:        opts,
+		node:        node,
+		metrics:     newMetrics(opts.Transport.Scope),
+		viewChanged: make(chan struct{}),
+		left:        make(chan struct{}),
+		joined:      make(chan struct{}),
 
-		listTried: make(chan struct{}),
-		members:   membership.New(opts.Membership, self, newRand()),
-		spread:    spread.New(opts.Spread, spread.NewTable(maxTombstones), newRand()),
+		firstListDone: make(chan struct{}),
+		members:       membership.New(opts.Membership, self, newRand()),
+		gossip:        spread.New(opts.Gossip, spread.NewTable(maxTombstones), newRand()),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.view.Store(c.members.View())
-	c.metrics.size(c.View()) // a lone instance's view never changes
+	c.metrics.setCounts(c.View()) // a lone instance's view never changes
 	node.OnMessage(c.receive)
 	return c, nil
 }
@@ -166,18 +166,18 @@
 
 // tick does what is due.
 func (c *Cluster) tick(now time.Time) {
-	c.membership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
-	peers, size := c.spreadPeers()
-	c.withSpread(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
+	c.stepMembership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
+	peers, size := c.gossipPeers()
+	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
 }
 
 // spreadPeers returns the addresses that records and digests go to: the
 // neighbours, to whom there are connections anyway, and the cluster's size.
-func (c *Cluster) spreadPeers() (peers []string, size int) {
+func (c *Cluster) gossipPeers() (peers []string, size int) {
 	view := c.View()
 	size = len(view.Live())
-	c.spreadMu.Lock()
-	defer c.spreadMu.Unlock()
+	c.gossipMu.Lock()
+	defer c.gossipMu.Unlock()
 	if c.peersView == view {
 		return c.peers, size
 	}
@@ -195,11 +195,11 @@
 	now := time.Now()
 	switch m := m.(type) {
 	case membership.Message:
-		c.membership(&from, func(s *membership.Membership) []membership.Action {
+		c.stepMembership(&from, func(s *membership.Membership) []membership.Action {
 			return s.Receive(now, from.Member, m)
 		})
 	case spread.Message:
-		c.withSpread(&from, func(s *spread.Gossip) []spread.Action {
+		c.stepGossip(&from, func(s *spread.Gossip) []spread.Action {
 			return s.Receive(now, from.Address, m)
 		})
 	}
@@ -207,12 +207,12 @@
 
 // membership runs a step of the membership under its lock and does its actions
 // without it.
-func (c *Cluster) membership(from *peer.Peer, step func(*membership.Membership) []membership.Action) {
+func (c *Cluster) stepMembership(from *peer.Peer, step func(*membership.Membership) []membership.Action) {
 	c.mu.Lock()
 	actions := step(c.members)
 	for _, a := range actions {
 		if changed, ok := a.(membership.ViewChanged); ok {
-			c.publish(changed.View)
+			c.publishView(changed.View)
 		}
 	}
 	c.checkLeft()
@@ -221,23 +221,23 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			c.send(from, a)
+			c.sendMembership(from, a)
 		case membership.Superseded:
-			c.superseded.Do(func() { c.reportSuperseded(a.By) })
+			c.supersededOnce.Do(func() { c.reportSuperseded(a.By) })
 		}
 	}
 }
 
 // publish replaces the view and wakes those who wait for a change; mu is held.
-func (c *Cluster) publish(view *membership.View) {
-	c.metrics.report(c.view.Load(), view)
+func (c *Cluster) publishView(view *membership.View) {
+	c.metrics.reportChanges(c.view.Load(), view)
 	c.view.Store(view)
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.viewChanged)
+	c.viewChanged = make(chan struct{})
 }
 
 // send does a membership's Send.
-func (c *Cluster) send(from *peer.Peer, s membership.Send) {
+func (c *Cluster) sendMembership(from *peer.Peer, s membership.Send) {
 	if s.Reply && from != nil {
 		_ = from.Reply(s.Message)
 		return
@@ -253,10 +253,10 @@
 
 // withSpread runs a step of the spread under its lock and does its actions
 // without it.
-func (c *Cluster) withSpread(from *peer.Peer, step func(*spread.Gossip) []spread.Action) {
-	c.spreadMu.Lock()
-	actions := step(c.spread)
-	c.spreadMu.Unlock()
+func (c *Cluster) stepGossip(from *peer.Peer, step func(*spread.Gossip) []spread.Action) {
+	c.gossipMu.Lock()
+	actions := step(c.gossip)
+	c.gossipMu.Unlock()
 	for _, a := range actions {
 		switch a := a.(type) {
 		case spread.Send:
@@ -277,9 +277,9 @@
 // membership, which contacts those it does not know.
 func (c *Cluster) seedLoop() {
 	for {
-		wait := c.opts.ListEvery
-		if !c.seed() || len(c.View().Live()) == 1 {
-			wait = c.opts.ListRetry
+		wait := c.opts.ListInterval
+		if !c.contactSeeds() || len(c.View().Live()) == 1 {
+			wait = c.opts.ListRetryInterval
 		}
 		timer := time.NewTimer(jitter(wait))
 		select {
@@ -298,34 +298,34 @@
 }
 
 // seed names all seeds once, false if the platform's list was not had.
-func (c *Cluster) seed() bool {
+func (c *Cluster) contactSeeds() bool {
 	seeds := make([]membership.Member, 0, len(c.opts.Seeds))
 	for _, address := range c.opts.Seeds {
 		seeds = append(seeds, membership.Member{Address: address})
 	}
-	listed, err := c.list()
+	listed, err := c.listInstances()
 	if err != nil {
 		klog.ErrorS(err, "Listing the instances failed", "step", "list instances")
 	}
 	if err == nil {
-		c.listed.Store(int64(len(listed)))
-		c.listedOthers.Store(int64(c.others(listed)))
+		c.listedCount.Store(int64(len(listed)))
+		c.listedOtherCount.Store(int64(c.countOthers(listed)))
 	}
 	seeds = append(seeds, listed...)
 	now := time.Now()
-	c.membership(nil, func(m *membership.Membership) []membership.Action {
+	c.stepMembership(nil, func(m *membership.Membership) []membership.Action {
 		actions := m.Seed(now, seeds)
 		if err == nil {
 			m.MarkSeedsComplete()
 		}
 		return actions
 	})
-	c.listDone.Do(func() { close(c.listTried) })
+	c.firstListOnce.Do(func() { close(c.firstListDone) })
 	return err == nil
 }
 
 // others counts the members that aren't this instance.
-func (c *Cluster) others(members []membership.Member) int {
+func (c *Cluster) countOthers(members []membership.Member) int {
 	n := 0
 	for _, m := range members {
 		if m.Name != c.opts.Transport.Self.Name {
@@ -336,11 +336,11 @@
 }
 
 // list asks the platform for its list, within ListRetry.
-func (c *Cluster) list() ([]membership.Member, error) {
+func (c *Cluster) listInstances() ([]membership.Member, error) {
 	if c.opts.ListInstances == nil {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, c.opts.ListRetry)
+	ctx, cancel := context.WithTimeout(c.ctx, c.opts.ListRetryInterval)
 	defer cancel()
 	return c.opts.ListInstances(ctx)
 }
--- a/daemon/cluster/cluster_test.go
+++ b/daemon/cluster/cluster_test.go
@@ -24,26 +24,26 @@
 
 // fast has periods short enough for a test, and long against a busy machine's
 // delays.
-var fast = membership.Config{
+var fastConfig = membership.Config{
 	Period: 200 * time.Millisecond, ProbeTimeout: 60 * time.Millisecond,
 	DeadProbeInterval: 200 * time.Millisecond, SyncInterval: time.Second,
 }
 
 type instance struct {
 	*Cluster
-	done chan struct{}
-	recs chan spread.Record
+	done    chan struct{}
+	records chan spread.Record
 }
 
 // start runs an instance as an actor of a group.
 func start(t testing.TB, name string, incarnation uint64, listen string, change func(*Options), seeds ...string) *instance {
-	i := &instance{done: make(chan struct{}), recs: make(chan spread.Record, 64)}
+	i := &instance{done: make(chan struct{}), records: make(chan spread.Record, 64)}
 	opts := Options{
-		Membership: fast,
-		Seeds:      seeds,
-		Tick:       20 * time.Millisecond,
-		ListRetry:  200 * time.Millisecond,
-		OnRecord:   func(r spread.Record) { i.recs <- r },
+		Membership:        fastConfig,
+		Seeds:             seeds,
+		Tick:              20 * time.Millisecond,
+		ListRetryInterval: 200 * time.Millisecond,
+		OnRecord:          func(r spread.Record) { i.records <- r },
 		Transport: peer.Options{
 			Cluster: "c", Listen: listen,
 			Self: membership.Member{Name: name, DataCentre: "dc" + name[len(name)-1:], Incarnation: incarnation},
@@ -85,11 +85,11 @@
 	}
 }
 
-func live(n int) func(*membership.View) bool {
+func hasLive(n int) func(*membership.View) bool {
 	return func(v *membership.View) bool { return len(v.Live()) == n }
 }
 
-func state(name string, s membership.State) func(*membership.View) bool {
+func hasState(name string, s membership.State) func(*membership.View) bool {
 	return func(v *membership.View) bool { m, ok := v.Find(name); return ok && m.State == s }
 }
 
@@ -108,11 +108,11 @@
 // must reach everyone in between.
 func TestLifeOfACluster(t *testing.T) {
 	all := startMany(t, 8, nil)
-	await(t, all, "all see all", live(8))
+	await(t, all, "all see all", hasLive(8))
 
 	all[3].Put(spread.Record{Kind: "tiers", Name: "gold", Revision: 4, Body: []byte("x")})
 	for _, i := range all {
-		require.Equal(t, uint64(4), (<-i.recs).Revision)
+		require.Equal(t, uint64(4), (<-i.records).Revision)
 		i.SendDigest([]byte(i.Self().Name))
 	}
 	require.Eventually(t, func() bool { return len(all[5].Loads()) == 8 }, time.Minute, 5*time.Millisecond)
@@ -129,22 +129,22 @@
 	killed := all[5].Self()
 	all[5].stop()
 	rest := slices.Delete(slices.Clone(all), 5, 6)
-	await(t, rest, "the killed one is dead", state(killed.Name, membership.Dead))
+	await(t, rest, "the killed one is dead", hasState(killed.Name, membership.Dead))
 	again := start(t, killed.Name, 2, killed.Address, nil, all[1].Self().Address)
 	all = append(rest, again)
 	await(t, all, "the new run is seen", func(v *membership.View) bool {
 		m, _ := v.Find(killed.Name)
 		return len(v.Live()) == 8 && m.Incarnation == 2 && v.RunEnded(killed.Name, 1)
 	})
-	require.Equal(t, uint64(4), (<-again.recs).Revision, "the new run learns the records from peers")
+	require.Equal(t, uint64(4), (<-again.records).Revision, "the new run learns the records from peers")
 
 	require.NoError(t, all[2].Leave(t.Context()))
 	leaver := all[2].Self().Name
-	await(t, all, "the leaver has left", state(leaver, membership.Left))
+	await(t, all, "the leaver has left", hasState(leaver, membership.Left))
 	all[2].stop()
 	rest = slices.Delete(slices.Clone(all), 2, 3)
 	require.NoError(t, rest[0].Leave(t.Context()), "two instances stop in a row")
-	await(t, rest, "both have left", live(6))
+	await(t, rest, "both have left", hasLive(6))
 }
 
 // relay stands between instances and one of them. Muted, its open connections
@@ -231,7 +231,7 @@
 	for k := 1; k < 4; k++ {
 		all = append(all, start(t, fmt.Sprintf("i%03d", k), 1, "127.0.0.1:0", nil, r.listener.Addr().String()))
 	}
-	await(t, all, "all see all", live(4))
+	await(t, all, "all see all", hasLive(4))
 	for range 2 {
 		before := r.served.Load()
 		r.muted.Store(before)
@@ -241,7 +241,7 @@
 		require.Eventually(t, func() bool { return r.served.Load() >= before+3 }, time.Minute, 5*time.Millisecond,
 			"all others open new connections")
 	}
-	await(t, all, "nobody is lost", live(4))
+	await(t, all, "nobody is lost", hasLive(4))
 	for _, i := range all {
 		m, _ := i.View().Find("i000")
 		require.Equal(t, uint64(1), m.Incarnation)
@@ -259,18 +259,18 @@
 	toOthers := newRelay(t)
 	b := start(t, "i001", 1, "127.0.0.1:0", func(o *Options) {
 		o.Transport.Self.Address = toOthers.listener.Addr().String()
-		o.ListEvery, o.ListRetry = time.Hour, time.Hour // the seed is named at the start only
+		o.ListInterval, o.ListRetryInterval = time.Hour, time.Hour // the seed is named at the start only
 	}, r.listener.Addr().String())
 	toOthers.target.Store(b.node.ListenAddr())
 	all := []*instance{hidden, b}
-	await(t, all, "both see both", live(2))
+	await(t, all, "both see both", hasLive(2))
 	for _, x := range []*relay{r, toOthers} {
 		x.cut.Store(true)
 		x.closeAll()
 	}
-	await(t, all, "each is alone", live(1))
+	await(t, all, "each is alone", hasLive(1))
 	r.cut.Store(false)
-	await(t, all, "healed", live(2))
+	await(t, all, "healed", hasLive(2))
 }
 
 // A platform that answers slowly or fails must not keep an instance from the
@@ -287,7 +287,7 @@
 			return []membership.Member{{Name: "gone", Address: "127.0.0.1:1", Incarnation: 7}, a.Self()}, nil
 		}
 	})
-	await(t, []*instance{a, b}, "met by the platform's list", live(2))
+	await(t, []*instance{a, b}, "met by the platform's list", hasLive(2))
 	_, known := b.View().Find("gone")
 	require.False(t, known)
 	require.GreaterOrEqual(t, calls.Load(), int64(3))
@@ -325,9 +325,9 @@
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
 			all := startMany(b, n, func(o *Options) {
 				o.Membership, o.Tick = membership.Config{}, 0
-				o.ListRetry = 0
+				o.ListRetryInterval = 0
 			})
-			await(b, all, "all see all", live(n))
+			await(b, all, "all see all", hasLive(n))
 			const periods = 15
 			report := func() {
 				for range periods {
--- a/daemon/cluster/metrics.go
+++ b/daemon/cluster/metrics.go
@@ -13,7 +13,7 @@
 	version    tally.Gauge
 	superseded tally.Counter
 	states     map[membership.State]tally.Gauge
-	became     map[membership.State]tally.Counter
+	changes    map[membership.State]tally.Counter
 }
 
 // newMetrics makes them.
@@ -24,43 +24,43 @@
 		version:    s.Gauge("view_version"),
 		superseded: s.Counter("superseded"),
 		states:     make(map[membership.State]tally.Gauge),
-		became:     make(map[membership.State]tally.Counter),
+		changes:    make(map[membership.State]tally.Counter),
 	}
 	for state := membership.Alive; state <= membership.Left; state++ {
 		tagged := s.Tagged(map[string]string{"state": state.String()})
 		m.states[state] = tagged.Gauge("members")
-		m.became[state] = tagged.Counter("changes")
+		m.changes[state] = tagged.Counter("changes")
 	}
 	return m
 }
 
 // changesLogged bounds the members of one change that are logged by name: one that joins
 // hears of whole pages of them at once.
-const changesLogged = 8
+const maxLoggedChanges = 8
 
 // report logs and counts what changed between two views.
-func (m *metrics) report(old, now *membership.View) {
+func (m *metrics) reportChanges(old, now *membership.View) {
 	changes := 0
 	for _, member := range now.Members {
 		before, known := old.Find(member.Name)
 		if known && before.State == member.State && before.Incarnation == member.Incarnation {
 			continue
 		}
-		m.became[member.State].Inc(1)
-		if changes++; changes > changesLogged {
+		m.changes[member.State].Inc(1)
+		if changes++; changes > maxLoggedChanges {
 			continue
 		}
 		klog.InfoS("Member changed", "instance", member.Name, "address", member.Address,
 			"dataCentre", member.DataCentre, "incarnation", member.Incarnation, "state", member.State.String())
 	}
-	if changes > changesLogged {
-		klog.InfoS("More members changed", "count", changes-changesLogged, "live", len(now.Live()))
+	if changes > maxLoggedChanges {
+		klog.InfoS("More members changed", "count", changes-maxLoggedChanges, "live", len(now.Live()))
 	}
-	m.size(now)
+	m.setCounts(now)
 }
 
 // size tells how many instances a view has in each state.
-func (m *metrics) size(view *membership.View) {
+func (m *metrics) setCounts(view *membership.View) {
 	counts := make(map[membership.State]int)
 	for _, member := range view.Members {
 		counts[member.State]++
--- a/daemon/command/command.go
+++ b/daemon/command/command.go
@@ -31,7 +31,7 @@
 var Version = "unreleased"
 
 const (
-	configFlag       = "config"
+	settingsFlag     = "config"
 	telemetryTimeout = 2 * time.Second
 )
 
@@ -50,16 +50,16 @@
 		{
 			Name:  "serve",
 			Usage: "run an instance until SIGTERM, then stop it without cutting a request",
-			Flags: []cli.Flag{&cli.StringFlag{Name: configFlag, Usage: "the settings file (INI)", Required: true}},
+			Flags: []cli.Flag{&cli.StringFlag{Name: settingsFlag, Usage: "the settings file (INI)", Required: true}},
 			Action: func(ctx context.Context, c *cli.Command) error {
 				hangups := catchHangups()
-				s, err := settings.Load(c.String(configFlag))
+				s, err := settings.Load(c.String(settingsFlag))
 				if err != nil {
 					return err
 				}
 				reading, end := context.WithCancel(context.Background())
 				defer end()
-				go reloadOnHangup(reading, hangups, c.String(configFlag), keepSettings)
+				go reloadOnHangup(reading, hangups, c.String(settingsFlag), logSettingsUnchanged)
 				return serve(ctx, s, nil, func(*app.App) {})
 			},
 		},
@@ -67,11 +67,11 @@
 			Name:  "gateway",
 			Usage: "run an instance on the users' platform until SIGTERM, then stop it without cutting a request",
 			Flags: []cli.Flag{&cli.StringFlag{
-				Name: configFlag, Usage: "the settings file (INI)", Required: true,
+				Name: settingsFlag, Usage: "the settings file (INI)", Required: true,
 				Sources: cli.EnvVars(platform.SettingsVariable),
 			}},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				return runGateway(ctx, c.String(configFlag), catchHangups())
+				return runGateway(ctx, c.String(settingsFlag), catchHangups())
 			},
 		},
 		{
--- a/daemon/command/main.go
+++ b/daemon/command/main.go
@@ -13,7 +13,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := catchSignals()
-	go s.stopOnce(cancel, os.Exit)
+	go s.stopOnSignal(cancel, os.Exit)
 	root := &cli.Command{
 		Name:                  "ivyhollowd",
 		Usage:                 "serves multi-stage model pipelines on an entry instance",
--- a/daemon/command/signals.go
+++ b/daemon/command/signals.go
@@ -18,15 +18,15 @@
 // They are caught before anything else is done and until the process has ended. One
 // that isn't caught ends the process with all requests in flight: so did SIGHUP during
 // a planned stop, when the settings were no longer read again.
-type signals struct {
-	stops chan os.Signal
+type stopSignals struct {
+	received chan os.Signal
 }
 
 // catchSignals also lets writes to a pipe that nobody reads fail: the signal that they
 // send would end the process as soon as the reader of its log is gone.
-func catchSignals() signals {
-	s := signals{stops: make(chan os.Signal, 2)}
-	signal.Notify(s.stops, syscall.SIGTERM, syscall.SIGINT)
+func catchSignals() stopSignals {
+	s := stopSignals{received: make(chan os.Signal, 2)}
+	signal.Notify(s.received, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE)
 	return s
 }
@@ -42,10 +42,10 @@
 // a person who has waited long enough, and ends the process. SIGTERM comes again from
 // process managers whose restarts overlap: the stop under way goes on, since whoever
 // wants an end without one has SIGKILL.
-func (s signals) stopOnce(stop context.CancelFunc, exit func(code int)) {
-	<-s.stops
+func (s stopSignals) stopOnSignal(stop context.CancelFunc, exit func(code int)) {
+	<-s.received
 	stop()
-	for sig := range s.stops {
+	for sig := range s.received {
 		if sig == syscall.SIGINT {
 			exit(exitForced)
 			return
@@ -74,6 +74,6 @@
 
 // keepSettings is what a hangup does to an instance that reads its settings at its
 // start alone.
-func keepSettings(settings.Settings) {
+func logSettingsUnchanged(settings.Settings) {
 	telemetry.InfoS("Settings are in force at the next start", telemetry.Event{})
 }
--- a/daemon/confsync/inforce_bench_test.go
+++ b/daemon/confsync/inforce_bench_test.go
@@ -95,7 +95,7 @@
 			Cluster: "bench", Listen: "127.0.0.1:0",
 			Self: membership.Member{Name: n.name, DataCentre: "a", Incarnation: uint64(time.Now().UnixNano())},
 		},
-		Membership: membership.DefaultConfig(), Spread: spread.DefaultConfig(), Seeds: seeds,
+		Membership: membership.DefaultConfig(), Gossip: spread.DefaultConfig(), Seeds: seeds,
 		OnRecord: func(r spread.Record) { n.sync.Receive([]spread.Record{r}) },
 	})
 	require.NoError(f.b, err)
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -41,7 +41,7 @@
 	PlatformURL string
 	servers     []*http.Server
 	targets     []*targetemulator.Target
-	before      func(http.Handler) http.Handler
+	wrapTarget  func(http.Handler) http.Handler
 	// callTime and tokenTime are how long a target works.
 	callTime, tokenTime time.Duration
 }
@@ -50,8 +50,8 @@
 type Option func(*World)
 
 // BeforeTargets puts a handler before that of every target.
-func BeforeTargets(before func(http.Handler) http.Handler) Option {
-	return func(w *World) { w.before = before }
+func WrapTargets(before func(http.Handler) http.Handler) Option {
+	return func(w *World) { w.wrapTarget = before }
 }
 
 // WorkTimes sets how long a target works on a call and on each token.
@@ -62,7 +62,7 @@
 // Start opens the platform and the targets on loopback and loads the sample.
 func Start(ctx context.Context, options ...Option) (*World, error) {
 	w := &World{Store: platformemulator.New(platformemulator.Options{TargetLag: time.Millisecond})}
-	w.before = func(target http.Handler) http.Handler { return target }
+	w.wrapTarget = func(target http.Handler) http.Handler { return target }
 	w.callTime, w.tokenTime = callTime, tokenTime
 	for _, option := range options {
 		option(w)
@@ -129,7 +129,7 @@
 			CallTime:    w.callTime,
 			TokenTime:   w.tokenTime,
 		})
-		address, err := w.serve(w.before(t.Handler()))
+		address, err := w.serve(w.wrapTarget(t.Handler()))
 		if err != nil {
 			return err
 		}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -50,13 +50,13 @@
 // Bounds of the connections between instances. Each request with stages is a
 // call that waits for seconds, so there are as many as requests in flight.
 const (
-	maxPeerCalls   = gather.DefaultMaxRequests
-	peerQueue      = 1024
-	peerCallWait   = 30 * time.Second
-	listEvery      = 30 * time.Minute
-	listRetry      = 800 * time.Millisecond
-	idleSweep      = 2 * time.Second
-	metricsTimeout = 5 * time.Second
+	maxPeerCalls       = gather.DefaultMaxRequests
+	peerQueueLength    = 1024
+	peerCallTimeout    = 30 * time.Second
+	listInterval       = 30 * time.Minute
+	listRetryInterval  = 800 * time.Millisecond
+	idleCloseInterval  = 2 * time.Second
+	adminHeaderTimeout = 5 * time.Second
 )
 
 // The return of the platform's store. A configuration is to be in force two
@@ -64,14 +64,14 @@
 // for more than once a second, and calls begin again with the few a second that
 // watches under a storm of changes need.
 const (
-	probeEvery   = 600 * time.Millisecond
-	restartShare = 0.1
+	probeInterval    = 600 * time.Millisecond
+	restartRateShare = 0.1
 )
 
 // knownTargets is how many targets of a service an instance may choose from: all of
 // the fleets that there are. With a subset of its own each instance sends a subject
 // to another engine; at 140 engines a third of all prompt tokens were read again.
-const knownTargets = 1024
+const targetSubsetSize = 1024
 
 // Gateway is one instance.
 type Gateway struct {
@@ -79,13 +79,13 @@
 	telemetry *telemetry.Telemetry
 	self      membership.Member
 
-	cluster  *cluster.Cluster
-	calls    *platform.Budget
-	follower *follow.Follower
-	router   *routing.Table
-	client   *forward.Client
-	stages   *stages.Stages
-	relay    *relay.Relay
+	cluster    *cluster.Cluster
+	callBudget *platform.Budget
+	follower   *follow.Follower
+	router     *routing.Table
+	client     *forward.Client
+	stages     *stages.Stages
+	relay      *relay.Relay
 	// blocklist holds the requests that crash their targets.
 	blocklist *blocklist.Blocklist
 	registrar *register.Registrar
@@ -97,7 +97,7 @@
 	// shutdown are the times of a planned stop, as last read.
 	shutdown atomic.Pointer[settings.Shutdown]
 	// inUse are the incarnations of the targets in use, namesInUse their names.
-	inUse, namesInUse atomic.Pointer[map[string]bool]
+	usedIncarnations, usedNames atomic.Pointer[map[string]bool]
 	// shares are, by service, the shares of its targets that data centres have.
 	shares atomic.Pointer[map[string]map[string]float64]
 }
@@ -116,21 +116,21 @@
 		Incarnation: uint64(time.Now().UnixNano()),
 		Capacity:    uint32(s.Instance.Capacity * 1000),
 	}
-	g.calls = platform.NewBudget(platform.BudgetOptions{
+	g.callBudget = platform.NewBudget(platform.BudgetOptions{
 		ReadsPerSecond:   s.Platform.CallsPerSecond,
-		RestartPerSecond: s.Platform.CallsPerSecond * restartShare,
-		ProbeEvery:       probeEvery,
+		RestartPerSecond: s.Platform.CallsPerSecond * restartRateShare,
+		ProbeEvery:       probeInterval,
 	})
 	store := platform.New(platform.Options{
 		BaseURL: s.Platform.URL, Instance: s.Instance.Name, Timeout: s.Platform.Timeout,
-		Budget: g.calls, Spelling: p.Spelling, WatchSlack: time.Second,
+		Budget: g.callBudget, Spelling: p.Spelling, WatchSlack: time.Second,
 	})
 	g.registrar = register.New(store, func() membership.Member { return g.self })
 	if err := g.buildCluster(); err != nil {
 		return nil, err
 	}
 	g.client = forward.New()
-	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, SubsetSize: knownTargets})
+	g.router = routing.New(routing.Config{Instance: s.Instance.Name, LocalDataCentre: s.Instance.DataCentre, SubsetSize: targetSubsetSize})
 	g.follower = follow.New(follow.Options{
 		Store: store, Source: p.Source,
 		Gossip:    g.cluster.Put,
@@ -139,13 +139,13 @@
 		Scope:     t.Scope,
 		Fleet:     fleet{g},
 
-		ConfirmerRevision: g.askConfirmer,
+		ConfirmerRevision: g.requestConfirmation,
 	})
 	g.cluster.Handle(methodConfirm, g.handleConfirm, peer.Idempotent())
-	g.cluster.Handle(methodWord, func(context.Context, peer.Peer, []byte) ([]byte, error) {
+	g.cluster.Handle(methodReport, func(context.Context, peer.Peer, []byte) ([]byte, error) {
 		return msgpack.Marshal(g.follower.Report())
 	}, peer.Idempotent())
-	g.cluster.Handle(methodHears, func(context.Context, peer.Peer, []byte) ([]byte, error) {
+	g.cluster.Handle(methodFresh, func(context.Context, peer.Peer, []byte) ([]byte, error) {
 		return msgpack.Marshal(g.follower.Report().IsFresh())
 	}, peer.Idempotent())
 	g.stages = stages.New(g.cluster, p.Dialect, g.client, g.follower, t.Scope)
@@ -158,12 +158,12 @@
 		KnowledgeAge: g.follower.TargetsAge,
 		Router:       g.router,
 		Client:       g.client,
-		TargetShares: g.sharesOf,
+		TargetShares: g.dataCentreShares,
 		Stages:       g.stages,
 		Budgets:      retrybudget.New(g.retryConfig()),
 		Blocklist:    g.blocklist,
 		OnLeaving:    g.follower.Leaving,
-		InUse:        func(name string) bool { return has(&g.namesInUse, name) },
+		InUse:        func(name string) bool { return contains(&g.usedNames, name) },
 		Tracer:       t.Tracer,
 		Scope:        t.Scope,
 	})
@@ -173,20 +173,20 @@
 const (
 	// earnedShare is the part of the allowed share of repeats that an instance
 	// earns; the rest is left to what it doesn't count, such as stage calls.
-	earnedShare = 0.5
+	retryRatioShare = 0.5
 	// slackShare is an instance's part of the fleet's slack at its start. It is
 	// enough for a small fleet, and for 90 instances that start at once with the
 	// slack of 220 that they have.
-	slackShare = 1.0 / 16
-	slackMost  = 2.4
+	retryReserveShare = 1.0 / 16
+	maxRetryReserve   = 2.4
 )
 
 // retryConfig is this instance's part of what the fleet may send once more.
 func (g *Gateway) retryConfig() retry.Config {
 	return retry.Config{
-		RetryRatio: g.settings.Retries.Share * earnedShare,
+		RetryRatio: g.settings.Retries.Share * retryRatioShare,
 		HalfLife:   g.settings.Retries.Window,
-		Reserve:    min(g.settings.Retries.Slack*slackShare, slackMost),
+		Reserve:    min(g.settings.Retries.Slack*retryReserveShare, maxRetryReserve),
 	}
 }
 
@@ -215,16 +215,16 @@
 		Transport: peer.Options{
 			Cluster: s.Instance.Cluster, Self: g.self, Listen: s.Listen.Peers,
 			TLS: files, Cleartext: s.Peers.Cleartext, Scope: g.telemetry.Scope,
-			CallTimeout: peerCallWait, MaxHandlers: maxPeerCalls, MaxPending: maxPeerCalls,
-			QueueLength: peerQueue,
+			CallTimeout: peerCallTimeout, MaxHandlers: maxPeerCalls, MaxPending: maxPeerCalls,
+			QueueLength: peerQueueLength,
 		},
-		Membership:    membership.DefaultConfig(),
-		Spread:        spreadConfig(),
-		Seeds:         s.Peers.Seeds,
-		ListInstances: g.registrar.List,
-		ListEvery:     listEvery,
-		ListRetry:     listRetry,
-		OnRecord:      func(r spread.Record) { g.follower.Receive(r) },
+		Membership:        membership.DefaultConfig(),
+		Gossip:            spreadConfig(),
+		Seeds:             s.Peers.Seeds,
+		ListInstances:     g.registrar.List,
+		ListInterval:      listInterval,
+		ListRetryInterval: listRetryInterval,
+		OnRecord:          func(r spread.Record) { g.follower.Receive(r) },
 	})
 	if err != nil {
 		return err
@@ -266,8 +266,8 @@
 		}
 	}
 	g.stages.SetTargets(now, table, usable)
-	g.inUse.Store(&inUse)
-	g.namesInUse.Store(&names)
+	g.usedIncarnations.Store(&inUse)
+	g.usedNames.Store(&names)
 	g.shares.Store(&shares)
 }
 
@@ -279,7 +279,7 @@
 }
 
 // sharesOf returns the shares of a service's targets that data centres have.
-func (g *Gateway) sharesOf(service string) map[string]float64 {
+func (g *Gateway) dataCentreShares(service string) map[string]float64 {
 	if shares := g.shares.Load(); shares != nil {
 		return (*shares)[service]
 	}
@@ -316,21 +316,21 @@
 }
 
 // has tells whether a set that is replaced as a whole holds a text.
-func has(set *atomic.Pointer[map[string]bool], text string) bool {
+func contains(set *atomic.Pointer[map[string]bool], text string) bool {
 	texts := set.Load()
 	return texts != nil && (*texts)[text]
 }
 
 // sweepIdle closes connections that are of no use any more.
-func (g *Gateway) sweepIdle(ctx context.Context) error {
-	ticker := time.NewTicker(idleSweep)
+func (g *Gateway) closeIdleConnections(ctx context.Context) error {
+	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.client.CloseIdle(func(process string) bool { return has(&g.inUse, process) })
+			g.client.CloseIdle(func(process string) bool { return contains(&g.usedIncarnations, process) })
 		}
 	}
 }
--- a/daemon/gateway/run.go
+++ b/daemon/gateway/run.go
@@ -23,12 +23,12 @@
 	maxHeaderBytes = 256 << 10
 	// exitMargin is left of the grace for the end itself. By then each request has
 	// its answer; the first closeTime of it is for the answers to leave.
-	exitMargin = 600 * time.Millisecond
-	closeTime  = 300 * time.Millisecond
+	exitMargin   = 600 * time.Millisecond
+	closeTimeout = 300 * time.Millisecond
 	// adminTime bounds the last answers to probes and scrapes: they take a millisecond.
-	adminTime = 50 * time.Millisecond
+	adminStopTimeout = 50 * time.Millisecond
 	// drainPoll is how often the end of requests in flight is looked for.
-	drainPoll = 50 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// leaveTimeout bounds the word to the other instances.
 	leaveTimeout = time.Second
 )
@@ -45,13 +45,13 @@
 	})
 	group.Add(func() error { return g.lifecycle(ctx, callers) }, func(error) {})
 	addServer(&group, callers)
-	addServer(&group, inbound.New(g.admin, g.adminHandler(), inbound.Options{HeaderTimeout: metricsTimeout}))
+	addServer(&group, inbound.New(g.admin, g.adminHandler(), inbound.Options{HeaderTimeout: adminHeaderTimeout}))
 	if g.metrics != nil {
-		addServer(&group, inbound.New(g.metrics, g.adminHandler(), inbound.Options{HeaderTimeout: metricsTimeout}))
+		addServer(&group, inbound.New(g.metrics, g.adminHandler(), inbound.Options{HeaderTimeout: adminHeaderTimeout}))
 	}
 	group.Add(g.cluster.Execute, g.cluster.Interrupt)
 	for _, loop := range []func(context.Context) error{
-		g.follower.Run, g.registrar.Run, g.stages.Run, g.blocklist.Run, g.sweepIdle,
+		g.follower.Run, g.registrar.Run, g.stages.Run, g.blocklist.Run, g.closeIdleConnections,
 	} {
 		loopContext, stop := context.WithCancel(background)
 		group.Add(func() error { return loop(loopContext) }, func(error) { stop() })
@@ -66,7 +66,7 @@
 
 // addServer adds an HTTP server to the group.
 func addServer(group *run.Group, server *inbound.Server) {
-	group.Add(server.Serve, func(error) { server.Stop(adminTime) })
+	group.Add(server.Serve, func(error) { server.Stop(adminStopTimeout) })
 }
 
 // lifecycle waits for the end of ctx and does the planned stop.
@@ -97,10 +97,10 @@
 		noticed = ends // a grace that is shorter than the balancer's delay
 	}
 	time.Sleep(time.Until(noticed))
-	noteConnections(callers.States())
+	logConnections(callers.States())
 	callers.Retire()
-	g.awaitQuiet(callers, ends)
-	ctx, cancel := context.WithDeadline(context.Background(), ends.Add(closeTime))
+	g.awaitDrained(callers, ends)
+	ctx, cancel := context.WithDeadline(context.Background(), ends.Add(closeTimeout))
 	defer cancel()
 	if err := callers.Finish(ctx); err != nil {
 		telemetry.ErrorS(err, "Connections of callers were cut by the stop", telemetry.Event{Count: callers.Open()})
@@ -109,8 +109,8 @@
 
 // awaitQuiet waits until no caller has a connection and no other instance's request
 // has stages here, at most until ends.
-func (g *Gateway) awaitQuiet(callers *inbound.Server, ends time.Time) {
-	ticker := time.NewTicker(drainPoll)
+func (g *Gateway) awaitDrained(callers *inbound.Server, ends time.Time) {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for time.Now().Before(ends) && (callers.Open() > 0 || g.stages.ActiveCount() > 0) {
 		<-ticker.C
@@ -119,7 +119,7 @@
 
 // noteConnections writes what is on its way on callers' connections as the stop
 // closes those without a request.
-func noteConnections(counts map[inbound.State]int) {
+func logConnections(counts map[inbound.State]int) {
 	for _, state := range []inbound.State{inbound.Idle, inbound.Unread, inbound.Busy} {
 		telemetry.InfoS("Connections of callers at the stop", telemetry.Event{Reason: string(state), Count: counts[state]})
 	}
--- a/daemon/gateway/wire_test.go
+++ b/daemon/gateway/wire_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"word", watching.Report{Known: true, Age: 1, Recovered: 2}, "83a54b6e6f776ec3a3416765d30000000000000001a95265636f7665726564d30000000000000002"},
 		{"hears", watching.Report{Known: true, Age: 1, Recovered: 2}.IsFresh(), "c3"},
-		{"confirmed", confirmed{Revision: 3, Known: true}, "82a85265766973696f6ecf0000000000000003a54b6e6f776ec3"},
+		{"confirmed", confirmResponse{Revision: 3, Known: true}, "82a85265766973696f6ecf0000000000000003a54b6e6f776ec3"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -23,11 +23,11 @@
 // Bounds of the digests that the spread sends, in bytes.
 const (
 	// loadBytes is sent at once each second.
-	loadBytes = 1100
+	maxLoadBytes = 1100
 	// directPeers is to how many peers a digest goes at once.
 	directPeers = 7
 	// overhead is what the spread counts for a digest besides its texts.
-	overhead = 32
+	digestOverhead = 32
 )
 
 // SpreadConfig returns the settings of the spread that fit the digests.
@@ -35,15 +35,15 @@
 // Guard: if a digest to each of seven peers does not fit the bytes that are sent
 // at once, the spread hands digests on from one to the next, as it must among
 // hundreds. Among eight instances most would then be too old to count.
-func SpreadConfig() spread.Config {
+func GossipConfig() spread.Config {
 	c := spread.DefaultConfig()
-	c.MaxLoadBytes = loadBytes
+	c.MaxLoadBytes = maxLoadBytes
 	return c
 }
 
 // maxBody bounds the digest of an instance with the given name.
-func maxBody(name string) int {
-	return min(SpreadConfig().MaxLoadBodyBytes, loadBytes/directPeers-overhead-len(name))
+func maxBodyBytes(name string) int {
+	return min(GossipConfig().MaxLoadBodyBytes, maxLoadBytes/directPeers-digestOverhead-len(name))
 }
 
 // Cluster carries the digests; *cluster.Cluster is one.
@@ -65,22 +65,22 @@
 	router  Router
 	gates   *gate.Group
 	// instances counts the live instances.
-	instances func() int
-	peers     map[string]*tiers.PeerDigests
+	liveCount   func() int
+	peerDigests map[string]*tiers.PeerDigests
 	// taken holds the body of each origin's digest that was taken in last.
-	taken map[string][]byte
+	lastBodies map[string][]byte
 }
 
 // New makes a driver; self is this instance's name.
 func New(self string, c Cluster, r Router, g *gate.Group, instances func() int) *Exchange {
 	return &Exchange{
-		self:      self,
-		cluster:   c,
-		router:    r,
-		gates:     g,
-		instances: instances,
-		peers:     make(map[string]*tiers.PeerDigests),
-		taken:     make(map[string][]byte),
+		self:        self,
+		cluster:     c,
+		router:      r,
+		gates:       g,
+		liveCount:   instances,
+		peerDigests: make(map[string]*tiers.PeerDigests),
+		lastBodies:  make(map[string][]byte),
 	}
 }
 
@@ -91,7 +91,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			e.Round(now)
+			e.Tick(now)
 		case <-ctx.Done():
 			return nil
 		}
@@ -99,7 +99,7 @@
 }
 
 // Round sends the own digest and takes in what has come. Calls don't overlap.
-func (e *Exchange) Round(now time.Time) {
+func (e *Exchange) Tick(now time.Time) {
 	e.send(now)
 	e.receive(now)
 }
@@ -110,38 +110,38 @@
 		Pools:   make(map[string]tiers.Digest),
 	}
 	e.gates.Each(func(pool string, own *gate.Gate) { digest.Pools[pool] = own.Digest() })
-	if body, err := loadwire.Encode(digest, maxBody(e.self)); err == nil {
+	if body, err := loadwire.Encode(digest, maxBodyBytes(e.self)); err == nil {
 		e.cluster.SendDigest(body)
 	}
 }
 
 func (e *Exchange) receive(now time.Time) {
-	taken := make(map[string][]byte, len(e.taken))
+	taken := make(map[string][]byte, len(e.lastBodies))
 	for _, l := range e.cluster.Loads() {
 		if l.Origin == e.self || l.Age > digestTTL {
 			continue
 		}
 		taken[l.Origin] = l.Body
-		if !same(l.Body, e.taken[l.Origin]) {
-			e.take(now.Add(-l.Age), l)
+		if !sameSlice(l.Body, e.lastBodies[l.Origin]) {
+			e.apply(now.Add(-l.Age), l)
 		}
 	}
-	e.taken = taken
-	instances := e.instances()
+	e.lastBodies = taken
+	instances := e.liveCount()
 	e.gates.Each(func(pool string, own *gate.Gate) {
-		own.SetPeers(e.pool(pool).Load(now, instances))
+		own.SetPeers(e.poolDigests(pool).Load(now, instances))
 	})
 }
 
 // same tells whether two bodies are the very same slice. The spread keeps a
 // digest for many exchanges; to take each of hundreds in again every time would
 // cost more than all else that an instance does for control.
-func same(a, b []byte) bool {
+func sameSlice(a, b []byte) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
 // take takes one digest in.
-func (e *Exchange) take(made time.Time, l spread.Load) {
+func (e *Exchange) apply(made time.Time, l spread.Load) {
 	digest, err := loadwire.Decode(l.Body)
 	if err != nil {
 		return // made by another release
@@ -149,16 +149,16 @@
 	e.router.PeerDigest(made, l.Origin, digest.Targets)
 	e.gates.Each(func(pool string, _ *gate.Gate) {
 		if load, told := digest.Pool(pool); told {
-			e.pool(pool).Add(made, l.Origin, load)
+			e.poolDigests(pool).Add(made, l.Origin, load)
 		}
 	})
 }
 
-func (e *Exchange) pool(name string) *tiers.PeerDigests {
-	p, ok := e.peers[name]
+func (e *Exchange) poolDigests(name string) *tiers.PeerDigests {
+	p, ok := e.peerDigests[name]
 	if !ok {
 		p = tiers.NewPeerDigests(digestTTL)
-		e.peers[name] = p
+		e.peerDigests[name] = p
 	}
 	return p
 }
--- a/daemon/load/load_test.go
+++ b/daemon/load/load_test.go
@@ -17,29 +17,29 @@
 
 // net is a cluster of one peer: it takes this instance's digest within the
 // bound of the spread, as the spread does.
-type net struct {
+type fakeCluster struct {
 	sent  []byte
 	loads []spread.Load
 }
 
-func (n *net) SendDigest(body []byte) {
-	if len(body) <= SpreadConfig().MaxLoadBodyBytes {
+func (n *fakeCluster) SendDigest(body []byte) {
+	if len(body) <= GossipConfig().MaxLoadBodyBytes {
 		n.sent = body
 	}
 }
 
-func (n *net) Loads() []spread.Load { return n.loads }
+func (n *fakeCluster) Loads() []spread.Load { return n.loads }
 
 // router records the origins whose digests were taken in.
-type router struct {
-	own   []routing.DigestEntry
-	taken []string
+type fakeRouter struct {
+	own     []routing.DigestEntry
+	origins []string
 }
 
-func (r *router) Digest(time.Time) []routing.DigestEntry { return r.own }
+func (r *fakeRouter) Digest(time.Time) []routing.DigestEntry { return r.own }
 
-func (r *router) PeerDigest(_ time.Time, origin string, _ []routing.DigestEntry) {
-	r.taken = append(r.taken, origin)
+func (r *fakeRouter) PeerDigest(_ time.Time, origin string, _ []routing.DigestEntry) {
+	r.origins = append(r.origins, origin)
 }
 
 // Ten pools are busy and a hundred targets have work: clerks wait, and batch
@@ -47,7 +47,7 @@
 // is dropped without a word, and every instance would count itself alone.
 func TestBusyInstanceIsHeard(t *testing.T) {
 	gates := gate.NewGroup(gate.GroupConfig{}, time.Now)
-	r := &router{}
+	r := &fakeRouter{}
 	for i := range 10 {
 		pool := fmt.Sprint("pool-", i)
 		gates.SetCapacity(pool, 100, false)
@@ -59,8 +59,8 @@
 	for i := range 100 {
 		r.own = append(r.own, routing.DigestEntry{TargetHash: uint32(i), InFlight: 9})
 	}
-	n := &net{}
-	New("self", n, r, gates, func() int { return 2 }).Round(time.Now())
+	n := &fakeCluster{}
+	New("self", n, r, gates, func() int { return 2 }).Tick(time.Now())
 	digest, err := loadwire.Decode(n.sent)
 	require.NoError(t, err)
 	require.NotEmpty(t, digest.Targets)
@@ -84,11 +84,11 @@
 	for i := range n {
 		name := fmt.Sprintf("instance-%011d", i)
 		names = append(names, name)
-		nodes[name] = spread.New(SpreadConfig(), spread.NewTable(1), rand.New(rand.NewPCG(uint64(i), 1)))
+		nodes[name] = spread.New(GossipConfig(), spread.NewTable(1), rand.New(rand.NewPCG(uint64(i), 1)))
 	}
 	for second := range 30 {
 		for i, name := range names {
-			digest := spread.LoadDigest{Origin: name, Incarnation: 1, Seq: uint64(second), Body: make([]byte, maxBody(name))}
+			digest := spread.LoadDigest{Origin: name, Incarnation: 1, Seq: uint64(second), Body: make([]byte, maxBodyBytes(name))}
 			nodes[name].SetLoad(now, digest)
 			others := slices.Delete(slices.Clone(names), i, i+1)
 			for _, a := range nodes[name].Tick(now, others, n) {
@@ -118,15 +118,15 @@
 		require.NoError(t, err)
 		return b
 	}
-	n, r := &net{}, &router{}
+	n, r := &fakeCluster{}, &fakeRouter{}
 	e := New("self", n, r, gate.NewGroup(gate.GroupConfig{}, time.Now), func() int { return 4 })
 	now := time.Unix(1000, 0)
 	n.loads = []spread.Load{{Origin: "a", Body: body()}, {Origin: "self", Body: body()}, {Origin: "old", Age: digestTTL + 1, Body: body()}}
-	e.Round(now)
+	e.Tick(now)
 	n.loads[0].Age = time.Second
-	e.Round(now)
-	require.Equal(t, []string{"a"}, r.taken)
+	e.Tick(now)
+	require.Equal(t, []string{"a"}, r.origins)
 	n.loads[0] = spread.Load{Origin: "a", Body: body()}
-	e.Round(now)
-	require.Equal(t, []string{"a", "a"}, r.taken)
+	e.Tick(now)
+	require.Equal(t, []string{"a", "a"}, r.origins)
 }
--- a/daemon/metrics/bench_test.go
+++ b/daemon/metrics/bench_test.go
@@ -41,12 +41,12 @@
 		status.Finish(status.Begin(info), requests.End{State: requests.StateAnswered, At: now})
 	}
 	s := New(Options{
-		Calls:  platform.NewBudget(platform.BudgetOptions{}),
-		Gates:  gates,
-		Router: router,
-		Status: status,
-		Extra:  retrybudget.New(retry.Config{}),
-		Scope:  tally.NewTestScope("", nil),
+		Calls:        platform.NewBudget(platform.BudgetOptions{}),
+		Gates:        gates,
+		Router:       router,
+		Status:       status,
+		RetryBudgets: retrybudget.New(retry.Config{}),
+		Scope:        tally.NewTestScope("", nil),
 	})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/daemon/metrics/metrics.go
+++ b/daemon/metrics/metrics.go
@@ -46,18 +46,18 @@
 }
 
 // Extra pays for retries and hedges; *retrybudget.Budgets is one.
-type Extra interface {
+type RetryBudgets interface {
 	Counts() (retries, hedges retrybudget.Counts)
 }
 
 // Options are the parts that a Sampler reads; all are required.
 type Options struct {
-	Calls  Calls
-	Gates  Gates
-	Router Router
-	Status Status
-	Extra  Extra
-	Scope  tally.Scope
+	Calls        Calls
+	Gates        Gates
+	Router       Router
+	Status       Status
+	RetryBudgets RetryBudgets
+	Scope        tally.Scope
 }
 
 // Sampler is the driver.
@@ -65,12 +65,12 @@
 	opts   Options
 	series *series
 	// known holds the pools that were reported once.
-	known map[string]struct{}
+	knownPools map[string]struct{}
 }
 
 // New makes a sampler.
 func New(o Options) *Sampler {
-	return &Sampler{opts: o, series: newSeries(o.Scope), known: make(map[string]struct{})}
+	return &Sampler{opts: o, series: newSeries(o.Scope), knownPools: make(map[string]struct{})}
 }
 
 // Run samples until the context ends.
@@ -89,18 +89,18 @@
 
 // Sample reads every part once. Calls don't overlap.
 func (s *Sampler) Sample(now time.Time) {
-	s.calls()
-	s.gates()
-	s.routing(now)
-	s.status(now)
-	s.extra()
+	s.sampleCalls()
+	s.sampleGates()
+	s.sampleRouting(now)
+	s.sampleStatus(now)
+	s.sampleRetryBudgets()
 }
 
 // extra reports the attempts beyond the first ones.
-func (s *Sampler) extra() {
-	retries, hedges := s.opts.Extra.Counts()
+func (s *Sampler) sampleRetryBudgets() {
+	retries, hedges := s.opts.RetryBudgets.Counts()
 	for kind, c := range map[string]retrybudget.Counts{"retry": retries, "hedge": hedges} {
-		s.series.count(c.Paid, "extra_attempts", label{"kind", kind}, label{"result", "paid"})
-		s.series.count(c.Refused, "extra_attempts", label{"kind", kind}, label{"result", "refused"})
+		s.series.raiseCounter(c.Paid, "extra_attempts", label{"kind", kind}, label{"result", "paid"})
+		s.series.raiseCounter(c.Refused, "extra_attempts", label{"kind", kind}, label{"result", "refused"})
 	}
 }
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -56,7 +56,7 @@
 	for range 5 {
 		extra.TakeHedge(now, "p")
 	}
-	s := New(Options{Calls: calls, Gates: gates, Router: routes, Status: status, Extra: extra, Scope: scope})
+	s := New(Options{Calls: calls, Gates: gates, Router: routes, Status: status, RetryBudgets: extra, Scope: scope})
 	s.Sample(now)
 	s.Sample(now)
 	counter := func(name string) int64 { return scope.Snapshot().Counters()[name].Value() }
--- a/daemon/metrics/series.go
+++ b/daemon/metrics/series.go
@@ -6,7 +6,7 @@
 type label struct{ key, value string }
 
 // id names one time series.
-type id struct {
+type seriesID struct {
 	name   string
 	labels [maxLabels]label
 }
@@ -24,21 +24,21 @@
 // size is bounded by the pools, tiers and constants that are label values.
 type series struct {
 	scope    tally.Scope
-	gauges   map[id]tally.Gauge
-	counters map[id]*counter
+	gauges   map[seriesID]tally.Gauge
+	counters map[seriesID]*counter
 }
 
 func newSeries(scope tally.Scope) *series {
 	return &series{
 		scope:    scope,
-		gauges:   make(map[id]tally.Gauge),
-		counters: make(map[id]*counter),
+		gauges:   make(map[seriesID]tally.Gauge),
+		counters: make(map[seriesID]*counter),
 	}
 }
 
 // gauge sets a gauge.
-func (s *series) gauge(value float64, name string, labels ...label) {
-	key := newID(name, labels)
+func (s *series) setGauge(value float64, name string, labels ...label) {
+	key := newSeriesID(name, labels)
 	g, ok := s.gauges[key]
 	if !ok {
 		g = s.tagged(labels).Gauge(name)
@@ -48,8 +48,8 @@
 }
 
 // count brings a counter up to a total, which only grows.
-func (s *series) count(total uint64, name string, labels ...label) {
-	key := newID(name, labels)
+func (s *series) raiseCounter(total uint64, name string, labels ...label) {
+	key := newSeriesID(name, labels)
 	c, ok := s.counters[key]
 	if !ok {
 		c = &counter{Counter: s.tagged(labels).Counter(name)}
@@ -61,8 +61,8 @@
 	}
 }
 
-func newID(name string, labels []label) id {
-	key := id{name: name}
+func newSeriesID(name string, labels []label) seriesID {
+	key := seriesID{name: name}
 	copy(key.labels[:], labels)
 	return key
 }
--- a/daemon/metrics/targets.go
+++ b/daemon/metrics/targets.go
@@ -3,10 +3,10 @@
 import "github.com/ivyhollow/ivyhollow/coordination/routing"
 
 // targets counts a pool's targets by state.
-type targets struct{ ready, ejected, leaving int }
+type targetCounts struct{ ready, ejected, leaving int }
 
 // add counts one more; a leaving target that is ejected too counts as leaving.
-func (c targets) add(t routing.TargetStats) targets {
+func (c targetCounts) add(t routing.TargetStats) targetCounts {
 	switch {
 	case t.Leaving:
 		c.leaving++
@@ -20,21 +20,21 @@
 
 // pools reports the targets of each pool. A pool that is gone counts down to
 // zero: else its last reading would stand for ever.
-func (s *Sampler) pools(now map[string]targets) {
-	for pool := range s.known {
+func (s *Sampler) setPoolGauges(now map[string]targetCounts) {
+	for pool := range s.knownPools {
 		if _, ok := now[pool]; !ok {
-			s.targets(pool, targets{})
+			s.setTargetGauges(pool, targetCounts{})
 		}
 	}
 	for pool, c := range now {
-		s.known[pool] = struct{}{}
-		s.targets(pool, c)
+		s.knownPools[pool] = struct{}{}
+		s.setTargetGauges(pool, c)
 	}
 }
 
-func (s *Sampler) targets(pool string, c targets) {
+func (s *Sampler) setTargetGauges(pool string, c targetCounts) {
 	by := label{"pool", pool}
-	s.series.gauge(float64(c.ready), "routing_targets", by, label{"state", "ready"})
-	s.series.gauge(float64(c.ejected), "routing_targets", by, label{"state", "ejected"})
-	s.series.gauge(float64(c.leaving), "routing_targets", by, label{"state", "leaving"})
+	s.series.setGauge(float64(c.ready), "routing_targets", by, label{"state", "ready"})
+	s.series.setGauge(float64(c.ejected), "routing_targets", by, label{"state", "ejected"})
+	s.series.setGauge(float64(c.leaving), "routing_targets", by, label{"state", "leaving"})
 }
--- a/daemon/poll/poll.go
+++ b/daemon/poll/poll.go
@@ -25,14 +25,14 @@
 	// perRound bounds the engines asked again in one round. A poll sends some
 	// 240 bytes, and what an instance may send for control is 2 KB a second,
 	// however many engines it routes to: more engines are asked less often.
-	perRound = 8
+	maxRepeatPolls = 8
 	// newPerRound bounds the engines asked for the first time in one round.
 	// Until then it is unknown what they have loaded, so they don't wait.
-	newPerRound = 64
+	maxFirstPolls = 64
 	// parallel bounds the polls under way at once.
-	parallel = 8
+	maxParallel = 8
 	// assumedAge stands for the age of a report, which targets don't tell.
-	assumedAge = 300 * time.Millisecond
+	assumedReportAge = 300 * time.Millisecond
 )
 
 // Engine is one engine to ask.
@@ -62,23 +62,23 @@
 	// engines returns those that the instance routes to: a bounded subset.
 	engines func() []Engine
 	// loaded is told what an engine has loaded.
-	loaded func(incarnation string, models, adapters []string)
+	onLoaded func(incarnation string, models, adapters []string)
 
 	mu sync.Mutex
 	// known holds what was learned of the engines that are asked, by incarnation.
-	known map[string]engineState
+	states map[string]engineState
 }
 
 type engineState struct {
 	// next is the number of the next cache event.
-	next uint64
+	nextEvent uint64
 	// asked is the round in which the engine was asked last.
-	asked uint64
+	lastTick uint64
 }
 
 // New makes a poller.
 func New(c Client, r Router, engines func() []Engine, loaded func(incarnation string, models, adapters []string)) *Poller {
-	return &Poller{client: c, router: r, engines: engines, loaded: loaded, known: make(map[string]engineState)}
+	return &Poller{client: c, router: r, engines: engines, onLoaded: loaded, states: make(map[string]engineState)}
 }
 
 // Run polls until the context ends. Rounds are jittered, so that instances that
@@ -88,7 +88,7 @@
 		timer := time.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-timer.C:
-			p.round(ctx, round)
+			p.poll(ctx, round)
 		case <-ctx.Done():
 			timer.Stop()
 		}
@@ -96,14 +96,14 @@
 	return nil
 }
 
-func (p *Poller) round(ctx context.Context, round uint64) {
+func (p *Poller) poll(ctx context.Context, round uint64) {
 	engines := p.engines()
 	p.forget(engines)
 	var group errgroup.Group
-	group.SetLimit(parallel)
+	group.SetLimit(maxParallel)
 	for _, engine := range p.due(engines, round) {
 		group.Go(func() error {
-			p.ask(ctx, engine)
+			p.pollEngine(ctx, engine)
 			return nil
 		})
 	}
@@ -117,27 +117,27 @@
 	defer p.mu.Unlock()
 	var fresh, again []Engine
 	for _, e := range engines {
-		if p.known[e.Incarnation].asked == 0 {
+		if p.states[e.Incarnation].lastTick == 0 {
 			fresh = append(fresh, e)
 		} else {
 			again = append(again, e)
 		}
 	}
 	slices.SortStableFunc(again, func(a, b Engine) int {
-		return cmp.Compare(p.known[a.Incarnation].asked, p.known[b.Incarnation].asked)
+		return cmp.Compare(p.states[a.Incarnation].lastTick, p.states[b.Incarnation].lastTick)
 	})
-	chosen := append(fresh[:min(len(fresh), newPerRound)], again[:min(len(again), perRound)]...)
+	chosen := append(fresh[:min(len(fresh), maxFirstPolls)], again[:min(len(again), maxRepeatPolls)]...)
 	for _, e := range chosen {
-		state := p.known[e.Incarnation]
-		state.asked = round
-		p.known[e.Incarnation] = state
+		state := p.states[e.Incarnation]
+		state.lastTick = round
+		p.states[e.Incarnation] = state
 	}
 	return chosen
 }
 
 // ask polls one engine. One that does not answer is judged by the requests that
 // it serves, not by its polls.
-func (p *Poller) ask(ctx context.Context, e Engine) {
+func (p *Poller) pollEngine(ctx context.Context, e Engine) {
 	load, err := p.client.Load(ctx, e.Address)
 	if err != nil || load.Incarnation != e.Incarnation {
 		return
@@ -147,27 +147,27 @@
 		Active: load.Active,
 		Queued: load.Queued,
 		Slots:  load.Slots,
-		Age:    assumedAge,
+		Age:    assumedReportAge,
 	})
 	if load.Leaving {
 		p.router.Leaving(now, e.Incarnation)
 	}
-	p.loaded(e.Incarnation, load.Models, load.Adapters)
-	p.events(ctx, e)
+	p.onLoaded(e.Incarnation, load.Models, load.Adapters)
+	p.pollCacheEvents(ctx, e)
 }
 
-func (p *Poller) events(ctx context.Context, e Engine) {
+func (p *Poller) pollCacheEvents(ctx context.Context, e Engine) {
 	p.mu.Lock()
-	after := p.known[e.Incarnation].next
+	after := p.states[e.Incarnation].nextEvent
 	p.mu.Unlock()
 	page, err := p.client.CacheEvents(ctx, e.Address, after)
 	if err != nil || page.Incarnation != e.Incarnation {
 		return
 	}
 	p.mu.Lock()
-	state := p.known[e.Incarnation]
-	state.next = page.Next
-	p.known[e.Incarnation] = state
+	state := p.states[e.Incarnation]
+	state.nextEvent = page.Next
+	p.states[e.Incarnation] = state
 	p.mu.Unlock()
 	update := routing.CacheUpdate{Epoch: epochOf(e.Incarnation), Gap: page.Lost}
 	for _, event := range page.Events {
@@ -195,9 +195,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for incarnation := range p.known {
+	for incarnation := range p.states {
 		if !kept[incarnation] {
-			delete(p.known, incarnation)
+			delete(p.states, incarnation)
 		}
 	}
 }
--- a/daemon/poll/poll_test.go
+++ b/daemon/poll/poll_test.go
@@ -15,31 +15,31 @@
 )
 
 // fleet answers as engines of the given addresses do and notes when it did.
-type fleet struct {
-	mu    sync.Mutex
-	asked map[string][]time.Time
-	after map[string]uint64
+type fakeClient struct {
+	mu     sync.Mutex
+	polled map[string][]time.Time
+	after  map[string]uint64
 }
 
-func (f *fleet) Load(_ context.Context, address string) (targetapi.Load, error) {
+func (f *fakeClient) Load(_ context.Context, address string) (targetapi.Load, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked[address] = append(f.asked[address], time.Now())
+	f.polled[address] = append(f.polled[address], time.Now())
 	return targetapi.Load{Incarnation: address}, nil
 }
 
-func (f *fleet) CacheEvents(_ context.Context, address string, after uint64) (targetapi.CacheEvents, error) {
+func (f *fakeClient) CacheEvents(_ context.Context, address string, after uint64) (targetapi.CacheEvents, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.after[address] = after
 	return targetapi.CacheEvents{Incarnation: address, Next: after + 1}, nil
 }
 
-type router struct{}
+type noRouter struct{}
 
-func (router) Report(time.Time, string, routing.Load)            {}
-func (router) Leaving(time.Time, string)                         {}
-func (router) CacheEvent(time.Time, string, routing.CacheUpdate) {}
+func (noRouter) Report(time.Time, string, routing.Load)            {}
+func (noRouter) Leaving(time.Time, string)                         {}
+func (noRouter) CacheEvent(time.Time, string, routing.CacheUpdate) {}
 
 // An instance routes to hundreds of engines. Polling all every two seconds
 // would send many times what it may spend on control, and keep a core busy.
@@ -51,19 +51,19 @@
 			for i := range n {
 				engines = append(engines, Engine{Incarnation: fmt.Sprint(i), Address: fmt.Sprint(i)})
 			}
-			f := &fleet{asked: map[string][]time.Time{}, after: map[string]uint64{}}
-			poller := New(f, router{}, func() []Engine { return engines }, func(string, []string, []string) {})
+			f := &fakeClient{polled: map[string][]time.Time{}, after: map[string]uint64{}}
+			poller := New(f, noRouter{}, func() []Engine { return engines }, func(string, []string, []string) {})
 			begun := time.Now()
 			const length = 10 * time.Minute
 			ctx, cancel := context.WithTimeout(t.Context(), length)
 			defer cancel()
 			require.NoError(t, poller.Run(ctx))
 			polls := 0
-			longest := time.Duration(2+n/perRound) * interval * 2
+			longest := time.Duration(2+n/maxRepeatPolls) * interval * 2
 			for _, e := range engines {
-				times := f.asked[e.Address]
+				times := f.polled[e.Address]
 				require.NotEmpty(t, times)
-				require.Less(t, times[0].Sub(begun), time.Duration(2+n/newPerRound)*2*interval)
+				require.Less(t, times[0].Sub(begun), time.Duration(2+n/maxFirstPolls)*2*interval)
 				for i := 1; i < len(times); i++ {
 					require.Less(t, times[i].Sub(times[i-1]), longest)
 				}
@@ -71,7 +71,7 @@
 				polls += len(times) - 1
 			}
 			rounds := int(length / (interval / 2))
-			require.LessOrEqual(t, polls, rounds*perRound)
+			require.LessOrEqual(t, polls, rounds*maxRepeatPolls)
 		})
 	}
 }
--- a/daemon/report/report.go
+++ b/daemon/report/report.go
@@ -31,12 +31,12 @@
 
 	mu sync.Mutex
 	// last is the end of the report before.
-	last time.Time
+	lastEnd time.Time
 }
 
 // New makes a reporter of the instance with the given name.
 func New(store platform.Store, name string, status *requests.Table, now func() time.Time) *Reporter {
-	return &Reporter{store: store, name: name, status: status, now: now, last: now()}
+	return &Reporter{store: store, name: name, status: status, now: now, lastEnd: now()}
 }
 
 // Run writes until the context ends, at random times so that instances started
@@ -61,28 +61,28 @@
 	if len(summary.Rows) == 0 {
 		return
 	}
-	from, to := r.span()
+	from, to := r.period()
 	if r.write(ctx, summary, from, to) != nil {
 		r.status.Restore(summary)
 		return
 	}
-	r.written(to)
+	r.setLastEnd(to)
 }
 
 // span returns the time that a report covers which is written now.
-func (r *Reporter) span() (from, to time.Time) {
+func (r *Reporter) period() (from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.last, r.now()
+	return r.lastEnd, r.now()
 }
 
 // written says where the next report begins. The last report of a planned stop
 // may overtake the one that was due, so the time never goes back.
-func (r *Reporter) written(to time.Time) {
+func (r *Reporter) setLastEnd(to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if to.After(r.last) {
-		r.last = to
+	if to.After(r.lastEnd) {
+		r.lastEnd = to
 	}
 }
 
--- a/daemon/tidy/tidy.go
+++ b/daemon/tidy/tidy.go
@@ -31,12 +31,12 @@
 type Tidier struct {
 	store platform.Store
 	// mine tells whether this instance has the duty now.
-	mine func() bool
+	hasDuty func() bool
 	// live tells whether an instance is live.
-	live func(name string) bool
-	now  func() time.Time
+	isLive func(name string) bool
+	now    func() time.Time
 	// gone holds, by kind and name, the entries whose instance is not live.
-	gone map[string]map[string]absence
+	absences map[string]map[string]absence
 }
 
 // absence is since when an entry stands as it is without its instance.
@@ -47,7 +47,7 @@
 
 // New makes a tidier.
 func New(store platform.Store, mine func() bool, live func(name string) bool, now func() time.Time) *Tidier {
-	return &Tidier{store: store, mine: mine, live: live, now: now, gone: make(map[string]map[string]absence)}
+	return &Tidier{store: store, hasDuty: mine, isLive: live, now: now, absences: make(map[string]map[string]absence)}
 }
 
 // Run tidies until the context ends.
@@ -57,7 +57,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			t.Round(ctx)
+			t.Tick(ctx)
 		case <-ctx.Done():
 			return nil
 		}
@@ -66,24 +66,24 @@
 
 // Round does what is due, if this instance has the duty. What the store refuses
 // is left for a later round.
-func (t *Tidier) Round(ctx context.Context) {
-	if !t.mine() {
-		clear(t.gone)
+func (t *Tidier) Tick(ctx context.Context) {
+	if !t.hasDuty() {
+		clear(t.absences)
 		return
 	}
-	_ = t.kind(ctx, platformapi.KindInstances, instanceGrace)
-	_ = t.kind(ctx, platformapi.KindDigests, reportGrace)
+	_ = t.removeAbsent(ctx, platformapi.KindInstances, instanceGrace)
+	_ = t.removeAbsent(ctx, platformapi.KindDigests, reportGrace)
 }
 
 // kind removes the entries of one kind that are due.
-func (t *Tidier) kind(ctx context.Context, kind string, grace time.Duration) error {
+func (t *Tidier) removeAbsent(ctx context.Context, kind string, grace time.Duration) error {
 	list, err := t.store.ListStale(ctx, kind)
 	if err != nil {
 		return errors.Wrapf(err, "tidy: list %s", kind)
 	}
-	t.gone[kind] = t.absent(t.gone[kind], list.Items)
+	t.absences[kind] = t.updateAbsences(t.absences[kind], list.Items)
 	deletes := 0
-	for name, a := range t.gone[kind] {
+	for name, a := range t.absences[kind] {
 		if t.now().Sub(a.since) <= grace || deletes == maxDeletes {
 			continue
 		}
@@ -102,11 +102,11 @@
 // cut off from this one alone and go on writing its reports. Were the time kept
 // by name, such an entry would be removed long before its grace. A new revision
 // starts the time anew.
-func (t *Tidier) absent(before map[string]absence, items []platformapi.Object) map[string]absence {
+func (t *Tidier) updateAbsences(before map[string]absence, items []platformapi.Object) map[string]absence {
 	now := make(map[string]absence)
 	for i := range items {
 		metadata := items[i].Metadata
-		if t.live(metadata.Name) {
+		if t.isLive(metadata.Name) {
 			continue
 		}
 		a, known := before[metadata.Name]
--- a/daemon/tidy/tidy_test.go
+++ b/daemon/tidy/tidy_test.go
@@ -19,15 +19,15 @@
 	store  *emulator.Local
 	now    time.Time
 	live   map[string]bool
-	mine   bool
+	duty   bool
 	writes int
 	*Tidier
 }
 
 func newRig(t *testing.T) *rig {
 	store := emulator.New(emulator.Options{WritesPerSecond: emulator.Unlimited})
-	r := &rig{t: t, store: store.Local("one"), now: time.Unix(1_000_000, 0), live: map[string]bool{}, mine: true}
-	r.Tidier = New(r.store, func() bool { return r.mine }, func(name string) bool { return r.live[name] },
+	r := &rig{t: t, store: store.Local("one"), now: time.Unix(1_000_000, 0), live: map[string]bool{}, duty: true}
+	r.Tidier = New(r.store, func() bool { return r.duty }, func(name string) bool { return r.live[name] },
 		func() time.Time { return r.now })
 	return r
 }
@@ -49,7 +49,7 @@
 func (r *rig) after(d time.Duration) {
 	r.now = r.now.Add(d)
 	r.write(platformapi.KindTiers, "any")
-	r.Round(r.t.Context())
+	r.Tick(r.t.Context())
 }
 
 func (r *rig) names(kind string) []string {
@@ -84,13 +84,13 @@
 			r.after(instanceGrace)
 		}},
 		"another has the duty": {kind: instances, kept: true, act: func(r *rig) {
-			r.mine = false
+			r.duty = false
 			r.after(2 * instanceGrace)
 		}},
 		"the duty comes back": {kind: instances, kept: true, act: func(r *rig) {
-			r.mine = false
+			r.duty = false
 			r.after(instanceGrace)
-			r.mine = true
+			r.duty = true
 			r.after(instanceGrace)
 		}},
 		"written anew, unseen between two rounds": {kind: instances, kept: true, act: func(r *rig) {
@@ -169,6 +169,6 @@
 		r.after(0)
 		require.NoError(t, r.store.Delete(t.Context(), kind, "two", 0))
 		r.after(time.Minute)
-		require.Empty(t, r.gone[kind])
+		require.Empty(t, r.absences[kind])
 	}
 }
--- a/testkit/capacity/exchange.go
+++ b/testkit/capacity/exchange.go
@@ -45,7 +45,7 @@
 
 func measureExchange(o Options) ([]Series, error) {
 	cost := Series{Quantity: "taking in peers' load digests", Unit: "ms/s", Size: "origin heard", Target: targetNodes, Budget: budgetCPU}
-	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", Size: "pool", Target: exchangePools, Budget: float64(load.SpreadConfig().MaxLoadBodyBytes)}
+	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", Size: "pool", Target: exchangePools, Budget: float64(load.GossipConfig().MaxLoadBodyBytes)}
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		rig := newExchangeRig(n, exchangePools)
 		ns := o.nsPerOp(rig.round)
@@ -94,7 +94,7 @@
 // round is one exchange, with the digests that came since the last one.
 func (r *exchangeRig) round() {
 	r.cluster.renew(1, r.body)
-	r.exchange.Round(time.Now())
+	r.exchange.Tick(time.Now())
 }
 
 // peerBody is a peer's digest of the greatest size that the spread takes.
@@ -107,7 +107,7 @@
 	}
 	entries := table.Digest(now)
 	digest.Targets = entries[:min(len(entries), 8)]
-	body, err := loadwire.Encode(digest, load.SpreadConfig().MaxLoadBodyBytes)
+	body, err := loadwire.Encode(digest, load.GossipConfig().MaxLoadBodyBytes)
 	if err != nil {
 		return nil
 	}
--- a/testkit/capacity/fleet.go
+++ b/testkit/capacity/fleet.go
@@ -75,7 +75,7 @@
 		node := &fleetNode{
 			self:    list[i],
 			members: membership.New(membership.DefaultConfig(), list[i], random(1)),
-			spread:  spread.New(load.SpreadConfig(), table, random(2)),
+			spread:  spread.New(load.GossipConfig(), table, random(2)),
 			table:   table,
 		}
 		f.nodes = append(f.nodes, node)
--- a/testkit/capacity/loopback.go
+++ b/testkit/capacity/loopback.go
@@ -62,7 +62,7 @@
 		self.Address = ""
 		node, err := cluster.New(cluster.Options{
 			Transport: peer.Options{Cluster: "capacity", Self: self, Listen: "127.0.0.1:0", Scope: scope},
-			Spread:    load.SpreadConfig(),
+			Gossip:    load.GossipConfig(),
 			Seeds:     seeds,
 		})
 		if err != nil {
