--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway puts an instance together that serves callers of an outside
-// platform: what their requests go to is configured there, and the instances find
-// one another there. It makes no decision of its own.
+// Package gateway assembles an instance that serves callers of an external platform.
+// The platform holds the configuration of the targets and the list of instances. The
+// package contains wiring only and makes no decisions.
 package gateway
 
 import (
@@ -36,19 +36,19 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Platform is what an adapter gives: names, formats and calls.
+// Platform is what an adapter of a platform provides: names, formats and calls.
 type Platform struct {
 	Dialect  exchange.Dialect
 	Spelling platform.Spelling
 	Source   follow.Source
 }
 
-// ejectionFloor is the least share of a service's targets that stay routable
-// however badly they do.
+// ejectionFloor is the minimum share of a service's targets that stay routable,
+// whatever their failure rates.
 const ejectionFloor = 0.5
 
-// Bounds of the connections between instances. Each request with stages is a
-// call that waits for seconds, so there are as many as requests in flight.
+// Limits of the connections between instances. Each request with stages is a peer
+// call that takes seconds, so there are as many calls as requests in flight.
 const (
 	maxPeerCalls       = gather.DefaultMaxRequests
 	peerQueueLength    = 1024
@@ -59,18 +59,19 @@
 	adminHeaderTimeout = 5 * time.Second
 )
 
-// The return of the platform's store. A configuration is to be in force two
-// seconds after the store took it, also just after an outage: so its end is looked
-// for more than once a second, and calls begin again with the few a second that
-// watches under a storm of changes need.
+// Recovery from an outage of the platform's store. A configuration has to be in force
+// two seconds after the store accepted it, also right after an outage. The store is
+// therefore probed more than once a second, and calls resume at the few per second that
+// watches need under a burst of changes.
 const (
 	probeInterval    = 600 * time.Millisecond
 	restartRateShare = 0.1
 )
 
-// knownTargets is how many targets of a service an instance may choose from: all of
-// the fleets that there are. With a subset of its own each instance sends a subject
-// to another engine; at 140 engines a third of all prompt tokens were read again.
+// targetSubsetSize is the number of targets of a service that an instance may choose
+// from. It covers all existing fleets: if each instance had a subset of its own, they
+// would route the same prompt prefix to different engines. With 140 engines, a third of
+// all prompt tokens were processed again.
 const targetSubsetSize = 1024
 
 // Gateway is one instance.
@@ -86,7 +87,7 @@
 	client     *forward.Client
 	stages     *stages.Stages
 	relay      *relay.Relay
-	// blocklist holds the requests that crash their targets.
+	// blocklist blocks the requests that crash their targets.
 	blocklist *blocklist.Blocklist
 	registrar *register.Registrar
 
@@ -94,15 +95,15 @@
 	admin    net.Listener
 	metrics  net.Listener
 	draining atomic.Bool
-	// shutdown are the times of a planned stop, as last read.
+	// shutdown holds the settings of the planned stop, as last loaded.
 	shutdown atomic.Pointer[settings.Shutdown]
-	// inUse are the incarnations of the targets in use, namesInUse their names.
+	// usedIncarnations holds the incarnations of the usable targets, usedNames their names.
 	usedIncarnations, usedNames atomic.Pointer[map[string]bool]
-	// shares are, by service, the shares of its targets that data centres have.
+	// shares holds the share of each service's targets by data centre.
 	shares atomic.Pointer[map[string]map[string]float64]
 }
 
-// New puts an instance together and opens its ports.
+// New assembles an instance and opens its ports.
 func New(s settings.Settings, t *telemetry.Telemetry, p Platform) (*Gateway, error) {
 	g := &Gateway{settings: s, telemetry: t}
 	g.shutdown.Store(&s.Shutdown)
@@ -171,17 +172,18 @@
 }
 
 const (
-	// earnedShare is the part of the allowed share of repeats that an instance
-	// earns; the rest is left to what it doesn't count, such as stage calls.
+	// retryRatioShare is the part of the configured retry ratio that the budget of an
+	// instance uses. The remainder covers repeats that the budget doesn't count, such
+	// as those of stage calls.
 	retryRatioShare = 0.5
-	// slackShare is an instance's part of the fleet's slack at its start. It is
-	// enough for a small fleet, and for 90 instances that start at once with the
-	// slack of 220 that they have.
+	// retryReserveShare is an instance's share of the fleet's slack at its start. It
+	// suffices for a small fleet, and for 90 instances that start at once with a
+	// slack of 220.
 	retryReserveShare = 1.0 / 16
 	maxRetryReserve   = 2.4
 )
 
-// retryConfig is this instance's part of what the fleet may send once more.
+// retryConfig returns the retry budget of this instance, its share of the fleet's budget.
 func (g *Gateway) retryConfig() retry.Config {
 	return retry.Config{
 		RetryRatio: g.settings.Retries.Share * retryRatioShare,
@@ -233,8 +235,8 @@
 	return nil
 }
 
-// pushBytesPerSecond lets a configuration of a hundred kilobytes reach all
-// instances within the two seconds that it has.
+// pushBytesPerSecond is high enough for a configuration of a hundred kilobytes to reach
+// all instances within its limit of two seconds.
 const pushBytesPerSecond = 256 << 10
 
 func spreadConfig() spread.Config {
@@ -243,7 +245,7 @@
 	return c
 }
 
-// setTargets hands the targets to those who use them.
+// setTargets passes the usable targets on to the router and to the stages.
 func (g *Gateway) setTargets(now time.Time, table *routes.Table, usable map[string][]routes.Target) {
 	inUse, names := map[string]bool{}, map[string]bool{}
 	shares := map[string]map[string]float64{}
@@ -271,14 +273,14 @@
 	g.shares.Store(&shares)
 }
 
-// awaitReady waits until the instance knows what it needs to serve a request: the
-// configuration, the targets, and which requests the others refuse.
+// awaitReady waits until the instance has the state that it needs to serve a request:
+// the configuration, the targets, and the requests that other instances block.
 func (g *Gateway) awaitReady(ctx context.Context) {
 	g.follower.AwaitReady(ctx)
 	g.blocklist.AwaitInitialSync(ctx)
 }
 
-// sharesOf returns the shares of a service's targets that data centres have.
+// dataCentreShares returns the share of a service's targets by data centre.
 func (g *Gateway) dataCentreShares(service string) map[string]float64 {
 	if shares := g.shares.Load(); shares != nil {
 		return (*shares)[service]
@@ -286,20 +288,20 @@
 	return nil
 }
 
-// Reload takes in settings that were read again. What an instance is and where it
-// listens stays until its next start; what can change is the pace of a stop.
+// Reload applies settings that were loaded again. Only the settings of the planned stop
+// change; identity and listen addresses stay until the next start.
 func (g *Gateway) Reload(s settings.Settings) {
 	g.shutdown.Store(&s.Shutdown)
 	telemetry.InfoS("Settings read again", telemetry.Event{Elapsed: s.Shutdown.Grace})
 }
 
-// CallersAddr is where callers reach the instance.
+// CallersAddr returns the address for callers.
 func (g *Gateway) CallersAddr() string { return g.callers.Addr().String() }
 
-// AdminAddr is where health, readiness and metrics are.
+// AdminAddr returns the address of health, readiness and metrics.
 func (g *Gateway) AdminAddr() string { return g.admin.Addr().String() }
 
-// Ready tells whether the instance wants new connections.
+// Ready reports whether the instance accepts new connections.
 func (g *Gateway) Ready() bool { return g.follower.Ready() && !g.draining.Load() }
 
 func (g *Gateway) adminHandler() http.Handler {
@@ -315,13 +317,13 @@
 	return mux
 }
 
-// has tells whether a set that is replaced as a whole holds a text.
-func contains(set *atomic.Pointer[map[string]bool], text string) bool {
-	texts := set.Load()
-	return texts != nil && (*texts)[text]
+// contains reports whether a set, which is nil or replaced as a whole, has a member.
+func contains(set *atomic.Pointer[map[string]bool], member string) bool {
+	members := set.Load()
+	return members != nil && (*members)[member]
 }
 
-// sweepIdle closes connections that are of no use any more.
+// closeIdleConnections closes connections to targets that are no longer in use.
 func (g *Gateway) closeIdleConnections(ctx context.Context) error {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// methodWord asks an instance how old its knowledge of the store is.
+	// methodReport requests an instance's report on the age of its data from the store.
 	methodReport = "follow.word"
-	// methodHears asks an instance whether it hears the store: the question of instances
-	// that don't know methodWord.
+	// methodFresh asks an instance whether its data from the store is fresh. It serves
+	// instances whose version doesn't have methodReport.
 	methodFresh = "follow.hears"
-	// methodConfirm asks the first watcher for the newest revision of the
-	// configuration.
+	// methodConfirm requests the newest revision of the configuration from the first
+	// watcher.
 	methodConfirm = "follow.confirm"
 	// watchersKey is the key whose owners watch the store.
 	watchersKey = "store-watchers"
-	// watchers is how many instances watch the store for the others: enough that a
-	// store which refuses a third of the instances is still heard by one in all but
-	// two of a thousand cases (0.35 to the sixth).
+	// maxWatchers is the number of instances that watch the store for the others. If
+	// the store refuses a third of the instances, the probability that no watcher
+	// receives its changes is 0.2 % (0.35 to the sixth).
 	maxWatchers = 6
-	// allWatch is the size of a fleet up to which all instances watch. The calls of
-	// a dozen cost less than the time that a change takes by way of others.
+	// allWatchLimit is the fleet size up to which all instances watch the store. For a
+	// dozen instances the additional calls cost less than the delay of gossip.
 	allWatchLimit = 12
 )
 
-// fleet is the follower's view of the other instances.
+// fleet implements follow.Fleet, the follower's view of the other instances.
 type fleet struct{ g *Gateway }
 
-// Watchers implements follow.Fleet.
+// WatcherCount implements follow.Fleet.
 func (f fleet) WatcherCount() int { return len(f.watchers()) }
 
-// owners are the watchers, in the order in which one takes another's place.
+// watchers returns the watchers by rank: if one fails, the next one replaces it.
 func (f fleet) watchers() []membership.Member {
 	return f.g.cluster.Owners(watchersKey, maxWatchers)
 }
 
-// Place implements follow.Fleet. Where all watch, those beyond the owners stand behind
-// them.
+// Rank implements follow.Fleet. Where all instances watch, the others rank behind the
+// owners of the key.
 func (f fleet) Rank() int {
-	owners := f.watchers()
-	for place, m := range owners {
+	watchers := f.watchers()
+	for rank, m := range watchers {
 		if m.Name == f.g.self.Name {
-			return place
+			return rank
 		}
 	}
 	if f.AllWatch() {
-		return len(owners)
+		return len(watchers)
 	}
 	return watching.NoRank
 }
@@ -60,58 +60,59 @@
 // AllWatch implements follow.Fleet.
 func (f fleet) AllWatch() bool { return len(f.g.cluster.View().Live()) <= allWatchLimit }
 
-// AwaitJoin implements follow.Fleet. An instance of a small fleet watches at once: it
-// leaves nothing to others.
+// AwaitJoin implements follow.Fleet. An instance of a small fleet doesn't wait, since
+// it watches the store itself.
 func (f fleet) AwaitJoin(ctx context.Context) {
 	if f.g.cluster.ListedCount(ctx) > allWatchLimit {
 		f.g.cluster.AwaitJoin(ctx)
 	}
 }
 
-// AskWatcher implements follow.Fleet.
-func (f fleet) PollWatcher(ctx context.Context, place int) watching.Report {
-	owners := f.watchers()
-	if place >= len(owners) {
+// PollWatcher implements follow.Fleet.
+func (f fleet) PollWatcher(ctx context.Context, index int) watching.Report {
+	watchers := f.watchers()
+	if index >= len(watchers) {
 		return watching.Report{}
 	}
-	var word watching.Report
-	answer, err := f.g.cluster.Call(ctx, owners[place].Address, methodReport, nil)
+	var report watching.Report
+	response, err := f.g.cluster.Call(ctx, watchers[index].Address, methodReport, nil)
 	if err != nil {
-		return watching.Report{} // a watcher that can't be asked is no help, whatever it knows
+		return watching.Report{} // an unreachable watcher counts as one without data
 	}
-	if err := msgpack.Unmarshal(answer, &word); err != nil {
-		klog.ErrorS(err, "Answer of a peer could not be read", "peer", owners[place].Name, "step", methodReport)
+	if err := msgpack.Unmarshal(response, &report); err != nil {
+		klog.ErrorS(err, "Answer of a peer could not be read", "peer", watchers[index].Name, "step", methodReport)
 		return watching.Report{}
 	}
-	return word
+	return report
 }
 
-// confirmed is the answer of methodConfirm.
+// confirmResponse is the response of methodConfirm. Its fields are sent by name.
 type confirmResponse struct {
 	Revision uint64
 	Known    bool
 }
 
-// askConfirmer asks the first watcher for the newest revision that the store tells
-// it. An instance that is the first watcher asks the store itself.
+// requestConfirmation requests from the first watcher the newest revision that the
+// store reports. known is false if the caller has to ask the store itself: this instance
+// is the first watcher, or that one doesn't respond.
 func (g *Gateway) requestConfirmation(ctx context.Context) (revision uint64, known bool) {
-	owners := g.cluster.Owners(watchersKey, 1)
-	if len(owners) == 0 || owners[0].Name == g.self.Name {
+	watchers := g.cluster.Owners(watchersKey, 1)
+	if len(watchers) == 0 || watchers[0].Name == g.self.Name {
 		return 0, false
 	}
-	answer, err := g.cluster.Call(ctx, owners[0].Address, methodConfirm, nil)
+	response, err := g.cluster.Call(ctx, watchers[0].Address, methodConfirm, nil)
 	if err != nil {
-		return 0, false // the store is asked instead
+		return 0, false
 	}
 	var c confirmResponse
-	if err := msgpack.Unmarshal(answer, &c); err != nil {
-		klog.ErrorS(err, "Answer of a peer could not be read", "peer", owners[0].Name, "step", methodConfirm)
+	if err := msgpack.Unmarshal(response, &c); err != nil {
+		klog.ErrorS(err, "Answer of a peer could not be read", "peer", watchers[0].Name, "step", methodConfirm)
 		return 0, false
 	}
 	return c.Revision, c.Known
 }
 
-// handleConfirm answers methodConfirm.
+// handleConfirm handles methodConfirm.
 func (g *Gateway) handleConfirm(ctx context.Context, _ peer.Peer, _ []byte) ([]byte, error) {
 	revision, known := g.follower.NewestRevision(ctx)
 	return msgpack.Marshal(confirmResponse{Revision: revision, Known: known})
--- a/daemon/gateway/wire_test.go
+++ b/daemon/gateway/wire_test.go
@@ -10,16 +10,16 @@
 	"github.com/ivyhollow/ivyhollow/coordination/watching"
 )
 
-// A field gets another name or type: instances of two builds stand side by side for
-// minutes, and the other would read no word of the store.
-func TestBytesOfWatchersWords(t *testing.T) {
+// Prevents a change of a field's name or type: instances of two versions run side by side
+// for minutes during a rollout, and could no longer read each other's reports.
+func TestBytesOfWatcherMessages(t *testing.T) {
 	cases := []struct {
 		name    string
 		message any
 		want    string
 	}{
-		{"word", watching.Report{Known: true, Age: 1, Recovered: 2}, "83a54b6e6f776ec3a3416765d30000000000000001a95265636f7665726564d30000000000000002"},
-		{"hears", watching.Report{Known: true, Age: 1, Recovered: 2}.IsFresh(), "c3"},
+		{"report", watching.Report{Known: true, Age: 1, Recovered: 2}, "83a54b6e6f776ec3a3416765d30000000000000001a95265636f7665726564d30000000000000002"},
+		{"fresh", watching.Report{Known: true, Age: 1, Recovered: 2}.IsFresh(), "c3"},
 		{"confirmed", confirmResponse{Revision: 3, Known: true}, "82a85265766973696f6ecf0000000000000003a54b6e6f776ec3"},
 	}
 	for _, c := range cases {
