--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -1,5 +1,5 @@
-// Package app puts an instance together from its parts and runs them as one
-// group: it makes no decision of its own.
+// Package app assembles an instance from its components and runs them as one group.
+// It contains wiring only and makes no decisions.
 package app
 
 import (
@@ -49,20 +49,20 @@
 // watchersKey is the key whose owners watch the store.
 const watchersKey = "configuration-watchers"
 
-// sweeperKey is the key whose owner removes old claims.
+// sweeperKey is the key whose owner removes expired claims.
 const sweeperKey = "claims-sweeper"
 
-// streamIdle bounds the wait for a caller that does not read its stream.
+// callerWriteTimeout limits the wait for a caller that doesn't read its stream.
 const callerWriteTimeout = 10 * time.Second
 
-// eventGap is how long a stream may stay without a byte. Engines send a token
-// every hundred milliseconds or a comment meanwhile; a longer silence is that of
-// a connection which something between the two ends has lost track of.
+// maxEventGap is the maximum time without a byte on a stream. Engines send a token, or
+// else a comment, every hundred milliseconds. A longer silence means that a network
+// element between the two ends has dropped the connection's state.
 const maxEventGap = 2 * time.Second
 
-// retryReserve is how many extra attempts a pool may have before it has earned
-// any. An instance that serves few requests earns slowly: with a reserve of two
-// one broken engine among two failed the sixth stream that met it.
+// retryReserve is the number of extra attempts that a pool has before it has earned any.
+// An instance with few requests earns slowly: with a reserve of two, and one of two
+// engines broken, the sixth stream that was sent to the broken engine failed.
 const retryReserve = 10
 
 // App is one instance.
@@ -92,18 +92,18 @@
 	orders         *orders.Group
 	reporter       *report.Reporter
 	tidier         *tidy.Tidier
-	// blocklist holds the requests that crash their targets.
+	// blocklist blocks the requests that crash their targets.
 	blocklist *blocklist.Blocklist
 
 	callers  net.Listener
 	admin    net.Listener
 	draining atomic.Bool
-	// listed counts the instances that the platform listed last.
+	// listedCount is the number of instances in the platform's last list.
 	listedCount atomic.Int64
 }
 
-// New puts an instance together and opens its ports. A nil store means the
-// platform that the settings name.
+// New assembles an instance and opens its ports. If store is nil, the instance uses the
+// platform named in the settings.
 func New(s settings.Settings, t *telemetry.Telemetry, store platform.Store) (*App, error) {
 	a := &App{settings: s, telemetry: t, store: store, callBudget: newCallBudget(s)}
 	if store == nil {
@@ -146,8 +146,8 @@
 	})
 }
 
-// writeShare is the part of the budget of calls that may be writes: the
-// platform takes far fewer of them.
+// writeRateShare is the share of the call budget for writes. The platform accepts far
+// fewer writes than reads.
 const writeRateShare = 0.4
 
 func (a *App) listen() error {
@@ -160,7 +160,7 @@
 	return errors.Wrap(err, "listen for admin")
 }
 
-// buildDecisions makes the pure parts and those that need nothing else.
+// buildLocalParts creates the components that don't depend on the cluster.
 func (a *App) buildLocalParts() {
 	s := a.settings
 	a.router = routing.New(routing.Config{
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// engines returns the engines that this instance routes to.
+// engines returns the engines in this instance's routing table.
 func (a *App) engines() []poll.Engine {
 	kept := make(map[string]bool)
 	for _, t := range a.router.Stats(time.Now()).Targets {
@@ -243,7 +243,7 @@
 	return ok && rank == 0
 }
 
-// owns tells whether this instance is the first owner of a key.
+// isFirstOwner reports whether this instance is the first owner of a key.
 func (a *App) isFirstOwner(key string) bool {
 	owners := a.cluster.Owners(key, 1)
 	return len(owners) > 0 && owners[0].Name == a.self.Name
@@ -264,7 +264,8 @@
 
 func (a *App) liveCount() int { return len(a.cluster.View().Live()) }
 
-// watcherRank returns this instance's place among those that watch the store.
+// watcherRank returns this instance's rank among the watchers of the store, false if it
+// is none.
 func (a *App) watcherRank() (int, bool) {
 	for i, owner := range a.cluster.Owners(watchersKey, confsync.Watchers) {
 		if owner.Name == a.self.Name {
@@ -318,18 +319,18 @@
 	})
 }
 
-// CallersURL is where callers reach the instance.
+// CallersURL returns the base URL for callers.
 func (a *App) CallersURL() string { return "http://" + a.callers.Addr().String() }
 
-// AdminURL is where health, readiness and metrics are.
+// AdminURL returns the base URL of health, readiness and metrics.
 func (a *App) AdminURL() string { return "http://" + a.admin.Addr().String() }
 
-// Ready tells whether the instance wants new connections.
+// Ready reports whether the instance accepts new connections.
 func (a *App) Ready() bool {
 	return a.sync.Snapshot() != nil && !a.draining.Load()
 }
 
-// Started is closed once a whole configuration is in force.
+// Started returns a channel that is closed once a complete configuration is in force.
 func (a *App) Started() <-chan struct{} { return a.sync.Ready() }
 
 func (a *App) adminHandler() http.Handler {
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -28,13 +28,14 @@
 // otherKey is the key of a second client account.
 const otherKey = "other-key"
 
-// startInstance runs one instance against an embedded world until the test ends.
+// startInstance runs one instance against an embedded platform and targets until the
+// test ends.
 func startInstance(t *testing.T) *App {
 	t.Helper()
 	return startInstanceWith(t, "")
 }
 
-// startInstanceWith sends the spans to a collector, unless it is empty.
+// startInstanceWith is startInstance with spans sent to the collector, unless it is empty.
 func startInstanceWith(t testing.TB, collector string, options ...dev.Option) *App {
 	t.Helper()
 	return startIn(t, startWorld(t, options...), "one", collector)
@@ -52,7 +53,7 @@
 	return world
 }
 
-// startIn runs an instance of the name in a world; seeds are peer addresses.
+// startIn runs a named instance in a world. The seeds are peer addresses.
 func startIn(t testing.TB, world *dev.World, name, collector string, seeds ...string) *App {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,7 +67,7 @@
 	s.Shutdown.BalancerDelay = 0
 	options := telemetry.Options{Instance: name, OTLPEndpoint: collector}
 	if _, ok := t.(*testing.B); ok {
-		options.LogOutput = io.Discard // its lines would stand between the figures
+		options.LogOutput = io.Discard // log lines would interleave with the benchmark's output
 	}
 	tel, err := telemetry.Start(ctx, options)
 	require.NoError(t, err)
@@ -103,18 +104,18 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var problem callerapi.Problem
-	if answer.StatusCode != http.StatusOK {
-		require.NoError(t, json.NewDecoder(answer.Body).Decode(&problem))
+	if response.StatusCode != http.StatusOK {
+		require.NoError(t, json.NewDecoder(response.Body).Decode(&problem))
 	}
-	return answer.StatusCode, problem, answer.Header.Get(callerapi.HeaderRequestID)
+	return response.StatusCode, problem, response.Header.Get(callerapi.HeaderRequestID)
 }
 
-// A ward clerk's tool is misconfigured, or somebody probes the port: whatever
-// comes in gets a clear answer that names the field, and harms nobody else.
+// Invalid requests, as misconfigured clients and port scanners send them, are refused
+// with a problem that names the field. They don't affect other requests.
 func TestBadRequestsAreRefusedByField(t *testing.T) {
 	a := startInstance(t)
 	path := a.CallersURL() + "/v1/pipelines/dossier/requests"
@@ -160,8 +161,8 @@
 	require.Equal(t, http.StatusOK, status, "others are still served")
 }
 
-// One account asks for the status of another's request by its id: it must look
-// as if there were none, or ids would tell who is a client.
+// Prevents a disclosure: the status of another account's request looks as if there were
+// no such request, or ids would reveal who is a client.
 func TestStatusIsForItsAccountAlone(t *testing.T) {
 	a := startInstance(t)
 	_, _, id := send(t, http.MethodPost, a.CallersURL()+"/v1/pipelines/dossier/requests", dev.SampleKey, `{"input":"x"}`)
@@ -173,9 +174,9 @@
 	require.Empty(t, problem.RequestID)
 }
 
-// Noise, a half-sent header or one without end must not hold a connection open:
-// some thousands of them and the instance has no descriptor left for clerks.
-func TestRawBytesAreCutOff(t *testing.T) {
+// Connections with garbage, an incomplete header or an oversized one are closed.
+// Otherwise a few thousand of them would use up the instance's file descriptors.
+func TestMalformedConnectionsAreClosed(t *testing.T) {
 	a := startInstance(t)
 	ports := map[string]string{"callers": a.CallersURL(), "admin": a.AdminURL()}
 	inputs := map[string]string{
@@ -187,7 +188,7 @@
 		for name, input := range inputs {
 			t.Run(port+"/"+name, func(t *testing.T) {
 				if port == "admin" && name == "truncated" {
-					t.Parallel() // its header timeout is longer; the bound is the same
+					t.Parallel() // the header timeout of this port is longer
 				}
 				conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 				require.NoError(t, err)
@@ -195,7 +196,7 @@
 				_, _ = conn.Write([]byte(input)) // the server may close first
 				reader := bufio.NewReader(conn)
 				for err == nil {
-					_, err = reader.ReadByte() // the end of the connection is the proof
+					_, err = reader.ReadByte() // until the server closes the connection
 				}
 			})
 		}
--- a/daemon/app/handlers.go
+++ b/daemon/app/handlers.go
@@ -14,16 +14,16 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// registerHandlers answers the questions of other instances. All of them may
-// be asked again when an answer is lost, but the grant: what it grants is spent.
+// registerHandlers registers the methods that other instances may call. All methods are
+// idempotent except the grant: its tokens are spent even if the response is lost.
 func (a *App) registerHandlers() {
-	plain := func(f func([]byte) ([]byte, error)) peer.Handler {
+	withBody := func(f func([]byte) ([]byte, error)) peer.Handler {
 		return func(_ context.Context, _ peer.Peer, body []byte) ([]byte, error) { return f(body) }
 	}
-	a.cluster.Handle(configwire.MethodSnapshot, plain(a.sync.HandleSnapshot), peer.Idempotent())
-	a.cluster.Handle(accounts.MethodGrant, plain(a.accountBudgets.HandleGrant))
+	a.cluster.Handle(configwire.MethodSnapshot, withBody(a.sync.HandleSnapshot), peer.Idempotent())
+	a.cluster.Handle(accounts.MethodGrant, withBody(a.accountBudgets.HandleGrant))
 	a.cluster.Handle(methodClaimStatus, a.handleClaimStatus, peer.Idempotent())
-	a.cluster.Handle(methodRequestStatus, plain(a.handleRequestStatus), peer.Idempotent())
+	a.cluster.Handle(methodRequestStatus, withBody(a.handleRequestStatus), peer.Idempotent())
 	waiting := make(chan struct{}, maxJoinHandlers)
 	a.cluster.Handle(methodResponse, func(ctx context.Context, _ peer.Peer, body []byte) ([]byte, error) {
 		select {
@@ -36,8 +36,8 @@
 	}, peer.Idempotent())
 }
 
-// maxPeerJoins bounds the handlers that wait for answers: without a bound they
-// could take every place, and questions about claims would find none.
+// maxJoinHandlers limits the handlers that wait for the responses of requests. Without
+// a limit they could occupy all handler slots, and claim status requests would find none.
 const maxJoinHandlers = 32
 
 var errTooManyJoins = errors.New("too many questions wait for answers")
@@ -61,8 +61,8 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer claim: decode")
 	}
-	answer := a.claims.HandleStatusRequest(ctx, q)
-	return msgpack.Marshal(&answer)
+	response := a.claims.HandleStatusRequest(ctx, q)
+	return msgpack.Marshal(&response)
 }
 
 func (a *App) handleRequestStatus(body []byte) ([]byte, error) {
@@ -70,6 +70,6 @@
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errors.Wrap(err, "answer request status: decode")
 	}
-	status, _ := a.server.LocalStatus(q.ID, q.Account) // nil, sent as null, means not found
+	status, _ := a.server.LocalStatus(q.ID, q.Account) // nil means not found and is sent as null
 	return json.Marshal(status)
 }
--- a/daemon/app/join_test.go
+++ b/daemon/app/join_test.go
@@ -16,8 +16,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// A ward's tablet asks another instance than the one that serves its request:
-// the balancer sends it where it likes. It must get the very same answer.
+// A caller gets the status and the response of its request from any instance, since the
+// balancer may send it to another one than the instance that runs the request.
 func TestJoinOnAnotherInstance(t *testing.T) {
 	started, release := make(chan string, 1), make(chan struct{})
 	world := startWorld(t, dev.WrapTargets(func(next http.Handler) http.Handler {
@@ -48,20 +48,21 @@
 	require.Equal(t, want, fetch(t, http.MethodGet, two, path+"?wait_ms=3000", http.StatusOK))
 }
 
-// membersWait only ends a test that hangs.
+// membersWait limits a test that hangs.
 const membersWait = 30 * time.Second
 
-// fetch makes a call; it may run beside the test's own goroutine.
+// fetch calls an instance and checks the status. It may run in another goroutine than
+// the test's.
 func fetch(t *testing.T, method string, a *App, path string, status int) string {
 	request, _ := http.NewRequest(method, a.CallersURL()+path, strings.NewReader(`{"input":"x"}`))
 	request.Header.Set("Authorization", "Bearer "+dev.SampleKey)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if !assert.NoError(t, err) {
 		return ""
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	assert.NoError(t, err)
-	assert.Equal(t, status, answer.StatusCode, "%s %s: %s", method, path, body)
+	assert.Equal(t, status, response.StatusCode, "%s %s: %s", method, path, body)
 	return string(body)
 }
--- a/daemon/app/metrics.go
+++ b/daemon/app/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/ivyhollow/ivyhollow/daemon/metrics"
 )
 
-// sampleMetrics sets the metrics of the parts that count for themselves.
+// sampleMetrics publishes the metrics of the components that keep their own counters.
 func (a *App) sampleMetrics(ctx context.Context) error {
 	sampler := metrics.New(metrics.Options{
 		Calls:        a.callBudget,
--- a/daemon/app/metrics_test.go
+++ b/daemon/app/metrics_test.go
@@ -24,13 +24,13 @@
 
 const (
 	metricsPage = "../../docs/operations/metrics.md"
-	// metricsWait only ends a test that fails: metrics are a second old.
+	// metricsWait limits a test that fails. Metrics are at most a second old.
 	metricsWait = 30 * time.Second
 )
 
-// An operator builds a dashboard from the page and one panel stays empty: the
-// metric was renamed, or is made but never set. Or an alert is missed because a
-// metric that the instance serves is not on the page. Both must be the same.
+// The metrics on the operators' page are those that an instance serves. Otherwise a
+// dashboard's panel would stay empty, since its metric was renamed or is never set, or
+// operators would miss a metric that isn't on the page.
 func TestMetricsPageIsWhatIsServed(t *testing.T) {
 	world := startWorld(t)
 	addDesired(t, world)
@@ -38,9 +38,9 @@
 	path := a.CallersURL() + "/v1/pipelines/work-order/requests"
 	status, problem, _ := send(t, http.MethodPost, path, dev.SampleKey, `{"input":"x"}`, callerapi.HeaderIdempotencyKey, "k")
 	require.Equal(t, http.StatusOK, status, problem)
-	noise(t, a.self.Address)
-	named := namedMetrics(t)
-	require.Greater(t, len(named), 30, "the page's table is read")
+	sendGarbage(t, a.self.Address)
+	documented := documentedMetrics(t)
+	require.Greater(t, len(documented), 30, "the page's table is read")
 	lines := map[string]string{
 		"membership_members": `{state="alive"} 1`,
 		"requests":           `{result="answered"} 1`,
@@ -51,14 +51,14 @@
 	}
 	require.EventuallyWithT(t, func(c *assert.CollectT) {
 		served := servedMetrics(c, a)
-		assert.Equal(c, named, slices.Sorted(maps.Keys(served)))
+		assert.Equal(c, documented, slices.Sorted(maps.Keys(served)))
 		for name, line := range lines {
 			assert.Contains(c, served[name], telemetry.MetricsPrefix+"_"+name+line)
 		}
 	}, metricsWait, 50*time.Millisecond)
 }
 
-// addDesired adds a pool whose targets get orders.
+// addDesired adds a pool with a desired state, so that its targets get orders.
 func addDesired(t *testing.T, world *dev.World) {
 	spec := `{"schema_version":2,"kind":"engine","objective":"cost","slots":1,"checks_fencing":true,"ejection_floor":0.5,
 		"desired":{"models":["writer"],"version":"1.0","role":"decode"}}`
@@ -67,8 +67,8 @@
 	require.NoError(t, err)
 }
 
-// noise makes the instance refuse a peer connection.
-func noise(t *testing.T, address string) {
+// sendGarbage makes the instance refuse a peer connection.
+func sendGarbage(t *testing.T, address string) {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -82,8 +82,8 @@
 	quotedName = regexp.MustCompile("`([a-z_]+)`")
 )
 
-// namedMetrics returns the names in the page's table, sorted.
-func namedMetrics(t *testing.T) []string {
+// documentedMetrics returns the names in the page's table, sorted.
+func documentedMetrics(t *testing.T) []string {
 	page, err := os.ReadFile(metricsPage)
 	require.NoError(t, err)
 	var names []string
@@ -98,12 +98,12 @@
 	return names
 }
 
-// servedMetrics returns the lines that the instance serves, by metric.
+// servedMetrics returns the metrics that the instance serves, each with its lines.
 func servedMetrics(t require.TestingT, a *App) map[string]string {
-	answer, err := http.Get(a.AdminURL() + "/metrics")
+	response, err := http.Get(a.AdminURL() + "/metrics")
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	served := make(map[string]string)
 	for family := range strings.SplitSeq(string(body), "# HELP ") {
--- a/daemon/app/orders.go
+++ b/daemon/app/orders.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// ordersKey and a pool's name make the key whose owners compete for the
-	// pool's lease.
+	// leaseKeyPrefix followed by a pool's name is the key whose owners compete for
+	// the pool's lease.
 	leaseKeyPrefix = "orders/"
-	// competitors is how many instances compete for a lease: the holder and
-	// one that takes over. The others need not read the store for it.
+	// leaseCompetitors is the number of instances that compete for a lease: the holder
+	// and one successor. The other instances don't have to read the lease.
 	leaseCompetitors = 2
 )
 
@@ -35,7 +35,7 @@
 	})
 }
 
-// ownsAmong tells whether this instance is among the first n owners of a key.
+// isOwner reports whether this instance is among the first n owners of a key.
 func (a *App) isOwner(key string, n int) bool {
 	for _, owner := range a.cluster.Owners(key, n) {
 		if owner.Name == a.self.Name {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// orderedTargets returns the engines of a pool that are not leaving.
+// orderedTargets returns the targets of a pool to which orders go: its ready engines.
 func (a *App) orderedTargets(pool string) []orders.Member {
 	var members []orders.Member
 	for _, t := range a.discovery.Engines(func(string) bool { return true }) {
@@ -56,7 +56,7 @@
 	return members
 }
 
-// handOverOrders gives up the leases under which this instance gives orders.
+// handOverLeases releases the leases under which this instance issues orders.
 func (a *App) handOverLeases() {
 	runWithTimeout(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.HandOver(ctx) })
 }
--- a/daemon/app/overhead_test.go
+++ b/daemon/app/overhead_test.go
@@ -29,8 +29,8 @@
 	benchTokens = 512
 )
 
-// addBenchRecords adds an account whose budget is no limit and a pipeline of
-// one long generation.
+// addBenchRecords adds an account with a practically unlimited budget and a pipeline
+// with a single long generation.
 func addBenchRecords(b *testing.B, world *dev.World) {
 	account := fmt.Sprintf(`{"schema_version":1,"tier":"gold","keys":[{"sha256":"%x"}],"requests_per_s":100000,"burst":100000}`, sha256.Sum256([]byte(benchKey)))
 	pipeline := `{"schema_version":1,"pipeline":"long","stages":[{"name":"generate","pool":"engines","expected_ms":200,"repeatable":true,"max_tokens":512}]}`
@@ -43,17 +43,17 @@
 	}
 }
 
-// side is what one way of calling the stages took.
-type side struct {
+// cost is the time and the allocations of one way to call the stages.
+type cost struct {
 	time   time.Duration
 	allocs uint64
 }
 
-func (s *side) add(do func()) {
-	allocs, began := allocated(), time.Now()
+func (c *cost) add(do func()) {
+	allocs, start := allocated(), time.Now()
 	do()
-	s.time += time.Since(began)
-	s.allocs += allocated() - allocs
+	c.time += time.Since(start)
+	c.allocs += allocated() - allocs
 }
 
 func allocated() uint64 {
@@ -62,7 +62,7 @@
 	return sample[0].Value.Uint64()
 }
 
-// post makes a call and hands its body to read.
+// post sends a request, passes the body of its response to read and returns the request id.
 func post(b *testing.B, url, accept string, body []byte, header map[string]string, read func(io.Reader)) string {
 	request, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -72,16 +72,17 @@
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	answer, err := http.DefaultClient.Do(request)
-	if err != nil || answer.StatusCode != http.StatusOK {
-		b.Fatal(err, answer)
+	response, err := http.DefaultClient.Do(request)
+	if err != nil || response.StatusCode != http.StatusOK {
+		b.Fatal(err, response)
 	}
-	read(answer.Body)
-	_ = answer.Body.Close()
-	return answer.Header.Get(callerapi.HeaderRequestID)
+	read(response.Body)
+	_ = response.Body.Close()
+	return response.Header.Get(callerapi.HeaderRequestID)
 }
 
-func into(b *testing.B, value any) func(io.Reader) {
+// decodeInto returns a reader of a JSON body.
+func decodeInto(b *testing.B, value any) func(io.Reader) {
 	return func(body io.Reader) {
 		if err := json.NewDecoder(body).Decode(value); err != nil {
 			b.Fatal(err)
@@ -89,8 +90,8 @@
 	}
 }
 
-// events reads a stream to its end.
-func events(b *testing.B, want int) func(io.Reader) {
+// readEvents returns a reader of a stream with the given number of tokens.
+func readEvents(b *testing.B, want int) func(io.Reader) {
 	return func(body io.Reader) {
 		decoder := sse.NewDecoder(body, sse.Limits{Line: 1 << 20, Event: 1 << 20})
 		tokens := 0
@@ -109,18 +110,18 @@
 	}
 }
 
-// bench is an instance before targets that work no time at all.
+// bench is an instance whose targets have no work time.
 type bench struct {
 	*testing.B
 	app *App
-	// addresses are the targets that a first request met, by stage.
+	// addresses holds the target of each stage, taken from a first request.
 	addresses map[string]string
-	serial    int
+	serial    int // number of calls sent directly to targets
 }
 
 func newBench(b *testing.B, pipeline, collector string) *bench {
 	s := &bench{B: b, app: startInstanceWith(b, collector, dev.WorkTimes(0, 0)), addresses: map[string]string{}}
-	id := s.ask(pipeline, "", func(body io.Reader) { _, _ = io.Copy(io.Discard, body) })
+	id := s.request(pipeline, "", func(body io.Reader) { _, _ = io.Copy(io.Discard, body) })
 	status, ok := s.app.server.LocalStatus(id, "bench")
 	require.True(b, ok)
 	for _, stage := range status.Stages {
@@ -129,7 +130,7 @@
 	return s
 }
 
-func (s *bench) ask(pipeline, accept string, read func(io.Reader)) string {
+func (s *bench) request(pipeline, accept string, read func(io.Reader)) string {
 	body, _ := json.Marshal(callerapi.Request{Input: benchInput})
 	url := s.app.CallersURL() + "/v1/pipelines/" + pipeline + "/requests"
 	return post(s.B, url, accept, body, map[string]string{"Authorization": "Bearer " + benchKey}, read)
@@ -142,21 +143,21 @@
 	post(s.B, "http://"+s.addresses[name]+targetapi.PathRun, accept, body, header, read)
 }
 
-func (s *bench) report(direct, path side, per int) {
-	n := float64(s.N * per)
+func (s *bench) report(direct, path cost, units int) {
+	n := float64(s.N * units)
 	s.ReportMetric(float64(path.time)/float64(direct.time), "path/direct")
 	s.ReportMetric(float64(path.time-direct.time)/n, "added-ns/unit")
 	s.ReportMetric(float64(direct.allocs)/n, "direct-allocs/unit")
 	s.ReportMetric(float64(path.allocs)/n, "path-allocs/unit")
 }
 
-// BenchmarkPath takes turns between a request of four stages through an
-// instance and the same four calls made one after the other. Everything runs in
-// this process: the allocations are those of caller, instance and targets.
+// BenchmarkPath alternates between a request of four stages through an instance and the
+// same four calls sent directly to the targets, one after the other. Everything runs in
+// this process: the allocations include those of caller, instance and targets.
 func BenchmarkPath(b *testing.B) { benchmarkPath(b, "") }
 
-// BenchmarkPathTraced does so with every request traced, to a collector that
-// only reads.
+// BenchmarkPathTraced is BenchmarkPath with every request traced. The collector discards
+// the spans.
 func BenchmarkPathTraced(b *testing.B) {
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -167,7 +168,7 @@
 
 func benchmarkPath(b *testing.B, collector string) {
 	s := newBench(b, "dossier", collector)
-	var direct, path side
+	var direct, path cost
 	for b.Loop() {
 		direct.add(func() {
 			input := benchInput
@@ -176,23 +177,25 @@
 				if name == "generate" {
 					tokens = 24
 				}
-				var answer targetapi.RunAnswer
-				s.stage(name, input, "application/json", tokens, into(b, &answer))
-				input = answer.Output
+				var response targetapi.RunAnswer
+				s.stage(name, input, "application/json", tokens, decodeInto(b, &response))
+				input = response.Output
 			}
 		})
-		path.add(func() { s.ask("dossier", "application/json", into(b, &callerapi.Answer{})) })
+		path.add(func() { s.request("dossier", "application/json", decodeInto(b, &callerapi.Answer{})) })
 	}
 	s.report(direct, path, 1)
 }
 
-// BenchmarkPathStream does so with a stream of 512 tokens; a unit is a token.
+// BenchmarkPathStream compares streams of 512 tokens. A unit is a token.
 func BenchmarkPathStream(b *testing.B) {
 	s := newBench(b, "long", "")
-	var direct, path side
+	var direct, path cost
 	for b.Loop() {
-		direct.add(func() { s.stage("generate", benchInput, callerapi.MediaStream, benchTokens, events(b, benchTokens)) })
-		path.add(func() { s.ask("long", callerapi.MediaStream, events(b, benchTokens)) })
+		direct.add(func() {
+			s.stage("generate", benchInput, callerapi.MediaStream, benchTokens, readEvents(b, benchTokens))
+		})
+		path.add(func() { s.request("long", callerapi.MediaStream, readEvents(b, benchTokens)) })
 	}
 	s.report(direct, path, benchTokens)
 }
--- a/daemon/app/run.go
+++ b/daemon/app/run.go
@@ -12,25 +12,25 @@
 	"github.com/ivyhollow/ivyhollow/transport/inbound"
 )
 
-// Bounds of the steps of a planned stop that do not wait for callers.
+// Timeouts of the servers and of the steps of a planned stop that don't wait for callers.
 const (
-	// answerTimeout is for the answers of requests that the stop ends: they are a few
-	// hundred bytes, and their outcomes are recorded within half a second.
+	// cancelledResponseTimeout limits the responses to requests that the stop cancels.
+	// They have a few hundred bytes, and their outcomes are recorded within half a second.
 	cancelledResponseTimeout = time.Second
 	drainClaimsTimeout       = 3 * time.Second
 	leaveTimeout             = 2 * time.Second
 	adminHeaderTimeout       = 5 * time.Second
-	// adminTimeout bounds the last answers to probes and scrapes: they take a
+	// adminStopTimeout limits the last responses to probes and scrapes, which take a
 	// millisecond.
 	adminStopTimeout = 100 * time.Millisecond
 )
 
-// Run runs the instance until ctx ends, then stops it as planned: it reports
-// that it is not ready, waits for the balancer, finishes what is in flight,
-// hands its duties over and returns.
+// Run runs the instance until ctx ends, then does a planned stop: it reports not ready,
+// waits for the balancer, completes the requests in flight, hands over its duties and
+// returns.
 //
-// A planned stop never waits for another instance to stop: what it hands over
-// it only announces, within a bound. Two instances that stop at once and wait
+// A planned stop never waits for another instance to stop. It only announces its
+// handovers, each within a timeout: two instances that stop at the same time and wait
 // for each other would both be killed with requests in flight.
 func (a *App) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
@@ -74,7 +74,7 @@
 	group.Add(server.Serve, func(error) { server.Stop(adminStopTimeout) })
 }
 
-// lifecycle waits for the end of ctx and does the planned stop.
+// lifecycle waits for the end of ctx and then does the planned stop.
 func (a *App) lifecycle(ctx context.Context, callers *inbound.Server) error {
 	<-ctx.Done()
 	telemetry.InfoS("planned stop", telemetry.Event{Count: a.server.InFlight()})
@@ -94,6 +94,7 @@
 	return context.Canceled
 }
 
+// runWithTimeout runs a step of the planned stop and logs its error.
 func runWithTimeout(limit time.Duration, step string, do func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -108,8 +109,8 @@
 	<-timer.C
 }
 
-// followView tells the account budgets and the budget of calls of each change of
-// the membership.
+// followMembership passes each change of the membership on to the account budgets and
+// to the call budget.
 func (a *App) followMembership(ctx context.Context) error {
 	version := uint64(0)
 	for ctx.Err() == nil {
--- a/daemon/app/trace_test.go
+++ b/daemon/app/trace_test.go
@@ -24,7 +24,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// spans is a collector of OTLP/HTTP that keeps the spans of each trace.
+// spans is an OTLP/HTTP collector that keeps the spans of each trace.
 type spans struct {
 	mu  sync.Mutex
 	all map[string][]*otlp.Span
@@ -49,7 +49,7 @@
 	}
 }
 
-// paths names each span of a trace by its way from the caller, and counts them.
+// paths counts the spans of a trace by their path from the caller.
 func (s *spans) paths(id trace.TraceID, caller trace.SpanID) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,41 +72,41 @@
 	return paths
 }
 
-// tracedTargets stands for targets that continue the trace of each call. It
-// makes the first attempt of a stage fail as mode says: "rerank" refused, so
-// that it is retried, or "retrieve" held, so that it is hedged.
+// tracedTargets wraps targets so that they continue the trace of each call. By mode, it
+// also refuses the first attempt of "rerank", which is then retried, or blocks the first
+// attempt of "retrieve", which is then hedged.
 type tracedTargets struct {
 	tracer trace.Tracer
 	mode   string
 
 	mu sync.Mutex
-	// came counts the attempts that came in this mode, by stage.
-	came map[string]int
+	// received counts the attempts received in this mode, by stage.
+	received map[string]int
 }
 
 // begin starts a mode.
 func (tt *tracedTargets) begin(mode string) {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	tt.mode, tt.came = mode, map[string]int{}
+	tt.mode, tt.received = mode, map[string]int{}
 }
 
-// note counts an attempt, whose id ends with stage and number, and returns the mode.
-func (tt *tracedTargets) note(id string) string {
+// record counts an attempt, whose id ends with stage and number, and returns the mode.
+func (tt *tracedTargets) record(id string) string {
 	parts := strings.Split(id, "/")
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	tt.came[parts[max(len(parts)-2, 0)]]++
+	tt.received[parts[max(len(parts)-2, 0)]]++
 	return tt.mode
 }
 
 func (tt *tracedTargets) attempts(stage string) int {
 	tt.mu.Lock()
 	defer tt.mu.Unlock()
-	return tt.came[stage]
+	return tt.received[stage]
 }
 
-func (tt *tracedTargets) before(next http.Handler) http.Handler {
+func (tt *tracedTargets) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != targetapi.PathRun {
 			next.ServeHTTP(w, r)
@@ -116,14 +116,14 @@
 		_, span := tt.tracer.Start(ctx, "target", trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
 		id := r.Header.Get(targetapi.HeaderAttempt)
-		mode := tt.note(id)
+		mode := tt.record(id)
 		switch {
 		case mode == "retry" && strings.HasSuffix(id, "/rerank/1"):
 			w.Header().Set(targetapi.HeaderAttempt, id)
 			w.Header().Set(targetapi.HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case mode == "hedge" && strings.HasSuffix(id, "/retrieve/1"):
-			_, _ = io.Copy(io.Discard, r.Body) // net/http notices a hang-up behind the body
+			_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body is read
 			<-r.Context().Done()
 		default:
 			next.ServeHTTP(w, r)
@@ -131,14 +131,14 @@
 	})
 }
 
-// A clerk's request was slow and an operator wants to see at which hop: a span
-// that is missing, or hangs under the wrong parent, points at the wrong team.
+// A trace has a span for every hop under the right parent. Otherwise an operator who
+// looks for the cause of a slow request would suspect the wrong hop.
 func TestTraceNamesEveryHop(t *testing.T) {
 	got := &spans{all: map[string][]*otlp.Span{}}
 	server := httptest.NewServer(got)
 	t.Cleanup(server.Close)
 	targets := &tracedTargets{}
-	a := startInstanceWith(t, server.URL+"/v1/traces", dev.WrapTargets(targets.before))
+	a := startInstanceWith(t, server.URL+"/v1/traces", dev.WrapTargets(targets.wrap))
 	targets.tracer = a.telemetry.Tracer
 	provider := a.telemetry.TracerProvider.(*sdktrace.TracerProvider)
 	caller := sdktrace.NewTracerProvider().Tracer("caller")
@@ -156,8 +156,8 @@
 		}
 		span.End()
 		id := span.SpanContext()
-		// The loser of a hedge ends after the answer. On a busy machine any stage may be
-		// slow enough to be hedged, so each attempt that came has to have its spans.
+		// The slower attempt of a hedge ends after the response. On a busy machine any
+		// stage may be slow enough to be hedged, so every attempt received must have spans.
 		require.EventuallyWithT(t, func(c *assert.CollectT) {
 			want := map[string]int{"caller > request": 1}
 			for _, stage := range []string{"encode", "retrieve", "rerank", "generate"} {
