--- a/daemon/accounts/budgets.go
+++ b/daemon/accounts/budgets.go
@@ -1,6 +1,6 @@
-// Package accounts drives the client accounts' budgets of package
-// coordination/budget: it carries the questions to an account's home instance
-// and lets the requests wait that depend on the answer.
+// Package accounts applies the budgets of client accounts that package
+// coordination/budget computes: it sends grant requests to an account's home instance
+// and lets callers' requests wait for the grant.
 package accounts
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// MethodGrant names the question to a home instance on the peers' interface.
+// MethodGrant is the method of a grant request between instances.
 const MethodGrant = "budget.grant"
 
-// maxRounds bounds how often one request looks again after a grant came.
+// maxDecisions limits how often the ledger decides on one request, first at once and
+// again after each grant.
 const maxDecisions = 3
 
-// Peers asks another instance; *cluster.Node is one. Call blocks until the
-// answer or the context's end.
+// Peers calls another instance. Call blocks until the response or the end of the context.
 type Peers interface {
 	Call(ctx context.Context, instance, method string, body []byte) ([]byte, error)
 }
 
-// Budgets spends the accounts' budgets on one instance. It is safe for
-// concurrent use and makes no call to the platform.
+// Budgets spends the accounts' budgets on one instance. It is safe for concurrent use and
+// doesn't call the platform.
 type Budgets struct {
 	ledger *budget.Ledger
 	peers  Peers
@@ -40,19 +40,19 @@
 	shards [shardCount]pendingRequests
 }
 
-// questionShards is as many as the ledger has, so that requests of different
-// accounts contend here no more than there.
+// shardCount is the ledger's number of shards, so that requests of different accounts
+// contend for a lock no more often here than in the ledger.
 const shardCount = 16
 
-// questions are the questions under way about some of the accounts.
+// pendingRequests are the grant requests in flight for the accounts of a shard.
 type pendingRequests struct {
 	mu sync.Mutex
-	// asking holds a channel for each account whose home is being asked; it is
-	// closed when the answer is in.
+	// done holds a channel for each account with a grant request in flight. It is
+	// closed when the request has ended.
 	done map[string]chan struct{}
 }
 
-// New makes the driver of a ledger.
+// New returns the budgets of a ledger.
 func New(ledger *budget.Ledger, peers Peers, config func() *catalog.Snapshot, now func() time.Time) *Budgets {
 	b := &Budgets{ledger: ledger, peers: peers, config: config, now: now}
 	for i := range b.shards {
@@ -65,10 +65,11 @@
 	return &b.shards[xxhash.Sum64String(account)%shardCount]
 }
 
-// Take spends one request of the account's budget, or says when to come back.
+// Take spends one request of the account's budget, or returns the delay after which to
+// retry.
 func (b *Budgets) Take(ctx context.Context, account *catalog.Account) (ok bool, retryAfter time.Duration) {
 	for range maxDecisions {
-		decision, answered := b.decide(account)
+		decision, done := b.decide(account)
 		switch decision.Verdict {
 		case budget.Allowed:
 			return true, 0
@@ -76,95 +77,95 @@
 			return false, decision.RetryAfter
 		}
 		retryAfter = decision.RetryAfter
-		wait(ctx, answered, retryAfter)
+		wait(ctx, done, retryAfter)
 	}
 	return false, retryAfter
 }
 
-// decide asks the ledger and puts the question that it raises. A request that is
-// to wait gets the channel that is closed with the answer.
+// decide returns the ledger's decision and sends the grant request that it needs, if any.
+// It also returns the channel that is closed when the account's grant request ends, nil
+// if there is none.
 //
-// The decision and its question are one step under one lock. Between them, another
-// request would be told to wait for a question that nobody finds yet, look again at
-// once, and be refused after maxRounds although the answer is on its way.
+// The decision and the registration of the grant request are one step under one lock.
+// Otherwise another request in between would find no channel to wait for, repeat its
+// decision at once and be refused after maxDecisions, although the grant is on its way.
 func (b *Budgets) decide(account *catalog.Account) (budget.Decision, <-chan struct{}) {
-	q := b.shardOf(account.Name)
-	q.mu.Lock()
-	defer q.mu.Unlock()
+	shard := b.shardOf(account.Name)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
 	decision := b.ledger.Allow(b.now(), account)
-	if decision.Request != nil && q.done[account.Name] == nil {
-		answered := make(chan struct{})
-		q.done[account.Name] = answered
-		go b.requestGrant(q, *decision.Request, answered)
+	if decision.Request != nil && shard.done[account.Name] == nil {
+		done := make(chan struct{})
+		shard.done[account.Name] = done
+		go b.requestGrant(shard, *decision.Request, done)
 	}
-	return decision, q.done[account.Name]
+	return decision, shard.done[account.Name]
 }
 
-// wait blocks until the answer is in, at most for limit.
-func wait(ctx context.Context, answered <-chan struct{}, limit time.Duration) {
+// wait blocks until the channel is closed, the limit has passed or the context ends.
+func wait(ctx context.Context, done <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-answered:
+	case <-done:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// ask puts the question to the home and ends it.
-func (b *Budgets) requestGrant(q *pendingRequests, ask budget.GrantRequest, answered chan struct{}) {
-	grant, err := b.callHome(ask)
-	b.completeRequest(q, ask, grant, err)
-	close(answered)
+// requestGrant sends a grant request to the home instance and applies the response.
+func (b *Budgets) requestGrant(shard *pendingRequests, request budget.GrantRequest, done chan struct{}) {
+	grant, err := b.callHome(request)
+	b.completeRequest(shard, request, grant, err)
+	close(done)
 }
 
-// settle has the ledger take in an answer, and lets another question about the
-// account be put.
+// completeRequest applies the result of a grant request to the ledger and allows the next
+// grant request of the account.
 //
-// Both happen under one lock. Between them, a request that the grant serves could
-// raise the next question while the old one still counts as under way; it would be
-// dropped, and the ledger would wait for its answer to the time-out.
-func (b *Budgets) completeRequest(q *pendingRequests, ask budget.GrantRequest, grant budget.Grant, err error) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	delete(q.done, ask.Account)
+// Both happen under one lock. Otherwise a caller's request that the grant admits could
+// need the next grant request while the previous one still counts as in flight. That
+// grant request would be dropped, and the ledger would wait for it until its timeout.
+func (b *Budgets) completeRequest(shard *pendingRequests, request budget.GrantRequest, grant budget.Grant, err error) {
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	delete(shard.done, request.Account)
 	if err != nil {
-		telemetry.ErrorS(err, "Home of a budget didn't answer", telemetry.Event{Peer: ask.Home})
-		b.ledger.RequestFailed(b.now(), ask)
+		telemetry.ErrorS(err, "Home of a budget didn't answer", telemetry.Event{Peer: request.Home})
+		b.ledger.RequestFailed(b.now(), request)
 		return
 	}
 	b.ledger.ApplyGrant(b.now(), grant)
 }
 
-func (b *Budgets) callHome(ask budget.GrantRequest) (budget.Grant, error) {
+func (b *Budgets) callHome(request budget.GrantRequest) (budget.Grant, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), budget.DefaultRequestTimeout)
 	defer cancel()
-	body, err := msgpack.Marshal(&ask)
+	body, err := msgpack.Marshal(&request)
 	if err != nil {
-		return budget.Grant{}, errors.Wrap(err, "ask for budget: encode")
+		return budget.Grant{}, errors.Wrap(err, "request budget grant: encode")
 	}
-	answer, err := b.peers.Call(ctx, ask.Home, MethodGrant, body)
+	response, err := b.peers.Call(ctx, request.Home, MethodGrant, body)
 	if err != nil {
-		return budget.Grant{}, errors.Wrapf(err, "ask for budget at %s", ask.Home)
+		return budget.Grant{}, errors.Wrapf(err, "request budget grant from %s", request.Home)
 	}
 	var grant budget.Grant
-	err = msgpack.Unmarshal(answer, &grant)
-	return grant, errors.Wrapf(err, "ask for budget at %s: decode", ask.Home)
+	err = msgpack.Unmarshal(response, &grant)
+	return grant, errors.Wrapf(err, "request budget grant from %s: decode", request.Home)
 }
 
-// HandleGrant answers another instance's question; it is the handler of
-// MethodGrant.
+// HandleGrant handles MethodGrant: it responds to another instance's grant request.
 func (b *Budgets) HandleGrant(body []byte) ([]byte, error) {
-	var ask budget.GrantRequest
-	if err := msgpack.Unmarshal(body, &ask); err != nil {
+	var request budget.GrantRequest
+	if err := msgpack.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "grant budget: decode")
 	}
-	grant := budget.Grant{Account: ask.Account, Seq: ask.Seq}
-	if account, ok := b.account(ask.Account); ok {
-		grant = b.ledger.Grant(b.now(), ask, account)
+	grant := budget.Grant{Account: request.Account, Seq: request.Seq}
+	if account, ok := b.account(request.Account); ok {
+		grant = b.ledger.Grant(b.now(), request, account)
 	}
-	answer, err := msgpack.Marshal(&grant)
-	return answer, errors.Wrap(err, "grant budget: encode")
+	response, err := msgpack.Marshal(&grant)
+	return response, errors.Wrap(err, "grant budget: encode")
 }
 
 func (b *Budgets) account(name string) (*catalog.Account, bool) {
--- a/daemon/accounts/budgets_test.go
+++ b/daemon/accounts/budgets_test.go
@@ -23,8 +23,8 @@
 	return f(ctx, body)
 }
 
-// newBudgets makes the driver of one of two instances, "own" and "home", that
-// serves the account.
+// newBudgets returns the budgets of one of two instances, "own" and "home", with the
+// account.
 func newBudgets(self string, peers Peers, account *catalog.Account) *Budgets {
 	ledger := budget.NewLedger(time.Now(), budget.Config{Self: self})
 	ledger.SetMembers(time.Now(), []string{"own", "home"}, 2)
@@ -32,12 +32,12 @@
 	return New(ledger, peers, func() *catalog.Snapshot { return snapshot }, time.Now)
 }
 
-// homedElsewhere finds an account whose home is not the instance "own".
+// homedElsewhere returns an account whose home is not the instance "own".
 func homedElsewhere(t *testing.T) *catalog.Account {
 	for i := range 100 {
 		account := &catalog.Account{Name: "account-" + strconv.Itoa(i), RequestsPerSecond: 20, Burst: 20}
 		b := newBudgets("own", nil, account)
-		b.ledger.Allow(time.Now(), account) // takes the own part
+		b.ledger.Allow(time.Now(), account) // spends the instance's own share
 		if b.ledger.Allow(time.Now(), account).Request != nil {
 			return account
 		}
@@ -46,23 +46,23 @@
 	return nil
 }
 
-// Three clerks of one account submit at once on an instance that has spent its
-// own part of the budget. They wait for one answer of the account's home; where
-// it stays out they are refused within the bound, with a time to come back, and
-// nothing is left waiting.
-func TestTakeAsksTheHome(t *testing.T) {
-	const clerks = 3
+// Three callers of one account submit at once on an instance that has spent its own share
+// of the budget. They wait for one response of the account's home. Without it they are
+// refused within the time limit, with a delay after which to retry, and no request stays
+// pending.
+func TestTakeRequestsGrantFromHome(t *testing.T) {
+	const callers = 3
 	cases := map[string]struct {
-		answer    func(home *Budgets) peersFunc
-		served    int32
-		questions int32
+		respond  func(home *Budgets) peersFunc
+		served   int32
+		requests int32
 	}{
-		"answers": {func(home *Budgets) peersFunc {
+		"responds": {func(home *Budgets) peersFunc {
 			return func(_ context.Context, body []byte) ([]byte, error) {
 				time.Sleep(10 * time.Millisecond) // virtual
 				return home.HandleGrant(body)
 			}
-		}, clerks, 3}, // the last one is ahead of need
+		}, callers, 3}, // the last request is sent in advance
 		"silent": {func(*Budgets) peersFunc {
 			return func(ctx context.Context, _ []byte) ([]byte, error) {
 				<-ctx.Done()
@@ -80,18 +80,18 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				account := homedElsewhere(t)
-				answer := c.answer(newBudgets("home", nil, account))
-				var questions, served atomic.Int32
+				respond := c.respond(newBudgets("home", nil, account))
+				var requests, served atomic.Int32
 				own := newBudgets("own", peersFunc(func(ctx context.Context, body []byte) ([]byte, error) {
-					questions.Add(1)
-					return answer(ctx, body)
+					requests.Add(1)
+					return respond(ctx, body)
 				}), account)
 				time.Sleep(time.Second) // virtual: the home's bucket fills
 				ok, _ := own.Take(t.Context(), account)
-				require.True(t, ok, "the own part needs no home")
+				require.True(t, ok, "the own share needs no grant from the home")
 				start := time.Now()
 				var wg sync.WaitGroup
-				for range clerks {
+				for range callers {
 					wg.Go(func() {
 						ok, retryAfter := own.Take(t.Context(), account)
 						if ok {
@@ -103,21 +103,21 @@
 				}
 				wg.Wait()
 				require.LessOrEqual(t, time.Since(start), maxDecisions*budget.DefaultRequestTimeout)
-				time.Sleep(budget.DefaultRequestTimeout) // virtual: a question ahead of need ends
+				time.Sleep(budget.DefaultRequestTimeout) // virtual: a request sent in advance ends
 				synctest.Wait()
 				for i := range own.shards {
 					require.Empty(t, own.shards[i].done)
 				}
 				require.Equal(t, c.served, served.Load())
-				require.Equal(t, c.questions, questions.Load())
+				require.Equal(t, c.requests, requests.Load())
 			})
 		})
 	}
 }
 
-// A question that can't be read, or is about an account that the home doesn't
-// know yet, must cost no tokens and end no process.
-func TestHandleGrantOfTheUnknown(t *testing.T) {
+// A request that can't be decoded, or whose account the home doesn't know yet, costs no
+// tokens and doesn't crash the process.
+func TestHandleGrantOfInvalidRequest(t *testing.T) {
 	account := homedElsewhere(t)
 	home := newBudgets("home", nil, account)
 	_, err := home.HandleGrant([]byte{0xc1})
@@ -126,10 +126,10 @@
 	require.NoError(t, err)
 	for _, config := range []func() *catalog.Snapshot{home.config, func() *catalog.Snapshot { return nil }} {
 		home.config = config
-		answer, err := home.HandleGrant(body)
+		response, err := home.HandleGrant(body)
 		require.NoError(t, err)
 		var grant budget.Grant
-		require.NoError(t, msgpack.Unmarshal(answer, &grant))
+		require.NoError(t, msgpack.Unmarshal(response, &grant))
 		require.Equal(t, budget.Grant{Account: "stranger", Seq: 7}, grant)
 	}
 }
--- a/daemon/accounts/wire_test.go
+++ b/daemon/accounts/wire_test.go
@@ -10,15 +10,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/budget"
 )
 
-// A field gets another name or type: instances of two builds stand side by side for
-// minutes, and the other would read no tokens.
-func TestBytesOfBudgetQuestions(t *testing.T) {
+// Prevents a change of a field's name or type: instances of two versions run side by side
+// for minutes during a rollout, and could no longer read each other's grants.
+func TestBytesOfGrantMessages(t *testing.T) {
 	cases := []struct {
 		name    string
 		message any
 		want    string
 	}{
-		{"ask", &budget.GrantRequest{Account: "account", From: "from", Home: "not sent", Seq: 1, Tokens: 2.5}, "84a161a76163636f756e74a166a466726f6da173ce00000001a174ca40200000"},
+		{"request", &budget.GrantRequest{Account: "account", From: "from", Home: "not sent", Seq: 1, Tokens: 2.5}, "84a161a76163636f756e74a166a466726f6da173ce00000001a174ca40200000"},
 		{"grant", &budget.Grant{Account: "account", Seq: 3, Tokens: 4.5, RetryAfterMS: 5}, "84a161a76163636f756e74a173ce00000003a174ca40900000a172ce00000005"},
 	}
 	for _, c := range cases {
