--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -13,8 +13,8 @@
 // View returns the present view of the cluster.
 func (c *Cluster) View() *membership.View { return c.view.Load() }
 
-// Listed returns how many instances the platform's list last named, those included that
-// are gone. It waits for the first list, or for its failure.
+// ListedCount returns the number of instances in the platform's last list, which may
+// include instances that have ended. It waits for the first listing, successful or not.
 func (c *Cluster) ListedCount(ctx context.Context) int {
 	select {
 	case <-c.firstListDone:
@@ -35,19 +35,19 @@
 	return peers
 }
 
-// Neighbours returns the addresses of the instances to whom there are connections anyway.
+// Neighbours returns the addresses of the instances with permanent connections.
 func (c *Cluster) Neighbours() []string {
 	peers, _ := c.gossipPeers()
 	return slices.Clone(peers)
 }
 
-// Owners returns the n live instances responsible for a key. It is a hint and
-// never a lock.
+// Owners returns the n live instances responsible for a key. Instances may disagree, so
+// it is a hint and never a lock.
 func (c *Cluster) Owners(key string, n int) []membership.Member {
 	return membership.Owners(c.View(), key, n)
 }
 
-// WaitView waits until a view meets a condition.
+// WaitView waits until a view meets a condition or the context ends.
 func (c *Cluster) WaitView(ctx context.Context, met func(*membership.View) bool) error {
 	for {
 		c.mu.Lock()
@@ -77,14 +77,14 @@
 	c.node.Handle(method, h, opts...)
 }
 
-// Call asks another instance and waits for its answer. An error is a
-// *peer.Error, whose NotRun tells whether the method certainly did not start.
+// Call calls a method of another instance and waits for its response. An error is a
+// *peer.Error, whose NotRun reports whether the method certainly did not start.
 func (c *Cluster) Call(ctx context.Context, address, method string, body []byte) ([]byte, error) {
 	return c.node.Call(ctx, address, method, body)
 }
 
-// SendDigest sets the load digest of this instance, which travels to the
-// others at the configured rate. It replaces the one before.
+// SendDigest replaces the load digest of this instance. The gossip sends it to the other
+// instances at the configured rate.
 func (c *Cluster) SendDigest(body []byte) {
 	now := time.Now()
 	self := c.opts.Transport.Self
@@ -107,18 +107,18 @@
 	return c.gossip.Loads(now)
 }
 
-// Put takes over a record learned from the store and spreads it. OnRecord is
-// told if it is news.
+// Put accepts a record read from the store and gossips it. OnRecord is called if the
+// record is new.
 func (c *Cluster) Put(r spread.Record) {
 	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Put(r) })
 }
 
-// Stats returns the counts of the connections.
+// Stats returns the counters of the connections.
 func (c *Cluster) Stats() peer.Stats { return c.node.Stats() }
 
-// Leave announces the planned departure and waits until those told directly
-// have acknowledged it, or the context ends. The instance goes on answering
-// until Interrupt.
+// Leave announces the planned departure and waits until all instances notified directly
+// have acknowledged it, or the context ends. The instance goes on responding until
+// Interrupt.
 func (c *Cluster) Leave(ctx context.Context) error {
 	now := time.Now()
 	c.stepMembership(nil, func(m *membership.Membership) []membership.Action {
@@ -138,7 +138,7 @@
 	if !c.leaving {
 		return
 	}
-	if acked, told := c.members.LeaveProgress(); acked < told {
+	if acked, notified := c.members.LeaveProgress(); acked < notified {
 		return
 	}
 	select {
@@ -148,8 +148,9 @@
 	}
 }
 
-// AwaitJoin waits until this instance knows who holds the duties that one instance has
-// for all, or the context ends. It doesn't wait long: whoever is alone holds them.
+// AwaitJoin waits until this instance knows the owners of the duties that one instance has
+// for the whole cluster, or the context ends. The wait is short: an instance without
+// others owns the duties itself.
 func (c *Cluster) AwaitJoin(ctx context.Context) {
 	select {
 	case <-c.joined:
@@ -157,13 +158,13 @@
 	}
 }
 
-// AwaitPeer waits until this instance knows another one, or the context ends. It doesn't
-// wait where the platform's list names no other.
+// AwaitPeer waits until this instance knows another one, or the context ends. It returns
+// at once if the platform's list has no other instance.
 func (c *Cluster) AwaitPeer(ctx context.Context) {
 	if c.ListedCount(ctx); c.listedOtherCount.Load() == 0 {
 		return
 	}
-	_ = c.WaitView(ctx, func(v *membership.View) bool { return len(v.Live()) > 1 }) // the context bounds it
+	_ = c.WaitView(ctx, func(v *membership.View) bool { return len(v.Live()) > 1 }) // only the end of the context is an error
 }
 
 // checkJoined ends the wait of AwaitJoin; mu is held.
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs membership and spread over the connections between
-// instances, in real time. It is an actor of an oklog/run group.
+// Package cluster runs the membership protocol and the gossip over the connections
+// between instances, in real time. It is an actor of an oklog/run group.
 package cluster
 
 import (
@@ -23,32 +23,32 @@
 	defaultTick              = 50 * time.Millisecond
 	defaultListInterval      = 5 * time.Minute
 	defaultListRetryInterval = 5 * time.Second
-	// maxTombstones bounds the deleted records that are remembered.
+	// maxTombstones limits the number of deleted records that are kept.
 	maxTombstones = 4096
 )
 
-// Options are the settings of a Cluster.
+// Options configure a Cluster.
 type Options struct {
 	Transport  peer.Options
 	Membership membership.Config
 	Gossip     spread.Config
-	// Seeds are peer addresses from the settings.
+	// Seeds are peer addresses from the instance's settings.
 	Seeds []string
-	// ListInstances asks the platform for its list of instances; nil if there
-	// is none. The list lags and its names are only candidates.
+	// ListInstances returns the platform's list of instances; nil if there is none. The
+	// list may be out of date, so its members are only candidates.
 	ListInstances func(ctx context.Context) ([]membership.Member, error)
-	// ListEvery is the time between two listings, ListRetry the time after a
+	// ListInterval is the time between two listings, ListRetryInterval the time after a
 	// failed one or while no other instance is known. Both are jittered.
 	ListInterval      time.Duration
 	ListRetryInterval time.Duration
-	// OnRecord is told each record that is news. It must not block. Calls may
-	// overlap and come out of order: the receiver keeps the highest revision.
+	// OnRecord is called with each new record. It must not block. Calls may overlap and
+	// come out of order: the receiver keeps the highest revision.
 	OnRecord func(r spread.Record)
-	// Tick is the resolution of all periods.
+	// Tick is the resolution of all intervals.
 	Tick time.Duration
 }
 
-// withDefaults fills what is zero.
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	if o.Tick == 0 {
 		o.Tick = defaultTick
@@ -68,7 +68,7 @@
 	return o
 }
 
-// Cluster is this instance's part in the cluster.
+// Cluster is this instance's membership in the cluster.
 type Cluster struct {
 	opts    Options
 	node    *peer.Node
@@ -77,11 +77,12 @@
 	cancel  context.CancelFunc
 
 	view atomic.Pointer[membership.View]
-	// listed is how many instances the platform's list last named.
+	// listedCount is the number of instances in the platform's last list.
 	listedCount atomic.Int64
-	// listedOthers is how many of these aren't this instance, in any of its runs.
+	// listedOtherCount is the number of those that aren't this instance or an earlier
+	// incarnation of it.
 	listedOtherCount atomic.Int64
-	// listTried is closed once the list was asked for, with an answer or without.
+	// firstListDone is closed after the first listing, successful or not.
 	firstListDone chan struct{}
 	firstListOnce sync.Once
 
@@ -100,7 +101,8 @@
 	digestSeq uint64
 }
 
-// New binds the peer address. Handlers are registered before Execute.
+// New creates a cluster and binds the peer address. Handlers have to be registered before
+// Execute.
 func New(opts Options) (*Cluster, error) {
 	opts = opts.withDefaults()
 	node, err := peer.New(opts.Transport)
@@ -131,12 +133,12 @@
 	return c, nil
 }
 
-// newRand returns a random source of its own; each is used under one lock.
+// newRand returns a new random source. Each source is used under one lock only.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// Execute runs until Interrupt. It implements an actor of oklog/run.
+// Execute runs the cluster until Interrupt. Both are an actor of oklog/run.
 func (c *Cluster) Execute() error {
 	c.node.Start()
 	var wg sync.WaitGroup
@@ -164,15 +166,15 @@
 	}
 }
 
-// tick does what is due.
+// tick advances both state machines.
 func (c *Cluster) tick(now time.Time) {
 	c.stepMembership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
 	peers, size := c.gossipPeers()
 	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
 }
 
-// spreadPeers returns the addresses that records and digests go to: the
-// neighbours, to whom there are connections anyway, and the cluster's size.
+// gossipPeers returns the addresses for records and digests, and the cluster's size. The
+// addresses are those of the neighbours, which have connections anyway.
 func (c *Cluster) gossipPeers() (peers []string, size int) {
 	view := c.View()
 	size = len(view.Live())
@@ -190,7 +192,7 @@
 	return peers, size
 }
 
-// receive hands a message to its state machine.
+// receive passes a message to its state machine.
 func (c *Cluster) receive(from peer.Peer, m protocol.Message) {
 	now := time.Now()
 	switch m := m.(type) {
@@ -205,8 +207,8 @@
 	}
 }
 
-// membership runs a step of the membership under its lock and does its actions
-// without it.
+// stepMembership runs a step of the membership under its lock, then runs the resulting
+// actions without the lock.
 func (c *Cluster) stepMembership(from *peer.Peer, step func(*membership.Membership) []membership.Action) {
 	c.mu.Lock()
 	actions := step(c.members)
@@ -228,7 +230,7 @@
 	}
 }
 
-// publish replaces the view and wakes those who wait for a change; mu is held.
+// publishView replaces the view and wakes WaitView; mu is held.
 func (c *Cluster) publishView(view *membership.View) {
 	c.metrics.reportChanges(c.view.Load(), view)
 	c.view.Store(view)
@@ -236,7 +238,7 @@
 	c.viewChanged = make(chan struct{})
 }
 
-// send does a membership's Send.
+// sendMembership runs a Send of the membership.
 func (c *Cluster) sendMembership(from *peer.Peer, s membership.Send) {
 	if s.Reply && from != nil {
 		_ = from.Reply(s.Message)
@@ -245,14 +247,14 @@
 	c.node.Post(s.To, s.Message, s.NewConnection)
 }
 
-// reportSuperseded says that this instance is outdated.
+// reportSuperseded logs and counts that a later incarnation of this instance is running.
 func (c *Cluster) reportSuperseded(by membership.Member) {
 	klog.ErrorS(nil, "A later run has this instance's name", "name", by.Name, "address", by.Address, "incarnation", by.Incarnation)
 	c.metrics.superseded.Inc(1)
 }
 
-// withSpread runs a step of the spread under its lock and does its actions
-// without it.
+// stepGossip runs a step of the gossip under its lock, then runs the resulting actions
+// without the lock.
 func (c *Cluster) stepGossip(from *peer.Peer, step func(*spread.Gossip) []spread.Action) {
 	c.gossipMu.Lock()
 	actions := step(c.gossip)
@@ -273,8 +275,8 @@
 	}
 }
 
-// seedLoop names the settings' seeds and the platform's list to the
-// membership, which contacts those it does not know.
+// seedLoop passes the configured seeds and the platform's list to the membership at
+// intervals. The membership contacts those that it doesn't know.
 func (c *Cluster) seedLoop() {
 	for {
 		wait := c.opts.ListInterval
@@ -291,13 +293,14 @@
 	}
 }
 
-// jitter returns a duration between half and one and a half of d, so that
-// instances started together do not ask the platform together.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that instances started
+// together don't call the platform together.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
-// seed names all seeds once, false if the platform's list was not had.
+// contactSeeds passes all seeds to the membership and reports whether the platform's list
+// was available.
 func (c *Cluster) contactSeeds() bool {
 	seeds := make([]membership.Member, 0, len(c.opts.Seeds))
 	for _, address := range c.opts.Seeds {
@@ -324,7 +327,7 @@
 	return err == nil
 }
 
-// others counts the members that aren't this instance.
+// countOthers returns the number of members that aren't this instance.
 func (c *Cluster) countOthers(members []membership.Member) int {
 	n := 0
 	for _, m := range members {
@@ -335,7 +338,7 @@
 	return n
 }
 
-// list asks the platform for its list, within ListRetry.
+// listInstances returns the platform's list, within ListRetryInterval.
 func (c *Cluster) listInstances() ([]membership.Member, error) {
 	if c.opts.ListInstances == nil {
 		return nil, nil
--- a/daemon/cluster/cluster_test.go
+++ b/daemon/cluster/cluster_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fast has periods short enough for a test, and long against a busy machine's
-// delays.
+// fastConfig has intervals that are short enough for a test, and long compared with the
+// delays of a busy machine.
 var fastConfig = membership.Config{
 	Period: 200 * time.Millisecond, ProbeTimeout: 60 * time.Millisecond,
 	DeadProbeInterval: 200 * time.Millisecond, SyncInterval: time.Second,
@@ -35,7 +35,7 @@
 	records chan spread.Record
 }
 
-// start runs an instance as an actor of a group.
+// start runs an instance as an actor of a group until the test ends.
 func start(t testing.TB, name string, incarnation uint64, listen string, change func(*Options), seeds ...string) *instance {
 	i := &instance{done: make(chan struct{}), records: make(chan spread.Record, 64)}
 	opts := Options{
@@ -68,14 +68,14 @@
 	return i
 }
 
-// stop ends an instance as a crash does: it says nothing to anyone.
+// stop ends an instance as a crash does, without notifying the others.
 func (i *instance) stop() {
 	i.Interrupt(nil)
 	<-i.done
 }
 
-// await waits until a condition holds in the views of all instances. The bound
-// only ends a test that has failed.
+// await waits until a condition holds in the views of all instances. The timeout only
+// ends a test that has failed.
 func await(t testing.TB, instances []*instance, what string, met func(*membership.View) bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -93,7 +93,7 @@
 	return func(v *membership.View) bool { m, ok := v.Find(name); return ok && m.State == s }
 }
 
-// startMany runs n instances that know one seed.
+// startMany runs n instances whose seed is the first one.
 func startMany(t testing.TB, n int, change func(*Options)) []*instance {
 	all := []*instance{start(t, "i000", 1, "127.0.0.1:0", change)}
 	seed := all[0].Self().Address
@@ -103,10 +103,10 @@
 	return all
 }
 
-// Eight instances start. One is killed and started anew at its address, one
-// leaves. All others must follow each step, and calls, records and load digests
-// must reach everyone in between.
-func TestLifeOfACluster(t *testing.T) {
+// Eight instances start. One is killed and restarted at its address, two leave. All other
+// instances see each change, and calls, records and load digests reach every instance in
+// between.
+func TestClusterLifecycle(t *testing.T) {
 	all := startMany(t, 8, nil)
 	await(t, all, "all see all", hasLive(8))
 
@@ -117,38 +117,38 @@
 	}
 	require.Eventually(t, func() bool { return len(all[5].Loads()) == 8 }, time.Minute, 5*time.Millisecond)
 	for _, p := range all[0].Peers() {
-		answer, err := all[0].Call(t.Context(), p.Address, "whoami", nil)
+		response, err := all[0].Call(t.Context(), p.Address, "whoami", nil)
 		require.NoError(t, err)
-		require.Equal(t, p.Name, string(answer))
+		require.Equal(t, p.Name, string(response))
 	}
-	home := all[0].Owners("account", 3)
+	owners := all[0].Owners("account", 3)
 	for _, i := range all {
-		require.Equal(t, home, i.Owners("account", 3))
+		require.Equal(t, owners, i.Owners("account", 3))
 	}
 
 	killed := all[5].Self()
 	all[5].stop()
-	rest := slices.Delete(slices.Clone(all), 5, 6)
-	await(t, rest, "the killed one is dead", hasState(killed.Name, membership.Dead))
-	again := start(t, killed.Name, 2, killed.Address, nil, all[1].Self().Address)
-	all = append(rest, again)
-	await(t, all, "the new run is seen", func(v *membership.View) bool {
+	others := slices.Delete(slices.Clone(all), 5, 6)
+	await(t, others, "the killed one is dead", hasState(killed.Name, membership.Dead))
+	restarted := start(t, killed.Name, 2, killed.Address, nil, all[1].Self().Address)
+	all = append(others, restarted)
+	await(t, all, "the new incarnation is seen", func(v *membership.View) bool {
 		m, _ := v.Find(killed.Name)
 		return len(v.Live()) == 8 && m.Incarnation == 2 && v.RunEnded(killed.Name, 1)
 	})
-	require.Equal(t, uint64(4), (<-again.records).Revision, "the new run learns the records from peers")
+	require.Equal(t, uint64(4), (<-restarted.records).Revision, "the new incarnation gets the records from peers")
 
 	require.NoError(t, all[2].Leave(t.Context()))
 	leaver := all[2].Self().Name
 	await(t, all, "the leaver has left", hasState(leaver, membership.Left))
 	all[2].stop()
-	rest = slices.Delete(slices.Clone(all), 2, 3)
-	require.NoError(t, rest[0].Leave(t.Context()), "two instances stop in a row")
-	await(t, rest, "both have left", hasLive(6))
+	others = slices.Delete(slices.Clone(all), 2, 3)
+	require.NoError(t, others[0].Leave(t.Context()), "two instances stop in a row")
+	await(t, others, "both have left", hasLive(6))
 }
 
-// relay stands between instances and one of them. Muted, its open connections
-// are silent for good and new ones work; cut, it takes none at all.
+// relay is a TCP proxy between the other instances and one of them. Its first muted
+// connections transfer nothing any more while later ones work. If cut, it accepts none.
 type relay struct {
 	listener net.Listener
 	target   atomic.Value
@@ -221,9 +221,9 @@
 	}
 }
 
-// The connections that others have opened to an instance go silent, twice,
-// while new ones work. Nobody may declare it dead, and calls to it succeed.
-func TestMutedConnections(t *testing.T) {
+// All open connections to an instance stop transferring data, twice, while new ones work.
+// No other instance declares it dead, and calls to it succeed.
+func TestSilentConnections(t *testing.T) {
 	r := newRelay(t)
 	hidden := start(t, "i000", 1, "127.0.0.1:0", func(o *Options) { o.Transport.Self.Address = r.listener.Addr().String() })
 	r.target.Store(hidden.node.ListenAddr())
@@ -235,13 +235,13 @@
 	for range 2 {
 		before := r.served.Load()
 		r.muted.Store(before)
-		answer, err := all[1].Call(t.Context(), r.listener.Addr().String(), "whoami", nil)
+		response, err := all[1].Call(t.Context(), r.listener.Addr().String(), "whoami", nil)
 		require.NoError(t, err)
-		require.Equal(t, "i000", string(answer))
+		require.Equal(t, "i000", string(response))
 		require.Eventually(t, func() bool { return r.served.Load() >= before+3 }, time.Minute, 5*time.Millisecond,
 			"all others open new connections")
 	}
-	await(t, all, "nobody is lost", hasLive(4))
+	await(t, all, "no instance is removed", hasLive(4))
 	for _, i := range all {
 		m, _ := i.View().Find("i000")
 		require.Equal(t, uint64(1), m.Incarnation)
@@ -249,17 +249,17 @@
 	}
 }
 
-// The path into one instance is cut for longer than a suspicion lasts, both
-// sides give each other up, and the cut heals. They must find each other again
-// without any seed being named.
-func TestPartedAndHealed(t *testing.T) {
+// The connections between two instances are cut for longer than the suspicion timeout, so
+// that each declares the other dead. After the partition ends they find each other again
+// without a seed.
+func TestPartitionHeals(t *testing.T) {
 	r := newRelay(t)
 	hidden := start(t, "i000", 1, "127.0.0.1:0", func(o *Options) { o.Transport.Self.Address = r.listener.Addr().String() })
-	r.target.Store(hidden.node.ListenAddr()) // it knows no seed
+	r.target.Store(hidden.node.ListenAddr()) // it has no seed
 	toOthers := newRelay(t)
 	b := start(t, "i001", 1, "127.0.0.1:0", func(o *Options) {
 		o.Transport.Self.Address = toOthers.listener.Addr().String()
-		o.ListInterval, o.ListRetryInterval = time.Hour, time.Hour // the seed is named at the start only
+		o.ListInterval, o.ListRetryInterval = time.Hour, time.Hour // the seed is used at the start only
 	}, r.listener.Addr().String())
 	toOthers.target.Store(b.node.ListenAddr())
 	all := []*instance{hidden, b}
@@ -273,9 +273,8 @@
 	await(t, all, "healed", hasLive(2))
 }
 
-// A platform that answers slowly or fails must not keep an instance from the
-// others, and one that names instances long gone must not put them into the
-// view.
+// An instance joins the others although the platform responds slowly or fails at first.
+// Ended instances in the platform's list don't enter the view.
 func TestSeedsFromThePlatform(t *testing.T) {
 	a := start(t, "i000", 1, "127.0.0.1:0", nil)
 	var calls atomic.Int64
@@ -287,14 +286,14 @@
 			return []membership.Member{{Name: "gone", Address: "127.0.0.1:1", Incarnation: 7}, a.Self()}, nil
 		}
 	})
-	await(t, []*instance{a, b}, "met by the platform's list", hasLive(2))
+	await(t, []*instance{a, b}, "joined through the platform's list", hasLive(2))
 	_, known := b.View().Find("gone")
 	require.False(t, known)
 	require.GreaterOrEqual(t, calls.Load(), int64(3))
 }
 
-// TestLoneInstanceAwaitsNoPeer guards against an instance that lets its first requests wait
-// for others, since the platform lists its own run of before.
+// Prevents an instance from delaying its first requests until it knows a peer, although
+// the platform lists only its own previous incarnation.
 func TestLoneInstanceAwaitsNoPeer(t *testing.T) {
 	alone := start(t, "i000", 2, "127.0.0.1:0", func(o *Options) {
 		o.ListInstances = func(context.Context) ([]membership.Member, error) {
@@ -307,8 +306,7 @@
 	require.NoError(t, ctx.Err())
 }
 
-// TestInstanceAwaitsAPeer guards against an instance that doesn't wait for those that the
-// platform lists.
+// AwaitPeer waits for an instance that the platform lists.
 func TestInstanceAwaitsAPeer(t *testing.T) {
 	a := start(t, "i000", 1, "127.0.0.1:0", nil)
 	b := start(t, "i001", 1, "127.0.0.1:0", func(o *Options) {
@@ -318,8 +316,9 @@
 	require.Len(t, b.View().Live(), 2)
 }
 
-// BenchmarkCluster prints what an instance sends and the processor time of the
-// whole process by instance, for one period with the default periods, while all report their load.
+// BenchmarkCluster measures the bytes that an instance sends, and the processor time of the
+// process per instance and period, with the default intervals, while all instances report
+// their load.
 func BenchmarkCluster(b *testing.B) {
 	for _, n := range []int{8, 64} {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
@@ -334,10 +333,10 @@
 					for _, i := range all {
 						i.SendDigest(make([]byte, 40))
 					}
-					pauseFor(time.Second)
+					waitFor(time.Second)
 				}
 			}
-			report() // lets the updates of the start die out
+			report() // until the membership updates of the start have been disseminated
 			report()
 			bytes, conns := totals(all)
 			cpu := processorTime(b)
@@ -353,8 +352,8 @@
 	}
 }
 
-// pauseFor lets real time pass for a measurement.
-func pauseFor(d time.Duration) { <-time.After(d) }
+// waitFor waits in real time, for a measurement.
+func waitFor(d time.Duration) { <-time.After(d) }
 
 // totals sums the bytes sent and the connections.
 func totals(all []*instance) (bytes int64, conns int) {
@@ -366,7 +365,7 @@
 	return bytes, conns
 }
 
-// processorTime is the processor time of this process so far.
+// processorTime returns the processor time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
--- a/daemon/cluster/metrics.go
+++ b/daemon/cluster/metrics.go
@@ -16,7 +16,6 @@
 	changes    map[membership.State]tally.Counter
 }
 
-// newMetrics makes them.
 func newMetrics(scope tally.Scope) metrics {
 	s := scope.SubScope("membership")
 	m := metrics{
@@ -34,11 +33,12 @@
 	return m
 }
 
-// changesLogged bounds the members of one change that are logged by name: one that joins
-// hears of whole pages of them at once.
+// maxLoggedChanges limits the members of one view change that are logged by name. A
+// joining instance receives many members at once.
 const maxLoggedChanges = 8
 
-// report logs and counts what changed between two views.
+// reportChanges logs and counts the changed members between two views, and updates the
+// gauges.
 func (m *metrics) reportChanges(old, now *membership.View) {
 	changes := 0
 	for _, member := range now.Members {
@@ -59,7 +59,7 @@
 	m.setCounts(now)
 }
 
-// size tells how many instances a view has in each state.
+// setCounts sets the gauges of the view's version and of its members in each state.
 func (m *metrics) setCounts(view *membership.View) {
 	counts := make(map[membership.State]int)
 	for _, member := range view.Members {
