--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -1,5 +1,5 @@
-// Package load exchanges load digests with the peers: it sends what this
-// instance has in flight and takes in what the others have.
+// Package load exchanges load digests with the peers: it sends the requests in flight of
+// this instance and applies those of the other instances.
 package load
 
 import (
@@ -13,40 +13,42 @@
 	"github.com/ivyhollow/ivyhollow/protocol/loadwire"
 )
 
-// interval is the time between two looks at the digests. How often they travel
-// is the spread's to bound.
+// interval is the time between two updates of the digests. The gossip limits how often
+// they are sent.
 const interval = 200 * time.Millisecond
 
-// digestTTL is how long a peer's digest counts for the gates.
+// digestTTL is the time for which the gates use a peer's digest.
 const digestTTL = 3 * time.Second
 
-// Bounds of the digests that the spread sends, in bytes.
+// Limits of the digests that the gossip sends.
 const (
-	// loadBytes is sent at once each second.
+	// maxLoadBytes is the maximum of bytes sent directly per second.
 	maxLoadBytes = 1100
-	// directPeers is to how many peers a digest goes at once.
+	// directPeers is the number of peers to which a digest is sent directly.
 	directPeers = 7
-	// overhead is what the spread counts for a digest besides its texts.
+	// digestOverhead is the size in bytes that the gossip counts for a digest in
+	// addition to its name and body.
 	digestOverhead = 32
 )
 
-// SpreadConfig returns the settings of the spread that fit the digests.
+// GossipConfig returns the gossip configuration that fits the digests.
 //
-// Guard: if a digest to each of seven peers does not fit the bytes that are sent
-// at once, the spread hands digests on from one to the next, as it must among
-// hundreds. Among eight instances most would then be too old to count.
+// It prevents outdated digests in small clusters. If the direct bytes don't suffice for
+// a digest to each of seven peers, the gossip forwards digests from instance to instance,
+// as it has to among hundreds. Among eight instances most digests would then be older than
+// digestTTL.
 func GossipConfig() spread.Config {
 	c := spread.DefaultConfig()
 	c.MaxLoadBytes = maxLoadBytes
 	return c
 }
 
-// maxBody bounds the digest of an instance with the given name.
+// maxBodyBytes returns the maximum size of the digest of an instance with the given name.
 func maxBodyBytes(name string) int {
 	return min(GossipConfig().MaxLoadBodyBytes, maxLoadBytes/directPeers-digestOverhead-len(name))
 }
 
-// Cluster carries the digests; *cluster.Cluster is one.
+// Cluster sends and receives the digests; *cluster.Cluster is one.
 type Cluster interface {
 	SendDigest(body []byte)
 	Loads() []spread.Load
@@ -58,27 +60,27 @@
 	PeerDigest(now time.Time, origin string, entries []routing.DigestEntry)
 }
 
-// Exchange is the driver.
+// Exchange exchanges the digests periodically.
 type Exchange struct {
 	self    string
 	cluster Cluster
 	router  Router
 	gates   *gate.Group
-	// instances counts the live instances.
+	// liveCount returns the number of live instances.
 	liveCount   func() int
 	peerDigests map[string]*tiers.PeerDigests
-	// taken holds the body of each origin's digest that was taken in last.
+	// lastBodies holds, by origin, the body of the digest that was applied last.
 	lastBodies map[string][]byte
 }
 
-// New makes a driver; self is this instance's name.
-func New(self string, c Cluster, r Router, g *gate.Group, instances func() int) *Exchange {
+// New returns an exchange; self is this instance's name.
+func New(self string, c Cluster, r Router, g *gate.Group, liveCount func() int) *Exchange {
 	return &Exchange{
 		self:        self,
 		cluster:     c,
 		router:      r,
 		gates:       g,
-		liveCount:   instances,
+		liveCount:   liveCount,
 		peerDigests: make(map[string]*tiers.PeerDigests),
 		lastBodies:  make(map[string][]byte),
 	}
@@ -98,7 +100,7 @@
 	}
 }
 
-// Round sends the own digest and takes in what has come. Calls don't overlap.
+// Tick sends this instance's digest and applies the digests received. Calls don't overlap.
 func (e *Exchange) Tick(now time.Time) {
 	e.send(now)
 	e.receive(now)
@@ -116,40 +118,40 @@
 }
 
 func (e *Exchange) receive(now time.Time) {
-	taken := make(map[string][]byte, len(e.lastBodies))
+	bodies := make(map[string][]byte, len(e.lastBodies))
 	for _, l := range e.cluster.Loads() {
 		if l.Origin == e.self || l.Age > digestTTL {
 			continue
 		}
-		taken[l.Origin] = l.Body
+		bodies[l.Origin] = l.Body
 		if !sameSlice(l.Body, e.lastBodies[l.Origin]) {
 			e.apply(now.Add(-l.Age), l)
 		}
 	}
-	e.lastBodies = taken
-	instances := e.liveCount()
+	e.lastBodies = bodies
+	liveCount := e.liveCount()
 	e.gates.Each(func(pool string, own *gate.Gate) {
-		own.SetPeers(e.poolDigests(pool).Load(now, instances))
+		own.SetPeers(e.poolDigests(pool).Load(now, liveCount))
 	})
 }
 
-// same tells whether two bodies are the very same slice. The spread keeps a
-// digest for many exchanges; to take each of hundreds in again every time would
-// cost more than all else that an instance does for control.
+// sameSlice reports whether two bodies are the same slice, not just equal. The gossip keeps
+// a digest for many ticks. Applying each of hundreds again on every tick would cost more
+// than all other control work of an instance.
 func sameSlice(a, b []byte) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-// take takes one digest in.
-func (e *Exchange) apply(made time.Time, l spread.Load) {
+// apply applies one digest to the router and to the gates.
+func (e *Exchange) apply(createdAt time.Time, l spread.Load) {
 	digest, err := loadwire.Decode(l.Body)
 	if err != nil {
-		return // made by another release
+		return // encoded by another release
 	}
-	e.router.PeerDigest(made, l.Origin, digest.Targets)
+	e.router.PeerDigest(createdAt, l.Origin, digest.Targets)
 	e.gates.Each(func(pool string, _ *gate.Gate) {
-		if load, told := digest.Pool(pool); told {
-			e.poolDigests(pool).Add(made, l.Origin, load)
+		if load, ok := digest.Pool(pool); ok {
+			e.poolDigests(pool).Add(createdAt, l.Origin, load)
 		}
 	})
 }
--- a/daemon/load/load_test.go
+++ b/daemon/load/load_test.go
@@ -15,8 +15,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/loadwire"
 )
 
-// net is a cluster of one peer: it takes this instance's digest within the
-// bound of the spread, as the spread does.
+// fakeCluster is a cluster with one peer. It accepts this instance's digest within the size
+// limit of the gossip.
 type fakeCluster struct {
 	sent  []byte
 	loads []spread.Load
@@ -30,7 +30,7 @@
 
 func (n *fakeCluster) Loads() []spread.Load { return n.loads }
 
-// router records the origins whose digests were taken in.
+// fakeRouter records the origins of the digests applied.
 type fakeRouter struct {
 	own     []routing.DigestEntry
 	origins []string
@@ -42,10 +42,10 @@
 	r.origins = append(r.origins, origin)
 }
 
-// Ten pools are busy and a hundred targets have work: clerks wait, and batch
-// work must make room on all instances. A digest longer than the spread takes
-// is dropped without a word, and every instance would count itself alone.
-func TestBusyInstanceIsHeard(t *testing.T) {
+// The digest of an instance with ten busy pools and a hundred busy targets is within the
+// size limit of the gossip, which drops longer ones without an error. Other instances would
+// then ignore this one's load, and batch work would not yield to interactive requests.
+func TestDigestOfBusyInstanceIsSent(t *testing.T) {
 	gates := gate.NewGroup(gate.GroupConfig{}, time.Now)
 	r := &fakeRouter{}
 	for i := range 10 {
@@ -64,19 +64,19 @@
 	digest, err := loadwire.Decode(n.sent)
 	require.NoError(t, err)
 	require.NotEmpty(t, digest.Targets)
-	heard := 0
+	included := 0
 	for i := range 10 {
 		if load, _ := digest.Pool(fmt.Sprint("pool-", i)); load.Ranks[0].InFlight == 1 {
-			heard++
+			included++
 		}
 	}
-	require.GreaterOrEqual(t, heard, 5)
+	require.GreaterOrEqual(t, included, 5)
 }
 
-// Eight instances are busy and their digests are of full size. Each must know
-// the load of all others from the last seconds: with older ones the lower tiers
-// would not make room, and targets that are full elsewhere would look idle.
-func TestEightInstancesHearOneAnother(t *testing.T) {
+// Eight busy instances with digests of the maximum size have fresh digests of each other.
+// With older ones the lower tiers would not yield capacity, and targets that other
+// instances have filled would look idle.
+func TestEightInstancesHaveFreshDigests(t *testing.T) {
 	const n = 8
 	now := time.Unix(1000, 0)
 	nodes := map[string]*spread.Gossip{}
@@ -100,19 +100,20 @@
 		now = now.Add(time.Second)
 	}
 	for _, name := range names {
-		young := 0
+		fresh := 0
 		for _, l := range nodes[name].Loads(now) {
 			if l.Age < routing.DefaultDigestTTL {
-				young++
+				fresh++
 			}
 		}
-		require.Equal(t, n, young, name)
+		require.Equal(t, n, fresh, name)
 	}
 }
 
-// Hundreds of digests are held for seconds while a few a second are new. Each
-// is taken in once, also when only its age has changed; one past its use isn't.
-func TestEachDigestIsTakenInOnce(t *testing.T) {
+// Each digest is applied once, also if its age has changed, and an expired one isn't
+// applied. The gossip holds hundreds of digests for seconds, of which only a few per second
+// are new.
+func TestEachDigestIsAppliedOnce(t *testing.T) {
 	body := func() []byte {
 		b, err := loadwire.Encode(loadwire.Digest{}, 100)
 		require.NoError(t, err)
