--- a/daemon/metrics/bench_test.go
+++ b/daemon/metrics/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// BenchmarkSample measures what one second costs an instance: five pools of 64
-// kept targets each, 10,000 requests in the status table, three tiers.
+// BenchmarkSample measures one sample, which an instance takes each second, with five pools
+// of 64 targets each, 10,000 requests in the status table and three tiers.
 func BenchmarkSample(b *testing.B) {
 	now := time.Now()
 	clock := func() time.Time { return now }
--- a/daemon/metrics/metrics.go
+++ b/daemon/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics samples the parts of an instance that count for themselves
-// and sets the metrics that operators read. The parts stay free of a metrics
-// library, and a request pays for no metric that can be read once a second.
+// Package metrics samples the components of an instance that keep their own counters, and
+// sets the metrics that operators read. The components need no metrics library, and
+// requests don't bear the cost of metrics that can be sampled once a second.
 package metrics
 
 import (
@@ -16,41 +16,41 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// interval is the time between two samples, and with it their age at most.
+// interval is the time between two samples, and so the maximum age of a metric.
 const interval = time.Second
 
-// Calls counts calls to the platform; *platform.Budget is one.
+// Calls provides the counters of calls to the platform; *platform.Budget is one.
 type Calls interface {
 	Stats() platform.Stats
 	ClassStats(class platform.Class) platform.ClassStats
 }
 
-// Gates holds the pools' gates; *gate.Group is one.
+// Gates provides the pools' gates; *gate.Group is one.
 type Gates interface {
 	Each(f func(pool string, own *gate.Gate))
-	// NoCapacity counts the refusals for pools without a known target.
+	// NoCapacity returns the number of refusals for pools without a known target.
 	NoCapacity() uint64
 }
 
-// Router chooses targets; *routing.Table is one.
+// Router provides the statistics of routing; *routing.Table is one.
 type Router interface {
 	Stats(now time.Time) routing.Stats
 }
 
-// Status keeps the requests' status; *requests.Table is one.
+// Status provides the statistics of the requests' status; *requests.Table is one.
 type Status interface {
 	Stats() requests.Stats
 	Attainment() map[string]requests.Attainment
-	// Expire removes what is past its retention.
+	// Expire removes the requests past their retention.
 	Expire(now time.Time)
 }
 
-// Extra pays for retries and hedges; *retrybudget.Budgets is one.
+// RetryBudgets provides the counters of retries and hedges; *retrybudget.Budgets is one.
 type RetryBudgets interface {
 	Counts() (retries, hedges retrybudget.Counts)
 }
 
-// Options are the parts that a Sampler reads; all are required.
+// Options are the components that a Sampler reads; all are required.
 type Options struct {
 	Calls        Calls
 	Gates        Gates
@@ -60,15 +60,15 @@
 	Scope        tally.Scope
 }
 
-// Sampler is the driver.
+// Sampler samples the components periodically.
 type Sampler struct {
 	opts   Options
 	series *series
-	// known holds the pools that were reported once.
+	// knownPools holds the pools whose targets were ever reported.
 	knownPools map[string]struct{}
 }
 
-// New makes a sampler.
+// New returns a sampler.
 func New(o Options) *Sampler {
 	return &Sampler{opts: o, series: newSeries(o.Scope), knownPools: make(map[string]struct{})}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// Sample reads every part once. Calls don't overlap.
+// Sample reads every component once. Calls don't overlap.
 func (s *Sampler) Sample(now time.Time) {
 	s.sampleCalls()
 	s.sampleGates()
@@ -96,7 +96,7 @@
 	s.sampleRetryBudgets()
 }
 
-// extra reports the attempts beyond the first ones.
+// sampleRetryBudgets reports the extra attempts: retries and hedges.
 func (s *Sampler) sampleRetryBudgets() {
 	retries, hedges := s.opts.RetryBudgets.Counts()
 	for kind, c := range map[string]retrybudget.Counts{"retry": retries, "hedge": hedges} {
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// fixedCalls and fixedRoutes are parts that say what a test sets.
+// fixedCalls and fixedRoutes are components that return what a test sets.
 type (
 	fixedCalls  struct{ read platform.ClassStats }
 	fixedRoutes struct{ stats routing.Stats }
@@ -34,11 +34,10 @@
 
 func (r *fixedRoutes) Stats(time.Time) routing.Stats { return r.stats }
 
-// An operator reads a counter as a rate: were a total added again with every
-// sample, ten ejections would look like ten a second for ever. A pool that is
-// deleted must read 0, not its last number of targets, and an instance without
-// requests must not keep those of yesterday.
-func TestSamplesFollowTheParts(t *testing.T) {
+// Operators read a counter as a rate: a total that was added again with every sample would
+// turn ten ejections into ten per second. The gauges of a deleted pool are 0 instead of its
+// last number of targets, and an instance without new requests drops expired ones.
+func TestSamplesMatchComponents(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	scope := tally.NewTestScope("", nil)
 	calls := &fixedCalls{read: platform.ClassStats{Sent: 9, Limited: 2, Failed: 3, Held: 4, Rate: 50}}
@@ -83,7 +82,7 @@
 	}
 	require.Equal(t, 1.0, gauge("gate_in_flight+pool=a,rank=2"))
 	names := slices.Collect(maps.Keys(scope.Snapshot().Gauges()))
-	require.NotContains(t, names, "gate_in_flight+pool=a,rank=1", "a rank that is not in use has no series")
+	require.NotContains(t, names, "gate_in_flight+pool=a,rank=1", "a rank that was never used has no series")
 
 	routes.stats.Ejections++
 	routes.stats.Targets = routes.stats.Targets[:3]
--- a/daemon/metrics/sample.go
+++ b/daemon/metrics/sample.go
@@ -9,17 +9,17 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// classes are the kinds of calls to the platform, as label values.
+// classLabels are the labels of the classes of calls to the platform.
 var classLabels = map[platform.Class]label{
 	platform.ClassRead:  {"kind", "read"},
 	platform.ClassWrite: {"kind", "write"},
 }
 
-// calls reports the calls to the platform and the state of their budget.
+// sampleCalls reports the calls to the platform and the state of their budget.
 func (s *Sampler) sampleCalls() {
 	for class, kind := range classLabels {
 		c := s.opts.Calls.ClassStats(class)
-		// Sent holds the others; the rest got an answer or were given up.
+		// Sent includes Limited and Failed; the remaining calls were answered or abandoned.
 		s.series.raiseCounter(c.Sent-c.Limited-c.Failed, "platform_calls", kind, label{"result", "answered"})
 		s.series.raiseCounter(c.Limited, "platform_calls", kind, label{"result", "limited"})
 		s.series.raiseCounter(c.Failed, "platform_calls", kind, label{"result", "failed"})
@@ -33,38 +33,39 @@
 	s.series.setGauge(outage, "platform_outage")
 }
 
-// reasons are those of a gate's refusals.
+// refusalReasons are the reasons of a gate's refusals.
 var refusalReasons = []tiers.Reason{tiers.ReasonQueueFull, tiers.ReasonDisplaced, tiers.ReasonTooLate}
 
-// gates reports the queues before the pools.
+// sampleGates reports the queues of the pools' gates.
 func (s *Sampler) sampleGates() {
 	s.opts.Gates.Each(func(pool string, own *gate.Gate) {
 		stats := own.Stats()
-		by := label{"pool", pool}
-		s.series.setGauge(float64(stats.Capacity), "gate_capacity", by)
+		poolLabel := label{"pool", pool}
+		s.series.setGauge(float64(stats.Capacity), "gate_capacity", poolLabel)
 		for rank := range tiers.MaxRanks {
-			s.setRankGauges(by, rank, stats.Queued[rank], stats.InFlight[rank])
+			s.setRankGauges(poolLabel, rank, stats.Queued[rank], stats.InFlight[rank])
 		}
 		refused := own.Refused()
 		for _, reason := range refusalReasons {
-			s.series.raiseCounter(refused[reason], "gate_refused", by, label{"reason", string(reason)})
+			s.series.raiseCounter(refused[reason], "gate_refused", poolLabel, label{"reason", string(reason)})
 		}
 	})
 	s.series.raiseCounter(s.opts.Gates.NoCapacity(), "gate_refused_no_target")
 }
 
-// rank reports one rank of a gate. A rank that was never used has no series.
+// setRankGauges reports one rank of a gate. A rank that was never used has no series, but
+// rank 0 always has.
 func (s *Sampler) setRankGauges(pool label, rank, queued, inFlight int) {
-	place := label{"rank", strconv.Itoa(rank)}
-	_, known := s.series.gauges[newSeriesID("gate_queued", []label{pool, place})]
+	rankLabel := label{"rank", strconv.Itoa(rank)}
+	_, known := s.series.gauges[newSeriesID("gate_queued", []label{pool, rankLabel})]
 	if !known && queued == 0 && inFlight == 0 && rank != 0 {
 		return
 	}
-	s.series.setGauge(float64(queued), "gate_queued", pool, place)
-	s.series.setGauge(float64(inFlight), "gate_in_flight", pool, place)
+	s.series.setGauge(float64(queued), "gate_queued", pool, rankLabel)
+	s.series.setGauge(float64(inFlight), "gate_in_flight", pool, rankLabel)
 }
 
-// routing reports the choice of targets. Single targets have no series.
+// sampleRouting reports the choice of targets. Single targets have no series.
 func (s *Sampler) sampleRouting(now time.Time) {
 	stats := s.opts.Router.Stats(now)
 	for reason, n := range stats.Picks {
@@ -80,8 +81,8 @@
 	s.setPoolGauges(pools)
 }
 
-// status reports the table of requests and empties it of what is past its
-// retention: without requests nothing else does.
+// sampleStatus reports the status table and removes the requests past their retention:
+// without new requests nothing else removes them.
 func (s *Sampler) sampleStatus(now time.Time) {
 	s.opts.Status.Expire(now)
 	stats := s.opts.Status.Stats()
@@ -89,8 +90,8 @@
 	s.series.setGauge(float64(stats.Bytes), "status_bytes")
 	s.series.raiseCounter(stats.Unrecorded, "status_unrecorded")
 	for tier, a := range s.opts.Status.Attainment() {
-		by := label{"tier", tier}
-		s.series.raiseCounter(a.Attained, "deadline_requests", by, label{"result", "attained"})
-		s.series.raiseCounter(a.Ended-a.Attained, "deadline_requests", by, label{"result", "missed"})
+		tierLabel := label{"tier", tier}
+		s.series.raiseCounter(a.Attained, "deadline_requests", tierLabel, label{"result", "attained"})
+		s.series.raiseCounter(a.Ended-a.Attained, "deadline_requests", tierLabel, label{"result", "missed"})
 	}
 }
--- a/daemon/metrics/series.go
+++ b/daemon/metrics/series.go
@@ -5,23 +5,23 @@
 // label is one label of a metric; the zero label is none.
 type label struct{ key, value string }
 
-// id names one time series.
+// seriesID identifies one time series.
 type seriesID struct {
 	name   string
 	labels [maxLabels]label
 }
 
-// maxLabels is the most labels that one of these metrics has.
+// maxLabels is the maximum number of labels of these metrics.
 const maxLabels = 2
 
-// counter is a counter whose total is kept elsewhere.
+// counter is a counter whose total is kept by a component; total is the value reported last.
 type counter struct {
 	tally.Counter
 	total uint64
 }
 
-// series keeps the metrics in use: a scope's Tagged costs a lock and a map. Its
-// size is bounded by the pools, tiers and constants that are label values.
+// series caches the metrics in use, since a scope's Tagged costs a lock and a map. Its size
+// is limited by the number of pools, tiers and constants that are label values.
 type series struct {
 	scope    tally.Scope
 	gauges   map[seriesID]tally.Gauge
@@ -36,7 +36,6 @@
 	}
 }
 
-// gauge sets a gauge.
 func (s *series) setGauge(value float64, name string, labels ...label) {
 	key := newSeriesID(name, labels)
 	g, ok := s.gauges[key]
@@ -47,7 +46,7 @@
 	g.Update(value)
 }
 
-// count brings a counter up to a total, which only grows.
+// raiseCounter raises a counter to a total, which never decreases.
 func (s *series) raiseCounter(total uint64, name string, labels ...label) {
 	key := newSeriesID(name, labels)
 	c, ok := s.counters[key]
--- a/daemon/metrics/targets.go
+++ b/daemon/metrics/targets.go
@@ -2,10 +2,11 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/routing"
 
-// targets counts a pool's targets by state.
+// targetCounts is the number of a pool's targets in each state.
 type targetCounts struct{ ready, ejected, leaving int }
 
-// add counts one more; a leaving target that is ejected too counts as leaving.
+// add returns the counts with one more target. A target that is both leaving and ejected
+// counts as leaving.
 func (c targetCounts) add(t routing.TargetStats) targetCounts {
 	switch {
 	case t.Leaving:
@@ -18,8 +19,8 @@
 	return c
 }
 
-// pools reports the targets of each pool. A pool that is gone counts down to
-// zero: else its last reading would stand for ever.
+// setPoolGauges reports the targets of each pool. The gauges of a removed pool are set to
+// zero, since they would otherwise keep their last values.
 func (s *Sampler) setPoolGauges(now map[string]targetCounts) {
 	for pool := range s.knownPools {
 		if _, ok := now[pool]; !ok {
@@ -33,8 +34,8 @@
 }
 
 func (s *Sampler) setTargetGauges(pool string, c targetCounts) {
-	by := label{"pool", pool}
-	s.series.setGauge(float64(c.ready), "routing_targets", by, label{"state", "ready"})
-	s.series.setGauge(float64(c.ejected), "routing_targets", by, label{"state", "ejected"})
-	s.series.setGauge(float64(c.leaving), "routing_targets", by, label{"state", "leaving"})
+	poolLabel := label{"pool", pool}
+	s.series.setGauge(float64(c.ready), "routing_targets", poolLabel, label{"state", "ready"})
+	s.series.setGauge(float64(c.ejected), "routing_targets", poolLabel, label{"state", "ejected"})
+	s.series.setGauge(float64(c.leaving), "routing_targets", poolLabel, label{"state", "leaving"})
 }
