--- a/daemon/report/report.go
+++ b/daemon/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes to the platform how an instance's requests fared, at a
-// low, fixed rate: that is what operators read after the instance is gone.
+// Package report writes a summary of an instance's requests to the platform, at a low,
+// fixed rate. Operators can read it after the instance has ended.
 package report
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// interval is the time between two writes of an instance.
+// interval is the mean time between two writes of an instance.
 const interval = 30 * time.Second
 
-// Bounds of a report, so that its size is fixed however many accounts there are.
+// limits bound the size of a report, however many accounts there are.
 var limits = requests.SummaryLimits{Groups: 64, Accounts: 8}
 
-// Reporter is the driver.
+// Reporter writes the reports of one instance.
 type Reporter struct {
 	store  platform.Store
 	name   string
@@ -30,17 +30,17 @@
 	now    func() time.Time
 
 	mu sync.Mutex
-	// last is the end of the report before.
+	// lastEnd is the end of the previous report's period.
 	lastEnd time.Time
 }
 
-// New makes a reporter of the instance with the given name.
+// New returns a reporter of the instance with the given name.
 func New(store platform.Store, name string, status *requests.Table, now func() time.Time) *Reporter {
 	return &Reporter{store: store, name: name, status: status, now: now, lastEnd: now()}
 }
 
-// Run writes until the context ends, at random times so that instances started
-// together don't write together.
+// Run writes reports until the context ends. The intervals are random, so that instances
+// started together don't write together.
 func (r *Reporter) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(interval/2 + rand.N(interval))
@@ -54,8 +54,9 @@
 	return nil
 }
 
-// Write writes the sums since the last write. While the store is away they add
-// up for the next one. It may be called beside Run, for the last report.
+// Write writes the sums since the last successful write. While the store is unavailable,
+// they accumulate for the next report. It may be called concurrently with Run, for the last
+// report.
 func (r *Reporter) Write(ctx context.Context) {
 	summary := r.status.Drain(limits)
 	if len(summary.Rows) == 0 {
@@ -69,15 +70,15 @@
 	r.setLastEnd(to)
 }
 
-// span returns the time that a report covers which is written now.
+// period returns the period of a report that is written now.
 func (r *Reporter) period() (from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastEnd, r.now()
 }
 
-// written says where the next report begins. The last report of a planned stop
-// may overtake the one that was due, so the time never goes back.
+// setLastEnd sets the start of the next report's period. The last report of a planned stop
+// may overtake a periodic one, so the time never goes back.
 func (r *Reporter) setLastEnd(to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/report/report_test.go
+++ b/daemon/report/report_test.go
@@ -35,19 +35,19 @@
 	return r
 }
 
-// serve ends one request in time.
+// serve completes one request within its deadline.
 func (r *rig) serve(id string) {
 	ref := r.status.Begin(requests.Info{ID: id, Pipeline: "dossier", Tier: "gold", Account: "wards", Deadline: time.Second, StartedAt: epoch})
 	r.status.Finish(ref, requests.End{State: requests.StateAnswered, At: epoch.Add(time.Millisecond)})
 }
 
-// after passes time and writes a report.
+// after advances the clock and writes a report.
 func (r *rig) after(d time.Duration) {
 	r.now = r.now.Add(d)
 	r.Write(r.t.Context())
 }
 
-// read returns the report that an operator finds and the requests in it.
+// read returns the report in the store and the number of requests in it.
 func (r *rig) read() (entry platformapi.DigestEntry, count uint64) {
 	object, err := r.store.Local("operator").Get(r.t.Context(), platformapi.KindDigests, "one")
 	require.NoError(r.t, err)
@@ -58,13 +58,12 @@
 	return entry, count
 }
 
-// The store refuses a report, or takes it and the answer is lost. An operator
-// who reads the next one finds the requests of both times, each counted once,
-// and a span of time that covers them.
-func TestReportsAddUpWhileTheStoreIsAway(t *testing.T) {
+// The store refuses a report, or stores it and the response is lost. The next report has
+// the requests of both periods, each counted once, and a period that covers them.
+func TestReportsAccumulateDuringOutage(t *testing.T) {
 	faults := map[string]emulator.Faults{
-		"down":             {Down: emulator.FailRefuse},
-		"answers are lost": {LoseWrites: 2},
+		"down":               {Down: emulator.FailRefuse},
+		"responses are lost": {LoseWrites: 2},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -82,9 +81,9 @@
 	}
 }
 
-// Each report begins where the one before ended; a time without requests costs
-// the store no write.
-func TestReportsFollowOneAnother(t *testing.T) {
+// Each report's period starts at the end of the previous one. Nothing is written for a
+// period without requests.
+func TestReportPeriodsAreContiguous(t *testing.T) {
 	r := newRig(t)
 	r.serve("a")
 	r.after(time.Minute)
@@ -101,13 +100,12 @@
 	require.Contains(t, entry.Rows, row)
 }
 
-// A planned stop writes the last report while the one that was due is under way:
-// both read and set the end of the report before, which -race shows when they
-// share it without a lock.
-func TestLastReportBesideTheOneThatIsDue(t *testing.T) {
+// A planned stop writes the last report while a periodic write is in progress. Both read
+// and set the end of the previous report; with -race the test detects a missing lock.
+func TestLastReportConcurrentWithPeriodicReport(t *testing.T) {
 	r := newRig(t)
 	var wg sync.WaitGroup
-	for _, writer := range []string{"due", "last"} {
+	for _, writer := range []string{"periodic", "last"} {
 		wg.Go(func() {
 			for i := range 50 {
 				r.serve(writer + string(rune('a'+i)))
--- a/daemon/report/wire_test.go
+++ b/daemon/report/wire_test.go
@@ -10,8 +10,7 @@
 	"github.com/ivyhollow/ivyhollow/state/requests"
 )
 
-// A renamed field changes the reports in the store: what reads them there sums up
-// nothing.
+// Prevents a change of a field's name in stored reports: their readers would find no values.
 func TestBytesOfStoredReports(t *testing.T) {
 	full := requests.Row{
 		Key: requests.Key{Pipeline: "p", Stage: "s", Tier: "t", Account: "a"},
