--- a/daemon/poll/poll.go
+++ b/daemon/poll/poll.go
@@ -1,6 +1,6 @@
-// Package poll asks the model engines that an instance routes to for their load,
-// what they have loaded and their cache events. Replies to requests tell the
-// load as well; the polls serve engines that get few.
+// Package poll polls the model engines that an instance routes to for their load, their
+// loaded models and adapters, and their cache events. Responses to requests report the load
+// as well; polls are for engines that get few requests.
 package poll
 
 import (
@@ -18,77 +18,77 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// Bounds of the polls.
+// Intervals and limits of the polls.
 const (
-	// interval is the mean time between two rounds.
+	// interval is the mean time between two ticks.
 	interval = 2 * time.Second
-	// perRound bounds the engines asked again in one round. A poll sends some
-	// 240 bytes, and what an instance may send for control is 2 KB a second,
-	// however many engines it routes to: more engines are asked less often.
+	// maxRepeatPolls limits the engines that are polled again on one tick. A poll sends
+	// some 240 bytes, and an instance may send 2 KB of control traffic per second,
+	// however many engines it routes to. The more engines, the less often each is polled.
 	maxRepeatPolls = 8
-	// newPerRound bounds the engines asked for the first time in one round.
-	// Until then it is unknown what they have loaded, so they don't wait.
+	// maxFirstPolls limits the engines that are polled for the first time on one tick.
+	// Their loaded models are unknown until then, so it is higher than maxRepeatPolls.
 	maxFirstPolls = 64
-	// parallel bounds the polls under way at once.
+	// maxParallel limits the polls in flight.
 	maxParallel = 8
-	// assumedAge stands for the age of a report, which targets don't tell.
+	// assumedReportAge is used as the age of a load report, which targets don't send.
 	assumedReportAge = 300 * time.Millisecond
 )
 
-// Engine is one engine to ask.
+// Engine is one engine to poll.
 type Engine struct {
 	Incarnation string
 	Address     string
 }
 
-// Client asks targets; *target.Client is one. Both methods block within bounds
-// of the client.
+// Client sends the polls; *target.Client is one. Both methods block at most for the
+// client's timeouts.
 type Client interface {
 	Load(ctx context.Context, address string) (targetapi.Load, error)
 	CacheEvents(ctx context.Context, address string, after uint64) (targetapi.CacheEvents, error)
 }
 
-// Router learns from the answers; *routing.Table is one.
+// Router receives the results of the polls; *routing.Table is one.
 type Router interface {
 	Report(now time.Time, incarnation string, load routing.Load)
 	Leaving(now time.Time, incarnation string)
 	CacheEvent(now time.Time, incarnation string, update routing.CacheUpdate)
 }
 
-// Poller is the driver.
+// Poller polls engines periodically.
 type Poller struct {
 	client Client
 	router Router
-	// engines returns those that the instance routes to: a bounded subset.
+	// engines returns the engines that the instance routes to, a subset of limited size.
 	engines func() []Engine
-	// loaded is told what an engine has loaded.
+	// onLoaded is called with the models and adapters that an engine has loaded.
 	onLoaded func(incarnation string, models, adapters []string)
 
 	mu sync.Mutex
-	// known holds what was learned of the engines that are asked, by incarnation.
+	// states holds the state of the polled engines, by incarnation.
 	states map[string]engineState
 }
 
 type engineState struct {
-	// next is the number of the next cache event.
+	// nextEvent is the sequence number of the next cache event.
 	nextEvent uint64
-	// asked is the round in which the engine was asked last.
+	// lastTick is the number of the tick that polled the engine last, 0 if none did.
 	lastTick uint64
 }
 
-// New makes a poller.
-func New(c Client, r Router, engines func() []Engine, loaded func(incarnation string, models, adapters []string)) *Poller {
-	return &Poller{client: c, router: r, engines: engines, onLoaded: loaded, states: make(map[string]engineState)}
+// New returns a poller.
+func New(c Client, r Router, engines func() []Engine, onLoaded func(incarnation string, models, adapters []string)) *Poller {
+	return &Poller{client: c, router: r, engines: engines, onLoaded: onLoaded, states: make(map[string]engineState)}
 }
 
-// Run polls until the context ends. Rounds are jittered, so that instances that
-// were started together don't ask together.
+// Run polls until the context ends. Ticks are jittered, so that instances started together
+// don't poll together.
 func (p *Poller) Run(ctx context.Context) error {
-	for round := uint64(1); ctx.Err() == nil; round++ {
+	for tick := uint64(1); ctx.Err() == nil; tick++ {
 		timer := time.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-timer.C:
-			p.poll(ctx, round)
+			p.poll(ctx, tick)
 		case <-ctx.Done():
 			timer.Stop()
 		}
@@ -96,12 +96,13 @@
 	return nil
 }
 
-func (p *Poller) poll(ctx context.Context, round uint64) {
+// poll polls the engines that are due on a tick.
+func (p *Poller) poll(ctx context.Context, tick uint64) {
 	engines := p.engines()
 	p.forget(engines)
 	var group errgroup.Group
 	group.SetLimit(maxParallel)
-	for _, engine := range p.due(engines, round) {
+	for _, engine := range p.due(engines, tick) {
 		group.Go(func() error {
 			p.pollEngine(ctx, engine)
 			return nil
@@ -110,33 +111,33 @@
 	_ = group.Wait() // no poll returns an error
 }
 
-// due chooses the engines to ask in a round: those never asked, and of the others
-// those that were not asked for longest.
-func (p *Poller) due(engines []Engine, round uint64) []Engine {
+// due returns the engines to poll on a tick: those never polled, and of the others those
+// polled least recently.
+func (p *Poller) due(engines []Engine, tick uint64) []Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var fresh, again []Engine
+	var unpolled, polled []Engine
 	for _, e := range engines {
 		if p.states[e.Incarnation].lastTick == 0 {
-			fresh = append(fresh, e)
+			unpolled = append(unpolled, e)
 		} else {
-			again = append(again, e)
+			polled = append(polled, e)
 		}
 	}
-	slices.SortStableFunc(again, func(a, b Engine) int {
+	slices.SortStableFunc(polled, func(a, b Engine) int {
 		return cmp.Compare(p.states[a.Incarnation].lastTick, p.states[b.Incarnation].lastTick)
 	})
-	chosen := append(fresh[:min(len(fresh), maxFirstPolls)], again[:min(len(again), maxRepeatPolls)]...)
+	chosen := append(unpolled[:min(len(unpolled), maxFirstPolls)], polled[:min(len(polled), maxRepeatPolls)]...)
 	for _, e := range chosen {
 		state := p.states[e.Incarnation]
-		state.lastTick = round
+		state.lastTick = tick
 		p.states[e.Incarnation] = state
 	}
 	return chosen
 }
 
-// ask polls one engine. One that does not answer is judged by the requests that
-// it serves, not by its polls.
+// pollEngine polls one engine. A failed poll has no effect: engines are judged by the
+// requests that they serve, not by polls.
 func (p *Poller) pollEngine(ctx context.Context, e Engine) {
 	load, err := p.client.Load(ctx, e.Address)
 	if err != nil || load.Incarnation != e.Incarnation {
@@ -180,14 +181,14 @@
 	p.router.CacheEvent(time.Now(), e.Incarnation, update)
 }
 
-// epochOf tells the cache of one incarnation from that of the next.
+// epochOf returns the cache epoch of an incarnation, which differs from that of the next.
 func epochOf(incarnation string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(incarnation)) // it never fails
+	_, _ = h.Write([]byte(incarnation)) // never fails
 	return h.Sum64()
 }
 
-// forget drops what is known of engines that are not asked any more.
+// forget removes the state of engines that are no longer polled.
 func (p *Poller) forget(engines []Engine) {
 	kept := make(map[string]bool, len(engines))
 	for _, e := range engines {
--- a/daemon/poll/poll_test.go
+++ b/daemon/poll/poll_test.go
@@ -14,7 +14,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// fleet answers as engines of the given addresses do and notes when it did.
+// fakeClient responds like engines and records the times of the polls by address.
 type fakeClient struct {
 	mu     sync.Mutex
 	polled map[string][]time.Time
@@ -41,10 +41,10 @@
 func (noRouter) Leaving(time.Time, string)                         {}
 func (noRouter) CacheEvent(time.Time, string, routing.CacheUpdate) {}
 
-// An instance routes to hundreds of engines. Polling all every two seconds
-// would send many times what it may spend on control, and keep a core busy.
-// Each is asked at once when it is new, and none is forgotten after.
-func TestPollsAreBoundedAndReachEveryEngine(t *testing.T) {
+// The rate of polls is limited, however many engines an instance routes to: polling hundreds
+// every two seconds would exceed the control traffic many times and keep a core busy. New
+// engines are polled soon, and every engine is polled again.
+func TestPollsAreLimitedAndReachEveryEngine(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			var engines []Engine
@@ -53,7 +53,7 @@
 			}
 			f := &fakeClient{polled: map[string][]time.Time{}, after: map[string]uint64{}}
 			poller := New(f, noRouter{}, func() []Engine { return engines }, func(string, []string, []string) {})
-			begun := time.Now()
+			start := time.Now()
 			const length = 10 * time.Minute
 			ctx, cancel := context.WithTimeout(t.Context(), length)
 			defer cancel()
@@ -63,15 +63,15 @@
 			for _, e := range engines {
 				times := f.polled[e.Address]
 				require.NotEmpty(t, times)
-				require.Less(t, times[0].Sub(begun), time.Duration(2+n/maxFirstPolls)*2*interval)
+				require.Less(t, times[0].Sub(start), time.Duration(2+n/maxFirstPolls)*2*interval)
 				for i := 1; i < len(times); i++ {
 					require.Less(t, times[i].Sub(times[i-1]), longest)
 				}
 				require.Equal(t, uint64(len(times)-1), f.after[e.Address])
 				polls += len(times) - 1
 			}
-			rounds := int(length / (interval / 2))
-			require.LessOrEqual(t, polls, rounds*maxRepeatPolls)
+			ticks := int(length / (interval / 2))
+			require.LessOrEqual(t, polls, ticks*maxRepeatPolls)
 		})
 	}
 }
