--- a/daemon/tidy/tidy.go
+++ b/daemon/tidy/tidy.go
@@ -1,6 +1,6 @@
-// Package tidy removes what instances that are gone for good left in the
-// platform's store. One instance does it at a time; a second one that believes
-// the same only loses its conditional deletes.
+// Package tidy removes the entries of ended instances from the platform's store. One
+// instance does it at a time. If two instances believe that they have the duty, the
+// conditional deletes of the second one fail without effect.
 package tidy
 
 import (
@@ -13,44 +13,45 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Times of the driver.
+// Timing and limits.
 const (
 	interval = time.Minute
-	// instanceGrace is how long an instance has to be gone before its entry is
-	// removed: regions may lose each other for an hour, and an entry that is
-	// removed while its instance lives hides it from new ones.
+	// instanceGrace is the time for which an instance has to be absent before its entry
+	// is removed. Regions may be partitioned for an hour, and removing the entry of a
+	// live instance would hide it from new instances.
 	instanceGrace = 2 * time.Hour
-	// reportGrace is how long operators find the report of an instance that is
-	// gone.
+	// reportGrace is the time for which the report of an absent instance is kept for
+	// operators.
 	reportGrace = 48 * time.Hour
-	// maxDeletes bounds the deletes of one round.
+	// maxDeletes limits the deletes of each kind on one tick.
 	maxDeletes = 20
 )
 
-// Tidier is the driver.
+// Tidier removes entries of absent instances periodically.
 type Tidier struct {
 	store platform.Store
-	// mine tells whether this instance has the duty now.
+	// hasDuty reports whether this instance has the duty now.
 	hasDuty func() bool
-	// live tells whether an instance is live.
+	// isLive reports whether an instance is live.
 	isLive func(name string) bool
 	now    func() time.Time
-	// gone holds, by kind and name, the entries whose instance is not live.
+	// absences holds, by kind and name, the entries whose instance isn't live.
 	absences map[string]map[string]absence
 }
 
-// absence is since when an entry stands as it is without its instance.
+// absence is the revision of an entry without a live instance, and the time since which
+// the entry was unchanged and the instance absent.
 type absence struct {
 	revision uint64
 	since    time.Time
 }
 
-// New makes a tidier.
-func New(store platform.Store, mine func() bool, live func(name string) bool, now func() time.Time) *Tidier {
-	return &Tidier{store: store, hasDuty: mine, isLive: live, now: now, absences: make(map[string]map[string]absence)}
+// New returns a tidier.
+func New(store platform.Store, hasDuty func() bool, isLive func(name string) bool, now func() time.Time) *Tidier {
+	return &Tidier{store: store, hasDuty: hasDuty, isLive: isLive, now: now, absences: make(map[string]map[string]absence)}
 }
 
-// Run tidies until the context ends.
+// Run removes entries until the context ends.
 func (t *Tidier) Run(ctx context.Context) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -64,8 +65,8 @@
 	}
 }
 
-// Round does what is due, if this instance has the duty. What the store refuses
-// is left for a later round.
+// Tick removes the entries that are due, if this instance has the duty. Deletes that the
+// store refuses are repeated on a later tick.
 func (t *Tidier) Tick(ctx context.Context) {
 	if !t.hasDuty() {
 		clear(t.absences)
@@ -75,7 +76,7 @@
 	_ = t.removeAbsent(ctx, platformapi.KindDigests, reportGrace)
 }
 
-// kind removes the entries of one kind that are due.
+// removeAbsent removes the entries of one kind whose absence exceeds the grace.
 func (t *Tidier) removeAbsent(ctx context.Context, kind string, grace time.Duration) error {
 	list, err := t.store.ListStale(ctx, kind)
 	if err != nil {
@@ -95,13 +96,12 @@
 	return nil
 }
 
-// absent returns the entries without a live instance, with the time from before
-// for those that stand unchanged. What is no longer listed is forgotten.
+// updateAbsences returns the absences of the listed entries without a live instance. Those
+// of unchanged entries keep their start time. Entries that are no longer listed are dropped.
 //
-// Guard: an instance may come back and write its entry between two rounds, or be
-// cut off from this one alone and go on writing its reports. Were the time kept
-// by name, such an entry would be removed long before its grace. A new revision
-// starts the time anew.
+// A new revision of an entry restarts its absence. Otherwise an entry would be removed long
+// before its grace has passed if its instance came back and wrote the entry between two
+// ticks, or if it was unreachable from this instance only and went on writing its reports.
 func (t *Tidier) updateAbsences(before map[string]absence, items []platformapi.Object) map[string]absence {
 	now := make(map[string]absence)
 	for i := range items {
@@ -118,8 +118,8 @@
 	return now
 }
 
-// delete removes an entry as it was listed. One that was written or removed
-// since is left alone.
+// delete removes an entry if it still has the listed revision. An entry that was written or
+// removed in the meantime is no error.
 func (t *Tidier) delete(ctx context.Context, kind, name string, revision uint64) error {
 	err := t.store.Delete(ctx, kind, name, revision)
 	var conflict *platform.ConflictError
--- a/daemon/tidy/tidy_test.go
+++ b/daemon/tidy/tidy_test.go
@@ -13,7 +13,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// rig is a tidier whose clock and view of the instances the test sets.
+// rig is a tidier with a clock, live instances and a duty that the test sets.
 type rig struct {
 	t      *testing.T
 	store  *emulator.Local
@@ -32,9 +32,9 @@
 	return r
 }
 
-// write writes an entry of the kind, or replaces it.
+// write creates or replaces an entry of the kind.
 func (r *rig) write(kind, name string) {
-	r.writes++ // the same spec again would be no change
+	r.writes++ // an equal spec would not change the revision
 	spec := fmt.Appendf(nil, `{"write":%d}`, r.writes)
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: spec}
 	_, err := r.store.Update(r.t.Context(), kind, object)
@@ -44,8 +44,8 @@
 	require.NoError(r.t, err)
 }
 
-// after passes time and does a round. The store's stale lists are one change
-// behind, so it makes one.
+// after advances the clock and runs a tick. It writes an unrelated entry first, since the
+// store's stale lists are one change behind.
 func (r *rig) after(d time.Duration) {
 	r.now = r.now.Add(d)
 	r.write(platformapi.KindTiers, "any")
@@ -62,21 +62,21 @@
 	return names
 }
 
-// An operator looks for the report of an instance that died yesterday, or a new
-// instance for peers of a region that was cut off for an hour: what stands in
-// the store may go only once its instance is gone for longer than the grace.
-func TestOnlyWhatIsGoneForLongIsRemoved(t *testing.T) {
+// An entry is removed only once its instance has been absent for longer than the grace.
+// Operators read the report of an instance that crashed a day ago, and new instances look
+// for peers in a region that was unreachable for an hour.
+func TestEntriesAreRemovedOnlyAfterGrace(t *testing.T) {
 	const instances, digests = platformapi.KindInstances, platformapi.KindDigests
 	cases := map[string]struct {
 		kind string
 		act  func(r *rig)
 		kept bool
 	}{
-		"gone for less than the grace": {kind: instances, kept: true, act: func(r *rig) { r.after(instanceGrace) }},
-		"gone for the grace":           {kind: instances, act: func(r *rig) { r.after(instanceGrace + 1) }},
-		"its report, less":             {kind: digests, kept: true, act: func(r *rig) { r.after(reportGrace) }},
-		"its report":                   {kind: digests, act: func(r *rig) { r.after(reportGrace + 1) }},
-		"back for a moment": {kind: instances, kept: true, act: func(r *rig) {
+		"absent for less than the grace": {kind: instances, kept: true, act: func(r *rig) { r.after(instanceGrace) }},
+		"absent for the grace":           {kind: instances, act: func(r *rig) { r.after(instanceGrace + 1) }},
+		"report, absent for less":        {kind: digests, kept: true, act: func(r *rig) { r.after(reportGrace) }},
+		"report, absent for the grace":   {kind: digests, act: func(r *rig) { r.after(reportGrace + 1) }},
+		"live again for a moment": {kind: instances, kept: true, act: func(r *rig) {
 			r.live["two"] = true
 			r.after(instanceGrace)
 			delete(r.live, "two")
@@ -87,17 +87,17 @@
 			r.duty = false
 			r.after(2 * instanceGrace)
 		}},
-		"the duty comes back": {kind: instances, kept: true, act: func(r *rig) {
+		"the duty returns": {kind: instances, kept: true, act: func(r *rig) {
 			r.duty = false
 			r.after(instanceGrace)
 			r.duty = true
 			r.after(instanceGrace)
 		}},
-		"written anew, unseen between two rounds": {kind: instances, kept: true, act: func(r *rig) {
+		"written between two ticks": {kind: instances, kept: true, act: func(r *rig) {
 			r.write(instances, "two")
 			r.after(instanceGrace + 1)
 		}},
-		"still reports, though nobody sees it": {kind: digests, kept: true, act: func(r *rig) {
+		"unreachable but still reporting": {kind: digests, kept: true, act: func(r *rig) {
 			r.write(digests, "two")
 			r.after(reportGrace + 1)
 		}},
@@ -113,7 +113,7 @@
 	}
 }
 
-// racingStore lets another instance write or delete right before a delete.
+// racingStore calls race right before each delete.
 type racingStore struct {
 	platform.Store
 	race func(name string)
@@ -124,8 +124,8 @@
 	return s.Store.Delete(ctx, kind, name, revision)
 }
 
-// While a round runs, an instance comes back and writes its entry, and a second
-// tidier removes another: the first stays, and the rest of the round is done.
+// During a tick one instance comes back and writes its entry, and a second tidier removes
+// another entry. The first entry stays, and the remaining deletes of the tick are done.
 func TestDeletesThatLoseRacesHarmNothing(t *testing.T) {
 	r := newRig(t)
 	const kind = platformapi.KindInstances
@@ -145,9 +145,9 @@
 	require.Equal(t, []string{"back"}, r.names(kind))
 }
 
-// A whole data centre of old names is left after a rollout: a round removes a
-// bounded number, since other calls need the store's writes too.
-func TestRoundIsBounded(t *testing.T) {
+// A tick removes a limited number of entries, even if a rollout has left those of a whole
+// data centre, since other calls need the store's write capacity too.
+func TestDeletesPerTickAreLimited(t *testing.T) {
 	r := newRig(t)
 	for i := range maxDeletes + 5 {
 		r.write(platformapi.KindInstances, fmt.Sprintf("old-%02d", i))
@@ -159,10 +159,10 @@
 	require.Empty(t, r.names(platformapi.KindInstances))
 }
 
-// Every replaced instance has a new name, and most remove their entry as they
-// stop. What the tidier remembers of them must go with the entry, or its memory
-// grows with each rollout.
-func TestForgetsEntriesThatOthersRemoved(t *testing.T) {
+// The tidier drops its absence records of entries that others have removed. Every
+// replacement of an instance has a new name and most instances remove their entry when they
+// stop, so the records would otherwise grow with each rollout.
+func TestForgetsEntriesRemovedByOthers(t *testing.T) {
 	r := newRig(t)
 	for _, kind := range []string{platformapi.KindInstances, platformapi.KindDigests} {
 		r.write(kind, "two")
