--- a/daemon/command/command.go
+++ b/daemon/command/command.go
@@ -44,7 +44,7 @@
 	return ExitFault
 }
 
-// All returns the daemon's commands.
+// All returns the commands of the daemon.
 func All() []*cli.Command {
 	return []*cli.Command{
 		{
@@ -57,9 +57,9 @@
 				if err != nil {
 					return err
 				}
-				reading, end := context.WithCancel(context.Background())
-				defer end()
-				go reloadOnHangup(reading, hangups, c.String(settingsFlag), logSettingsUnchanged)
+				reloadContext, endReload := context.WithCancel(context.Background())
+				defer endReload()
+				go reloadOnHangup(reloadContext, hangups, c.String(settingsFlag), logSettingsUnchanged)
 				return serve(ctx, s, nil, func(*app.App) {})
 			},
 		},
@@ -98,6 +98,8 @@
 	}
 }
 
+// serve runs an instance until ctx ends. started is called once a complete configuration is
+// in force.
 func serve(ctx context.Context, s settings.Settings, objects store.Store, started func(*app.App)) error {
 	t, err := startTelemetry(ctx, s, os.Stderr)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return t, nil
 }
 
-// runGateway runs an instance on the users' platform with the settings at path.
+// runGateway runs an instance on the users' platform with the settings file at path.
 func runGateway(ctx context.Context, path string, hangups <-chan os.Signal) error {
 	s, err := settings.Load(path)
 	if err != nil {
@@ -152,19 +154,19 @@
 	if err != nil {
 		return err
 	}
-	reading, end := context.WithCancel(context.Background())
-	defer end()
-	go reloadOnHangup(reading, hangups, path, instance.Reload)
+	reloadContext, endReload := context.WithCancel(context.Background())
+	defer endReload()
+	go reloadOnHangup(reloadContext, hangups, path, instance.Reload)
 	return instance.Run(ctx)
 }
 
 func shutdown(t *telemetry.Telemetry) {
 	ctx, cancel := context.WithTimeout(context.Background(), telemetryTimeout)
 	defer cancel()
-	_ = t.Shutdown(ctx) // what could not be exported is lost with the process
+	_ = t.Shutdown(ctx) // spans that could not be exported are lost with the process
 }
 
-// runDev runs an instance against an embedded world.
+// runDev runs an instance against an embedded platform and targets.
 func runDev(ctx context.Context, c *cli.Command) error {
 	world, err := dev.Start(ctx)
 	if err != nil {
--- a/daemon/command/hangup_test.go
+++ b/daemon/command/hangup_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// daemonVariable makes the test binary the daemon itself.
+// daemonVariable is the environment variable that makes the test binary run the daemon.
 const daemonVariable = "IVYHOLLOW_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -47,9 +47,8 @@
 balancer_delay = 1s
 `
 
-// Callers' connections close in the middle of answers. The settings of an instance
-// change while it does its planned stop; the signal that tells of it comes after the
-// instance has ceased to listen for it, and ends the process at once.
+// Prevents cut responses: a SIGHUP during the planned stop, after the instance has stopped
+// reloading its settings, would end the process at once.
 func TestHangupDuringStopDoesNotEndTheProcess(t *testing.T) {
 	store := httptest.NewServer(http.NotFoundHandler())
 	defer store.Close()
@@ -62,7 +61,7 @@
 	out, err := daemon.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, daemon.Start())
-	defer func() { _ = daemon.Process.Kill() }() // it has ended where the test passes
+	defer func() { _ = daemon.Process.Kill() }() // already ended if the test passes
 	lines := bufio.NewScanner(out)
 
 	awaitLine(t, lines, `"Instance started"`)
@@ -84,9 +83,9 @@
 	require.FailNow(t, "the daemon ended before its line", text)
 }
 
-// Callers' connections close in the middle of answers: whoever reads an instance's log has
-// gone, and the next line that it writes ends the process. It must go on without a log.
-func TestLostReaderOfTheLogDoesNotEndTheProcess(t *testing.T) {
+// Prevents cut responses: if the reader of the log has exited, the next log line would end
+// the process with SIGPIPE. The instance goes on without a log.
+func TestClosedLogPipeDoesNotEndTheProcess(t *testing.T) {
 	store := httptest.NewServer(http.NotFoundHandler())
 	defer store.Close()
 	file := filepath.Join(t.TempDir(), "settings.ini")
@@ -98,7 +97,7 @@
 	daemon.Env = append(os.Environ(), daemonVariable+"=1")
 	daemon.Stdout, daemon.Stderr = writer, os.Stderr
 	require.NoError(t, daemon.Start())
-	defer func() { _ = daemon.Process.Kill() }() // it has ended where the test passes
+	defer func() { _ = daemon.Process.Kill() }() // already ended if the test passes
 	require.NoError(t, writer.Close())
 
 	awaitLine(t, bufio.NewScanner(reader), `"Instance started"`)
--- a/daemon/command/signals.go
+++ b/daemon/command/signals.go
@@ -10,20 +10,21 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// exitForced is the exit code after an interrupt cut a planned stop short.
+// exitForced is the exit code if an interrupt ended a planned stop early.
 const exitForced = 3
 
-// signals are what the daemon is told from outside.
+// stopSignals are the signals that request a planned stop.
 //
-// They are caught before anything else is done and until the process has ended. One
-// that isn't caught ends the process with all requests in flight: so did SIGHUP during
-// a planned stop, when the settings were no longer read again.
+// Signals are caught from the start of the process to its end. A signal that isn't caught
+// ends the process with all requests in flight. SIGHUP did so during a planned stop, when
+// the settings were no longer reloaded.
 type stopSignals struct {
 	received chan os.Signal
 }
 
-// catchSignals also lets writes to a pipe that nobody reads fail: the signal that they
-// send would end the process as soon as the reader of its log is gone.
+// catchSignals catches SIGTERM and SIGINT from now on. It also ignores SIGPIPE, so that a
+// write to a closed pipe fails instead of ending the process when the reader of its log has
+// exited.
 func catchSignals() stopSignals {
 	s := stopSignals{received: make(chan os.Signal, 2)}
 	signal.Notify(s.received, syscall.SIGTERM, syscall.SIGINT)
@@ -31,17 +32,17 @@
 	return s
 }
 
-// catchHangups returns the hangups from now on; each would else end the process.
+// catchHangups catches SIGHUP from now on, which would otherwise end the process.
 func catchHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// stopOnce starts the planned stop at the first signal. An interrupt after it comes from
-// a person who has waited long enough, and ends the process. SIGTERM comes again from
-// process managers whose restarts overlap: the stop under way goes on, since whoever
-// wants an end without one has SIGKILL.
+// stopOnSignal starts the planned stop at the first signal. A later interrupt comes from a
+// person who doesn't want to wait any longer and ends the process. A repeated SIGTERM comes
+// from process managers whose restarts overlap and is ignored: SIGKILL ends the process
+// without a planned stop.
 func (s stopSignals) stopOnSignal(stop context.CancelFunc, exit func(code int)) {
 	<-s.received
 	stop()
@@ -54,8 +55,8 @@
 	}
 }
 
-// reloadOnHangup reads the settings again at each hangup until the context ends. A file
-// at fault leaves the settings as they are.
+// reloadOnHangup reloads the settings at each SIGHUP until the context ends. If the file is
+// invalid, the settings stay as they are.
 func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, path string, apply func(settings.Settings)) {
 	for {
 		select {
@@ -72,8 +73,8 @@
 	}
 }
 
-// keepSettings is what a hangup does to an instance that reads its settings at its
-// start alone.
+// logSettingsUnchanged handles the reload of an instance that applies its settings at its
+// start only.
 func logSettingsUnchanged(settings.Settings) {
 	telemetry.InfoS("Settings are in force at the next start", telemetry.Event{})
 }
