--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev is the embedded mode for a first try: one process with an
-// instance, an in-memory stand-in of the platform and emulated targets.
+// Package dev implements the embedded mode for evaluation: one process with an instance, an
+// in-memory emulator of the platform and emulated targets.
 package dev
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Sample holds the sample's records, as a file of the operators' client.
+// Sample holds the records of the sample, in the file format of the operators' client.
 var Sample = examples.Records()
 
 // SampleKey is the caller key of the sample's client account.
@@ -37,29 +37,29 @@
 // World is the platform and the targets that an instance in dev mode uses.
 type World struct {
 	Store *platformemulator.Store
-	// PlatformURL is where the operators' client finds the platform.
+	// PlatformURL is the base URL of the platform for the operators' client.
 	PlatformURL string
 	servers     []*http.Server
 	targets     []*targetemulator.Target
 	wrapTarget  func(http.Handler) http.Handler
-	// callTime and tokenTime are how long a target works.
+	// callTime and tokenTime are the work times of targets per call and per token.
 	callTime, tokenTime time.Duration
 }
 
 // Option changes a World.
 type Option func(*World)
 
-// BeforeTargets puts a handler before that of every target.
-func WrapTargets(before func(http.Handler) http.Handler) Option {
-	return func(w *World) { w.wrapTarget = before }
+// WrapTargets wraps the handler of every target.
+func WrapTargets(wrap func(http.Handler) http.Handler) Option {
+	return func(w *World) { w.wrapTarget = wrap }
 }
 
-// WorkTimes sets how long a target works on a call and on each token.
+// WorkTimes sets the work times of a target per call and per token.
 func WorkTimes(call, token time.Duration) Option {
 	return func(w *World) { w.callTime, w.tokenTime = call, token }
 }
 
-// Start opens the platform and the targets on loopback and loads the sample.
+// Start starts the platform and the targets on loopback and loads the sample.
 func Start(ctx context.Context, options ...Option) (*World, error) {
 	w := &World{Store: platformemulator.New(platformemulator.Options{TargetLag: time.Millisecond})}
 	w.wrapTarget = func(target http.Handler) http.Handler { return target }
@@ -86,7 +86,7 @@
 	return w, nil
 }
 
-// Close ends the platform and the targets.
+// Close stops the platform and the targets.
 func (w *World) Close() {
 	for _, s := range w.servers {
 		_ = s.Close()
