--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -40,7 +40,7 @@
 	return r.table.Judge(time.Now(), d)
 }
 
-// Crashed records each crash as that of another incarnation of the target.
+// RecordCrash records each crash as that of another incarnation of the target.
 func (r *fakeRecords) RecordCrash(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
