--- a/daemon/command/signals.go
+++ b/daemon/command/signals.go
@@ -16,8 +16,8 @@
 // stopSignals are the signals that request a planned stop.
 //
 // Signals are caught from the start of the process to its end. A signal that isn't caught
-// ends the process with all requests in flight. SIGHUP did so during a planned stop, when
-// the settings were no longer reloaded.
+// ends the process with all requests in flight, as SIGHUP would during a planned stop, when
+// the settings are no longer reloaded.
 type stopSignals struct {
 	received chan os.Signal
 }
--- a/daemon/gateway/run.go
+++ b/daemon/gateway/run.go
@@ -34,7 +34,7 @@
 	leaveTimeout = time.Second
 )
 
-// Run runs the instance until ctx deadline, then does a planned stop: it reports not
+// Run runs the instance until ctx ends, then does a planned stop: it reports not
 // ready, goes on serving until the balancer has certainly noticed, completes the
 // requests in flight and returns.
 func (g *Gateway) Run(ctx context.Context) error {
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -77,7 +77,7 @@
 	var report watching.Report
 	response, err := f.g.cluster.Call(ctx, watchers[index].Address, methodReport, nil)
 	if err != nil {
-		return watching.Report{} // an unreachable watcher counts as one without data
+		return watching.Report{} // an unreachable watcher is of no use, whatever data it has
 	}
 	if err := msgpack.Unmarshal(response, &report); err != nil {
 		klog.ErrorS(err, "Answer of a peer could not be read", "peer", watchers[index].Name, "step", methodReport)
@@ -92,9 +92,9 @@
 	Known    bool
 }
 
-// requestConfirmation requests from the first watcher the newest revision that the
-// store reports. known is false if the caller has to ask the store itself: this instance
-// is the first watcher, or that one doesn't respond.
+// requestConfirmation requests from the first watcher the newest revision that the store
+// reports. If known is false, the caller has to read it from the store: this instance is
+// the first watcher, or that one doesn't respond or doesn't know the revision.
 func (g *Gateway) requestConfirmation(ctx context.Context) (revision uint64, known bool) {
 	watchers := g.cluster.Owners(watchersKey, 1)
 	if len(watchers) == 0 || watchers[0].Name == g.self.Name {
