--- a/client/app.go
+++ b/client/app.go
@@ -43,13 +43,13 @@
 // app is one run of the client.
 type app struct {
 	Options
-	pacer pacer
+	sleep sleepFunc
 }
 
 // Run carries out the command line, without the program's name, and returns the
 // exit code.
 func Run(ctx context.Context, args []string, options Options) int {
-	a := &app{Options: options, pacer: waitFor}
+	a := &app{Options: options, sleep: sleep}
 	if a.OpenStore == nil {
 		a.OpenStore = func(baseURL string) Store { return platform.New(platform.Options{BaseURL: baseURL}) }
 	}
@@ -57,7 +57,7 @@
 		a.HTTP = platform.NewHTTPClient(platform.NewTransport())
 	}
 	err := a.root().Run(ctx, append([]string{"ivyhollow"}, args...))
-	a.report(err)
+	a.printError(err)
 	return ExitCode(err)
 }
 
@@ -83,18 +83,18 @@
 			return cli.ShowRootCommandHelp(cmd)
 		},
 	}
-	settle(root)
+	applySettings(root)
 	return root
 }
 
 // settle sets on a command, and on those below it, what the library does not
 // hand down.
-func settle(cmd *cli.Command) {
+func applySettings(cmd *cli.Command) {
 	cmd.OnUsageError = onUsageError
 	// A comma may stand in the name of a file.
 	cmd.DisableSliceFlagSeparator = true
 	for _, sub := range cmd.Commands {
-		settle(sub)
+		applySettings(sub)
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // report prints an error for people; answers go to Stdout, errors never do.
-func (a *app) report(err error) {
+func (a *app) printError(err error) {
 	if err != nil {
 		fmt.Fprintf(a.Stderr, "ivyhollow: %v\n", err)
 	}
--- a/client/check.go
+++ b/client/check.go
@@ -11,15 +11,15 @@
 )
 
 // inventory is what the store holds, judged as an instance judges it.
-type inventory struct {
+type storeSnapshot struct {
 	set      *config.Set
 	objects  map[config.Key]*platformapi.Object
 	revision uint64
 }
 
 // takeInventory reads every record from the store.
-func takeInventory(ctx context.Context, store Store) (*inventory, error) {
-	inv := &inventory{set: config.New(record.Decode), objects: map[config.Key]*platformapi.Object{}}
+func readStore(ctx context.Context, store Store) (*storeSnapshot, error) {
+	inv := &storeSnapshot{set: config.New(record.Decode), objects: map[config.Key]*platformapi.Object{}}
 	for _, kind := range config.Kinds {
 		list, err := store.List(ctx, string(kind))
 		if err != nil {
@@ -39,7 +39,7 @@
 
 // check judges documents as if they were written, one after another, and
 // returns the faults of those that would be refused.
-func (inv *inventory) check(documents []record.Document) record.Faults {
+func (inv *storeSnapshot) validate(documents []record.Document) record.Faults {
 	batch := make([]config.Record, len(documents))
 	for i, doc := range documents {
 		batch[i] = config.LiveRecord(keyOf(doc), inv.revision+1+uint64(i), doc.Object.Spec)
@@ -57,7 +57,7 @@
 
 // checkRevisions refuses documents that name another revision than the store
 // holds: their operator has not seen the newer record.
-func (inv *inventory) checkRevisions(documents []record.Document) error {
+func (inv *storeSnapshot) checkRevisions(documents []record.Document) error {
 	for _, doc := range documents {
 		wanted, current := doc.Object.Metadata.Revision, inv.objects[keyOf(doc)]
 		if wanted != 0 && (current == nil || current.Metadata.Revision != wanted) {
@@ -68,7 +68,7 @@
 }
 
 // checkDelete returns why a record may not be deleted, or nothing.
-func (inv *inventory) checkDelete(key config.Key) string {
+func (inv *storeSnapshot) checkDelete(key config.Key) string {
 	inv.set.Apply([]config.Record{config.TombstoneRecord(key, inv.revision+1)})
 	verdict, ok := inv.set.Verdict(key)
 	if !ok || verdict.Accepted {
--- a/client/harness_test.go
+++ b/client/harness_test.go
@@ -21,35 +21,37 @@
 
 // memory is a store in memory. Before a call it consults its script, which may
 // fail the call or do something in between.
-type memory struct {
+type fakeStore struct {
 	objects  map[string]map[string]platformapi.Object
 	revision uint64
 	events   []platformapi.Event
 	calls    []string
 	// before runs before each call, lost after each write that took effect.
-	before func(call string) error
-	lost   func(call string) error
+	beforeCall func(call string) error
+	afterWrite func(call string) error
 }
 
-func newMemory() *memory { return &memory{objects: map[string]map[string]platformapi.Object{}} }
+func newFakeStore() *fakeStore {
+	return &fakeStore{objects: map[string]map[string]platformapi.Object{}}
+}
 
-func (m *memory) enter(call string) error {
+func (m *fakeStore) begin(call string) error {
 	m.calls = append(m.calls, call)
-	if m.before == nil {
+	if m.beforeCall == nil {
 		return nil
 	}
-	return m.before(call)
+	return m.beforeCall(call)
 }
 
-func (m *memory) leave(call string) error {
-	if m.lost == nil {
+func (m *fakeStore) end(call string) error {
+	if m.afterWrite == nil {
 		return nil
 	}
-	return m.lost(call)
+	return m.afterWrite(call)
 }
 
 // set writes as somebody else does.
-func (m *memory) set(kind, name, spec, status string) {
+func (m *fakeStore) set(kind, name, spec, status string) {
 	m.revision++
 	if m.objects[kind] == nil {
 		m.objects[kind] = map[string]platformapi.Object{}
@@ -59,8 +61,8 @@
 	m.events = append(m.events, platformapi.Event{Kind: kind, Object: object})
 }
 
-func (m *memory) Get(_ context.Context, kind, name string) (*platformapi.Object, error) {
-	if err := m.enter("get"); err != nil {
+func (m *fakeStore) Get(_ context.Context, kind, name string) (*platformapi.Object, error) {
+	if err := m.begin("get"); err != nil {
 		return nil, err
 	}
 	object, ok := m.objects[kind][name]
@@ -70,25 +72,25 @@
 	return &object, nil
 }
 
-func (m *memory) List(_ context.Context, kind string) (platformapi.List, error) {
+func (m *fakeStore) List(_ context.Context, kind string) (platformapi.List, error) {
 	list := platformapi.List{Revision: m.revision}
 	for _, object := range m.objects[kind] {
 		list.Items = append(list.Items, object)
 	}
 	slices.SortFunc(list.Items, func(a, b platformapi.Object) int { return strings.Compare(a.Metadata.Name, b.Metadata.Name) })
-	return list, m.enter("list")
+	return list, m.begin("list")
 }
 
-func (m *memory) Create(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
+func (m *fakeStore) Create(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
 	return m.write("create", kind, object)
 }
 
-func (m *memory) Update(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
+func (m *fakeStore) Update(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
 	return m.write("update", kind, object)
 }
 
-func (m *memory) write(call, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	if err := m.enter(call); err != nil {
+func (m *fakeStore) write(call, kind string, object platformapi.Object) (*platformapi.Object, error) {
+	if err := m.begin(call); err != nil {
 		return nil, err
 	}
 	current, exists := m.objects[kind][object.Metadata.Name]
@@ -97,11 +99,11 @@
 	}
 	m.set(kind, object.Metadata.Name, string(object.Spec), string(current.Status))
 	current = m.objects[kind][object.Metadata.Name]
-	return &current, m.leave(call)
+	return &current, m.end(call)
 }
 
-func (m *memory) Delete(_ context.Context, kind, name string, revision uint64) error {
-	if err := m.enter("delete"); err != nil {
+func (m *fakeStore) Delete(_ context.Context, kind, name string, revision uint64) error {
+	if err := m.begin("delete"); err != nil {
 		return err
 	}
 	current, ok := m.objects[kind][name]
@@ -113,12 +115,12 @@
 	}
 	m.revision++
 	delete(m.objects[kind], name)
-	return m.leave("delete")
+	return m.end("delete")
 }
 
-func (m *memory) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.WatchResponse, error) {
+func (m *fakeStore) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.WatchResponse, error) {
 	watch := platformapi.WatchResponse{Revision: m.revision}
-	err := m.enter("watch")
+	err := m.begin("watch")
 	for _, event := range m.events {
 		if event.Object.Metadata.Revision > from && slices.Contains(kinds, event.Kind) {
 			watch.Events = append(watch.Events, event)
@@ -128,7 +130,7 @@
 }
 
 // once makes a script that acts at the first call of a name.
-func once(name string, act func() error) func(string) error {
+func onFirst(name string, act func() error) func(string) error {
 	done := false
 	return func(call string) error {
 		if call != name || done {
@@ -146,8 +148,8 @@
 func unavailable() error { return &platform.UnavailableError{Err: errors.New("refused")} }
 
 // bench runs the client against a store in memory.
-type bench struct {
-	store  *memory
+type harness struct {
+	store  *fakeStore
 	http   *http.Client
 	env    map[string]string
 	stdin  string
@@ -156,11 +158,11 @@
 	stderr bytes.Buffer
 }
 
-func newBench() *bench {
-	return &bench{store: newMemory(), stdin: "from stdin", ctx: context.Background(), env: map[string]string{envPlatform: "http://store", envKey: "demo-key"}}
+func newHarness() *harness {
+	return &harness{store: newFakeStore(), stdin: "from stdin", ctx: context.Background(), env: map[string]string{envPlatform: "http://store", envKey: "demo-key"}}
 }
 
-func (b *bench) run(args ...string) int {
+func (b *harness) run(args ...string) int {
 	b.stdout.Reset()
 	b.stderr.Reset()
 	return Run(b.ctx, args, Options{
@@ -171,7 +173,7 @@
 }
 
 // file writes a file of records.
-func file(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "records.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
--- a/client/instance.go
+++ b/client/instance.go
@@ -22,7 +22,7 @@
 	// defaultTimeout bounds a command.
 	defaultTimeout = 2 * time.Minute
 	// maxAnswerBytes bounds an answer of an instance.
-	maxAnswerBytes = 16 << 20
+	maxResponseBytes = 16 << 20
 	// maxInputBytes bounds the input of a request.
 	maxInputBytes = 16 << 20
 	// maxKeyBytes bounds a key file.
@@ -30,13 +30,13 @@
 )
 
 // instance is one entry instance, asked with a caller key.
-type instance struct {
+type instanceClient struct {
 	http *http.Client
 	base string
 	key  string
 }
 
-func (a *app) instance(cmd *cli.Command) (*instance, error) {
+func (a *app) newInstanceClient(cmd *cli.Command) (*instanceClient, error) {
 	url := cmd.String(flagInstance)
 	if url == "" {
 		url = a.Getenv(envInstance)
@@ -44,16 +44,16 @@
 	if url == "" {
 		return nil, usagef("name an instance with --%s or %s", flagInstance, envInstance)
 	}
-	key, err := a.key(cmd.String(flagKeyFile))
+	key, err := a.readKey(cmd.String(flagKeyFile))
 	if err != nil {
 		return nil, err
 	}
-	return &instance{http: a.HTTP, base: strings.TrimSuffix(url, "/"), key: key}, nil
+	return &instanceClient{http: a.HTTP, base: strings.TrimSuffix(url, "/"), key: key}, nil
 }
 
 // key reads the caller key. It is no flag of its own: command lines are seen by
 // every user of a machine.
-func (a *app) key(file string) (string, error) {
+func (a *app) readKey(file string) (string, error) {
 	if file == "" {
 		if key := a.Getenv(envKey); key != "" {
 			return key, nil
@@ -80,7 +80,7 @@
 
 // do sends a call. A failure becomes a *RequestError that says whether the
 // request may have been run.
-func (i *instance) do(ctx context.Context, c call) error {
+func (i *instanceClient) do(ctx context.Context, c call) error {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -91,16 +91,16 @@
 	}
 	response, err := i.http.Do(request)
 	if err != nil {
-		return i.lost(err, sent.Load())
+		return i.noAnswer(err, sent.Load())
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return i.refusal(response)
+		return i.readProblem(response)
 	}
 	return c.read(response)
 }
 
-func (i *instance) newRequest(ctx context.Context, c call) (*http.Request, error) {
+func (i *instanceClient) newRequest(ctx context.Context, c call) (*http.Request, error) {
 	var body io.Reader
 	if c.body != nil {
 		text, err := json.Marshal(c.body)
@@ -125,7 +125,7 @@
 
 // lost is the error of a call without an answer. Before a connection was held
 // nothing can have been run; after that the request may have arrived.
-func (i *instance) lost(cause error, sent bool) error {
+func (i *instanceClient) noAnswer(cause error, sent bool) error {
 	outcome := callerapi.OutcomeNotRun
 	if sent {
 		outcome = callerapi.OutcomeUnknown
@@ -137,7 +137,7 @@
 
 // refusal reads the problem of an answer that is no success. An answer without
 // one comes from a hop between: what became of the request is unknown.
-func (i *instance) refusal(response *http.Response) error {
+func (i *instanceClient) readProblem(response *http.Response) error {
 	problem := callerapi.Problem{Outcome: callerapi.OutcomeUnknown}
 	media, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if media == callerapi.MediaProblem {
@@ -155,5 +155,5 @@
 }
 
 func readJSON(response *http.Response, into any) error {
-	return json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into)
 }
--- a/client/orders.go
+++ b/client/orders.go
@@ -34,8 +34,8 @@
 	t := table{header: []string{"POOL", "DESIRED REVISION", "FENCING", "COMPLETE", "LACKING"}}
 	for _, r := range rows {
 		t.rows = append(t.rows, []string{
-			r.Pool, revision(r.DesiredRevision), strconv.FormatUint(r.Fencing, 10),
-			fmt.Sprintf("%d/%d", r.Complete, r.Targets), lackingText(r.Lacking),
+			r.Pool, formatRevision(r.DesiredRevision), strconv.FormatUint(r.Fencing, 10),
+			fmt.Sprintf("%d/%d", r.Complete, r.Targets), formatLacking(r.Lacking),
 		})
 	}
 	return t
@@ -43,7 +43,7 @@
 
 // lackingText tells what each target lacks; one that could not be read lacks
 // nothing that is known.
-func lackingText(targets []platformapi.LackingTarget) string {
+func formatLacking(targets []platformapi.LackingTarget) string {
 	texts := make([]string, len(targets))
 	for i, t := range targets {
 		lacks := "not read"
--- a/client/output.go
+++ b/client/output.go
@@ -77,12 +77,12 @@
 func writeTable(rows []writeRow) table {
 	t := table{header: []string{"KIND", "NAME", "RESULT", "REVISION"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Kind, r.Name, r.Result, revision(r.Revision)})
+		t.rows = append(t.rows, []string{r.Kind, r.Name, r.Result, formatRevision(r.Revision)})
 	}
 	return t
 }
 
-func revision(r uint64) string {
+func formatRevision(r uint64) string {
 	if r == 0 {
 		return ""
 	}
--- a/client/read.go
+++ b/client/read.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	rows := []statusRow{rowOf(kind, object)}
+	rows := []statusRow{newStatusRow(kind, object)}
 	if err := a.print(cmd, statusTable(rows), document{kind, *object}); err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	rows := make([]statusRow, len(list.Items))
 	for i := range list.Items {
 		documents[i] = document{kind, list.Items[i]}
-		rows[i] = rowOf(kind, &list.Items[i])
+		rows[i] = newStatusRow(kind, &list.Items[i])
 	}
 	return a.print(cmd, statusTable(rows), documents)
 }
@@ -99,7 +99,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-func rowOf(kind string, object *platformapi.Object) statusRow {
+func newStatusRow(kind string, object *platformapi.Object) statusRow {
 	row := statusRow{Kind: kind, Name: object.Metadata.Name, Revision: object.Metadata.Revision}
 	status, state, err := record.ReadStatus(object)
 	row.State = state
@@ -121,13 +121,13 @@
 func statusTable(rows []statusRow) table {
 	t := table{header: []string{"KIND", "NAME", "REVISION", "STATE", "IN FORCE", "REASON"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Kind, r.Name, revision(r.Revision), r.State, revision(r.InForce), r.Reason})
+		t.rows = append(t.rows, []string{r.Kind, r.Name, formatRevision(r.Revision), r.State, formatRevision(r.InForce), r.Reason})
 	}
 	return t
 }
 
 // statusAnswer is the whole answer of the status command.
-type statusAnswer struct {
+type statusOutput struct {
 	Records   []statusRow   `json:"records"`
 	Instances []instanceRow `json:"instances"`
 	Orders    []ordersRow   `json:"orders"`
@@ -144,14 +144,14 @@
 	if err != nil {
 		return err
 	}
-	answer := statusAnswer{}
+	answer := statusOutput{}
 	for _, kind := range config.Kinds {
 		list, err := store.List(ctx, string(kind))
 		if err != nil {
 			return err
 		}
 		for i := range list.Items {
-			answer.Records = append(answer.Records, rowOf(string(kind), &list.Items[i]))
+			answer.Records = append(answer.Records, newStatusRow(string(kind), &list.Items[i]))
 		}
 	}
 	answer.Instances, err = listInstances(ctx, store)
@@ -196,7 +196,7 @@
 func instanceTable(rows []instanceRow) table {
 	t := table{header: []string{"INSTANCE", "DATA CENTRE", "ADDRESS", "CALLER URL", "INCARNATION"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Name, r.DataCentre, r.Address, r.CallerURL, revision(r.Incarnation)})
+		t.rows = append(t.rows, []string{r.Name, r.DataCentre, r.Address, r.CallerURL, formatRevision(r.Incarnation)})
 	}
 	return t
 }
--- a/client/store.go
+++ b/client/store.go
@@ -25,7 +25,7 @@
 var _ Store = (*platform.Client)(nil)
 
 // writeTries bounds how often one write is tried.
-const writeTries = 4
+const maxWriteAttempts = 4
 
 // Results of a write, as they are shown.
 const (
@@ -36,29 +36,29 @@
 )
 
 // writer writes one record and never over what its operator hasn't seen.
-type writer struct {
+type recordWriter struct {
 	store Store
 	kind  string
 	// seen is the object as it was when the write was checked; nil when there
 	// was none.
-	seen *platformapi.Object
+	checked *platformapi.Object
 }
 
 // put creates or updates a record. Each try is conditional, so a try whose
 // answer was lost may be repeated: should the lost one land after all, the
 // other meets a conflict with the very same spec.
-func (w *writer) put(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, string, error) {
-	if w.seen != nil && record.SameSpec(w.seen.Spec, wanted.Spec) {
-		return w.seen, resultUnchanged, nil
+func (w *recordWriter) put(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, string, error) {
+	if w.checked != nil && record.SameSpec(w.checked.Spec, wanted.Spec) {
+		return w.checked, resultUnchanged, nil
 	}
 	result := resultCreated
-	if w.seen != nil {
+	if w.checked != nil {
 		result = resultUpdated
 	}
 	var err error
-	for range writeTries {
+	for range maxWriteAttempts {
 		var written *platformapi.Object
-		written, err = w.try(ctx, wanted)
+		written, err = w.writeOnce(ctx, wanted)
 		if err == nil {
 			return written, result, nil
 		}
@@ -70,28 +70,28 @@
 		if current != nil && record.SameSpec(current.Spec, wanted.Spec) {
 			return current, result, nil
 		}
-		if !w.onlyStatusChanged(current) {
+		if !w.specUnchanged(current) {
 			return nil, "", &ConflictError{Kind: w.kind, Name: wanted.Metadata.Name, Current: current}
 		}
-		w.seen = current
+		w.checked = current
 		err = &ConflictError{Kind: w.kind, Name: wanted.Metadata.Name, Current: current}
 	}
 	return nil, "", err
 }
 
-func (w *writer) try(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, error) {
+func (w *recordWriter) writeOnce(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, error) {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: wanted.Metadata.Name}, Spec: wanted.Spec}
-	if w.seen == nil {
+	if w.checked == nil {
 		return w.store.Create(ctx, w.kind, object)
 	}
-	object.Metadata.Revision = w.seen.Metadata.Revision
+	object.Metadata.Revision = w.checked.Metadata.Revision
 	return w.store.Update(ctx, w.kind, object)
 }
 
 // readBack finds what the record is after a write that met a conflict or whose
 // answer was lost; nil means that there is none. Any other error, and one that
 // leaves a lost write unexplained, is returned.
-func (w *writer) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
+func (w *recordWriter) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownEffectError
 	gone := errors.Is(cause, platform.ErrNotFound)
@@ -114,18 +114,18 @@
 // onlyStatusChanged tells whether a record still is what the operator's write
 // was checked against. Instances write the status, which raises the revision;
 // that is no other operator's change.
-func (w *writer) onlyStatusChanged(current *platformapi.Object) bool {
-	if w.seen == nil || current == nil {
-		return w.seen == nil && current == nil
+func (w *recordWriter) specUnchanged(current *platformapi.Object) bool {
+	if w.checked == nil || current == nil {
+		return w.checked == nil && current == nil
 	}
-	return record.SameSpec(w.seen.Spec, current.Spec)
+	return record.SameSpec(w.checked.Spec, current.Spec)
 }
 
 // remove deletes the record that was seen.
-func (w *writer) remove(ctx context.Context, name string) error {
+func (w *recordWriter) delete(ctx context.Context, name string) error {
 	var err error
-	for range writeTries {
-		err = w.store.Delete(ctx, w.kind, name, w.seen.Metadata.Revision)
+	for range maxWriteAttempts {
+		err = w.store.Delete(ctx, w.kind, name, w.checked.Metadata.Revision)
 		if err == nil {
 			return nil
 		}
@@ -138,10 +138,10 @@
 			return nil
 		}
 		err = &ConflictError{Kind: w.kind, Name: name, Current: current}
-		if !w.onlyStatusChanged(current) {
+		if !w.specUnchanged(current) {
 			return err
 		}
-		w.seen = current
+		w.checked = current
 	}
 	return err
 }
--- a/client/submit.go
+++ b/client/submit.go
@@ -43,11 +43,11 @@
 }
 
 func (a *app) submit(ctx context.Context, cmd *cli.Command) error {
-	instance, err := a.instance(cmd)
+	instance, err := a.newInstanceClient(cmd)
 	if err != nil {
 		return err
 	}
-	input, err := a.input(cmd.String(flagInput))
+	input, err := a.readInput(cmd.String(flagInput))
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		path:   "/v1/pipelines/" + url.PathEscape(cmd.Args().First()) + "/requests",
 		header: submitHeader(cmd),
 		body:   callerapi.Request{Input: input, MaxTokens: cmd.Int(flagMaxTokens)},
-		read:   func(r *http.Response) error { return a.wholeAnswer(cmd, r) },
+		read:   func(r *http.Response) error { return a.readAnswer(cmd, r) },
 	}
 	if cmd.Bool(flagStream) {
 		c.read = func(r *http.Response) error { return (&answerStream{app: a, cmd: cmd, response: r}).read() }
@@ -80,7 +80,7 @@
 }
 
 // input takes the text itself, or reads it from a file or from standard input.
-func (a *app) input(word string) (string, error) {
+func (a *app) readInput(word string) (string, error) {
 	if word == "-" {
 		text, err := readAtMost(a.Stdin, maxInputBytes)
 		return text, errors.Wrap(err, "read input")
@@ -114,10 +114,10 @@
 	return string(text), nil
 }
 
-func (a *app) wholeAnswer(cmd *cli.Command, response *http.Response) error {
+func (a *app) readAnswer(cmd *cli.Command, response *http.Response) error {
 	var answer callerapi.Response
 	if err := readJSON(response, &answer); err != nil {
-		return cutOff(response, err)
+		return truncatedAnswer(response, err)
 	}
 	return a.printAnswer(cmd, answer)
 }
@@ -137,40 +137,40 @@
 	cmd      *cli.Command
 	response *http.Response
 	// next is the offset of the next token.
-	next int
+	nextOffset int
 	// text is what the tokens so far add up to; the bound of the body bounds it.
-	text strings.Builder
+	received strings.Builder
 }
 
 // read prints tokens until the event that ends the stream. A stream that ends
 // without one was cut off.
 func (s *answerStream) read() error {
-	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxAnswerBytes), sse.Limits{})
+	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxResponseBytes), sse.Limits{})
 	for {
 		event, err := events.Next()
 		if err != nil {
-			return cutOff(s.response, err)
+			return truncatedAnswer(s.response, err)
 		}
-		if done, err := s.take(event); done || err != nil {
+		if done, err := s.handle(event); done || err != nil {
 			return err
 		}
 	}
 }
 
-func (s *answerStream) take(event sse.Event) (done bool, err error) {
+func (s *answerStream) handle(event sse.Event) (done bool, err error) {
 	switch event.Name {
 	case callerapi.EventToken:
-		return false, s.token(event)
+		return false, s.handleToken(event)
 	case callerapi.EventDone:
 		var answer callerapi.Response
 		if err := json.Unmarshal([]byte(event.Data), &answer); err != nil {
-			return false, cutOff(s.response, err)
+			return false, truncatedAnswer(s.response, err)
 		}
-		return true, s.end(answer)
+		return true, s.finish(answer)
 	case callerapi.EventError:
 		problem := callerapi.Problem{Outcome: callerapi.OutcomeUnknown}
 		if err := json.Unmarshal([]byte(event.Data), &problem); err != nil {
-			return false, cutOff(s.response, err)
+			return false, truncatedAnswer(s.response, err)
 		}
 		return false, &RequestError{Problem: problem}
 	}
@@ -179,16 +179,16 @@
 
 // token prints a token. One out of order means that a token was lost or came
 // twice; what was printed is then not the answer.
-func (s *answerStream) token(event sse.Event) error {
-	if event.ID != strconv.Itoa(s.next) {
-		return cutOff(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.next))
+func (s *answerStream) handleToken(event sse.Event) error {
+	if event.ID != strconv.Itoa(s.nextOffset) {
+		return truncatedAnswer(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.nextOffset))
 	}
-	s.next++
+	s.nextOffset++
 	var token callerapi.TokenEvent
 	if err := json.Unmarshal([]byte(event.Data), &token); err != nil {
-		return cutOff(s.response, err)
+		return truncatedAnswer(s.response, err)
 	}
-	s.text.WriteString(token.Token)
+	s.received.WriteString(token.Token)
 	if s.cmd.String(flagOutput) == outputTable {
 		fmt.Fprint(s.app.Stdout, token.Token)
 	}
@@ -197,10 +197,10 @@
 
 // end prints what the tokens left out of the answer. A kept answer comes without
 // tokens: printed as it came, it would be an empty line and a success.
-func (s *answerStream) end(answer callerapi.Response) error {
-	rest, ok := strings.CutPrefix(answer.Output, s.text.String())
+func (s *answerStream) finish(answer callerapi.Response) error {
+	rest, ok := strings.CutPrefix(answer.Output, s.received.String())
 	if !ok {
-		return cutOff(s.response, errors.New("the tokens are not the answer"))
+		return truncatedAnswer(s.response, errors.New("the tokens are not the answer"))
 	}
 	if s.cmd.String(flagOutput) == outputTable {
 		answer.Output = rest
@@ -210,7 +210,7 @@
 
 // cutOff is the error of an answer that ended early: the request was run, at
 // least in part.
-func cutOff(response *http.Response, cause error) error {
+func truncatedAnswer(response *http.Response, cause error) error {
 	return &RequestError{Problem: callerapi.Problem{
 		Title: "the answer was cut off", Detail: cause.Error(),
 		RequestID: response.Header.Get(callerapi.HeaderRequestID), Outcome: callerapi.OutcomeUnknown,
--- a/client/watch.go
+++ b/client/watch.go
@@ -18,13 +18,13 @@
 	watchWait = 20 * time.Second
 	// watchRetry is the wait before a watch that failed is tried again, unless
 	// the platform asks for more.
-	watchRetry = 2 * time.Second
+	watchRetryDelay = 2 * time.Second
 )
 
 // pacer waits; tests put their own in place.
-type pacer func(ctx context.Context, d time.Duration) error
+type sleepFunc func(ctx context.Context, d time.Duration) error
 
-func waitFor(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -51,13 +51,13 @@
 }
 
 // follower follows one kind and shows each revision of a record once.
-type follower struct {
-	app   *app
-	store Store
-	kind  string
-	json  bool
-	from  uint64
-	known map[string]uint64
+type recordWatcher struct {
+	app      *app
+	store    Store
+	kind     string
+	json     bool
+	revision uint64
+	shown    map[string]uint64
 }
 
 func (a *app) watch(ctx context.Context, cmd *cli.Command) error {
@@ -65,12 +65,12 @@
 	if err != nil {
 		return err
 	}
-	f := &follower{app: a, store: store, kind: kind, json: cmd.String(flagOutput) == outputJSON, known: map[string]uint64{}}
+	f := &recordWatcher{app: a, store: store, kind: kind, json: cmd.String(flagOutput) == outputJSON, shown: map[string]uint64{}}
 	if err := f.relist(ctx); err != nil {
 		return err
 	}
 	for ctx.Err() == nil {
-		if err := f.step(ctx); err != nil {
+		if err := f.watchOnce(ctx); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 
 // step waits for changes once. An outage of the platform is shown and waited
 // out: the watch goes on from where it was.
-func (f *follower) step(ctx context.Context) error {
-	changes, err := f.store.Watch(ctx, []string{f.kind}, f.from, watchWait)
+func (f *recordWatcher) watchOnce(ctx context.Context) error {
+	changes, err := f.store.Watch(ctx, []string{f.kind}, f.revision, watchWait)
 	var unavailable *platform.UnavailableError
 	switch {
 	case ctx.Err() != nil:
@@ -88,29 +88,29 @@
 	case errors.Is(err, platform.ErrCompacted):
 		err = f.relist(ctx)
 	case err == nil:
-		return f.showAll(changes)
+		return f.showEvents(changes)
 	}
 	if !errors.As(err, &unavailable) {
 		return err
 	}
-	f.app.report(err)
+	f.app.printError(err)
 	// The pause fails only when the context ends, which ends the watch as well.
-	_ = f.app.pacer(ctx, max(watchRetry, unavailable.RetryAfter))
+	_ = f.app.sleep(ctx, max(watchRetryDelay, unavailable.RetryAfter))
 	return nil
 }
 
-func (f *follower) showAll(changes platformapi.WatchResponse) error {
+func (f *recordWatcher) showEvents(changes platformapi.WatchResponse) error {
 	for i := range changes.Events {
 		if err := f.show(&changes.Events[i]); err != nil {
 			return err
 		}
 	}
-	f.from = max(f.from, changes.Revision)
+	f.revision = max(f.revision, changes.Revision)
 	return nil
 }
 
 // relist shows what has changed since the last list or watch, deletes included.
-func (f *follower) relist(ctx context.Context) error {
+func (f *recordWatcher) relist(ctx context.Context) error {
 	list, err := f.store.List(ctx, f.kind)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	for name := range f.known {
+	for name := range f.shown {
 		if present[name] {
 			continue
 		}
@@ -131,7 +131,7 @@
 			return err
 		}
 	}
-	f.from = max(f.from, list.Revision)
+	f.revision = max(f.revision, list.Revision)
 	return nil
 }
 
@@ -141,19 +141,19 @@
 	document
 }
 
-func (f *follower) show(event *platformapi.Event) error {
+func (f *recordWatcher) show(event *platformapi.Event) error {
 	meta := event.Object.Metadata
-	if meta.Revision <= f.known[meta.Name] {
+	if meta.Revision <= f.shown[meta.Name] {
 		return nil
 	}
-	f.known[meta.Name] = meta.Revision
+	f.shown[meta.Name] = meta.Revision
 	if event.Deleted {
-		delete(f.known, meta.Name)
+		delete(f.shown, meta.Name)
 	}
 	if f.json {
 		return json.NewEncoder(f.app.Stdout).Encode(watchLine{event.Deleted, document{f.kind, event.Object}})
 	}
-	row := rowOf(f.kind, &event.Object)
+	row := newStatusRow(f.kind, &event.Object)
 	if event.Deleted {
 		row.State, row.Reason = resultDeleted, ""
 	}
--- a/client/write.go
+++ b/client/write.go
@@ -44,7 +44,7 @@
 		Usage:         "delete a record that no other one uses",
 		ArgsUsage:     "KIND NAME",
 		ShellComplete: a.completeKinds,
-		Action:        action(2, "KIND NAME", a.remove),
+		Action:        action(2, "KIND NAME", a.delete),
 	}
 }
 
@@ -113,12 +113,12 @@
 
 // checkAgainstStore reads what the store holds and judges the documents beside
 // it.
-func checkAgainstStore(ctx context.Context, store Store, documents []record.Document) (*inventory, error) {
-	inv, err := takeInventory(ctx, store)
+func checkAgainstStore(ctx context.Context, store Store, documents []record.Document) (*storeSnapshot, error) {
+	inv, err := readStore(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	if faults := inv.check(documents); len(faults) > 0 {
+	if faults := inv.validate(documents); len(faults) > 0 {
 		return nil, &InvalidError{File: "checked against the store", Faults: faults}
 	}
 	return inv, nil
@@ -160,9 +160,9 @@
 	return a.print(cmd, writeTable(rows), rows)
 }
 
-func writeDocument(ctx context.Context, store Store, inv *inventory, doc record.Document) (writeRow, error) {
+func writeDocument(ctx context.Context, store Store, inv *storeSnapshot, doc record.Document) (writeRow, error) {
 	name := doc.Object.Metadata.Name
-	w := &writer{store: store, kind: string(doc.Kind), seen: inv.objects[keyOf(doc)]}
+	w := &recordWriter{store: store, kind: string(doc.Kind), checked: inv.objects[keyOf(doc)]}
 	written, result, err := w.put(ctx, platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: doc.Object.Spec})
 	if err != nil {
 		return writeRow{}, err
@@ -170,25 +170,25 @@
 	return writeRow{Kind: w.kind, Name: name, Result: result, Revision: written.Metadata.Revision}, nil
 }
 
-func (a *app) remove(ctx context.Context, cmd *cli.Command) error {
+func (a *app) delete(ctx context.Context, cmd *cli.Command) error {
 	kind, store, err := a.kindAndStore(cmd)
 	if err != nil {
 		return err
 	}
-	inv, err := takeInventory(ctx, store)
+	inv, err := readStore(ctx, store)
 	if err != nil {
 		return err
 	}
 	key := config.Key{Kind: catalog.RecordKind(kind), Name: cmd.Args().Get(1)}
-	w := &writer{store: store, kind: kind, seen: inv.objects[key]}
-	if w.seen == nil {
+	w := &recordWriter{store: store, kind: kind, checked: inv.objects[key]}
+	if w.checked == nil {
 		return errors.Wrapf(platform.ErrNotFound, "%s/%s", kind, key.Name)
 	}
 	if reason := inv.checkDelete(key); reason != "" {
 		fault := record.Fault{Field: kind + "/" + key.Name, Reason: reason}
 		return &InvalidError{File: "checked against the store", Faults: record.Faults{fault}}
 	}
-	if err := w.remove(ctx, key.Name); err != nil {
+	if err := w.delete(ctx, key.Name); err != nil {
 		return err
 	}
 	rows := []writeRow{{Kind: kind, Name: key.Name, Result: resultDeleted}}
--- a/days_test.go
+++ b/days_test.go
@@ -50,7 +50,7 @@
 }
 
 // dayPlaceholder stands for a site's own service, kind of request or data centre.
-var dayPlaceholder = regexp.MustCompile(`^@[csz][0-9]$`)
+var placeholderName = regexp.MustCompile(`^@[csz][0-9]$`)
 
 func readDay(t *testing.T, path string) (string, day) {
 	t.Helper()
@@ -98,7 +98,7 @@
 	require.LessOrEqual(t, e.Share, 1.0, "%s: %s", path, e.Kind)
 	for _, name := range []string{e.Service, e.Class, e.Zone} {
 		if name != "" {
-			require.Regexp(t, dayPlaceholder, name, "%s: %s", path, e.Kind)
+			require.Regexp(t, placeholderName, name, "%s: %s", path, e.Kind)
 		}
 	}
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const scenarios = "testkit/scenario/testdata"
+const scenarioFolder = "testkit/scenario/testdata"
 
 var (
 	linkTarget   = regexp.MustCompile(`\]\(([^)\s]+)\)`)
@@ -27,7 +27,7 @@
 )
 
 // filesOf returns all files of the tree whose name ends in suffix.
-func filesOf(t *testing.T, suffix string) map[string]string {
+func readFiles(t *testing.T, suffix string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -54,19 +54,19 @@
 // A page is moved or renamed and the pages that point to it are forgotten: a
 // reader follows a link to nothing.
 func TestLinksOfPagesLead(t *testing.T) {
-	for page, text := range filesOf(t, ".md") {
+	for page, text := range readFiles(t, ".md") {
 		for _, link := range submatches(linkTarget, text) {
 			path, _, _ := strings.Cut(link, "#")
 			if path == "" || strings.Contains(link, "://") {
 				continue
 			}
-			require.FileExists(t, filepath.Join(filepath.Dir(page), path+index(path)), "%s links to %s", page, link)
+			require.FileExists(t, filepath.Join(filepath.Dir(page), path+indexPage(path)), "%s links to %s", page, link)
 		}
 	}
 }
 
 // index is the page that a reader sees who follows a link to a directory.
-func index(path string) string {
+func indexPage(path string) string {
 	if strings.HasSuffix(path, "/") {
 		return "README.md"
 	}
@@ -75,12 +75,12 @@
 
 // A test is renamed or removed and the pages go on citing it as a proof.
 func TestNamedProofsExist(t *testing.T) {
-	tests := filesOf(t, "_test.go")
+	tests := readFiles(t, "_test.go")
 	var names []string
 	for _, text := range tests {
 		names = append(names, submatches(testFunction, text)...)
 	}
-	for page, text := range filesOf(t, ".md") {
+	for page, text := range readFiles(t, ".md") {
 		if page == "CONTRIBUTING.md" {
 			continue // its TestName is a placeholder
 		}
@@ -88,7 +88,7 @@
 			require.True(t, slices.Contains(names, name), "%s names %s", page, name)
 		}
 		for _, name := range submatches(scenarioName, text) {
-			require.FileExists(t, filepath.Join(scenarios, name+".txt"), page)
+			require.FileExists(t, filepath.Join(scenarioFolder, name+".txt"), page)
 		}
 		for _, path := range submatches(packagePath, text) {
 			_, err := os.Stat(strings.TrimSuffix(path, "/..."))
@@ -101,7 +101,7 @@
 // for one that no instance writes any more.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	var written []string
-	for path, text := range filesOf(t, ".go") {
+	for path, text := range readFiles(t, ".go") {
 		top, _, _ := strings.Cut(path, "/")
 		if slices.Contains([]string{"daemon", "transport", "telemetry"}, top) && !strings.HasSuffix(path, "_test.go") {
 			written = append(written, submatches(logMessage, text)...)
@@ -122,7 +122,7 @@
 // engineer after a line that never comes.
 func TestQuotedLogLinesAreWritten(t *testing.T) {
 	var written []string
-	for path, text := range filesOf(t, ".go") {
+	for path, text := range readFiles(t, ".go") {
 		if !strings.HasSuffix(path, "_test.go") {
 			written = append(written, submatches(logMessage, text)...)
 		}
--- a/emulator/platform/admin.go
+++ b/emulator/platform/admin.go
@@ -22,7 +22,7 @@
 	Bytes uint64 `json:"bytes"`
 }
 
-func (s *Store) adminPaths(mux *http.ServeMux) {
+func (s *Store) registerAdmin(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Faults())
 	})
@@ -71,21 +71,21 @@
 }
 
 func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
-	size, ok := number(w, r.URL.Query().Get("bytes"))
+	size, ok := parseNumber(w, r.URL.Query().Get("bytes"))
 	if !ok {
 		return
 	}
 	chunk := WeightChunk{Name: r.PathValue("name"), Bytes: size}
 	f := s.readWeights(r.Context(), requestOf(r), size)
-	answer(w, r, chunk, f)
+	respond(w, r, chunk, f)
 }
 
 // readWeights holds a chunk against the rate of the weight store, which all
 // callers share. A chunk over the burst of one second never passes.
-func (s *Store) readWeights(ctx context.Context, r request, size uint64) *failed {
+func (s *Store) readWeights(ctx context.Context, r request, size uint64) *callFailure {
 	if burst := s.weights.Burst(); burst > 0 && size > uint64(burst) {
-		return &failed{refusal: refuse(http.StatusBadRequest, "chunk over a second's worth")}
+		return &callFailure{refusal: refuse(http.StatusBadRequest, "chunk over a second's worth")}
 	}
 	r.kind = CallWeight
-	return s.enterLimited(ctx, r, s.weights, int(size))
+	return s.admitTokens(ctx, r, s.weights, int(size))
 }
--- a/emulator/platform/calls.go
+++ b/emulator/platform/calls.go
@@ -39,7 +39,7 @@
 }
 
 // otherKinds counts kinds that the system doesn't have; it bounds Calls.Kinds.
-const otherKinds = "other"
+const otherKind = "other"
 
 var knownKinds = append([]string{
 	platformapi.KindTargets,
@@ -59,12 +59,12 @@
 	return calls
 }
 
-func (s *Store) count(r request) {
+func (s *Store) countCall(r request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kind := r.object
 	if !slices.Contains(knownKinds, kind) {
-		kind = otherKinds
+		kind = otherKind
 	}
 	perKind := s.calls.Kinds[kind]
 	switch r.kind {
@@ -91,7 +91,7 @@
 }
 
 // waiting counts a watch until the returned function is called.
-func (s *Store) waiting() func() {
+func (s *Store) countWaiting() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.Waiting++
--- a/emulator/platform/faults.go
+++ b/emulator/platform/faults.go
@@ -12,7 +12,7 @@
 
 // Ways to fail.
 const (
-	FailNot Failure = ""
+	FailNone Failure = ""
 	// FailRefuse answers 503 before any effect.
 	FailRefuse Failure = "refuse"
 	// FailReset closes the connection without an answer.
@@ -48,7 +48,7 @@
 	DropHistory bool `json:"drop_history,omitempty"`
 }
 
-func (f *Faults) hits(instance string) bool {
+func (f *Faults) affects(instance string) bool {
 	return len(f.Instances) == 0 || slices.Contains(f.Instances, instance)
 }
 
@@ -65,7 +65,7 @@
 		f.DropHistory = false
 	}
 	s.faults = f
-	s.table.wake()
+	s.table.notify()
 }
 
 // Faults returns the faults in force; counted ones show what is left.
@@ -76,10 +76,10 @@
 }
 
 // gate delays or fails a call before its effect.
-func (s *Store) gate(ctx context.Context, instance string, kind CallKind) Failure {
+func (s *Store) injectBefore(ctx context.Context, instance string, kind CallKind) Failure {
 	faults := s.Faults()
-	if !faults.hits(instance) || !faults.covers(kind) {
-		return FailNot
+	if !faults.affects(instance) || !faults.covers(kind) {
+		return FailNone
 	}
 	if faults.LatencyMS > 0 && !s.sleep(ctx, milliseconds(faults.LatencyMS)) {
 		return FailReset
@@ -88,33 +88,33 @@
 }
 
 // down turns a way to fail before any effect into the end of the call.
-func down(how Failure) *failed {
+func asCallFailure(how Failure) *callFailure {
 	switch how {
-	case FailNot:
+	case FailNone:
 		return nil
 	case FailRefuse:
-		return &failed{refusal: refuse(http.StatusServiceUnavailable, "platform is down")}
+		return &callFailure{refusal: refuse(http.StatusServiceUnavailable, "platform is down")}
 	default:
-		return &failed{how: how}
+		return &callFailure{failure: how}
 	}
 }
 
 // loss says whether the answer of a write gets lost and how late its effect is.
 // The caller holds s.mu.
-func (s *Store) loss(instance string) (Failure, time.Duration) {
+func (s *Store) sampleLoss(instance string) (Failure, time.Duration) {
 	f := &s.faults
-	if !f.hits(instance) {
-		return FailNot, 0
+	if !f.affects(instance) {
+		return FailNone, 0
 	}
 	switch {
 	case f.LoseWrites > 0:
 		f.LoseWrites--
 	case f.LoseShare > 0 && s.rand.Float64() < f.LoseShare:
 	default:
-		return FailNot, 0
+		return FailNone, 0
 	}
 	how := f.LoseBy
-	if how == FailNot {
+	if how == FailNone {
 		how = FailReset
 	}
 	return how, milliseconds(f.ApplyAfterMS)
--- a/emulator/platform/handler.go
+++ b/emulator/platform/handler.go
@@ -26,7 +26,7 @@
 	mux.HandleFunc("PUT "+objects+"{kind}/{name}/status", s.serveUpdate)
 	mux.HandleFunc("DELETE "+objects+"{kind}/{name}", s.serveDelete)
 	mux.HandleFunc("GET "+platformapi.PathWeights+"{name}", s.serveWeights)
-	s.adminPaths(mux)
+	s.registerAdmin(mux)
 	return mux
 }
 
@@ -36,21 +36,21 @@
 		s.serveWatch(w, r)
 		return
 	}
-	limit, ok := number(w, query.Get("limit"))
+	limit, ok := parseNumber(w, query.Get("limit"))
 	if !ok {
 		return
 	}
 	page, f := s.list(r.Context(), requestOf(r), query.Get("after"), int(limit), query.Get("stale") == "1")
-	answer(w, r, page, f)
+	respond(w, r, page, f)
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from, ok := number(w, query.Get("watch"))
+	from, ok := parseNumber(w, query.Get("watch"))
 	if !ok {
 		return
 	}
-	wait, ok := number(w, query.Get("wait_ms"))
+	wait, ok := parseNumber(w, query.Get("wait_ms"))
 	if !ok {
 		return
 	}
@@ -60,12 +60,12 @@
 	}
 	waitMS := int(min(wait, platformapi.MaxWatchWaitMS))
 	watch, f := s.watch(r.Context(), requestOf(r), kinds, from, milliseconds(waitMS))
-	answer(w, r, watch, f)
+	respond(w, r, watch, f)
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	object, f := s.get(r.Context(), requestOf(r), r.PathValue("name"))
-	answer(w, r, object, f)
+	respond(w, r, object, f)
 }
 
 func (s *Store) serveCreate(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +76,7 @@
 	created, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return t.create(r.PathValue("kind"), object)
 	})
-	answer(w, r, created, f)
+	respond(w, r, created, f)
 }
 
 func (s *Store) serveUpdate(w http.ResponseWriter, r *http.Request) {
@@ -89,18 +89,18 @@
 	updated, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return t.update(r.PathValue("kind"), object, statusOnly)
 	})
-	answer(w, r, updated, f)
+	respond(w, r, updated, f)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
-	revision, ok := number(w, r.URL.Query().Get("revision"))
+	revision, ok := parseNumber(w, r.URL.Query().Get("revision"))
 	if !ok {
 		return
 	}
 	_, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return nil, t.delete(r.PathValue("kind"), r.PathValue("name"), revision)
 	})
-	answer(w, r, struct{}{}, f)
+	respond(w, r, struct{}{}, f)
 }
 
 func requestOf(r *http.Request) request {
@@ -108,16 +108,16 @@
 }
 
 // answer writes a success, a refusal or breaks the connection.
-func answer(w http.ResponseWriter, r *http.Request, body any, f *failed) {
+func respond(w http.ResponseWriter, r *http.Request, body any, f *callFailure) {
 	switch {
 	case f == nil:
 		writeJSON(w, http.StatusOK, body)
 	case f.refusal != nil:
 		writeRefusal(w, f.refusal)
-	case f.how == FailSilence:
+	case f.failure == FailSilence:
 		<-r.Context().Done()
 	default:
-		reset(w)
+		resetConnection(w)
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // reset closes the connection without an answer, by RST where TCP allows.
-func reset(w http.ResponseWriter) {
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -155,7 +155,7 @@
 }
 
 // number reads a query value; empty means 0.
-func number(w http.ResponseWriter, text string) (uint64, bool) {
+func parseNumber(w http.ResponseWriter, text string) (uint64, bool) {
 	if text == "" {
 		return 0, true
 	}
--- a/emulator/platform/local.go
+++ b/emulator/platform/local.go
@@ -17,7 +17,7 @@
 // retryAfter is what refused callers are told to wait.
 const retryAfter = time.Second
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
 // Local calls the store within the process, as one instance. It meets the same
 // faults, limits and errors as a call over HTTP, but has no budget of calls.
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.store.options.LocalTimeout)
 	defer cancel()
 	object, f := l.store.get(ctx, l.request(kind), name)
-	return copied(object), l.check(ctx, transport.Call{Step: "get " + kind}, f)
+	return copyObject(object), l.errorOf(ctx, transport.Call{Step: "get " + kind}, f)
 }
 
 // List implements transport.Store.
@@ -80,7 +80,7 @@
 
 func (l *Local) page(ctx context.Context, kind, after string, limit int, stale bool) (platformapi.List, error) {
 	page, f := l.store.list(ctx, l.request(kind), after, limit, stale)
-	err := l.check(ctx, transport.Call{Step: "list " + kind}, f)
+	err := l.errorOf(ctx, transport.Call{Step: "list " + kind}, f)
 	return page, err
 }
 
@@ -118,14 +118,14 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+l.store.options.LocalTimeout)
 	defer cancel()
 	watch, f := l.store.watch(ctx, l.request(""), kinds, from, wait)
-	return watch, l.check(ctx, transport.Call{Step: "watch " + strings.Join(kinds, ",")}, f)
+	return watch, l.errorOf(ctx, transport.Call{Step: "watch " + strings.Join(kinds, ",")}, f)
 }
 
 func (l *Local) write(ctx context.Context, verb, kind string, effect func(*table) (*platformapi.Object, *refusal)) (*platformapi.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.store.options.LocalTimeout)
 	defer cancel()
 	object, f := l.store.write(ctx, l.request(kind), effect)
-	return copied(object), l.check(ctx, transport.Call{Step: verb + kind, Write: true}, f)
+	return copyObject(object), l.errorOf(ctx, transport.Call{Step: verb + kind, Write: true}, f)
 }
 
 func (l *Local) request(kind string) request {
@@ -133,20 +133,20 @@
 }
 
 // check turns the end of a call into the errors of the client.
-func (l *Local) check(ctx context.Context, call transport.Call, f *failed) error {
+func (l *Local) errorOf(ctx context.Context, call transport.Call, f *callFailure) error {
 	call.Peer = localPeer
 	switch {
 	case f == nil:
 		return nil
 	case f.refusal != nil:
-		return transport.StatusError(call, f.refusal.status, retryAfter, copied(f.refusal.current))
-	case f.how == FailSilence:
+		return transport.StatusError(call, f.refusal.status, retryAfter, copyObject(f.refusal.current))
+	case f.failure == FailSilence:
 		<-ctx.Done()
 	}
-	return transport.NoResponseError(call, errNoAnswer)
+	return transport.NoResponseError(call, errNoResponse)
 }
 
-func copied(object *platformapi.Object) *platformapi.Object {
+func copyObject(object *platformapi.Object) *platformapi.Object {
 	if object == nil {
 		return nil
 	}
--- a/emulator/platform/table.go
+++ b/emulator/platform/table.go
@@ -40,10 +40,10 @@
 // table holds the objects and their history. Its owner locks it. Stored objects
 // are never altered in place, so that readers may keep them.
 type table struct {
-	revision uint64
-	kinds    map[string]map[string]*platformapi.Object
-	history  []change
-	keep     int
+	revision   uint64
+	kinds      map[string]map[string]*platformapi.Object
+	history    []change
+	maxHistory int
 	// compacted is the revision of the newest change no longer in history.
 	compacted uint64
 	// changed is closed and replaced at each change.
@@ -52,9 +52,9 @@
 
 func newTable(keep int) *table {
 	return &table{
-		kinds:   make(map[string]map[string]*platformapi.Object),
-		keep:    keep,
-		changed: make(chan struct{}),
+		kinds:      make(map[string]map[string]*platformapi.Object),
+		maxHistory: keep,
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -65,7 +65,7 @@
 	if bad := checkNames(kind, name); bad != nil {
 		return nil, bad
 	}
-	spec, status, bad := checkValue(object)
+	spec, status, bad := compactValues(object)
 	if bad != nil {
 		return nil, bad
 	}
@@ -81,7 +81,7 @@
 
 // update replaces the spec, or the status when statusOnly.
 func (t *table) update(kind string, object platformapi.Object, statusOnly bool) (*platformapi.Object, *refusal) {
-	current, bad := t.conditional(kind, object.Metadata.Name, object.Metadata.Revision)
+	current, bad := t.getAtRevision(kind, object.Metadata.Name, object.Metadata.Revision)
 	if bad != nil {
 		return nil, bad
 	}
@@ -91,7 +91,7 @@
 	} else {
 		next.Spec = object.Spec
 	}
-	next.Spec, next.Status, bad = checkValue(next)
+	next.Spec, next.Status, bad = compactValues(next)
 	if bad != nil {
 		return nil, bad
 	}
@@ -102,7 +102,7 @@
 }
 
 func (t *table) delete(kind, name string, revision uint64) *refusal {
-	current, bad := t.conditional(kind, name, revision)
+	current, bad := t.getAtRevision(kind, name, revision)
 	if bad != nil {
 		return bad
 	}
@@ -112,7 +112,7 @@
 }
 
 // conditional returns the object if it is of the revision, or revision is 0.
-func (t *table) conditional(kind, name string, revision uint64) (*platformapi.Object, *refusal) {
+func (t *table) getAtRevision(kind, name string, revision uint64) (*platformapi.Object, *refusal) {
 	if bad := checkNames(kind, name); bad != nil {
 		return nil, bad
 	}
@@ -139,15 +139,15 @@
 func (t *table) record(kind string, before, after *platformapi.Object) {
 	t.revision++
 	t.history = append(t.history, change{revision: t.revision, kind: kind, before: before, after: after})
-	if excess := len(t.history) - t.keep; excess > 0 {
+	if excess := len(t.history) - t.maxHistory; excess > 0 {
 		t.compacted = t.history[excess-1].revision
 		t.history = t.history[excess:]
 	}
-	t.wake()
+	t.notify()
 }
 
 // wake lets waiting watches look again.
-func (t *table) wake() {
+func (t *table) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -159,7 +159,7 @@
 }
 
 // past returns a kind as it was back revisions ago, as far as history reaches.
-func (t *table) past(kind string, back uint64) (map[string]*platformapi.Object, uint64) {
+func (t *table) objectsBefore(kind string, back uint64) (map[string]*platformapi.Object, uint64) {
 	back = min(back, uint64(len(t.history)))
 	if back == 0 {
 		return t.kinds[kind], t.revision
@@ -171,13 +171,13 @@
 	undone := t.history[uint64(len(t.history))-back:]
 	for i := len(undone) - 1; i >= 0; i-- {
 		if undone[i].kind == kind {
-			undo(objects, undone[i])
+			revert(objects, undone[i])
 		}
 	}
 	return objects, undone[0].revision - 1
 }
 
-func undo(objects map[string]*platformapi.Object, c change) {
+func revert(objects map[string]*platformapi.Object, c change) {
 	if c.before == nil {
 		delete(objects, c.after.Metadata.Name)
 		return
@@ -186,7 +186,7 @@
 }
 
 // list returns one page in the order of names.
-func list(objects map[string]*platformapi.Object, after string, limit int) platformapi.List {
+func pageOf(objects map[string]*platformapi.Object, after string, limit int) platformapi.List {
 	names := make([]string, 0, len(objects))
 	for name := range objects {
 		if name > after {
@@ -210,7 +210,7 @@
 
 // since returns the changes of the kinds after a revision, as many as fit one
 // answer, and the revision from which the next watch goes on.
-func (t *table) since(kinds []string, from uint64) (platformapi.WatchResponse, *refusal) {
+func (t *table) eventsSince(kinds []string, from uint64) (platformapi.WatchResponse, *refusal) {
 	watch := platformapi.WatchResponse{Events: []platformapi.Event{}, Revision: t.revision}
 	if from < t.compacted || from > t.revision {
 		return watch, refuse(http.StatusGone, "history is gone")
@@ -254,7 +254,7 @@
 }
 
 // checkValue returns spec and status in compact form.
-func checkValue(object platformapi.Object) (spec, status json.RawMessage, bad *refusal) {
+func compactValues(object platformapi.Object) (spec, status json.RawMessage, bad *refusal) {
 	spec, err := compact(object.Spec)
 	if err != nil {
 		return nil, nil, refuse(http.StatusBadRequest, "spec is not JSON")
--- a/emulator/platform/targets.go
+++ b/emulator/platform/targets.go
@@ -11,7 +11,7 @@
 type targetChange struct {
 	incarnation string
 	state       string
-	entry       *platformapi.TargetEntry
+	newEntry    *platformapi.TargetEntry
 }
 
 // RegisterTarget lists a target after the lag.
@@ -19,37 +19,37 @@
 	if entry.State == "" {
 		entry.State = platformapi.TargetReady
 	}
-	s.later(targetChange{incarnation: entry.Incarnation, entry: &entry})
+	s.scheduleTarget(targetChange{incarnation: entry.Incarnation, newEntry: &entry})
 }
 
 // SetLeaving shows a target as leaving after the lag.
 func (s *Store) SetLeaving(incarnation string) {
-	s.later(targetChange{incarnation: incarnation, state: platformapi.TargetLeaving})
+	s.scheduleTarget(targetChange{incarnation: incarnation, state: platformapi.TargetLeaving})
 }
 
 // RemoveTarget takes a target off the list after the lag.
 func (s *Store) RemoveTarget(incarnation string) {
-	s.later(targetChange{incarnation: incarnation})
+	s.scheduleTarget(targetChange{incarnation: incarnation})
 }
 
 // later queues a change. Each timer applies the oldest one, since timers of the
 // same lag may fire out of order.
-func (s *Store) later(c targetChange) {
+func (s *Store) scheduleTarget(c targetChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pending = append(s.pending, c)
-	s.options.AfterFunc(s.options.TargetLag, s.showTarget)
+	s.pendingTargets = append(s.pendingTargets, c)
+	s.options.AfterFunc(s.options.TargetLag, s.applyNextTarget)
 }
 
-func (s *Store) showTarget() {
+func (s *Store) applyNextTarget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.pending[0]
-	s.pending = s.pending[1:]
+	c := s.pendingTargets[0]
+	s.pendingTargets = s.pendingTargets[1:]
 	current := s.table.get(platformapi.KindTargets, c.incarnation)
 	switch {
-	case c.entry != nil:
-		s.putTarget(current, *c.entry)
+	case c.newEntry != nil:
+		s.putTarget(current, *c.newEntry)
 	case current == nil:
 	case c.state != "":
 		var entry platformapi.TargetEntry
--- a/emulator/target/admin.go
+++ b/emulator/target/admin.go
@@ -30,8 +30,8 @@
 		return
 	}
 	for _, fault := range faults {
-		if !fault.Kind.known() {
-			fail(w, http.StatusBadRequest, "unknown fault "+string(fault.Kind))
+		if !fault.Kind.valid() {
+			writeError(w, http.StatusBadRequest, "unknown fault "+string(fault.Kind))
 			return
 		}
 	}
--- a/emulator/target/answer.go
+++ b/emulator/target/answer.go
@@ -12,50 +12,50 @@
 )
 
 // garbage stands in for what a fault makes unreadable.
-const garbage = "\x7f{]not json"
+const garbledBody = "\x7f{]not json"
 
 // wholeAnswer answers with one JSON body when the work is done.
-type wholeAnswer struct {
-	w http.ResponseWriter
-	a *attempt
+type jsonResponder struct {
+	w       http.ResponseWriter
+	attempt *attempt
 }
 
-func (*wholeAnswer) begin() error            { return nil }
-func (*wholeAnswer) token(int, string) error { return nil }
-func (*wholeAnswer) idle() error             { return nil }
+func (*jsonResponder) begin() error                { return nil }
+func (*jsonResponder) sendToken(int, string) error { return nil }
+func (*jsonResponder) keepAlive() error            { return nil }
 
-func (o *wholeAnswer) done(result targetapi.RunResponse) error {
-	body, err := json.Marshal(o.a.crossed(result))
+func (o *jsonResponder) finish(result targetapi.RunResponse) error {
+	body, err := json.Marshal(o.attempt.withCrossedID(result))
 	if err != nil {
 		return err
 	}
-	if o.a.faults.has(FaultGarble) {
-		body = []byte(garbage)
+	if o.attempt.faults.has(FaultGarble) {
+		body = []byte(garbledBody)
 	}
 	o.w.Header().Set("Content-Type", "application/json")
 	o.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if o.a.faults.has(FaultDuplicate) {
-		return o.a.answerTwice(o.w, body)
+	if o.attempt.faults.has(FaultDuplicate) {
+		return o.attempt.sendTwice(o.w, body)
 	}
-	if o.a.faults.has(FaultTruncate) {
+	if o.attempt.faults.has(FaultTruncate) {
 		_, _ = o.w.Write(body[:len(body)/2])
 		flush(o.w)
-		abort()
+		abortConnection()
 	}
 	_, err = o.w.Write(body)
 	return err
 }
 
 // streamAnswer answers with an event for each token.
-type streamAnswer struct {
-	w      http.ResponseWriter
-	events *sse.Encoder
-	a      *attempt
-	sent   int
-	begun  bool
+type streamResponder struct {
+	w       http.ResponseWriter
+	events  *sse.Encoder
+	attempt *attempt
+	sent    int
+	begun   bool
 }
 
-func (o *streamAnswer) begin() error {
+func (o *streamResponder) begin() error {
 	o.begun = true
 	o.w.Header().Set("Content-Type", sse.ContentType)
 	o.w.WriteHeader(http.StatusOK)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (o *streamAnswer) idle() error {
+func (o *streamResponder) keepAlive() error {
 	if err := o.events.Comment("keep-alive"); err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-func (o *streamAnswer) token(offset int, token string) error {
-	o.breakConnection()
+func (o *streamResponder) sendToken(offset int, token string) error {
+	o.injectConnectionFaults()
 	data, err := json.Marshal(targetapi.TokenEvent{Token: token})
 	if err != nil {
 		return err
@@ -82,23 +82,23 @@
 }
 
 // breakConnection carries out the faults that end a stream between tokens.
-func (o *streamAnswer) breakConnection() {
-	if fault, ok := o.a.faults[FaultReset]; ok && o.sent >= fault.AfterTokens {
-		reset(o.w)
+func (o *streamResponder) injectConnectionFaults() {
+	if fault, ok := o.attempt.faults[FaultReset]; ok && o.sent >= fault.AfterTokens {
+		resetConnection(o.w)
 	}
-	if fault, ok := o.a.faults[FaultCrash]; ok && o.sent >= fault.AfterTokens {
-		o.half(targetapi.EventToken)
-		abort()
+	if fault, ok := o.attempt.faults[FaultCrash]; ok && o.sent >= fault.AfterTokens {
+		o.sendPartialEvent(targetapi.EventToken)
+		abortConnection()
 	}
 }
 
-func (o *streamAnswer) done(result targetapi.RunResponse) error {
-	if o.a.faults.has(FaultTruncate) {
+func (o *streamResponder) finish(result targetapi.RunResponse) error {
+	if o.attempt.faults.has(FaultTruncate) {
 		// The HTTP body ends in good order: only the event tells.
-		o.half(targetapi.EventDone)
+		o.sendPartialEvent(targetapi.EventDone)
 		return nil
 	}
-	data, err := json.Marshal(o.a.crossed(result))
+	data, err := json.Marshal(o.attempt.withCrossedID(result))
 	if err != nil {
 		return err
 	}
@@ -106,17 +106,17 @@
 }
 
 // half writes an event that lacks its end.
-func (o *streamAnswer) half(name string) {
+func (o *streamResponder) sendPartialEvent(name string) {
 	_, _ = o.w.Write([]byte("event: " + name + "\ndata: {\"to"))
 	flush(o.w)
 }
 
-func (o *streamAnswer) send(event sse.Event) error {
-	if o.a.faults.has(FaultGarble) {
-		event.Data = garbage
+func (o *streamResponder) send(event sse.Event) error {
+	if o.attempt.faults.has(FaultGarble) {
+		event.Data = garbledBody
 	}
 	copies := 1
-	if o.a.faults.has(FaultDuplicate) {
+	if o.attempt.faults.has(FaultDuplicate) {
 		copies = 2
 	}
 	for range copies {
@@ -129,14 +129,14 @@
 }
 
 // fail ends an attempt that was started and brought no answer.
-func (a *attempt) fail(w http.ResponseWriter, err error) {
+func (a *attempt) respondError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errCancelled) {
 		status = http.StatusConflict
 	}
-	stream, ok := a.answer.(*streamAnswer)
+	stream, ok := a.responder.(*streamResponder)
 	if !ok || !stream.begun {
-		fail(w, status, err.Error())
+		writeError(w, status, err.Error())
 		return
 	}
 	data, _ := json.Marshal(targetapi.Refusal{Error: err.Error()})
--- a/emulator/target/broken_answer.go
+++ b/emulator/target/broken_answer.go
@@ -13,33 +13,33 @@
 )
 
 // secondAnswerWait bounds how long a duplicate answer waits for the next call.
-const secondAnswerWait = time.Minute
+const duplicateTimeout = time.Minute
 
 var errInjected = errors.New("fault: failed after the work")
 
 // afterWork carries out the faults that come between the work and the answer.
-func (a *attempt) afterWork() error {
+func (a *attempt) injectAfterWork() error {
 	if a.faults.has(FaultGrey) {
 		return errInjected
 	}
 	if a.faults.has(FaultLost) {
-		abort()
+		abortConnection()
 	}
 	if late, ok := a.faults[FaultLate]; ok {
-		return a.wait(a.target.options.After(time.Duration(late.DelayMS) * time.Millisecond))
+		return a.waitFor(a.target.options.After(time.Duration(late.DelayMS) * time.Millisecond))
 	}
-	whole, ok := a.answer.(*wholeAnswer)
+	whole, ok := a.responder.(*jsonResponder)
 	if ok && a.faults.has(FaultReset) {
-		reset(whole.w)
+		resetConnection(whole.w)
 	}
 	if ok && a.faults.has(FaultCrash) {
-		abort()
+		abortConnection()
 	}
 	return nil
 }
 
 // crossed gives the answer the id of another attempt when a fault says so.
-func (a *attempt) crossed(result targetapi.RunResponse) targetapi.RunResponse {
+func (a *attempt) withCrossedID(result targetapi.RunResponse) targetapi.RunResponse {
 	if a.faults.has(FaultCrossed) {
 		result.AttemptID = crossedID(a.id)
 	}
@@ -51,29 +51,29 @@
 }
 
 // abort closes the connection without a word more.
-func abort() {
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
 // reset closes the connection so that the peer sees a reset, and does not
 // return.
-func reset(w http.ResponseWriter) {
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		abort()
+		abortConnection()
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		// Unsent and unread bytes are dropped, and the peer gets an RST.
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
-	abort()
+	abortConnection()
 }
 
 // answerTwice sends the answer, and once more when the next call arrives on
 // the connection: to that call's sender it looks like the answer to it.
-func (a *attempt) answerTwice(w http.ResponseWriter, body []byte) error {
-	answer := wireAnswer(w.Header(), body)
+func (a *attempt) sendTwice(w http.ResponseWriter, body []byte) error {
+	answer := encodeResponse(w.Header(), body)
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	if _, err := conn.Write(answer); err != nil {
 		return nil
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(secondAnswerWait))
+	_ = conn.SetReadDeadline(time.Now().Add(duplicateTimeout))
 	if _, err := buffered.Peek(1); err != nil {
 		return nil
 	}
@@ -92,7 +92,7 @@
 }
 
 // wireAnswer is the answer as HTTP/1.1 puts it on the connection.
-func wireAnswer(header http.Header, body []byte) []byte {
+func encodeResponse(header http.Header, body []byte) []byte {
 	var wire bytes.Buffer
 	wire.WriteString("HTTP/1.1 200 OK\r\n")
 	// A buffer takes every write.
--- a/emulator/target/cache.go
+++ b/emulator/target/cache.go
@@ -12,7 +12,7 @@
 type prefixCache struct {
 	capacity int
 	// changed is called, under the lock, for each part that comes or goes.
-	changed func(part string, added bool)
+	onChange func(part string, added bool)
 
 	mu     sync.Mutex
 	tokens int
@@ -24,7 +24,7 @@
 func newPrefixCache(capacity int, changed func(part string, added bool)) *prefixCache {
 	return &prefixCache{
 		capacity: capacity,
-		changed:  changed,
+		onChange: changed,
 		recent:   list.New(),
 		byID:     make(map[string]*list.Element),
 	}
@@ -32,7 +32,7 @@
 
 // missing returns how many tokens of the prompt have to be read, and marks the
 // cached ones as used.
-func (c *prefixCache) missing(parts []targetapi.Part) int {
+func (c *prefixCache) uncachedTokens(parts []targetapi.Part) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hits := 0
@@ -73,7 +73,7 @@
 	}
 	c.tokens += part.Tokens
 	c.byID[part.ID] = c.recent.PushFront(part)
-	c.changed(part.ID, true)
+	c.onChange(part.ID, true)
 }
 
 func (c *prefixCache) evict() {
@@ -81,7 +81,7 @@
 	part := c.recent.Remove(oldest).(targetapi.Part)
 	delete(c.byID, part.ID)
 	c.tokens -= part.Tokens
-	c.changed(part.ID, false)
+	c.onChange(part.ID, false)
 }
 
 // find returns the part if it is cached.
--- a/emulator/target/control.go
+++ b/emulator/target/control.go
@@ -14,18 +14,18 @@
 const queryAfter = "after"
 
 func (t *Target) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	t.describe(w.Header())
+	t.setHeaders(w.Header())
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (t *Target) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	t.describe(w.Header())
-	writeJSON(w, http.StatusOK, t.report())
+	t.setHeaders(w.Header())
+	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
 // report is the target's lagging description of itself.
-func (t *Target) report() targetapi.Load {
-	seen := t.load.report()
+func (t *Target) loadReport() targetapi.Load {
+	seen := t.loadHistory.reported()
 	report := targetapi.Load{
 		Incarnation: t.options.Incarnation,
 		Active:      seen.active,
@@ -33,7 +33,7 @@
 		Slots:       t.options.Slots,
 		Leaving:     t.leaving.Load(),
 	}
-	t.orders.describe(&report)
+	t.orders.addTo(&report)
 	return report
 }
 
@@ -43,15 +43,15 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	t.describe(w.Header())
-	if err := t.carryOut(r, order); err != nil {
+	t.setHeaders(w.Header())
+	if err := t.executeOrder(r, order); err != nil {
 		refuseOrder(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, t.report())
+	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
-func (t *Target) carryOut(r *http.Request, order targetapi.Order) error {
+func (t *Target) executeOrder(r *http.Request, order targetapi.Order) error {
 	if err := t.orders.accept(order); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 		case <-r.Context().Done():
 			return r.Context().Err()
 		case <-t.closing.Done():
-			return errShutDown
+			return errClosed
 		}
 	}
 	return t.orders.apply(order)
@@ -71,18 +71,18 @@
 func refuseOrder(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, errFenced):
+	case errors.Is(err, errOldFencing):
 		status = http.StatusConflict
-	case errors.Is(err, errBadAction), errors.Is(err, errNoRoom):
+	case errors.Is(err, errBadAction), errors.Is(err, errTooManyLoaded):
 		status = http.StatusBadRequest
 	}
-	refuse(w, status, err.Error())
+	refuseNotRun(w, status, err.Error())
 }
 
 func (t *Target) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get(queryAfter), 10, 64)
 	if err != nil && r.URL.Query().Has(queryAfter) {
-		fail(w, http.StatusBadRequest, queryAfter+" is no whole number")
+		writeError(w, http.StatusBadRequest, queryAfter+" is no whole number")
 		return
 	}
 	page := t.events.after(after)
--- a/emulator/target/events.go
+++ b/emulator/target/events.go
@@ -10,9 +10,9 @@
 
 const (
 	// eventsKept bounds the cache events that can still be read.
-	eventsKept = 4096
+	maxKeptEvents = 4096
 	// eventsPerPage bounds one answer.
-	eventsPerPage = 512
+	maxPageEvents = 512
 )
 
 // eventLog publishes cache events late and with gaps.
@@ -39,7 +39,7 @@
 		now:  options.Now,
 		lag:  options.EventLag,
 		loss: options.EventLoss,
-		rng:  rand.New(rand.NewPCG(options.Seed, eventsKept)),
+		rng:  rand.New(rand.NewPCG(options.Seed, maxKeptEvents)),
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	event := targetapi.CacheEvent{Seq: l.seq, Added: added, Part: part}
 	l.entries = append(l.entries, loggedEvent{at: l.now(), event: event})
-	if len(l.entries) > eventsKept {
+	if len(l.entries) > maxKeptEvents {
 		l.dropped = l.entries[0].event.Seq
 		l.entries = l.entries[1:]
 	}
@@ -66,7 +66,7 @@
 	page := targetapi.CacheEvents{Next: seq, Lost: seq < l.dropped}
 	visible := l.now().Add(-l.lag)
 	for _, entry := range l.entries {
-		if entry.at.After(visible) || len(page.Events) == eventsPerPage {
+		if entry.at.After(visible) || len(page.Events) == maxPageEvents {
 			break
 		}
 		if entry.event.Seq > seq {
--- a/emulator/target/fault.go
+++ b/emulator/target/fault.go
@@ -40,7 +40,7 @@
 	FaultCrash FaultKind = "crash"
 )
 
-func (k FaultKind) known() bool {
+func (k FaultKind) valid() bool {
 	switch k {
 	case FaultStraggler, FaultGrey, FaultFailFast, FaultTruncate, FaultGarble, FaultDuplicate,
 		FaultCrossed, FaultLost, FaultLate, FaultReset, FaultSilent, FaultCrash:
@@ -90,7 +90,7 @@
 }
 
 // draw returns the faults that hit the next call.
-func (s *faultSet) draw() callFaults {
+func (s *faultSet) sample() callFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	drawn := callFaults{}
--- a/emulator/target/load.go
+++ b/emulator/target/load.go
@@ -9,7 +9,7 @@
 const samplesPerLag = 16
 
 // sample is the load at one moment.
-type sample struct {
+type loadSample struct {
 	at             time.Time
 	active, queued int
 }
@@ -20,11 +20,11 @@
 	lag time.Duration
 
 	mu      sync.Mutex
-	samples []sample
+	samples []loadSample
 }
 
 func newLoadHistory(now func() time.Time, lag time.Duration) *loadHistory {
-	return &loadHistory{now: now, lag: lag, samples: []sample{{at: now()}}}
+	return &loadHistory{now: now, lag: lag, samples: []loadSample{{at: now()}}}
 }
 
 // record notes a change of the load.
@@ -38,11 +38,11 @@
 		last.active, last.queued = active, queued
 		return
 	}
-	h.samples = append(h.samples, sample{at: at, active: active, queued: queued})
+	h.samples = append(h.samples, loadSample{at: at, active: active, queued: queued})
 }
 
 // report returns the load as it was one lag ago.
-func (h *loadHistory) report() sample {
+func (h *loadHistory) reported() loadSample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.prune(h.now())
--- a/emulator/target/options.go
+++ b/emulator/target/options.go
@@ -56,7 +56,7 @@
 
 	// Started is told of the first input of each run before its work begins, so
 	// that a test knows the runs of a target that it kills; nil means nobody.
-	Started func(input string)
+	OnRunStart func(input string)
 
 	// ReportLag is the age of the load that the target reports.
 	ReportLag time.Duration
@@ -74,7 +74,7 @@
 	Now   func() time.Time
 	After func(time.Duration) <-chan time.Time
 	// Peers fetches KV cache from other targets; nil means a client of its own.
-	Peers *http.Client
+	PeerClient *http.Client
 }
 
 func (o Options) withDefaults() Options {
@@ -96,8 +96,8 @@
 	if o.After == nil {
 		o.After = time.After
 	}
-	if o.Peers == nil {
-		o.Peers = &http.Client{
+	if o.PeerClient == nil {
+		o.PeerClient = &http.Client{
 			Timeout:   kvFetchTimeout,
 			Transport: &http.Transport{DisableKeepAlives: true},
 		}
--- a/emulator/target/orders.go
+++ b/emulator/target/orders.go
@@ -11,19 +11,19 @@
 
 const (
 	// ordersKept bounds the journal of orders.
-	ordersKept = 1024
+	maxKeptOrders = 1024
 	// maxLoaded bounds the models, and the adapters, that are loaded.
 	maxLoaded = 64
 )
 
 var (
-	errFenced    = errors.New("fencing number is old")
-	errBadAction = errors.New("unknown action")
-	errNoRoom    = errors.New("no room to load more")
+	errOldFencing    = errors.New("fencing number is old")
+	errBadAction     = errors.New("unknown action")
+	errTooManyLoaded = errors.New("no room to load more")
 )
 
 // orderBook holds what orders have changed.
-type orderBook struct {
+type orderState struct {
 	checksFencing bool
 	anyModel      bool
 	anyAdapter    bool
@@ -34,11 +34,11 @@
 	adapters []string
 	version  string
 	role     string
-	journal  []targetapi.Order
+	applied  []targetapi.Order
 }
 
-func newOrderBook(options Options) *orderBook {
-	return &orderBook{
+func newOrderState(options Options) *orderState {
+	return &orderState{
 		checksFencing: options.ChecksFencing,
 		anyModel:      options.Models == nil,
 		anyAdapter:    options.Adapters == nil,
@@ -48,7 +48,7 @@
 }
 
 // accept notes an order's fencing number before the order takes effect.
-func (b *orderBook) accept(order targetapi.Order) error {
+func (b *orderState) accept(order targetapi.Order) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.checkFencing(order); err != nil {
@@ -60,30 +60,30 @@
 
 // apply makes an accepted order take effect. Loading takes long, so a newer
 // holder may have given orders in between: the number is checked once more.
-func (b *orderBook) apply(order targetapi.Order) error {
+func (b *orderState) apply(order targetapi.Order) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.checkFencing(order); err != nil {
 		return err
 	}
-	if err := b.change(order); err != nil {
+	if err := b.execute(order); err != nil {
 		return err
 	}
-	b.journal = append(b.journal, order)
-	if len(b.journal) > ordersKept {
-		b.journal = b.journal[1:]
+	b.applied = append(b.applied, order)
+	if len(b.applied) > maxKeptOrders {
+		b.applied = b.applied[1:]
 	}
 	return nil
 }
 
-func (b *orderBook) checkFencing(order targetapi.Order) error {
+func (b *orderState) checkFencing(order targetapi.Order) error {
 	if b.checksFencing && order.Fencing < b.fencing {
-		return errFenced
+		return errOldFencing
 	}
 	return nil
 }
 
-func (b *orderBook) change(order targetapi.Order) (err error) {
+func (b *orderState) execute(order targetapi.Order) (err error) {
 	switch order.Action {
 	case targetapi.ActionLoadModel:
 		b.models, err = load(b.models, order.Value)
@@ -104,13 +104,13 @@
 		return loaded, nil
 	}
 	if len(loaded) == maxLoaded {
-		return loaded, errNoRoom
+		return loaded, errTooManyLoaded
 	}
 	return append(loaded, name), nil
 }
 
 // describe fills in what orders have changed.
-func (b *orderBook) describe(load *targetapi.Load) {
+func (b *orderState) addTo(load *targetapi.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	load.Models = slices.Clone(b.models)
@@ -121,7 +121,7 @@
 }
 
 // has tells whether the model and the adapter of a call are loaded.
-func (b *orderBook) has(model, adapter string) bool {
+func (b *orderState) isLoaded(model, adapter string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	modelLoaded := model == "" || b.anyModel || slices.Contains(b.models, model)
@@ -130,8 +130,8 @@
 }
 
 // list returns the orders that took effect, the oldest first.
-func (b *orderBook) list() []targetapi.Order {
+func (b *orderState) list() []targetapi.Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.journal)
+	return slices.Clone(b.applied)
 }
--- a/emulator/target/property_test.go
+++ b/emulator/target/property_test.go
@@ -20,7 +20,7 @@
 			slots:      rapid.IntRange(1, 3).Draw(t, "slots"),
 			queueLimit: rapid.IntRange(0, 3).Draw(t, "queue"),
 			priorities: rapid.Bool().Draw(t, "priorities"),
-			changed:    func(int, int) {},
+			onChange:   func(int, int) {},
 		}
 		var present []*ticket
 		for range 40 {
@@ -45,7 +45,7 @@
 			require.LessOrEqual(t, len(s.queue), s.queueLimit)
 			for _, waiting := range s.queue {
 				for _, holder := range s.active {
-					require.True(t, s.before(holder, waiting), "a call waits behind one that comes after it")
+					require.True(t, s.precedes(holder, waiting), "a call waits behind one that comes after it")
 				}
 			}
 		}
@@ -70,11 +70,11 @@
 			for _, part := range prompt {
 				all += part.Tokens
 			}
-			require.LessOrEqual(t, cache.missing(prompt), all)
+			require.LessOrEqual(t, cache.uncachedTokens(prompt), all)
 			cache.add(prompt)
 			require.LessOrEqual(t, cache.tokens, cache.capacity)
 			if all <= cache.capacity {
-				require.Zero(t, cache.missing(prompt))
+				require.Zero(t, cache.uncachedTokens(prompt))
 			}
 			for id, held := range told {
 				_, found := cache.find(id)
@@ -89,7 +89,7 @@
 		faults := newFaultSet(seed)
 		faults.set([]Fault{{Kind: FaultGrey, Share: 0.5}})
 		for range 64 {
-			hits = append(hits, faults.draw().has(FaultGrey))
+			hits = append(hits, faults.sample().has(FaultGrey))
 		}
 		return hits
 	}
@@ -99,11 +99,11 @@
 
 func TestRunCounterIsBounded(t *testing.T) {
 	counter := newRunCounter()
-	for i := range runsKept + 1 {
-		counter.start(fmt.Sprint(i), false)
+	for i := range maxCountedRequests + 1 {
+		counter.count(fmt.Sprint(i), false)
 	}
 	report := counter.snapshot()
-	require.Len(t, report.Runs, runsKept)
+	require.Len(t, report.Runs, maxCountedRequests)
 	require.NotContains(t, report.Runs, "0")
-	require.Equal(t, runsKept+1, report.Started)
+	require.Equal(t, maxCountedRequests+1, report.Started)
 }
--- a/emulator/target/refusal.go
+++ b/emulator/target/refusal.go
@@ -13,27 +13,27 @@
 const retryAfterMS = 100
 
 // refuse answers a call of which nothing was run.
-func refuse(w http.ResponseWriter, status int, reason string) {
+func refuseNotRun(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(targetapi.HeaderNotRun, "true")
-	fail(w, status, reason)
+	writeError(w, status, reason)
 }
 
 // refuseStart answers a call that got no slot.
-func refuseStart(w http.ResponseWriter, err error) {
+func refuseAttempt(w http.ResponseWriter, err error) {
 	w.Header().Set(targetapi.HeaderNotRun, "true")
 	refusal := targetapi.Refusal{Error: err.Error()}
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errCancelled) {
 		status = http.StatusConflict
 	}
-	if errors.Is(err, errFull) {
+	if errors.Is(err, errQueueFull) {
 		refusal.RetryAfterMS = retryAfterMS
 	}
 	writeJSON(w, status, refusal)
 }
 
 // fail answers without a word on whether anything was run.
-func fail(w http.ResponseWriter, status int, reason string) {
+func writeError(w http.ResponseWriter, status int, reason string) {
 	writeJSON(w, status, targetapi.Refusal{Error: reason})
 }
 
@@ -46,9 +46,9 @@
 
 // readJSON reads a bounded body, and answers 400 when it can't be parsed.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(into)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 	}
 	return err == nil
 }
--- a/emulator/target/runs.go
+++ b/emulator/target/runs.go
@@ -6,10 +6,10 @@
 )
 
 // runsKept bounds the request ids that are counted; the oldest is forgotten.
-const runsKept = 1 << 16
+const maxCountedRequests = 1 << 16
 
 // inputKept is the length of the inputs that are counted, in bytes.
-const inputKept = 256
+const maxCountedInputBytes = 256
 
 // RunsReport is the body of GET /admin/runs.
 type RunsReport struct {
@@ -38,7 +38,7 @@
 	return &runCounter{report: RunsReport{Runs: make(map[string]int)}}
 }
 
-func (c *runCounter) start(requestID string, leaving bool) {
+func (c *runCounter) count(requestID string, leaving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Started++
@@ -46,14 +46,14 @@
 		c.report.StartedLeaving++
 	}
 	if _, known := c.report.Runs[requestID]; !known {
-		c.remember(requestID)
+		c.addRequest(requestID)
 	}
 	c.report.Runs[requestID]++
 }
 
-func (c *runCounter) remember(requestID string) {
+func (c *runCounter) addRequest(requestID string) {
 	c.order = append(c.order, requestID)
-	if len(c.order) <= runsKept {
+	if len(c.order) <= maxCountedRequests {
 		return
 	}
 	delete(c.report.Runs, c.order[0])
--- a/emulator/target/scheduler.go
+++ b/emulator/target/scheduler.go
@@ -23,7 +23,7 @@
 	queueLimit int
 	priorities bool
 	// changed is called, under the lock, with the new load.
-	changed func(active, queued int)
+	onChange func(active, queued int)
 
 	mu     sync.Mutex
 	seq    uint64
@@ -47,7 +47,7 @@
 	if !free && s.priorities {
 		s.preemptFor(t)
 	}
-	s.report()
+	s.notify()
 	return true
 }
 
@@ -58,7 +58,7 @@
 	s.active = remove(s.active, t)
 	s.queue = remove(s.queue, t)
 	s.grant()
-	s.report()
+	s.notify()
 }
 
 // yield gives a slot back if it was asked for. After true the holder must wait
@@ -73,7 +73,7 @@
 	s.active = remove(s.active, t)
 	s.queue = append(s.queue, t)
 	s.grant()
-	s.report()
+	s.notify()
 	return true
 }
 
@@ -89,7 +89,7 @@
 	for len(s.active) < s.slots && len(s.queue) > 0 {
 		next := s.queue[0]
 		for _, t := range s.queue[1:] {
-			if s.before(t, next) {
+			if s.precedes(t, next) {
 				next = t
 			}
 		}
@@ -107,7 +107,7 @@
 		if holder.preempted || holder.priority <= t.priority {
 			continue
 		}
-		if victim == nil || s.before(victim, holder) {
+		if victim == nil || s.precedes(victim, holder) {
 			victim = holder
 		}
 	}
@@ -117,15 +117,15 @@
 }
 
 // before tells whether a is served before b.
-func (s *scheduler) before(a, b *ticket) bool {
+func (s *scheduler) precedes(a, b *ticket) bool {
 	if s.priorities && a.priority != b.priority {
 		return a.priority < b.priority
 	}
 	return a.seq < b.seq
 }
 
-func (s *scheduler) report() {
-	s.changed(len(s.active), len(s.queue))
+func (s *scheduler) notify() {
+	s.onChange(len(s.active), len(s.queue))
 }
 
 func remove(tickets []*ticket, t *ticket) []*ticket {
--- a/emulator/target/target.go
+++ b/emulator/target/target.go
@@ -12,20 +12,20 @@
 
 // Target is one emulated target. It is safe for concurrent use.
 type Target struct {
-	options   Options
-	faults    *faultSet
-	scheduler *scheduler
-	cache     *prefixCache
-	events    *eventLog
-	load      *loadHistory
-	orders    *orderBook
-	runs      *runCounter
-	inputs    *runCounter
-	leaving   atomic.Bool
+	options     Options
+	faults      *faultSet
+	scheduler   *scheduler
+	cache       *prefixCache
+	events      *eventLog
+	loadHistory *loadHistory
+	orders      *orderState
+	runs        *runCounter
+	inputRuns   *runCounter
+	leaving     atomic.Bool
 
 	// closing ends when Close is called.
-	closing context.Context
-	close   context.CancelFunc
+	closing     context.Context
+	cancelCalls context.CancelFunc
 
 	mu sync.Mutex
 	// attempts are those that wait or run, by attempt id.
@@ -36,23 +36,23 @@
 func New(options Options) *Target {
 	options = options.withDefaults()
 	t := &Target{
-		options:  options,
-		faults:   newFaultSet(options.Seed),
-		events:   newEventLog(options),
-		load:     newLoadHistory(options.Now, options.ReportLag),
-		orders:   newOrderBook(options),
-		runs:     newRunCounter(),
-		inputs:   newRunCounter(),
-		attempts: make(map[string]*attempt),
+		options:     options,
+		faults:      newFaultSet(options.Seed),
+		events:      newEventLog(options),
+		loadHistory: newLoadHistory(options.Now, options.ReportLag),
+		orders:      newOrderState(options),
+		runs:        newRunCounter(),
+		inputRuns:   newRunCounter(),
+		attempts:    make(map[string]*attempt),
 	}
 	t.cache = newPrefixCache(options.CacheTokens, t.events.add)
 	t.scheduler = &scheduler{
 		slots:      options.Slots,
 		queueLimit: options.QueueLimit,
 		priorities: options.Kind == catalog.KindEngine,
-		changed:    t.load.record,
+		onChange:   t.loadHistory.record,
 	}
-	t.closing, t.close = context.WithCancel(context.Background())
+	t.closing, t.cancelCalls = context.WithCancel(context.Background())
 	return t
 }
 
@@ -94,7 +94,7 @@
 // RunsReport tells what GET /admin/runs does.
 func (t *Target) RunsReport() RunsReport {
 	report := t.runs.snapshot()
-	report.Inputs = t.inputs.snapshot().Runs
+	report.Inputs = t.inputRuns.snapshot().Runs
 	return report
 }
 
@@ -111,5 +111,5 @@
 // Close ends every call that the target still holds. It does not close the
 // server on which the Handler is mounted.
 func (t *Target) Close() {
-	t.close()
+	t.cancelCalls()
 }
