--- a/client/app.go
+++ b/client/app.go
@@ -1,5 +1,6 @@
-// Package client is the operators' client: commands that write and read records
-// through the platform's object API, and that ask an instance about requests.
+// Package client implements the operators' command-line client: commands that
+// write and read records through the platform's object API, and that query an
+// instance about requests.
 package client
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Names of flags and of the environment's variables that stand for them.
+// Names of the global flags and of the environment variables that replace them.
 const (
 	flagPlatform = "platform"
 	flagInstance = "instance"
@@ -27,29 +28,31 @@
 	envKey      = "IVYHOLLOW_KEY"
 )
 
-// Options are what the client takes from its process.
+// Options are the client's connections to its process: streams, environment and
+// network.
 type Options struct {
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Getenv reads the environment.
+	// Getenv returns the value of an environment variable.
 	Getenv func(string) string
-	// OpenStore connects to the platform; nil means over HTTP.
+	// OpenStore returns a store for the platform at baseURL; nil means an HTTP
+	// client of the platform.
 	OpenStore func(baseURL string) Store
-	// HTTP carries the calls to instances; nil means a client of its own.
+	// HTTP sends the calls to instances; nil means a new HTTP client.
 	HTTP *http.Client
 }
 
-// app is one run of the client.
+// app executes one command line.
 type app struct {
 	Options
-	pacer pacer
+	sleep sleepFunc
 }
 
-// Run carries out the command line, without the program's name, and returns the
-// exit code.
+// Run executes the command line args, which excludes the program's name, and
+// returns the exit code.
 func Run(ctx context.Context, args []string, options Options) int {
-	a := &app{Options: options, pacer: waitFor}
+	a := &app{Options: options, sleep: sleep}
 	if a.OpenStore == nil {
 		a.OpenStore = func(baseURL string) Store { return platform.New(platform.Options{BaseURL: baseURL}) }
 	}
@@ -57,7 +60,7 @@
 		a.HTTP = platform.NewHTTPClient(platform.NewTransport())
 	}
 	err := a.root().Run(ctx, append([]string{"ivyhollow"}, args...))
-	a.report(err)
+	a.printError(err)
 	return ExitCode(err)
 }
 
@@ -69,7 +72,7 @@
 		ErrWriter:             a.Stderr,
 		EnableShellCompletion: true,
 		Suggest:               true,
-		// Errors are printed, and turned into the exit code, by Run.
+		// Run prints errors and maps them to the exit code.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Flags:          a.globalFlags(),
 		Commands: []*cli.Command{
@@ -83,18 +86,18 @@
 			return cli.ShowRootCommandHelp(cmd)
 		},
 	}
-	settle(root)
+	applySettings(root)
 	return root
 }
 
-// settle sets on a command, and on those below it, what the library does not
-// hand down.
-func settle(cmd *cli.Command) {
+// applySettings sets on a command and on its subcommands the settings that the
+// library doesn't propagate to subcommands.
+func applySettings(cmd *cli.Command) {
 	cmd.OnUsageError = onUsageError
-	// A comma may stand in the name of a file.
+	// File names may contain commas.
 	cmd.DisableSliceFlagSeparator = true
 	for _, sub := range cmd.Commands {
-		settle(sub)
+		applySettings(sub)
 	}
 }
 
@@ -112,14 +115,15 @@
 	return usagef("%v", err)
 }
 
-// report prints an error for people; answers go to Stdout, errors never do.
-func (a *app) report(err error) {
+// printError prints err to Stderr. Stdout carries results only.
+func (a *app) printError(err error) {
 	if err != nil {
 		fmt.Fprintf(a.Stderr, "ivyhollow: %v\n", err)
 	}
 }
 
-// store opens the store that the command line or the environment names.
+// store opens the store at the platform URL of the command line or the
+// environment.
 func (a *app) store(cmd *cli.Command) (Store, error) {
 	url := a.platformURL(cmd)
 	if url == "" {
@@ -128,8 +132,8 @@
 	return a.OpenStore(url), nil
 }
 
-// kindAndStore reads the kind of record that the command's first argument names,
-// and opens the store.
+// kindAndStore validates the kind of record in the command's first argument and
+// opens the store.
 func (a *app) kindAndStore(cmd *cli.Command) (kind string, store Store, err error) {
 	kind = cmd.Args().First()
 	if err := checkKind(kind); err != nil {
@@ -146,15 +150,15 @@
 	return a.Getenv(envPlatform)
 }
 
-// action wraps a command's work: it checks the number of arguments and bounds
-// the time.
-func action(args int, names string, work func(context.Context, *cli.Command) error) cli.ActionFunc {
+// action wraps the handler of a command: it checks the number of arguments and
+// applies the timeout.
+func action(args int, names string, handler func(context.Context, *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		if cmd.Args().Len() != args {
 			return usagef("%s takes %d arguments (%s), not %d", cmd.FullName(), args, names, cmd.Args().Len())
 		}
 		bounded, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 		defer cancel()
-		return work(bounded, cmd)
+		return handler(bounded, cmd)
 	}
 }
--- a/client/check.go
+++ b/client/check.go
@@ -10,16 +10,17 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// inventory is what the store holds, judged as an instance judges it.
-type inventory struct {
+// storeSnapshot holds the store's records, validated as an instance validates
+// them.
+type storeSnapshot struct {
 	set      *config.Set
 	objects  map[config.Key]*platformapi.Object
 	revision uint64
 }
 
-// takeInventory reads every record from the store.
-func takeInventory(ctx context.Context, store Store) (*inventory, error) {
-	inv := &inventory{set: config.New(record.Decode), objects: map[config.Key]*platformapi.Object{}}
+// readStore reads every record from the store.
+func readStore(ctx context.Context, store Store) (*storeSnapshot, error) {
+	snapshot := &storeSnapshot{set: config.New(record.Decode), objects: map[config.Key]*platformapi.Object{}}
 	for _, kind := range config.Kinds {
 		list, err := store.List(ctx, string(kind))
 		if err != nil {
@@ -28,26 +29,26 @@
 		records := make([]config.Record, len(list.Items))
 		for i := range list.Items {
 			records[i] = record.FromObject(kind, &list.Items[i])
-			inv.objects[records[i].Key] = &list.Items[i]
-			inv.revision = max(inv.revision, records[i].Newest.Revision)
+			snapshot.objects[records[i].Key] = &list.Items[i]
+			snapshot.revision = max(snapshot.revision, records[i].Newest.Revision)
 		}
-		inv.set.ApplyList(kind, records, list.Revision)
-		inv.revision = max(inv.revision, list.Revision)
+		snapshot.set.ApplyList(kind, records, list.Revision)
+		snapshot.revision = max(snapshot.revision, list.Revision)
 	}
-	return inv, nil
+	return snapshot, nil
 }
 
-// check judges documents as if they were written, one after another, and
-// returns the faults of those that would be refused.
-func (inv *inventory) check(documents []record.Document) record.Faults {
+// validate applies documents in order as if they were written, and returns the
+// faults of those that instances would refuse.
+func (snapshot *storeSnapshot) validate(documents []record.Document) record.Faults {
 	batch := make([]config.Record, len(documents))
 	for i, doc := range documents {
-		batch[i] = config.LiveRecord(keyOf(doc), inv.revision+1+uint64(i), doc.Object.Spec)
+		batch[i] = config.LiveRecord(keyOf(doc), snapshot.revision+1+uint64(i), doc.Object.Spec)
 	}
-	inv.set.Apply(batch)
+	snapshot.set.Apply(batch)
 	var faults record.Faults
 	for _, doc := range documents {
-		verdict, ok := inv.set.Verdict(keyOf(doc))
+		verdict, ok := snapshot.set.Verdict(keyOf(doc))
 		if ok && !verdict.Accepted {
 			faults = append(faults, record.Fault{Field: doc.Prefix(), Line: doc.Line, Reason: verdict.Reason})
 		}
@@ -55,11 +56,11 @@
 	return faults
 }
 
-// checkRevisions refuses documents that name another revision than the store
-// holds: their operator has not seen the newer record.
-func (inv *inventory) checkRevisions(documents []record.Document) error {
+// checkRevisions returns a conflict for the first document that names another
+// revision than the store holds: its operator has not seen the newer record.
+func (snapshot *storeSnapshot) checkRevisions(documents []record.Document) error {
 	for _, doc := range documents {
-		wanted, current := doc.Object.Metadata.Revision, inv.objects[keyOf(doc)]
+		wanted, current := doc.Object.Metadata.Revision, snapshot.objects[keyOf(doc)]
 		if wanted != 0 && (current == nil || current.Metadata.Revision != wanted) {
 			return &ConflictError{Kind: string(doc.Kind), Name: doc.Object.Metadata.Name, Current: current}
 		}
@@ -67,10 +68,11 @@
 	return nil
 }
 
-// checkDelete returns why a record may not be deleted, or nothing.
-func (inv *inventory) checkDelete(key config.Key) string {
-	inv.set.Apply([]config.Record{config.TombstoneRecord(key, inv.revision+1)})
-	verdict, ok := inv.set.Verdict(key)
+// checkDelete returns the reason why a record can't be deleted, or the empty
+// string if it can.
+func (snapshot *storeSnapshot) checkDelete(key config.Key) string {
+	snapshot.set.Apply([]config.Record{config.TombstoneRecord(key, snapshot.revision+1)})
+	verdict, ok := snapshot.set.Verdict(key)
 	if !ok || verdict.Accepted {
 		return ""
 	}
@@ -81,10 +83,10 @@
 	return config.Key{Kind: doc.Kind, Name: doc.Object.Metadata.Name}
 }
 
-// checkKind refuses a word that is no kind of record.
-func checkKind(word string) error {
-	if slices.Contains(config.Kinds, catalog.RecordKind(word)) {
+// checkKind returns a usage error unless kind is a kind of record.
+func checkKind(kind string) error {
+	if slices.Contains(config.Kinds, catalog.RecordKind(kind)) {
 		return nil
 	}
-	return usagef("%q is not a kind of record: %v", word, config.Kinds)
+	return usagef("%q is not a kind of record: %v", kind, config.Kinds)
 }
--- a/client/exit.go
+++ b/client/exit.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Exit codes. docs/operations/records.md lists them for operators.
+// Exit codes of the client. docs/operations/records.md lists them for operators.
 const (
 	ExitOK               = 0
 	ExitFault            = 1
@@ -21,13 +21,13 @@
 	ExitNotFound         = 4
 	ExitConflict         = 5
 	ExitStoreUnavailable = 6
-	// ExitNotRun is a refusal that vouches that nothing was run.
+	// ExitNotRun reports a refusal that guarantees that nothing was run.
 	ExitNotRun = 7
-	// ExitUnknown says that a write or a request may have taken effect.
+	// ExitUnknown reports that a write or a request may have taken effect.
 	ExitUnknown = 8
 )
 
-// UsageError is a command line that can't be understood.
+// UsageError reports an invalid command line.
 type UsageError struct{ Reason string }
 
 func (e *UsageError) Error() string { return e.Reason }
@@ -36,7 +36,7 @@
 	return &UsageError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// InvalidError says that records are at fault; none was written.
+// InvalidError reports invalid records; none of them was written.
 type InvalidError struct {
 	File   string
 	Faults record.Faults
@@ -52,11 +52,11 @@
 	return b.String()
 }
 
-// ConflictError says that somebody else changed a record first.
+// ConflictError reports that a record was changed or deleted concurrently.
 type ConflictError struct {
 	Kind string
 	Name string
-	// Current is the newer record; nil when it was deleted.
+	// Current is the newer record; nil if it was deleted.
 	Current *platformapi.Object
 }
 
@@ -68,7 +68,8 @@
 		e.Kind, e.Name, e.Current.Metadata.Revision, indent(e.Current.Spec))
 }
 
-// RequestError is a refusal or failure of an instance.
+// RequestError is a refusal or failure that an instance returned, or the failure
+// of a call to one.
 type RequestError struct{ Problem callerapi.Problem }
 
 func (e *RequestError) Error() string {
@@ -88,7 +89,7 @@
 	return b.String()
 }
 
-// ExitCode maps an error to the exit code.
+// ExitCode returns the exit code for err.
 func ExitCode(err error) int {
 	var usage *UsageError
 	var invalid *InvalidError
--- a/client/harness_test.go
+++ b/client/harness_test.go
@@ -19,107 +19,110 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// memory is a store in memory. Before a call it consults its script, which may
-// fail the call or do something in between.
-type memory struct {
+// fakeStore is a store in memory whose hooks can fail a call or change records
+// concurrently.
+type fakeStore struct {
 	objects  map[string]map[string]platformapi.Object
 	revision uint64
 	events   []platformapi.Event
 	calls    []string
-	// before runs before each call, lost after each write that took effect.
-	before func(call string) error
-	lost   func(call string) error
+	// beforeCall runs before each call, afterWrite after each write that took
+	// effect; an error is that of the call.
+	beforeCall func(call string) error
+	afterWrite func(call string) error
 }
 
-func newMemory() *memory { return &memory{objects: map[string]map[string]platformapi.Object{}} }
+func newFakeStore() *fakeStore {
+	return &fakeStore{objects: map[string]map[string]platformapi.Object{}}
+}
 
-func (m *memory) enter(call string) error {
-	m.calls = append(m.calls, call)
-	if m.before == nil {
+func (s *fakeStore) begin(call string) error {
+	s.calls = append(s.calls, call)
+	if s.beforeCall == nil {
 		return nil
 	}
-	return m.before(call)
+	return s.beforeCall(call)
 }
 
-func (m *memory) leave(call string) error {
-	if m.lost == nil {
+func (s *fakeStore) end(call string) error {
+	if s.afterWrite == nil {
 		return nil
 	}
-	return m.lost(call)
+	return s.afterWrite(call)
 }
 
-// set writes as somebody else does.
-func (m *memory) set(kind, name, spec, status string) {
-	m.revision++
-	if m.objects[kind] == nil {
-		m.objects[kind] = map[string]platformapi.Object{}
+// set writes a record as another client does.
+func (s *fakeStore) set(kind, name, spec, status string) {
+	s.revision++
+	if s.objects[kind] == nil {
+		s.objects[kind] = map[string]platformapi.Object{}
 	}
-	object := platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: m.revision}, Spec: json.RawMessage(spec), Status: json.RawMessage(status)}
-	m.objects[kind][name] = object
-	m.events = append(m.events, platformapi.Event{Kind: kind, Object: object})
+	object := platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: s.revision}, Spec: json.RawMessage(spec), Status: json.RawMessage(status)}
+	s.objects[kind][name] = object
+	s.events = append(s.events, platformapi.Event{Kind: kind, Object: object})
 }
 
-func (m *memory) Get(_ context.Context, kind, name string) (*platformapi.Object, error) {
-	if err := m.enter("get"); err != nil {
+func (s *fakeStore) Get(_ context.Context, kind, name string) (*platformapi.Object, error) {
+	if err := s.begin("get"); err != nil {
 		return nil, err
 	}
-	object, ok := m.objects[kind][name]
+	object, ok := s.objects[kind][name]
 	if !ok {
 		return nil, &platform.CallError{Err: platform.ErrNotFound}
 	}
 	return &object, nil
 }
 
-func (m *memory) List(_ context.Context, kind string) (platformapi.List, error) {
-	list := platformapi.List{Revision: m.revision}
-	for _, object := range m.objects[kind] {
+func (s *fakeStore) List(_ context.Context, kind string) (platformapi.List, error) {
+	list := platformapi.List{Revision: s.revision}
+	for _, object := range s.objects[kind] {
 		list.Items = append(list.Items, object)
 	}
 	slices.SortFunc(list.Items, func(a, b platformapi.Object) int { return strings.Compare(a.Metadata.Name, b.Metadata.Name) })
-	return list, m.enter("list")
+	return list, s.begin("list")
 }
 
-func (m *memory) Create(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	return m.write("create", kind, object)
+func (s *fakeStore) Create(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
+	return s.write("create", kind, object)
 }
 
-func (m *memory) Update(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	return m.write("update", kind, object)
+func (s *fakeStore) Update(_ context.Context, kind string, object platformapi.Object) (*platformapi.Object, error) {
+	return s.write("update", kind, object)
 }
 
-func (m *memory) write(call, kind string, object platformapi.Object) (*platformapi.Object, error) {
-	if err := m.enter(call); err != nil {
+func (s *fakeStore) write(call, kind string, object platformapi.Object) (*platformapi.Object, error) {
+	if err := s.begin(call); err != nil {
 		return nil, err
 	}
-	current, exists := m.objects[kind][object.Metadata.Name]
+	current, exists := s.objects[kind][object.Metadata.Name]
 	if exists != (call == "update") || current.Metadata.Revision != object.Metadata.Revision {
 		return nil, &platform.ConflictError{Current: &current}
 	}
-	m.set(kind, object.Metadata.Name, string(object.Spec), string(current.Status))
-	current = m.objects[kind][object.Metadata.Name]
-	return &current, m.leave(call)
+	s.set(kind, object.Metadata.Name, string(object.Spec), string(current.Status))
+	current = s.objects[kind][object.Metadata.Name]
+	return &current, s.end(call)
 }
 
-func (m *memory) Delete(_ context.Context, kind, name string, revision uint64) error {
-	if err := m.enter("delete"); err != nil {
+func (s *fakeStore) Delete(_ context.Context, kind, name string, revision uint64) error {
+	if err := s.begin("delete"); err != nil {
 		return err
 	}
-	current, ok := m.objects[kind][name]
+	current, ok := s.objects[kind][name]
 	switch {
 	case !ok:
 		return &platform.CallError{Err: platform.ErrNotFound}
 	case current.Metadata.Revision != revision:
 		return &platform.ConflictError{Current: &current}
 	}
-	m.revision++
-	delete(m.objects[kind], name)
-	return m.leave("delete")
+	s.revision++
+	delete(s.objects[kind], name)
+	return s.end("delete")
 }
 
-func (m *memory) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.Watch, error) {
-	watch := platformapi.Watch{Revision: m.revision}
-	err := m.enter("watch")
-	for _, event := range m.events {
+func (s *fakeStore) Watch(_ context.Context, kinds []string, from uint64, _ time.Duration) (platformapi.Watch, error) {
+	watch := platformapi.Watch{Revision: s.revision}
+	err := s.begin("watch")
+	for _, event := range s.events {
 		if event.Object.Metadata.Revision > from && slices.Contains(kinds, event.Kind) {
 			watch.Events = append(watch.Events, event)
 		}
@@ -127,8 +130,8 @@
 	return watch, err
 }
 
-// once makes a script that acts at the first call of a name.
-func once(name string, act func() error) func(string) error {
+// onFirst returns a hook that runs act at the first call of the given name.
+func onFirst(name string, act func() error) func(string) error {
 	done := false
 	return func(call string) error {
 		if call != name || done {
@@ -145,9 +148,9 @@
 
 func unavailable() error { return &platform.UnavailableError{Err: errors.New("refused")} }
 
-// bench runs the client against a store in memory.
-type bench struct {
-	store  *memory
+// harness runs the client against a fake store.
+type harness struct {
+	store  *fakeStore
 	http   *http.Client
 	env    map[string]string
 	stdin  string
@@ -156,22 +159,22 @@
 	stderr bytes.Buffer
 }
 
-func newBench() *bench {
-	return &bench{store: newMemory(), stdin: "from stdin", ctx: context.Background(), env: map[string]string{envPlatform: "http://store", envKey: "demo-key"}}
+func newHarness() *harness {
+	return &harness{store: newFakeStore(), stdin: "from stdin", ctx: context.Background(), env: map[string]string{envPlatform: "http://store", envKey: "demo-key"}}
 }
 
-func (b *bench) run(args ...string) int {
-	b.stdout.Reset()
-	b.stderr.Reset()
-	return Run(b.ctx, args, Options{
-		Stdin: strings.NewReader(b.stdin), Stdout: &b.stdout, Stderr: &b.stderr, HTTP: b.http,
-		Getenv:    func(name string) string { return b.env[name] },
-		OpenStore: func(string) Store { return b.store },
+func (h *harness) run(args ...string) int {
+	h.stdout.Reset()
+	h.stderr.Reset()
+	return Run(h.ctx, args, Options{
+		Stdin: strings.NewReader(h.stdin), Stdout: &h.stdout, Stderr: &h.stderr, HTTP: h.http,
+		Getenv:    func(name string) string { return h.env[name] },
+		OpenStore: func(string) Store { return h.store },
 	})
 }
 
-// file writes a file of records.
-func file(t *testing.T, text string) string {
+// writeTempFile writes text to a temporary file and returns its path.
+func writeTempFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "records.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
--- a/client/instance.go
+++ b/client/instance.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	// defaultTimeout bounds a command.
+	// defaultTimeout bounds a whole command.
 	defaultTimeout = 2 * time.Minute
-	// maxAnswerBytes bounds an answer of an instance.
-	maxAnswerBytes = 16 << 20
-	// maxInputBytes bounds the input of a request.
+	// maxResponseBytes bounds the body of an instance's response.
+	maxResponseBytes = 16 << 20
+	// maxInputBytes bounds the input of a submitted request.
 	maxInputBytes = 16 << 20
-	// maxKeyBytes bounds a key file.
+	// maxKeyBytes bounds the size of a key file.
 	maxKeyBytes = 4096
 )
 
-// instance is one entry instance, asked with a caller key.
-type instance struct {
+// instanceClient calls one instance with a caller key.
+type instanceClient struct {
 	http *http.Client
 	base string
 	key  string
 }
 
-func (a *app) instance(cmd *cli.Command) (*instance, error) {
+func (a *app) newInstanceClient(cmd *cli.Command) (*instanceClient, error) {
 	url := cmd.String(flagInstance)
 	if url == "" {
 		url = a.Getenv(envInstance)
@@ -44,16 +44,17 @@
 	if url == "" {
 		return nil, usagef("name an instance with --%s or %s", flagInstance, envInstance)
 	}
-	key, err := a.key(cmd.String(flagKeyFile))
+	key, err := a.readKey(cmd.String(flagKeyFile))
 	if err != nil {
 		return nil, err
 	}
-	return &instance{http: a.HTTP, base: strings.TrimSuffix(url, "/"), key: key}, nil
+	return &instanceClient{http: a.HTTP, base: strings.TrimSuffix(url, "/"), key: key}, nil
 }
 
-// key reads the caller key. It is no flag of its own: command lines are seen by
-// every user of a machine.
-func (a *app) key(file string) (string, error) {
+// readKey returns the caller key from the file, or from the environment if no
+// file is named. No flag carries the key itself, because every user of a machine
+// can see its command lines.
+func (a *app) readKey(file string) (string, error) {
 	if file == "" {
 		if key := a.Getenv(envKey); key != "" {
 			return key, nil
@@ -68,22 +69,22 @@
 	return key, errors.Wrap(err, "read key")
 }
 
-// call is one call of an instance.
+// call describes one HTTP call to an instance.
 type call struct {
 	method string
 	path   string
 	header http.Header
 	body   any
-	// read takes the body of a success.
+	// read consumes a successful response.
 	read func(*http.Response) error
 }
 
-// do sends a call. A failure becomes a *RequestError that says whether the
-// request may have been run.
-func (i *instance) do(ctx context.Context, c call) error {
-	var sent atomic.Bool
+// do sends a call. A failure becomes a *RequestError whose outcome says whether
+// the request may have been run.
+func (i *instanceClient) do(ctx context.Context, c call) error {
+	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request, err := i.newRequest(ctx, c)
 	if err != nil {
@@ -91,16 +92,16 @@
 	}
 	response, err := i.http.Do(request)
 	if err != nil {
-		return i.lost(err, sent.Load())
+		return i.noAnswer(err, connected.Load())
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return i.refusal(response)
+		return i.readProblem(response)
 	}
 	return c.read(response)
 }
 
-func (i *instance) newRequest(ctx context.Context, c call) (*http.Request, error) {
+func (i *instanceClient) newRequest(ctx context.Context, c call) (*http.Request, error) {
 	var body io.Reader
 	if c.body != nil {
 		text, err := json.Marshal(c.body)
@@ -123,11 +124,11 @@
 	return request, nil
 }
 
-// lost is the error of a call without an answer. Before a connection was held
-// nothing can have been run; after that the request may have arrived.
-func (i *instance) lost(cause error, sent bool) error {
+// noAnswer returns the error of a call without a response. Without a connection
+// nothing was run; with one the request may have arrived.
+func (i *instanceClient) noAnswer(cause error, connected bool) error {
 	outcome := callerapi.OutcomeNotRun
-	if sent {
+	if connected {
 		outcome = callerapi.OutcomeUnknown
 	}
 	return &RequestError{Problem: callerapi.Problem{
@@ -135,9 +136,10 @@
 	}}
 }
 
-// refusal reads the problem of an answer that is no success. An answer without
-// one comes from a hop between: what became of the request is unknown.
-func (i *instance) refusal(response *http.Response) error {
+// readProblem returns the error of an unsuccessful response. A response without
+// a problem document comes from a proxy in between: whether the request was run
+// is unknown.
+func (i *instanceClient) readProblem(response *http.Response) error {
 	problem := callerapi.Problem{Outcome: callerapi.OutcomeUnknown}
 	media, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if media == callerapi.MediaProblem {
@@ -155,5 +157,5 @@
 }
 
 func readJSON(response *http.Response, into any) error {
-	return json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(into)
 }
--- a/client/orders.go
+++ b/client/orders.go
@@ -9,7 +9,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// ordersRow tells what the targets of a pool have against what is desired.
+// ordersRow shows how far the targets of a pool have reached its desired state.
 type ordersRow struct {
 	Pool string `json:"pool"`
 	platformapi.OrdersEntry
@@ -34,16 +34,16 @@
 	t := table{header: []string{"POOL", "DESIRED REVISION", "FENCING", "COMPLETE", "LACKING"}}
 	for _, r := range rows {
 		t.rows = append(t.rows, []string{
-			r.Pool, revision(r.DesiredRevision), strconv.FormatUint(r.Fencing, 10),
-			fmt.Sprintf("%d/%d", r.Complete, r.Targets), lackingText(r.Lacking),
+			r.Pool, formatRevision(r.DesiredRevision), strconv.FormatUint(r.Fencing, 10),
+			fmt.Sprintf("%d/%d", r.Complete, r.Targets), formatLacking(r.Lacking),
 		})
 	}
 	return t
 }
 
-// lackingText tells what each target lacks; one that could not be read lacks
-// nothing that is known.
-func lackingText(targets []platformapi.LackingTarget) string {
+// formatLacking lists what each target lacks. A target whose state could not be
+// read has an empty list and is shown as "not read".
+func formatLacking(targets []platformapi.LackingTarget) string {
 	texts := make([]string, len(targets))
 	for i, t := range targets {
 		lacks := "not read"
--- a/client/output.go
+++ b/client/output.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Formats of answers.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -28,18 +28,19 @@
 	return nil
 }
 
-// table is an answer for people.
+// table is a result in columns of text.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// print writes an answer in the format that was asked for.
-func (a *app) print(cmd *cli.Command, people table, machines any) error {
+// print writes a result in the format that the command line selects: text, or
+// value as JSON.
+func (a *app) print(cmd *cli.Command, text table, value any) error {
 	if cmd.String(flagOutput) == outputJSON {
-		return printJSON(a.Stdout, machines)
+		return printJSON(a.Stdout, value)
 	}
-	return people.write(a.Stdout)
+	return text.write(a.Stdout)
 }
 
 func (t table) write(w io.Writer) error {
@@ -57,7 +58,8 @@
 	return encoder.Encode(v)
 }
 
-// indent formats a spec for people; one that is no JSON is shown as it is.
+// indent formats a spec with line breaks; a spec that isn't JSON is returned
+// unchanged.
 func indent(spec []byte) string {
 	var b bytes.Buffer
 	if json.Indent(&b, spec, "", "  ") != nil {
@@ -66,7 +68,7 @@
 	return b.String()
 }
 
-// writeRow tells what became of one record.
+// writeRow shows the result of writing one record.
 type writeRow struct {
 	Kind     string `json:"kind"`
 	Name     string `json:"name"`
@@ -77,19 +79,22 @@
 func writeTable(rows []writeRow) table {
 	t := table{header: []string{"KIND", "NAME", "RESULT", "REVISION"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Kind, r.Name, r.Result, revision(r.Revision)})
+		t.rows = append(t.rows, []string{r.Kind, r.Name, r.Result, formatRevision(r.Revision)})
 	}
 	return t
 }
 
-func revision(r uint64) string {
+// formatRevision returns the decimal revision, or the empty string for 0, which
+// means none.
+func formatRevision(r uint64) string {
 	if r == 0 {
 		return ""
 	}
 	return strconv.FormatUint(r, 10)
 }
 
-// document is a stored record as it is shown; it can be applied again.
+// document is a stored record in the form in which it is printed; the output can
+// be applied again.
 type document struct {
 	Kind string `json:"kind"`
 	platformapi.Object
--- a/client/read.go
+++ b/client/read.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// completeKinds offers the kinds for the first argument.
+// completeKinds prints the kinds as completions of the first argument.
 func (a *app) completeKinds(_ context.Context, cmd *cli.Command) {
 	if cmd.Args().Len() > 0 {
 		return
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	rows := []statusRow{rowOf(kind, object)}
+	rows := []statusRow{newStatusRow(kind, object)}
 	if err := a.print(cmd, statusTable(rows), document{kind, *object}); err != nil {
 		return err
 	}
@@ -83,23 +83,24 @@
 	rows := make([]statusRow, len(list.Items))
 	for i := range list.Items {
 		documents[i] = document{kind, list.Items[i]}
-		rows[i] = rowOf(kind, &list.Items[i])
+		rows[i] = newStatusRow(kind, &list.Items[i])
 	}
 	return a.print(cmd, statusTable(rows), documents)
 }
 
-// statusRow tells how one record stands.
+// statusRow shows the state of one record.
 type statusRow struct {
 	Kind     string `json:"kind"`
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 	State    string `json:"state"`
-	// InForce is the version in force as of the status; 0 when there is none.
+	// InForce is the revision in force according to the record's status; 0 if
+	// there is none.
 	InForce uint64 `json:"in_force,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-func rowOf(kind string, object *platformapi.Object) statusRow {
+func newStatusRow(kind string, object *platformapi.Object) statusRow {
 	row := statusRow{Kind: kind, Name: object.Metadata.Name, Revision: object.Metadata.Revision}
 	status, state, err := record.ReadStatus(object)
 	row.State = state
@@ -121,19 +122,19 @@
 func statusTable(rows []statusRow) table {
 	t := table{header: []string{"KIND", "NAME", "REVISION", "STATE", "IN FORCE", "REASON"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Kind, r.Name, revision(r.Revision), r.State, revision(r.InForce), r.Reason})
+		t.rows = append(t.rows, []string{r.Kind, r.Name, formatRevision(r.Revision), r.State, formatRevision(r.InForce), r.Reason})
 	}
 	return t
 }
 
-// statusAnswer is the whole answer of the status command.
-type statusAnswer struct {
+// statusOutput is the output of the status command.
+type statusOutput struct {
 	Records   []statusRow   `json:"records"`
 	Instances []instanceRow `json:"instances"`
 	Orders    []ordersRow   `json:"orders"`
 }
 
-// instanceRow tells of one entry instance, as it wrote itself down at its start.
+// instanceRow shows one instance as it registered itself at its start.
 type instanceRow struct {
 	Name string `json:"name"`
 	platformapi.InstanceEntry
@@ -144,14 +145,14 @@
 	if err != nil {
 		return err
 	}
-	answer := statusAnswer{}
+	answer := statusOutput{}
 	for _, kind := range config.Kinds {
 		list, err := store.List(ctx, string(kind))
 		if err != nil {
 			return err
 		}
 		for i := range list.Items {
-			answer.Records = append(answer.Records, rowOf(string(kind), &list.Items[i]))
+			answer.Records = append(answer.Records, newStatusRow(string(kind), &list.Items[i]))
 		}
 	}
 	answer.Instances, err = listInstances(ctx, store)
@@ -196,7 +197,7 @@
 func instanceTable(rows []instanceRow) table {
 	t := table{header: []string{"INSTANCE", "DATA CENTRE", "ADDRESS", "CALLER URL", "INCARNATION"}}
 	for _, r := range rows {
-		t.rows = append(t.rows, []string{r.Name, r.DataCentre, r.Address, r.CallerURL, revision(r.Incarnation)})
+		t.rows = append(t.rows, []string{r.Name, r.DataCentre, r.Address, r.CallerURL, formatRevision(r.Incarnation)})
 	}
 	return t
 }
--- a/client/records_test.go
+++ b/client/records_test.go
@@ -15,162 +15,163 @@
 )
 
 const (
-	slow    = `{"schema_version":1,"rank":1,"deadline_ms":9000,"engine_priority":5}`
-	fast    = `{"schema_version":1,"rank":1,"deadline_ms":100,"engine_priority":5}`
-	service = `{"schema_version":1,"kind":"service","objective":"cost","slots":1,"checks_fencing":true,"ejection_floor":0.5}`
-	chat    = `{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":500,"repeatable":true}]}`
+	slowTier     = `{"schema_version":1,"rank":1,"deadline_ms":9000,"engine_priority":5}`
+	fastTier     = `{"schema_version":1,"rank":1,"deadline_ms":100,"engine_priority":5}`
+	poolSpec     = `{"schema_version":1,"kind":"service","objective":"cost","slots":1,"checks_fencing":true,"ejection_floor":0.5}`
+	chatPipeline = `{"schema_version":1,"pipeline":"chat","stages":[{"name":"s","pool":"p","expected_ms":500,"repeatable":true}]}`
 )
 
-func doc(kind, name, spec string) string {
+func recordText(kind, name, spec string) string {
 	return `{"kind":"` + kind + `","metadata":{"name":"` + name + `"},"spec":` + spec + `}`
 }
 
-func filled() *bench {
-	b := newBench()
-	b.store.set("pools", "p", service, "")
-	b.store.set("tiers", "gold", slow, "")
-	b.store.set("pipelines", "chat.v1", chat, "")
-	return b
+func newFilledHarness() *harness {
+	h := newHarness()
+	h.store.set("pools", "p", poolSpec, "")
+	h.store.set("tiers", "gold", slowTier, "")
+	h.store.set("pipelines", "chat.v1", chatPipeline, "")
+	return h
 }
 
-// A record at fault must be refused before anything is written.
+// Prevents a partial write: an invalid record must be refused before any record of
+// the file is written.
 func TestApplyRefusesBeforeItWrites(t *testing.T) {
 	cases := []struct {
 		name, text, want string
 		code             int
 	}{
-		{"bad field", doc("tiers", "x", `{"schema_version":1,"rank":-1,"deadline_ms":1,"engine_priority":0}`), "line 1: tiers/x: rank: -1", ExitInvalid},
-		{"bad second record", doc("tiers", "x", slow) + "\n" + doc("tiers", "y", `{}`), "line 2: tiers/y: schema_version: is missing", ExitInvalid},
-		{"unknown pool", doc("pipelines", "chat.v1", strings.Replace(chat, `"p"`, `"q"`, 1)), "pool q does not exist", ExitInvalid},
-		{"deadline under the pipeline", doc("tiers", "gold", fast), "100 ms, is less than the 500 ms", ExitInvalid},
+		{"bad field", recordText("tiers", "x", `{"schema_version":1,"rank":-1,"deadline_ms":1,"engine_priority":0}`), "line 1: tiers/x: rank: -1", ExitInvalid},
+		{"bad second record", recordText("tiers", "x", slowTier) + "\n" + recordText("tiers", "y", `{}`), "line 2: tiers/y: schema_version: is missing", ExitInvalid},
+		{"unknown pool", recordText("pipelines", "chat.v1", strings.Replace(chatPipeline, `"p"`, `"q"`, 1)), "pool q does not exist", ExitInvalid},
+		{"deadline under the pipeline", recordText("tiers", "gold", fastTier), "100 ms, is less than the 500 ms", ExitInvalid},
 		{"not JSON", "tiers: gold", "not valid JSON", ExitInvalid},
 		{"empty", "", "holds no record", ExitInvalid},
-		{"an old revision", strings.Replace(doc("tiers", "gold", slow), `"gold"`, `"gold","revision":1`, 1), "the record is at revision 2 now", ExitConflict},
-		{"a revision of a record that is gone", strings.Replace(doc("tiers", "x", slow), `"x"`, `"x","revision":1`, 1), "was deleted meanwhile", ExitConflict},
+		{"an old revision", strings.Replace(recordText("tiers", "gold", slowTier), `"gold"`, `"gold","revision":1`, 1), "the record is at revision 2 now", ExitConflict},
+		{"a revision of a record that is gone", strings.Replace(recordText("tiers", "x", slowTier), `"x"`, `"x","revision":1`, 1), "was deleted meanwhile", ExitConflict},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := filled()
-			assert.Equal(t, c.code, b.run("apply", "-f", file(t, c.text)))
-			assert.Contains(t, b.stderr.String(), c.want)
-			assert.Empty(t, b.stdout.String())
-			assert.Equal(t, uint64(3), b.store.revision, "nothing may be written")
+			h := newFilledHarness()
+			assert.Equal(t, c.code, h.run("apply", "-f", writeTempFile(t, c.text)))
+			assert.Contains(t, h.stderr.String(), c.want)
+			assert.Empty(t, h.stdout.String())
+			assert.Equal(t, uint64(3), h.store.revision, "nothing may be written")
 		})
 	}
 }
 
 func TestApplyWritesInOrderOfDependencies(t *testing.T) {
-	b := newBench()
-	text := doc("pipelines", "chat.v1", chat) + doc("tiers", "gold", slow) + "[" + doc("pools", "p", service) + "]"
-	path := file(t, text)
-	require.Equal(t, ExitOK, b.run("-o", "json", "apply", "-f", path), b.stderr.String())
+	h := newHarness()
+	text := recordText("pipelines", "chat.v1", chatPipeline) + recordText("tiers", "gold", slowTier) + "[" + recordText("pools", "p", poolSpec) + "]"
+	path := writeTempFile(t, text)
+	require.Equal(t, ExitOK, h.run("-o", "json", "apply", "-f", path), h.stderr.String())
 	var rows []writeRow
-	require.NoError(t, json.Unmarshal(b.stdout.Bytes(), &rows))
+	require.NoError(t, json.Unmarshal(h.stdout.Bytes(), &rows))
 	assert.Equal(t, writeRow{"pools", "p", resultCreated, 1}, rows[0])
 	assert.Equal(t, writeRow{"pipelines", "chat.v1", resultCreated, 3}, rows[2])
-	require.Equal(t, ExitOK, b.run("apply", "-f", path))
-	assert.Contains(t, b.stdout.String(), resultUnchanged)
-	assert.Equal(t, uint64(3), b.store.revision)
+	require.Equal(t, ExitOK, h.run("apply", "-f", path))
+	assert.Contains(t, h.stdout.String(), resultUnchanged)
+	assert.Equal(t, uint64(3), h.store.revision)
 }
 
-// The store's answer is lost, or another writer comes between the check and the
-// write. The operator must learn what became of the record, and no change of
-// another operator may be written over.
+// The store's response is lost, or another client writes between the check and the
+// write. The operator must learn the state of the record, and no change of another
+// operator may be overwritten.
 func TestWritesUnderFaults(t *testing.T) {
-	other := strings.Replace(slow, "9000", "8000", 1)
-	wanted := strings.Replace(slow, "9000", "7000", 1)
-	byOther := func(spec, status string) func(*memory) {
-		return func(m *memory) {
-			act := func() error { m.set("tiers", "gold", spec, status); return nil }
-			m.before = once("update", act)
+	other := strings.Replace(slowTier, "9000", "8000", 1)
+	wanted := strings.Replace(slowTier, "9000", "7000", 1)
+	byOther := func(spec, status string) func(*fakeStore) {
+		return func(s *fakeStore) {
+			act := func() error { s.set("tiers", "gold", spec, status); return nil }
+			s.beforeCall = onFirst("update", act)
 		}
 	}
-	refusedOnce := func(call string, err func() error) func(*memory) {
-		return func(m *memory) { m.before = once(call, err) }
+	refusedOnce := func(call string, err func() error) func(*fakeStore) {
+		return func(s *fakeStore) { s.beforeCall = onFirst(call, err) }
 	}
-	lostOnce := func(call string) func(*memory) {
-		return func(m *memory) { m.lost = once(call, unknownEffect) }
+	lostOnce := func(call string) func(*fakeStore) {
+		return func(s *fakeStore) { s.afterWrite = onFirst(call, unknownEffect) }
 	}
 	apply := []string{"apply", "-f"}
 	remove := []string{"delete", "tiers", "spare"}
 	cases := []struct {
 		name   string
 		args   []string
-		script func(*memory)
+		script func(*fakeStore)
 		code   int
 		stderr string
-		spec   string // of gold afterwards; empty when args delete spare and it is gone
+		spec   string // of gold afterwards; empty if gold was deleted
 	}{
 		{"answer lost, write done", apply, lostOnce("update"), ExitOK, "", wanted},
 		{"answer lost, write not done", apply, refusedOnce("update", unknownEffect), ExitOK, "", wanted},
-		{"answer lost, read back fails", apply, func(m *memory) {
-			m.lost = once("update", func() error { m.before = func(string) error { return unavailable() }; return unknownEffect() })
+		{"answer lost, read back fails", apply, func(s *fakeStore) {
+			s.afterWrite = onFirst("update", func() error { s.beforeCall = func(string) error { return unavailable() }; return unknownEffect() })
 		}, ExitUnknown, "reading back failed too", wanted},
-		{"store down", apply, refusedOnce("update", unavailable), ExitStoreUnavailable, "unavailable", slow},
-		{"store down at the check", apply, refusedOnce("list", unavailable), ExitStoreUnavailable, "unavailable", slow},
+		{"store down", apply, refusedOnce("update", unavailable), ExitStoreUnavailable, "unavailable", slowTier},
+		{"store down at the check", apply, refusedOnce("list", unavailable), ExitStoreUnavailable, "unavailable", slowTier},
 		{"another operator first", apply, byOther(other, ""), ExitConflict, "8000", other},
 		{"another operator, the same spec", apply, byOther(wanted, ""), ExitOK, "", wanted},
-		{"an instance wrote the status", apply, byOther(slow, `{"accepted":true}`), ExitOK, "", wanted},
-		{"deleted meanwhile", apply, func(m *memory) {
-			m.before = once("update", func() error { delete(m.objects["tiers"], "gold"); return nil })
+		{"an instance wrote the status", apply, byOther(slowTier, `{"accepted":true}`), ExitOK, "", wanted},
+		{"deleted meanwhile", apply, func(s *fakeStore) {
+			s.beforeCall = onFirst("update", func() error { delete(s.objects["tiers"], "gold"); return nil })
 		}, ExitConflict, "was deleted meanwhile", ""},
-		{"delete", remove, func(*memory) {}, ExitOK, "", slow},
-		{"delete, answer lost", remove, lostOnce("delete"), ExitOK, "", slow},
-		{"delete, not done", remove, refusedOnce("delete", unknownEffect), ExitOK, "", slow},
-		{"delete, changed first", remove, func(m *memory) {
-			m.before = once("delete", func() error { m.set("tiers", "spare", other, ""); return nil })
-		}, ExitConflict, "8000", slow},
+		{"delete", remove, func(*fakeStore) {}, ExitOK, "", slowTier},
+		{"delete, answer lost", remove, lostOnce("delete"), ExitOK, "", slowTier},
+		{"delete, not done", remove, refusedOnce("delete", unknownEffect), ExitOK, "", slowTier},
+		{"delete, changed first", remove, func(s *fakeStore) {
+			s.beforeCall = onFirst("delete", func() error { s.set("tiers", "spare", other, ""); return nil })
+		}, ExitConflict, "8000", slowTier},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := filled()
-			b.store.set("tiers", "spare", slow, "")
-			c.script(b.store)
+			h := newFilledHarness()
+			h.store.set("tiers", "spare", slowTier, "")
+			c.script(h.store)
 			args := c.args
 			if args[0] == "apply" {
-				args = append(args, file(t, doc("tiers", "gold", wanted)))
+				args = append(args, writeTempFile(t, recordText("tiers", "gold", wanted)))
 			}
-			assert.Equal(t, c.code, b.run(args...), b.stderr.String())
-			assert.Contains(t, b.stderr.String(), c.stderr)
-			gold, ok := b.store.objects["tiers"]["gold"]
+			assert.Equal(t, c.code, h.run(args...), h.stderr.String())
+			assert.Contains(t, h.stderr.String(), c.stderr)
+			gold, ok := h.store.objects["tiers"]["gold"]
 			assert.Equal(t, c.spec != "", ok)
 			assert.Equal(t, c.spec, string(gold.Spec))
 			if c.args[0] == "delete" && c.code == ExitOK {
-				assert.NotContains(t, b.store.objects["tiers"], "spare")
+				assert.NotContains(t, h.store.objects["tiers"], "spare")
 			}
 		})
 	}
 }
 
-// An operator deletes a pool that a pipeline still uses: its requests would be
-// refused once all instances have been replaced.
-func TestDeleteRefusesWhatIsUsed(t *testing.T) {
-	b := filled()
-	assert.Equal(t, ExitInvalid, b.run("delete", "pools", "p"))
-	assert.Contains(t, b.stderr.String(), "still used by pipelines")
-	assert.Equal(t, ExitNotFound, b.run("delete", "pools", "q"))
-	assert.Equal(t, ExitOK, b.run("delete", "pipelines", "chat.v1"))
-	assert.Equal(t, ExitOK, b.run("delete", "pools", "p"))
+// Deleting a pool that a pipeline still uses must fail: the pipeline's requests
+// would be refused once all instances have been replaced.
+func TestDeleteRefusesRecordInUse(t *testing.T) {
+	h := newFilledHarness()
+	assert.Equal(t, ExitInvalid, h.run("delete", "pools", "p"))
+	assert.Contains(t, h.stderr.String(), "still used by pipelines")
+	assert.Equal(t, ExitNotFound, h.run("delete", "pools", "q"))
+	assert.Equal(t, ExitOK, h.run("delete", "pipelines", "chat.v1"))
+	assert.Equal(t, ExitOK, h.run("delete", "pools", "p"))
 }
 
 func TestValidateIsOfflineWithoutAPlatform(t *testing.T) {
-	b := filled()
-	path := file(t, doc("pipelines", "chat.v1", strings.Replace(chat, `"p"`, `"q"`, 1)))
-	assert.Equal(t, ExitInvalid, b.run("validate", "-f", path))
-	b.env[envPlatform] = ""
-	calls := len(b.store.calls)
-	assert.Equal(t, ExitOK, b.run("validate", "-f", path))
-	assert.Len(t, b.store.calls, calls)
-	assert.Equal(t, ExitUsage, b.run("apply", "-f", path))
+	h := newFilledHarness()
+	path := writeTempFile(t, recordText("pipelines", "chat.v1", strings.Replace(chatPipeline, `"p"`, `"q"`, 1)))
+	assert.Equal(t, ExitInvalid, h.run("validate", "-f", path))
+	h.env[envPlatform] = ""
+	calls := len(h.store.calls)
+	assert.Equal(t, ExitOK, h.run("validate", "-f", path))
+	assert.Len(t, h.store.calls, calls)
+	assert.Equal(t, ExitUsage, h.run("apply", "-f", path))
 }
 
 func TestReading(t *testing.T) {
-	b := filled()
-	status, err := json.Marshal(platformapi.RecordStatus{Reason: "because", SpecDigest: record.SpecDigest([]byte(slow))})
+	h := newFilledHarness()
+	status, err := json.Marshal(platformapi.RecordStatus{Reason: "because", SpecDigest: record.SpecDigest([]byte(slowTier))})
 	require.NoError(t, err)
-	b.store.set("tiers", "batch", slow, string(status))
-	b.store.set("instances", "one", `{"address":"127.0.0.1:1","data_centre":"north","incarnation":7}`, "")
-	b.store.set("orders", "engines", `{"desired_revision":9,"fencing":2,"targets":3,"complete":1,"lacking":[
+	h.store.set("tiers", "batch", slowTier, string(status))
+	h.store.set("instances", "one", `{"address":"127.0.0.1:1","data_centre":"north","incarnation":7}`, "")
+	h.store.set("orders", "engines", `{"desired_revision":9,"fencing":2,"targets":3,"complete":1,"lacking":[
 		{"incarnation":"e1","lacks":["load_model m","set_role r"]},{"incarnation":"e2"}]}`, "")
 	for want, args := range map[string][]string{
 		`"deadline_ms": 9000`:    {"get", "tiers", "gold"},
@@ -185,61 +186,63 @@
 		`"complete": 1`: {"-o", "json", "status"},
 		"apply":         {"--help"},
 	} {
-		require.Equal(t, ExitOK, b.run(args...), b.stderr.String())
-		assert.Contains(t, b.stdout.String(), want)
+		require.Equal(t, ExitOK, h.run(args...), h.stderr.String())
+		assert.Contains(t, h.stdout.String(), want)
 	}
-	assert.Equal(t, ExitNotFound, b.run("get", "tiers", "none"))
+	assert.Equal(t, ExitNotFound, h.run("get", "tiers", "none"))
 }
 
-// A script must tell a wrong command line from a fault of the platform.
+// Scripts distinguish an invalid command line from a fault of the platform by the
+// exit code.
 func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{
 		{"frobnicate"}, {"get", "tiers"}, {"get", "colours", "red"}, {"apply"}, {"list", "tiers", "-o", "yaml"},
 		{"--nonsense"}, {"get", "--nonsense"}, {"request"}, {"request", "show"}, {"watch"}, {"submit", "chat"}, {"request", "show", "--x"},
 	} {
-		b := filled()
-		assert.Equal(t, ExitUsage, b.run(args...), "%v: %s", args, b.stderr.String())
-		assert.NotEmpty(t, b.stderr.String())
+		h := newFilledHarness()
+		assert.Equal(t, ExitUsage, h.run(args...), "%v: %s", args, h.stderr.String())
+		assert.NotEmpty(t, h.stderr.String())
 	}
 }
 
 func TestCompletion(t *testing.T) {
-	b := filled()
-	require.Equal(t, ExitOK, b.run("completion", "bash"))
-	assert.Contains(t, b.stdout.String(), "ivyhollow")
-	require.Equal(t, ExitOK, b.run("get", "--generate-shell-completion"))
-	assert.Equal(t, "pools\ntiers\npipelines\naccounts\n", b.stdout.String())
+	h := newFilledHarness()
+	require.Equal(t, ExitOK, h.run("completion", "bash"))
+	assert.Contains(t, h.stdout.String(), "ivyhollow")
+	require.Equal(t, ExitOK, h.run("get", "--generate-shell-completion"))
+	assert.Equal(t, "pools\ntiers\npipelines\naccounts\n", h.stdout.String())
 }
 
-// The platform is away for a while, and its history is gone when it is back. A
-// watch must go on by itself, show each change once and the deletes it missed.
-func TestWatchGoesOn(t *testing.T) {
-	b := filled()
-	b.store.set("tiers", "spare", slow, "")
+// The platform is unavailable for a while and has dropped its history when it
+// returns. A watch must resume by itself, print each change once and print the
+// deletions that it missed.
+func TestWatchResumesAfterOutage(t *testing.T) {
+	h := newFilledHarness()
+	h.store.set("tiers", "spare", slowTier, "")
 	ctx, cancel := context.WithCancel(context.Background())
-	b.ctx = ctx
+	h.ctx = ctx
 	step := 0
-	b.store.before = func(call string) error {
+	h.store.beforeCall = func(call string) error {
 		if call != "watch" {
 			return nil
 		}
 		step++
 		switch step {
 		case 1:
-			b.store.set("tiers", "batch", fast, "")
+			h.store.set("tiers", "batch", fastTier, "")
 		case 2:
 			cancelled := &platform.CallError{Err: platform.ErrCompacted}
-			b.store.revision++
-			delete(b.store.objects["tiers"], "spare")
+			h.store.revision++
+			delete(h.store.objects["tiers"], "spare")
 			return cancelled
 		case 3:
 			cancel()
 		}
 		return nil
 	}
-	require.Equal(t, ExitOK, b.run("watch", "tiers"))
+	require.Equal(t, ExitOK, h.run("watch", "tiers"))
 	var names []string
-	for line := range strings.Lines(b.stdout.String()) {
+	for line := range strings.Lines(h.stdout.String()) {
 		fields := strings.Fields(line)
 		names = append(names, fields[0]+" "+fields[2])
 	}
--- a/client/request.go
+++ b/client/request.go
@@ -31,7 +31,7 @@
 }
 
 func (a *app) showRequest(ctx context.Context, cmd *cli.Command) error {
-	instance, err := a.instance(cmd)
+	instance, err := a.newInstanceClient(cmd)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,8 @@
 	return attemptTable(status.Stages).write(a.Stdout)
 }
 
-// notFoundOr turns an instance's 404 into the client's own error.
+// notFoundOr replaces an instance's 404 with platform.ErrNotFound, which has its
+// own exit code, and returns any other error unchanged.
 func notFoundOr(err error) error {
 	var refusal *RequestError
 	if errors.As(err, &refusal) && refusal.Problem.Status == http.StatusNotFound {
@@ -66,11 +67,11 @@
 	t := table{header: []string{"STAGE", "ATTEMPT", "TARGET", "RESULT", "MS", "WORK MS", "TOKENS", "PREFILL", "ERROR"}}
 	for _, stage := range stages {
 		for _, at := range stage.Attempts {
-			t.rows = append(t.rows, []string{stage.Stage, at.AttemptID, at.Target, at.Result, count(at.ElapsedMS),
-				count(at.WorkMS), count(int64(at.Tokens)), count(int64(at.PrefillTokens)), at.Error})
+			t.rows = append(t.rows, []string{stage.Stage, at.AttemptID, at.Target, at.Result, formatCount(at.ElapsedMS),
+				formatCount(at.WorkMS), formatCount(int64(at.Tokens)), formatCount(int64(at.PrefillTokens)), at.Error})
 		}
 	}
 	return t
 }
 
-func count(n int64) string { return strconv.FormatInt(n, 10) }
+func formatCount(n int64) string { return strconv.FormatInt(n, 10) }
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -15,7 +15,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/callerapi"
 )
 
-func answerProblem(status int, outcome callerapi.Outcome) http.HandlerFunc {
+func respondProblem(status int, outcome callerapi.Outcome) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", callerapi.MediaProblem)
 		w.WriteHeader(status)
@@ -23,13 +23,13 @@
 	}
 }
 
-func answer(text string) http.HandlerFunc {
+func respondText(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// The exit code must tell a script whether the work may have been done, and what
-// is printed must be the whole answer: a kept one comes without tokens, so that
-// an operator who streams a retry would see an empty line and a success.
+// The exit code must tell a script whether the request may have been run, and the
+// output must be the whole answer: a stored answer arrives without tokens, so that
+// an operator who streams a retry could see an empty line and a success.
 func TestSubmitOutcomes(t *testing.T) {
 	done := "event: done\ndata: {\"request_id\":\"r1\",\"output\":\"ab\"}\n\n"
 	firstToken := "event: token\nid: 0\ndata: {\"token\":\"a\"}\n\n"
@@ -42,19 +42,19 @@
 		stdout  string
 		stderr  string
 	}{
-		{"whole", answer(`{"request_id":"r1","output":"hello"}`), nil, ExitOK, "hello\n", "request r1"},
-		{"streamed", answer(tokens + done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
-		{"streamed as JSON", answer(tokens + done), []string{"--stream", "-o", "json"}, ExitOK, `"output": "ab"`, ""},
-		{"kept answer as a stream", answer(done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
-		{"stream that lost its last token", answer(firstToken + done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
-		{"stream of another answer", answer(strings.Replace(tokens, `"b"`, `"c"`, 1) + done), []string{"--stream"}, ExitUnknown, "", "not the answer"},
-		{"stream cut off", answer(tokens), []string{"--stream"}, ExitUnknown, "ab", "cut off"},
-		{"stream that lost a token", answer(strings.Replace(tokens, "id: 0", "id: 2", 1) + done), []string{"--stream"}, ExitUnknown, "", "in place of token 0"},
-		{"stream with an error", answer(tokens + "event: error\ndata: {\"title\":\"gone\",\"outcome\":\"ran\"}\n\n"), []string{"--stream"}, ExitFault, "ab", "gone (ran)"},
-		{"answer cut off", answer(`{"request_id":`), nil, ExitUnknown, "", "cut off"},
-		{"not run", answerProblem(503, callerapi.OutcomeNotRun), nil, ExitNotRun, "", "come back in 20 ms"},
-		{"ran", answerProblem(504, callerapi.OutcomeRan), nil, ExitFault, "", "no (ran)"},
-		{"unknown", answerProblem(502, callerapi.OutcomeUnknown), nil, ExitUnknown, "", "no (unknown)"},
+		{"whole", respondText(`{"request_id":"r1","output":"hello"}`), nil, ExitOK, "hello\n", "request r1"},
+		{"streamed", respondText(tokens + done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
+		{"streamed as JSON", respondText(tokens + done), []string{"--stream", "-o", "json"}, ExitOK, `"output": "ab"`, ""},
+		{"stored answer as a stream", respondText(done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
+		{"stream with the last token missing", respondText(firstToken + done), []string{"--stream"}, ExitOK, "ab\n", "request r1"},
+		{"stream of another answer", respondText(strings.Replace(tokens, `"b"`, `"c"`, 1) + done), []string{"--stream"}, ExitUnknown, "", "not the answer"},
+		{"stream cut off", respondText(tokens), []string{"--stream"}, ExitUnknown, "ab", "cut off"},
+		{"stream with a token missing", respondText(strings.Replace(tokens, "id: 0", "id: 2", 1) + done), []string{"--stream"}, ExitUnknown, "", "in place of token 0"},
+		{"stream with an error", respondText(tokens + "event: error\ndata: {\"title\":\"gone\",\"outcome\":\"ran\"}\n\n"), []string{"--stream"}, ExitFault, "ab", "gone (ran)"},
+		{"answer cut off", respondText(`{"request_id":`), nil, ExitUnknown, "", "cut off"},
+		{"not run", respondProblem(503, callerapi.OutcomeNotRun), nil, ExitNotRun, "", "come back in 20 ms"},
+		{"ran", respondProblem(504, callerapi.OutcomeRan), nil, ExitFault, "", "no (ran)"},
+		{"unknown", respondProblem(502, callerapi.OutcomeUnknown), nil, ExitUnknown, "", "no (unknown)"},
 		{"a hop between", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502) }, nil, ExitUnknown, "", "502 Bad Gateway"},
 		{"connection dropped", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, nil, ExitUnknown, "", "no answer"},
 	}
@@ -62,29 +62,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.handler)
 			defer server.Close()
-			b := newBench()
-			b.http = server.Client()
+			h := newHarness()
+			h.http = server.Client()
 			args := append([]string{"--instance", server.URL, "submit", "chat", "--input", "x"}, c.args...)
-			assert.Equal(t, c.code, b.run(args...), b.stderr.String())
-			assert.Contains(t, b.stdout.String(), c.stdout)
-			assert.Contains(t, b.stderr.String(), c.stderr)
-			assert.NotContains(t, b.stderr.String(), "demo-key")
+			assert.Equal(t, c.code, h.run(args...), h.stderr.String())
+			assert.Contains(t, h.stdout.String(), c.stdout)
+			assert.Contains(t, h.stderr.String(), c.stderr)
+			assert.NotContains(t, h.stderr.String(), "demo-key")
 		})
 	}
 }
 
-// The instance is gone before a connection is made: nothing can have been run, and
-// the exit code must say so, or the operator dares no second try.
-func TestNoInstanceIsNotRun(t *testing.T) {
+// Without a connection to the instance nothing was run, and the exit code must say
+// so, since the operator couldn't safely retry otherwise.
+func TestUnreachableInstanceIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	b := newBench()
-	code := b.run("--instance", "http://"+listener.Addr().String(), "submit", "chat", "--input", "x")
-	assert.Equal(t, ExitNotRun, code, b.stderr.String())
+	h := newHarness()
+	code := h.run("--instance", "http://"+listener.Addr().String(), "submit", "chat", "--input", "x")
+	assert.Equal(t, ExitNotRun, code, h.stderr.String())
 }
 
-func TestSubmitSendsWhatWasAsked(t *testing.T) {
+func TestSubmitRequest(t *testing.T) {
 	var got *http.Request
 	var body callerapi.Request
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -93,13 +93,13 @@
 		_, _ = io.WriteString(w, `{}`)
 	}))
 	defer server.Close()
-	b := newBench()
-	b.env[envInstance] = server.URL
-	b.env[envKey] = ""
-	require.Equal(t, ExitUsage, b.run("submit", "chat", "--input", "x"))
-	key := file(t, "file-key\n")
-	require.Equal(t, ExitOK, b.run("submit", "a/b", "--input", "-", "--key-file", key,
-		"--idempotency-key", "k1", "--schema-version", "2", "--max-tokens", "9"), b.stderr.String())
+	h := newHarness()
+	h.env[envInstance] = server.URL
+	h.env[envKey] = ""
+	require.Equal(t, ExitUsage, h.run("submit", "chat", "--input", "x"))
+	key := writeTempFile(t, "file-key\n")
+	require.Equal(t, ExitOK, h.run("submit", "a/b", "--input", "-", "--key-file", key,
+		"--idempotency-key", "k1", "--schema-version", "2", "--max-tokens", "9"), h.stderr.String())
 	assert.Equal(t, "/v1/pipelines/a%2Fb/requests", got.URL.EscapedPath())
 	assert.Equal(t, "Bearer file-key", got.Header.Get("Authorization"))
 	assert.Equal(t, "k1", got.Header.Get(callerapi.HeaderIdempotencyKey))
@@ -107,19 +107,19 @@
 	assert.Equal(t, callerapi.Request{Input: "from stdin", MaxTokens: 9}, body)
 }
 
-// An operator pipes a file in that is over the bound. Cut to the bound it would be
-// answered, and the answer be taken for that of the whole file.
-func TestSubmitSendsNoPartOfAnInput(t *testing.T) {
-	b := newBench()
-	b.env[envInstance] = "http://127.0.0.1:1"
-	b.http = &http.Client{Transport: roundTripper(func(*http.Request) (*http.Response, error) {
+// An input over the limit must be refused. Truncated to the limit it would be
+// answered, and the answer mistaken for that of the whole input.
+func TestSubmitRefusesOversizedInput(t *testing.T) {
+	h := newHarness()
+	h.env[envInstance] = "http://127.0.0.1:1"
+	h.http = &http.Client{Transport: roundTripper(func(*http.Request) (*http.Response, error) {
 		t.Error("a part was sent")
 		return nil, io.EOF
 	})}
-	for _, input := range []string{"-", "@" + file(t, strings.Repeat("x", maxInputBytes+1))} {
-		b.stdin = strings.Repeat("x", maxInputBytes+1)
-		assert.Equal(t, ExitFault, b.run("submit", "chat", "--input", input))
-		assert.Contains(t, b.stderr.String(), "read input: longer than")
+	for _, input := range []string{"-", "@" + writeTempFile(t, strings.Repeat("x", maxInputBytes+1))} {
+		h.stdin = strings.Repeat("x", maxInputBytes+1)
+		assert.Equal(t, ExitFault, h.run("submit", "chat", "--input", input))
+		assert.Contains(t, h.stderr.String(), "read input: longer than")
 	}
 }
 
@@ -130,7 +130,7 @@
 func TestRequestShow(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/requests/r1" {
-			answerProblem(http.StatusNotFound, callerapi.OutcomeNotRun)(w, r)
+			respondProblem(http.StatusNotFound, callerapi.OutcomeNotRun)(w, r)
 			return
 		}
 		_ = json.NewEncoder(w).Encode(callerapi.RequestStatus{RequestID: "r1", State: "answered", Stages: []callerapi.StageStatus{
@@ -138,11 +138,11 @@
 		}})
 	}))
 	defer server.Close()
-	b := newBench()
-	b.env[envInstance] = server.URL
-	require.Equal(t, ExitOK, b.run("request", "show", "r1"), b.stderr.String())
-	assert.Contains(t, b.stdout.String(), "encode  a1       t1      late")
-	require.Equal(t, ExitOK, b.run("request", "show", "r1", "-o", "json"))
-	assert.Contains(t, b.stdout.String(), `"result": "ok"`)
-	assert.Equal(t, ExitNotFound, b.run("request", "show", "r2"))
+	h := newHarness()
+	h.env[envInstance] = server.URL
+	require.Equal(t, ExitOK, h.run("request", "show", "r1"), h.stderr.String())
+	assert.Contains(t, h.stdout.String(), "encode  a1       t1      late")
+	require.Equal(t, ExitOK, h.run("request", "show", "r1", "-o", "json"))
+	assert.Contains(t, h.stdout.String(), `"result": "ok"`)
+	assert.Equal(t, ExitNotFound, h.run("request", "show", "r2"))
 }
--- a/client/store.go
+++ b/client/store.go
@@ -11,8 +11,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Store is what the client needs of the platform's object API. The errors are
-// those of package platform, whose Client implements it.
+// Store is the part of the platform's object API that the client uses. Its
+// errors are those of package platform, whose Client implements it.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (*platformapi.Object, error)
 	List(ctx context.Context, kind string) (platformapi.List, error)
@@ -24,10 +24,10 @@
 
 var _ Store = (*platform.Client)(nil)
 
-// writeTries bounds how often one write is tried.
-const writeTries = 4
+// maxWriteAttempts bounds the attempts of one write.
+const maxWriteAttempts = 4
 
-// Results of a write, as they are shown.
+// Results of a write, as they are printed.
 const (
 	resultCreated   = "created"
 	resultUpdated   = "updated"
@@ -35,30 +35,31 @@
 	resultDeleted   = "deleted"
 )
 
-// writer writes one record and never over what its operator hasn't seen.
-type writer struct {
+// recordWriter writes one record and never overwrites a change that its operator
+// hasn't seen.
+type recordWriter struct {
 	store Store
 	kind  string
-	// seen is the object as it was when the write was checked; nil when there
+	// checked is the object against which the write was checked; nil if there
 	// was none.
-	seen *platformapi.Object
+	checked *platformapi.Object
 }
 
-// put creates or updates a record. Each try is conditional, so a try whose
-// answer was lost may be repeated: should the lost one land after all, the
-// other meets a conflict with the very same spec.
-func (w *writer) put(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, string, error) {
-	if w.seen != nil && record.SameSpec(w.seen.Spec, wanted.Spec) {
-		return w.seen, resultUnchanged, nil
+// put creates or updates a record. Each attempt is conditional on the revision,
+// so an attempt whose response was lost can be repeated: if the lost write takes
+// effect after all, the repeated one conflicts with a record of the same spec.
+func (w *recordWriter) put(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, string, error) {
+	if w.checked != nil && record.SameSpec(w.checked.Spec, wanted.Spec) {
+		return w.checked, resultUnchanged, nil
 	}
 	result := resultCreated
-	if w.seen != nil {
+	if w.checked != nil {
 		result = resultUpdated
 	}
 	var err error
-	for range writeTries {
+	for range maxWriteAttempts {
 		var written *platformapi.Object
-		written, err = w.try(ctx, wanted)
+		written, err = w.writeOnce(ctx, wanted)
 		if err == nil {
 			return written, result, nil
 		}
@@ -70,32 +71,32 @@
 		if current != nil && record.SameSpec(current.Spec, wanted.Spec) {
 			return current, result, nil
 		}
-		if !w.onlyStatusChanged(current) {
+		if !w.specUnchanged(current) {
 			return nil, "", &ConflictError{Kind: w.kind, Name: wanted.Metadata.Name, Current: current}
 		}
-		w.seen = current
+		w.checked = current
 		err = &ConflictError{Kind: w.kind, Name: wanted.Metadata.Name, Current: current}
 	}
 	return nil, "", err
 }
 
-func (w *writer) try(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, error) {
+func (w *recordWriter) writeOnce(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, error) {
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: wanted.Metadata.Name}, Spec: wanted.Spec}
-	if w.seen == nil {
+	if w.checked == nil {
 		return w.store.Create(ctx, w.kind, object)
 	}
-	object.Metadata.Revision = w.seen.Metadata.Revision
+	object.Metadata.Revision = w.checked.Metadata.Revision
 	return w.store.Update(ctx, w.kind, object)
 }
 
-// readBack finds what the record is after a write that met a conflict or whose
-// answer was lost; nil means that there is none. Any other error, and one that
-// leaves a lost write unexplained, is returned.
-func (w *writer) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
+// readBack reads the record after a write that met a conflict or whose response
+// was lost; nil means that it doesn't exist. It returns cause if it is any other
+// error, or if the read fails and the effect of a write stays unknown.
+func (w *recordWriter) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownEffectError
-	gone := errors.Is(cause, platform.ErrNotFound)
-	if !errors.As(cause, &conflict) && !errors.As(cause, &unknown) && !gone {
+	notFound := errors.Is(cause, platform.ErrNotFound)
+	if !errors.As(cause, &conflict) && !errors.As(cause, &unknown) && !notFound {
 		return nil, cause
 	}
 	current, err := w.store.Get(ctx, w.kind, name)
@@ -103,7 +104,7 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return nil, nil
 	case err != nil && unknown != nil:
-		// The write may have taken effect: that is the news, not the failed read.
+		// The write may have taken effect: report that rather than the failed read.
 		return nil, errors.Wrapf(cause, "%s/%s: reading back failed too (%v)", w.kind, name, err)
 	case err != nil:
 		return nil, err
@@ -111,21 +112,21 @@
 	return current, nil
 }
 
-// onlyStatusChanged tells whether a record still is what the operator's write
-// was checked against. Instances write the status, which raises the revision;
-// that is no other operator's change.
-func (w *writer) onlyStatusChanged(current *platformapi.Object) bool {
-	if w.seen == nil || current == nil {
-		return w.seen == nil && current == nil
+// specUnchanged reports whether current has the spec against which the write was
+// checked. Instances write the status, which raises the revision without a change
+// by another operator.
+func (w *recordWriter) specUnchanged(current *platformapi.Object) bool {
+	if w.checked == nil || current == nil {
+		return w.checked == nil && current == nil
 	}
-	return record.SameSpec(w.seen.Spec, current.Spec)
+	return record.SameSpec(w.checked.Spec, current.Spec)
 }
 
-// remove deletes the record that was seen.
-func (w *writer) remove(ctx context.Context, name string) error {
+// delete deletes the record against which the deletion was checked.
+func (w *recordWriter) delete(ctx context.Context, name string) error {
 	var err error
-	for range writeTries {
-		err = w.store.Delete(ctx, w.kind, name, w.seen.Metadata.Revision)
+	for range maxWriteAttempts {
+		err = w.store.Delete(ctx, w.kind, name, w.checked.Metadata.Revision)
 		if err == nil {
 			return nil
 		}
@@ -138,10 +139,10 @@
 			return nil
 		}
 		err = &ConflictError{Kind: w.kind, Name: name, Current: current}
-		if !w.onlyStatusChanged(current) {
+		if !w.specUnchanged(current) {
 			return err
 		}
-		w.seen = current
+		w.checked = current
 	}
 	return err
 }
--- a/client/submit.go
+++ b/client/submit.go
@@ -43,11 +43,11 @@
 }
 
 func (a *app) submit(ctx context.Context, cmd *cli.Command) error {
-	instance, err := a.instance(cmd)
+	instance, err := a.newInstanceClient(cmd)
 	if err != nil {
 		return err
 	}
-	input, err := a.input(cmd.String(flagInput))
+	input, err := a.readInput(cmd.String(flagInput))
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		path:   "/v1/pipelines/" + url.PathEscape(cmd.Args().First()) + "/requests",
 		header: submitHeader(cmd),
 		body:   callerapi.Request{Input: input, MaxTokens: cmd.Int(flagMaxTokens)},
-		read:   func(r *http.Response) error { return a.wholeAnswer(cmd, r) },
+		read:   func(r *http.Response) error { return a.readAnswer(cmd, r) },
 	}
 	if cmd.Bool(flagStream) {
 		c.read = func(r *http.Response) error { return (&answerStream{app: a, cmd: cmd, response: r}).read() }
@@ -79,17 +79,18 @@
 	return header
 }
 
-// input takes the text itself, or reads it from a file or from standard input.
-func (a *app) input(word string) (string, error) {
-	if word == "-" {
+// readInput returns the input that the flag value stands for: the content of
+// standard input for -, of the file for @FILE, or else the value itself.
+func (a *app) readInput(value string) (string, error) {
+	if value == "-" {
 		text, err := readAtMost(a.Stdin, maxInputBytes)
 		return text, errors.Wrap(err, "read input")
 	}
-	if name, ok := strings.CutPrefix(word, "@"); ok {
+	if name, ok := strings.CutPrefix(value, "@"); ok {
 		text, err := readFileAtMost(name, maxInputBytes)
 		return text, errors.Wrap(err, "read input")
 	}
-	return word, nil
+	return value, nil
 }
 
 func readFileAtMost(name string, limit int64) (string, error) {
@@ -101,8 +102,8 @@
 	return readAtMost(file, limit)
 }
 
-// readAtMost reads a text whole. One over the limit is an error: a part of it
-// would be taken for the whole.
+// readAtMost reads source to its end. A text longer than limit is an error, since
+// a truncated one would be mistaken for the whole.
 func readAtMost(source io.Reader, limit int64) (string, error) {
 	text, err := io.ReadAll(io.LimitReader(source, limit+1))
 	if err != nil {
@@ -114,10 +115,10 @@
 	return string(text), nil
 }
 
-func (a *app) wholeAnswer(cmd *cli.Command, response *http.Response) error {
+func (a *app) readAnswer(cmd *cli.Command, response *http.Response) error {
 	var answer callerapi.Answer
 	if err := readJSON(response, &answer); err != nil {
-		return cutOff(response, err)
+		return truncatedAnswer(response, err)
 	}
 	return a.printAnswer(cmd, answer)
 }
@@ -131,86 +132,89 @@
 	return err
 }
 
-// answerStream reads a streamed answer.
+// answerStream reads and prints a streamed answer.
 type answerStream struct {
 	app      *app
 	cmd      *cli.Command
 	response *http.Response
-	// next is the offset of the next token.
-	next int
-	// text is what the tokens so far add up to; the bound of the body bounds it.
-	text strings.Builder
+	// nextOffset is the offset of the next token.
+	nextOffset int
+	// received is the concatenation of the tokens so far; the limit on the body
+	// bounds its length.
+	received strings.Builder
 }
 
-// read prints tokens until the event that ends the stream. A stream that ends
-// without one was cut off.
+// read handles events until the one that ends the stream. A stream that ends
+// without it is truncated.
 func (s *answerStream) read() error {
-	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxAnswerBytes), sse.Limits{})
+	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxResponseBytes), sse.Limits{})
 	for {
 		event, err := events.Next()
 		if err != nil {
-			return cutOff(s.response, err)
+			return truncatedAnswer(s.response, err)
 		}
-		if done, err := s.take(event); done || err != nil {
+		if done, err := s.handle(event); done || err != nil {
 			return err
 		}
 	}
 }
 
-func (s *answerStream) take(event sse.Event) (done bool, err error) {
+// handle processes one event and reports whether it completes the answer.
+func (s *answerStream) handle(event sse.Event) (done bool, err error) {
 	switch event.Name {
 	case callerapi.EventToken:
-		return false, s.token(event)
+		return false, s.handleToken(event)
 	case callerapi.EventDone:
 		var answer callerapi.Answer
 		if err := json.Unmarshal([]byte(event.Data), &answer); err != nil {
-			return false, cutOff(s.response, err)
+			return false, truncatedAnswer(s.response, err)
 		}
-		return true, s.end(answer)
+		return true, s.finish(answer)
 	case callerapi.EventError:
 		problem := callerapi.Problem{Outcome: callerapi.OutcomeUnknown}
 		if err := json.Unmarshal([]byte(event.Data), &problem); err != nil {
-			return false, cutOff(s.response, err)
+			return false, truncatedAnswer(s.response, err)
 		}
 		return false, &RequestError{Problem: problem}
 	}
 	return false, nil
 }
 
-// token prints a token. One out of order means that a token was lost or came
-// twice; what was printed is then not the answer.
-func (s *answerStream) token(event sse.Event) error {
-	if event.ID != strconv.Itoa(s.next) {
-		return cutOff(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.next))
+// handleToken prints a token. A token out of order means that one was lost or
+// repeated, so that the printed text isn't the answer.
+func (s *answerStream) handleToken(event sse.Event) error {
+	if event.ID != strconv.Itoa(s.nextOffset) {
+		return truncatedAnswer(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.nextOffset))
 	}
-	s.next++
+	s.nextOffset++
 	var token callerapi.TokenEvent
 	if err := json.Unmarshal([]byte(event.Data), &token); err != nil {
-		return cutOff(s.response, err)
+		return truncatedAnswer(s.response, err)
 	}
-	s.text.WriteString(token.Token)
+	s.received.WriteString(token.Token)
 	if s.cmd.String(flagOutput) == outputTable {
 		fmt.Fprint(s.app.Stdout, token.Token)
 	}
 	return nil
 }
 
-// end prints what the tokens left out of the answer. A kept answer comes without
-// tokens: printed as it came, it would be an empty line and a success.
-func (s *answerStream) end(answer callerapi.Answer) error {
-	rest, ok := strings.CutPrefix(answer.Output, s.text.String())
+// finish prints the part of the answer that the tokens didn't contain. The stored
+// answer of a repeated request arrives without tokens: without this the output
+// would be an empty line and a success.
+func (s *answerStream) finish(answer callerapi.Answer) error {
+	remaining, ok := strings.CutPrefix(answer.Output, s.received.String())
 	if !ok {
-		return cutOff(s.response, errors.New("the tokens are not the answer"))
+		return truncatedAnswer(s.response, errors.New("the tokens are not the answer"))
 	}
 	if s.cmd.String(flagOutput) == outputTable {
-		answer.Output = rest
+		answer.Output = remaining
 	}
 	return s.app.printAnswer(s.cmd, answer)
 }
 
-// cutOff is the error of an answer that ended early: the request was run, at
-// least in part.
-func cutOff(response *http.Response, cause error) error {
+// truncatedAnswer returns the error of an answer that ended early: the request was
+// run, at least in part.
+func truncatedAnswer(response *http.Response, cause error) error {
 	return &RequestError{Problem: callerapi.Problem{
 		Title: "the answer was cut off", Detail: cause.Error(),
 		RequestID: response.Header.Get(callerapi.HeaderRequestID), Outcome: callerapi.OutcomeUnknown,
--- a/client/watch.go
+++ b/client/watch.go
@@ -16,15 +16,15 @@
 const (
 	// watchWait is how long one watch call waits for a change.
 	watchWait = 20 * time.Second
-	// watchRetry is the wait before a watch that failed is tried again, unless
-	// the platform asks for more.
-	watchRetry = 2 * time.Second
+	// watchRetryDelay is the minimum delay before a failed watch is retried; the
+	// platform may ask for a longer one.
+	watchRetryDelay = 2 * time.Second
 )
 
-// pacer waits; tests put their own in place.
-type pacer func(ctx context.Context, d time.Duration) error
+// sleepFunc waits for d or until ctx ends.
+type sleepFunc func(ctx context.Context, d time.Duration) error
 
-func waitFor(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -50,14 +50,17 @@
 	}
 }
 
-// follower follows one kind and shows each revision of a record once.
-type follower struct {
+// recordWatcher watches the records of one kind and prints each revision of a
+// record once.
+type recordWatcher struct {
 	app   *app
 	store Store
 	kind  string
 	json  bool
-	from  uint64
-	known map[string]uint64
+	// revision is the revision of the last list or watch.
+	revision uint64
+	// shown holds the last printed revision of each record, by name.
+	shown map[string]uint64
 }
 
 func (a *app) watch(ctx context.Context, cmd *cli.Command) error {
@@ -65,99 +68,99 @@
 	if err != nil {
 		return err
 	}
-	f := &follower{app: a, store: store, kind: kind, json: cmd.String(flagOutput) == outputJSON, known: map[string]uint64{}}
-	if err := f.relist(ctx); err != nil {
+	w := &recordWatcher{app: a, store: store, kind: kind, json: cmd.String(flagOutput) == outputJSON, shown: map[string]uint64{}}
+	if err := w.relist(ctx); err != nil {
 		return err
 	}
 	for ctx.Err() == nil {
-		if err := f.step(ctx); err != nil {
+		if err := w.watchOnce(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// step waits for changes once. An outage of the platform is shown and waited
-// out: the watch goes on from where it was.
-func (f *follower) step(ctx context.Context) error {
-	changes, err := f.store.Watch(ctx, []string{f.kind}, f.from, watchWait)
+// watchOnce waits once for changes. It prints an outage of the platform and waits
+// before it returns, so that the next call resumes at the same revision.
+func (w *recordWatcher) watchOnce(ctx context.Context) error {
+	changes, err := w.store.Watch(ctx, []string{w.kind}, w.revision, watchWait)
 	var unavailable *platform.UnavailableError
 	switch {
 	case ctx.Err() != nil:
 		return nil
 	case errors.Is(err, platform.ErrCompacted):
-		err = f.relist(ctx)
+		err = w.relist(ctx)
 	case err == nil:
-		return f.showAll(changes)
+		return w.showEvents(changes)
 	}
 	if !errors.As(err, &unavailable) {
 		return err
 	}
-	f.app.report(err)
-	// The pause fails only when the context ends, which ends the watch as well.
-	_ = f.app.pacer(ctx, max(watchRetry, unavailable.RetryAfter))
+	w.app.printError(err)
+	// The sleep fails only when the context ends, which ends the watch as well.
+	_ = w.app.sleep(ctx, max(watchRetryDelay, unavailable.RetryAfter))
 	return nil
 }
 
-func (f *follower) showAll(changes platformapi.Watch) error {
+func (w *recordWatcher) showEvents(changes platformapi.Watch) error {
 	for i := range changes.Events {
-		if err := f.show(&changes.Events[i]); err != nil {
+		if err := w.show(&changes.Events[i]); err != nil {
 			return err
 		}
 	}
-	f.from = max(f.from, changes.Revision)
+	w.revision = max(w.revision, changes.Revision)
 	return nil
 }
 
-// relist shows what has changed since the last list or watch, deletes included.
-func (f *follower) relist(ctx context.Context) error {
-	list, err := f.store.List(ctx, f.kind)
+// relist prints the changes since the last list or watch, deletions included.
+func (w *recordWatcher) relist(ctx context.Context) error {
+	list, err := w.store.List(ctx, w.kind)
 	if err != nil {
 		return err
 	}
 	present := map[string]bool{}
 	for i := range list.Items {
 		present[list.Items[i].Metadata.Name] = true
-		if err := f.show(&platformapi.Event{Object: list.Items[i]}); err != nil {
+		if err := w.show(&platformapi.Event{Object: list.Items[i]}); err != nil {
 			return err
 		}
 	}
-	for name := range f.known {
+	for name := range w.shown {
 		if present[name] {
 			continue
 		}
-		gone := platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: list.Revision}}
-		if err := f.show(&platformapi.Event{Object: gone, Deleted: true}); err != nil {
+		deleted := platformapi.Object{Metadata: platformapi.Metadata{Name: name, Revision: list.Revision}}
+		if err := w.show(&platformapi.Event{Object: deleted, Deleted: true}); err != nil {
 			return err
 		}
 	}
-	f.from = max(f.from, list.Revision)
+	w.revision = max(w.revision, list.Revision)
 	return nil
 }
 
-// watchLine is one change, as JSON on a line of its own.
+// watchLine is one change in JSON output, printed on one line.
 type watchLine struct {
 	Deleted bool `json:"deleted,omitempty"`
 	document
 }
 
-func (f *follower) show(event *platformapi.Event) error {
+func (w *recordWatcher) show(event *platformapi.Event) error {
 	meta := event.Object.Metadata
-	if meta.Revision <= f.known[meta.Name] {
+	if meta.Revision <= w.shown[meta.Name] {
 		return nil
 	}
-	f.known[meta.Name] = meta.Revision
+	w.shown[meta.Name] = meta.Revision
 	if event.Deleted {
-		delete(f.known, meta.Name)
+		delete(w.shown, meta.Name)
 	}
-	if f.json {
-		return json.NewEncoder(f.app.Stdout).Encode(watchLine{event.Deleted, document{f.kind, event.Object}})
+	if w.json {
+		return json.NewEncoder(w.app.Stdout).Encode(watchLine{event.Deleted, document{w.kind, event.Object}})
 	}
-	row := rowOf(f.kind, &event.Object)
+	row := newStatusRow(w.kind, &event.Object)
 	if event.Deleted {
 		row.State, row.Reason = resultDeleted, ""
 	}
-	_, err := fmt.Fprintf(f.app.Stdout, "%s/%s\t%d\t%s\t%s\n", f.kind, meta.Name, meta.Revision, row.State, row.Reason)
+	_, err := fmt.Fprintf(w.app.Stdout, "%s/%s\t%d\t%s\t%s\n", w.kind, meta.Name, meta.Revision, row.State, row.Reason)
 	return err
 }
 
--- a/client/write.go
+++ b/client/write.go
@@ -44,11 +44,12 @@
 		Usage:         "delete a record that no other one uses",
 		ArgsUsage:     "KIND NAME",
 		ShellComplete: a.completeKinds,
-		Action:        action(2, "KIND NAME", a.remove),
+		Action:        action(2, "KIND NAME", a.delete),
 	}
 }
 
-// readDocuments reads and checks the files of the command line.
+// readDocuments reads and validates the files of the command line, and returns
+// their documents in the order of dependencies.
 func (a *app) readDocuments(cmd *cli.Command) ([]record.Document, error) {
 	files := cmd.StringSlice(flagFile)
 	if len(files) == 0 {
@@ -85,7 +86,7 @@
 		defer file.Close()
 		source = file
 	}
-	// One byte more than is allowed, so that the decoder sees it is too long.
+	// One byte over the limit lets the decoder detect a file that is too long.
 	text, err := io.ReadAll(io.LimitReader(source, record.MaxFileBytes+1))
 	return text, errors.Wrapf(err, "read records from %s", name)
 }
@@ -111,17 +112,17 @@
 	return a.print(cmd, writeTable(rows), rows)
 }
 
-// checkAgainstStore reads what the store holds and judges the documents beside
-// it.
-func checkAgainstStore(ctx context.Context, store Store, documents []record.Document) (*inventory, error) {
-	inv, err := takeInventory(ctx, store)
+// checkAgainstStore validates the documents together with the records that the
+// store holds.
+func checkAgainstStore(ctx context.Context, store Store, documents []record.Document) (*storeSnapshot, error) {
+	snapshot, err := readStore(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	if faults := inv.check(documents); len(faults) > 0 {
+	if faults := snapshot.validate(documents); len(faults) > 0 {
 		return nil, &InvalidError{File: "checked against the store", Faults: faults}
 	}
-	return inv, nil
+	return snapshot, nil
 }
 
 func (a *app) apply(ctx context.Context, cmd *cli.Command) error {
@@ -133,18 +134,18 @@
 	if err != nil {
 		return err
 	}
-	inv, err := checkAgainstStore(ctx, store, documents)
+	snapshot, err := checkAgainstStore(ctx, store, documents)
 	if err != nil {
 		return err
 	}
-	if err := inv.checkRevisions(documents); err != nil {
+	if err := snapshot.checkRevisions(documents); err != nil {
 		return err
 	}
 	var rows []writeRow
 	for _, doc := range documents {
-		row, err := writeDocument(ctx, store, inv, doc)
+		row, err := writeDocument(ctx, store, snapshot, doc)
 		if err != nil {
-			// What was written before stands: show it beside the error.
+			// Earlier documents have been written: print them beside the error.
 			return errors.CombineErrors(err, a.printWritten(cmd, rows))
 		}
 		rows = append(rows, row)
@@ -152,7 +153,8 @@
 	return a.printWritten(cmd, rows)
 }
 
-// printWritten shows what became of the records written; of none it shows nothing.
+// printWritten prints the results of the written records, and nothing if there are
+// none.
 func (a *app) printWritten(cmd *cli.Command, rows []writeRow) error {
 	if len(rows) == 0 {
 		return nil
@@ -160,9 +162,9 @@
 	return a.print(cmd, writeTable(rows), rows)
 }
 
-func writeDocument(ctx context.Context, store Store, inv *inventory, doc record.Document) (writeRow, error) {
+func writeDocument(ctx context.Context, store Store, snapshot *storeSnapshot, doc record.Document) (writeRow, error) {
 	name := doc.Object.Metadata.Name
-	w := &writer{store: store, kind: string(doc.Kind), seen: inv.objects[keyOf(doc)]}
+	w := &recordWriter{store: store, kind: string(doc.Kind), checked: snapshot.objects[keyOf(doc)]}
 	written, result, err := w.put(ctx, platformapi.Object{Metadata: platformapi.Metadata{Name: name}, Spec: doc.Object.Spec})
 	if err != nil {
 		return writeRow{}, err
@@ -170,25 +172,25 @@
 	return writeRow{Kind: w.kind, Name: name, Result: result, Revision: written.Metadata.Revision}, nil
 }
 
-func (a *app) remove(ctx context.Context, cmd *cli.Command) error {
+func (a *app) delete(ctx context.Context, cmd *cli.Command) error {
 	kind, store, err := a.kindAndStore(cmd)
 	if err != nil {
 		return err
 	}
-	inv, err := takeInventory(ctx, store)
+	snapshot, err := readStore(ctx, store)
 	if err != nil {
 		return err
 	}
 	key := config.Key{Kind: catalog.RecordKind(kind), Name: cmd.Args().Get(1)}
-	w := &writer{store: store, kind: kind, seen: inv.objects[key]}
-	if w.seen == nil {
+	w := &recordWriter{store: store, kind: kind, checked: snapshot.objects[key]}
+	if w.checked == nil {
 		return errors.Wrapf(platform.ErrNotFound, "%s/%s", kind, key.Name)
 	}
-	if reason := inv.checkDelete(key); reason != "" {
+	if reason := snapshot.checkDelete(key); reason != "" {
 		fault := record.Fault{Field: kind + "/" + key.Name, Reason: reason}
 		return &InvalidError{File: "checked against the store", Faults: record.Faults{fault}}
 	}
-	if err := w.remove(ctx, key.Name); err != nil {
+	if err := w.delete(ctx, key.Name); err != nil {
 		return err
 	}
 	rows := []writeRow{{Kind: kind, Name: key.Name, Result: resultDeleted}}
