--- a/emulator/target/admin.go
+++ b/emulator/target/admin.go
@@ -2,14 +2,13 @@
 
 import "net/http"
 
-// Paths by which tests and operators of the emulator drive it. Real targets
-// have none of them.
+// Paths that control the emulator. Real targets have none of them.
 const (
-	// PathAdminFaults takes and lists a JSON array of Fault.
+	// PathAdminFaults sets and lists the faults in force, a JSON array of Fault.
 	PathAdminFaults = "/admin/faults"
-	// PathAdminLeaving takes a LeavingRequest.
+	// PathAdminLeaving accepts a LeavingRequest.
 	PathAdminLeaving = "/admin/leaving"
-	// PathAdminRuns answers a RunsReport.
+	// PathAdminRuns returns a RunsReport.
 	PathAdminRuns = "/admin/runs"
 	// PathAdminOrders lists the orders that took effect.
 	PathAdminOrders = "/admin/orders"
@@ -30,8 +29,8 @@
 		return
 	}
 	for _, fault := range faults {
-		if !fault.Kind.known() {
-			fail(w, http.StatusBadRequest, "unknown fault "+string(fault.Kind))
+		if !fault.Kind.valid() {
+			writeError(w, http.StatusBadRequest, "unknown fault "+string(fault.Kind))
 			return
 		}
 	}
--- a/emulator/target/answer.go
+++ b/emulator/target/answer.go
@@ -11,140 +11,140 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// garbage stands in for what a fault makes unreadable.
-const garbage = "\x7f{]not json"
+// garbledBody replaces the JSON of responses under FaultGarble.
+const garbledBody = "\x7f{]not json"
 
-// wholeAnswer answers with one JSON body when the work is done.
-type wholeAnswer struct {
-	w http.ResponseWriter
-	a *attempt
+// jsonResponder responds with one JSON body when the work is done.
+type jsonResponder struct {
+	w       http.ResponseWriter
+	attempt *attempt
 }
 
-func (*wholeAnswer) begin() error            { return nil }
-func (*wholeAnswer) token(int, string) error { return nil }
-func (*wholeAnswer) idle() error             { return nil }
+func (*jsonResponder) begin() error                { return nil }
+func (*jsonResponder) sendToken(int, string) error { return nil }
+func (*jsonResponder) keepAlive() error            { return nil }
 
-func (o *wholeAnswer) done(result targetapi.RunAnswer) error {
-	body, err := json.Marshal(o.a.crossed(result))
+func (r *jsonResponder) finish(result targetapi.RunAnswer) error {
+	body, err := json.Marshal(r.attempt.withCrossedID(result))
 	if err != nil {
 		return err
 	}
-	if o.a.faults.has(FaultGarble) {
-		body = []byte(garbage)
+	if r.attempt.faults.has(FaultGarble) {
+		body = []byte(garbledBody)
 	}
-	o.w.Header().Set("Content-Type", "application/json")
-	o.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if o.a.faults.has(FaultDuplicate) {
-		return o.a.answerTwice(o.w, body)
+	r.w.Header().Set("Content-Type", "application/json")
+	r.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	if r.attempt.faults.has(FaultDuplicate) {
+		return r.attempt.sendTwice(r.w, body)
 	}
-	if o.a.faults.has(FaultTruncate) {
-		_, _ = o.w.Write(body[:len(body)/2])
-		flush(o.w)
-		abort()
+	if r.attempt.faults.has(FaultTruncate) {
+		_, _ = r.w.Write(body[:len(body)/2])
+		flush(r.w)
+		abortConnection()
 	}
-	_, err = o.w.Write(body)
+	_, err = r.w.Write(body)
 	return err
 }
 
-// streamAnswer answers with an event for each token.
-type streamAnswer struct {
-	w      http.ResponseWriter
-	events *sse.Encoder
-	a      *attempt
-	sent   int
-	begun  bool
+// streamResponder responds with an event for each token.
+type streamResponder struct {
+	w       http.ResponseWriter
+	events  *sse.Encoder
+	attempt *attempt
+	sent    int
+	begun   bool
 }
 
-func (o *streamAnswer) begin() error {
-	o.begun = true
-	o.w.Header().Set("Content-Type", sse.ContentType)
-	o.w.WriteHeader(http.StatusOK)
-	flush(o.w)
+func (r *streamResponder) begin() error {
+	r.begun = true
+	r.w.Header().Set("Content-Type", sse.ContentType)
+	r.w.WriteHeader(http.StatusOK)
+	flush(r.w)
 	return nil
 }
 
-func (o *streamAnswer) idle() error {
-	if err := o.events.Comment("keep-alive"); err != nil {
+func (r *streamResponder) keepAlive() error {
+	if err := r.events.Comment("keep-alive"); err != nil {
 		return err
 	}
-	flush(o.w)
+	flush(r.w)
 	return nil
 }
 
-func (o *streamAnswer) token(offset int, token string) error {
-	o.breakConnection()
+func (r *streamResponder) sendToken(offset int, token string) error {
+	r.injectConnectionFaults()
 	data, err := json.Marshal(targetapi.TokenEvent{Token: token})
 	if err != nil {
 		return err
 	}
-	o.sent++
-	return o.send(sse.Event{Name: targetapi.EventToken, ID: strconv.Itoa(offset), Data: string(data)})
+	r.sent++
+	return r.send(sse.Event{Name: targetapi.EventToken, ID: strconv.Itoa(offset), Data: string(data)})
 }
 
-// breakConnection carries out the faults that end a stream between tokens.
-func (o *streamAnswer) breakConnection() {
-	if fault, ok := o.a.faults[FaultReset]; ok && o.sent >= fault.AfterTokens {
-		reset(o.w)
+// injectConnectionFaults applies the faults that end a stream between tokens.
+func (r *streamResponder) injectConnectionFaults() {
+	if fault, ok := r.attempt.faults[FaultReset]; ok && r.sent >= fault.AfterTokens {
+		resetConnection(r.w)
 	}
-	if fault, ok := o.a.faults[FaultCrash]; ok && o.sent >= fault.AfterTokens {
-		o.half(targetapi.EventToken)
-		abort()
+	if fault, ok := r.attempt.faults[FaultCrash]; ok && r.sent >= fault.AfterTokens {
+		r.sendPartialEvent(targetapi.EventToken)
+		abortConnection()
 	}
 }
 
-func (o *streamAnswer) done(result targetapi.RunAnswer) error {
-	if o.a.faults.has(FaultTruncate) {
-		// The HTTP body ends in good order: only the event tells.
-		o.half(targetapi.EventDone)
+func (r *streamResponder) finish(result targetapi.RunAnswer) error {
+	if r.attempt.faults.has(FaultTruncate) {
+		// The HTTP body ends properly: only the incomplete event shows the fault.
+		r.sendPartialEvent(targetapi.EventDone)
 		return nil
 	}
-	data, err := json.Marshal(o.a.crossed(result))
+	data, err := json.Marshal(r.attempt.withCrossedID(result))
 	if err != nil {
 		return err
 	}
-	return o.send(sse.Event{Name: targetapi.EventDone, Data: string(data)})
+	return r.send(sse.Event{Name: targetapi.EventDone, Data: string(data)})
 }
 
-// half writes an event that lacks its end.
-func (o *streamAnswer) half(name string) {
-	_, _ = o.w.Write([]byte("event: " + name + "\ndata: {\"to"))
-	flush(o.w)
+// sendPartialEvent writes the beginning of an event.
+func (r *streamResponder) sendPartialEvent(name string) {
+	_, _ = r.w.Write([]byte("event: " + name + "\ndata: {\"to"))
+	flush(r.w)
 }
 
-func (o *streamAnswer) send(event sse.Event) error {
-	if o.a.faults.has(FaultGarble) {
-		event.Data = garbage
+func (r *streamResponder) send(event sse.Event) error {
+	if r.attempt.faults.has(FaultGarble) {
+		event.Data = garbledBody
 	}
 	copies := 1
-	if o.a.faults.has(FaultDuplicate) {
+	if r.attempt.faults.has(FaultDuplicate) {
 		copies = 2
 	}
 	for range copies {
-		if err := o.events.Encode(event); err != nil {
+		if err := r.events.Encode(event); err != nil {
 			return err
 		}
 	}
-	flush(o.w)
+	flush(r.w)
 	return nil
 }
 
-// fail ends an attempt that was started and brought no answer.
-func (a *attempt) fail(w http.ResponseWriter, err error) {
+// respondError responds to an attempt that failed after its start.
+func (a *attempt) respondError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errCancelled) {
 		status = http.StatusConflict
 	}
-	stream, ok := a.answer.(*streamAnswer)
+	stream, ok := a.responder.(*streamResponder)
 	if !ok || !stream.begun {
-		fail(w, status, err.Error())
+		writeError(w, status, err.Error())
 		return
 	}
 	data, _ := json.Marshal(targetapi.Refusal{Error: err.Error()})
 	_ = stream.send(sse.Event{Name: targetapi.EventError, Data: string(data)})
 }
 
-// flush sends what was written so far. An error means that the caller is gone,
-// which the next write or the context tells as well.
+// flush sends the bytes written so far. It ignores errors: they mean that the
+// caller disconnected, which the next write or the context reports as well.
 func flush(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 }
--- a/emulator/target/attempt.go
+++ b/emulator/target/attempt.go
@@ -10,15 +10,15 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// prefillChunk is how many prompt tokens are read between two moments at which
-// a more urgent call can take the slot.
+// prefillChunk is the number of prompt tokens processed between two points at which
+// a more urgent call can preempt the attempt.
 const prefillChunk = 512
 
 var (
-	errFull     = errors.New("queue is full")
-	errTooLate  = errors.New("deadline passed in the queue")
-	errStopped  = errors.New("attempt was cancelled")
-	errShutDown = errors.New("target was closed")
+	errQueueFull      = errors.New("queue is full")
+	errDeadlinePassed = errors.New("deadline passed in the queue")
+	errCancelled      = errors.New("attempt was cancelled")
+	errClosed         = errors.New("target was closed")
 )
 
 // attempt is one call of PathRun.
@@ -30,53 +30,53 @@
 	request   targetapi.RunRequest
 	faults    callFaults
 	ticket    *ticket
-	// answer is told of everything that the caller may see.
-	answer answer
-	// ctx ends when the caller cancels or goes away.
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	worked time.Duration
+	// responder writes the response.
+	responder responder
+	// ctx ends when the caller cancels or disconnects.
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	workTime time.Duration
 }
 
-// answer writes what an attempt brings.
-type answer interface {
+// responder writes the response to an attempt.
+type responder interface {
 	// begin is called once the attempt has a slot.
 	begin() error
-	token(offset int, token string) error
-	// idle is called while there is nothing to send.
-	idle() error
-	done(targetapi.RunAnswer) error
+	sendToken(offset int, token string) error
+	// keepAlive is called at an interval while there is nothing to send.
+	keepAlive() error
+	finish(targetapi.RunAnswer) error
 }
 
-// start waits for a slot. After an error nothing was run.
+// start waits for a slot. If it returns an error, nothing was run.
 func (a *attempt) start() error {
 	if !a.target.scheduler.enter(a.ticket) {
-		return errFull
+		return errQueueFull
 	}
 	select {
 	case <-a.ticket.granted:
 	case <-a.deadline:
-		return errTooLate
+		return errDeadlinePassed
 	case <-a.ctx.Done():
 		return context.Cause(a.ctx)
 	}
-	a.target.runs.start(a.requestID, a.target.leaving.Load())
-	if len(a.request.Inputs) > 0 && len(a.request.Inputs[0]) <= inputKept {
-		a.target.inputs.start(a.request.Inputs[0], false)
-		if a.target.options.Started != nil {
-			a.target.options.Started(a.request.Inputs[0])
+	a.target.runs.count(a.requestID, a.target.leaving.Load())
+	if len(a.request.Inputs) > 0 && len(a.request.Inputs[0]) <= maxCountedInputBytes {
+		a.target.inputRuns.count(a.request.Inputs[0], false)
+		if a.target.options.OnRunStart != nil {
+			a.target.options.OnRunStart(a.request.Inputs[0])
 		}
 	}
 	return nil
 }
 
-// run does the work and returns the whole answer.
+// run executes the work and returns the whole answer.
 func (a *attempt) run() (targetapi.RunAnswer, error) {
 	text, tokens := Output(a.request.Stage, a.request.Inputs, a.request.Model, a.request.MaxTokens)
-	if err := a.spend(a.target.options.CallTime); err != nil {
+	if err := a.work(a.target.options.CallTime); err != nil {
 		return targetapi.RunAnswer{}, err
 	}
-	read, err := a.prefill()
+	processed, err := a.prefill()
 	if err != nil {
 		return targetapi.RunAnswer{}, err
 	}
@@ -87,39 +87,39 @@
 		AttemptID:     a.id,
 		Output:        text,
 		Tokens:        len(tokens) - a.request.ResumeFrom,
-		PrefillTokens: read,
-		WorkMS:        a.worked.Milliseconds(),
+		PrefillTokens: processed,
+		WorkMS:        a.workTime.Milliseconds(),
 	}, nil
 }
 
-// prefill reads the part of the prompt that no cache holds, and the tokens
-// that another target has generated, and returns how many those were.
+// prefill processes the uncached part of the prompt and the tokens that another
+// target generated before, and returns the number of tokens processed.
 func (a *attempt) prefill() (int, error) {
-	read := a.target.cache.missing(a.request.Prefix) + a.request.ResumeFrom
+	processed := a.target.cache.uncachedTokens(a.request.Prefix) + a.request.ResumeFrom
 	rate := a.target.options.PrefillRate
-	for left := read; left > 0 && rate > 0; left -= prefillChunk {
-		seconds := float64(min(left, prefillChunk)) / rate
-		if err := a.spend(time.Duration(seconds * float64(time.Second))); err != nil {
+	for remaining := processed; remaining > 0 && rate > 0; remaining -= prefillChunk {
+		seconds := float64(min(remaining, prefillChunk)) / rate
+		if err := a.work(time.Duration(seconds * float64(time.Second))); err != nil {
 			return 0, err
 		}
 	}
 	a.target.cache.add(a.request.Prefix)
-	return read, nil
+	return processed, nil
 }
 
 func (a *attempt) generate(tokens []string) error {
 	for offset := a.request.ResumeFrom; offset < len(tokens); offset++ {
-		if err := a.spend(a.tokenTime()); err != nil {
+		if err := a.work(a.tokenTime()); err != nil {
 			return err
 		}
-		if err := a.answer.token(offset, tokens[offset]); err != nil {
+		if err := a.responder.sendToken(offset, tokens[offset]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// tokenTime is the time of one token in a batch of the present size.
+// tokenTime returns the time of one token at the current batch size.
 func (a *attempt) tokenTime() time.Duration {
 	options := a.target.options
 	if options.Kind != catalog.KindEngine {
@@ -130,16 +130,17 @@
 	return time.Duration(float64(options.TokenTime) * factor)
 }
 
-// spend takes one step of work, then lets a more urgent call have the slot.
-func (a *attempt) spend(step time.Duration) error {
+// work spends the time of one step, then yields the slot if a more urgent call
+// preempts it.
+func (a *attempt) work(step time.Duration) error {
 	if straggler, ok := a.faults[FaultStraggler]; ok {
 		step = time.Duration(float64(step) * straggler.Factor)
 	}
 	if step > 0 {
-		if err := a.wait(a.target.options.After(step)); err != nil {
+		if err := a.waitFor(a.target.options.After(step)); err != nil {
 			return err
 		}
-		a.worked += step
+		a.workTime += step
 	}
 	if !a.target.scheduler.yield(a.ticket) {
 		return context.Cause(a.ctx)
@@ -147,11 +148,13 @@
 	return wait(a, a.ticket.granted)
 }
 
-// wait waits for a moment, and keeps the caller's connection alive meanwhile.
-func (a *attempt) wait(moment <-chan time.Time) error {
-	return wait(a, moment)
+// waitFor waits for a timer and keeps the caller's connection alive meanwhile.
+func (a *attempt) waitFor(timer <-chan time.Time) error {
+	return wait(a, timer)
 }
 
+// wait waits for an event or the end of the attempt, and keeps the caller's
+// connection alive meanwhile.
 func wait[T any](a *attempt, event <-chan T) error {
 	for {
 		var keepAlive <-chan time.Time
@@ -164,7 +167,7 @@
 		case <-a.ctx.Done():
 			return context.Cause(a.ctx)
 		case <-keepAlive:
-			if err := a.answer.idle(); err != nil {
+			if err := a.responder.keepAlive(); err != nil {
 				return err
 			}
 		}
--- a/emulator/target/broken_answer.go
+++ b/emulator/target/broken_answer.go
@@ -12,34 +12,35 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// secondAnswerWait bounds how long a duplicate answer waits for the next call.
-const secondAnswerWait = time.Minute
+// duplicateTimeout bounds the wait of a duplicate response for the next call.
+const duplicateTimeout = time.Minute
 
 var errInjected = errors.New("fault: failed after the work")
 
-// afterWork carries out the faults that come between the work and the answer.
-func (a *attempt) afterWork() error {
+// injectAfterWork applies the faults between the work and the response.
+func (a *attempt) injectAfterWork() error {
 	if a.faults.has(FaultGrey) {
 		return errInjected
 	}
 	if a.faults.has(FaultLost) {
-		abort()
+		abortConnection()
 	}
 	if late, ok := a.faults[FaultLate]; ok {
-		return a.wait(a.target.options.After(time.Duration(late.DelayMS) * time.Millisecond))
+		return a.waitFor(a.target.options.After(time.Duration(late.DelayMS) * time.Millisecond))
 	}
-	whole, ok := a.answer.(*wholeAnswer)
+	whole, ok := a.responder.(*jsonResponder)
 	if ok && a.faults.has(FaultReset) {
-		reset(whole.w)
+		resetConnection(whole.w)
 	}
 	if ok && a.faults.has(FaultCrash) {
-		abort()
+		abortConnection()
 	}
 	return nil
 }
 
-// crossed gives the answer the id of another attempt when a fault says so.
-func (a *attempt) crossed(result targetapi.RunAnswer) targetapi.RunAnswer {
+// withCrossedID returns the result with the id of another attempt under
+// FaultCrossed.
+func (a *attempt) withCrossedID(result targetapi.RunAnswer) targetapi.RunAnswer {
 	if a.faults.has(FaultCrossed) {
 		result.AttemptID = crossedID(a.id)
 	}
@@ -50,30 +51,31 @@
 	return "not-" + id
 }
 
-// abort closes the connection without a word more.
-func abort() {
+// abortConnection closes the connection without sending anything more. It doesn't
+// return.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// reset closes the connection so that the peer sees a reset, and does not
+// resetConnection closes the connection so that the peer sees a reset. It doesn't
 // return.
-func reset(w http.ResponseWriter) {
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		abort()
+		abortConnection()
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// Unsent and unread bytes are dropped, and the peer gets an RST.
+		// Drops unsent and unread bytes and sends the peer an RST.
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
-	abort()
+	abortConnection()
 }
 
-// answerTwice sends the answer, and once more when the next call arrives on
-// the connection: to that call's sender it looks like the answer to it.
-func (a *attempt) answerTwice(w http.ResponseWriter, body []byte) error {
-	answer := wireAnswer(w.Header(), body)
+// sendTwice sends the response, and sends it again when the next call arrives on
+// the connection: the sender of that call takes it for its own response.
+func (a *attempt) sendTwice(w http.ResponseWriter, body []byte) error {
+	answer := encodeResponse(w.Header(), body)
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return err
@@ -83,7 +85,7 @@
 	if _, err := conn.Write(answer); err != nil {
 		return nil
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(secondAnswerWait))
+	_ = conn.SetReadDeadline(time.Now().Add(duplicateTimeout))
 	if _, err := buffered.Peek(1); err != nil {
 		return nil
 	}
@@ -91,11 +93,11 @@
 	return nil
 }
 
-// wireAnswer is the answer as HTTP/1.1 puts it on the connection.
-func wireAnswer(header http.Header, body []byte) []byte {
+// encodeResponse returns an HTTP/1.1 response with status 200.
+func encodeResponse(header http.Header, body []byte) []byte {
 	var wire bytes.Buffer
 	wire.WriteString("HTTP/1.1 200 OK\r\n")
-	// A buffer takes every write.
+	// Writing to a buffer doesn't fail.
 	_ = header.Write(&wire)
 	wire.WriteString("\r\n")
 	wire.Write(body)
--- a/emulator/target/cache.go
+++ b/emulator/target/cache.go
@@ -7,16 +7,16 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// prefixCache holds the parts of prompts that were read last, up to a number
-// of tokens. A part counts as cached only when all parts before it are.
+// prefixCache is an LRU cache of parts of prompts with a capacity in tokens. A part
+// of a prompt counts as cached only if all parts before it are.
 type prefixCache struct {
 	capacity int
-	// changed is called, under the lock, for each part that comes or goes.
-	changed func(part string, added bool)
+	// onChange is called, under the lock, for each part added or evicted.
+	onChange func(part string, added bool)
 
 	mu     sync.Mutex
 	tokens int
-	// recent holds targetapi.Part, the most recently used first.
+	// recent is a list of targetapi.Part, the most recently used first.
 	recent *list.List
 	byID   map[string]*list.Element
 }
@@ -24,23 +24,23 @@
 func newPrefixCache(capacity int, changed func(part string, added bool)) *prefixCache {
 	return &prefixCache{
 		capacity: capacity,
-		changed:  changed,
+		onChange: changed,
 		recent:   list.New(),
 		byID:     make(map[string]*list.Element),
 	}
 }
 
-// missing returns how many tokens of the prompt have to be read, and marks the
-// cached ones as used.
-func (c *prefixCache) missing(parts []targetapi.Part) int {
+// uncachedTokens returns the number of tokens of the prompt that aren't cached, and
+// marks its cached parts as used.
+func (c *prefixCache) uncachedTokens(parts []targetapi.Part) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hits := 0
 	for hits < len(parts) && c.byID[parts[hits].ID] != nil {
 		hits++
 	}
-	// From the back, so that the front of a prompt is evicted last: without it
-	// the rest would be of no use.
+	// From the back, so that the front of a prompt is evicted last: without it the
+	// remaining parts can't be used.
 	for i := hits - 1; i >= 0; i-- {
 		c.recent.MoveToFront(c.byID[parts[i].ID])
 	}
@@ -51,7 +51,7 @@
 	return tokens
 }
 
-// add puts the parts into the cache and evicts the least recently used ones.
+// add caches the parts and evicts the least recently used ones.
 func (c *prefixCache) add(parts []targetapi.Part) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 	c.tokens += part.Tokens
 	c.byID[part.ID] = c.recent.PushFront(part)
-	c.changed(part.ID, true)
+	c.onChange(part.ID, true)
 }
 
 func (c *prefixCache) evict() {
@@ -81,7 +81,7 @@
 	part := c.recent.Remove(oldest).(targetapi.Part)
 	delete(c.byID, part.ID)
 	c.tokens -= part.Tokens
-	c.changed(part.ID, false)
+	c.onChange(part.ID, false)
 }
 
 // find returns the part if it is cached.
--- a/emulator/target/control.go
+++ b/emulator/target/control.go
@@ -9,49 +9,51 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// queryAfter is the query parameter of PathCacheEvents: the number of the last
-// event that the caller has.
+// queryAfter is the query parameter of PathCacheEvents with the sequence number of
+// the last event that the caller has.
 const queryAfter = "after"
 
 func (t *Target) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	t.describe(w.Header())
+	t.setHeaders(w.Header())
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (t *Target) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	t.describe(w.Header())
-	writeJSON(w, http.StatusOK, t.report())
+	t.setHeaders(w.Header())
+	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
-// report is the target's lagging description of itself.
-func (t *Target) report() targetapi.Load {
-	seen := t.load.report()
+// loadReport returns the load as of ReportLag ago, and the current state that
+// orders have set.
+func (t *Target) loadReport() targetapi.Load {
+	reported := t.loadHistory.reported()
 	report := targetapi.Load{
 		Incarnation: t.options.Incarnation,
-		Active:      seen.active,
-		Queued:      seen.queued,
+		Active:      reported.active,
+		Queued:      reported.queued,
 		Slots:       t.options.Slots,
 		Leaving:     t.leaving.Load(),
 	}
-	t.orders.describe(&report)
+	t.orders.addTo(&report)
 	return report
 }
 
-// serveOrder answers once the order is in force.
+// serveOrder responds once the order has taken effect.
 func (t *Target) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order targetapi.Order
 	if !readJSON(w, r, &order) {
 		return
 	}
-	t.describe(w.Header())
-	if err := t.carryOut(r, order); err != nil {
+	t.setHeaders(w.Header())
+	if err := t.executeOrder(r, order); err != nil {
 		refuseOrder(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, t.report())
+	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
-func (t *Target) carryOut(r *http.Request, order targetapi.Order) error {
+// executeOrder checks an order, waits for the load time and applies the order.
+func (t *Target) executeOrder(r *http.Request, order targetapi.Order) error {
 	if err := t.orders.accept(order); err != nil {
 		return err
 	}
@@ -61,28 +63,28 @@
 		case <-r.Context().Done():
 			return r.Context().Err()
 		case <-t.closing.Done():
-			return errShutDown
+			return errClosed
 		}
 	}
 	return t.orders.apply(order)
 }
 
-// refuseOrder answers an order that had no effect.
+// refuseOrder responds to an order that had no effect.
 func refuseOrder(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, errFenced):
+	case errors.Is(err, errOldFencing):
 		status = http.StatusConflict
-	case errors.Is(err, errBadAction), errors.Is(err, errNoRoom):
+	case errors.Is(err, errBadAction), errors.Is(err, errTooManyLoaded):
 		status = http.StatusBadRequest
 	}
-	refuse(w, status, err.Error())
+	refuseNotRun(w, status, err.Error())
 }
 
 func (t *Target) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get(queryAfter), 10, 64)
 	if err != nil && r.URL.Query().Has(queryAfter) {
-		fail(w, http.StatusBadRequest, queryAfter+" is no whole number")
+		writeError(w, http.StatusBadRequest, queryAfter+" is no whole number")
 		return
 	}
 	page := t.events.after(after)
--- a/emulator/target/events.go
+++ b/emulator/target/events.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// eventsKept bounds the cache events that can still be read.
-	eventsKept = 4096
-	// eventsPerPage bounds one answer.
-	eventsPerPage = 512
+	// maxKeptEvents bounds the number of cache events kept for readers.
+	maxKeptEvents = 4096
+	// maxPageEvents bounds the number of events in one response.
+	maxPageEvents = 512
 )
 
-// eventLog publishes cache events late and with gaps.
+// eventLog publishes cache events with a lag and with losses.
 type eventLog struct {
 	now  func() time.Time
 	lag  time.Duration
@@ -25,7 +25,7 @@
 	rng     *rand.Rand
 	seq     uint64
 	entries []loggedEvent
-	// dropped is the highest number that is no longer kept.
+	// dropped is the highest sequence number dropped because of maxKeptEvents.
 	dropped uint64
 }
 
@@ -39,11 +39,11 @@
 		now:  options.Now,
 		lag:  options.EventLag,
 		loss: options.EventLoss,
-		rng:  rand.New(rand.NewPCG(options.Seed, eventsKept)),
+		rng:  rand.New(rand.NewPCG(options.Seed, maxKeptEvents)),
 	}
 }
 
-// add numbers an event. One that is lost leaves a gap in the numbers.
+// add numbers and logs an event. A lost event leaves a gap in the numbers.
 func (l *eventLog) add(part string, added bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,20 +53,21 @@
 	}
 	event := targetapi.CacheEvent{Seq: l.seq, Added: added, Part: part}
 	l.entries = append(l.entries, loggedEvent{at: l.now(), event: event})
-	if len(l.entries) > eventsKept {
+	if len(l.entries) > maxKeptEvents {
 		l.dropped = l.entries[0].event.Seq
 		l.entries = l.entries[1:]
 	}
 }
 
-// after returns the events that follow a number and are old enough to be seen.
+// after returns the events with a higher sequence number that are old enough to be
+// read.
 func (l *eventLog) after(seq uint64) targetapi.CacheEvents {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	page := targetapi.CacheEvents{Next: seq, Lost: seq < l.dropped}
 	visible := l.now().Add(-l.lag)
 	for _, entry := range l.entries {
-		if entry.at.After(visible) || len(page.Events) == eventsPerPage {
+		if entry.at.After(visible) || len(page.Events) == maxPageEvents {
 			break
 		}
 		if entry.event.Seq > seq {
--- a/emulator/target/fault.go
+++ b/emulator/target/fault.go
@@ -5,42 +5,43 @@
 	"sync"
 )
 
-// FaultKind names one way to misbehave.
+// FaultKind names one kind of fault.
 type FaultKind string
 
-// The faults. Those that concern an answer work on streams and on JSON alike
-// unless said otherwise.
+// Kinds of faults. Those of the response apply to streams and to JSON unless stated
+// otherwise.
 const (
 	// FaultStraggler multiplies the time of all work by Factor.
 	FaultStraggler FaultKind = "straggler"
-	// FaultGrey answers 500 after the whole work.
+	// FaultGrey responds with 500 after all work is done.
 	FaultGrey FaultKind = "grey"
-	// FaultFailFast answers 500 before any work and does not say Not-Run.
+	// FaultFailFast responds with 500 before any work, without the Not-Run header.
 	FaultFailFast FaultKind = "fail_fast"
-	// FaultTruncate ends the answer in the middle and closes the connection.
+	// FaultTruncate sends half of a JSON body and closes the connection. A stream
+	// ends in the middle of its last event, and its HTTP body is complete.
 	FaultTruncate FaultKind = "truncate"
-	// FaultGarble answers something that can't be parsed.
+	// FaultGarble replaces the response's JSON with text that can't be parsed.
 	FaultGarble FaultKind = "garble"
-	// FaultDuplicate gives the answer once more, in place of the answer to the
-	// next call on the connection; in a stream it sends each event twice.
+	// FaultDuplicate sends the response again in place of the response to the next
+	// call on the connection; in a stream it sends each event twice.
 	FaultDuplicate FaultKind = "duplicate"
-	// FaultCrossed answers with the id of another attempt.
+	// FaultCrossed responds with the id of another attempt.
 	FaultCrossed FaultKind = "crossed"
-	// FaultLost runs the call and closes the connection without an answer.
+	// FaultLost runs the call and closes the connection without a response.
 	FaultLost FaultKind = "lost"
-	// FaultLate holds the answer back for DelayMS after the work.
+	// FaultLate delays the response by DelayMS after the work.
 	FaultLate FaultKind = "late"
-	// FaultReset resets the connection after AfterTokens tokens of a stream,
-	// or in place of an answer that is not streamed.
+	// FaultReset resets the connection after AfterTokens tokens of a stream, or in
+	// place of a JSON response.
 	FaultReset FaultKind = "reset"
-	// FaultSilent accepts the call, runs nothing and never answers.
+	// FaultSilent accepts the call, runs nothing and never responds.
 	FaultSilent FaultKind = "silent"
 	// FaultCrash closes the connection in the middle of the event that follows
-	// AfterTokens tokens of a stream, or in place of an answer.
+	// AfterTokens tokens of a stream, or in place of a JSON response.
 	FaultCrash FaultKind = "crash"
 )
 
-func (k FaultKind) known() bool {
+func (k FaultKind) valid() bool {
 	switch k {
 	case FaultStraggler, FaultGrey, FaultFailFast, FaultTruncate, FaultGarble, FaultDuplicate,
 		FaultCrossed, FaultLost, FaultLate, FaultReset, FaultSilent, FaultCrash:
@@ -53,19 +54,19 @@
 // Fault is one fault in force.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Share of the calls that it hits, 0 to 1; 0 means all of them.
+	// Share is the share of calls affected, 0 to 1; 0 means all calls.
 	Share float64 `json:"share,omitempty"`
-	// Limit is how many calls it hits at most; 0 means no limit.
+	// Limit is the maximum number of calls affected; 0 means no limit.
 	Limit int `json:"limit,omitempty"`
-	// Factor belongs to FaultStraggler.
+	// Factor is the factor of FaultStraggler.
 	Factor float64 `json:"factor,omitempty"`
-	// DelayMS belongs to FaultLate, in milliseconds.
+	// DelayMS is the delay of FaultLate in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// AfterTokens belongs to FaultReset and FaultCrash.
+	// AfterTokens is the number of tokens that FaultReset and FaultCrash let pass.
 	AfterTokens int `json:"after_tokens,omitempty"`
 }
 
-// faultSet holds the faults in force.
+// faultSet holds the faults in force and the number of calls that each affected.
 type faultSet struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -83,17 +84,18 @@
 	s.faults = append([]Fault(nil), faults...)
 	s.hits = make([]int, len(faults))
 }
+
 func (s *faultSet) list() []Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Fault{}, s.faults...)
 }
 
-// draw returns the faults that hit the next call.
-func (s *faultSet) draw() callFaults {
+// sample returns the faults that affect the next call.
+func (s *faultSet) sample() callFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	drawn := callFaults{}
+	sampled := callFaults{}
 	for i, fault := range s.faults {
 		if fault.Limit > 0 && s.hits[i] >= fault.Limit {
 			continue
@@ -102,12 +104,12 @@
 			continue
 		}
 		s.hits[i]++
-		drawn[fault.Kind] = fault
+		sampled[fault.Kind] = fault
 	}
-	return drawn
+	return sampled
 }
 
-// callFaults are the faults that hit one call.
+// callFaults holds the faults that affect one call, by kind.
 type callFaults map[FaultKind]Fault
 
 func (f callFaults) has(kind FaultKind) bool {
--- a/emulator/target/kv.go
+++ b/emulator/target/kv.go
@@ -11,7 +11,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// serveKVExport tells whether the cache of a part can be had here, and its size.
+// serveKVExport returns the size of a cached part, or 404 if it isn't cached.
 func (t *Target) serveKVExport(w http.ResponseWriter, r *http.Request) {
 	var move targetapi.KVMove
 	if !readJSON(w, r, &move) {
@@ -19,13 +19,13 @@
 	}
 	part, ok := t.cache.find(move.Part)
 	if !ok {
-		fail(w, http.StatusNotFound, "part is not cached")
+		writeError(w, http.StatusNotFound, "part is not cached")
 		return
 	}
 	writeJSON(w, http.StatusOK, targetapi.KVMove{Part: part.ID, Tokens: part.Tokens})
 }
 
-// serveKVImport fetches the cache of a part from another target.
+// serveKVImport fetches the KV cache of a part from another target.
 func (t *Target) serveKVImport(w http.ResponseWriter, r *http.Request) {
 	var move targetapi.KVMove
 	if !readJSON(w, r, &move) {
@@ -33,12 +33,12 @@
 	}
 	exported, err := t.fetchKV(r.Context(), move)
 	if err != nil {
-		fail(w, http.StatusBadGateway, err.Error())
+		writeError(w, http.StatusBadGateway, err.Error())
 		return
 	}
 	t.cache.add([]targetapi.Part{{ID: exported.Part, Tokens: exported.Tokens}})
 	if _, ok := t.cache.find(exported.Part); !ok {
-		fail(w, http.StatusInsufficientStorage, "part is larger than the cache")
+		writeError(w, http.StatusInsufficientStorage, "part is larger than the cache")
 		return
 	}
 	writeJSON(w, http.StatusOK, exported)
@@ -54,7 +54,7 @@
 	if err != nil {
 		return targetapi.KVMove{}, err
 	}
-	response, err := t.options.Peers.Do(request)
+	response, err := t.options.PeerClient.Do(request)
 	if err != nil {
 		return targetapi.KVMove{}, err
 	}
@@ -63,6 +63,6 @@
 		return targetapi.KVMove{}, errors.Newf("source answers %d", response.StatusCode)
 	}
 	var exported targetapi.KVMove
-	err = json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxBody)).Decode(&exported)
+	err = json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxBodyBytes)).Decode(&exported)
 	return exported, err
 }
--- a/emulator/target/load.go
+++ b/emulator/target/load.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// samplesPerLag bounds the history: changes closer together are merged.
+// samplesPerLag bounds the history: changes within lag/samplesPerLag are merged.
 const samplesPerLag = 16
 
-// sample is the load at one moment.
-type sample struct {
+// loadSample is the load at one point in time.
+type loadSample struct {
 	at             time.Time
 	active, queued int
 }
 
-// loadHistory knows the load of some moments ago, as real targets report it.
+// loadHistory keeps past samples so that reports lag as those of real targets do.
 type loadHistory struct {
 	now func() time.Time
 	lag time.Duration
 
 	mu      sync.Mutex
-	samples []sample
+	samples []loadSample
 }
 
 func newLoadHistory(now func() time.Time, lag time.Duration) *loadHistory {
-	return &loadHistory{now: now, lag: lag, samples: []sample{{at: now()}}}
+	return &loadHistory{now: now, lag: lag, samples: []loadSample{{at: now()}}}
 }
 
-// record notes a change of the load.
+// record adds a change of the load.
 func (h *loadHistory) record(active, queued int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,18 +38,18 @@
 		last.active, last.queued = active, queued
 		return
 	}
-	h.samples = append(h.samples, sample{at: at, active: active, queued: queued})
+	h.samples = append(h.samples, loadSample{at: at, active: active, queued: queued})
 }
 
-// report returns the load as it was one lag ago.
-func (h *loadHistory) report() sample {
+// reported returns the load as it was one lag ago.
+func (h *loadHistory) reported() loadSample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.prune(h.now())
 	return h.samples[0]
 }
 
-// prune drops the samples that a newer one has superseded for every reader.
+// prune drops the samples that are superseded by one at least a lag old.
 func (h *loadHistory) prune(now time.Time) {
 	visible := now.Add(-h.lag)
 	for len(h.samples) > 1 && !h.samples[1].at.After(visible) {
--- a/emulator/target/options.go
+++ b/emulator/target/options.go
@@ -1,8 +1,7 @@
 // Package target emulates the targets that ivyhollow routes to: model engines,
 // encoders, retrievers, rerankers and plain services. It serves the whole
-// interface of package targetapi, gives answers that can be foretold byte by
-// byte, and can be told to misbehave. It stands in for one target; it is no
-// simulator of a cluster.
+// interface of package targetapi, returns deterministic answers, and injects
+// faults. It emulates one target and doesn't simulate a cluster.
 package target
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Values used when Options leaves a field at its zero value.
+// Defaults for fields of Options that are zero.
 const (
 	DefaultSlots      = 4
 	DefaultQueueLimit = 16
@@ -29,52 +28,53 @@
 	// Slots is the number of calls that run at once.
 	Slots int
 	// QueueLimit is the number of calls that may wait for a slot; a negative
-	// one means none.
+	// value means none.
 	QueueLimit int
 
-	// CallTime is the work that each call costs before anything else.
+	// CallTime is the fixed time of work at the start of each call.
 	CallTime time.Duration
 	// TokenTime is the time to generate one token while no other call runs.
 	TokenTime time.Duration
-	// BatchSlowdown is the share by which each further active call of an
-	// engine makes a token slower: 0.1 means 10% a call.
+	// BatchSlowdown is the fraction of TokenTime that each further active call of
+	// an engine adds to a token: 0.1 means 10% for each call.
 	BatchSlowdown float64
-	// PrefillRate is the number of prompt tokens read in a second; 0 means
-	// that reading them takes no time.
+	// PrefillRate is the number of prompt tokens processed in a second; 0 means
+	// that prefill takes no time.
 	PrefillRate float64
 	// CacheTokens is the capacity of the prefix cache in tokens.
 	CacheTokens int
 
-	// Models and Adapters that are loaded at the start. Nil means that calls
-	// for every one are served, whatever orders load.
+	// Models and Adapters are loaded at the start. Nil means that calls for any
+	// model or adapter are served, regardless of orders.
 	Models   []string
 	Adapters []string
-	// LoadTime is how long an order takes before it is in force.
+	// LoadTime is the delay before an order takes effect.
 	LoadTime time.Duration
 	// ChecksFencing makes the target refuse orders with an old fencing number.
 	ChecksFencing bool
 
-	// Started is told of the first input of each run before its work begins, so
-	// that a test knows the runs of a target that it kills; nil means nobody.
-	Started func(input string)
+	// OnRunStart is called with the first input of each run before its work
+	// begins, so that a test knows the runs of a target that it kills; nil means
+	// no callback. Inputs longer than 256 bytes are not reported.
+	OnRunStart func(input string)
 
 	// ReportLag is the age of the load that the target reports.
 	ReportLag time.Duration
-	// EventLag is the age at which a cache event can be read.
+	// EventLag is the age at which a cache event becomes readable.
 	EventLag time.Duration
-	// EventLoss is the share of cache events that never arrive, 0 to 1.
+	// EventLoss is the share of cache events that are dropped, 0 to 1.
 	EventLoss float64
-	// KeepAlive is the time between comments in a stream that has nothing else
-	// to send; 0 means none are sent.
+	// KeepAlive is the interval between comments in an idle stream; 0 means that
+	// none are sent.
 	KeepAlive time.Duration
 
-	// Seed drives every random choice.
+	// Seed seeds every random choice.
 	Seed uint64
-	// Now and After replace the clock; nil means that of package time.
+	// Now and After replace the clock; nil means the clock of package time.
 	Now   func() time.Time
 	After func(time.Duration) <-chan time.Time
-	// Peers fetches KV cache from other targets; nil means a client of its own.
-	Peers *http.Client
+	// PeerClient fetches KV cache from other targets; nil means a new client.
+	PeerClient *http.Client
 }
 
 func (o Options) withDefaults() Options {
@@ -96,8 +96,8 @@
 	if o.After == nil {
 		o.After = time.After
 	}
-	if o.Peers == nil {
-		o.Peers = &http.Client{
+	if o.PeerClient == nil {
+		o.PeerClient = &http.Client{
 			Timeout:   kvFetchTimeout,
 			Transport: &http.Transport{DisableKeepAlives: true},
 		}
--- a/emulator/target/orders.go
+++ b/emulator/target/orders.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// ordersKept bounds the journal of orders.
-	ordersKept = 1024
-	// maxLoaded bounds the models, and the adapters, that are loaded.
+	// maxKeptOrders bounds the log of applied orders.
+	maxKeptOrders = 1024
+	// maxLoaded bounds the number of loaded models, and that of adapters.
 	maxLoaded = 64
 )
 
 var (
-	errFenced    = errors.New("fencing number is old")
-	errBadAction = errors.New("unknown action")
-	errNoRoom    = errors.New("no room to load more")
+	errOldFencing    = errors.New("fencing number is old")
+	errBadAction     = errors.New("unknown action")
+	errTooManyLoaded = errors.New("no room to load more")
 )
 
-// orderBook holds what orders have changed.
-type orderBook struct {
+// orderState is the state of a target that orders change.
+type orderState struct {
 	checksFencing bool
 	anyModel      bool
 	anyAdapter    bool
@@ -34,11 +34,11 @@
 	adapters []string
 	version  string
 	role     string
-	journal  []targetapi.Order
+	applied  []targetapi.Order
 }
 
-func newOrderBook(options Options) *orderBook {
-	return &orderBook{
+func newOrderState(options Options) *orderState {
+	return &orderState{
 		checksFencing: options.ChecksFencing,
 		anyModel:      options.Models == nil,
 		anyAdapter:    options.Adapters == nil,
@@ -47,52 +47,53 @@
 	}
 }
 
-// accept notes an order's fencing number before the order takes effect.
-func (b *orderBook) accept(order targetapi.Order) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if err := b.checkFencing(order); err != nil {
+// accept checks and records an order's fencing number before the order takes
+// effect.
+func (s *orderState) accept(order targetapi.Order) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.checkFencing(order); err != nil {
 		return err
 	}
-	b.fencing = max(b.fencing, order.Fencing)
+	s.fencing = max(s.fencing, order.Fencing)
 	return nil
 }
 
-// apply makes an accepted order take effect. Loading takes long, so a newer
-// holder may have given orders in between: the number is checked once more.
-func (b *orderBook) apply(order targetapi.Order) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if err := b.checkFencing(order); err != nil {
+// apply makes an accepted order take effect. It checks the fencing number again,
+// since a newer lease holder may have sent orders during the load time.
+func (s *orderState) apply(order targetapi.Order) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.checkFencing(order); err != nil {
 		return err
 	}
-	if err := b.change(order); err != nil {
+	if err := s.execute(order); err != nil {
 		return err
 	}
-	b.journal = append(b.journal, order)
-	if len(b.journal) > ordersKept {
-		b.journal = b.journal[1:]
+	s.applied = append(s.applied, order)
+	if len(s.applied) > maxKeptOrders {
+		s.applied = s.applied[1:]
 	}
 	return nil
 }
 
-func (b *orderBook) checkFencing(order targetapi.Order) error {
-	if b.checksFencing && order.Fencing < b.fencing {
-		return errFenced
+func (s *orderState) checkFencing(order targetapi.Order) error {
+	if s.checksFencing && order.Fencing < s.fencing {
+		return errOldFencing
 	}
 	return nil
 }
 
-func (b *orderBook) change(order targetapi.Order) (err error) {
+func (s *orderState) execute(order targetapi.Order) (err error) {
 	switch order.Action {
 	case targetapi.ActionLoadModel:
-		b.models, err = load(b.models, order.Value)
+		s.models, err = load(s.models, order.Value)
 	case targetapi.ActionLoadAdapter:
-		b.adapters, err = load(b.adapters, order.Value)
+		s.adapters, err = load(s.adapters, order.Value)
 	case targetapi.ActionSetVersion:
-		b.version = order.Value
+		s.version = order.Value
 	case targetapi.ActionSetRole:
-		b.role = order.Value
+		s.role = order.Value
 	default:
 		err = errBadAction
 	}
@@ -104,34 +105,34 @@
 		return loaded, nil
 	}
 	if len(loaded) == maxLoaded {
-		return loaded, errNoRoom
+		return loaded, errTooManyLoaded
 	}
 	return append(loaded, name), nil
 }
 
-// describe fills in what orders have changed.
-func (b *orderBook) describe(load *targetapi.Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	load.Models = slices.Clone(b.models)
-	load.Adapters = slices.Clone(b.adapters)
-	load.Version = b.version
-	load.Role = b.role
-	load.Fencing = b.fencing
+// addTo adds the state to a load report.
+func (s *orderState) addTo(load *targetapi.Load) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	load.Models = slices.Clone(s.models)
+	load.Adapters = slices.Clone(s.adapters)
+	load.Version = s.version
+	load.Role = s.role
+	load.Fencing = s.fencing
 }
 
-// has tells whether the model and the adapter of a call are loaded.
-func (b *orderBook) has(model, adapter string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	modelLoaded := model == "" || b.anyModel || slices.Contains(b.models, model)
-	adapterLoaded := adapter == "" || b.anyAdapter || slices.Contains(b.adapters, adapter)
+// isLoaded reports whether the model and the adapter of a call are loaded.
+func (s *orderState) isLoaded(model, adapter string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	modelLoaded := model == "" || s.anyModel || slices.Contains(s.models, model)
+	adapterLoaded := adapter == "" || s.anyAdapter || slices.Contains(s.adapters, adapter)
 	return modelLoaded && adapterLoaded
 }
 
 // list returns the orders that took effect, the oldest first.
-func (b *orderBook) list() []targetapi.Order {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.journal)
+func (s *orderState) list() []targetapi.Order {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.applied)
 }
--- a/emulator/target/output.go
+++ b/emulator/target/output.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Output is what every emulated target answers for these arguments, so that a
-// test can compare a whole answer byte by byte. With maxTokens above 0 the text
-// is the concatenation of exactly that many tokens; else there are no tokens.
+// Output returns the deterministic answer of every emulated target to these
+// arguments, so that a test can compare whole answers. With maxTokens above 0 the
+// text is the concatenation of exactly that many tokens; otherwise there are none.
 func Output(stage string, inputs []string, model string, maxTokens int) (text string, tokens []string) {
 	digest := outputDigest(stage, inputs, model)
 	if maxTokens <= 0 {
@@ -24,7 +24,7 @@
 	return strings.Join(tokens, ""), tokens
 }
 
-// outputDigest depends on every argument and on the borders between them.
+// outputDigest returns a hash of the arguments and of the boundaries between them.
 func outputDigest(stage string, inputs []string, model string) string {
 	hash := xxhash.New()
 	writeField(hash, stage)
--- a/emulator/target/property_test.go
+++ b/emulator/target/property_test.go
@@ -11,16 +11,16 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// TestSchedulerProperties checks after each of many random steps that no slot
-// is used twice or left free before a waiting call, that the queue keeps its
-// bound, and that no waiting call is more urgent than all who hold a slot.
+// Checks after each of many random steps that no slot is used twice or left free
+// while a call waits, that the queue stays within its limit, and that no waiting
+// call precedes one that holds a slot.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scheduler{
 			slots:      rapid.IntRange(1, 3).Draw(t, "slots"),
 			queueLimit: rapid.IntRange(0, 3).Draw(t, "queue"),
 			priorities: rapid.Bool().Draw(t, "priorities"),
-			changed:    func(int, int) {},
+			onChange:   func(int, int) {},
 		}
 		var present []*ticket
 		for range 40 {
@@ -45,21 +45,21 @@
 			require.LessOrEqual(t, len(s.queue), s.queueLimit)
 			for _, waiting := range s.queue {
 				for _, holder := range s.active {
-					require.True(t, s.before(holder, waiting), "a call waits behind one that comes after it")
+					require.True(t, s.precedes(holder, waiting), "a call waits behind one that comes after it")
 				}
 			}
 		}
 	})
 }
 
-// TestCacheProperties checks that the cache keeps its bound and that its events
-// add up to what it holds.
+// Checks that the cache stays within its capacity and that its events add up to its
+// content.
 func TestCacheProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := map[string]bool{}
+		reported := map[string]bool{}
 		cache := newPrefixCache(100, func(part string, added bool) {
-			require.NotEqual(t, told[part], added)
-			told[part] = added
+			require.NotEqual(t, reported[part], added)
+			reported[part] = added
 		})
 		for range 30 {
 			var prompt []targetapi.Part
@@ -70,13 +70,13 @@
 			for _, part := range prompt {
 				all += part.Tokens
 			}
-			require.LessOrEqual(t, cache.missing(prompt), all)
+			require.LessOrEqual(t, cache.uncachedTokens(prompt), all)
 			cache.add(prompt)
 			require.LessOrEqual(t, cache.tokens, cache.capacity)
 			if all <= cache.capacity {
-				require.Zero(t, cache.missing(prompt))
+				require.Zero(t, cache.uncachedTokens(prompt))
 			}
-			for id, held := range told {
+			for id, held := range reported {
 				_, found := cache.find(id)
 				require.Equal(t, held, found)
 			}
@@ -89,7 +89,7 @@
 		faults := newFaultSet(seed)
 		faults.set([]Fault{{Kind: FaultGrey, Share: 0.5}})
 		for range 64 {
-			hits = append(hits, faults.draw().has(FaultGrey))
+			hits = append(hits, faults.sample().has(FaultGrey))
 		}
 		return hits
 	}
@@ -99,11 +99,11 @@
 
 func TestRunCounterIsBounded(t *testing.T) {
 	counter := newRunCounter()
-	for i := range runsKept + 1 {
-		counter.start(fmt.Sprint(i), false)
+	for i := range maxCountedRequests + 1 {
+		counter.count(fmt.Sprint(i), false)
 	}
 	report := counter.snapshot()
-	require.Len(t, report.Runs, runsKept)
+	require.Len(t, report.Runs, maxCountedRequests)
 	require.NotContains(t, report.Runs, "0")
-	require.Equal(t, runsKept+1, report.Started)
+	require.Equal(t, maxCountedRequests+1, report.Started)
 }
--- a/emulator/target/refusal.go
+++ b/emulator/target/refusal.go
@@ -9,46 +9,46 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// retryAfterMS is when a full target asks to come back.
+// retryAfterMS is the retry delay that a full target suggests.
 const retryAfterMS = 100
 
-// refuse answers a call of which nothing was run.
-func refuse(w http.ResponseWriter, status int, reason string) {
+// refuseNotRun responds to a call of which nothing was run.
+func refuseNotRun(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(targetapi.HeaderNotRun, "true")
-	fail(w, status, reason)
+	writeError(w, status, reason)
 }
 
-// refuseStart answers a call that got no slot.
-func refuseStart(w http.ResponseWriter, err error) {
+// refuseAttempt responds to an attempt that got no slot.
+func refuseAttempt(w http.ResponseWriter, err error) {
 	w.Header().Set(targetapi.HeaderNotRun, "true")
 	refusal := targetapi.Refusal{Error: err.Error()}
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errCancelled) {
 		status = http.StatusConflict
 	}
-	if errors.Is(err, errFull) {
+	if errors.Is(err, errQueueFull) {
 		refusal.RetryAfterMS = retryAfterMS
 	}
 	writeJSON(w, status, refusal)
 }
 
-// fail answers without a word on whether anything was run.
-func fail(w http.ResponseWriter, status int, reason string) {
+// writeError responds without a statement on whether anything was run.
+func writeError(w http.ResponseWriter, status int, reason string) {
 	writeJSON(w, status, targetapi.Refusal{Error: reason})
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the caller is gone; there is no one to tell.
+	// An error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readJSON reads a bounded body, and answers 400 when it can't be parsed.
+// readJSON decodes a bounded body, and responds with 400 if it can't.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(into)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 	}
 	return err == nil
 }
--- a/emulator/target/run_handler.go
+++ b/emulator/target/run_handler.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// maxBody bounds the body of a call, in bytes.
-	maxBody = 16 << 20
-	// defaultPriority is that of a call that names none.
+	// maxBodyBytes bounds the body of a call.
+	maxBodyBytes = 16 << 20
+	// defaultPriority is the priority of a call without the header.
 	defaultPriority = 5
 	lowestPriority  = 9
 )
 
-// serveRun answers PathRun.
+// serveRun serves PathRun.
 func (t *Target) serveRun(w http.ResponseWriter, r *http.Request) {
-	t.describe(w.Header())
+	t.setHeaders(w.Header())
 	w.Header().Set(targetapi.HeaderAttempt, r.Header.Get(targetapi.HeaderAttempt))
 	expected := r.Header.Get(targetapi.HeaderExpect)
 	if expected != "" && expected != t.options.Incarnation {
-		refuse(w, http.StatusMisdirectedRequest, "another incarnation serves here")
+		refuseNotRun(w, http.StatusMisdirectedRequest, "another incarnation serves here")
 		return
 	}
 	a, err := t.newAttempt(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		refuseNotRun(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !t.orders.has(a.request.Model, a.request.Adapter) {
-		refuse(w, http.StatusNotFound, "model or adapter is not loaded")
+	if !t.orders.isLoaded(a.request.Model, a.request.Adapter) {
+		refuseNotRun(w, http.StatusNotFound, "model or adapter is not loaded")
 		return
 	}
 	t.serveAttempt(w, r, a)
 }
 
-// describe sets the headers that every answer to PathRun carries.
-func (t *Target) describe(header http.Header) {
+// setHeaders sets the headers that describe the target. Every response to PathRun
+// has them.
+func (t *Target) setHeaders(header http.Header) {
 	header.Set(targetapi.HeaderIncarnation, t.options.Incarnation)
 	header.Set(targetapi.HeaderLoad, t.loadHeader())
 	if t.leaving.Load() {
@@ -53,16 +54,16 @@
 }
 
 func (t *Target) loadHeader() string {
-	seen := t.load.report()
+	reported := t.loadHistory.reported()
 	numbers := []string{
-		strconv.Itoa(seen.active),
-		strconv.Itoa(seen.queued),
+		strconv.Itoa(reported.active),
+		strconv.Itoa(reported.queued),
 		strconv.Itoa(t.options.Slots),
 	}
 	return strings.Join(numbers, ",")
 }
 
-// newAttempt reads and checks a call.
+// newAttempt parses and validates a call.
 func (t *Target) newAttempt(r *http.Request) (*attempt, error) {
 	a := &attempt{
 		target:    t,
@@ -72,7 +73,7 @@
 	if a.id == "" {
 		return nil, errors.Newf("no %s", targetapi.HeaderAttempt)
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxBody)).Decode(&a.request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxBodyBytes)).Decode(&a.request); err != nil {
 		return nil, errors.Wrap(err, "body")
 	}
 	if err := checkRequest(a.request); err != nil {
@@ -83,12 +84,12 @@
 		return nil, err
 	}
 	a.ticket = newTicket(min(priority, lowestPriority))
-	left, err := numberHeader(r, targetapi.HeaderDeadline, 0)
+	remaining, err := numberHeader(r, targetapi.HeaderDeadline, 0)
 	if err != nil {
 		return nil, err
 	}
-	if left > 0 {
-		a.deadline = t.options.After(time.Duration(left) * time.Millisecond)
+	if remaining > 0 {
+		a.deadline = t.options.After(time.Duration(remaining) * time.Millisecond)
 	}
 	return a, nil
 }
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// numberHeader reads a header that is a whole number of at least 0.
+// numberHeader parses a header with a non-negative integer.
 func numberHeader(r *http.Request, name string, fallback int) (int, error) {
 	value := r.Header.Get(name)
 	if value == "" {
@@ -118,63 +119,63 @@
 	return number, nil
 }
 
-// serveAttempt queues and runs a call that is in order.
+// serveAttempt queues and runs a valid call.
 func (t *Target) serveAttempt(w http.ResponseWriter, r *http.Request, a *attempt) {
-	a.faults = t.faults.draw()
+	a.faults = t.faults.sample()
 	a.ctx, a.cancel = context.WithCancelCause(r.Context())
 	defer a.cancel(nil)
-	defer context.AfterFunc(t.closing, func() { a.cancel(errShutDown) })()
+	defer context.AfterFunc(t.closing, func() { a.cancel(errClosed) })()
 	if a.faults.has(FaultFailFast) {
-		fail(w, http.StatusInternalServerError, "fault: failed at once")
+		writeError(w, http.StatusInternalServerError, "fault: failed at once")
 		return
 	}
 	if a.faults.has(FaultSilent) {
 		<-a.ctx.Done()
-		abort()
+		abortConnection()
 	}
-	a.answer = newAnswer(w, r, a)
+	a.responder = newResponder(w, r, a)
 	t.register(a)
 	defer t.unregister(a)
 	defer t.scheduler.leave(a.ticket)
 	if err := a.start(); err != nil {
-		refuseStart(w, err)
+		refuseAttempt(w, err)
 		return
 	}
-	a.finish(w)
+	a.execute(w)
 }
 
-func newAnswer(w http.ResponseWriter, r *http.Request, a *attempt) answer {
+func newResponder(w http.ResponseWriter, r *http.Request, a *attempt) responder {
 	if a.faults.has(FaultCrossed) {
 		w.Header().Set(targetapi.HeaderAttempt, crossedID(a.id))
 	}
 	if strings.Contains(r.Header.Get("Accept"), sse.ContentType) {
-		return &streamAnswer{w: w, events: sse.NewEncoder(w), a: a}
+		return &streamResponder{w: w, events: sse.NewEncoder(w), attempt: a}
 	}
-	return &wholeAnswer{w: w, a: a}
+	return &jsonResponder{w: w, attempt: a}
 }
 
-// finish runs the attempt and answers.
-func (a *attempt) finish(w http.ResponseWriter) {
-	err := a.answer.begin()
+// execute runs the attempt and responds.
+func (a *attempt) execute(w http.ResponseWriter) {
+	err := a.responder.begin()
 	var result targetapi.RunAnswer
 	if err == nil {
 		result, err = a.run()
 	}
-	// The slot is free before the answer shows that it is: a caller who sends
-	// its next call at once must not be refused for the one just answered.
+	// Releases the slot before the response: a caller that sends its next call at
+	// once must not be refused because of the one that just completed.
 	a.target.scheduler.leave(a.ticket)
 	if err == nil {
-		err = a.afterWork()
+		err = a.injectAfterWork()
 	}
 	if err == nil {
-		err = a.answer.done(result)
+		err = a.responder.finish(result)
 	}
 	if err != nil {
-		a.fail(w, err)
+		a.respondError(w, err)
 	}
 }
 
-// register makes the attempt known to PathCancel.
+// register makes the attempt available to PathCancel.
 func (t *Target) register(a *attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +190,7 @@
 	}
 }
 
-// serveCancel answers PathCancel.
+// serveCancel serves PathCancel.
 func (t *Target) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var request targetapi.CancelRequest
 	if !readJSON(w, r, &request) {
@@ -199,9 +200,9 @@
 	a := t.attempts[request.AttemptID]
 	t.mu.Unlock()
 	if a == nil {
-		fail(w, http.StatusNotFound, "no such attempt")
+		writeError(w, http.StatusNotFound, "no such attempt")
 		return
 	}
-	a.cancel(errStopped)
+	a.cancel(errCancelled)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/emulator/target/runs.go
+++ b/emulator/target/runs.go
@@ -5,29 +5,30 @@
 	"sync"
 )
 
-// runsKept bounds the request ids that are counted; the oldest is forgotten.
-const runsKept = 1 << 16
+// maxCountedRequests bounds the number of counted request ids; the oldest is
+// dropped.
+const maxCountedRequests = 1 << 16
 
-// inputKept is the length of the inputs that are counted, in bytes.
-const inputKept = 256
+// maxCountedInputBytes bounds the length of the inputs that are counted.
+const maxCountedInputBytes = 256
 
 // RunsReport is the body of GET /admin/runs.
 type RunsReport struct {
-	// Runs counts, by request id, how often work was started.
+	// Runs is the number of started runs by request id.
 	Runs map[string]int `json:"runs"`
-	// Inputs counts the same by the first input, by which a test finds the runs
-	// of all requests that a caller sent for one piece of work.
-	// Inputs longer than inputKept bytes are not counted.
+	// Inputs is the number of started runs by first input, by which a test finds
+	// the runs of all requests that a caller sent for the same work. Inputs longer
+	// than maxCountedInputBytes are not counted.
 	Inputs map[string]int `json:"inputs,omitempty"`
-	// Started is the number of all runs since the target was made.
+	// Started is the total number of runs since the target was created.
 	Started int `json:"started"`
-	// StartedLeaving is the number of runs that started while the target
-	// announced that it is leaving.
+	// StartedLeaving is the number of runs that started while the target announced
+	// that it shuts down.
 	StartedLeaving int `json:"started_leaving"`
 }
 
-// runCounter counts the runs that were started, so that a test can prove that
-// a request was run at most once.
+// runCounter counts started runs, so that a test can verify that a request was run
+// at most once.
 type runCounter struct {
 	mu     sync.Mutex
 	report RunsReport
@@ -38,7 +39,7 @@
 	return &runCounter{report: RunsReport{Runs: make(map[string]int)}}
 }
 
-func (c *runCounter) start(requestID string, leaving bool) {
+func (c *runCounter) count(requestID string, leaving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Started++
@@ -46,14 +47,14 @@
 		c.report.StartedLeaving++
 	}
 	if _, known := c.report.Runs[requestID]; !known {
-		c.remember(requestID)
+		c.addRequest(requestID)
 	}
 	c.report.Runs[requestID]++
 }
 
-func (c *runCounter) remember(requestID string) {
+func (c *runCounter) addRequest(requestID string) {
 	c.order = append(c.order, requestID)
-	if len(c.order) <= runsKept {
+	if len(c.order) <= maxCountedRequests {
 		return
 	}
 	delete(c.report.Runs, c.order[0])
--- a/emulator/target/scheduler.go
+++ b/emulator/target/scheduler.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// ticket is one call's place in the queue or in a slot.
+// ticket is one call in the queue or in a slot.
 type ticket struct {
 	priority int
 	seq      uint64
 	// granted receives one value each time the ticket gets a slot.
 	granted chan struct{}
-	// preempted asks the holder of a slot to give it back at its next step.
+	// preempted makes the holder of a slot yield it after its current step.
 	preempted bool
 }
 
@@ -16,14 +16,14 @@
 	return &ticket{priority: priority, granted: make(chan struct{}, 1)}
 }
 
-// scheduler hands out a fixed number of slots. With priorities it serves the
-// most urgent call first and takes slots back for it; without, the oldest.
+// scheduler grants a fixed number of slots. With priorities it grants them to the
+// most urgent call first and preempts less urgent ones; without, to the oldest.
 type scheduler struct {
 	slots      int
 	queueLimit int
 	priorities bool
-	// changed is called, under the lock, with the new load.
-	changed func(active, queued int)
+	// onChange is called, under the lock, with the new load.
+	onChange func(active, queued int)
 
 	mu     sync.Mutex
 	seq    uint64
@@ -31,8 +31,8 @@
 	queue  []*ticket
 }
 
-// enter queues a new ticket, or grants it a slot at once. It returns false
-// when there is no room.
+// enter queues a new ticket or grants it a free slot. It returns false if the queue
+// is full.
 func (s *scheduler) enter(t *ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,22 +47,22 @@
 	if !free && s.priorities {
 		s.preemptFor(t)
 	}
-	s.report()
+	s.notify()
 	return true
 }
 
-// leave gives up the ticket's slot or its place in the queue.
+// leave releases the ticket's slot or removes the ticket from the queue.
 func (s *scheduler) leave(t *ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active = remove(s.active, t)
 	s.queue = remove(s.queue, t)
 	s.grant()
-	s.report()
+	s.notify()
 }
 
-// yield gives a slot back if it was asked for. After true the holder must wait
-// for granted again.
+// yield releases the slot if the ticket was preempted. If it returns true, the
+// holder must wait for granted again.
 func (s *scheduler) yield(t *ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,11 +73,11 @@
 	s.active = remove(s.active, t)
 	s.queue = append(s.queue, t)
 	s.grant()
-	s.report()
+	s.notify()
 	return true
 }
 
-// load returns the number of calls that hold a slot and that wait for one.
+// load returns the number of calls that hold a slot and of those that wait.
 func (s *scheduler) load() (active, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	for len(s.active) < s.slots && len(s.queue) > 0 {
 		next := s.queue[0]
 		for _, t := range s.queue[1:] {
-			if s.before(t, next) {
+			if s.precedes(t, next) {
 				next = t
 			}
 		}
@@ -99,15 +99,15 @@
 	}
 }
 
-// preemptFor asks the newest of the least urgent holders for its slot if it is
-// less urgent than t. The holder gives it back at its next token.
+// preemptFor preempts the newest of the least urgent holders if it is less urgent
+// than t. The holder yields the slot after its current token.
 func (s *scheduler) preemptFor(t *ticket) {
 	var victim *ticket
 	for _, holder := range s.active {
 		if holder.preempted || holder.priority <= t.priority {
 			continue
 		}
-		if victim == nil || s.before(victim, holder) {
+		if victim == nil || s.precedes(victim, holder) {
 			victim = holder
 		}
 	}
@@ -116,16 +116,16 @@
 	}
 }
 
-// before tells whether a is served before b.
-func (s *scheduler) before(a, b *ticket) bool {
+// precedes reports whether a is served before b.
+func (s *scheduler) precedes(a, b *ticket) bool {
 	if s.priorities && a.priority != b.priority {
 		return a.priority < b.priority
 	}
 	return a.seq < b.seq
 }
 
-func (s *scheduler) report() {
-	s.changed(len(s.active), len(s.queue))
+func (s *scheduler) notify() {
+	s.onChange(len(s.active), len(s.queue))
 }
 
 func remove(tickets []*ticket, t *ticket) []*ticket {
--- a/emulator/target/target.go
+++ b/emulator/target/target.go
@@ -12,51 +12,52 @@
 
 // Target is one emulated target. It is safe for concurrent use.
 type Target struct {
-	options   Options
-	faults    *faultSet
-	scheduler *scheduler
-	cache     *prefixCache
-	events    *eventLog
-	load      *loadHistory
-	orders    *orderBook
-	runs      *runCounter
-	inputs    *runCounter
-	leaving   atomic.Bool
+	options     Options
+	faults      *faultSet
+	scheduler   *scheduler
+	cache       *prefixCache
+	events      *eventLog
+	loadHistory *loadHistory
+	orders      *orderState
+	runs        *runCounter
+	inputRuns   *runCounter
+	leaving     atomic.Bool
 
-	// closing ends when Close is called.
-	closing context.Context
-	close   context.CancelFunc
+	// closing is cancelled by Close.
+	closing     context.Context
+	cancelCalls context.CancelFunc
 
 	mu sync.Mutex
-	// attempts are those that wait or run, by attempt id.
+	// attempts holds the waiting and running attempts by attempt id.
 	attempts map[string]*attempt
 }
 
-// New returns a target that serves nothing until its Handler is mounted.
+// New returns a target. It serves calls once its Handler is mounted on a server.
 func New(options Options) *Target {
 	options = options.withDefaults()
 	t := &Target{
-		options:  options,
-		faults:   newFaultSet(options.Seed),
-		events:   newEventLog(options),
-		load:     newLoadHistory(options.Now, options.ReportLag),
-		orders:   newOrderBook(options),
-		runs:     newRunCounter(),
-		inputs:   newRunCounter(),
-		attempts: make(map[string]*attempt),
+		options:     options,
+		faults:      newFaultSet(options.Seed),
+		events:      newEventLog(options),
+		loadHistory: newLoadHistory(options.Now, options.ReportLag),
+		orders:      newOrderState(options),
+		runs:        newRunCounter(),
+		inputRuns:   newRunCounter(),
+		attempts:    make(map[string]*attempt),
 	}
 	t.cache = newPrefixCache(options.CacheTokens, t.events.add)
 	t.scheduler = &scheduler{
 		slots:      options.Slots,
 		queueLimit: options.QueueLimit,
 		priorities: options.Kind == catalog.KindEngine,
-		changed:    t.load.record,
+		onChange:   t.loadHistory.record,
 	}
-	t.closing, t.close = context.WithCancel(context.Background())
+	t.closing, t.cancelCalls = context.WithCancel(context.Background())
 	return t
 }
 
-// Handler serves the interface of package targetapi and the paths of /admin.
+// Handler returns a handler of the interface of package targetapi and of the
+// admin paths.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+targetapi.PathRun, t.serveRun)
@@ -80,21 +81,21 @@
 	t.faults.set(faults)
 }
 
-// SetLeaving makes the target announce that it shuts down. It goes on serving:
-// to send it no new work is the duty of those who read the announcement.
+// SetLeaving sets whether the target announces that it shuts down. It continues to
+// serve calls: readers of the announcement are responsible for sending no new work.
 func (t *Target) SetLeaving(leaving bool) {
 	t.leaving.Store(leaving)
 }
 
-// Runs tells how often work was started for each request id.
+// Runs returns the number of started runs of each request id.
 func (t *Target) Runs() map[string]int {
 	return t.runs.snapshot().Runs
 }
 
-// RunsReport tells what GET /admin/runs does.
+// RunsReport returns the report that GET /admin/runs serves.
 func (t *Target) RunsReport() RunsReport {
 	report := t.runs.snapshot()
-	report.Inputs = t.inputs.snapshot().Runs
+	report.Inputs = t.inputRuns.snapshot().Runs
 	return report
 }
 
@@ -103,13 +104,13 @@
 	return t.orders.list()
 }
 
-// Load returns the target's load of this moment, without the lag of its reports.
+// Load returns the target's current load, without the lag of its reports.
 func (t *Target) Load() (active, queued int) {
 	return t.scheduler.load()
 }
 
-// Close ends every call that the target still holds. It does not close the
-// server on which the Handler is mounted.
+// Close cancels every waiting and running call. It doesn't close the server on
+// which the Handler is mounted.
 func (t *Target) Close() {
-	t.close()
+	t.cancelCalls()
 }
--- a/emulator/target/target_test.go
+++ b/emulator/target/target_test.go
@@ -18,45 +18,45 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// reply is what one call to a handler brought.
-type reply struct {
+// response is the response to one call of a handler, and its duration.
+type response struct {
 	*httptest.ResponseRecorder
-	took time.Duration
+	elapsed time.Duration
 }
 
-// call sends one request straight to the handler, in virtual time.
-func call(ctx context.Context, target *Target, method, path string, body any, headers ...string) reply {
+// call sends one request directly to the handler, in virtual time.
+func call(ctx context.Context, target *Target, method, path string, body any, headers ...string) response {
 	encoded, _ := json.Marshal(body)
 	request := httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(encoded))
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
 	recorder := httptest.NewRecorder()
-	began := time.Now()
+	start := time.Now()
 	target.Handler().ServeHTTP(recorder, request)
-	return reply{recorder, time.Since(began)}
+	return response{recorder, time.Since(start)}
 }
 
-func run(ctx context.Context, target *Target, id string, request targetapi.RunRequest, headers ...string) reply {
+func run(ctx context.Context, target *Target, id string, request targetapi.RunRequest, headers ...string) response {
 	headers = append(headers, targetapi.HeaderAttempt, id, targetapi.HeaderRequest, id)
 	return call(ctx, target, http.MethodPost, targetapi.PathRun, request, headers...)
 }
 
-// later starts a run and returns the channel on which its reply comes.
-func later(t *testing.T, target *Target, id string, request targetapi.RunRequest, headers ...string) <-chan reply {
-	replies := make(chan reply, 1)
+// startRun starts a run and returns the channel that receives its response.
+func startRun(t *testing.T, target *Target, id string, request targetapi.RunRequest, headers ...string) <-chan response {
+	replies := make(chan response, 1)
 	go func() { replies <- run(t.Context(), target, id, request, headers...) }()
 	synctest.Wait()
 	return replies
 }
 
-func decode[T any](t *testing.T, r reply) (decoded T) {
+func decode[T any](t *testing.T, r response) (decoded T) {
 	t.Helper()
 	require.NoError(t, json.Unmarshal(r.Body.Bytes(), &decoded), r.Body.String())
 	return decoded
 }
 
-func bubble(t *testing.T, options Options, test func(t *testing.T, target *Target)) {
+func runInBubble(t *testing.T, options Options, test func(t *testing.T, target *Target)) {
 	synctest.Test(t, func(t *testing.T) {
 		target := New(options)
 		defer target.Close()
@@ -64,7 +64,7 @@
 	})
 }
 
-var tokens10 = targetapi.RunRequest{Stage: "s", MaxTokens: 10}
+var tenTokens = targetapi.RunRequest{Stage: "s", MaxTokens: 10}
 
 func TestOutputDependsOnEveryArgument(t *testing.T) {
 	seen := map[string]bool{}
@@ -85,13 +85,13 @@
 	engine := Options{Kind: catalog.KindEngine, CallTime: 100 * time.Millisecond, TokenTime: 10 * time.Millisecond,
 		BatchSlowdown: 0.5, PrefillRate: 1000, CacheTokens: 1000}
 	prefix := targetapi.RunRequest{Prefix: []targetapi.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 300}}}
-	bubble(t, engine, func(t *testing.T, target *Target) {
-		require.Equal(t, 200*time.Millisecond, run(t.Context(), target, "1", tokens10).took)
+	runInBubble(t, engine, func(t *testing.T, target *Target) {
+		require.Equal(t, 200*time.Millisecond, run(t.Context(), target, "1", tenTokens).elapsed)
 		resumed := targetapi.RunRequest{Stage: "s", MaxTokens: 10, ResumeFrom: 7}
-		require.Equal(t, 137*time.Millisecond, run(t.Context(), target, "resumed", resumed).took, "7 tokens read, 3 generated")
-		first, second := later(t, target, "2", tokens10), later(t, target, "3", tokens10)
-		require.Equal(t, 250*time.Millisecond, (<-first).took, "a batch of two")
-		require.Equal(t, 250*time.Millisecond, (<-second).took)
+		require.Equal(t, 137*time.Millisecond, run(t.Context(), target, "resumed", resumed).elapsed, "7 tokens read, 3 generated")
+		first, second := startRun(t, target, "2", tenTokens), startRun(t, target, "3", tenTokens)
+		require.Equal(t, 250*time.Millisecond, (<-first).elapsed, "a batch of two")
+		require.Equal(t, 250*time.Millisecond, (<-second).elapsed)
 		cold := decode[targetapi.RunAnswer](t, run(t.Context(), target, "4", prefix))
 		require.Equal(t, 900, cold.PrefillTokens)
 		require.EqualValues(t, 1000, cold.WorkMS)
@@ -101,42 +101,44 @@
 	})
 }
 
-// Story: a work order is queued behind others and its deadline passes there.
-// The target must not start it, and must say so: else the caller can't retry.
+// The deadline of a queued call passes, the queue is full, or a queued call is
+// cancelled. The target must not run the call and must report that: the caller
+// couldn't retry otherwise.
 func TestRefusedInTheQueue(t *testing.T) {
 	options := Options{Kind: catalog.KindService, Slots: 1, QueueLimit: 1, CallTime: time.Second}
-	bubble(t, options, func(t *testing.T, target *Target) {
-		running := later(t, target, "running", targetapi.RunRequest{})
-		queued := later(t, target, "queued", targetapi.RunRequest{}, targetapi.HeaderDeadline, "300")
+	runInBubble(t, options, func(t *testing.T, target *Target) {
+		active := startRun(t, target, "running", targetapi.RunRequest{})
+		queued := startRun(t, target, "queued", targetapi.RunRequest{}, targetapi.HeaderDeadline, "300")
 		full := run(t.Context(), target, "full", targetapi.RunRequest{})
 		require.Positive(t, decode[targetapi.Refusal](t, full).RetryAfterMS)
-		late := <-queued
-		require.Equal(t, 300*time.Millisecond, late.took)
-		cancelled := later(t, target, "cancelled", targetapi.RunRequest{})
+		expired := <-queued
+		require.Equal(t, 300*time.Millisecond, expired.elapsed)
+		cancelled := startRun(t, target, "cancelled", targetapi.RunRequest{})
 		cancel := call(t.Context(), target, http.MethodPost, targetapi.PathCancel, targetapi.CancelRequest{AttemptID: "cancelled"})
 		require.Equal(t, http.StatusNoContent, cancel.Code)
-		for _, refused := range []reply{full, late, <-cancelled} {
+		for _, refused := range []response{full, expired, <-cancelled} {
 			require.Contains(t, []int{http.StatusServiceUnavailable, http.StatusConflict}, refused.Code)
 			require.Equal(t, "true", refused.Header().Get(targetapi.HeaderNotRun))
 		}
-		require.Equal(t, http.StatusOK, (<-running).Code)
+		require.Equal(t, http.StatusOK, (<-active).Code)
 		require.Equal(t, map[string]int{"running": 1}, target.Runs())
 	})
 }
 
-// Story: a dossier in progress holds every slot and an urgent allergy check
-// comes. An engine makes room at the next token; the dossier ends later, whole.
-func TestUrgentCallTakesTheSlot(t *testing.T) {
-	for kind, urgentTook := range map[catalog.PoolKind]time.Duration{
+// An urgent call arrives while a less urgent one holds the only slot. An engine
+// yields the slot at the next token, and the preempted call completes later with its
+// whole answer; other kinds of targets don't preempt.
+func TestUrgentCallPreempts(t *testing.T) {
+	for kind, urgentElapsed := range map[catalog.PoolKind]time.Duration{
 		catalog.KindEngine: 105 * time.Millisecond, catalog.KindReranker: 1095 * time.Millisecond,
 	} {
 		options := Options{Kind: kind, Slots: 1, TokenTime: 10 * time.Millisecond}
-		bubble(t, options, func(t *testing.T, target *Target) {
+		runInBubble(t, options, func(t *testing.T, target *Target) {
 			long := targetapi.RunRequest{MaxTokens: 100}
-			slow := later(t, target, "slow", long, targetapi.HeaderPriority, "8")
+			slow := startRun(t, target, "slow", long, targetapi.HeaderPriority, "8")
 			<-time.After(5 * time.Millisecond)
-			urgent := run(t.Context(), target, "urgent", tokens10, targetapi.HeaderPriority, "0")
-			require.Equal(t, urgentTook, urgent.took)
+			urgent := run(t.Context(), target, "urgent", tenTokens, targetapi.HeaderPriority, "0")
+			require.Equal(t, urgentElapsed, urgent.elapsed)
 			whole := decode[targetapi.RunAnswer](t, <-slow)
 			text, _ := Output("", nil, "", 100)
 			require.Equal(t, text, whole.Output)
@@ -145,11 +147,11 @@
 	}
 }
 
-// Story: the target is closed, or an attempt is cancelled, in mid-stream. The
-// caller gets an error event and never a done event.
+// An attempt is cancelled in the middle of its stream, or the target is closed. The
+// caller must get an error and never a done event.
 func TestStoppedStream(t *testing.T) {
-	bubble(t, Options{TokenTime: time.Second, KeepAlive: 300 * time.Millisecond}, func(t *testing.T, target *Target) {
-		stream := later(t, target, "x", tokens10, "Accept", "text/event-stream")
+	runInBubble(t, Options{TokenTime: time.Second, KeepAlive: 300 * time.Millisecond}, func(t *testing.T, target *Target) {
+		stream := startRun(t, target, "x", tenTokens, "Accept", "text/event-stream")
 		<-time.After(1500 * time.Millisecond)
 		call(t.Context(), target, http.MethodPost, targetapi.PathCancel, targetapi.CancelRequest{AttemptID: "x"})
 		body := (<-stream).Body.String()
@@ -157,7 +159,7 @@
 		require.Equal(t, 4, strings.Count(body, ": keep-alive"))
 		require.Contains(t, body, "event: error")
 		require.NotContains(t, body, "event: done")
-		whole := later(t, target, "y", tokens10)
+		whole := startRun(t, target, "y", tenTokens)
 		target.Close()
 		require.Equal(t, http.StatusInternalServerError, (<-whole).Code)
 		active, queued := target.Load()
@@ -170,9 +172,9 @@
 	for _, request := range []targetapi.RunRequest{{ResumeFrom: 1}, {ResumeFrom: -1}, {Prefix: []targetapi.Part{{Tokens: -1}}}} {
 		require.Equal(t, http.StatusBadRequest, run(t.Context(), target, "x", request).Code)
 	}
-	require.Equal(t, http.StatusBadRequest, run(t.Context(), target, "", tokens10).Code)
+	require.Equal(t, http.StatusBadRequest, run(t.Context(), target, "", tenTokens).Code)
 	for _, header := range []string{targetapi.HeaderPriority, targetapi.HeaderDeadline} {
-		bad := run(t.Context(), target, "x", tokens10, header, "-1")
+		bad := run(t.Context(), target, "x", tenTokens, header, "-1")
 		require.Equal(t, http.StatusBadRequest, bad.Code)
 		require.Equal(t, "true", bad.Header().Get(targetapi.HeaderNotRun))
 	}
@@ -181,17 +183,17 @@
 	require.Empty(t, target.Runs())
 }
 
-// Story: a dashboard and a router read a target's load; it is as old as the
-// target says, however often it changes meanwhile.
+// The reported load must be as old as ReportLag, however often the load changes
+// meanwhile.
 func TestLoadLags(t *testing.T) {
 	options := Options{Slots: 3, CallTime: time.Second, ReportLag: 400 * time.Millisecond}
-	bubble(t, options, func(t *testing.T, target *Target) {
+	runInBubble(t, options, func(t *testing.T, target *Target) {
 		load := func() int {
 			return decode[targetapi.Load](t, call(t.Context(), target, http.MethodGet, targetapi.PathLoad, nil)).Active
 		}
-		runs := []<-chan reply{later(t, target, "1", targetapi.RunRequest{})}
+		runs := []<-chan response{startRun(t, target, "1", targetapi.RunRequest{})}
 		<-time.After(200 * time.Millisecond)
-		runs = append(runs, later(t, target, "2", targetapi.RunRequest{}))
+		runs = append(runs, startRun(t, target, "2", targetapi.RunRequest{}))
 		require.Zero(t, load())
 		<-time.After(200 * time.Millisecond)
 		require.Equal(t, 1, load())
@@ -203,29 +205,29 @@
 		require.Equal(t, 2, load())
 		<-time.After(400 * time.Millisecond)
 		require.Zero(t, load())
-		require.LessOrEqual(t, len(target.load.samples), samplesPerLag+2)
+		require.LessOrEqual(t, len(target.loadHistory.samples), samplesPerLag+2)
 	})
 }
 
-func TestCacheEventsAreLateAndGappy(t *testing.T) {
+func TestCacheEventsLagAndAreLost(t *testing.T) {
 	options := Options{CacheTokens: 10, EventLag: time.Second, EventLoss: 0.3}
-	bubble(t, options, func(t *testing.T, target *Target) {
+	runInBubble(t, options, func(t *testing.T, target *Target) {
 		read := func(after uint64) targetapi.CacheEvents {
 			path := targetapi.PathCacheEvents + "?after=" + fmt.Sprint(after)
 			return decode[targetapi.CacheEvents](t, call(t.Context(), target, http.MethodGet, path, nil))
 		}
-		for i := range eventsKept {
+		for i := range maxKeptEvents {
 			target.cache.add([]targetapi.Part{{ID: fmt.Sprint(i), Tokens: 10}})
 		}
 		require.Empty(t, read(0).Events)
 		<-time.After(time.Second)
 		page := read(0)
 		require.True(t, page.Lost, "the log is bounded")
-		require.Len(t, page.Events, eventsPerPage)
+		require.Len(t, page.Events, maxPageEvents)
 		require.False(t, read(page.Next).Lost)
-		require.Equal(t, page.Next, page.Events[eventsPerPage-1].Seq)
-		gaps := page.Next - page.Events[0].Seq + 1 - eventsPerPage
-		require.InDelta(t, 0.3, float64(gaps)/float64(gaps+eventsPerPage), 0.1)
+		require.Equal(t, page.Next, page.Events[maxPageEvents-1].Seq)
+		gaps := page.Next - page.Events[0].Seq + 1 - maxPageEvents
+		require.InDelta(t, 0.3, float64(gaps)/float64(gaps+maxPageEvents), 0.1)
 	})
 }
 
@@ -249,30 +251,30 @@
 	}
 }
 
-// Story: orders overlap: while an old holder's load still takes its time, its
-// successor gives a newer order. The old one must not win at its end.
-func TestOldOrderEndsAfterANewOne(t *testing.T) {
+// Orders overlap: while an order of an old lease holder is still loading, its
+// successor sends a newer one. The old order must not take effect at its end.
+func TestOldOrderCompletesAfterNewerOne(t *testing.T) {
 	options := Options{ChecksFencing: true, LoadTime: time.Second, Models: []string{}}
-	bubble(t, options, func(t *testing.T, target *Target) {
-		give := func(order targetapi.Order) int {
+	runInBubble(t, options, func(t *testing.T, target *Target) {
+		send := func(order targetapi.Order) int {
 			got := call(t.Context(), target, http.MethodPost, targetapi.PathOrders, order)
 			if order.Fencing == 0 {
-				require.Zero(t, got.took, "an old order is refused before its load begins")
+				require.Zero(t, got.elapsed, "an old order is refused before its load begins")
 			}
 			return got.Code
 		}
 		old := make(chan int, 1)
-		go func() { old <- give(targetapi.Order{Fencing: 1, Action: targetapi.ActionSetRole, Value: "prefill"}) }()
+		go func() { old <- send(targetapi.Order{Fencing: 1, Action: targetapi.ActionSetRole, Value: "prefill"}) }()
 		<-time.After(time.Second / 2)
-		require.Equal(t, http.StatusOK, give(targetapi.Order{Fencing: 2, Action: targetapi.ActionSetRole, Value: "decode"}))
+		require.Equal(t, http.StatusOK, send(targetapi.Order{Fencing: 2, Action: targetapi.ActionSetRole, Value: "decode"}))
 		require.Equal(t, http.StatusConflict, <-old)
-		require.Equal(t, http.StatusConflict, give(targetapi.Order{Action: targetapi.ActionSetRole}))
+		require.Equal(t, http.StatusConflict, send(targetapi.Order{Action: targetapi.ActionSetRole}))
 		require.Equal(t, http.StatusNotFound, run(t.Context(), target, "x", targetapi.RunRequest{Model: "m"}).Code)
-		require.Equal(t, http.StatusOK, give(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: "m"}))
+		require.Equal(t, http.StatusOK, send(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: "m"}))
 		require.Equal(t, http.StatusOK, run(t.Context(), target, "x", targetapi.RunRequest{Model: "m"}).Code)
 		require.Len(t, target.Orders(), 2)
 		for i := range maxLoaded {
-			status := give(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: fmt.Sprint(i)})
+			status := send(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: fmt.Sprint(i)})
 			require.Equal(t, i == maxLoaded-1, status == http.StatusBadRequest)
 		}
 	})
@@ -284,8 +286,8 @@
 	require.Equal(t, set.Body.String(), call(t.Context(), target, http.MethodGet, PathAdminFaults, nil).Body.String())
 	require.Equal(t, http.StatusBadRequest, call(t.Context(), target, http.MethodPost, PathAdminFaults, []Fault{{Kind: "x"}}).Code)
 	call(t.Context(), target, http.MethodPost, PathAdminLeaving, LeavingRequest{Leaving: true})
-	require.Equal(t, http.StatusInternalServerError, run(t.Context(), target, "x", tokens10).Code)
-	got := run(t.Context(), target, "x", tokens10)
+	require.Equal(t, http.StatusInternalServerError, run(t.Context(), target, "x", tenTokens).Code)
+	got := run(t.Context(), target, "x", tenTokens)
 	require.Equal(t, "true", got.Header().Get(targetapi.HeaderLeaving))
 	report := decode[RunsReport](t, call(t.Context(), target, http.MethodGet, PathAdminRuns, nil))
 	require.Equal(t, RunsReport{Runs: map[string]int{"x": 1}, Started: 1, StartedLeaving: 1}, report)
--- a/testkit/standin/standin.go
+++ b/testkit/standin/standin.go
@@ -87,7 +87,7 @@
 		ChecksFencing: c.Bool("checks-fencing"),
 	}
 	if options.Kind == catalog.KindService {
-		options.Started = func(input string) { fmt.Println("started", input) }
+		options.OnRunStart = func(input string) { fmt.Println("started", input) }
 	}
 	if c.Bool("empty") {
 		options.Models, options.Adapters = []string{}, []string{}
