--- a/emulator/platform/admin.go
+++ b/emulator/platform/admin.go
@@ -8,21 +8,21 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Admin paths of the stand-in.
+// Admin paths of the emulator.
 const (
 	PathFaults  = "/admin/faults"
 	PathCalls   = "/admin/calls"
 	PathTargets = "/admin/targets"
 )
 
-// WeightChunk is the answer of the weight store: so many bytes may be taken as
-// read now.
+// WeightChunk is the response of the weight store: the number of bytes that count
+// as read.
 type WeightChunk struct {
 	Name  string `json:"name"`
 	Bytes uint64 `json:"bytes"`
 }
 
-func (s *Store) adminPaths(mux *http.ServeMux) {
+func (s *Store) registerAdmin(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Faults())
 	})
@@ -46,7 +46,7 @@
 	writeJSON(w, http.StatusOK, faults)
 }
 
-// serveSetTarget registers a target, or marks it as leaving by its state.
+// serveSetTarget registers a target, or marks it as leaving if its state says so.
 func (s *Store) serveSetTarget(w http.ResponseWriter, r *http.Request) {
 	var entry platformapi.TargetEntry
 	if !readAdmin(w, r, &entry) {
@@ -71,21 +71,21 @@
 }
 
 func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
-	size, ok := number(w, r.URL.Query().Get("bytes"))
+	size, ok := parseNumber(w, r.URL.Query().Get("bytes"))
 	if !ok {
 		return
 	}
 	chunk := WeightChunk{Name: r.PathValue("name"), Bytes: size}
-	f := s.readWeights(r.Context(), requestOf(r), size)
-	answer(w, r, chunk, f)
+	failed := s.readWeights(r.Context(), requestOf(r), size)
+	respond(w, r, chunk, failed)
 }
 
-// readWeights holds a chunk against the rate of the weight store, which all
-// callers share. A chunk over the burst of one second never passes.
-func (s *Store) readWeights(ctx context.Context, r request, size uint64) *failed {
+// readWeights checks a chunk against the rate limit of the weight store, which all
+// callers share. A chunk larger than the burst of one second is always refused.
+func (s *Store) readWeights(ctx context.Context, r request, size uint64) *callFailure {
 	if burst := s.weights.Burst(); burst > 0 && size > uint64(burst) {
-		return &failed{refusal: refuse(http.StatusBadRequest, "chunk over a second's worth")}
+		return &callFailure{refusal: refuse(http.StatusBadRequest, "chunk over a second's worth")}
 	}
 	r.kind = CallWeight
-	return s.enterLimited(ctx, r, s.weights, int(size))
+	return s.admitTokens(ctx, r, s.weights, int(size))
 }
--- a/emulator/platform/admin_test.go
+++ b/emulator/platform/admin_test.go
@@ -13,7 +13,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// TestAdmin drives the admin paths and the weight store as a script does.
+// Checks the admin paths and the weight store as scripts use them.
 func TestAdmin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{WeightBytesPerSecond: 100, TargetLag: time.Second})
--- a/emulator/platform/calls.go
+++ b/emulator/platform/calls.go
@@ -7,7 +7,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// CallKind tells calls apart in counts, limits and faults.
+// CallKind is the kind of a call for counts, limits and faults.
 type CallKind string
 
 // Kinds of calls.
@@ -18,28 +18,29 @@
 	CallWeight CallKind = "weight"
 )
 
-// KindCalls are the calls about one kind of objects.
+// KindCalls counts the calls for one kind of objects.
 type KindCalls struct {
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
 }
 
-// Calls are the calls since the start, refused ones included.
+// Calls counts the calls since the start, including refused ones.
 type Calls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Weights uint64 `json:"weights"`
-	// Limited are those answered 429.
+	// Limited is the number of calls refused with 429.
 	Limited uint64 `json:"limited"`
-	// Waiting are the watches waiting now.
+	// Waiting is the number of watches that are waiting now.
 	Waiting int `json:"waiting"`
-	// Kinds are the reads and writes by kind of objects.
+	// Kinds holds the reads and writes by kind of objects.
 	Kinds map[string]KindCalls `json:"kinds"`
 }
 
-// otherKinds counts kinds that the system doesn't have; it bounds Calls.Kinds.
-const otherKinds = "other"
+// otherKind is the key in Calls.Kinds of all kinds that the system doesn't have; it
+// bounds the size of the map.
+const otherKind = "other"
 
 var knownKinds = append([]string{
 	platformapi.KindTargets,
@@ -59,12 +60,12 @@
 	return calls
 }
 
-func (s *Store) count(r request) {
+func (s *Store) countCall(r request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kind := r.object
 	if !slices.Contains(knownKinds, kind) {
-		kind = otherKinds
+		kind = otherKind
 	}
 	perKind := s.calls.Kinds[kind]
 	switch r.kind {
@@ -90,8 +91,8 @@
 	s.calls.Limited++
 }
 
-// waiting counts a watch until the returned function is called.
-func (s *Store) waiting() func() {
+// countWaiting counts a waiting watch until the returned function is called.
+func (s *Store) countWaiting() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.Waiting++
--- a/emulator/platform/faults.go
+++ b/emulator/platform/faults.go
@@ -7,51 +7,55 @@
 	"time"
 )
 
-// Failure is the way in which a call gets no proper answer.
+// Failure is a way in which a call fails without a proper response.
 type Failure string
 
-// Ways to fail.
+// Kinds of failures.
 const (
-	FailNot Failure = ""
-	// FailRefuse answers 503 before any effect.
+	FailNone Failure = ""
+	// FailRefuse responds with 503 before any effect.
 	FailRefuse Failure = "refuse"
-	// FailReset closes the connection without an answer.
+	// FailReset closes the connection without a response.
 	FailReset Failure = "reset"
-	// FailSilence never answers.
+	// FailSilence never responds.
 	FailSilence Failure = "silence"
 )
 
-// Faults are the faults in force; the zero value has none.
+// Faults describes the faults in force; the zero value has none.
 type Faults struct {
-	// Instances limits the faults below to these callers; empty means all.
+	// Instances limits the faults below to calls of these instances; empty means
+	// all.
 	Instances []string `json:"instances,omitempty"`
-	// Calls limits Down and Latency to these calls; empty means all.
+	// Calls limits Down and LatencyMS to these kinds of calls; empty means all.
 	Calls []CallKind `json:"calls,omitempty"`
-	// LatencyMS delays each call before its effect, in milliseconds.
+	// LatencyMS is the delay of each call before its effect, in milliseconds.
 	LatencyMS int `json:"latency_ms,omitempty"`
 	// Down fails each call before any effect.
 	Down Failure `json:"down,omitempty"`
-	// LoseWrites loses the answers of that many next writes, LoseShare that of
-	// a share of the others. The effect comes before, or after ApplyAfterMS.
+	// LoseWrites loses the responses of the given number of next writes, LoseShare
+	// those of a share of the writes after them. The write takes effect at once,
+	// or after ApplyAfterMS.
 	LoseWrites   int     `json:"lose_writes,omitempty"`
 	LoseShare    float64 `json:"lose_share,omitempty"`
 	ApplyAfterMS int     `json:"apply_after_ms,omitempty"`
 	// LoseBy is FailReset, the default, or FailSilence.
 	LoseBy Failure `json:"lose_by,omitempty"`
-	// StaleBy answers reads from that many revisions ago.
+	// StaleBy makes reads stale by the given number of revisions.
 	StaleBy uint64 `json:"stale_by,omitempty"`
-	// MuteWatches answers watches without their events, SkipEvents leaves out
-	// that many next events.
+	// MuteWatches withholds all events from watches, SkipEvents the given number of
+	// next events.
 	MuteWatches bool `json:"mute_watches,omitempty"`
 	SkipEvents  int  `json:"skip_events,omitempty"`
-	// DropHistory forgets the changes once, when the faults are set.
+	// DropHistory drops the history of changes once, when the faults are set.
 	DropHistory bool `json:"drop_history,omitempty"`
 }
 
-func (f *Faults) hits(instance string) bool {
+// affects reports whether the faults apply to calls of the instance.
+func (f *Faults) affects(instance string) bool {
 	return len(f.Instances) == 0 || slices.Contains(f.Instances, instance)
 }
 
+// covers reports whether Down and LatencyMS apply to the kind of call.
 func (f *Faults) covers(kind CallKind) bool {
 	return len(f.Calls) == 0 || slices.Contains(f.Calls, kind)
 }
@@ -65,21 +69,23 @@
 		f.DropHistory = false
 	}
 	s.faults = f
-	s.table.wake()
+	s.table.notify()
 }
 
-// Faults returns the faults in force; counted ones show what is left.
+// Faults returns the faults in force, with the remaining numbers of LoseWrites and
+// SkipEvents.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// gate delays or fails a call before its effect.
-func (s *Store) gate(ctx context.Context, instance string, kind CallKind) Failure {
+// injectBefore applies the faults before the effect of a call: it delays the call
+// and returns how it fails.
+func (s *Store) injectBefore(ctx context.Context, instance string, kind CallKind) Failure {
 	faults := s.Faults()
-	if !faults.hits(instance) || !faults.covers(kind) {
-		return FailNot
+	if !faults.affects(instance) || !faults.covers(kind) {
+		return FailNone
 	}
 	if faults.LatencyMS > 0 && !s.sleep(ctx, milliseconds(faults.LatencyMS)) {
 		return FailReset
@@ -87,40 +93,40 @@
 	return faults.Down
 }
 
-// down turns a way to fail before any effect into the end of the call.
-func down(how Failure) *failed {
-	switch how {
-	case FailNot:
+// asCallFailure returns the result of a call that fails before any effect.
+func asCallFailure(failure Failure) *callFailure {
+	switch failure {
+	case FailNone:
 		return nil
 	case FailRefuse:
-		return &failed{refusal: refuse(http.StatusServiceUnavailable, "platform is down")}
+		return &callFailure{refusal: refuse(http.StatusServiceUnavailable, "platform is down")}
 	default:
-		return &failed{how: how}
+		return &callFailure{failure: failure}
 	}
 }
 
-// loss says whether the answer of a write gets lost and how late its effect is.
-// The caller holds s.mu.
-func (s *Store) loss(instance string) (Failure, time.Duration) {
+// sampleLoss returns how the response of a write is lost, if it is, and the delay of
+// the write's effect. The caller must hold s.mu.
+func (s *Store) sampleLoss(instance string) (Failure, time.Duration) {
 	f := &s.faults
-	if !f.hits(instance) {
-		return FailNot, 0
+	if !f.affects(instance) {
+		return FailNone, 0
 	}
 	switch {
 	case f.LoseWrites > 0:
 		f.LoseWrites--
 	case f.LoseShare > 0 && s.rand.Float64() < f.LoseShare:
 	default:
-		return FailNot, 0
+		return FailNone, 0
 	}
-	how := f.LoseBy
-	if how == FailNot {
-		how = FailReset
+	failure := f.LoseBy
+	if failure == FailNone {
+		failure = FailReset
 	}
-	return how, milliseconds(f.ApplyAfterMS)
+	return failure, milliseconds(f.ApplyAfterMS)
 }
 
-// sleep returns false when ctx ends first.
+// sleep waits for d and returns false if ctx ends first.
 func (s *Store) sleep(ctx context.Context, d time.Duration) bool {
 	due := make(chan struct{})
 	s.options.AfterFunc(d, func() { close(due) })
--- a/emulator/platform/handler.go
+++ b/emulator/platform/handler.go
@@ -11,11 +11,12 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// maxBodyBytes bounds a request's body. JSON with much white space may be longer
-// than the value it holds.
+// maxBodyBytes bounds a request's body. It exceeds the limit on values, since JSON
+// with white space can be longer than its compact value.
 const maxBodyBytes = 2*platformapi.MaxValueBytes + 4096
 
-// Handler serves the object API, the weight store and the admin paths.
+// Handler returns a handler of the object API, the weight store and the admin
+// paths.
 func (s *Store) Handler() http.Handler {
 	const objects = platformapi.PathObjects
 	mux := http.NewServeMux()
@@ -26,7 +27,7 @@
 	mux.HandleFunc("PUT "+objects+"{kind}/{name}/status", s.serveUpdate)
 	mux.HandleFunc("DELETE "+objects+"{kind}/{name}", s.serveDelete)
 	mux.HandleFunc("GET "+platformapi.PathWeights+"{name}", s.serveWeights)
-	s.adminPaths(mux)
+	s.registerAdmin(mux)
 	return mux
 }
 
@@ -36,21 +37,21 @@
 		s.serveWatch(w, r)
 		return
 	}
-	limit, ok := number(w, query.Get("limit"))
+	limit, ok := parseNumber(w, query.Get("limit"))
 	if !ok {
 		return
 	}
-	page, f := s.list(r.Context(), requestOf(r), query.Get("after"), int(limit), query.Get("stale") == "1")
-	answer(w, r, page, f)
+	page, failed := s.list(r.Context(), requestOf(r), query.Get("after"), int(limit), query.Get("stale") == "1")
+	respond(w, r, page, failed)
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from, ok := number(w, query.Get("watch"))
+	from, ok := parseNumber(w, query.Get("watch"))
 	if !ok {
 		return
 	}
-	wait, ok := number(w, query.Get("wait_ms"))
+	wait, ok := parseNumber(w, query.Get("wait_ms"))
 	if !ok {
 		return
 	}
@@ -59,13 +60,13 @@
 		kinds = strings.Split(query.Get("kinds"), ",")
 	}
 	waitMS := int(min(wait, platformapi.MaxWatchWaitMS))
-	watch, f := s.watch(r.Context(), requestOf(r), kinds, from, milliseconds(waitMS))
-	answer(w, r, watch, f)
+	watch, failed := s.watch(r.Context(), requestOf(r), kinds, from, milliseconds(waitMS))
+	respond(w, r, watch, failed)
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
-	object, f := s.get(r.Context(), requestOf(r), r.PathValue("name"))
-	answer(w, r, object, f)
+	object, failed := s.get(r.Context(), requestOf(r), r.PathValue("name"))
+	respond(w, r, object, failed)
 }
 
 func (s *Store) serveCreate(w http.ResponseWriter, r *http.Request) {
@@ -73,10 +74,10 @@
 	if !ok {
 		return
 	}
-	created, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
+	created, failed := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return t.create(r.PathValue("kind"), object)
 	})
-	answer(w, r, created, f)
+	respond(w, r, created, failed)
 }
 
 func (s *Store) serveUpdate(w http.ResponseWriter, r *http.Request) {
@@ -86,56 +87,56 @@
 	}
 	object.Metadata.Name = r.PathValue("name")
 	statusOnly := strings.HasSuffix(r.URL.Path, "/status")
-	updated, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
+	updated, failed := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return t.update(r.PathValue("kind"), object, statusOnly)
 	})
-	answer(w, r, updated, f)
+	respond(w, r, updated, failed)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
-	revision, ok := number(w, r.URL.Query().Get("revision"))
+	revision, ok := parseNumber(w, r.URL.Query().Get("revision"))
 	if !ok {
 		return
 	}
-	_, f := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
+	_, failed := s.write(r.Context(), requestOf(r), func(t *table) (*platformapi.Object, *refusal) {
 		return nil, t.delete(r.PathValue("kind"), r.PathValue("name"), revision)
 	})
-	answer(w, r, struct{}{}, f)
+	respond(w, r, struct{}{}, failed)
 }
 
 func requestOf(r *http.Request) request {
 	return request{instance: r.Header.Get(platformapi.HeaderInstance), object: r.PathValue("kind")}
 }
 
-// answer writes a success, a refusal or breaks the connection.
-func answer(w http.ResponseWriter, r *http.Request, body any, f *failed) {
+// respond writes a success or a refusal, or fails the connection.
+func respond(w http.ResponseWriter, r *http.Request, body any, failed *callFailure) {
 	switch {
-	case f == nil:
+	case failed == nil:
 		writeJSON(w, http.StatusOK, body)
-	case f.refusal != nil:
-		writeRefusal(w, f.refusal)
-	case f.how == FailSilence:
+	case failed.refusal != nil:
+		writeRefusal(w, failed.refusal)
+	case failed.failure == FailSilence:
 		<-r.Context().Done()
 	default:
-		reset(w)
+		resetConnection(w)
 	}
 }
 
-func writeRefusal(w http.ResponseWriter, bad *refusal) {
-	if bad.status == http.StatusTooManyRequests || bad.status == http.StatusServiceUnavailable {
+func writeRefusal(w http.ResponseWriter, refused *refusal) {
+	if refused.status == http.StatusTooManyRequests || refused.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 	}
-	writeJSON(w, bad.status, platformapi.Conflict{Error: bad.message, Current: bad.current})
+	writeJSON(w, refused.status, platformapi.Conflict{Error: refused.message, Current: refused.current})
 }
 
-// reset closes the connection without an answer, by RST where TCP allows.
-func reset(w http.ResponseWriter) {
+// resetConnection closes the connection without a response, with an RST over TCP.
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is a FIN, as good for the test
+		_ = tcp.SetLinger(0) // if it fails, a FIN serves the tests as well
 	}
 	_ = conn.Close()
 }
@@ -154,8 +155,8 @@
 	return object, true
 }
 
-// number reads a query value; empty means 0.
-func number(w http.ResponseWriter, text string) (uint64, bool) {
+// parseNumber parses a query value; the empty string means 0.
+func parseNumber(w http.ResponseWriter, text string) (uint64, bool) {
 	if text == "" {
 		return 0, true
 	}
@@ -170,5 +171,5 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller disconnected
 }
--- a/emulator/platform/local.go
+++ b/emulator/platform/local.go
@@ -11,16 +11,17 @@
 	transport "github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// localPeer is the peer in errors of in-process calls.
+// localPeer names the peer in errors of in-process calls.
 const localPeer = "in-process platform"
 
-// retryAfter is what refused callers are told to wait.
+// retryAfter is the retry delay sent to refused callers.
 const retryAfter = time.Second
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
-// Local calls the store within the process, as one instance. It meets the same
-// faults, limits and errors as a call over HTTP, but has no budget of calls.
+// Local calls the store in process, as one instance. Its calls are subject to the
+// same faults and limits as calls over HTTP and return the same errors, but they
+// have no call budget.
 type Local struct {
 	store    *Store
 	instance string
@@ -28,15 +29,15 @@
 
 var _ transport.Store = (*Local)(nil)
 
-// Local returns the store as instance sees it.
+// Local returns a client of the store for the named instance.
 func (s *Store) Local(instance string) *Local { return &Local{store: s, instance: instance} }
 
 // Get implements transport.Store.
 func (l *Local) Get(ctx context.Context, kind, name string) (*platformapi.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.store.options.LocalTimeout)
 	defer cancel()
-	object, f := l.store.get(ctx, l.request(kind), name)
-	return copied(object), l.check(ctx, transport.Call{Step: "get " + kind}, f)
+	object, failed := l.store.get(ctx, l.request(kind), name)
+	return copyObject(object), l.errorOf(ctx, transport.Call{Step: "get " + kind}, failed)
 }
 
 // List implements transport.Store.
@@ -79,8 +80,8 @@
 }
 
 func (l *Local) page(ctx context.Context, kind, after string, limit int, stale bool) (platformapi.List, error) {
-	page, f := l.store.list(ctx, l.request(kind), after, limit, stale)
-	err := l.check(ctx, transport.Call{Step: "list " + kind}, f)
+	page, failed := l.store.list(ctx, l.request(kind), after, limit, stale)
+	err := l.errorOf(ctx, transport.Call{Step: "list " + kind}, failed)
 	return page, err
 }
 
@@ -117,36 +118,37 @@
 func (l *Local) Watch(ctx context.Context, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+l.store.options.LocalTimeout)
 	defer cancel()
-	watch, f := l.store.watch(ctx, l.request(""), kinds, from, wait)
-	return watch, l.check(ctx, transport.Call{Step: "watch " + strings.Join(kinds, ",")}, f)
+	watch, failed := l.store.watch(ctx, l.request(""), kinds, from, wait)
+	return watch, l.errorOf(ctx, transport.Call{Step: "watch " + strings.Join(kinds, ",")}, failed)
 }
 
 func (l *Local) write(ctx context.Context, verb, kind string, effect func(*table) (*platformapi.Object, *refusal)) (*platformapi.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.store.options.LocalTimeout)
 	defer cancel()
-	object, f := l.store.write(ctx, l.request(kind), effect)
-	return copied(object), l.check(ctx, transport.Call{Step: verb + kind, Write: true}, f)
+	object, failed := l.store.write(ctx, l.request(kind), effect)
+	return copyObject(object), l.errorOf(ctx, transport.Call{Step: verb + kind, Write: true}, failed)
 }
 
 func (l *Local) request(kind string) request {
 	return request{instance: l.instance, object: kind}
 }
 
-// check turns the end of a call into the errors of the client.
-func (l *Local) check(ctx context.Context, call transport.Call, f *failed) error {
+// errorOf returns the error that the HTTP client would return for the result of a
+// call.
+func (l *Local) errorOf(ctx context.Context, call transport.Call, failed *callFailure) error {
 	call.Peer = localPeer
 	switch {
-	case f == nil:
+	case failed == nil:
 		return nil
-	case f.refusal != nil:
-		return transport.StatusError(call, f.refusal.status, retryAfter, copied(f.refusal.current))
-	case f.how == FailSilence:
+	case failed.refusal != nil:
+		return transport.StatusError(call, failed.refusal.status, retryAfter, copyObject(failed.refusal.current))
+	case failed.failure == FailSilence:
 		<-ctx.Done()
 	}
-	return transport.LostAnswer(call, errNoAnswer)
+	return transport.LostAnswer(call, errNoResponse)
 }
 
-func copied(object *platformapi.Object) *platformapi.Object {
+func copyObject(object *platformapi.Object) *platformapi.Object {
 	if object == nil {
 		return nil
 	}
--- a/emulator/platform/options.go
+++ b/emulator/platform/options.go
@@ -1,6 +1,6 @@
-// Package platform is an in-memory stand-in of the platform: object store,
-// list of targets and weight store, with its limits and its faults. Tests use it
-// and `ivyhollowd dev` embeds it; it keeps nothing and is no product store.
+// Package platform emulates the platform in memory: its object store, list of
+// targets and weight store, with rate limits and injected faults. Tests use it and
+// `ivyhollowd dev` embeds it. It persists nothing and isn't meant for production.
 package platform
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Defaults of Options.
+// Defaults for fields of Options that are zero.
 const (
 	DefaultWritesPerSecond      = 400
 	DefaultReadsPerSecond       = 2000
@@ -18,26 +18,26 @@
 	DefaultLocalTimeout         = 2 * time.Second
 )
 
-// Unlimited switches a rate limit off.
+// Unlimited disables a rate limit.
 const Unlimited = -1
 
 // Options are the settings of a Store; zero values mean the defaults.
 type Options struct {
-	// WritesPerSecond and ReadsPerSecond limit all callers together, with a
-	// burst of a tenth of a second. A waiting watch counts as one read.
+	// WritesPerSecond and ReadsPerSecond limit all callers together, with a burst
+	// of a tenth of a second. A waiting watch counts as one read.
 	WritesPerSecond int
 	ReadsPerSecond  int
 	// WeightBytesPerSecond limits the weight store, with a burst of one second.
 	WeightBytesPerSecond int
-	// TargetLag passes before a change of the targets shows to readers.
+	// TargetLag is the delay before readers see a change of the targets.
 	TargetLag time.Duration
-	// History is the number of changes kept for watches and reads of the past.
+	// History is the number of changes kept for watches and stale reads.
 	History int
-	// LocalTimeout ends in-process calls that are never answered.
+	// LocalTimeout ends in-process calls without a response.
 	LocalTimeout time.Duration
-	// Seed fixes the draws of the faults.
+	// Seed seeds the random source of the faults.
 	Seed uint64
-	// Now and AfterFunc are the clock; nil means that of package time.
+	// Now and AfterFunc replace the clock; nil means the clock of package time.
 	Now       func() time.Time
 	AfterFunc func(time.Duration, func())
 }
--- a/emulator/platform/store.go
+++ b/emulator/platform/store.go
@@ -12,16 +12,16 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is the emulated platform. It is safe for concurrent use.
 type Store struct {
 	options Options
 
-	mu      sync.Mutex
-	table   *table
-	faults  Faults
-	rand    *rand.Rand
-	calls   Calls
-	pending []targetChange
+	mu             sync.Mutex
+	table          *table
+	faults         Faults
+	rand           *rand.Rand
+	calls          Calls
+	pendingTargets []targetChange
 
 	writes  *rate.Limiter
 	reads   *rate.Limiter
@@ -49,135 +49,140 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, burst))
 }
 
-// request is one call, whichever way it came.
+// request identifies one call, over HTTP or in process, for counts, limits and
+// faults.
 type request struct {
 	kind     CallKind
 	instance string
-	object   string // the kind of objects, for the counts
+	object   string // the kind of objects
 }
 
-// failed is the end of a call without success: a refusal or a broken answer.
-type failed struct {
+// callFailure is the result of a failed call: a refusal, or a failure without a
+// proper response.
+type callFailure struct {
+	// refusal is nil if the call got no proper response.
 	refusal *refusal
-	how     Failure
+	failure Failure
 }
 
-// enter counts a call, delays or fails it, and holds it against the limits.
-func (s *Store) enter(ctx context.Context, r request) *failed {
+// admit counts a call, applies the faults before its effect, and checks its rate
+// limit.
+func (s *Store) admit(ctx context.Context, r request) *callFailure {
 	limiter := s.reads
 	if r.kind == CallWrite {
 		limiter = s.writes
 	}
-	return s.enterLimited(ctx, r, limiter, 1)
+	return s.admitTokens(ctx, r, limiter, 1)
 }
 
-func (s *Store) enterLimited(ctx context.Context, r request, limiter *rate.Limiter, tokens int) *failed {
-	s.count(r)
-	if f := down(s.gate(ctx, r.instance, r.kind)); f != nil {
-		return f
+// admitTokens is admit with a given limiter and cost.
+func (s *Store) admitTokens(ctx context.Context, r request, limiter *rate.Limiter, tokens int) *callFailure {
+	s.countCall(r)
+	if failed := asCallFailure(s.injectBefore(ctx, r.instance, r.kind)); failed != nil {
+		return failed
 	}
 	if !limiter.AllowN(s.options.Now(), tokens) {
 		s.countLimited()
-		return &failed{refusal: refuse(http.StatusTooManyRequests, "over the rate limit")}
+		return &callFailure{refusal: refuse(http.StatusTooManyRequests, "over the rate limit")}
 	}
 	return nil
 }
 
-// write carries out an effect on the table. It may lose the answer, and then
-// may apply the effect late; the condition is checked when it applies.
-func (s *Store) write(ctx context.Context, r request, effect func(*table) (*platformapi.Object, *refusal)) (*platformapi.Object, *failed) {
+// write applies an effect to the table. Faults can lose the response, and can then
+// delay the effect as well; the effect checks its condition when it is applied.
+func (s *Store) write(ctx context.Context, r request, effect func(*table) (*platformapi.Object, *refusal)) (*platformapi.Object, *callFailure) {
 	r.kind = CallWrite
-	if f := s.enter(ctx, r); f != nil {
-		return nil, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return nil, failed
 	}
 	if r.object == platformapi.KindTargets {
-		return nil, &failed{refusal: refuse(http.StatusForbidden, "the platform writes targets")}
+		return nil, &callFailure{refusal: refuse(http.StatusForbidden, "the platform writes targets")}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	how, late := s.loss(r.instance)
-	if how != FailNot && late > 0 {
-		s.options.AfterFunc(late, func() {
+	failure, delay := s.sampleLoss(r.instance)
+	if failure != FailNone && delay > 0 {
+		s.options.AfterFunc(delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			effect(s.table)
 		})
-		return nil, &failed{how: how}
+		return nil, &callFailure{failure: failure}
 	}
-	object, bad := effect(s.table)
-	if how != FailNot {
-		return nil, &failed{how: how}
+	object, refused := effect(s.table)
+	if failure != FailNone {
+		return nil, &callFailure{failure: failure}
 	}
-	if bad != nil {
-		return nil, &failed{refusal: bad}
+	if refused != nil {
+		return nil, &callFailure{refusal: refused}
 	}
 	return object, nil
 }
 
-func (s *Store) get(ctx context.Context, r request, name string) (*platformapi.Object, *failed) {
+func (s *Store) get(ctx context.Context, r request, name string) (*platformapi.Object, *callFailure) {
 	r.kind = CallRead
-	if f := s.enter(ctx, r); f != nil {
-		return nil, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return nil, failed
 	}
-	if bad := checkNames(r.object, name); bad != nil {
-		return nil, &failed{refusal: bad}
+	if refused := checkNames(r.object, name); refused != nil {
+		return nil, &callFailure{refusal: refused}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	objects, _ := s.table.past(r.object, s.staleBy(r.instance))
+	objects, _ := s.table.objectsBefore(r.object, s.staleRevisions(r.instance))
 	object := objects[name]
 	if object == nil {
-		return nil, &failed{refusal: refuse(http.StatusNotFound, "no such object")}
+		return nil, &callFailure{refusal: refuse(http.StatusNotFound, "no such object")}
 	}
 	return object, nil
 }
 
-func (s *Store) list(ctx context.Context, r request, after string, limit int, stale bool) (platformapi.List, *failed) {
+func (s *Store) list(ctx context.Context, r request, after string, limit int, stale bool) (platformapi.List, *callFailure) {
 	r.kind = CallRead
-	if f := s.enter(ctx, r); f != nil {
-		return platformapi.List{}, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return platformapi.List{}, failed
 	}
 	if !kindPattern.MatchString(r.object) {
-		return platformapi.List{}, &failed{refusal: refuse(http.StatusBadRequest, "bad kind")}
+		return platformapi.List{}, &callFailure{refusal: refuse(http.StatusBadRequest, "bad kind")}
 	}
 	if limit <= 0 || limit > platformapi.MaxPageItems {
 		limit = platformapi.MaxPageItems
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back := s.staleBy(r.instance)
+	age := s.staleRevisions(r.instance)
 	if stale {
-		back = max(back, 1)
+		age = max(age, 1)
 	}
-	objects, revision := s.table.past(r.object, back)
-	page := list(objects, after, limit)
+	objects, revision := s.table.objectsBefore(r.object, age)
+	page := pageOf(objects, after, limit)
 	page.Revision = revision
 	return page, nil
 }
 
-// staleBy returns how many revisions ago reads are answered from.
-func (s *Store) staleBy(instance string) uint64 {
-	if !s.faults.hits(instance) {
+// staleRevisions returns by how many revisions reads of the instance are stale.
+func (s *Store) staleRevisions(instance string) uint64 {
+	if !s.faults.affects(instance) {
 		return 0
 	}
 	return s.faults.StaleBy
 }
 
-// watch waits for changes of the kinds. Muted, it waits to the end and keeps the
-// revision, as a watch that lost its feed does.
-func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, *failed) {
+// watch waits for changes of the kinds. With MuteWatches it waits until the timeout
+// and returns the revision unchanged, as a watch whose event feed failed does.
+func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.Watch, *callFailure) {
 	r.kind = CallWatch
-	if f := s.enter(ctx, r); f != nil {
-		return platformapi.Watch{}, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return platformapi.Watch{}, failed
 	}
-	defer s.waiting()()
+	defer s.countWaiting()()
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.options.AfterFunc(min(wait, milliseconds(platformapi.MaxWatchWaitMS)), cancel)
 	for {
-		watch, changed, f := s.observe(r, kinds, from)
-		if f != nil {
-			return watch, f
+		watch, changed, failed := s.readEvents(r, kinds, from)
+		if failed != nil {
+			return watch, failed
 		}
 		from = watch.Revision
 		if len(watch.Events) > 0 || wait <= 0 || limited.Err() != nil {
@@ -188,29 +193,30 @@
 		case <-limited.Done():
 		}
 		if ctx.Err() != nil {
-			return watch, &failed{how: FailReset}
+			return watch, &callFailure{failure: FailReset}
 		}
 	}
 }
 
-// observe looks once and returns what is closed at the next change of the table
-// or of the faults. An outage breaks watches that already wait.
-func (s *Store) observe(r request, kinds []string, from uint64) (platformapi.Watch, <-chan struct{}, *failed) {
+// readEvents returns the events since a revision, and a channel that is closed at
+// the next change of the table or of the faults. An outage also fails watches that
+// are already waiting.
+func (s *Store) readEvents(r request, kinds []string, from uint64) (platformapi.Watch, <-chan struct{}, *callFailure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.table.changed
-	faulty := s.faults.hits(r.instance)
-	if faulty && s.faults.covers(CallWatch) && s.faults.Down != FailNot {
-		return platformapi.Watch{}, changed, down(s.faults.Down)
+	affected := s.faults.affects(r.instance)
+	if affected && s.faults.covers(CallWatch) && s.faults.Down != FailNone {
+		return platformapi.Watch{}, changed, asCallFailure(s.faults.Down)
 	}
-	if faulty && s.faults.MuteWatches {
+	if affected && s.faults.MuteWatches {
 		return platformapi.Watch{Events: []platformapi.Event{}, Revision: from}, changed, nil
 	}
-	watch, bad := s.table.since(kinds, from)
-	if bad != nil {
-		return watch, changed, &failed{refusal: bad}
+	watch, refused := s.table.eventsSince(kinds, from)
+	if refused != nil {
+		return watch, changed, &callFailure{refusal: refused}
 	}
-	if faulty {
+	if affected {
 		skipped := min(s.faults.SkipEvents, len(watch.Events))
 		s.faults.SkipEvents -= skipped
 		watch.Events = watch.Events[skipped:]
--- a/emulator/platform/table.go
+++ b/emulator/platform/table.go
@@ -17,7 +17,7 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9_][A-Za-z0-9._:~@=+|-]{0,252}$`)
 )
 
-// refusal is an answer other than success, as an HTTP status.
+// refusal is an unsuccessful response with its HTTP status.
 type refusal struct {
 	status  int
 	message string
@@ -28,7 +28,7 @@
 	return &refusal{status: status, message: message}
 }
 
-// change is one entry of the history. before and after are nil when the object
+// change is one entry of the history. before and after are nil if the object
 // didn't exist.
 type change struct {
 	revision uint64
@@ -37,24 +37,24 @@
 	after    *platformapi.Object
 }
 
-// table holds the objects and their history. Its owner locks it. Stored objects
-// are never altered in place, so that readers may keep them.
+// table holds the objects and their history. Its owner must lock it. Stored objects
+// are never modified in place, so that readers can retain them.
 type table struct {
-	revision uint64
-	kinds    map[string]map[string]*platformapi.Object
-	history  []change
-	keep     int
-	// compacted is the revision of the newest change no longer in history.
+	revision   uint64
+	kinds      map[string]map[string]*platformapi.Object
+	history    []change
+	maxHistory int
+	// compacted is the revision of the newest change dropped from history.
 	compacted uint64
 	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-func newTable(keep int) *table {
+func newTable(maxHistory int) *table {
 	return &table{
-		kinds:   make(map[string]map[string]*platformapi.Object),
-		keep:    keep,
-		changed: make(chan struct{}),
+		kinds:      make(map[string]map[string]*platformapi.Object),
+		maxHistory: maxHistory,
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -62,12 +62,12 @@
 
 func (t *table) create(kind string, object platformapi.Object) (*platformapi.Object, *refusal) {
 	name := object.Metadata.Name
-	if bad := checkNames(kind, name); bad != nil {
-		return nil, bad
+	if refused := checkNames(kind, name); refused != nil {
+		return nil, refused
 	}
-	spec, status, bad := checkValue(object)
-	if bad != nil {
-		return nil, bad
+	spec, status, refused := compactValues(object)
+	if refused != nil {
+		return nil, refused
 	}
 	if current := t.get(kind, name); current != nil {
 		return nil, conflict("exists", current)
@@ -79,11 +79,11 @@
 	}), nil
 }
 
-// update replaces the spec, or the status when statusOnly.
+// update replaces the spec, or the status if statusOnly.
 func (t *table) update(kind string, object platformapi.Object, statusOnly bool) (*platformapi.Object, *refusal) {
-	current, bad := t.conditional(kind, object.Metadata.Name, object.Metadata.Revision)
-	if bad != nil {
-		return nil, bad
+	current, refused := t.getAtRevision(kind, object.Metadata.Name, object.Metadata.Revision)
+	if refused != nil {
+		return nil, refused
 	}
 	next := *current
 	if statusOnly {
@@ -91,9 +91,9 @@
 	} else {
 		next.Spec = object.Spec
 	}
-	next.Spec, next.Status, bad = checkValue(next)
-	if bad != nil {
-		return nil, bad
+	next.Spec, next.Status, refused = compactValues(next)
+	if refused != nil {
+		return nil, refused
 	}
 	if bytes.Equal(next.Spec, current.Spec) && bytes.Equal(next.Status, current.Status) {
 		return current, nil
@@ -102,19 +102,20 @@
 }
 
 func (t *table) delete(kind, name string, revision uint64) *refusal {
-	current, bad := t.conditional(kind, name, revision)
-	if bad != nil {
-		return bad
+	current, refused := t.getAtRevision(kind, name, revision)
+	if refused != nil {
+		return refused
 	}
 	delete(t.kinds[kind], name)
 	t.record(kind, current, nil)
 	return nil
 }
 
-// conditional returns the object if it is of the revision, or revision is 0.
-func (t *table) conditional(kind, name string, revision uint64) (*platformapi.Object, *refusal) {
-	if bad := checkNames(kind, name); bad != nil {
-		return nil, bad
+// getAtRevision returns the object if its revision matches or revision is 0, and
+// refuses the call otherwise.
+func (t *table) getAtRevision(kind, name string, revision uint64) (*platformapi.Object, *refusal) {
+	if refused := checkNames(kind, name); refused != nil {
+		return nil, refused
 	}
 	current := t.get(kind, name)
 	if current == nil {
@@ -139,45 +140,46 @@
 func (t *table) record(kind string, before, after *platformapi.Object) {
 	t.revision++
 	t.history = append(t.history, change{revision: t.revision, kind: kind, before: before, after: after})
-	if excess := len(t.history) - t.keep; excess > 0 {
+	if excess := len(t.history) - t.maxHistory; excess > 0 {
 		t.compacted = t.history[excess-1].revision
 		t.history = t.history[excess:]
 	}
-	t.wake()
+	t.notify()
 }
 
-// wake lets waiting watches look again.
-func (t *table) wake() {
+// notify wakes the waiting watches.
+func (t *table) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// dropHistory forgets all changes; watches from before get 410.
+// dropHistory drops all changes; watches from an earlier revision get 410.
 func (t *table) dropHistory() {
 	t.history = nil
 	t.compacted = t.revision
 }
 
-// past returns a kind as it was back revisions ago, as far as history reaches.
-func (t *table) past(kind string, back uint64) (map[string]*platformapi.Object, uint64) {
-	back = min(back, uint64(len(t.history)))
-	if back == 0 {
+// objectsBefore returns the objects of a kind as they were the given number of
+// revisions ago, as far as the history reaches, and their revision.
+func (t *table) objectsBefore(kind string, age uint64) (map[string]*platformapi.Object, uint64) {
+	age = min(age, uint64(len(t.history)))
+	if age == 0 {
 		return t.kinds[kind], t.revision
 	}
 	objects := maps.Clone(t.kinds[kind])
 	if objects == nil {
 		objects = make(map[string]*platformapi.Object)
 	}
-	undone := t.history[uint64(len(t.history))-back:]
+	undone := t.history[uint64(len(t.history))-age:]
 	for i := len(undone) - 1; i >= 0; i-- {
 		if undone[i].kind == kind {
-			undo(objects, undone[i])
+			revert(objects, undone[i])
 		}
 	}
 	return objects, undone[0].revision - 1
 }
 
-func undo(objects map[string]*platformapi.Object, c change) {
+func revert(objects map[string]*platformapi.Object, c change) {
 	if c.before == nil {
 		delete(objects, c.after.Metadata.Name)
 		return
@@ -185,8 +187,8 @@
 	objects[c.before.Metadata.Name] = c.before
 }
 
-// list returns one page in the order of names.
-func list(objects map[string]*platformapi.Object, after string, limit int) platformapi.List {
+// pageOf returns one page of objects, ordered by name.
+func pageOf(objects map[string]*platformapi.Object, after string, limit int) platformapi.List {
 	names := make([]string, 0, len(objects))
 	for name := range objects {
 		if name > after {
@@ -208,9 +210,9 @@
 	return page
 }
 
-// since returns the changes of the kinds after a revision, as many as fit one
-// answer, and the revision from which the next watch goes on.
-func (t *table) since(kinds []string, from uint64) (platformapi.Watch, *refusal) {
+// eventsSince returns the changes of the kinds after a revision, as many as fit one
+// response, and the revision at which the next watch continues.
+func (t *table) eventsSince(kinds []string, from uint64) (platformapi.Watch, *refusal) {
 	watch := platformapi.Watch{Events: []platformapi.Event{}, Revision: t.revision}
 	if from < t.compacted || from > t.revision {
 		return watch, refuse(http.StatusGone, "history is gone")
@@ -232,7 +234,8 @@
 	return watch, nil
 }
 
-// event of a deletion carries the last object under the deletion's revision.
+// event returns the event of a change. For a deletion it has the last object with
+// the revision of the deletion.
 func (c change) event() platformapi.Event {
 	if c.after != nil {
 		return platformapi.Event{Kind: c.kind, Object: *c.after}
@@ -253,8 +256,8 @@
 	return nil
 }
 
-// checkValue returns spec and status in compact form.
-func checkValue(object platformapi.Object) (spec, status json.RawMessage, bad *refusal) {
+// compactValues returns spec and status in compact form, or refuses invalid ones.
+func compactValues(object platformapi.Object) (spec, status json.RawMessage, refused *refusal) {
 	spec, err := compact(object.Spec)
 	if err != nil {
 		return nil, nil, refuse(http.StatusBadRequest, "spec is not JSON")
--- a/emulator/platform/table_test.go
+++ b/emulator/platform/table_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const kind = platformapi.KindPools
+const testKind = platformapi.KindPools
 
 func specs(objects map[string]*platformapi.Object) map[string]string {
 	out := map[string]string{}
@@ -25,8 +25,9 @@
 	return out
 }
 
-// TestHistory: after any writes, each revision still kept reads as it was, and a
-// watch from it leads to the present; one that isn't kept says so.
+// Checks after random writes that each revision in the history reads as it was, that
+// a watch from it leads to the current state, and that a watch from a dropped
+// revision is refused.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 8
@@ -37,27 +38,27 @@
 			o.Metadata.Name = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			switch rapid.IntRange(0, 3).Draw(t, "verb") {
 			case 0:
-				_, _ = table.create(kind, o)
+				_, _ = table.create(testKind, o)
 			case 1:
-				_, _ = table.update(kind, o, false)
+				_, _ = table.update(testKind, o, false)
 			case 2:
-				_ = table.delete(kind, o.Metadata.Name, 0)
+				_ = table.delete(testKind, o.Metadata.Name, 0)
 			case 3:
 				_, _ = table.create("others", platformapi.Object{Metadata: platformapi.Metadata{Name: fmt.Sprint("o", i)}})
 			}
 			if int(table.revision) == len(snapshots) {
-				snapshots = append(snapshots, specs(table.kinds[kind]))
+				snapshots = append(snapshots, specs(table.kinds[testKind]))
 			}
 		}
 		require.Len(t, snapshots, int(table.revision)+1)
 		for from, snapshot := range snapshots {
-			objects, revision := table.past(kind, table.revision-uint64(from))
+			objects, revision := table.objectsBefore(testKind, table.revision-uint64(from))
 			require.Equal(t, max(uint64(from), table.compacted), revision)
 			require.Equal(t, snapshots[revision], specs(objects))
 
-			watch, bad := table.since([]string{kind}, uint64(from))
-			require.Equal(t, uint64(from) < table.compacted, bad != nil)
-			if bad != nil {
+			watch, refused := table.eventsSince([]string{testKind}, uint64(from))
+			require.Equal(t, uint64(from) < table.compacted, refused != nil)
+			if refused != nil {
 				continue
 			}
 			require.Equal(t, table.revision, watch.Revision)
@@ -73,24 +74,24 @@
 	})
 }
 
-// TestLargePages: a list and a watch of large values come in several answers,
-// none over the limit and none of them empty.
+// Checks that a list and a watch of large values are split into several responses,
+// none over the size limit and none empty.
 func TestLargePages(t *testing.T) {
 	table := newTable(100)
 	value := []byte(`"` + strings.Repeat("x", platformapi.MaxValueBytes-2) + `"`)
 	for i := range 9 {
 		o := platformapi.Object{Metadata: platformapi.Metadata{Name: fmt.Sprint("n", i)}, Spec: value}
-		_, bad := table.create(kind, o)
-		require.Nil(t, bad)
+		_, refused := table.create(testKind, o)
+		require.Nil(t, refused)
 	}
 	var listed, watched []int
 	for after := ""; len(listed) == 0 || after != ""; {
-		page := list(table.kinds[kind], after, platformapi.MaxPageItems)
+		page := pageOf(table.kinds[testKind], after, platformapi.MaxPageItems)
 		listed, after = append(listed, len(page.Items)), page.Next
 	}
 	for from := uint64(0); from < table.revision; {
-		watch, bad := table.since([]string{kind}, from)
-		require.Nil(t, bad)
+		watch, refused := table.eventsSince([]string{testKind}, from)
+		require.Nil(t, refused)
 		watched, from = append(watched, len(watch.Events)), watch.Revision
 	}
 	require.Equal(t, []int{4, 4, 1}, listed)
--- a/emulator/platform/targets.go
+++ b/emulator/platform/targets.go
@@ -6,54 +6,55 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// targetChange is a change of the list that doesn't show yet; a nil entry
-// removes the target.
+// targetChange is a change of the list of targets that readers don't see yet: a new
+// entry, a new state, or the removal of the target if both are empty.
 type targetChange struct {
 	incarnation string
 	state       string
-	entry       *platformapi.TargetEntry
+	newEntry    *platformapi.TargetEntry
 }
 
-// RegisterTarget lists a target after the lag.
+// RegisterTarget adds a target to the list, or replaces its entry, after the lag.
 func (s *Store) RegisterTarget(entry platformapi.TargetEntry) {
 	if entry.State == "" {
 		entry.State = platformapi.TargetReady
 	}
-	s.later(targetChange{incarnation: entry.Incarnation, entry: &entry})
+	s.scheduleTarget(targetChange{incarnation: entry.Incarnation, newEntry: &entry})
 }
 
-// SetLeaving shows a target as leaving after the lag.
+// SetLeaving marks a target as leaving after the lag.
 func (s *Store) SetLeaving(incarnation string) {
-	s.later(targetChange{incarnation: incarnation, state: platformapi.TargetLeaving})
+	s.scheduleTarget(targetChange{incarnation: incarnation, state: platformapi.TargetLeaving})
 }
 
-// RemoveTarget takes a target off the list after the lag.
+// RemoveTarget removes a target from the list after the lag.
 func (s *Store) RemoveTarget(incarnation string) {
-	s.later(targetChange{incarnation: incarnation})
+	s.scheduleTarget(targetChange{incarnation: incarnation})
 }
 
-// later queues a change. Each timer applies the oldest one, since timers of the
-// same lag may fire out of order.
-func (s *Store) later(c targetChange) {
+// scheduleTarget queues a change. Each timer applies the oldest change, since timers
+// of the same lag can fire out of order.
+func (s *Store) scheduleTarget(c targetChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pending = append(s.pending, c)
-	s.options.AfterFunc(s.options.TargetLag, s.showTarget)
+	s.pendingTargets = append(s.pendingTargets, c)
+	s.options.AfterFunc(s.options.TargetLag, s.applyNextTarget)
 }
 
-func (s *Store) showTarget() {
+// applyNextTarget applies the oldest pending change.
+func (s *Store) applyNextTarget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.pending[0]
-	s.pending = s.pending[1:]
+	c := s.pendingTargets[0]
+	s.pendingTargets = s.pendingTargets[1:]
 	current := s.table.get(platformapi.KindTargets, c.incarnation)
 	switch {
-	case c.entry != nil:
-		s.putTarget(current, *c.entry)
+	case c.newEntry != nil:
+		s.putTarget(current, *c.newEntry)
 	case current == nil:
 	case c.state != "":
 		var entry platformapi.TargetEntry
-		_ = json.Unmarshal(current.Spec, &entry) // putTarget wrote it
+		_ = json.Unmarshal(current.Spec, &entry) // valid, written by putTarget
 		entry.State = c.state
 		s.putTarget(current, entry)
 	default:
@@ -62,7 +63,7 @@
 }
 
 func (s *Store) putTarget(current *platformapi.Object, entry platformapi.TargetEntry) {
-	spec, _ := json.Marshal(entry) // a struct of strings always encodes
+	spec, _ := json.Marshal(entry) // can't fail for a struct of strings
 	object := platformapi.Object{Metadata: platformapi.Metadata{Name: entry.Incarnation}, Spec: spec}
 	if current == nil {
 		s.table.create(platformapi.KindTargets, object)
