--- a/cmd/ivyhollow/main.go
+++ b/cmd/ivyhollow/main.go
@@ -1,4 +1,4 @@
-// Command ivyhollow is the operators' client of ivyhollow.
+// Command ivyhollow is the operators' command-line client of ivyhollow.
 package main
 
 import (
--- a/cmd/ivyhollowd/main.go
+++ b/cmd/ivyhollowd/main.go
@@ -1,4 +1,4 @@
-// Command ivyhollowd is the daemon of every entry instance.
+// Command ivyhollowd is the daemon that runs one instance.
 package main
 
 import (
--- a/days_test.go
+++ b/days_test.go
@@ -11,10 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trafficSeconds is how long a day's traffic lasts, in seconds.
+// trafficSeconds is the duration of a day's traffic.
 const trafficSeconds = 34
 
-// dayFile is a file of deploy/days: what happens to a fleet in a day that is played.
+// dayFile is a file of deploy/days. It describes the disturbances of a fleet during
+// one day of a test run.
 type dayFile struct {
 	Day []day `toml:"day"`
 }
@@ -27,8 +28,8 @@
 	Faults []event `toml:"faults"`
 }
 
-// event is one disturbance, in planned work or beside it. Times are in seconds from
-// the begin of the traffic.
+// event is one disturbance, by planned work or by a fault. Times are in seconds
+// since the start of the traffic.
 type event struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
@@ -44,13 +45,14 @@
 	Zone    string  `toml:"zone"`
 }
 
-// plannedKinds are the disturbances that operators bring about themselves.
+// plannedKinds are the kinds of disturbances that operators cause themselves.
 var plannedKinds = []string{
 	"config_change", "config_storm", "hup", "release", "revoke", "roll_term", "scale_in", "scale_out",
 }
 
-// dayPlaceholder stands for a site's own service, kind of request or data centre.
-var dayPlaceholder = regexp.MustCompile(`^@[csz][0-9]$`)
+// placeholderName matches a placeholder for a site's own service, kind of request or
+// data centre.
+var placeholderName = regexp.MustCompile(`^@[csz][0-9]$`)
 
 func readDay(t *testing.T, path string) (string, day) {
 	t.Helper()
@@ -64,8 +66,8 @@
 	return string(text), file.Day[0]
 }
 
-// A day with a slip of the pen is left out when days are played, and nobody misses it:
-// a field that is misspelt, planned work among the faults, a name of one site only.
+// Prevents invalid day files, which test runs skip silently: a misspelt field, planned
+// work among the faults, or a name of one site only.
 func TestDaysParse(t *testing.T) {
 	paths, err := filepath.Glob("deploy/days/*")
 	require.NoError(t, err)
@@ -89,7 +91,8 @@
 	}
 }
 
-// checkEvent requires times within the day, shares up to 1, and no site's own names.
+// checkEvent requires times within the day, shares of at most 1, and placeholders in
+// place of a site's own names.
 func checkEvent(t *testing.T, path string, e event) {
 	t.Helper()
 	require.NotEmpty(t, e.Kind, path)
@@ -98,7 +101,7 @@
 	require.LessOrEqual(t, e.Share, 1.0, "%s: %s", path, e.Kind)
 	for _, name := range []string{e.Service, e.Class, e.Zone} {
 		if name != "" {
-			require.Regexp(t, dayPlaceholder, name, "%s: %s", path, e.Kind)
+			require.Regexp(t, placeholderName, name, "%s: %s", path, e.Kind)
 		}
 	}
 }
--- a/doc.go
+++ b/doc.go
@@ -1,3 +1,3 @@
-// Package ivyhollow is the root of the product's packages; docs/architecture.md
-// describes them. It holds no code of its own.
+// Package ivyhollow is the root of the product's packages, which
+// docs/architecture.md describes. It contains tests only.
 package ivyhollow
--- a/docs_test.go
+++ b/docs_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const scenarios = "testkit/scenario/testdata"
+const scenarioFolder = "testkit/scenario/testdata"
 
 var (
 	linkTarget   = regexp.MustCompile(`\]\(([^)\s]+)\)`)
@@ -26,8 +26,8 @@
 	packagePath  = regexp.MustCompile("`((?:client|cmd|coordination|daemon|emulator|protocol|settings|state|telemetry|testkit|transport)/[a-z0-9/_.-]*)`")
 )
 
-// filesOf returns all files of the tree whose name ends in suffix.
-func filesOf(t *testing.T, suffix string) map[string]string {
+// readFiles returns the content by path of all files whose name ends in suffix.
+func readFiles(t *testing.T, suffix string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -51,36 +51,37 @@
 	return found
 }
 
-// A page is moved or renamed and the pages that point to it are forgotten: a
-// reader follows a link to nothing.
-func TestLinksOfPagesLead(t *testing.T) {
-	for page, text := range filesOf(t, ".md") {
+// Prevents broken links to pages that were moved or renamed.
+func TestLinksOfPagesResolve(t *testing.T) {
+	for page, text := range readFiles(t, ".md") {
 		for _, link := range submatches(linkTarget, text) {
 			path, _, _ := strings.Cut(link, "#")
 			if path == "" || strings.Contains(link, "://") {
 				continue
 			}
-			require.FileExists(t, filepath.Join(filepath.Dir(page), path+index(path)), "%s links to %s", page, link)
+			require.FileExists(t, filepath.Join(filepath.Dir(page), path+indexPage(path)), "%s links to %s", page, link)
 		}
 	}
 }
 
-// index is the page that a reader sees who follows a link to a directory.
-func index(path string) string {
+// indexPage returns the page that a link to a directory leads to, or the empty string
+// for a link to a file.
+func indexPage(path string) string {
 	if strings.HasSuffix(path, "/") {
 		return "README.md"
 	}
 	return ""
 }
 
-// A test is renamed or removed and the pages go on citing it as a proof.
-func TestNamedProofsExist(t *testing.T) {
-	tests := filesOf(t, "_test.go")
+// Prevents pages from citing tests, scenarios or packages that were renamed or
+// removed.
+func TestReferencedNamesExist(t *testing.T) {
+	tests := readFiles(t, "_test.go")
 	var names []string
 	for _, text := range tests {
 		names = append(names, submatches(testFunction, text)...)
 	}
-	for page, text := range filesOf(t, ".md") {
+	for page, text := range readFiles(t, ".md") {
 		if page == "CONTRIBUTING.md" {
 			continue // its TestName is a placeholder
 		}
@@ -88,7 +89,7 @@
 			require.True(t, slices.Contains(names, name), "%s names %s", page, name)
 		}
 		for _, name := range submatches(scenarioName, text) {
-			require.FileExists(t, filepath.Join(scenarios, name+".txt"), page)
+			require.FileExists(t, filepath.Join(scenarioFolder, name+".txt"), page)
 		}
 		for _, path := range submatches(packagePath, text) {
 			_, err := os.Stat(strings.TrimSuffix(path, "/..."))
@@ -97,11 +98,11 @@
 	}
 }
 
-// An operator looks a log line up and the page has no word about it, or waits
-// for one that no instance writes any more.
+// Operators look log messages up on the page: it must explain each message that the
+// code writes, and none that it no longer writes.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	var written []string
-	for path, text := range filesOf(t, ".go") {
+	for path, text := range readFiles(t, ".go") {
 		top, _, _ := strings.Cut(path, "/")
 		if slices.Contains([]string{"daemon", "transport", "telemetry"}, top) && !strings.HasSuffix(path, "_test.go") {
 			written = append(written, submatches(logMessage, text)...)
@@ -118,11 +119,11 @@
 	require.Equal(t, slices.Compact(written), explained)
 }
 
-// The on-call page quotes log lines. One that the code no longer writes sends an
-// engineer after a line that never comes.
+// The on-call page quotes log lines. The code must still write each of them, since
+// engineers search the logs for them.
 func TestQuotedLogLinesAreWritten(t *testing.T) {
 	var written []string
-	for path, text := range filesOf(t, ".go") {
+	for path, text := range readFiles(t, ".go") {
 		if !strings.HasSuffix(path, "_test.go") {
 			written = append(written, submatches(logMessage, text)...)
 		}
@@ -136,5 +137,5 @@
 	}
 }
 
-// quotedLine is a log line in an indented block of a page.
+// quotedLine matches a log line in an indented block of a page.
 var quotedLine = regexp.MustCompile(`(?m)^    \w+\.go:\d+\] "([^"]+)"`)
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds records to start from. The embedded mode loads them,
-// and operators apply the same files by the client.
+// Package examples contains example records. `ivyhollowd dev` loads them, and
+// operators can apply the same files with the client.
 package examples
 
 import (
@@ -19,8 +19,8 @@
 //go:embed accounts.json
 var accounts []byte
 
-// Records returns all examples as one file of records, each after those that
-// it depends on.
+// Records returns all examples as one file of records, ordered so that each record
+// follows those that it depends on.
 func Records() []byte {
 	return bytes.Join([][]byte{dossier, workOrder, tiers, accounts}, []byte("\n"))
 }
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,3 @@
-// Package examples holds records to start from. This test keeps them in step
-// with the code.
 package examples_test
 
 import (
@@ -15,6 +13,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/record"
 )
 
+// Checks that the current validation accepts the example files, alone and together.
 func TestExamplesAreAcceptedTogether(t *testing.T) {
 	files, err := filepath.Glob("*.json")
 	require.NoError(t, err)
--- a/layers_test.go
+++ b/layers_test.go
@@ -14,22 +14,22 @@
 
 const module = "github.com/ivyhollow/ivyhollow/"
 
-// allowed lists for each layer the layers it may import beside itself.
-var allowed = map[string][]string{
+// allowedImports lists the layers that each layer may import beside itself.
+var allowedImports = map[string][]string{
 	"state":        {},
 	"coordination": {"state"},
 	"protocol":     {"coordination", "state"},
 	"transport":    {"protocol", "coordination", "state"},
 }
 
-// pure are imports that a decision must not have: with one of them it could not
-// run in virtual time.
-var pure = []string{"net", "net/http", "os", "os/signal", "log", "k8s.io/klog/v2"}
+// forbiddenInCoordination lists packages that coordination must not import: code
+// that uses one of them can't run in virtual time.
+var forbiddenInCoordination = []string{"net", "net/http", "os", "os/signal", "log", "k8s.io/klog/v2"}
 
-// A layer that imports an upper one, or a decision that reads the outside, works
-// until the day it has to run in another place.
+// A layer that imports an upper one, or coordination code that does I/O, can't run in
+// another process or in virtual time.
 func TestImportsGoDownOnly(t *testing.T) {
-	for layer, below := range allowed {
+	for layer, below := range allowedImports {
 		files := token.NewFileSet()
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -51,7 +51,7 @@
 func checkImport(t *testing.T, path, layer string, below []string, name string) {
 	t.Helper()
 	if layer == "coordination" {
-		require.NotContains(t, pure, name, path)
+		require.NotContains(t, forbiddenInCoordination, name, path)
 	}
 	inside, ok := strings.CutPrefix(name, module)
 	if !ok {
