--- a/client/app.go
+++ b/client/app.go
@@ -28,8 +28,8 @@
 	envKey      = "IVYHOLLOW_KEY"
 )
 
-// Options are the client's connections to its process: streams, environment and
-// network.
+// Options are the streams, the environment and the network of the process that the
+// client runs in.
 type Options struct {
 	Stdin  io.Reader
 	Stdout io.Writer
