--- a/client/instance.go
+++ b/client/instance.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// defaultTimeout bounds a command.
+	// defaultTimeout bounds a whole command.
 	defaultTimeout = 2 * time.Minute
-	// maxAnswerBytes bounds an answer of an instance.
+	// maxResponseBytes bounds the body of an instance's response.
 	maxResponseBytes = 16 << 20
-	// maxInputBytes bounds the input of a request.
+	// maxInputBytes bounds the input of a submitted request.
 	maxInputBytes = 16 << 20
-	// maxKeyBytes bounds a key file.
+	// maxKeyBytes bounds the size of a key file.
 	maxKeyBytes = 4096
 )
 
-// instance is one entry instance, asked with a caller key.
+// instanceClient calls one instance with a caller key.
 type instanceClient struct {
 	http *http.Client
 	base string
@@ -51,8 +51,9 @@
 	return &instanceClient{http: a.HTTP, base: strings.TrimSuffix(url, "/"), key: key}, nil
 }
 
-// key reads the caller key. It is no flag of its own: command lines are seen by
-// every user of a machine.
+// readKey returns the caller key from the file, or from the environment if no
+// file is named. No flag carries the key itself, because every user of a machine
+// can see its command lines.
 func (a *app) readKey(file string) (string, error) {
 	if file == "" {
 		if key := a.Getenv(envKey); key != "" {
@@ -68,22 +69,22 @@
 	return key, errors.Wrap(err, "read key")
 }
 
-// call is one call of an instance.
+// call describes one HTTP call to an instance.
 type call struct {
 	method string
 	path   string
 	header http.Header
 	body   any
-	// read takes the body of a success.
+	// read consumes a successful response.
 	read func(*http.Response) error
 }
 
-// do sends a call. A failure becomes a *RequestError that says whether the
-// request may have been run.
+// do sends a call. A failure becomes a *RequestError whose outcome says whether
+// the request may have been run.
 func (i *instanceClient) do(ctx context.Context, c call) error {
-	var sent atomic.Bool
+	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request, err := i.newRequest(ctx, c)
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	response, err := i.http.Do(request)
 	if err != nil {
-		return i.noAnswer(err, sent.Load())
+		return i.noAnswer(err, connected.Load())
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -123,11 +124,11 @@
 	return request, nil
 }
 
-// lost is the error of a call without an answer. Before a connection was held
-// nothing can have been run; after that the request may have arrived.
-func (i *instanceClient) noAnswer(cause error, sent bool) error {
+// noAnswer returns the error of a call without a response. Without a connection
+// nothing was run; with one the request may have arrived.
+func (i *instanceClient) noAnswer(cause error, connected bool) error {
 	outcome := callerapi.OutcomeNotRun
-	if sent {
+	if connected {
 		outcome = callerapi.OutcomeUnknown
 	}
 	return &RequestError{Problem: callerapi.Problem{
@@ -135,8 +136,9 @@
 	}}
 }
 
-// refusal reads the problem of an answer that is no success. An answer without
-// one comes from a hop between: what became of the request is unknown.
+// readProblem returns the error of an unsuccessful response. A response without
+// a problem document comes from a proxy in between: whether the request was run
+// is unknown.
 func (i *instanceClient) readProblem(response *http.Response) error {
 	problem := callerapi.Problem{Outcome: callerapi.OutcomeUnknown}
 	media, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
--- a/client/orders.go
+++ b/client/orders.go
@@ -9,7 +9,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// ordersRow tells what the targets of a pool have against what is desired.
+// ordersRow shows how far the targets of a pool have reached its desired state.
 type ordersRow struct {
 	Pool string `json:"pool"`
 	platformapi.OrdersEntry
@@ -41,8 +41,8 @@
 	return t
 }
 
-// lackingText tells what each target lacks; one that could not be read lacks
-// nothing that is known.
+// formatLacking lists what each target lacks. A target whose state could not be
+// read has an empty list and is shown as "not read".
 func formatLacking(targets []platformapi.LackingTarget) string {
 	texts := make([]string, len(targets))
 	for i, t := range targets {
--- a/client/read.go
+++ b/client/read.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// completeKinds offers the kinds for the first argument.
+// completeKinds prints the kinds as completions of the first argument.
 func (a *app) completeKinds(_ context.Context, cmd *cli.Command) {
 	if cmd.Args().Len() > 0 {
 		return
@@ -88,13 +88,14 @@
 	return a.print(cmd, statusTable(rows), documents)
 }
 
-// statusRow tells how one record stands.
+// statusRow shows the state of one record.
 type statusRow struct {
 	Kind     string `json:"kind"`
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 	State    string `json:"state"`
-	// InForce is the version in force as of the status; 0 when there is none.
+	// InForce is the revision in force according to the record's status; 0 if
+	// there is none.
 	InForce uint64 `json:"in_force,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
@@ -126,14 +127,14 @@
 	return t
 }
 
-// statusAnswer is the whole answer of the status command.
+// statusOutput is the output of the status command.
 type statusOutput struct {
 	Records   []statusRow   `json:"records"`
 	Instances []instanceRow `json:"instances"`
 	Orders    []ordersRow   `json:"orders"`
 }
 
-// instanceRow tells of one entry instance, as it wrote itself down at its start.
+// instanceRow shows one instance as it registered itself at its start.
 type instanceRow struct {
 	Name string `json:"name"`
 	platformapi.InstanceEntry
--- a/client/request.go
+++ b/client/request.go
@@ -53,7 +53,8 @@
 	return attemptTable(status.Stages).write(a.Stdout)
 }
 
-// notFoundOr turns an instance's 404 into the client's own error.
+// notFoundOr replaces an instance's 404 with platform.ErrNotFound, which has its
+// own exit code, and returns any other error unchanged.
 func notFoundOr(err error) error {
 	var refusal *RequestError
 	if errors.As(err, &refusal) && refusal.Problem.Status == http.StatusNotFound {
--- a/client/store.go
+++ b/client/store.go
@@ -11,8 +11,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Store is what the client needs of the platform's object API. The errors are
-// those of package platform, whose Client implements it.
+// Store is the part of the platform's object API that the client uses. Its
+// errors are those of package platform, whose Client implements it.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (*platformapi.Object, error)
 	List(ctx context.Context, kind string) (platformapi.List, error)
@@ -24,10 +24,10 @@
 
 var _ Store = (*platform.Client)(nil)
 
-// writeTries bounds how often one write is tried.
+// maxWriteAttempts bounds the attempts of one write.
 const maxWriteAttempts = 4
 
-// Results of a write, as they are shown.
+// Results of a write, as they are printed.
 const (
 	resultCreated   = "created"
 	resultUpdated   = "updated"
@@ -35,18 +35,19 @@
 	resultDeleted   = "deleted"
 )
 
-// writer writes one record and never over what its operator hasn't seen.
+// recordWriter writes one record and never overwrites a change that its operator
+// hasn't seen.
 type recordWriter struct {
 	store Store
 	kind  string
-	// seen is the object as it was when the write was checked; nil when there
+	// checked is the object against which the write was checked; nil if there
 	// was none.
 	checked *platformapi.Object
 }
 
-// put creates or updates a record. Each try is conditional, so a try whose
-// answer was lost may be repeated: should the lost one land after all, the
-// other meets a conflict with the very same spec.
+// put creates or updates a record. Each attempt is conditional on the revision,
+// so an attempt whose response was lost can be repeated: if the lost write takes
+// effect after all, the repeated one conflicts with a record of the same spec.
 func (w *recordWriter) put(ctx context.Context, wanted platformapi.Object) (*platformapi.Object, string, error) {
 	if w.checked != nil && record.SameSpec(w.checked.Spec, wanted.Spec) {
 		return w.checked, resultUnchanged, nil
@@ -88,14 +89,14 @@
 	return w.store.Update(ctx, w.kind, object)
 }
 
-// readBack finds what the record is after a write that met a conflict or whose
-// answer was lost; nil means that there is none. Any other error, and one that
-// leaves a lost write unexplained, is returned.
+// readBack reads the record after a write that met a conflict or whose response
+// was lost; nil means that it doesn't exist. It returns cause if it is any other
+// error, or if the read fails and the effect of a write stays unknown.
 func (w *recordWriter) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownEffectError
-	gone := errors.Is(cause, platform.ErrNotFound)
-	if !errors.As(cause, &conflict) && !errors.As(cause, &unknown) && !gone {
+	notFound := errors.Is(cause, platform.ErrNotFound)
+	if !errors.As(cause, &conflict) && !errors.As(cause, &unknown) && !notFound {
 		return nil, cause
 	}
 	current, err := w.store.Get(ctx, w.kind, name)
@@ -103,7 +104,7 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return nil, nil
 	case err != nil && unknown != nil:
-		// The write may have taken effect: that is the news, not the failed read.
+		// The write may have taken effect: report that rather than the failed read.
 		return nil, errors.Wrapf(cause, "%s/%s: reading back failed too (%v)", w.kind, name, err)
 	case err != nil:
 		return nil, err
@@ -111,9 +112,9 @@
 	return current, nil
 }
 
-// onlyStatusChanged tells whether a record still is what the operator's write
-// was checked against. Instances write the status, which raises the revision;
-// that is no other operator's change.
+// specUnchanged reports whether current has the spec against which the write was
+// checked. Instances write the status, which raises the revision without a change
+// by another operator.
 func (w *recordWriter) specUnchanged(current *platformapi.Object) bool {
 	if w.checked == nil || current == nil {
 		return w.checked == nil && current == nil
@@ -121,7 +122,7 @@
 	return record.SameSpec(w.checked.Spec, current.Spec)
 }
 
-// remove deletes the record that was seen.
+// delete deletes the record against which the deletion was checked.
 func (w *recordWriter) delete(ctx context.Context, name string) error {
 	var err error
 	for range maxWriteAttempts {
--- a/client/submit.go
+++ b/client/submit.go
@@ -79,17 +79,18 @@
 	return header
 }
 
-// input takes the text itself, or reads it from a file or from standard input.
-func (a *app) readInput(word string) (string, error) {
-	if word == "-" {
+// readInput returns the input that the flag value stands for: the content of
+// standard input for -, of the file for @FILE, or else the value itself.
+func (a *app) readInput(value string) (string, error) {
+	if value == "-" {
 		text, err := readAtMost(a.Stdin, maxInputBytes)
 		return text, errors.Wrap(err, "read input")
 	}
-	if name, ok := strings.CutPrefix(word, "@"); ok {
+	if name, ok := strings.CutPrefix(value, "@"); ok {
 		text, err := readFileAtMost(name, maxInputBytes)
 		return text, errors.Wrap(err, "read input")
 	}
-	return word, nil
+	return value, nil
 }
 
 func readFileAtMost(name string, limit int64) (string, error) {
@@ -101,8 +102,8 @@
 	return readAtMost(file, limit)
 }
 
-// readAtMost reads a text whole. One over the limit is an error: a part of it
-// would be taken for the whole.
+// readAtMost reads source to its end. A text longer than limit is an error, since
+// a truncated one would be mistaken for the whole.
 func readAtMost(source io.Reader, limit int64) (string, error) {
 	text, err := io.ReadAll(io.LimitReader(source, limit+1))
 	if err != nil {
@@ -131,19 +132,20 @@
 	return err
 }
 
-// answerStream reads a streamed answer.
+// answerStream reads and prints a streamed answer.
 type answerStream struct {
 	app      *app
 	cmd      *cli.Command
 	response *http.Response
-	// next is the offset of the next token.
+	// nextOffset is the offset of the next token.
 	nextOffset int
-	// text is what the tokens so far add up to; the bound of the body bounds it.
+	// received is the concatenation of the tokens so far; the limit on the body
+	// bounds its length.
 	received strings.Builder
 }
 
-// read prints tokens until the event that ends the stream. A stream that ends
-// without one was cut off.
+// read handles events until the one that ends the stream. A stream that ends
+// without it is truncated.
 func (s *answerStream) read() error {
 	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxResponseBytes), sse.Limits{})
 	for {
@@ -157,6 +159,7 @@
 	}
 }
 
+// handle processes one event and reports whether it completes the answer.
 func (s *answerStream) handle(event sse.Event) (done bool, err error) {
 	switch event.Name {
 	case callerapi.EventToken:
@@ -177,8 +180,8 @@
 	return false, nil
 }
 
-// token prints a token. One out of order means that a token was lost or came
-// twice; what was printed is then not the answer.
+// handleToken prints a token. A token out of order means that one was lost or
+// repeated, so that the printed text isn't the answer.
 func (s *answerStream) handleToken(event sse.Event) error {
 	if event.ID != strconv.Itoa(s.nextOffset) {
 		return truncatedAnswer(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.nextOffset))
@@ -195,21 +198,22 @@
 	return nil
 }
 
-// end prints what the tokens left out of the answer. A kept answer comes without
-// tokens: printed as it came, it would be an empty line and a success.
+// finish prints the part of the answer that the tokens didn't contain. The stored
+// answer of a repeated request arrives without tokens: without this the output
+// would be an empty line and a success.
 func (s *answerStream) finish(answer callerapi.Response) error {
-	rest, ok := strings.CutPrefix(answer.Output, s.received.String())
+	remaining, ok := strings.CutPrefix(answer.Output, s.received.String())
 	if !ok {
 		return truncatedAnswer(s.response, errors.New("the tokens are not the answer"))
 	}
 	if s.cmd.String(flagOutput) == outputTable {
-		answer.Output = rest
+		answer.Output = remaining
 	}
 	return s.app.printAnswer(s.cmd, answer)
 }
 
-// cutOff is the error of an answer that ended early: the request was run, at
-// least in part.
+// truncatedAnswer returns the error of an answer that ended early: the request was
+// run, at least in part.
 func truncatedAnswer(response *http.Response, cause error) error {
 	return &RequestError{Problem: callerapi.Problem{
 		Title: "the answer was cut off", Detail: cause.Error(),
--- a/docs_test.go
+++ b/docs_test.go
@@ -26,7 +26,7 @@
 	packagePath  = regexp.MustCompile("`((?:client|cmd|coordination|daemon|emulator|protocol|settings|state|telemetry|testkit|transport)/[a-z0-9/_.-]*)`")
 )
 
-// filesOf returns all files of the tree whose name ends in suffix.
+// readFiles returns the content by path of all files whose name ends in suffix.
 func readFiles(t *testing.T, suffix string) map[string]string {
 	t.Helper()
 	files := map[string]string{}
@@ -51,9 +51,8 @@
 	return found
 }
 
-// A page is moved or renamed and the pages that point to it are forgotten: a
-// reader follows a link to nothing.
-func TestLinksOfPagesLead(t *testing.T) {
+// Prevents broken links to pages that were moved or renamed.
+func TestLinksOfPagesResolve(t *testing.T) {
 	for page, text := range readFiles(t, ".md") {
 		for _, link := range submatches(linkTarget, text) {
 			path, _, _ := strings.Cut(link, "#")
@@ -65,7 +64,8 @@
 	}
 }
 
-// index is the page that a reader sees who follows a link to a directory.
+// indexPage returns the page that a link to a directory leads to, or the empty string
+// for a link to a file.
 func indexPage(path string) string {
 	if strings.HasSuffix(path, "/") {
 		return "README.md"
@@ -73,8 +73,9 @@
 	return ""
 }
 
-// A test is renamed or removed and the pages go on citing it as a proof.
-func TestNamedProofsExist(t *testing.T) {
+// Prevents pages from citing tests, scenarios or packages that were renamed or
+// removed.
+func TestReferencedNamesExist(t *testing.T) {
 	tests := readFiles(t, "_test.go")
 	var names []string
 	for _, text := range tests {
@@ -97,8 +98,8 @@
 	}
 }
 
-// An operator looks a log line up and the page has no word about it, or waits
-// for one that no instance writes any more.
+// Operators look log messages up on the page: it must explain each message that the
+// code writes, and none that it no longer writes.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	var written []string
 	for path, text := range readFiles(t, ".go") {
@@ -118,8 +119,8 @@
 	require.Equal(t, slices.Compact(written), explained)
 }
 
-// The on-call page quotes log lines. One that the code no longer writes sends an
-// engineer after a line that never comes.
+// The on-call page quotes log lines. The code must still write each of them, since
+// engineers search the logs for them.
 func TestQuotedLogLinesAreWritten(t *testing.T) {
 	var written []string
 	for path, text := range readFiles(t, ".go") {
@@ -136,5 +137,5 @@
 	}
 }
 
-// quotedLine is a log line in an indented block of a page.
+// quotedLine matches a log line in an indented block of a page.
 var quotedLine = regexp.MustCompile(`(?m)^    \w+\.go:\d+\] "([^"]+)"`)
--- a/emulator/platform/admin.go
+++ b/emulator/platform/admin.go
@@ -8,15 +8,15 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Admin paths of the stand-in.
+// Admin paths of the emulator.
 const (
 	PathFaults  = "/admin/faults"
 	PathCalls   = "/admin/calls"
 	PathTargets = "/admin/targets"
 )
 
-// WeightChunk is the answer of the weight store: so many bytes may be taken as
-// read now.
+// WeightChunk is the response of the weight store: the number of bytes that count
+// as read.
 type WeightChunk struct {
 	Name  string `json:"name"`
 	Bytes uint64 `json:"bytes"`
@@ -46,7 +46,7 @@
 	writeJSON(w, http.StatusOK, faults)
 }
 
-// serveSetTarget registers a target, or marks it as leaving by its state.
+// serveSetTarget registers a target, or marks it as leaving if its state says so.
 func (s *Store) serveSetTarget(w http.ResponseWriter, r *http.Request) {
 	var entry platformapi.TargetEntry
 	if !readAdmin(w, r, &entry) {
@@ -76,12 +76,12 @@
 		return
 	}
 	chunk := WeightChunk{Name: r.PathValue("name"), Bytes: size}
-	f := s.readWeights(r.Context(), requestOf(r), size)
-	respond(w, r, chunk, f)
+	failed := s.readWeights(r.Context(), requestOf(r), size)
+	respond(w, r, chunk, failed)
 }
 
-// readWeights holds a chunk against the rate of the weight store, which all
-// callers share. A chunk over the burst of one second never passes.
+// readWeights checks a chunk against the rate limit of the weight store, which all
+// callers share. A chunk larger than the burst of one second is always refused.
 func (s *Store) readWeights(ctx context.Context, r request, size uint64) *callFailure {
 	if burst := s.weights.Burst(); burst > 0 && size > uint64(burst) {
 		return &callFailure{refusal: refuse(http.StatusBadRequest, "chunk over a second's worth")}
--- a/emulator/platform/calls.go
+++ b/emulator/platform/calls.go
@@ -7,7 +7,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// CallKind tells calls apart in counts, limits and faults.
+// CallKind is the kind of a call for counts, limits and faults.
 type CallKind string
 
 // Kinds of calls.
@@ -18,27 +18,28 @@
 	CallWeight CallKind = "weight"
 )
 
-// KindCalls are the calls about one kind of objects.
+// KindCalls counts the calls for one kind of objects.
 type KindCalls struct {
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
 }
 
-// Calls are the calls since the start, refused ones included.
+// Calls counts the calls since the start, including refused ones.
 type Calls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Weights uint64 `json:"weights"`
-	// Limited are those answered 429.
+	// Limited is the number of calls refused with 429.
 	Limited uint64 `json:"limited"`
-	// Waiting are the watches waiting now.
+	// Waiting is the number of watches that are waiting now.
 	Waiting int `json:"waiting"`
-	// Kinds are the reads and writes by kind of objects.
+	// Kinds holds the reads and writes by kind of objects.
 	Kinds map[string]KindCalls `json:"kinds"`
 }
 
-// otherKinds counts kinds that the system doesn't have; it bounds Calls.Kinds.
+// otherKind is the key in Calls.Kinds of all kinds that the system doesn't have; it
+// bounds the size of the map.
 const otherKind = "other"
 
 var knownKinds = append([]string{
@@ -90,7 +91,7 @@
 	s.calls.Limited++
 }
 
-// waiting counts a watch until the returned function is called.
+// countWaiting counts a waiting watch until the returned function is called.
 func (s *Store) countWaiting() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/emulator/platform/store.go
+++ b/emulator/platform/store.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is the emulated platform. It is safe for concurrent use.
 type Store struct {
 	options Options
 
@@ -49,20 +49,24 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, burst))
 }
 
-// request is one call, whichever way it came.
+// request identifies one call, over HTTP or in process, for counts, limits and
+// faults.
 type request struct {
 	kind     CallKind
 	instance string
-	object   string // the kind of objects, for the counts
+	object   string // the kind of objects
 }
 
-// failed is the end of a call without success: a refusal or a broken answer.
+// callFailure is the result of a failed call: a refusal, or a failure without a
+// proper response.
 type callFailure struct {
+	// refusal is nil if the call got no proper response.
 	refusal *refusal
 	failure Failure
 }
 
-// enter counts a call, delays or fails it, and holds it against the limits.
+// admit counts a call, applies the faults before its effect, and checks its rate
+// limit.
 func (s *Store) admit(ctx context.Context, r request) *callFailure {
 	limiter := s.reads
 	if r.kind == CallWrite {
@@ -71,10 +75,11 @@
 	return s.admitTokens(ctx, r, limiter, 1)
 }
 
+// admitTokens is admit with a given limiter and cost.
 func (s *Store) admitTokens(ctx context.Context, r request, limiter *rate.Limiter, tokens int) *callFailure {
 	s.countCall(r)
-	if f := asCallFailure(s.injectBefore(ctx, r.instance, r.kind)); f != nil {
-		return f
+	if failed := asCallFailure(s.injectBefore(ctx, r.instance, r.kind)); failed != nil {
+		return failed
 	}
 	if !limiter.AllowN(s.options.Now(), tokens) {
 		s.countLimited()
@@ -83,44 +88,44 @@
 	return nil
 }
 
-// write carries out an effect on the table. It may lose the answer, and then
-// may apply the effect late; the condition is checked when it applies.
+// write applies an effect to the table. Faults can lose the response, and can then
+// delay the effect as well; the effect checks its condition when it is applied.
 func (s *Store) write(ctx context.Context, r request, effect func(*table) (*platformapi.Object, *refusal)) (*platformapi.Object, *callFailure) {
 	r.kind = CallWrite
-	if f := s.admit(ctx, r); f != nil {
-		return nil, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return nil, failed
 	}
 	if r.object == platformapi.KindTargets {
 		return nil, &callFailure{refusal: refuse(http.StatusForbidden, "the platform writes targets")}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	how, late := s.sampleLoss(r.instance)
-	if how != FailNone && late > 0 {
-		s.options.AfterFunc(late, func() {
+	failure, delay := s.sampleLoss(r.instance)
+	if failure != FailNone && delay > 0 {
+		s.options.AfterFunc(delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			effect(s.table)
 		})
-		return nil, &callFailure{failure: how}
+		return nil, &callFailure{failure: failure}
 	}
-	object, bad := effect(s.table)
-	if how != FailNone {
-		return nil, &callFailure{failure: how}
+	object, refused := effect(s.table)
+	if failure != FailNone {
+		return nil, &callFailure{failure: failure}
 	}
-	if bad != nil {
-		return nil, &callFailure{refusal: bad}
+	if refused != nil {
+		return nil, &callFailure{refusal: refused}
 	}
 	return object, nil
 }
 
 func (s *Store) get(ctx context.Context, r request, name string) (*platformapi.Object, *callFailure) {
 	r.kind = CallRead
-	if f := s.admit(ctx, r); f != nil {
-		return nil, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return nil, failed
 	}
-	if bad := checkNames(r.object, name); bad != nil {
-		return nil, &callFailure{refusal: bad}
+	if refused := checkNames(r.object, name); refused != nil {
+		return nil, &callFailure{refusal: refused}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,8 +139,8 @@
 
 func (s *Store) list(ctx context.Context, r request, after string, limit int, stale bool) (platformapi.List, *callFailure) {
 	r.kind = CallRead
-	if f := s.admit(ctx, r); f != nil {
-		return platformapi.List{}, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return platformapi.List{}, failed
 	}
 	if !kindPattern.MatchString(r.object) {
 		return platformapi.List{}, &callFailure{refusal: refuse(http.StatusBadRequest, "bad kind")}
@@ -145,17 +150,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	back := s.staleRevisions(r.instance)
+	age := s.staleRevisions(r.instance)
 	if stale {
-		back = max(back, 1)
+		age = max(age, 1)
 	}
-	objects, revision := s.table.objectsBefore(r.object, back)
+	objects, revision := s.table.objectsBefore(r.object, age)
 	page := pageOf(objects, after, limit)
 	page.Revision = revision
 	return page, nil
 }
 
-// staleBy returns how many revisions ago reads are answered from.
+// staleRevisions returns by how many revisions reads of the instance are stale.
 func (s *Store) staleRevisions(instance string) uint64 {
 	if !s.faults.affects(instance) {
 		return 0
@@ -163,21 +168,21 @@
 	return s.faults.StaleBy
 }
 
-// watch waits for changes of the kinds. Muted, it waits to the end and keeps the
-// revision, as a watch that lost its feed does.
+// watch waits for changes of the kinds. With MuteWatches it waits until the timeout
+// and returns the revision unchanged, as a watch whose event feed failed does.
 func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, *callFailure) {
 	r.kind = CallWatch
-	if f := s.admit(ctx, r); f != nil {
-		return platformapi.WatchResponse{}, f
+	if failed := s.admit(ctx, r); failed != nil {
+		return platformapi.WatchResponse{}, failed
 	}
 	defer s.countWaiting()()
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.options.AfterFunc(min(wait, milliseconds(platformapi.MaxWatchWaitMS)), cancel)
 	for {
-		watch, changed, f := s.readEvents(r, kinds, from)
-		if f != nil {
-			return watch, f
+		watch, changed, failed := s.readEvents(r, kinds, from)
+		if failed != nil {
+			return watch, failed
 		}
 		from = watch.Revision
 		if len(watch.Events) > 0 || wait <= 0 || limited.Err() != nil {
@@ -193,24 +198,25 @@
 	}
 }
 
-// observe looks once and returns what is closed at the next change of the table
-// or of the faults. An outage breaks watches that already wait.
+// readEvents returns the events since a revision, and a channel that is closed at
+// the next change of the table or of the faults. An outage also fails watches that
+// are already waiting.
 func (s *Store) readEvents(r request, kinds []string, from uint64) (platformapi.WatchResponse, <-chan struct{}, *callFailure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.table.changed
-	faulty := s.faults.affects(r.instance)
-	if faulty && s.faults.covers(CallWatch) && s.faults.Down != FailNone {
+	affected := s.faults.affects(r.instance)
+	if affected && s.faults.covers(CallWatch) && s.faults.Down != FailNone {
 		return platformapi.WatchResponse{}, changed, asCallFailure(s.faults.Down)
 	}
-	if faulty && s.faults.MuteWatches {
+	if affected && s.faults.MuteWatches {
 		return platformapi.WatchResponse{Events: []platformapi.Event{}, Revision: from}, changed, nil
 	}
-	watch, bad := s.table.eventsSince(kinds, from)
-	if bad != nil {
-		return watch, changed, &callFailure{refusal: bad}
+	watch, refused := s.table.eventsSince(kinds, from)
+	if refused != nil {
+		return watch, changed, &callFailure{refusal: refused}
 	}
-	if faulty {
+	if affected {
 		skipped := min(s.faults.SkipEvents, len(watch.Events))
 		s.faults.SkipEvents -= skipped
 		watch.Events = watch.Events[skipped:]
--- a/emulator/target/cache.go
+++ b/emulator/target/cache.go
@@ -7,16 +7,16 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// prefixCache holds the parts of prompts that were read last, up to a number
-// of tokens. A part counts as cached only when all parts before it are.
+// prefixCache is an LRU cache of parts of prompts with a capacity in tokens. A part
+// of a prompt counts as cached only if all parts before it are.
 type prefixCache struct {
 	capacity int
-	// changed is called, under the lock, for each part that comes or goes.
+	// onChange is called, under the lock, for each part added or evicted.
 	onChange func(part string, added bool)
 
 	mu     sync.Mutex
 	tokens int
-	// recent holds targetapi.Part, the most recently used first.
+	// recent is a list of targetapi.Part, the most recently used first.
 	recent *list.List
 	byID   map[string]*list.Element
 }
@@ -30,8 +30,8 @@
 	}
 }
 
-// missing returns how many tokens of the prompt have to be read, and marks the
-// cached ones as used.
+// uncachedTokens returns the number of tokens of the prompt that aren't cached, and
+// marks its cached parts as used.
 func (c *prefixCache) uncachedTokens(parts []targetapi.Part) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +39,8 @@
 	for hits < len(parts) && c.byID[parts[hits].ID] != nil {
 		hits++
 	}
-	// From the back, so that the front of a prompt is evicted last: without it
-	// the rest would be of no use.
+	// From the back, so that the front of a prompt is evicted last: without it the
+	// remaining parts can't be used.
 	for i := hits - 1; i >= 0; i-- {
 		c.recent.MoveToFront(c.byID[parts[i].ID])
 	}
@@ -51,7 +51,7 @@
 	return tokens
 }
 
-// add puts the parts into the cache and evicts the least recently used ones.
+// add caches the parts and evicts the least recently used ones.
 func (c *prefixCache) add(parts []targetapi.Part) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/target/control.go
+++ b/emulator/target/control.go
@@ -9,8 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// queryAfter is the query parameter of PathCacheEvents: the number of the last
-// event that the caller has.
+// queryAfter is the query parameter of PathCacheEvents with the sequence number of
+// the last event that the caller has.
 const queryAfter = "after"
 
 func (t *Target) serveHealth(w http.ResponseWriter, _ *http.Request) {
@@ -23,13 +23,14 @@
 	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
-// report is the target's lagging description of itself.
+// loadReport returns the load as of ReportLag ago, and the current state that
+// orders have set.
 func (t *Target) loadReport() targetapi.Load {
-	seen := t.loadHistory.reported()
+	reported := t.loadHistory.reported()
 	report := targetapi.Load{
 		Incarnation: t.options.Incarnation,
-		Active:      seen.active,
-		Queued:      seen.queued,
+		Active:      reported.active,
+		Queued:      reported.queued,
 		Slots:       t.options.Slots,
 		Leaving:     t.leaving.Load(),
 	}
@@ -37,7 +38,7 @@
 	return report
 }
 
-// serveOrder answers once the order is in force.
+// serveOrder responds once the order has taken effect.
 func (t *Target) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order targetapi.Order
 	if !readJSON(w, r, &order) {
@@ -51,6 +52,7 @@
 	writeJSON(w, http.StatusOK, t.loadReport())
 }
 
+// executeOrder checks an order, waits for the load time and applies the order.
 func (t *Target) executeOrder(r *http.Request, order targetapi.Order) error {
 	if err := t.orders.accept(order); err != nil {
 		return err
@@ -67,7 +69,7 @@
 	return t.orders.apply(order)
 }
 
-// refuseOrder answers an order that had no effect.
+// refuseOrder responds to an order that had no effect.
 func refuseOrder(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/emulator/target/events.go
+++ b/emulator/target/events.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// eventsKept bounds the cache events that can still be read.
+	// maxKeptEvents bounds the number of cache events kept for readers.
 	maxKeptEvents = 4096
-	// eventsPerPage bounds one answer.
+	// maxPageEvents bounds the number of events in one response.
 	maxPageEvents = 512
 )
 
-// eventLog publishes cache events late and with gaps.
+// eventLog publishes cache events with a lag and with losses.
 type eventLog struct {
 	now  func() time.Time
 	lag  time.Duration
@@ -25,7 +25,7 @@
 	rng     *rand.Rand
 	seq     uint64
 	entries []loggedEvent
-	// dropped is the highest number that is no longer kept.
+	// dropped is the highest sequence number dropped because of maxKeptEvents.
 	dropped uint64
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// add numbers an event. One that is lost leaves a gap in the numbers.
+// add numbers and logs an event. A lost event leaves a gap in the numbers.
 func (l *eventLog) add(part string, added bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,8 @@
 	}
 }
 
-// after returns the events that follow a number and are old enough to be seen.
+// after returns the events with a higher sequence number that are old enough to be
+// read.
 func (l *eventLog) after(seq uint64) targetapi.CacheEvents {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/emulator/target/kv.go
+++ b/emulator/target/kv.go
@@ -11,7 +11,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// serveKVExport tells whether the cache of a part can be had here, and its size.
+// serveKVExport returns the size of a cached part, or 404 if it isn't cached.
 func (t *Target) serveKVExport(w http.ResponseWriter, r *http.Request) {
 	var move targetapi.KVMove
 	if !readJSON(w, r, &move) {
@@ -25,7 +25,7 @@
 	writeJSON(w, http.StatusOK, targetapi.KVMove{Part: part.ID, Tokens: part.Tokens})
 }
 
-// serveKVImport fetches the cache of a part from another target.
+// serveKVImport fetches the KV cache of a part from another target.
 func (t *Target) serveKVImport(w http.ResponseWriter, r *http.Request) {
 	var move targetapi.KVMove
 	if !readJSON(w, r, &move) {
--- a/emulator/target/property_test.go
+++ b/emulator/target/property_test.go
@@ -11,9 +11,9 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// TestSchedulerProperties checks after each of many random steps that no slot
-// is used twice or left free before a waiting call, that the queue keeps its
-// bound, and that no waiting call is more urgent than all who hold a slot.
+// Checks after each of many random steps that no slot is used twice or left free
+// while a call waits, that the queue stays within its limit, and that no waiting
+// call precedes one that holds a slot.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scheduler{
@@ -52,14 +52,14 @@
 	})
 }
 
-// TestCacheProperties checks that the cache keeps its bound and that its events
-// add up to what it holds.
+// Checks that the cache stays within its capacity and that its events add up to its
+// content.
 func TestCacheProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := map[string]bool{}
+		reported := map[string]bool{}
 		cache := newPrefixCache(100, func(part string, added bool) {
-			require.NotEqual(t, told[part], added)
-			told[part] = added
+			require.NotEqual(t, reported[part], added)
+			reported[part] = added
 		})
 		for range 30 {
 			var prompt []targetapi.Part
@@ -76,7 +76,7 @@
 			if all <= cache.capacity {
 				require.Zero(t, cache.uncachedTokens(prompt))
 			}
-			for id, held := range told {
+			for id, held := range reported {
 				_, found := cache.find(id)
 				require.Equal(t, held, found)
 			}
--- a/emulator/target/run_handler.go
+++ b/emulator/target/run_handler.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxBody bounds the body of a call, in bytes.
+	// maxBodyBytes bounds the body of a call.
 	maxBodyBytes = 16 << 20
-	// defaultPriority is that of a call that names none.
+	// defaultPriority is the priority of a call without the header.
 	defaultPriority = 5
 	lowestPriority  = 9
 )
 
-// serveRun answers PathRun.
+// serveRun serves PathRun.
 func (t *Target) serveRun(w http.ResponseWriter, r *http.Request) {
 	t.setHeaders(w.Header())
 	w.Header().Set(targetapi.HeaderAttempt, r.Header.Get(targetapi.HeaderAttempt))
@@ -43,7 +43,8 @@
 	t.serveAttempt(w, r, a)
 }
 
-// describe sets the headers that every answer to PathRun carries.
+// setHeaders sets the headers that describe the target. Every response to PathRun
+// has them.
 func (t *Target) setHeaders(header http.Header) {
 	header.Set(targetapi.HeaderIncarnation, t.options.Incarnation)
 	header.Set(targetapi.HeaderLoad, t.loadHeader())
@@ -53,16 +54,16 @@
 }
 
 func (t *Target) loadHeader() string {
-	seen := t.loadHistory.reported()
+	reported := t.loadHistory.reported()
 	numbers := []string{
-		strconv.Itoa(seen.active),
-		strconv.Itoa(seen.queued),
+		strconv.Itoa(reported.active),
+		strconv.Itoa(reported.queued),
 		strconv.Itoa(t.options.Slots),
 	}
 	return strings.Join(numbers, ",")
 }
 
-// newAttempt reads and checks a call.
+// newAttempt parses and validates a call.
 func (t *Target) newAttempt(r *http.Request) (*attempt, error) {
 	a := &attempt{
 		target:    t,
@@ -83,12 +84,12 @@
 		return nil, err
 	}
 	a.ticket = newTicket(min(priority, lowestPriority))
-	left, err := numberHeader(r, targetapi.HeaderDeadline, 0)
+	remaining, err := numberHeader(r, targetapi.HeaderDeadline, 0)
 	if err != nil {
 		return nil, err
 	}
-	if left > 0 {
-		a.deadline = t.options.After(time.Duration(left) * time.Millisecond)
+	if remaining > 0 {
+		a.deadline = t.options.After(time.Duration(remaining) * time.Millisecond)
 	}
 	return a, nil
 }
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// numberHeader reads a header that is a whole number of at least 0.
+// numberHeader parses a header with a non-negative integer.
 func numberHeader(r *http.Request, name string, fallback int) (int, error) {
 	value := r.Header.Get(name)
 	if value == "" {
@@ -118,7 +119,7 @@
 	return number, nil
 }
 
-// serveAttempt queues and runs a call that is in order.
+// serveAttempt queues and runs a valid call.
 func (t *Target) serveAttempt(w http.ResponseWriter, r *http.Request, a *attempt) {
 	a.faults = t.faults.sample()
 	a.ctx, a.cancel = context.WithCancelCause(r.Context())
@@ -153,15 +154,15 @@
 	return &jsonResponder{w: w, attempt: a}
 }
 
-// finish runs the attempt and answers.
+// execute runs the attempt and responds.
 func (a *attempt) execute(w http.ResponseWriter) {
 	err := a.responder.begin()
 	var result targetapi.RunResponse
 	if err == nil {
 		result, err = a.run()
 	}
-	// The slot is free before the answer shows that it is: a caller who sends
-	// its next call at once must not be refused for the one just answered.
+	// Releases the slot before the response: a caller that sends its next call at
+	// once must not be refused because of the one that just completed.
 	a.target.scheduler.leave(a.ticket)
 	if err == nil {
 		err = a.injectAfterWork()
@@ -174,7 +175,7 @@
 	}
 }
 
-// register makes the attempt known to PathCancel.
+// register makes the attempt available to PathCancel.
 func (t *Target) register(a *attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +190,7 @@
 	}
 }
 
-// serveCancel answers PathCancel.
+// serveCancel serves PathCancel.
 func (t *Target) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var request targetapi.CancelRequest
 	if !readJSON(w, r, &request) {
--- a/emulator/target/target_test.go
+++ b/emulator/target/target_test.go
@@ -18,13 +18,13 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// reply is what one call to a handler brought.
+// response is the response to one call of a handler, and its duration.
 type response struct {
 	*httptest.ResponseRecorder
-	took time.Duration
+	elapsed time.Duration
 }
 
-// call sends one request straight to the handler, in virtual time.
+// call sends one request directly to the handler, in virtual time.
 func call(ctx context.Context, target *Target, method, path string, body any, headers ...string) response {
 	encoded, _ := json.Marshal(body)
 	request := httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(encoded))
@@ -32,9 +32,9 @@
 		request.Header.Set(headers[i], headers[i+1])
 	}
 	recorder := httptest.NewRecorder()
-	began := time.Now()
+	start := time.Now()
 	target.Handler().ServeHTTP(recorder, request)
-	return response{recorder, time.Since(began)}
+	return response{recorder, time.Since(start)}
 }
 
 func run(ctx context.Context, target *Target, id string, request targetapi.RunRequest, headers ...string) response {
@@ -42,7 +42,7 @@
 	return call(ctx, target, http.MethodPost, targetapi.PathRun, request, headers...)
 }
 
-// later starts a run and returns the channel on which its reply comes.
+// startRun starts a run and returns the channel that receives its response.
 func startRun(t *testing.T, target *Target, id string, request targetapi.RunRequest, headers ...string) <-chan response {
 	replies := make(chan response, 1)
 	go func() { replies <- run(t.Context(), target, id, request, headers...) }()
@@ -86,12 +86,12 @@
 		BatchSlowdown: 0.5, PrefillRate: 1000, CacheTokens: 1000}
 	prefix := targetapi.RunRequest{Prefix: []targetapi.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 300}}}
 	runInBubble(t, engine, func(t *testing.T, target *Target) {
-		require.Equal(t, 200*time.Millisecond, run(t.Context(), target, "1", tenTokens).took)
+		require.Equal(t, 200*time.Millisecond, run(t.Context(), target, "1", tenTokens).elapsed)
 		resumed := targetapi.RunRequest{Stage: "s", MaxTokens: 10, ResumeFrom: 7}
-		require.Equal(t, 137*time.Millisecond, run(t.Context(), target, "resumed", resumed).took, "7 tokens read, 3 generated")
+		require.Equal(t, 137*time.Millisecond, run(t.Context(), target, "resumed", resumed).elapsed, "7 tokens read, 3 generated")
 		first, second := startRun(t, target, "2", tenTokens), startRun(t, target, "3", tenTokens)
-		require.Equal(t, 250*time.Millisecond, (<-first).took, "a batch of two")
-		require.Equal(t, 250*time.Millisecond, (<-second).took)
+		require.Equal(t, 250*time.Millisecond, (<-first).elapsed, "a batch of two")
+		require.Equal(t, 250*time.Millisecond, (<-second).elapsed)
 		cold := decode[targetapi.RunResponse](t, run(t.Context(), target, "4", prefix))
 		require.Equal(t, 900, cold.PrefillTokens)
 		require.EqualValues(t, 1000, cold.WorkMS)
@@ -101,33 +101,35 @@
 	})
 }
 
-// Story: a work order is queued behind others and its deadline passes there.
-// The target must not start it, and must say so: else the caller can't retry.
+// The deadline of a queued call passes, the queue is full, or a queued call is
+// cancelled. The target must not run the call and must report that: the caller
+// couldn't retry otherwise.
 func TestRefusedInTheQueue(t *testing.T) {
 	options := Options{Kind: catalog.KindService, Slots: 1, QueueLimit: 1, CallTime: time.Second}
 	runInBubble(t, options, func(t *testing.T, target *Target) {
-		running := startRun(t, target, "running", targetapi.RunRequest{})
+		active := startRun(t, target, "running", targetapi.RunRequest{})
 		queued := startRun(t, target, "queued", targetapi.RunRequest{}, targetapi.HeaderDeadline, "300")
 		full := run(t.Context(), target, "full", targetapi.RunRequest{})
 		require.Positive(t, decode[targetapi.Refusal](t, full).RetryAfterMS)
-		late := <-queued
-		require.Equal(t, 300*time.Millisecond, late.took)
+		expired := <-queued
+		require.Equal(t, 300*time.Millisecond, expired.elapsed)
 		cancelled := startRun(t, target, "cancelled", targetapi.RunRequest{})
 		cancel := call(t.Context(), target, http.MethodPost, targetapi.PathCancel, targetapi.CancelRequest{AttemptID: "cancelled"})
 		require.Equal(t, http.StatusNoContent, cancel.Code)
-		for _, refused := range []response{full, late, <-cancelled} {
+		for _, refused := range []response{full, expired, <-cancelled} {
 			require.Contains(t, []int{http.StatusServiceUnavailable, http.StatusConflict}, refused.Code)
 			require.Equal(t, "true", refused.Header().Get(targetapi.HeaderNotRun))
 		}
-		require.Equal(t, http.StatusOK, (<-running).Code)
+		require.Equal(t, http.StatusOK, (<-active).Code)
 		require.Equal(t, map[string]int{"running": 1}, target.Runs())
 	})
 }
 
-// Story: a dossier in progress holds every slot and an urgent allergy check
-// comes. An engine makes room at the next token; the dossier ends later, whole.
-func TestUrgentCallTakesTheSlot(t *testing.T) {
-	for kind, urgentTook := range map[catalog.PoolKind]time.Duration{
+// An urgent call arrives while a less urgent one holds the only slot. An engine
+// yields the slot at the next token, and the preempted call completes later with its
+// whole answer; other kinds of targets don't preempt.
+func TestUrgentCallPreempts(t *testing.T) {
+	for kind, urgentElapsed := range map[catalog.PoolKind]time.Duration{
 		catalog.KindEngine: 105 * time.Millisecond, catalog.KindReranker: 1095 * time.Millisecond,
 	} {
 		options := Options{Kind: kind, Slots: 1, TokenTime: 10 * time.Millisecond}
@@ -136,7 +138,7 @@
 			slow := startRun(t, target, "slow", long, targetapi.HeaderPriority, "8")
 			<-time.After(5 * time.Millisecond)
 			urgent := run(t.Context(), target, "urgent", tenTokens, targetapi.HeaderPriority, "0")
-			require.Equal(t, urgentTook, urgent.took)
+			require.Equal(t, urgentElapsed, urgent.elapsed)
 			whole := decode[targetapi.RunResponse](t, <-slow)
 			text, _ := Output("", nil, "", 100)
 			require.Equal(t, text, whole.Output)
@@ -145,8 +147,8 @@
 	}
 }
 
-// Story: the target is closed, or an attempt is cancelled, in mid-stream. The
-// caller gets an error event and never a done event.
+// An attempt is cancelled in the middle of its stream, or the target is closed. The
+// caller must get an error and never a done event.
 func TestStoppedStream(t *testing.T) {
 	runInBubble(t, Options{TokenTime: time.Second, KeepAlive: 300 * time.Millisecond}, func(t *testing.T, target *Target) {
 		stream := startRun(t, target, "x", tenTokens, "Accept", "text/event-stream")
@@ -181,8 +183,8 @@
 	require.Empty(t, target.Runs())
 }
 
-// Story: a dashboard and a router read a target's load; it is as old as the
-// target says, however often it changes meanwhile.
+// The reported load must be as old as ReportLag, however often the load changes
+// meanwhile.
 func TestLoadLags(t *testing.T) {
 	options := Options{Slots: 3, CallTime: time.Second, ReportLag: 400 * time.Millisecond}
 	runInBubble(t, options, func(t *testing.T, target *Target) {
@@ -207,7 +209,7 @@
 	})
 }
 
-func TestCacheEventsAreLateAndGappy(t *testing.T) {
+func TestCacheEventsLagAndAreLost(t *testing.T) {
 	options := Options{CacheTokens: 10, EventLag: time.Second, EventLoss: 0.3}
 	runInBubble(t, options, func(t *testing.T, target *Target) {
 		read := func(after uint64) targetapi.CacheEvents {
@@ -249,30 +251,30 @@
 	}
 }
 
-// Story: orders overlap: while an old holder's load still takes its time, its
-// successor gives a newer order. The old one must not win at its end.
-func TestOldOrderEndsAfterANewOne(t *testing.T) {
+// Orders overlap: while an order of an old lease holder is still loading, its
+// successor sends a newer one. The old order must not take effect at its end.
+func TestOldOrderCompletesAfterNewerOne(t *testing.T) {
 	options := Options{ChecksFencing: true, LoadTime: time.Second, Models: []string{}}
 	runInBubble(t, options, func(t *testing.T, target *Target) {
-		give := func(order targetapi.Order) int {
+		send := func(order targetapi.Order) int {
 			got := call(t.Context(), target, http.MethodPost, targetapi.PathOrders, order)
 			if order.Fencing == 0 {
-				require.Zero(t, got.took, "an old order is refused before its load begins")
+				require.Zero(t, got.elapsed, "an old order is refused before its load begins")
 			}
 			return got.Code
 		}
 		old := make(chan int, 1)
-		go func() { old <- give(targetapi.Order{Fencing: 1, Action: targetapi.ActionSetRole, Value: "prefill"}) }()
+		go func() { old <- send(targetapi.Order{Fencing: 1, Action: targetapi.ActionSetRole, Value: "prefill"}) }()
 		<-time.After(time.Second / 2)
-		require.Equal(t, http.StatusOK, give(targetapi.Order{Fencing: 2, Action: targetapi.ActionSetRole, Value: "decode"}))
+		require.Equal(t, http.StatusOK, send(targetapi.Order{Fencing: 2, Action: targetapi.ActionSetRole, Value: "decode"}))
 		require.Equal(t, http.StatusConflict, <-old)
-		require.Equal(t, http.StatusConflict, give(targetapi.Order{Action: targetapi.ActionSetRole}))
+		require.Equal(t, http.StatusConflict, send(targetapi.Order{Action: targetapi.ActionSetRole}))
 		require.Equal(t, http.StatusNotFound, run(t.Context(), target, "x", targetapi.RunRequest{Model: "m"}).Code)
-		require.Equal(t, http.StatusOK, give(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: "m"}))
+		require.Equal(t, http.StatusOK, send(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: "m"}))
 		require.Equal(t, http.StatusOK, run(t.Context(), target, "x", targetapi.RunRequest{Model: "m"}).Code)
 		require.Len(t, target.Orders(), 2)
 		for i := range maxLoaded {
-			status := give(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: fmt.Sprint(i)})
+			status := send(targetapi.Order{Fencing: 2, Action: targetapi.ActionLoadModel, Value: fmt.Sprint(i)})
 			require.Equal(t, i == maxLoaded-1, status == http.StatusBadRequest)
 		}
 	})
--- a/layers_test.go
+++ b/layers_test.go
@@ -14,7 +14,7 @@
 
 const module = "github.com/ivyhollow/ivyhollow/"
 
-// allowed lists for each layer the layers it may import beside itself.
+// allowedImports lists the layers that each layer may import beside itself.
 var allowedImports = map[string][]string{
 	"state":        {},
 	"coordination": {"state"},
@@ -22,12 +22,12 @@
 	"transport":    {"protocol", "coordination", "state"},
 }
 
-// pure are imports that a decision must not have: with one of them it could not
-// run in virtual time.
+// forbiddenInCoordination lists packages that coordination must not import: code
+// that uses one of them can't run in virtual time.
 var forbiddenInCoordination = []string{"net", "net/http", "os", "os/signal", "log", "k8s.io/klog/v2"}
 
-// A layer that imports an upper one, or a decision that reads the outside, works
-// until the day it has to run in another place.
+// A layer that imports an upper one, or coordination code that does I/O, can't run in
+// another process or in virtual time.
 func TestImportsGoDownOnly(t *testing.T) {
 	for layer, below := range allowedImports {
 		files := token.NewFileSet()
