--- a/testkit/capacity/capacity.go
+++ b/testkit/capacity/capacity.go
@@ -20,7 +20,7 @@
 }
 
 // Measure is one set of series that are measured together.
-type Measure struct {
+type Measurement struct {
 	Name string
 	// About says what is varied and what is kept.
 	About string
@@ -28,8 +28,8 @@
 }
 
 // Measures lists all measures in the order of the capacity page.
-func Measures() []Measure {
-	return []Measure{
+func Measurements() []Measurement {
+	return []Measurement{
 		{"nodes", "membership, records and load digests, n instances in virtual time", measureNodes},
 		{"loopback", "the same over TCP on loopback, n instances in this process", measureLoopback},
 		{"owners", "views and owners of duties among n instances", measureOwners},
@@ -55,7 +55,7 @@
 }
 
 // repeat runs f as often as the options ask for and returns the median.
-func (o Options) repeat(f func() float64) float64 {
+func (o Options) medianOf(f func() float64) float64 {
 	values := make([]float64, max(o.Repeat, 1))
 	for i := range values {
 		values[i] = f()
@@ -69,24 +69,24 @@
 }
 
 // timed is how long one sample of nsPerOp lasts.
-const timed = 30 * time.Millisecond
+const sampleTime = 30 * time.Millisecond
 
 // nsPerOp returns the median processor time of one call of f, in nanoseconds.
 func (o Options) nsPerOp(f func()) float64 {
 	f()
-	return o.repeat(func() float64 {
-		start, begun, n := cpu(), time.Now(), 0
-		for time.Since(begun) < timed {
+	return o.medianOf(func() float64 {
+		start, begun, n := cpuTime(), time.Now(), 0
+		for time.Since(begun) < sampleTime {
 			f()
 			n++
 		}
-		return float64(cpu()-start) / float64(n)
+		return float64(cpuTime()-start) / float64(n)
 	})
 }
 
 // cpu is the processor time that this process has used. It is less disturbed
 // by other processes than the clock.
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -95,15 +95,15 @@
 }
 
 // heapOf returns the bytes of heap that what build returns takes up.
-func heapOf(build func() any) float64 {
-	before := heap()
+func heapSize(build func() any) float64 {
+	before := heapAlloc()
 	kept := build()
-	size := float64(heap()) - float64(before)
+	size := float64(heapAlloc()) - float64(before)
 	runtime.KeepAlive(kept)
 	return size
 }
 
-func heap() uint64 {
+func heapAlloc() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/testkit/capacity/capacity_test.go
+++ b/testkit/capacity/capacity_test.go
@@ -21,11 +21,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := Series{Target: 10, Points: c.points}
+			s := Series{DesignSize: 10, Points: c.points}
 			fit := s.Fit()
 			require.InDelta(t, c.slope, fit.Slope, 1e-9)
 			require.InDelta(t, c.off, fit.Residual, 1e-9)
-			value, measured := s.AtTarget()
+			value, measured := s.AtDesignSize()
 			require.InDelta(t, c.at, value, 1e-9)
 			require.False(t, measured)
 		})
@@ -35,8 +35,8 @@
 // A figure that nobody has measured must not be taken for one.
 func TestTableTellsWhatIsExtrapolatedOrOver(t *testing.T) {
 	all := []Series{
-		{Quantity: "a", Target: 4, Budget: 10, Points: []Point{{1, 3}, {4, 12}}},
-		{Quantity: "b", Target: 8, Budget: 10, Points: []Point{{1, 1}, {4, 4}}},
+		{Quantity: "a", DesignSize: 4, Budget: 10, Points: []Point{{1, 3}, {4, 12}}},
+		{Quantity: "b", DesignSize: 8, Budget: 10, Points: []Point{{1, 1}, {4, 4}}},
 	}
 	var out strings.Builder
 	require.NoError(t, WriteTable(&out, all))
@@ -54,14 +54,14 @@
 func TestTrafficOfAnInstanceIsBounded(t *testing.T) {
 	perNode := func(n int) float64 {
 		f := newFleet(n)
-		_, ok := f.settle(settleLimit)
+		_, ok := f.converge(convergenceTimeout)
 		require.True(t, ok, "%d instances did not find one another", n)
 		f.run(time.Minute)
 		f.sent = traffic{}
-		f.change(fleetLength)
+		f.runWithChanges(fleetLength)
 		return float64(f.sent.bytes()) / float64(n) / fleetLength.Seconds()
 	}
 	small, large := perNode(12), perNode(48)
-	require.Less(t, large, budgetBytes*0.6)
+	require.Less(t, large, sendBudget*0.6)
 	require.Less(t, large, 1.3*small)
 }
--- a/testkit/capacity/fleet.go
+++ b/testkit/capacity/fleet.go
@@ -13,12 +13,12 @@
 
 // Times of a fleet.
 const (
-	step = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// fleetCentres is the number of data centres; the first regionCentres of
 	// them are the first region.
-	fleetCentres  = 5
-	regionCentres = 3
-	rings         = 8
+	fleetDataCentres       = 5
+	firstRegionDataCentres = 3
+	rings                  = 8
 	// digestBytes is the size of a load digest's body.
 	digestBytes   = 100
 	maxTombstones = 4096
@@ -33,16 +33,16 @@
 	nodes []*fleetNode
 	// byAddress finds a node; queue holds what arrives in the next step.
 	byAddress map[string]*fleetNode
-	queue     []fleetMessage
+	inTransit []fleetMessage
 	// parted cuts the two regions from each other.
-	parted bool
-	sent   traffic
+	partitioned bool
+	sent        traffic
 }
 
 type fleetNode struct {
 	self    membership.Member
 	members *membership.Membership
-	spread  *spread.Gossip
+	gossip  *spread.Gossip
 	table   *spread.Table
 	view    *membership.View
 	peers   []string
@@ -75,14 +75,14 @@
 		node := &fleetNode{
 			self:    list[i],
 			members: membership.New(membership.DefaultConfig(), list[i], random(1)),
-			spread:  spread.New(load.GossipConfig(), table, random(2)),
+			gossip:  spread.New(load.GossipConfig(), table, random(2)),
 			table:   table,
 		}
 		f.nodes = append(f.nodes, node)
 		f.byAddress[list[i].Address] = node
 	}
 	for _, node := range f.nodes {
-		f.doMembership(node, node.members.Seed(f.now, list))
+		f.applyMembership(node, node.members.Seed(f.now, list))
 	}
 	return f
 }
@@ -92,7 +92,7 @@
 		Name:        fmt.Sprintf("instance-%03d", i),
 		Address:     fmt.Sprintf("10.1.%d.%d:7100", i/250, i%250),
 		CallerURL:   fmt.Sprintf("http://10.1.%d.%d:7000", i/250, i%250),
-		DataCentre:  fmt.Sprint("dc-", i%fleetCentres),
+		DataCentre:  fmt.Sprint("dc-", i%fleetDataCentres),
 		Incarnation: 1_700_000_000_000_000_000,
 	}
 }
@@ -106,9 +106,9 @@
 
 // step delivers what is under way and ticks every instance.
 func (f *fleet) step() {
-	f.now = f.now.Add(step)
-	queue := f.queue
-	f.queue = nil
+	f.now = f.now.Add(tickInterval)
+	queue := f.inTransit
+	f.inTransit = nil
 	for _, m := range queue {
 		f.deliver(m)
 	}
@@ -120,19 +120,19 @@
 }
 
 func (f *fleet) deliver(m fleetMessage) {
-	if m.to.down || m.from.down || f.cut(m.from, m.to) {
+	if m.to.down || m.from.down || f.separated(m.from, m.to) {
 		return
 	}
 	switch message := m.message.(type) {
 	case membership.Message:
-		f.doMembership(m.to, m.to.members.Receive(f.now, m.from.self, message))
+		f.applyMembership(m.to, m.to.members.Receive(f.now, m.from.self, message))
 	case spread.Message:
-		f.doSpread(m.to, m.to.spread.Receive(f.now, m.from.self.Address, message))
+		f.applyGossip(m.to, m.to.gossip.Receive(f.now, m.from.self.Address, message))
 	}
 }
 
 func (f *fleet) tick(node *fleetNode) {
-	f.doMembership(node, node.members.Tick(f.now))
+	f.applyMembership(node, node.members.Tick(f.now))
 	if view := node.members.View(); view != node.view {
 		node.view = view
 		node.peers = nil
@@ -141,13 +141,13 @@
 		}
 	}
 	node.seq++
-	node.spread.SetLoad(f.now, spread.LoadDigest{
+	node.gossip.SetLoad(f.now, spread.LoadDigest{
 		Origin: node.self.Name, Incarnation: node.self.Incarnation, Seq: node.seq, Body: make([]byte, digestBytes),
 	})
-	f.doSpread(node, node.spread.Tick(f.now, node.peers, len(node.view.Live())))
+	f.applyGossip(node, node.gossip.Tick(f.now, node.peers, len(node.view.Live())))
 }
 
-func (f *fleet) doMembership(from *fleetNode, actions []membership.Action) {
+func (f *fleet) applyMembership(from *fleetNode, actions []membership.Action) {
 	for _, a := range actions {
 		if send, ok := a.(membership.Send); ok {
 			f.sent.membership += f.send(from, send.To, send.Message)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (f *fleet) doSpread(from *fleetNode, actions []spread.Action) {
+func (f *fleet) applyGossip(from *fleetNode, actions []spread.Action) {
 	for _, a := range actions {
 		send, ok := a.(spread.Send)
 		if !ok {
@@ -178,28 +178,30 @@
 	}
 	f.sent.messages++
 	if node := f.byAddress[to]; node != nil {
-		f.queue = append(f.queue, fleetMessage{from: from, to: node, message: m})
+		f.inTransit = append(f.inTransit, fleetMessage{from: from, to: node, message: m})
 	}
 	return len(frame)
 }
 
-func (f *fleet) cut(a, b *fleetNode) bool { return f.parted && f.region(a) != f.region(b) }
+func (f *fleet) separated(a, b *fleetNode) bool {
+	return f.partitioned && f.inFirstRegion(a) != f.inFirstRegion(b)
+}
 
 // region tells whether an instance is in the first region.
-func (f *fleet) region(n *fleetNode) bool {
-	return n.self.DataCentre < fmt.Sprint("dc-", regionCentres)
+func (f *fleet) inFirstRegion(n *fleetNode) bool {
+	return n.self.DataCentre < fmt.Sprint("dc-", firstRegionDataCentres)
 }
 
 // settled tells whether every running instance sees just those that it can
 // reach as live.
-func (f *fleet) settled() bool {
+func (f *fleet) converged() bool {
 	var up, first int
 	for _, n := range f.nodes {
 		if n.down {
 			continue
 		}
 		up++
-		if f.region(n) {
+		if f.inFirstRegion(n) {
 			first++
 		}
 	}
@@ -208,9 +210,9 @@
 			continue
 		}
 		want := up
-		if f.parted && f.region(n) {
+		if f.partitioned && f.inFirstRegion(n) {
 			want = first
-		} else if f.parted {
+		} else if f.partitioned {
 			want = up - first
 		}
 		if len(n.members.View().Live()) != want {
@@ -221,10 +223,10 @@
 }
 
 // settle runs until the views are settled, at most for limit.
-func (f *fleet) settle(limit time.Duration) (took time.Duration, ok bool) {
+func (f *fleet) converge(limit time.Duration) (took time.Duration, ok bool) {
 	begun := f.now
 	for f.now.Sub(begun) < limit {
-		if f.settled() {
+		if f.converged() {
 			return f.now.Sub(begun), true
 		}
 		f.step()
@@ -233,7 +235,7 @@
 }
 
 // everywhere tells whether every running instance holds a revision.
-func (f *fleet) everywhere(name string, revision uint64) bool {
+func (f *fleet) recordReachedAll(name string, revision uint64) bool {
 	for _, n := range f.nodes {
 		r, ok := n.table.Get(recordKind, name)
 		if !n.down && (!ok || r.Revision < revision) {
--- a/testkit/capacity/leases.go
+++ b/testkit/capacity/leases.go
@@ -18,10 +18,10 @@
 
 // measureLeases plays instances that all compete for the leases of the pools.
 func measureLeases(o Options) ([]Series, error) {
-	reads := Series{Quantity: "reads, six pools, if all instances compete", Unit: "1/s in all", Size: "node", Target: targetNodes, Budget: storeReads}
-	writes := Series{Quantity: "writes, six pools", Unit: "1/s in all", Size: "node", Target: targetNodes, Budget: storeWrites}
+	reads := Series{Quantity: "reads, six pools, if all instances compete", Unit: "1/s in all", SizeUnit: "node", DesignSize: designNodes, Budget: storeReads}
+	writes := Series{Quantity: "writes, six pools", Unit: "1/s in all", SizeUnit: "node", DesignSize: designNodes, Budget: storeWrites}
 	for _, n := range o.sizes(3, 64, 440) {
-		store := playLease(n)
+		store := simulateLease(n)
 		reads.add(n, orderedPools*float64(store.reads)/fleetLength.Seconds())
 		writes.add(n, orderedPools*float64(store.writes)/fleetLength.Seconds())
 	}
@@ -29,26 +29,26 @@
 }
 
 // playLease plays one pool's lease for a while after it has been taken.
-func playLease(n int) *leaseStore {
+func simulateLease(n int) *leaseStore {
 	now := time.Unix(1_000_000, 0)
 	store := &leaseStore{}
 	holders := make([]*lease.Lease, n)
 	for i := range holders {
 		holders[i] = lease.New(instanceName(i), lease.DefaultTiming)
 	}
-	for end := now.Add(2 * fleetLength); now.Before(end); now = now.Add(step) {
+	for end := now.Add(2 * fleetLength); now.Before(end); now = now.Add(tickInterval) {
 		if now.Equal(end.Add(-fleetLength)) {
 			store.reads, store.writes = 0, 0
 		}
 		for _, l := range holders {
-			store.act(now, l)
+			store.runLease(now, l)
 		}
 	}
 	return store
 }
 
 // act does what a lease asks for until it asks to wait.
-func (s *leaseStore) act(now time.Time, l *lease.Lease) {
+func (s *leaseStore) runLease(now time.Time, l *lease.Lease) {
 	for range 4 {
 		switch a := l.Next(now).(type) {
 		case lease.Wait:
--- a/testkit/capacity/owners.go
+++ b/testkit/capacity/owners.go
@@ -6,7 +6,7 @@
 // and for a question about a duty.
 func measureOwners(o Options) ([]Series, error) {
 	series := func(quantity string) Series {
-		return Series{Quantity: quantity, Unit: "us", Size: "node", Target: targetNodes}
+		return Series{Quantity: quantity, Unit: "us", SizeUnit: "node", DesignSize: designNodes}
 	}
 	owners, neighbours, view := series("Owners of a key"), series("Neighbours"), series("a new view")
 	for _, n := range o.sizes(8, 64, 440) {
--- a/testkit/capacity/path.go
+++ b/testkit/capacity/path.go
@@ -22,11 +22,11 @@
 // measurePath sends whole requests of four stages through an instance to
 // emulated targets, all in this process.
 func measurePath(o Options) ([]Series, error) {
-	processor := Series{Quantity: "a request, caller and targets included", Unit: "ms", Size: "caller", Target: 12}
-	rate := Series{Quantity: "answered", Unit: "1/s", Size: "caller", Target: 12}
+	processor := Series{Quantity: "a request, caller and targets included", Unit: "ms", SizeUnit: "caller", DesignSize: 12}
+	rate := Series{Quantity: "answered", Unit: "1/s", SizeUnit: "caller", DesignSize: 12}
 	for _, n := range o.sizes(2, 6, 12) {
 		var answered float64
-		cost := o.repeat(func() float64 {
+		cost := o.medianOf(func() float64 {
 			count, used, err := sendRequests(n)
 			if err != nil || count == 0 {
 				return 0
@@ -54,7 +54,7 @@
 	defer stop()
 	var count atomic.Int64
 	var wg sync.WaitGroup
-	begun, end := cpu(), time.Now().Add(pathLength)
+	begun, end := cpuTime(), time.Now().Add(pathLength)
 	for range n {
 		wg.Go(func() {
 			for time.Now().Before(end) {
@@ -65,7 +65,7 @@
 		})
 	}
 	wg.Wait()
-	return count.Load(), cpu() - begun, nil
+	return count.Load(), cpuTime() - begun, nil
 }
 
 func startInstance(ctx context.Context) (*app.App, func(), error) {
--- a/testkit/capacity/series.go
+++ b/testkit/capacity/series.go
@@ -15,8 +15,8 @@
 	// Quantity is what was measured, Unit its unit.
 	Quantity, Unit string
 	// Size names what was varied, Target is its size to come.
-	Size   string
-	Target float64
+	SizeUnit   string
+	DesignSize float64
 	// Budget is the most that the quantity may be at the target; 0 is none.
 	Budget float64
 	Points []Point
@@ -59,7 +59,7 @@
 func (s *Series) residual(f Fit) float64 {
 	worst, largest := 0.0, 0.0
 	for _, p := range s.Points {
-		worst = max(worst, math.Abs(p.Value-f.at(p.Size)))
+		worst = max(worst, math.Abs(p.Value-f.valueAt(p.Size)))
 		largest = max(largest, math.Abs(p.Value))
 	}
 	if largest == 0 {
@@ -68,17 +68,17 @@
 	return worst / largest
 }
 
-func (f Fit) at(size float64) float64 { return f.Intercept + f.Slope*size }
+func (f Fit) valueAt(size float64) float64 { return f.Intercept + f.Slope*size }
 
 // AtTarget returns the value at the target size, and whether it was measured
 // there and not extrapolated.
-func (s *Series) AtTarget() (value float64, measured bool) {
+func (s *Series) AtDesignSize() (value float64, measured bool) {
 	for _, p := range s.Points {
-		if p.Size == s.Target {
+		if p.Size == s.DesignSize {
 			return p.Value, true
 		}
 	}
-	return s.Fit().at(s.Target), false
+	return s.Fit().valueAt(s.DesignSize), false
 }
 
 // WriteTable writes the points, the fit and the value at the target size.
@@ -87,7 +87,7 @@
 	for i := range all {
 		s := &all[i]
 		fit := s.Fit()
-		value, measured := s.AtTarget()
+		value, measured := s.AtDesignSize()
 		how := "measured"
 		if !measured {
 			how = "EXTRAPOLATED"
@@ -96,16 +96,16 @@
 		for _, p := range s.Points {
 			fmt.Fprintf(table, "%.0f: %.4g\t", p.Size, p.Value)
 		}
-		fmt.Fprintf(table, "slope %.3g per %s\tresidual %.0f%%\tat %.0f: %.4g %s", fit.Slope, s.Size, 100*fit.Residual, s.Target, value, how)
+		fmt.Fprintf(table, "slope %.3g per %s\tresidual %.0f%%\tat %.0f: %.4g %s", fit.Slope, s.SizeUnit, 100*fit.Residual, s.DesignSize, value, how)
 		if s.Budget > 0 {
-			fmt.Fprintf(table, "\t%.0f%% of %.4g%s", 100*value/s.Budget, s.Budget, over(value, s.Budget))
+			fmt.Fprintf(table, "\t%.0f%% of %.4g%s", 100*value/s.Budget, s.Budget, overBudgetMark(value, s.Budget))
 		}
 		fmt.Fprintln(table)
 	}
 	return table.Flush()
 }
 
-func over(value, budget float64) string {
+func overBudgetMark(value, budget float64) string {
 	if value > budget {
 		return " OVER"
 	}
@@ -115,20 +115,20 @@
 // The budgets of an instance for control.
 const (
 	// budgetCPU is in milliseconds of processor time a second: 1.2% of a core.
-	budgetCPU = 12
+	cpuBudget = 12
 	// budgetMemory is in megabytes.
-	budgetMemory = 128
+	memoryBudget = 128
 	// budgetBytes is in bytes sent a second.
-	budgetBytes = 2048
+	sendBudget = 2048
 )
 
 // Sizes to come.
 const (
-	targetNodes    = 440
-	targetTargets  = 4000
-	targetAccounts = 32000
+	designNodes    = 440
+	designTargets  = 4000
+	designAccounts = 32000
 	// targetRequests is the requests a second of one instance at the peak.
-	targetRequests = 42000.0 / targetNodes
+	designRequestRate = 42000.0 / designNodes
 )
 
 const megabyte = 1 << 20
--- a/testkit/cmd/capacity/main.go
+++ b/testkit/cmd/capacity/main.go
@@ -31,7 +31,7 @@
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	names := strings.Split(only, ",")
-	for _, m := range capacity.Measures() {
+	for _, m := range capacity.Measurements() {
 		if only != "" && !slices.Contains(names, m.Name) {
 			continue
 		}
--- a/testkit/cmd/experiment/main.go
+++ b/testkit/cmd/experiment/main.go
@@ -91,7 +91,7 @@
 	}
 	policies := o.policies
 	if policies == "" {
-		policies = strings.Join(append(names(experiment.Baselines()), experiment.OurPolicy, experiment.ManagedPolicy, "gate_2_2", "oracle"), ",")
+		policies = strings.Join(append(names(experiment.Baselines()), experiment.RoutingPolicy, experiment.ManagedPolicy, "gate_2_2", "oracle"), ",")
 	}
 	grid.Policies, err = choose("policy", policies, experiment.Policies(), func(p experiment.Policy) string { return p.Name })
 	return grid, err
--- a/testkit/experiment/clock.go
+++ b/testkit/experiment/clock.go
@@ -39,7 +39,7 @@
 func (c *clock) at(moment time.Duration, f func()) {
 	c.seq++
 	c.events = append(c.events, event{max(moment, c.now), c.seq, f})
-	c.up(len(c.events) - 1)
+	c.siftUp(len(c.events) - 1)
 }
 
 // every runs f at a steady interval until the run ends.
@@ -60,7 +60,7 @@
 	c.now = end
 }
 
-func (c *clock) up(i int) {
+func (c *clock) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !c.events[i].before(&c.events[parent]) {
@@ -77,11 +77,11 @@
 	c.events[0] = c.events[last]
 	c.events[last] = event{}
 	c.events = c.events[:last]
-	c.down()
+	c.siftDown()
 	return top
 }
 
-func (c *clock) down() {
+func (c *clock) siftDown() {
 	i := 0
 	for {
 		least := i
--- a/testkit/experiment/control.go
+++ b/testkit/experiment/control.go
@@ -12,13 +12,13 @@
 	Shape   *Shape
 	Stage   int
 	// Attempt counts the attempts that were sent before.
-	Attempt int
+	Attempts int
 	// Left is the time to the end-to-end deadline.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // Spec returns the stage's shape.
-func (s StageInfo) Spec() *StageShape {
+func (s StageInfo) StageShape() *StageShape {
 	return &s.Shape.Stages[s.Stage]
 }
 
@@ -52,27 +52,27 @@
 
 // Plain admits everything, sends a failed repeatable stage again once and
 // hedges nothing.
-type Plain struct{}
+type PlainControl struct{}
 
 // Admit implements Control.
-func (Plain) Admit(time.Time, StageInfo) bool { return true }
+func (PlainControl) Admit(time.Time, StageInfo) bool { return true }
 
 // StartStage implements Control.
-func (Plain) StartStage(_ time.Time, _ StageInfo, start func(bool)) { start(true) }
+func (PlainControl) StartStage(_ time.Time, _ StageInfo, start func(bool)) { start(true) }
 
 // Retry implements Control.
-func (Plain) Retry(_ time.Time, s StageInfo) bool {
-	return s.Attempt < 2 && s.Spec().Repeatable
+func (PlainControl) Retry(_ time.Time, s StageInfo) bool {
+	return s.Attempts < 2 && s.StageShape().Repeatable
 }
 
 // HedgeAfter implements Control.
-func (Plain) HedgeAfter(time.Time, StageInfo) (time.Duration, bool) { return 0, false }
+func (PlainControl) HedgeAfter(time.Time, StageInfo) (time.Duration, bool) { return 0, false }
 
 // Hedge implements Control.
-func (Plain) Hedge(time.Time, StageInfo) bool { return false }
+func (PlainControl) Hedge(time.Time, StageInfo) bool { return false }
 
 // AttemptDone implements Control.
-func (Plain) AttemptDone(time.Time, StageInfo, routing.Result, float64) {}
+func (PlainControl) AttemptDone(time.Time, StageInfo, routing.Result, float64) {}
 
 // RequestDone implements Control.
-func (Plain) RequestDone(time.Time, StageInfo, bool) {}
+func (PlainControl) RequestDone(time.Time, StageInfo, bool) {}
--- a/testkit/experiment/experiment_test.go
+++ b/testkit/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 		Loads:    []float64{1.3},
 		Faults:   Faults(),
 		Seeds:    []uint64{1},
-		Policies: append(Baselines(), Routed(OurPolicy, ourConfig()), Controlled()[0]),
+		Policies: append(Baselines(), Routed(RoutingPolicy, productConfig()), ControlAblations()[0]),
 		Length:   testLength,
 	}
 }
@@ -34,18 +34,18 @@
 // work that leaked would make a policy look cheap.
 func TestRunConserves(t *testing.T) {
 	for _, fault := range Faults() {
-		r := newRun(Config{Fjallaskali(), 1.3, fault, 1, testLength, Controlled()[0], true})
+		r := newRun(Config{Fjallaskali(), 1.3, fault, 1, testLength, ControlAblations()[0], true})
 		r.execute()
 		for _, target := range r.targets {
 			require.Zero(t, target.active, "%s: %s", fault, target.spec.Incarnation)
 			require.Zero(t, target.queued, "%s: %s", fault, target.spec.Incarnation)
 		}
 		for _, i := range r.instances {
-			require.Empty(t, i.flows, fault)
+			require.Empty(t, i.executions, fault)
 		}
 		result := r.measure()
 		require.LessOrEqual(t, result.Attained+result.Refused+result.Failed, result.Offered, fault)
-		require.GreaterOrEqual(t, result.Sent, 4*result.Attained, fault)
+		require.GreaterOrEqual(t, result.Attempts, 4*result.Attained, fault)
 	}
 }
 
@@ -53,13 +53,13 @@
 // 500 ms later. Measured from the send the answer looks quick; the client has
 // waited half a second more (coordinated omission).
 func TestResponseCountsFromIntendedArrival(t *testing.T) {
-	rec := &record{
-		request:  &Request{Intended: time.Second, Deadline: 3 * time.Second},
-		fate:     fateWhole,
-		answered: 1600 * time.Millisecond,
+	rec := &requestRecord{
+		request:     &Request{IntendedAt: time.Second, Deadline: 3 * time.Second},
+		outcome:     outcomeCompleted,
+		completedAt: 1600 * time.Millisecond,
 	}
-	r := run{config: Config{Shape: Periyar(), Length: testLength}, records: []*record{rec}}
-	require.InDelta(t, 600_000, r.measure().Response.Max(), 1000)
+	r := run{config: Config{Shape: Periyar(), Length: testLength}, records: []*requestRecord{rec}}
+	require.InDelta(t, 600_000, r.measure().ResponseTimes.Max(), 1000)
 }
 
 func TestClockOrdersEvents(t *testing.T) {
@@ -99,6 +99,6 @@
 		{0, 0, 1, "met"},
 		{0, 0.1, 2, "misses and cost not met"},
 	} {
-		require.Equal(t, tc.want, verdict(tc.best, tc.ours, tc.cost), "%+v", tc)
+		require.Equal(t, tc.want, goalVerdict(tc.best, tc.ours, tc.cost), "%+v", tc)
 	}
 }
--- a/testkit/experiment/fault.go
+++ b/testkit/experiment/fault.go
@@ -42,7 +42,7 @@
 	coldSlowness    = 4.0
 	warmUpTime      = 3 * time.Second
 	// listLag is how late the platform's list follows.
-	listLag = 5 * time.Second
+	targetListDelay = 5 * time.Second
 	// reportAge and staleAge are how old load reports are.
 	reportAge = 300 * time.Millisecond
 	staleAge  = 2 * time.Second
@@ -55,14 +55,14 @@
 	return window{length / 4, length * 3 / 4}
 }
 
-func (w window) holds(t time.Duration) bool {
+func (w window) contains(t time.Duration) bool {
 	return t >= w.from && t < w.to
 }
 
 // surge returns the factor of the arrivals at a moment.
-func (f Fault) surge(w window) func(time.Duration) float64 {
+func (f Fault) rateFactor(w window) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
-		if f == FaultBurst && w.holds(t) && (t-w.from)%burstInterval < burstLength {
+		if f == FaultBurst && w.contains(t) && (t-w.from)%burstInterval < burstLength {
 			return burstRate
 		}
 		return 1
@@ -75,19 +75,19 @@
 	engine := r.pools["engines"][0]
 	switch r.config.Fault {
 	case FaultStraggler:
-		r.slow(w, stragglerSlowness, engine, r.pools["rerankers"][0])
+		r.slowDown(w, stragglerSlowness, engine, r.pools["rerankers"][0])
 	case FaultGrey:
-		r.slow(w, greySlowness, engine, r.pools["retrievers"][0])
+		r.slowDown(w, greySlowness, engine, r.pools["retrievers"][0])
 	case FaultFailFast:
 		for _, t := range []*target{engine, r.pools["encoders"][0]} {
 			r.clock.at(w.from, func() { t.failing = true })
 			r.clock.at(w.to, func() { t.failing = false })
 		}
 	case FaultDCLost:
-		r.loseDataCentre(w, dataCentre(0))
+		r.failDataCentre(w, dataCentre(0))
 	case FaultStoreDown:
 		// An engine dies while the list can't tell.
-		r.clock.at(w.from, engine.lose)
+		r.clock.at(w.from, engine.crash)
 		r.clock.at(w.to, func() { engine.down = false })
 	case FaultReplaced:
 		for n := range int((w.to - w.from) / replaceInterval) {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (r *run) slow(w window, slowness float64, targets ...*target) {
+func (r *run) slowDown(w window, slowness float64, targets ...*target) {
 	for _, t := range targets {
 		r.clock.at(w.from, func() { t.slowness = slowness })
 		r.clock.at(w.to, func() { t.slowness = 1 })
@@ -117,42 +117,42 @@
 	t.slowness = coldSlowness
 	r.clock.after(warmUpTime, func() { t.slowness = 1 })
 	r.clock.every(r.clock.now, loadSampleInterval, t.sampleLoad)
-	r.publishLists()
+	r.publishTargets()
 }
 
 // loseDataCentre stops the targets and the instances of a data centre. The
 // balancer sends its clients to the other instances; the platform's list
 // follows after listLag, and again when all are back.
-func (r *run) loseDataCentre(w window, name string) {
+func (r *run) failDataCentre(w window, name string) {
 	r.clock.at(w.from, func() {
-		r.lostDC = name
+		r.failedDataCentre = name
 		for _, t := range r.targets {
 			if t.spec.DataCentre == name {
-				t.lose()
+				t.crash()
 			}
 		}
 		for _, i := range r.instances {
 			if i.dataCentre == name {
-				i.lose()
+				i.fail()
 			}
 		}
 	})
-	r.clock.at(w.from+listLag, r.publishLists)
+	r.clock.at(w.from+targetListDelay, r.publishTargets)
 	r.clock.at(w.to, func() {
-		r.lostDC = ""
+		r.failedDataCentre = ""
 		for _, t := range r.targets {
 			t.down = false
 		}
 		for _, i := range r.instances {
-			i.lost = false
+			i.failed = false
 		}
 	})
-	r.clock.at(w.to+listLag, r.publishLists)
+	r.clock.at(w.to+targetListDelay, r.publishTargets)
 }
 
 // reportAge returns how old load reports are now.
 func (r *run) reportAge() time.Duration {
-	if r.config.Fault == FaultStaleReports && r.window.holds(r.clock.now) {
+	if r.config.Fault == FaultStaleReports && r.window.contains(r.clock.now) {
 		return staleAge
 	}
 	return reportAge
--- a/testkit/experiment/goal.go
+++ b/testkit/experiment/goal.go
@@ -9,8 +9,8 @@
 // The goal: the best baseline's misses cut to a third, and the cost within
 // goalCost of the fault-free cost.
 const (
-	goalMisses = 1.0 / 3
-	goalCost   = 1.1
+	goalMissRatio = 1.0 / 3
+	goalCostRatio = 1.1
 )
 
 type cellKey struct {
@@ -47,34 +47,34 @@
 	var best *Cell
 	for _, name := range baselines {
 		other := index[cellKey{c.Shape, name, c.Fault, c.Load}]
-		if other != nil && (best == nil || misses(other) < misses(best)) {
+		if other != nil && (best == nil || missShare(other) < missShare(best)) {
 			best = other
 		}
 	}
 	return best
 }
 
-func misses(c *Cell) float64 {
+func missShare(c *Cell) float64 {
 	return 1 - c.Mean((*Result).Attainment)
 }
 
 func writeGoalRow(w io.Writer, c, best, free *Cell) {
-	share := ratio(misses(c), misses(best))
-	cost := ratio(c.Mean((*Result).SecondsPerAnswer), free.Mean((*Result).SecondsPerAnswer))
+	share := ratio(missShare(c), missShare(best))
+	cost := ratio(c.Mean((*Result).SecondsPerAttained), free.Mean((*Result).SecondsPerAttained))
 	fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%s\n",
 		c.Shape, c.Fault, c.Load, best.Policy,
-		100*misses(best), 100*misses(c), share,
+		100*missShare(best), 100*missShare(c), share,
 		100-best.Mean(tierPercent(0)), 100-c.Mean(tierPercent(0)),
-		cost, ratio(best.Mean((*Result).SecondsPerAnswer), free.Mean((*Result).SecondsPerAnswer)),
-		verdict(misses(best), misses(c), cost))
+		cost, ratio(best.Mean((*Result).SecondsPerAttained), free.Mean((*Result).SecondsPerAttained)),
+		goalVerdict(missShare(best), missShare(c), cost))
 }
 
 // verdict says which part of the goal is met. Where the best baseline misses
 // nothing, nothing may be missed.
-func verdict(best, ours, cost float64) string {
+func goalVerdict(best, ours, cost float64) string {
 	const rounding = 1e-9
-	missesMet := ours <= goalMisses*best+rounding
-	costMet := cost <= goalCost
+	missesMet := ours <= goalMissRatio*best+rounding
+	costMet := cost <= goalCostRatio
 	switch {
 	case missesMet && costMet:
 		return "met"
--- a/testkit/experiment/grid.go
+++ b/testkit/experiment/grid.go
@@ -47,11 +47,11 @@
 			}
 		}
 	}
-	inParallel(work)
+	runParallel(work)
 	return cells
 }
 
-func inParallel(work []func()) {
+func runParallel(work []func()) {
 	next := make(chan func())
 	var workers sync.WaitGroup
 	for range min(maxParallel, runtime.GOMAXPROCS(0)) {
@@ -78,7 +78,7 @@
 }
 
 // Spread returns the least and the greatest value of a measure over the seeds.
-func (c *Cell) Spread(measure func(*Result) float64) (least, most float64) {
+func (c *Cell) Range(measure func(*Result) float64) (least, most float64) {
 	for i, r := range c.Results {
 		v := measure(r)
 		if i == 0 {
--- a/testkit/experiment/instance.go
+++ b/testkit/experiment/instance.go
@@ -10,8 +10,8 @@
 
 // One-way delays between an instance and a target.
 const (
-	nearDelay = 250 * time.Microsecond
-	farDelay  = time.Millisecond
+	localDelay  = 250 * time.Microsecond
+	remoteDelay = time.Millisecond
 )
 
 // instance serves requests with its own router and control.
@@ -22,58 +22,58 @@
 	router     Router
 	control    Control
 	rng        *rand.Rand
-	learned    *learner
-	flows      []*flow
-	lost       bool
+	latencies  *latencyEstimator
+	executions []*execution
+	failed     bool
 }
 
 // flow is one request at an instance.
-type flow struct {
+type execution struct {
 	instance *instance
 	request  *Request
 	stage    int
 	sent     int // attempts of the current stage
-	open     []*attempt
+	inFlight []*attempt
 	excluded []string
 	ended    bool
-	record   *record
+	record   *requestRecord
 }
 
 // attempt is one call of a target.
 type attempt struct {
-	flow    *flow
-	stage   int
-	target  *target
-	job     *job
-	sentAt  time.Duration
-	done    func(time.Time, routing.Result)
-	settled bool
-	hedge   bool
+	execution *execution
+	stage     int
+	target    *target
+	job       *job
+	sentAt    time.Duration
+	done      func(time.Time, routing.Result)
+	settled   bool
+	hedge     bool
 }
 
-func (f *flow) info() StageInfo {
+func (f *execution) info() StageInfo {
 	return StageInfo{
-		Request: f.request,
-		Shape:   &f.instance.run.config.Shape,
-		Stage:   f.stage,
-		Attempt: f.sent,
-		Left:    f.request.Deadline - f.instance.run.clock.now,
+		Request:   f.request,
+		Shape:     &f.instance.run.config.Shape,
+		Stage:     f.stage,
+		Attempts:  f.sent,
+		Remaining: f.request.Deadline - f.instance.run.clock.now,
 	}
 }
 
 // accept takes a request at the moment it reaches the instance.
-func (i *instance) accept(r *Request, rec *record) {
-	f := &flow{instance: i, request: r, stage: -1, record: rec}
+func (i *instance) accept(r *Request, rec *requestRecord) {
+	f := &execution{instance: i, request: r, stage: -1, record: rec}
 	if !i.control.Admit(i.run.clock.time(), StageInfo{r, &i.run.config.Shape, 0, 0, r.Deadline - i.run.clock.now}) {
-		rec.fate = fateRefused
+		rec.outcome = outcomeRefused
 		return
 	}
-	i.flows = append(i.flows, f)
-	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { f.end(fateLate) })
+	i.executions = append(i.executions, f)
+	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { f.end(outcomeDeadlineMissed) })
 	f.nextStage()
 }
 
-func (f *flow) nextStage() {
+func (f *execution) nextStage() {
 	f.stage++
 	f.sent = 0
 	f.excluded = nil
@@ -81,7 +81,7 @@
 		f.stage++
 	}
 	if f.stage == len(f.request.Work) {
-		f.end(fateWhole)
+		f.end(outcomeCompleted)
 		return
 	}
 	stage := f.stage
@@ -90,7 +90,7 @@
 			return
 		}
 		if !ok {
-			f.end(fateRefused)
+			f.end(outcomeRefused)
 			return
 		}
 		f.send(false)
@@ -98,7 +98,7 @@
 	})
 }
 
-func (f *flow) planHedge() {
+func (f *execution) planHedge() {
 	if f.ended {
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 	stage := f.stage
 	clock.after(after, func() {
-		if f.ended || f.stage != stage || len(f.open) != 1 {
+		if f.ended || f.stage != stage || len(f.inFlight) != 1 {
 			return
 		}
 		if control.Hedge(clock.time(), f.info()) {
@@ -120,7 +120,7 @@
 }
 
 // send starts one attempt of the current stage.
-func (f *flow) send(hedge bool) {
+func (f *execution) send(hedge bool) {
 	i := f.instance
 	shape := &i.run.config.Shape.Stages[f.stage]
 	query := routing.Query{Pool: shape.Pool, Exclude: f.excluded, Rank: f.request.Tier}
@@ -129,132 +129,132 @@
 	}
 	choice, err := i.router.Pick(i.run.clock.time(), i.rng, query)
 	if err != nil {
-		if len(f.open) == 0 {
-			f.end(fateFailed)
+		if len(f.inFlight) == 0 {
+			f.end(outcomeFailed)
 		}
 		return
 	}
 	t := i.run.byName[choice.Target.Incarnation]
-	a := &attempt{flow: f, stage: f.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
+	a := &attempt{execution: f, stage: f.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
 	a.job = &job{request: f.request, stage: f.stage}
 	a.done = i.router.Started(i.run.clock.time(), t.spec.Incarnation, 1)
 	f.sent++
 	f.excluded = append(f.excluded, t.spec.Incarnation)
-	f.open = append(f.open, a)
+	f.inFlight = append(f.inFlight, a)
 	f.record.attempts = append(f.record.attempts, a)
 	a.dispatch()
 }
 
 func (a *attempt) delay() time.Duration {
-	if a.target.spec.DataCentre == a.flow.instance.dataCentre {
-		return nearDelay
+	if a.target.spec.DataCentre == a.execution.instance.dataCentre {
+		return localDelay
 	}
-	return farDelay
+	return remoteDelay
 }
 
 func (a *attempt) dispatch() {
-	clock := a.flow.instance.run.clock
-	a.job.reply = func(ans answer) {
-		clock.after(a.delay(), func() { a.answered(ans) })
+	clock := a.execution.instance.run.clock
+	a.job.reply = func(ans response) {
+		clock.after(a.delay(), func() { a.handleResponse(ans) })
 	}
 	clock.after(a.delay(), func() {
 		if a.target.down {
 			a.job.state = jobEnded
-			clock.after(connectTimeout, func() { a.answered(answer{outcome: routing.OutcomeFailed}) })
+			clock.after(connectTimeout, func() { a.handleResponse(response{outcome: routing.OutcomeFailed}) })
 			return
 		}
 		a.target.submit(a.job)
 	})
 }
 
-func (a *attempt) answered(ans answer) {
-	f := a.flow
-	if a.settled || f.instance.lost {
+func (a *attempt) handleResponse(ans response) {
+	f := a.execution
+	if a.settled || f.instance.failed {
 		return
 	}
-	f.instance.reportFrom(a.target)
-	a.settle(ans.outcome, ans.units)
+	f.instance.applyLoadReport(a.target)
+	a.settle(ans.outcome, ans.idleTime)
 	switch {
 	case ans.outcome == routing.OutcomeOK:
-		f.record.won = append(f.record.won, a)
-		f.cancelOpen()
+		f.record.successful = append(f.record.successful, a)
+		f.cancelInFlight()
 		f.nextStage()
-	case len(f.open) > 0:
+	case len(f.inFlight) > 0:
 	case ans.outcome == routing.OutcomeFailed && f.instance.control.Retry(f.instance.run.clock.time(), f.info()):
 		f.send(false)
 	default:
-		f.end(fateFailed)
+		f.end(outcomeFailed)
 	}
 }
 
 // settle tells the router and the control how the attempt ended.
 func (a *attempt) settle(outcome routing.Outcome, units time.Duration) {
 	a.settled = true
-	f := a.flow
+	f := a.execution
 	i := f.instance
-	f.open = slices.DeleteFunc(f.open, func(other *attempt) bool { return other == a })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(other *attempt) bool { return other == a })
 	latency := i.run.clock.now - a.sentAt
 	if units == 0 {
-		units = i.run.config.Shape.Stages[a.stage].mean()
+		units = i.run.config.Shape.Stages[a.stage].meanIdleTime()
 	}
-	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.learned.expected(a.stage, units)}
+	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.latencies.expected(a.stage, units)}
 	if outcome == routing.OutcomeOK {
-		i.learned.observe(a.stage, units, latency)
+		i.latencies.observe(a.stage, units, latency)
 	}
 	now := i.run.clock.time()
 	a.done(now, result)
 	info := f.info()
 	info.Stage = a.stage
-	size := float64(units) / float64(i.run.config.Shape.Stages[a.stage].mean())
+	size := float64(units) / float64(i.run.config.Shape.Stages[a.stage].meanIdleTime())
 	i.control.AttemptDone(now, info, result, size)
 }
 
 // cancelOpen gives up the attempts still open; a cancel travels to the target.
-func (f *flow) cancelOpen() {
-	for len(f.open) > 0 {
-		f.open[0].giveUp(routing.OutcomeCancelled)
+func (f *execution) cancelInFlight() {
+	for len(f.inFlight) > 0 {
+		f.inFlight[0].abandon(routing.OutcomeCancelled)
 	}
 }
 
-func (a *attempt) giveUp(outcome routing.Outcome) {
+func (a *attempt) abandon(outcome routing.Outcome) {
 	a.settle(outcome, 0)
-	a.flow.instance.run.clock.after(a.delay(), func() { a.target.cancel(a.job, outcome) })
+	a.execution.instance.run.clock.after(a.delay(), func() { a.target.cancel(a.job, outcome) })
 }
 
-func (f *flow) end(fate fate) {
+func (f *execution) end(fate requestOutcome) {
 	if f.ended {
 		return
 	}
 	f.ended = true
 	i := f.instance
-	for len(f.open) > 0 {
-		f.open[0].giveUp(routing.OutcomeDeadlineMissed)
+	for len(f.inFlight) > 0 {
+		f.inFlight[0].abandon(routing.OutcomeDeadlineMissed)
 	}
-	f.record.fate = fate
-	if fate == fateWhole {
-		f.record.answered = i.run.clock.now + i.run.config.Shape.ClientDelay
+	f.record.outcome = fate
+	if fate == outcomeCompleted {
+		f.record.completedAt = i.run.clock.now + i.run.config.Shape.ClientDelay
 	}
-	if i.lost {
+	if i.failed {
 		return
 	}
-	i.flows = slices.DeleteFunc(i.flows, func(other *flow) bool { return other == f })
+	i.executions = slices.DeleteFunc(i.executions, func(other *execution) bool { return other == f })
 	info := f.info()
 	info.Stage = min(info.Stage, len(f.request.Work)-1)
-	i.control.RequestDone(i.run.clock.time(), info, fate == fateWhole)
+	i.control.RequestDone(i.run.clock.time(), info, fate == outcomeCompleted)
 }
 
 // lose stops the instance; the requests it served are lost with it.
-func (i *instance) lose() {
-	i.lost = true
-	for _, f := range i.flows {
-		f.end(fateFailed)
+func (i *instance) fail() {
+	i.failed = true
+	for _, f := range i.executions {
+		f.end(outcomeFailed)
 	}
-	i.flows = nil
+	i.executions = nil
 }
 
 // reportFrom takes in the load that a target states with each answer.
-func (i *instance) reportFrom(t *target) {
-	if !t.stage.Reports || t.down {
+func (i *instance) applyLoadReport(t *target) {
+	if !t.stage.ReportsLoad || t.down {
 		return
 	}
 	age := i.run.reportAge()
--- a/testkit/experiment/oracle.go
+++ b/testkit/experiment/oracle.go
@@ -34,7 +34,7 @@
 		if t.down || t.failing {
 			continue
 		}
-		if expected := t.expected(q.Prefix); best == nil || expected < bestTime {
+		if expected := t.expectedSeconds(q.Prefix); best == nil || expected < bestTime {
 			best, bestTime = t, expected
 		}
 	}
@@ -45,11 +45,11 @@
 }
 
 // expected returns the mean time to an answer, in seconds.
-func (t *target) expected(parts []routing.PrefixPart) float64 {
-	mean := t.stage.mean().Seconds()
+func (t *target) expectedSeconds(parts []routing.PrefixPart) float64 {
+	mean := t.stage.meanIdleTime().Seconds()
 	own := mean
 	if t.cache != nil {
-		own = (meanAnswer*decodeTime + tailTokens*prefillTime).Seconds()
+		own = (meanOutputTokens*decodeTime + tailTokens*prefillTime).Seconds()
 		for _, part := range parts {
 			if !t.cache.has(part.ID) {
 				own += float64(part.Tokens) * prefillTime.Seconds()
@@ -65,6 +65,6 @@
 	return Policy{
 		Name:       "oracle",
 		NewRouter:  func(string, string) Router { return &oracleRouter{} },
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
--- a/testkit/experiment/policy.go
+++ b/testkit/experiment/policy.go
@@ -7,8 +7,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing/baseline"
 )
 
-func plainControl(*Shape) Control {
-	return Plain{}
+func newPlainControl(*Shape) Control {
+	return PlainControl{}
 }
 
 func baselinePolicy(name string, strategy func() baseline.Strategy) Policy {
@@ -17,7 +17,7 @@
 		NewRouter: func(string, string) Router {
 			return baselineRouter{baseline.New(strategy())}
 		},
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
 
@@ -43,19 +43,19 @@
 			c.LocalDataCentre = dataCentre
 			return tableRouter{routing.New(c)}
 		},
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
 
 // ourConfig is the routing configuration of the product.
-func ourConfig() routing.Config {
+func productConfig() routing.Config {
 	return routing.Config{}
 }
 
 // Ablations returns the product's routing with one mechanism off at a time.
-func Ablations() []Policy {
+func RoutingAblations() []Policy {
 	return []Policy{
-		Routed(OurPolicy, ourConfig()),
+		Routed(RoutingPolicy, productConfig()),
 		Routed("no_reports", routing.Config{Disabled: routing.MechanismReports}),
 		Routed("no_age", routing.Config{Disabled: routing.MechanismAgeCorrection}),
 		Routed("no_local", routing.Config{Disabled: routing.MechanismLocalFirst}),
@@ -86,32 +86,32 @@
 
 // Controlled returns the product's routing with its control, whole and with
 // one part off or changed at a time.
-func Controlled() []Policy {
-	whole := Parts{
+func ControlAblations() []Policy {
+	whole := ControlOptions{
 		Admission: true, Gate: true, Hedge: true, Budget: true,
 		EngineOvercommit: engineOvercommit, ServiceOvercommit: serviceOvercommit,
 	}
-	without := func(change func(*Parts)) Parts {
+	without := func(change func(*ControlOptions)) ControlOptions {
 		parts := whole
 		change(&parts)
 		return parts
 	}
-	gates := func(engines, services float64) Parts {
-		return without(func(p *Parts) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
+	gates := func(engines, services float64) ControlOptions {
+		return without(func(p *ControlOptions) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
 	}
 	routed := func(name string, off routing.Mechanism) Policy {
 		return Managed(name, whole, routing.Config{Disabled: off})
 	}
 	return []Policy{
-		Managed(ManagedPolicy, whole, ourConfig()),
-		Managed("no_admission", without(func(p *Parts) { p.Admission = false }), ourConfig()),
-		Managed("no_gate", without(func(p *Parts) { p.Gate = false }), ourConfig()),
-		Managed("no_hedge", without(func(p *Parts) { p.Hedge = false }), ourConfig()),
-		Managed("no_budget", without(func(p *Parts) { p.Budget = false }), ourConfig()),
-		Managed("gate_1_1", gates(1, 1), ourConfig()),
-		Managed("gate_2_1", gates(2, 1), ourConfig()),
-		Managed("gate_2_2", gates(2, 2), ourConfig()),
-		Managed("gate_3_3", gates(3, 3), ourConfig()),
+		Managed(ManagedPolicy, whole, productConfig()),
+		Managed("no_admission", without(func(p *ControlOptions) { p.Admission = false }), productConfig()),
+		Managed("no_gate", without(func(p *ControlOptions) { p.Gate = false }), productConfig()),
+		Managed("no_hedge", without(func(p *ControlOptions) { p.Hedge = false }), productConfig()),
+		Managed("no_budget", without(func(p *ControlOptions) { p.Budget = false }), productConfig()),
+		Managed("gate_1_1", gates(1, 1), productConfig()),
+		Managed("gate_2_1", gates(2, 1), productConfig()),
+		Managed("gate_2_2", gates(2, 2), productConfig()),
+		Managed("gate_3_3", gates(3, 3), productConfig()),
 		routed("managed_no_digest", routing.MechanismPeerDigest),
 		routed("managed_no_reports", routing.MechanismReports),
 		routed("managed_no_local", routing.MechanismLocalFirst),
@@ -127,13 +127,13 @@
 // OurPolicy names the product's routing with the plain control, ManagedPolicy
 // the same with its admission, gates, hedges and retry budget.
 const (
-	OurPolicy     = "routing"
+	RoutingPolicy = "routing"
 	ManagedPolicy = "managed"
 )
 
 // Policies returns every policy by its name.
 func Policies() []Policy {
-	all := append(Baselines(), Ablations()...)
-	all = append(all, Controlled()...)
+	all := append(Baselines(), RoutingAblations()...)
+	all = append(all, ControlAblations()...)
 	return append(all, Oracle())
 }
--- a/testkit/experiment/shape.go
+++ b/testkit/experiment/shape.go
@@ -40,9 +40,9 @@
 	Slots   int
 	// Time is the mean work of a request on an idle target; for an engine it
 	// follows from the tokens instead.
-	Time time.Duration
+	MeanTime time.Duration
 	// Reports tells whether the targets report their load.
-	Reports bool
+	ReportsLoad bool
 	// Share is the part of the requests that have the stage.
 	Share      float64
 	Repeatable bool
@@ -51,13 +51,13 @@
 // The model of an engine: prompts are an account's part, a document's part and
 // a tail of their own; only the first two can be cached.
 const (
-	accountTokens  = 800
-	documentTokens = 900
-	tailTokens     = 150
-	meanAnswer     = 50
-	prefillTime    = 150 * time.Microsecond // for a token
-	decodeTime     = 10 * time.Millisecond  // for a token
-	cacheTokens    = 24_000
+	accountTokens    = 800
+	documentTokens   = 900
+	tailTokens       = 150
+	meanOutputTokens = 50
+	prefillTime      = 150 * time.Microsecond // for a token
+	decodeTime       = 10 * time.Millisecond  // for a token
+	cacheTokens      = 24_000
 	// batchSlowdown is how much slower a full batch is than a single request.
 	batchSlowdown = 0.3
 )
@@ -94,7 +94,7 @@
 // full batches when the account's part is cached and the document's is not.
 func (s *Shape) capacity() float64 {
 	tokens := float64(documentTokens + tailTokens)
-	work := tokens*prefillTime.Seconds() + meanAnswer*decodeTime.Seconds()
+	work := tokens*prefillTime.Seconds() + meanOutputTokens*decodeTime.Seconds()
 	for _, stage := range s.Stages {
 		if stage.Kind == catalog.KindEngine {
 			return float64(stage.Targets*stage.Slots) / (work * (1 + batchSlowdown))
@@ -107,9 +107,9 @@
 const enginePool = "engines"
 
 // mean returns the usual work of a request on an idle target.
-func (s *StageShape) mean() time.Duration {
+func (s *StageShape) meanIdleTime() time.Duration {
 	if s.Kind == catalog.KindEngine {
-		return (documentTokens+tailTokens)*prefillTime + meanAnswer*decodeTime
+		return (documentTokens+tailTokens)*prefillTime + meanOutputTokens*decodeTime
 	}
-	return s.Time
+	return s.MeanTime
 }
--- a/testkit/experiment/target.go
+++ b/testkit/experiment/target.go
@@ -9,25 +9,25 @@
 )
 
 // answer is what a target replies.
-type answer struct {
+type response struct {
 	outcome routing.Outcome
 	// units is the idle time of the work done, as its size tells it: known
 	// from the tokens that the answer counts.
-	units time.Duration
+	idleTime time.Duration
 }
 
 // job is one attempt at a target.
 type job struct {
 	request *Request
 	stage   int
-	reply   func(answer)
+	reply   func(response)
 
-	state   jobState
-	started time.Duration
-	seconds time.Duration // worked, once ended
-	prefill int           // tokens read because no cache held them
-	saved   int           // of these, tokens that another engine had cached
-	units   time.Duration
+	state           jobState
+	started         time.Duration
+	workTime        time.Duration // worked, once ended
+	prefillTokens   int           // tokens read because no cache held them
+	avoidableTokens int           // of these, tokens that another engine had cached
+	idleTime        time.Duration
 }
 
 type jobState uint8
@@ -51,8 +51,8 @@
 	queues  [][]*job // by rank
 	running []*job
 	// elsewhere tells whether another engine holds a part.
-	elsewhere func(part string) bool
-	history   loadHistory
+	cachedElsewhere func(part string) bool
+	history         loadHistory
 
 	slowness float64 // 1 is usual
 	failing  bool
@@ -60,9 +60,9 @@
 }
 
 const (
-	failFastTime = 5 * time.Millisecond
+	failFastDelay = 5 * time.Millisecond
 	// silenceNoticed is how long it takes to call a silent connection dead.
-	silenceNoticed = 500 * time.Millisecond
+	heartbeatTimeout = 500 * time.Millisecond
 	// connectTimeout is how long it takes to call a target unreachable.
 	connectTimeout = 300 * time.Millisecond
 )
@@ -79,7 +79,7 @@
 // submit takes a job at the moment it arrives.
 func (t *target) submit(j *job) {
 	if t.failing {
-		t.clock.after(failFastTime, func() { t.end(j, routing.OutcomeFailed) })
+		t.clock.after(failFastDelay, func() { t.respond(j, routing.OutcomeFailed) })
 		return
 	}
 	// The call names how long its answer is of use; the target stops then.
@@ -107,24 +107,24 @@
 	t.running = append(t.running, j)
 	j.state = jobRunning
 	j.started = t.clock.now
-	j.units = t.work(j)
+	j.idleTime = t.computeIdleTime(j)
 	batch := 1 + batchSlowdown*float64(t.active)/float64(t.spec.Slots)
-	length := time.Duration(float64(j.units) * t.slowness * batch)
+	length := time.Duration(float64(j.idleTime) * t.slowness * batch)
 	t.clock.after(length, func() { t.finish(j) })
 }
 
 // work returns the idle time of a job and reads its prompt into the cache.
-func (t *target) work(j *job) time.Duration {
+func (t *target) computeIdleTime(j *job) time.Duration {
 	if t.cache == nil {
-		return time.Duration(j.request.Work[j.stage] * float64(t.stage.Time))
+		return time.Duration(j.request.Work[j.stage] * float64(t.stage.MeanTime))
 	}
 	for _, part := range j.request.Prefix {
-		if !t.cache.has(part.ID) && t.elsewhere(part.ID) {
-			j.saved += part.Tokens
+		if !t.cache.has(part.ID) && t.cachedElsewhere(part.ID) {
+			j.avoidableTokens += part.Tokens
 		}
 	}
-	j.prefill = tailTokens + t.cache.read(j.request.Prefix)
-	return time.Duration(j.prefill)*prefillTime + time.Duration(j.request.Tokens)*decodeTime
+	j.prefillTokens = tailTokens + t.cache.read(j.request.Prefix)
+	return time.Duration(j.prefillTokens)*prefillTime + time.Duration(j.request.OutputTokens)*decodeTime
 }
 
 func (t *target) finish(j *job) {
@@ -132,23 +132,23 @@
 		return
 	}
 	t.release(j)
-	t.end(j, routing.OutcomeOK)
-	t.next()
+	t.respond(j, routing.OutcomeOK)
+	t.startQueued()
 }
 
 func (t *target) release(j *job) {
 	t.active--
 	i := slices.Index(t.running, j)
 	t.running = slices.Delete(t.running, i, i+1)
-	j.seconds = t.clock.now - j.started
+	j.workTime = t.clock.now - j.started
 }
 
-func (t *target) end(j *job, outcome routing.Outcome) {
+func (t *target) respond(j *job, outcome routing.Outcome) {
 	if j.state == jobEnded {
 		return
 	}
 	j.state = jobEnded
-	j.reply(answer{outcome, j.units})
+	j.reply(response{outcome, j.idleTime})
 }
 
 // cancel stops a job, whether it waits or runs.
@@ -156,16 +156,16 @@
 	switch j.state {
 	case jobQueued:
 		t.queued--
-		t.end(j, outcome)
+		t.respond(j, outcome)
 	case jobRunning:
 		t.release(j)
-		t.end(j, outcome)
-		t.next()
+		t.respond(j, outcome)
+		t.startQueued()
 	case jobEnded:
 	}
 }
 
-func (t *target) next() {
+func (t *target) startQueued() {
 	for t.active < t.spec.Slots {
 		j := t.dequeue()
 		if j == nil {
@@ -190,15 +190,15 @@
 }
 
 // lose stops the target as a lost power supply does: nothing is answered.
-func (t *target) lose() {
+func (t *target) crash() {
 	t.down = true
 	for _, j := range slices.Clone(t.running) {
 		t.release(j)
-		t.lost(j)
+		t.dropJob(j)
 	}
 	for rank := range t.queues {
 		for _, j := range t.queues[rank] {
-			t.lost(j)
+			t.dropJob(j)
 		}
 		t.queues[rank] = nil
 	}
@@ -209,12 +209,12 @@
 }
 
 // lost ends a job without an answer: the caller notices by missing heartbeats.
-func (t *target) lost(j *job) {
+func (t *target) dropJob(j *job) {
 	if j.state == jobEnded {
 		return
 	}
 	j.state = jobEnded
-	t.clock.after(silenceNoticed, func() { j.reply(answer{outcome: routing.OutcomeFailed}) })
+	t.clock.after(heartbeatTimeout, func() { j.reply(response{outcome: routing.OutcomeFailed}) })
 }
 
 // loadHistory remembers the load of the last seconds for late reports.
--- a/testkit/experiment/workload.go
+++ b/testkit/experiment/workload.go
@@ -14,15 +14,15 @@
 type Request struct {
 	ID int
 	// Intended is when the client meant to send it, since the start.
-	Intended time.Duration
-	Tier     int
-	Account  int
-	Instance int
+	IntendedAt time.Duration
+	Tier       int
+	Account    int
+	Instance   int
 	// Work is the mean-1 size of each stage; 0 leaves the stage out.
 	Work []float64
 	// Tokens is the length of the generated answer.
-	Tokens int
-	Prefix []routing.PrefixPart
+	OutputTokens int
+	Prefix       []routing.PrefixPart
 	// Deadline is when the client has no use for the answer any more.
 	Deadline time.Duration
 }
@@ -37,8 +37,8 @@
 )
 
 const (
-	serviceSigma = 0.3
-	answerSigma  = 0.4
+	workSigma   = 0.3
+	outputSigma = 0.4
 )
 
 func newRand(seed uint64, stream uint64) *rand.Rand {
@@ -46,7 +46,7 @@
 }
 
 // workload draws the requests of a run. Surge multiplies the rate at a moment.
-func workload(s *Shape, load float64, length time.Duration, seed uint64, surge func(time.Duration) float64) []*Request {
+func generateRequests(s *Shape, load float64, length time.Duration, seed uint64, surge func(time.Duration) float64) []*Request {
 	rng := newRand(seed, 1)
 	zipf := rand.NewZipf(rng, 1.1, 3, documents-1)
 	rate := load * s.capacity()
@@ -67,22 +67,22 @@
 			factor = busyRate
 		}
 		now += time.Duration(rng.ExpFloat64() / (rate * factor * surge(now)) * float64(time.Second))
-		requests = append(requests, draw(s, rng, zipf, len(requests), now))
+		requests = append(requests, sampleRequest(s, rng, zipf, len(requests), now))
 	}
 	return requests
 }
 
-func draw(s *Shape, rng *rand.Rand, zipf *rand.Zipf, id int, now time.Duration) *Request {
+func sampleRequest(s *Shape, rng *rand.Rand, zipf *rand.Zipf, id int, now time.Duration) *Request {
 	r := &Request{
-		ID:       id,
-		Intended: now,
-		Tier:     drawTier(s, rng),
-		Instance: rng.IntN(Instances),
-		Work:     make([]float64, len(s.Stages)),
-		Tokens:   max(1, int(meanAnswer*logNormal(rng, answerSigma))),
+		ID:           id,
+		IntendedAt:   now,
+		Tier:         sampleTier(s, rng),
+		Instance:     rng.IntN(Instances),
+		Work:         make([]float64, len(s.Stages)),
+		OutputTokens: max(1, int(meanOutputTokens*logNormal(rng, outputSigma))),
 	}
 	for i, stage := range s.Stages {
-		work := logNormal(rng, serviceSigma)
+		work := logNormal(rng, workSigma)
 		if rng.Float64() < stage.Share {
 			r.Work[i] = work
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-func drawTier(s *Shape, rng *rand.Rand) int {
+func sampleTier(s *Shape, rng *rand.Rand) int {
 	point := rng.Float64()
 	for i, tier := range s.Tiers {
 		point -= tier.Share
--- a/testkit/waits/log.go
+++ b/testkit/waits/log.go
@@ -17,30 +17,30 @@
 type Request struct {
 	Pipeline string
 	// At is the time of its end.
-	At     time.Time
-	Status int
-	Reason string
+	EndedAt time.Time
+	Status  int
+	Reason  string
 	// Elapsed is the whole time, Stages the wait for the stages' results, First the
 	// time from the sending to the engine to the first event, Pause the longest time
 	// between two events.
-	Elapsed, Stages, First, Pause time.Duration
+	Elapsed, StageWait, FirstEvent, LongestPause time.Duration
 	// Made is what the holder of the queue says; nil without a word of it.
-	Made *Made
+	StageTimes *StageTimes
 }
 
 // Made is how the stages of a request were made.
-type Made struct {
+type StageTimes struct {
 	// Queued is the time for which its stages waited for calls, the longest way
 	// through them alone not told apart; Called the time in calls.
-	Queued, Called time.Duration
+	Queued, InCalls time.Duration
 	// Taken is the time from its admission to the last result, Predicted what was
 	// predicted then, Left the time that there was for an answer in time.
-	Taken, Predicted, Left time.Duration
+	Elapsed, Predicted, TimeToObjective time.Duration
 }
 
 // Call is one call to a stage target.
 type Call struct {
-	At      time.Time
+	EndedAt time.Time
 	Service string
 	Pieces  int
 }
@@ -53,23 +53,23 @@
 
 var (
 	// header is klog's: severity, month and day, time.
-	header = regexp.MustCompile(`[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^ ]+\] "([^"]*)"`)
-	pair   = regexp.MustCompile(`(\w+)=(?:"([^"]*)"|(\S+))`)
-	stage  = regexp.MustCompile(`\d+:(\d+)/(\d+)/(\d+)`)
+	klogHeader        = regexp.MustCompile(`[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^ ]+\] "([^"]*)"`)
+	keyValue          = regexp.MustCompile(`(\w+)=(?:"([^"]*)"|(\S+))`)
+	stageTimesPattern = regexp.MustCompile(`\d+:(\d+)/(\d+)/(\d+)`)
 )
 
 // maxLine bounds a line, in bytes: many times the longest that instances write.
-const maxLine = 64 << 10
+const maxLineBytes = 64 << 10
 
 // Read takes in lines; what stands before an instance's own line, as a name or a time,
 // is passed over, and so are lines of other programs.
 func Read(r io.Reader) (*Log, error) {
 	l := &Log{Requests: map[string]*Request{}}
-	made := map[string]*Made{}
+	made := map[string]*StageTimes{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
-		m := header.FindStringSubmatch(lines.Text())
+		m := klogHeader.FindStringSubmatch(lines.Text())
 		if m == nil {
 			continue
 		}
@@ -77,14 +77,14 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "line %d", n)
 		}
-		fields := parse(lines.Text())
+		fields := parseFields(lines.Text())
 		switch m[2] {
 		case "Request ended":
 			l.Requests[fields.text("request_id")] = fields.request(at)
 		case "Stages done":
-			made[fields.text("request_id")] = fields.made()
+			made[fields.text("request_id")] = fields.stageTimes()
 		case "Stage call ended":
-			l.Calls = append(l.Calls, Call{At: at, Service: fields.text("pool"), Pieces: fields.number("count")})
+			l.Calls = append(l.Calls, Call{EndedAt: at, Service: fields.text("pool"), Pieces: fields.number("count")})
 		}
 		if fields.err != nil {
 			return nil, errors.Wrapf(fields.err, "line %d", n)
@@ -92,7 +92,7 @@
 	}
 	for id, m := range made {
 		if r := l.Requests[id]; r != nil {
-			r.Made = m
+			r.StageTimes = m
 		}
 	}
 	return l, errors.Wrap(lines.Err(), "read")
@@ -104,9 +104,9 @@
 	err    error
 }
 
-func parse(line string) *fields {
+func parseFields(line string) *fields {
 	f := &fields{values: map[string]string{}}
-	for _, m := range pair.FindAllStringSubmatch(line, -1) {
+	for _, m := range keyValue.FindAllStringSubmatch(line, -1) {
 		f.values[m[1]] = m[2] + m[3]
 	}
 	return f
@@ -119,7 +119,7 @@
 		return 0
 	}
 	n, err := strconv.Atoi(f.values[key])
-	f.note(key, err)
+	f.setErr(key, err)
 	return n
 }
 
@@ -128,11 +128,11 @@
 		return 0
 	}
 	d, err := time.ParseDuration(f.values[key])
-	f.note(key, err)
+	f.setErr(key, err)
 	return d
 }
 
-func (f *fields) note(key string, err error) {
+func (f *fields) setErr(key string, err error) {
 	if err != nil && f.err == nil {
 		f.err = errors.Wrap(err, key)
 	}
@@ -140,17 +140,17 @@
 
 func (f *fields) request(at time.Time) *Request {
 	return &Request{
-		Pipeline: f.text("pipeline"), At: at, Status: f.number("status"), Reason: f.text("reason"),
-		Elapsed: f.duration("elapsed"), Stages: f.duration("stages"), First: f.duration("first"), Pause: f.duration("pause"),
+		Pipeline: f.text("pipeline"), EndedAt: at, Status: f.number("status"), Reason: f.text("reason"),
+		Elapsed: f.duration("elapsed"), StageWait: f.duration("stages"), FirstEvent: f.duration("first"), LongestPause: f.duration("pause"),
 	}
 }
 
-func (f *fields) made() *Made {
-	m := &Made{Taken: f.duration("elapsed"), Predicted: f.duration("needed"), Left: f.duration("left")}
-	for _, times := range stage.FindAllStringSubmatch(f.text("stage"), -1) {
+func (f *fields) stageTimes() *StageTimes {
+	m := &StageTimes{Elapsed: f.duration("elapsed"), Predicted: f.duration("needed"), TimeToObjective: f.duration("left")}
+	for _, times := range stageTimesPattern.FindAllStringSubmatch(f.text("stage"), -1) {
 		ready, sent, done := milliseconds(times[1]), milliseconds(times[2]), milliseconds(times[3])
 		m.Queued += sent - ready
-		m.Called += done - sent
+		m.InCalls += done - sent
 	}
 	return m
 }
--- a/testkit/waits/predictions.go
+++ b/testkit/waits/predictions.go
@@ -13,8 +13,8 @@
 
 // outlook tells whether the stages alone were predicted to take longer than there was for
 // an answer in time.
-func (m *Made) outlook() string {
-	if m.Predicted > m.Left {
+func (m *StageTimes) predictedOutcome() string {
+	if m.Predicted > m.TimeToObjective {
 		return "late"
 	}
 	return "in time"
@@ -26,11 +26,11 @@
 // without stages and those that were taken over, of which there is no prediction.
 func (l *Log) WritePredictions(w io.Writer) error {
 	type row struct{ pipeline, outlook string }
-	made := map[row][]*Made{}
+	made := map[row][]*StageTimes{}
 	for _, r := range l.Requests {
-		if r.Made != nil && r.Made.Predicted > 0 {
-			at := row{r.Pipeline, r.Made.outlook()}
-			made[at] = append(made[at], r.Made)
+		if r.StageTimes != nil && r.StageTimes.Predicted > 0 {
+			at := row{r.Pipeline, r.StageTimes.predictedOutcome()}
+			made[at] = append(made[at], r.StageTimes)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -39,24 +39,24 @@
 		return slices.Compare([]string{a.pipeline, a.outlook}, []string{b.pipeline, b.outlook})
 	})
 	for _, at := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", at.pipeline, at.outlook, predictions(made[at]))
+		fmt.Fprintf(t, "%s\t%s\t%s\n", at.pipeline, at.outlook, predictionCells(made[at]))
 	}
 	return errors.Wrap(t.Flush(), "write")
 }
 
 // predictions are the cells of a row.
-func predictions(made []*Made) string {
+func predictionCells(made []*StageTimes) string {
 	var predicted, taken, over []time.Duration
 	late := 0
 	for _, m := range made {
 		predicted = append(predicted, m.Predicted)
-		taken = append(taken, m.Taken)
-		over = append(over, m.Taken-m.Predicted)
-		if m.Taken > m.Left {
+		taken = append(taken, m.Elapsed)
+		over = append(over, m.Elapsed-m.Predicted)
+		if m.Elapsed > m.TimeToObjective {
 			late++
 		}
 	}
 	return fmt.Sprintf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t", len(made),
-		quantile(predicted, 0.5), quantile(predicted, 0.9), quantile(taken, 0.5), quantile(taken, 0.9),
-		quantile(over, 0.1), quantile(over, 0.5), quantile(over, 0.9), late)
+		formatQuantile(predicted, 0.5), formatQuantile(predicted, 0.9), formatQuantile(taken, 0.5), formatQuantile(taken, 0.9),
+		formatQuantile(over, 0.1), formatQuantile(over, 0.5), formatQuantile(over, 0.9), late)
 }
--- a/testkit/waits/report.go
+++ b/testkit/waits/report.go
@@ -18,7 +18,7 @@
 
 const (
 	// window is the time over which the plots average.
-	window     = 2 * time.Second
+	plotWindow = 2 * time.Second
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
 )
@@ -41,12 +41,12 @@
 		byService[c.Service] = append(byService[c.Service], c)
 	}
 	for _, name := range slices.Sorted(maps.Keys(byService)) {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t\n", name, len(byService[name]), fill(byService[name]))
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t\n", name, len(byService[name]), piecesPerCall(byService[name]))
 	}
 	return errors.Wrap(t.Flush(), "write")
 }
 
-func fill(calls []Call) float64 {
+func piecesPerCall(calls []Call) float64 {
 	pieces := 0
 	for _, c := range calls {
 		pieces += c.Pieces
@@ -62,14 +62,14 @@
 			continue
 		}
 		answered++
-		first = append(first, r.First)
-		pause = append(pause, r.Pause)
-		if r.Made == nil {
+		first = append(first, r.FirstEvent)
+		pause = append(pause, r.LongestPause)
+		if r.StageTimes == nil {
 			continue
 		}
-		queued = append(queued, r.Made.Queued)
-		called = append(called, r.Made.Called)
-		if r.Made.Left > 0 && r.Stages+r.First > r.Made.Left {
+		queued = append(queued, r.StageTimes.Queued)
+		called = append(called, r.StageTimes.InCalls)
+		if r.StageTimes.TimeToObjective > 0 && r.StageWait+r.FirstEvent > r.StageTimes.TimeToObjective {
 			late++
 		}
 	}
@@ -79,14 +79,14 @@
 		shares []float64
 	}{{queued, []float64{0.5, 0.9}}, {called, []float64{0.5, 0.9}}, {first, []float64{0.5, 0.9}}, {pause, []float64{0.9}}} {
 		for _, share := range cell.shares {
-			fmt.Fprintf(w, "%s\t", quantile(cell.of, share))
+			fmt.Fprintf(w, "%s\t", formatQuantile(cell.of, share))
 		}
 	}
 	fmt.Fprintln(w)
 }
 
 // quantile writes a quantile in milliseconds; "-" of nothing.
-func quantile(of []time.Duration, share float64) string {
+func formatQuantile(of []time.Duration, share float64) string {
 	if len(of) == 0 {
 		return "-"
 	}
@@ -97,35 +97,35 @@
 // Plot writes two PNGs: the mean time of answered requests by part, and the pieces a
 // call, over the time of the requests' ends.
 func (l *Log) Plot(waitsPath, fillPath string) error {
-	start := l.start()
+	start := l.firstTime()
 	parts := map[string]map[int][]float64{}
 	note := func(part string, at time.Time, value float64) {
 		if parts[part] == nil {
 			parts[part] = map[int][]float64{}
 		}
-		i := int(at.Sub(start) / window)
+		i := int(at.Sub(start) / plotWindow)
 		parts[part][i] = append(parts[part][i], value)
 	}
 	for _, r := range l.Requests {
-		if r.Status != http.StatusOK || r.Made == nil {
+		if r.Status != http.StatusOK || r.StageTimes == nil {
 			continue
 		}
-		note("queued", r.At, r.Made.Queued.Seconds())
-		note("in calls", r.At, r.Made.Called.Seconds())
-		note("engine, to the first event", r.At, r.First.Seconds())
+		note("queued", r.EndedAt, r.StageTimes.Queued.Seconds())
+		note("in calls", r.EndedAt, r.StageTimes.InCalls.Seconds())
+		note("engine, to the first event", r.EndedAt, r.FirstEvent.Seconds())
 	}
 	if err := plotMeans(waitsPath, "mean seconds of answered requests", parts); err != nil {
 		return err
 	}
 	parts = map[string]map[int][]float64{}
 	for _, c := range l.Calls {
-		note(c.Service, c.At, float64(c.Pieces))
+		note(c.Service, c.EndedAt, float64(c.Pieces))
 	}
 	return plotMeans(fillPath, "pieces a call", parts)
 }
 
 // start is the time of the first line.
-func (l *Log) start() time.Time {
+func (l *Log) firstTime() time.Time {
 	var start time.Time
 	earlier := func(at time.Time) {
 		if start.IsZero() || at.Before(start) {
@@ -133,10 +133,10 @@
 		}
 	}
 	for _, r := range l.Requests {
-		earlier(r.At)
+		earlier(r.EndedAt)
 	}
 	for _, c := range l.Calls {
-		earlier(c.At)
+		earlier(c.EndedAt)
 	}
 	return start
 }
@@ -148,7 +148,7 @@
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
 		var line plotter.XYs
 		for _, i := range slices.Sorted(maps.Keys(parts[name])) {
-			line = append(line, plotter.XY{X: float64(i) * window.Seconds(), Y: mean(parts[name][i])})
+			line = append(line, plotter.XY{X: float64(i) * plotWindow.Seconds(), Y: mean(parts[name][i])})
 		}
 		args = append(args, name, line)
 	}
--- a/testkit/waits/waits_test.go
+++ b/testkit/waits/waits_test.go
@@ -25,12 +25,12 @@
 	require.NoError(t, err)
 	require.Len(t, l.Requests, 2)
 	a := l.Requests["a"]
-	require.Equal(t, 400*time.Millisecond, a.First)
-	require.Equal(t, &Made{
-		Queued: 150 * time.Millisecond, Called: 550 * time.Millisecond,
-		Taken: 700 * time.Millisecond, Predicted: 800 * time.Millisecond, Left: time.Second,
-	}, a.Made)
-	require.Equal(t, []Call{{At: a.At.Add(-300 * time.Millisecond), Service: "s", Pieces: 3}}, l.Calls)
+	require.Equal(t, 400*time.Millisecond, a.FirstEvent)
+	require.Equal(t, &StageTimes{
+		Queued: 150 * time.Millisecond, InCalls: 550 * time.Millisecond,
+		Elapsed: 700 * time.Millisecond, Predicted: 800 * time.Millisecond, TimeToObjective: time.Second,
+	}, a.StageTimes)
+	require.Equal(t, []Call{{EndedAt: a.EndedAt.Add(-300 * time.Millisecond), Service: "s", Pieces: 3}}, l.Calls)
 
 	var table bytes.Buffer
 	require.NoError(t, l.WriteTable(&table))
@@ -52,7 +52,7 @@
 // hide how the others are.
 func TestPredictionsAreCompared(t *testing.T) {
 	made := func(predicted, taken time.Duration) *Request {
-		return &Request{Pipeline: "r", Made: &Made{Predicted: predicted, Taken: taken, Left: time.Second}}
+		return &Request{Pipeline: "r", StageTimes: &StageTimes{Predicted: predicted, Elapsed: taken, TimeToObjective: time.Second}}
 	}
 	l := &Log{Requests: map[string]*Request{
 		"a": made(800*time.Millisecond, 1100*time.Millisecond), "b": made(850*time.Millisecond, 900*time.Millisecond),
