--- a/testkit/cmd/experiment/main.go
+++ b/testkit/cmd/experiment/main.go
@@ -1,5 +1,6 @@
-// Command experiment runs a grid of loads and faults over routing policies in
-// virtual time and writes a table, a CSV file and plots.
+// Command experiment simulates routing and admission policies over a grid of
+// organisations, faults and loads in virtual time. It writes a table and, on
+// request, a comparison with the baselines, a CSV file and plots.
 package main
 
 import (
@@ -91,7 +92,7 @@
 	}
 	policies := o.policies
 	if policies == "" {
-		policies = strings.Join(append(names(experiment.Baselines()), experiment.OurPolicy, experiment.ManagedPolicy, "gate_2_2", "oracle"), ",")
+		policies = strings.Join(append(names(experiment.Baselines()), experiment.RoutingPolicy, experiment.ManagedPolicy, "gate_2_2", "oracle"), ",")
 	}
 	grid.Policies, err = choose("policy", policies, experiment.Policies(), func(p experiment.Policy) string { return p.Name })
 	return grid, err
@@ -105,7 +106,8 @@
 	return out
 }
 
-// choose returns the items with the listed names; an empty list means all.
+// choose returns the items whose names are in the comma-separated list, or all
+// items if the list is empty.
 func choose[T any](kind, list string, all []T, name func(T) string) ([]T, error) {
 	if list == "" {
 		return all, nil
--- a/testkit/experiment/cache.go
+++ b/testkit/experiment/cache.go
@@ -6,12 +6,12 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// prefixCache is an engine's cache of prompt parts: least recently used parts
-// leave first. It keeps its changes until they are published.
+// prefixCache is an engine's LRU cache of prompt parts. It records its changes
+// until they are published.
 type prefixCache struct {
 	capacity, used int
 	parts          map[string]*list.Element
-	order          *list.List // front is the most recent
+	order          *list.List // most recently used first
 	added, removed []string
 }
 
@@ -19,7 +19,8 @@
 	return &prefixCache{capacity: capacity, parts: map[string]*list.Element{}, order: list.New()}
 }
 
-// read returns the number of tokens that were not cached, and caches them.
+// read returns the number of tokens that were not cached, and caches them. A
+// part counts as cached only if all parts before it are cached.
 func (c *prefixCache) read(parts []routing.PrefixPart) int {
 	missing := 0
 	for _, part := range parts {
--- a/testkit/experiment/clock.go
+++ b/testkit/experiment/clock.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// epoch is the virtual moment at which every run starts.
+// epoch is the virtual time at which every run starts.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// clock runs functions in the order of their virtual time.
+// clock is the event queue of a simulation: a heap ordered by virtual time, and
+// by the order of scheduling for equal times.
 type clock struct {
 	now    time.Duration
 	seq    uint64
@@ -25,24 +26,25 @@
 	return e.seq < other.seq
 }
 
-// time returns the virtual time as the decisions see it.
+// time returns the virtual time as a time.Time, for the packages under test.
 func (c *clock) time() time.Time {
 	return epoch.Add(c.now)
 }
 
-// after runs f once the delay has passed.
+// after schedules f after a delay.
 func (c *clock) after(delay time.Duration, f func()) {
 	c.at(c.now+delay, f)
 }
 
-// at runs f at a moment since the start, at once if that has passed.
+// at schedules f at a time since the start of the run, at once if that has
+// passed.
 func (c *clock) at(moment time.Duration, f func()) {
 	c.seq++
 	c.events = append(c.events, event{max(moment, c.now), c.seq, f})
-	c.up(len(c.events) - 1)
+	c.siftUp(len(c.events) - 1)
 }
 
-// every runs f at a steady interval until the run ends.
+// every schedules f at a fixed interval until the run ends.
 func (c *clock) every(first, interval time.Duration, f func()) {
 	c.at(first, func() {
 		f()
@@ -50,7 +52,7 @@
 	})
 }
 
-// runUntil runs the events up to a moment.
+// runUntil runs the events up to and including a time.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := c.pop()
@@ -60,7 +62,7 @@
 	c.now = end
 }
 
-func (c *clock) up(i int) {
+func (c *clock) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !c.events[i].before(&c.events[parent]) {
@@ -77,11 +79,11 @@
 	c.events[0] = c.events[last]
 	c.events[last] = event{}
 	c.events = c.events[:last]
-	c.down()
+	c.siftDown()
 	return top
 }
 
-func (c *clock) down() {
+func (c *clock) siftDown() {
 	i := 0
 	for {
 		least := i
--- a/testkit/experiment/control.go
+++ b/testkit/experiment/control.go
@@ -6,73 +6,78 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// StageInfo is a stage of a request at a moment, for the decisions of Control.
+// StageInfo describes a stage of a request at a moment, as input to the
+// decisions of a Control.
 type StageInfo struct {
 	Request *Request
 	Shape   *Shape
 	Stage   int
-	// Attempt counts the attempts that were sent before.
-	Attempt int
-	// Left is the time to the end-to-end deadline.
-	Left time.Duration
+	// Attempts is the number of attempts that were sent before.
+	Attempts int
+	// Remaining is the time until the end-to-end deadline.
+	Remaining time.Duration
 }
 
-// Spec returns the stage's shape.
-func (s StageInfo) Spec() *StageShape {
+// StageShape returns the shape of the stage.
+func (s StageInfo) StageShape() *StageShape {
 	return &s.Shape.Stages[s.Stage]
 }
 
 // Control is the admission, retry and hedge policy of one instance.
 type Control interface {
-	// Admit tells whether a request is taken at all.
+	// Admit returns whether a request is accepted.
 	Admit(now time.Time, s StageInfo) bool
-	// StartStage calls start once the stage may begin, or with false when it is
-	// not worth starting; at once or later.
+	// StartStage calls start, at once or later: with true when the stage may
+	// begin, with false when it can't meet the deadline any more.
 	StartStage(now time.Time, s StageInfo, start func(ok bool))
-	// Retry tells whether a failed stage is sent again, and spends for it.
+	// Retry returns whether a failed stage is sent again, and charges the retry
+	// budget for it.
 	Retry(now time.Time, s StageInfo) bool
-	// HedgeAfter tells how long to wait before a second attempt; ok is false
-	// when the stage is not hedged.
+	// HedgeAfter returns the delay before a second, parallel attempt; ok is
+	// false when the stage is not hedged.
 	HedgeAfter(now time.Time, s StageInfo) (after time.Duration, ok bool)
-	// Hedge tells whether the second attempt may be sent, and spends for it.
+	// Hedge returns whether the second attempt may be sent, and charges the
+	// retry budget for it.
 	Hedge(now time.Time, s StageInfo) bool
-	// AttemptDone and RequestDone tell how attempts and requests ended. An
-	// attempt's size is its work relative to the stage's mean, as its answer
-	// told; 0 when it told none.
+	// AttemptDone and RequestDone report how an attempt and a request ended. The
+	// size of an attempt is its work relative to the stage's mean, as given in
+	// the response; it is 1 when the response gives none.
 	AttemptDone(now time.Time, s StageInfo, result routing.Result, size float64)
 	RequestDone(now time.Time, s StageInfo, attained bool)
 }
 
-// Gossiper is a Control that talks with its peers at every digest interval.
+// Gossiper is a Control that exchanges digests with its peers at every digest
+// interval.
 type Gossiper interface {
-	// Digest also tells the slots of each pool that are routable now.
+	// Digest returns the instance's own digest. slots holds the number of slots
+	// of each pool that are routable now.
 	Digest(now time.Time, slots map[string]int) any
 	PeerDigest(now time.Time, origin string, digest any)
 }
 
-// Plain admits everything, sends a failed repeatable stage again once and
-// hedges nothing.
-type Plain struct{}
+// PlainControl is a Control that admits every request, retries a failed
+// repeatable stage once and never hedges.
+type PlainControl struct{}
 
 // Admit implements Control.
-func (Plain) Admit(time.Time, StageInfo) bool { return true }
+func (PlainControl) Admit(time.Time, StageInfo) bool { return true }
 
 // StartStage implements Control.
-func (Plain) StartStage(_ time.Time, _ StageInfo, start func(bool)) { start(true) }
+func (PlainControl) StartStage(_ time.Time, _ StageInfo, start func(bool)) { start(true) }
 
 // Retry implements Control.
-func (Plain) Retry(_ time.Time, s StageInfo) bool {
-	return s.Attempt < 2 && s.Spec().Repeatable
+func (PlainControl) Retry(_ time.Time, s StageInfo) bool {
+	return s.Attempts < 2 && s.StageShape().Repeatable
 }
 
 // HedgeAfter implements Control.
-func (Plain) HedgeAfter(time.Time, StageInfo) (time.Duration, bool) { return 0, false }
+func (PlainControl) HedgeAfter(time.Time, StageInfo) (time.Duration, bool) { return 0, false }
 
 // Hedge implements Control.
-func (Plain) Hedge(time.Time, StageInfo) bool { return false }
+func (PlainControl) Hedge(time.Time, StageInfo) bool { return false }
 
 // AttemptDone implements Control.
-func (Plain) AttemptDone(time.Time, StageInfo, routing.Result, float64) {}
+func (PlainControl) AttemptDone(time.Time, StageInfo, routing.Result, float64) {}
 
 // RequestDone implements Control.
-func (Plain) RequestDone(time.Time, StageInfo, bool) {}
+func (PlainControl) RequestDone(time.Time, StageInfo, bool) {}
--- a/testkit/experiment/experiment_test.go
+++ b/testkit/experiment/experiment_test.go
@@ -16,50 +16,50 @@
 		Loads:    []float64{1.3},
 		Faults:   Faults(),
 		Seeds:    []uint64{1},
-		Policies: append(Baselines(), Routed(OurPolicy, ourConfig()), Controlled()[0]),
+		Policies: append(Baselines(), Routed(RoutingPolicy, productConfig()), ControlAblations()[0]),
 		Length:   testLength,
 	}
 }
 
-// The same seed must give the same report, whatever runs beside it: otherwise
-// two policies could not be compared.
-func TestGridRepeats(t *testing.T) {
+// Policies are comparable only if the same seed gives the same report,
+// regardless of the runs in parallel.
+func TestGridIsDeterministic(t *testing.T) {
 	var first, second bytes.Buffer
 	require.NoError(t, WriteCSV(&first, testGrid().Run()))
 	require.NoError(t, WriteCSV(&second, testGrid().Run()))
 	require.Equal(t, first.String(), second.String())
 }
 
-// Every offered request has one fate and every job ends, under every fault:
-// work that leaked would make a policy look cheap.
-func TestRunConserves(t *testing.T) {
+// Under every fault each offered request has one outcome and every job ends.
+// Work that is not accounted for would make a policy look cheaper than it is.
+func TestRunEndsEveryRequestAndJob(t *testing.T) {
 	for _, fault := range Faults() {
-		r := newRun(Config{Fjallaskali(), 1.3, fault, 1, testLength, Controlled()[0], true})
+		r := newRun(Config{Fjallaskali(), 1.3, fault, 1, testLength, ControlAblations()[0], true})
 		r.execute()
 		for _, target := range r.targets {
 			require.Zero(t, target.active, "%s: %s", fault, target.spec.Incarnation)
 			require.Zero(t, target.queued, "%s: %s", fault, target.spec.Incarnation)
 		}
 		for _, i := range r.instances {
-			require.Empty(t, i.flows, fault)
+			require.Empty(t, i.executions, fault)
 		}
 		result := r.measure()
 		require.LessOrEqual(t, result.Attained+result.Refused+result.Failed, result.Offered, fault)
-		require.GreaterOrEqual(t, result.Sent, 4*result.Attained, fault)
+		require.GreaterOrEqual(t, result.Attempts, 4*result.Attained, fault)
 	}
 }
 
-// A client meant to send at 1 s, and the instance gets to the request only
-// 500 ms later. Measured from the send the answer looks quick; the client has
-// waited half a second more (coordinated omission).
-func TestResponseCountsFromIntendedArrival(t *testing.T) {
-	rec := &record{
-		request:  &Request{Intended: time.Second, Deadline: 3 * time.Second},
-		fate:     fateWhole,
-		answered: 1600 * time.Millisecond,
+// A client intends to send at 1 s, but the instance handles the request 500 ms
+// later. Measured from the sending, the response time would leave out these
+// 500 ms (coordinated omission).
+func TestResponseTimeCountsFromIntendedArrival(t *testing.T) {
+	rec := &requestRecord{
+		request:     &Request{IntendedAt: time.Second, Deadline: 3 * time.Second},
+		outcome:     outcomeCompleted,
+		completedAt: 1600 * time.Millisecond,
 	}
-	r := run{config: Config{Shape: Periyar(), Length: testLength}, records: []*record{rec}}
-	require.InDelta(t, 600_000, r.measure().Response.Max(), 1000)
+	r := run{config: Config{Shape: Periyar(), Length: testLength}, records: []*requestRecord{rec}}
+	require.InDelta(t, 600_000, r.measure().ResponseTimes.Max(), 1000)
 }
 
 func TestClockOrdersEvents(t *testing.T) {
@@ -73,7 +73,7 @@
 	require.Equal(t, time.Duration(5), c.now)
 }
 
-func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newPrefixCache(accountTokens + 2*documentTokens)
 	request := func(document string) int {
 		return c.read(prefix("a", document))
@@ -87,7 +87,7 @@
 	require.Equal(t, []string{"2"}, removed)
 }
 
-func TestVerdict(t *testing.T) {
+func TestGoalVerdict(t *testing.T) {
 	for _, tc := range []struct {
 		best, ours, cost float64
 		want             string
@@ -99,6 +99,6 @@
 		{0, 0, 1, "met"},
 		{0, 0.1, 2, "misses and cost not met"},
 	} {
-		require.Equal(t, tc.want, verdict(tc.best, tc.ours, tc.cost), "%+v", tc)
+		require.Equal(t, tc.want, goalVerdict(tc.best, tc.ours, tc.cost), "%+v", tc)
 	}
 }
--- a/testkit/experiment/fault.go
+++ b/testkit/experiment/fault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fault names what goes wrong during a run.
+// Fault names the fault that a run injects.
 type Fault string
 
 // The faults of the grid.
@@ -32,7 +32,7 @@
 const (
 	stragglerSlowness = 6.0
 	greySlowness      = 2.0
-	// burstRate multiplies the arrivals for burstLength every burstInterval.
+	// burstRate multiplies the arrival rate for burstLength every burstInterval.
 	burstRate     = 2.5
 	burstLength   = time.Second
 	burstInterval = 6 * time.Second
@@ -41,53 +41,55 @@
 	replaceInterval = 4 * time.Second
 	coldSlowness    = 4.0
 	warmUpTime      = 3 * time.Second
-	// listLag is how late the platform's list follows.
-	listLag = 5 * time.Second
-	// reportAge and staleAge are how old load reports are.
+	// targetListDelay is the delay until the platform's list of targets shows a
+	// failure or a recovery.
+	targetListDelay = 5 * time.Second
+	// reportAge and staleAge are the usual age of load reports and their age
+	// under FaultStaleReports.
 	reportAge = 300 * time.Millisecond
 	staleAge  = 2 * time.Second
 )
 
-// window is when a fault is on: the middle half of a run.
+// window is the time during which a fault is active: the middle half of a run.
 type window struct{ from, to time.Duration }
 
 func faultWindow(length time.Duration) window {
 	return window{length / 4, length * 3 / 4}
 }
 
-func (w window) holds(t time.Duration) bool {
+func (w window) contains(t time.Duration) bool {
 	return t >= w.from && t < w.to
 }
 
-// surge returns the factor of the arrivals at a moment.
-func (f Fault) surge(w window) func(time.Duration) float64 {
+// rateFactor returns the function that multiplies the arrival rate at a moment.
+func (f Fault) rateFactor(w window) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
-		if f == FaultBurst && w.holds(t) && (t-w.from)%burstInterval < burstLength {
+		if f == FaultBurst && w.contains(t) && (t-w.from)%burstInterval < burstLength {
 			return burstRate
 		}
 		return 1
 	}
 }
 
-// inject schedules the fault. The first engine and, for the faults of a single
-// target, the first target of one service fail.
+// inject schedules the fault of the run. A fault of single targets affects the
+// first engine and mostly the first target of one service too.
 func (r *run) inject(w window) {
 	engine := r.pools["engines"][0]
 	switch r.config.Fault {
 	case FaultStraggler:
-		r.slow(w, stragglerSlowness, engine, r.pools["rerankers"][0])
+		r.slowDown(w, stragglerSlowness, engine, r.pools["rerankers"][0])
 	case FaultGrey:
-		r.slow(w, greySlowness, engine, r.pools["retrievers"][0])
+		r.slowDown(w, greySlowness, engine, r.pools["retrievers"][0])
 	case FaultFailFast:
 		for _, t := range []*target{engine, r.pools["encoders"][0]} {
 			r.clock.at(w.from, func() { t.failing = true })
 			r.clock.at(w.to, func() { t.failing = false })
 		}
 	case FaultDCLost:
-		r.loseDataCentre(w, dataCentre(0))
+		r.failDataCentre(w, dataCentre(0))
 	case FaultStoreDown:
-		// An engine dies while the list can't tell.
-		r.clock.at(w.from, engine.lose)
+		// An engine fails while the list of targets can't be updated.
+		r.clock.at(w.from, engine.crash)
 		r.clock.at(w.to, func() { engine.down = false })
 	case FaultReplaced:
 		for n := range int((w.to - w.from) / replaceInterval) {
@@ -97,62 +99,63 @@
 	}
 }
 
-func (r *run) slow(w window, slowness float64, targets ...*target) {
+func (r *run) slowDown(w window, slowness float64, targets ...*target) {
 	for _, t := range targets {
 		r.clock.at(w.from, func() { t.slowness = slowness })
 		r.clock.at(w.to, func() { t.slowness = 1 })
 	}
 }
 
-// replaceEngine takes an engine out of the list, where it ends its work, and
-// puts a new incarnation in its place.
+// replaceEngine lists a new incarnation, which is slow until it has warmed up,
+// instead of an engine. The old one finishes its work.
 func (r *run) replaceEngine(n int) {
 	engines := r.pools[enginePool]
-	place := n % len(engines)
-	old := engines[place]
+	index := n % len(engines)
+	old := engines[index]
 	spec := old.spec
 	spec.Incarnation = fmt.Sprintf("%s-%d", spec.Incarnation, n)
 	t := r.addTarget(spec, old.stage)
-	engines[place] = t
+	engines[index] = t
 	t.slowness = coldSlowness
 	r.clock.after(warmUpTime, func() { t.slowness = 1 })
 	r.clock.every(r.clock.now, loadSampleInterval, t.sampleLoad)
-	r.publishLists()
+	r.publishTargets()
 }
 
-// loseDataCentre stops the targets and the instances of a data centre. The
-// balancer sends its clients to the other instances; the platform's list
-// follows after listLag, and again when all are back.
-func (r *run) loseDataCentre(w window, name string) {
+// failDataCentre stops the targets and instances of a data centre during the
+// window. The balancer sends its clients to the other instances at once; the
+// platform's list of targets is updated targetListDelay after the failure and
+// after the recovery.
+func (r *run) failDataCentre(w window, name string) {
 	r.clock.at(w.from, func() {
-		r.lostDC = name
+		r.failedDataCentre = name
 		for _, t := range r.targets {
 			if t.spec.DataCentre == name {
-				t.lose()
+				t.crash()
 			}
 		}
 		for _, i := range r.instances {
 			if i.dataCentre == name {
-				i.lose()
+				i.fail()
 			}
 		}
 	})
-	r.clock.at(w.from+listLag, r.publishLists)
+	r.clock.at(w.from+targetListDelay, r.publishTargets)
 	r.clock.at(w.to, func() {
-		r.lostDC = ""
+		r.failedDataCentre = ""
 		for _, t := range r.targets {
 			t.down = false
 		}
 		for _, i := range r.instances {
-			i.lost = false
+			i.failed = false
 		}
 	})
-	r.clock.at(w.to+listLag, r.publishLists)
+	r.clock.at(w.to+targetListDelay, r.publishTargets)
 }
 
-// reportAge returns how old load reports are now.
+// reportAge returns the age that load reports have now.
 func (r *run) reportAge() time.Duration {
-	if r.config.Fault == FaultStaleReports && r.window.holds(r.clock.now) {
+	if r.config.Fault == FaultStaleReports && r.window.contains(r.clock.now) {
 		return staleAge
 	}
 	return reportAge
--- a/testkit/experiment/goal.go
+++ b/testkit/experiment/goal.go
@@ -6,11 +6,11 @@
 	"text/tabwriter"
 )
 
-// The goal: the best baseline's misses cut to a third, and the cost within
-// goalCost of the fault-free cost.
+// The goal is to reduce the deadline misses of the best baseline to a third and
+// to keep the cost within goalCostRatio times the fault-free cost.
 const (
-	goalMisses = 1.0 / 3
-	goalCost   = 1.1
+	goalMissRatio = 1.0 / 3
+	goalCostRatio = 1.1
 )
 
 type cellKey struct {
@@ -19,9 +19,9 @@
 	load          float64
 }
 
-// WriteGoal compares one policy with the best of the baselines, cell by cell,
-// and says whether the goal is met. Costs are stage-seconds per answer, relative
-// to the policy's own without a fault.
+// WriteGoal writes a table that compares one policy with the best baseline of
+// each cell and shows whether the goal is met. Costs are stage-seconds per
+// attained request, relative to the policy's own cost without a fault.
 func WriteGoal(w io.Writer, cells []*Cell, policy string, baselines []string) error {
 	index := map[cellKey]*Cell{}
 	for _, c := range cells {
@@ -34,11 +34,11 @@
 			continue
 		}
 		best := bestBaseline(index, c, baselines)
-		free := index[cellKey{c.Shape, policy, FaultNone, c.Load}]
-		if best == nil || free == nil {
+		faultFree := index[cellKey{c.Shape, policy, FaultNone, c.Load}]
+		if best == nil || faultFree == nil {
 			continue
 		}
-		writeGoalRow(out, c, best, free)
+		writeGoalRow(out, c, best, faultFree)
 	}
 	return out.Flush()
 }
@@ -47,34 +47,34 @@
 	var best *Cell
 	for _, name := range baselines {
 		other := index[cellKey{c.Shape, name, c.Fault, c.Load}]
-		if other != nil && (best == nil || misses(other) < misses(best)) {
+		if other != nil && (best == nil || missShare(other) < missShare(best)) {
 			best = other
 		}
 	}
 	return best
 }
 
-func misses(c *Cell) float64 {
+func missShare(c *Cell) float64 {
 	return 1 - c.Mean((*Result).Attainment)
 }
 
-func writeGoalRow(w io.Writer, c, best, free *Cell) {
-	share := ratio(misses(c), misses(best))
-	cost := ratio(c.Mean((*Result).SecondsPerAnswer), free.Mean((*Result).SecondsPerAnswer))
+func writeGoalRow(w io.Writer, c, best, faultFree *Cell) {
+	share := ratio(missShare(c), missShare(best))
+	cost := ratio(c.Mean((*Result).SecondsPerAttained), faultFree.Mean((*Result).SecondsPerAttained))
 	fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%s\n",
 		c.Shape, c.Fault, c.Load, best.Policy,
-		100*misses(best), 100*misses(c), share,
+		100*missShare(best), 100*missShare(c), share,
 		100-best.Mean(tierPercent(0)), 100-c.Mean(tierPercent(0)),
-		cost, ratio(best.Mean((*Result).SecondsPerAnswer), free.Mean((*Result).SecondsPerAnswer)),
-		verdict(misses(best), misses(c), cost))
+		cost, ratio(best.Mean((*Result).SecondsPerAttained), faultFree.Mean((*Result).SecondsPerAttained)),
+		goalVerdict(missShare(best), missShare(c), cost))
 }
 
-// verdict says which part of the goal is met. Where the best baseline misses
-// nothing, nothing may be missed.
-func verdict(best, ours, cost float64) string {
+// goalVerdict returns which part of the goal is met. Where the best baseline
+// has no misses, the policy may have none.
+func goalVerdict(best, ours, cost float64) string {
 	const rounding = 1e-9
-	missesMet := ours <= goalMisses*best+rounding
-	costMet := cost <= goalCost
+	missesMet := ours <= goalMissRatio*best+rounding
+	costMet := cost <= goalCostRatio
 	switch {
 	case missesMet && costMet:
 		return "met"
--- a/testkit/experiment/grid.go
+++ b/testkit/experiment/grid.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Grid is a set of runs: the product of its lists.
+// Grid is a set of runs: the Cartesian product of its lists.
 type Grid struct {
 	Shapes   []Shape
 	Loads    []float64
@@ -17,7 +17,7 @@
 	AgeKnown bool
 }
 
-// Cell is one point of a grid, over all its seeds.
+// Cell is one point of a grid with the results of all seeds.
 type Cell struct {
 	Shape, Policy string
 	Load          float64
@@ -25,10 +25,10 @@
 	Results       []*Result
 }
 
-// maxParallel bounds the processors that a grid uses.
+// maxParallel is the largest number of runs at once.
 const maxParallel = 4
 
-// Run runs the grid and returns its cells in the order of the lists.
+// Run executes the grid and returns its cells in the order of the lists.
 func (g *Grid) Run() []*Cell {
 	var cells []*Cell
 	var work []func()
@@ -47,11 +47,11 @@
 			}
 		}
 	}
-	inParallel(work)
+	runParallel(work)
 	return cells
 }
 
-func inParallel(work []func()) {
+func runParallel(work []func()) {
 	next := make(chan func())
 	var workers sync.WaitGroup
 	for range min(maxParallel, runtime.GOMAXPROCS(0)) {
@@ -77,8 +77,8 @@
 	return ratio(sum, float64(len(c.Results)))
 }
 
-// Spread returns the least and the greatest value of a measure over the seeds.
-func (c *Cell) Spread(measure func(*Result) float64) (least, most float64) {
+// Range returns the smallest and the largest value of a measure over the seeds.
+func (c *Cell) Range(measure func(*Result) float64) (least, most float64) {
 	for i, r := range c.Results {
 		v := measure(r)
 		if i == 0 {
--- a/testkit/experiment/instance.go
+++ b/testkit/experiment/instance.go
@@ -10,11 +10,11 @@
 
 // One-way delays between an instance and a target.
 const (
-	nearDelay = 250 * time.Microsecond
-	farDelay  = time.Millisecond
+	localDelay  = 250 * time.Microsecond
+	remoteDelay = time.Millisecond
 )
 
-// instance serves requests with its own router and control.
+// instance models one instance with its own router and control.
 type instance struct {
 	run        *run
 	name       string
@@ -22,239 +22,241 @@
 	router     Router
 	control    Control
 	rng        *rand.Rand
-	learned    *learner
-	flows      []*flow
-	lost       bool
+	latencies  *latencyEstimator
+	executions []*execution
+	failed     bool
 }
 
-// flow is one request at an instance.
-type flow struct {
+// execution is the execution of one request by an instance.
+type execution struct {
 	instance *instance
 	request  *Request
 	stage    int
 	sent     int // attempts of the current stage
-	open     []*attempt
+	inFlight []*attempt
 	excluded []string
 	ended    bool
-	record   *record
+	record   *requestRecord
 }
 
-// attempt is one call of a target.
+// attempt is one call to a target.
 type attempt struct {
-	flow    *flow
-	stage   int
-	target  *target
-	job     *job
-	sentAt  time.Duration
-	done    func(time.Time, routing.Result)
-	settled bool
-	hedge   bool
+	execution *execution
+	stage     int
+	target    *target
+	job       *job
+	sentAt    time.Duration
+	done      func(time.Time, routing.Result)
+	settled   bool
+	hedge     bool
 }
 
-func (f *flow) info() StageInfo {
+func (e *execution) info() StageInfo {
 	return StageInfo{
-		Request: f.request,
-		Shape:   &f.instance.run.config.Shape,
-		Stage:   f.stage,
-		Attempt: f.sent,
-		Left:    f.request.Deadline - f.instance.run.clock.now,
+		Request:   e.request,
+		Shape:     &e.instance.run.config.Shape,
+		Stage:     e.stage,
+		Attempts:  e.sent,
+		Remaining: e.request.Deadline - e.instance.run.clock.now,
 	}
 }
 
-// accept takes a request at the moment it reaches the instance.
-func (i *instance) accept(r *Request, rec *record) {
-	f := &flow{instance: i, request: r, stage: -1, record: rec}
+// accept starts a request when it reaches the instance, unless admission
+// refuses it.
+func (i *instance) accept(r *Request, rec *requestRecord) {
+	e := &execution{instance: i, request: r, stage: -1, record: rec}
 	if !i.control.Admit(i.run.clock.time(), StageInfo{r, &i.run.config.Shape, 0, 0, r.Deadline - i.run.clock.now}) {
-		rec.fate = fateRefused
+		rec.outcome = outcomeRefused
 		return
 	}
-	i.flows = append(i.flows, f)
-	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { f.end(fateLate) })
-	f.nextStage()
+	i.executions = append(i.executions, e)
+	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { e.end(outcomeDeadlineMissed) })
+	e.nextStage()
 }
 
-func (f *flow) nextStage() {
-	f.stage++
-	f.sent = 0
-	f.excluded = nil
-	for f.stage < len(f.request.Work) && f.request.Work[f.stage] == 0 {
-		f.stage++
+func (e *execution) nextStage() {
+	e.stage++
+	e.sent = 0
+	e.excluded = nil
+	for e.stage < len(e.request.Work) && e.request.Work[e.stage] == 0 {
+		e.stage++
 	}
-	if f.stage == len(f.request.Work) {
-		f.end(fateWhole)
+	if e.stage == len(e.request.Work) {
+		e.end(outcomeCompleted)
 		return
 	}
-	stage := f.stage
-	f.instance.control.StartStage(f.instance.run.clock.time(), f.info(), func(ok bool) {
-		if f.ended || f.stage != stage {
+	stage := e.stage
+	e.instance.control.StartStage(e.instance.run.clock.time(), e.info(), func(ok bool) {
+		if e.ended || e.stage != stage {
 			return
 		}
 		if !ok {
-			f.end(fateRefused)
+			e.end(outcomeRefused)
 			return
 		}
-		f.send(false)
-		f.planHedge()
+		e.send(false)
+		e.planHedge()
 	})
 }
 
-func (f *flow) planHedge() {
-	if f.ended {
+func (e *execution) planHedge() {
+	if e.ended {
 		return
 	}
-	clock := f.instance.run.clock
-	control := f.instance.control
-	after, ok := control.HedgeAfter(clock.time(), f.info())
+	clock := e.instance.run.clock
+	control := e.instance.control
+	after, ok := control.HedgeAfter(clock.time(), e.info())
 	if !ok {
 		return
 	}
-	stage := f.stage
+	stage := e.stage
 	clock.after(after, func() {
-		if f.ended || f.stage != stage || len(f.open) != 1 {
+		if e.ended || e.stage != stage || len(e.inFlight) != 1 {
 			return
 		}
-		if control.Hedge(clock.time(), f.info()) {
-			f.send(true)
+		if control.Hedge(clock.time(), e.info()) {
+			e.send(true)
 		}
 	})
 }
 
-// send starts one attempt of the current stage.
-func (f *flow) send(hedge bool) {
-	i := f.instance
-	shape := &i.run.config.Shape.Stages[f.stage]
-	query := routing.Query{Pool: shape.Pool, Exclude: f.excluded, Rank: f.request.Tier}
+// send starts an attempt of the current stage.
+func (e *execution) send(hedge bool) {
+	i := e.instance
+	shape := &i.run.config.Shape.Stages[e.stage]
+	query := routing.Query{Pool: shape.Pool, Exclude: e.excluded, Rank: e.request.Tier}
 	if shape.Pool == enginePool {
-		query.Prefix = f.request.Prefix
+		query.Prefix = e.request.Prefix
 	}
 	choice, err := i.router.Pick(i.run.clock.time(), i.rng, query)
 	if err != nil {
-		if len(f.open) == 0 {
-			f.end(fateFailed)
+		if len(e.inFlight) == 0 {
+			e.end(outcomeFailed)
 		}
 		return
 	}
 	t := i.run.byName[choice.Target.Incarnation]
-	a := &attempt{flow: f, stage: f.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
-	a.job = &job{request: f.request, stage: f.stage}
+	a := &attempt{execution: e, stage: e.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
+	a.job = &job{request: e.request, stage: e.stage}
 	a.done = i.router.Started(i.run.clock.time(), t.spec.Incarnation, 1)
-	f.sent++
-	f.excluded = append(f.excluded, t.spec.Incarnation)
-	f.open = append(f.open, a)
-	f.record.attempts = append(f.record.attempts, a)
+	e.sent++
+	e.excluded = append(e.excluded, t.spec.Incarnation)
+	e.inFlight = append(e.inFlight, a)
+	e.record.attempts = append(e.record.attempts, a)
 	a.dispatch()
 }
 
 func (a *attempt) delay() time.Duration {
-	if a.target.spec.DataCentre == a.flow.instance.dataCentre {
-		return nearDelay
+	if a.target.spec.DataCentre == a.execution.instance.dataCentre {
+		return localDelay
 	}
-	return farDelay
+	return remoteDelay
 }
 
 func (a *attempt) dispatch() {
-	clock := a.flow.instance.run.clock
-	a.job.reply = func(ans answer) {
-		clock.after(a.delay(), func() { a.answered(ans) })
+	clock := a.execution.instance.run.clock
+	a.job.reply = func(resp response) {
+		clock.after(a.delay(), func() { a.handleResponse(resp) })
 	}
 	clock.after(a.delay(), func() {
 		if a.target.down {
 			a.job.state = jobEnded
-			clock.after(connectTimeout, func() { a.answered(answer{outcome: routing.OutcomeFailed}) })
+			clock.after(connectTimeout, func() { a.handleResponse(response{outcome: routing.OutcomeFailed}) })
 			return
 		}
 		a.target.submit(a.job)
 	})
 }
 
-func (a *attempt) answered(ans answer) {
-	f := a.flow
-	if a.settled || f.instance.lost {
+func (a *attempt) handleResponse(resp response) {
+	e := a.execution
+	if a.settled || e.instance.failed {
 		return
 	}
-	f.instance.reportFrom(a.target)
-	a.settle(ans.outcome, ans.units)
+	e.instance.applyLoadReport(a.target)
+	a.settle(resp.outcome, resp.idleTime)
 	switch {
-	case ans.outcome == routing.OutcomeOK:
-		f.record.won = append(f.record.won, a)
-		f.cancelOpen()
-		f.nextStage()
-	case len(f.open) > 0:
-	case ans.outcome == routing.OutcomeFailed && f.instance.control.Retry(f.instance.run.clock.time(), f.info()):
-		f.send(false)
+	case resp.outcome == routing.OutcomeOK:
+		e.record.successful = append(e.record.successful, a)
+		e.cancelInFlight()
+		e.nextStage()
+	case len(e.inFlight) > 0:
+	case resp.outcome == routing.OutcomeFailed && e.instance.control.Retry(e.instance.run.clock.time(), e.info()):
+		e.send(false)
 	default:
-		f.end(fateFailed)
+		e.end(outcomeFailed)
 	}
 }
 
-// settle tells the router and the control how the attempt ended.
-func (a *attempt) settle(outcome routing.Outcome, units time.Duration) {
+// settle reports the end of the attempt to the router and the control.
+func (a *attempt) settle(outcome routing.Outcome, idleTime time.Duration) {
 	a.settled = true
-	f := a.flow
-	i := f.instance
-	f.open = slices.DeleteFunc(f.open, func(other *attempt) bool { return other == a })
+	e := a.execution
+	i := e.instance
+	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == a })
 	latency := i.run.clock.now - a.sentAt
-	if units == 0 {
-		units = i.run.config.Shape.Stages[a.stage].mean()
+	if idleTime == 0 {
+		idleTime = i.run.config.Shape.Stages[a.stage].meanIdleTime()
 	}
-	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.learned.expected(a.stage, units)}
+	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.latencies.expected(a.stage, idleTime)}
 	if outcome == routing.OutcomeOK {
-		i.learned.observe(a.stage, units, latency)
+		i.latencies.observe(a.stage, idleTime, latency)
 	}
 	now := i.run.clock.time()
 	a.done(now, result)
-	info := f.info()
+	info := e.info()
 	info.Stage = a.stage
-	size := float64(units) / float64(i.run.config.Shape.Stages[a.stage].mean())
+	size := float64(idleTime) / float64(i.run.config.Shape.Stages[a.stage].meanIdleTime())
 	i.control.AttemptDone(now, info, result, size)
 }
 
-// cancelOpen gives up the attempts still open; a cancel travels to the target.
-func (f *flow) cancelOpen() {
-	for len(f.open) > 0 {
-		f.open[0].giveUp(routing.OutcomeCancelled)
+// cancelInFlight abandons the attempts in flight and cancels them at their targets.
+func (e *execution) cancelInFlight() {
+	for len(e.inFlight) > 0 {
+		e.inFlight[0].abandon(routing.OutcomeCancelled)
 	}
 }
 
-func (a *attempt) giveUp(outcome routing.Outcome) {
+func (a *attempt) abandon(outcome routing.Outcome) {
 	a.settle(outcome, 0)
-	a.flow.instance.run.clock.after(a.delay(), func() { a.target.cancel(a.job, outcome) })
+	a.execution.instance.run.clock.after(a.delay(), func() { a.target.cancel(a.job, outcome) })
 }
 
-func (f *flow) end(fate fate) {
-	if f.ended {
+func (e *execution) end(outcome requestOutcome) {
+	if e.ended {
 		return
 	}
-	f.ended = true
-	i := f.instance
-	for len(f.open) > 0 {
-		f.open[0].giveUp(routing.OutcomeDeadlineMissed)
+	e.ended = true
+	i := e.instance
+	for len(e.inFlight) > 0 {
+		e.inFlight[0].abandon(routing.OutcomeDeadlineMissed)
 	}
-	f.record.fate = fate
-	if fate == fateWhole {
-		f.record.answered = i.run.clock.now + i.run.config.Shape.ClientDelay
+	e.record.outcome = outcome
+	if outcome == outcomeCompleted {
+		e.record.completedAt = i.run.clock.now + i.run.config.Shape.ClientDelay
 	}
-	if i.lost {
+	if i.failed {
 		return
 	}
-	i.flows = slices.DeleteFunc(i.flows, func(other *flow) bool { return other == f })
-	info := f.info()
-	info.Stage = min(info.Stage, len(f.request.Work)-1)
-	i.control.RequestDone(i.run.clock.time(), info, fate == fateWhole)
+	i.executions = slices.DeleteFunc(i.executions, func(other *execution) bool { return other == e })
+	info := e.info()
+	info.Stage = min(info.Stage, len(e.request.Work)-1)
+	i.control.RequestDone(i.run.clock.time(), info, outcome == outcomeCompleted)
 }
 
-// lose stops the instance; the requests it served are lost with it.
-func (i *instance) lose() {
-	i.lost = true
-	for _, f := range i.flows {
-		f.end(fateFailed)
+// fail stops the instance; the requests in flight there fail.
+func (i *instance) fail() {
+	i.failed = true
+	for _, e := range i.executions {
+		e.end(outcomeFailed)
 	}
-	i.flows = nil
+	i.executions = nil
 }
 
-// reportFrom takes in the load that a target states with each answer.
-func (i *instance) reportFrom(t *target) {
-	if !t.stage.Reports || t.down {
+// applyLoadReport passes the load that a target reports, in a response or to a
+// poll, to the router.
+func (i *instance) applyLoadReport(t *target) {
+	if !t.stage.ReportsLoad || t.down {
 		return
 	}
 	age := i.run.reportAge()
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -12,43 +12,47 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Parts switches the parts of the product's control.
-type Parts struct {
+// ControlOptions selects the enabled parts of the product's control.
+type ControlOptions struct {
 	Admission, Gate, Hedge, Budget bool
-	// EngineOvercommit and ServiceOvercommit multiply the slots that the gates
-	// may fill.
+	// EngineOvercommit and ServiceOvercommit are the capacity of the gates, as
+	// multiples of the slots.
 	EngineOvercommit, ServiceOvercommit float64
 }
 
 const (
-	// hedgeQuantile of a stage's learned time starts a hedge.
+	// hedgeQuantile is the quantile of a stage's observed time after which a
+	// hedge is sent.
 	hedgeQuantile = 0.95
-	// hedgeShare of a pool's slots in use is where hedging ends.
+	// hedgeShare is the share of a pool's slots in use from which on hedging is
+	// disabled.
 	hedgeShare  = 0.7
 	maxAttempts = 3
 	gateTTL     = 2 * time.Second
 )
 
-// managed is the product's admission, gates, retries and hedges.
-type managed struct {
-	parts     Parts
-	shape     *Shape
-	rng       *rand.Rand
-	times     *deadline.Times
-	admission []*admission.Controller // by tier
-	budgets   map[string]*retry.Budget
-	gates     map[string]*gate
-	heard     map[string]time.Time
-	items     map[int]*gateItem // by request
-	nextID    uint64
+// managedControl is the Control with the product's admission, gates, retries
+// and hedges.
+type managedControl struct {
+	options       ControlOptions
+	shape         *Shape
+	rng           *rand.Rand
+	times         *deadline.Times
+	admission     []*admission.Controller // by tier
+	budgets       map[string]*retry.Budget
+	gates         map[string]*gate
+	lastDigest    map[string]time.Time
+	itemByRequest map[int]*gateItem // by request
+	nextID        uint64
 }
 
-// gate is the queue before a pool.
+// gate is the admission queue in front of a pool.
 type gate struct {
 	*tiers.Gate
 	peers  *tiers.PeerDigests
 	queued map[uint64]*gateItem
-	// slots and inFlight are of all instances, as the digests told last.
+	// slots is the number of routable slots, inFlight the number of requests in
+	// flight at all instances, both at the time of the last digest.
 	slots    int
 	inFlight float64
 }
@@ -60,16 +64,16 @@
 	dispatched bool
 }
 
-func newManaged(s *Shape, parts Parts) *managed {
-	m := &managed{
-		parts:   parts,
-		shape:   s,
-		rng:     newRand(1, 3),
-		times:   deadline.NewTimes(deadline.Config{}),
-		budgets: map[string]*retry.Budget{},
-		gates:   map[string]*gate{},
-		heard:   map[string]time.Time{},
-		items:   map[int]*gateItem{},
+func newManagedControl(s *Shape, options ControlOptions) *managedControl {
+	m := &managedControl{
+		options:       options,
+		shape:         s,
+		rng:           newRand(1, 3),
+		times:         deadline.NewTimes(deadline.Config{}),
+		budgets:       map[string]*retry.Budget{},
+		gates:         map[string]*gate{},
+		lastDigest:    map[string]time.Time{},
+		itemByRequest: map[int]*gateItem{},
 	}
 	for range s.Tiers {
 		m.admission = append(m.admission, admission.New(admission.Config{}))
@@ -86,32 +90,33 @@
 	return m
 }
 
-// capacity is what a gate may fill of a pool's slots.
-func (m *managed) capacity(stage *StageShape, slots int) int {
+// capacity returns the capacity of a stage's gate for a number of slots.
+func (m *managedControl) capacity(stage *StageShape, slots int) int {
 	if stage.Kind == catalog.KindEngine {
-		return int(m.parts.EngineOvercommit * float64(slots))
+		return int(m.options.EngineOvercommit * float64(slots))
 	}
-	return int(m.parts.ServiceOvercommit * float64(slots))
+	return int(m.options.ServiceOvercommit * float64(slots))
 }
 
-func (m *managed) key(stage int) deadline.StageKey {
+func (m *managedControl) stageKey(stage int) deadline.StageKey {
 	return deadline.StageKey{Pipeline: catalog.PipelineKey{Name: m.shape.Name}, Stage: m.shape.Stages[stage].Name}
 }
 
-// remaining describes the stages from the given one on.
-func (m *managed) remaining(now time.Time, r *Request, from int) []deadline.RemainingStage {
+// remaining returns the request's stages from the given one on, with their
+// estimated times.
+func (m *managedControl) remaining(now time.Time, r *Request, from int) []deadline.RemainingStage {
 	var list []deadline.RemainingStage
 	for i := from; i < len(r.Work); i++ {
 		if r.Work[i] == 0 {
 			continue
 		}
 		stage := &m.shape.Stages[i]
-		p50, p95 := m.times.Estimate(m.key(i), stage.mean())
+		p50, p95 := m.times.Estimate(m.stageKey(i), stage.meanIdleTime())
 		rem := deadline.RemainingStage{Stage: i, P50: p50, P95: p95}
 		if len(list) > 0 {
 			rem.After = []int{list[len(list)-1].Stage}
 		}
-		if m.parts.Gate {
+		if m.options.Gate {
 			rem.Wait = m.gates[stage.Pool].EstimatedWait(now, r.Tier)
 		}
 		list = append(list, rem)
@@ -119,45 +124,45 @@
 	return list
 }
 
-func (m *managed) due(now time.Time, s StageInfo) time.Time {
-	return now.Add(s.Left - s.Shape.ClientDelay)
+func (m *managedControl) requestDeadline(now time.Time, s StageInfo) time.Time {
+	return now.Add(s.Remaining - s.Shape.ClientDelay)
 }
 
 // Admit implements Control.
-func (m *managed) Admit(now time.Time, s StageInfo) bool {
-	if !m.parts.Admission {
+func (m *managedControl) Admit(now time.Time, s StageInfo) bool {
+	if !m.options.Admission {
 		return true
 	}
-	d := m.admission[s.Request.Tier].Decide(now, m.due(now, s), m.remaining(now, s.Request, 0), m.rng)
+	d := m.admission[s.Request.Tier].Decide(now, m.requestDeadline(now, s), m.remaining(now, s.Request, 0), m.rng)
 	return d.Admit
 }
 
 // StartStage implements Control.
-func (m *managed) StartStage(now time.Time, s StageInfo, start func(bool)) {
+func (m *managedControl) StartStage(now time.Time, s StageInfo, start func(bool)) {
 	m.leaveGate(now, s.Request)
-	latest := m.due(now, s)
-	if m.parts.Admission {
+	latest := m.requestDeadline(now, s)
+	if m.options.Admission {
 		latest = deadline.Plan(now, latest, m.remaining(now, s.Request, s.Stage))[0].LatestStart
 	}
-	if !m.parts.Gate {
+	if !m.options.Gate {
 		start(!now.After(latest))
 		return
 	}
-	g := m.gates[s.Spec().Pool]
+	g := m.gates[s.StageShape().Pool]
 	m.nextID++
 	item := &gateItem{id: m.nextID, gate: g, start: start}
 	g.queued[item.id] = item
-	m.items[s.Request.ID] = item
+	m.itemByRequest[s.Request.ID] = item
 	g.apply(g.Enqueue(now, tiers.Item{ID: item.id, Rank: s.Request.Tier, LatestStart: latest}))
 }
 
-// leaveGate ends the request's place at the gate of its stage before.
-func (m *managed) leaveGate(now time.Time, r *Request) {
-	item := m.items[r.ID]
+// leaveGate releases the request's entry at the gate of its previous stage.
+func (m *managedControl) leaveGate(now time.Time, r *Request) {
+	item := m.itemByRequest[r.ID]
 	if item == nil {
 		return
 	}
-	delete(m.items, r.ID)
+	delete(m.itemByRequest, r.ID)
 	if item.dispatched {
 		item.gate.apply(item.gate.Finished(now, item.id))
 		return
@@ -166,7 +171,8 @@
 	item.gate.apply(item.gate.Abandon(now, item.id))
 }
 
-// busy tells whether the requests in flight at all instances fill the targets.
+// busy returns whether the requests in flight at all instances use too many
+// slots for hedging.
 func (g *gate) busy() bool {
 	return g.inFlight >= hedgeShare*float64(g.slots)
 }
@@ -184,59 +190,59 @@
 }
 
 // Retry implements Control.
-func (m *managed) Retry(now time.Time, s StageInfo) bool {
-	if s.Attempt >= maxAttempts || !s.Spec().Repeatable {
+func (m *managedControl) Retry(now time.Time, s StageInfo) bool {
+	if s.Attempts >= maxAttempts || !s.StageShape().Repeatable {
 		return false
 	}
-	p50, _ := m.times.Estimate(m.key(s.Stage), s.Spec().mean())
-	if s.Left < p50 {
+	p50, _ := m.times.Estimate(m.stageKey(s.Stage), s.StageShape().meanIdleTime())
+	if s.Remaining < p50 {
 		return false
 	}
-	return !m.parts.Budget || m.budgets[s.Spec().Pool].SpendRetry(now)
+	return !m.options.Budget || m.budgets[s.StageShape().Pool].SpendRetry(now)
 }
 
 // HedgeAfter implements Control. The cost objective does not hedge.
-func (m *managed) HedgeAfter(_ time.Time, s StageInfo) (time.Duration, bool) {
-	if !m.parts.Hedge || m.shape.Objective == catalog.ObjectiveCost || !s.Spec().Repeatable {
+func (m *managedControl) HedgeAfter(_ time.Time, s StageInfo) (time.Duration, bool) {
+	if !m.options.Hedge || m.shape.Objective == catalog.ObjectiveCost || !s.StageShape().Repeatable {
 		return 0, false
 	}
-	return m.times.Quantile(m.key(s.Stage), s.Spec().mean(), hedgeQuantile), true
+	return m.times.Quantile(m.stageKey(s.Stage), s.StageShape().meanIdleTime(), hedgeQuantile), true
 }
 
-// Hedge implements Control. A hedge that can't end in time is not worth it, nor
-// one that takes the slot of a request which waits.
-func (m *managed) Hedge(now time.Time, s StageInfo) bool {
-	if m.parts.Gate && m.gates[s.Spec().Pool].busy() {
+// Hedge implements Control. It rejects a hedge that would probably miss the
+// deadline, and one that would take the slot of a waiting request.
+func (m *managedControl) Hedge(now time.Time, s StageInfo) bool {
+	if m.options.Gate && m.gates[s.StageShape().Pool].busy() {
 		return false
 	}
-	p50, _ := m.times.Estimate(m.key(s.Stage), s.Spec().mean())
-	return s.Left >= p50 && m.budgets[s.Spec().Pool].SpendHedge(now)
+	p50, _ := m.times.Estimate(m.stageKey(s.Stage), s.StageShape().meanIdleTime())
+	return s.Remaining >= p50 && m.budgets[s.StageShape().Pool].SpendHedge(now)
 }
 
 // AttemptDone implements Control.
-func (m *managed) AttemptDone(now time.Time, s StageInfo, result routing.Result, _ float64) {
+func (m *managedControl) AttemptDone(now time.Time, s StageInfo, result routing.Result, _ float64) {
 	if result.Outcome != routing.OutcomeOK {
 		return
 	}
-	m.times.Observe(now, m.key(s.Stage), s.Spec().mean(), result.Latency)
-	m.budgets[s.Spec().Pool].AddSuccess(now)
+	m.times.Observe(now, m.stageKey(s.Stage), s.StageShape().meanIdleTime(), result.Latency)
+	m.budgets[s.StageShape().Pool].AddSuccess(now)
 }
 
 // RequestDone implements Control.
-func (m *managed) RequestDone(now time.Time, s StageInfo, _ bool) {
+func (m *managedControl) RequestDone(now time.Time, s StageInfo, _ bool) {
 	m.leaveGate(now, s.Request)
 }
 
 // Digest implements Gossiper.
-func (m *managed) Digest(now time.Time, slots map[string]int) any {
+func (m *managedControl) Digest(now time.Time, slots map[string]int) any {
 	digest := map[string]tiers.Digest{}
-	if !m.parts.Gate {
+	if !m.options.Gate {
 		return digest
 	}
 	instances := 1
-	for origin, at := range m.heard {
+	for origin, at := range m.lastDigest {
 		if now.Sub(at) > gateTTL {
-			delete(m.heard, origin)
+			delete(m.lastDigest, origin)
 			continue
 		}
 		instances++
@@ -261,16 +267,17 @@
 }
 
 // PeerDigest implements Gossiper.
-func (m *managed) PeerDigest(now time.Time, origin string, digest any) {
-	m.heard[origin] = now
+func (m *managedControl) PeerDigest(now time.Time, origin string, digest any) {
+	m.lastDigest[origin] = now
 	for pool, d := range digest.(map[string]tiers.Digest) {
 		m.gates[pool].peers.Add(now, origin, d)
 	}
 }
 
-// Managed returns the product's routing with parts of its control.
-func Managed(name string, parts Parts, config routing.Config) Policy {
+// Managed returns a policy with the product's routing and the selected parts of
+// its control.
+func Managed(name string, options ControlOptions, config routing.Config) Policy {
 	p := Routed(name, config)
-	p.NewControl = func(s *Shape) Control { return newManaged(s, parts) }
+	p.NewControl = func(s *Shape) Control { return newManagedControl(s, options) }
 	return p
 }
--- a/testkit/experiment/oracle.go
+++ b/testkit/experiment/oracle.go
@@ -7,15 +7,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// oracleRouter sees the true state of every listed target at once, which no instance
-// can: its result bounds what routing alone could reach.
+// oracleRouter knows the true, current state of every listed target, which no
+// instance can. Its result is an upper bound for routing alone.
 type oracleRouter struct {
 	baselineRouter
 	run    *run
 	listed map[string][]*target
 }
 
-// SetTargets takes the list; the oracle sees no more targets than others do.
+// SetTargets stores the list: the oracle knows no more targets than other routers.
 func (r *oracleRouter) SetTargets(_ time.Time, pool routing.Pool, targets []routing.Target) {
 	r.listed[pool.Name] = nil
 	for _, t := range targets {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Pick takes the target where the request would end first, judged by its true
-// queue, speed and cache.
+// Pick returns the target with the shortest expected time for the request,
+// computed from its true queue, speed and cache.
 func (r *oracleRouter) Pick(_ time.Time, rng *rand.Rand, q routing.Query) (routing.Choice, error) {
 	var best *target
 	bestTime := 0.0
@@ -34,7 +34,7 @@
 		if t.down || t.failing {
 			continue
 		}
-		if expected := t.expected(q.Prefix); best == nil || expected < bestTime {
+		if expected := t.expectedSeconds(q.Prefix); best == nil || expected < bestTime {
 			best, bestTime = t, expected
 		}
 	}
@@ -44,12 +44,12 @@
 	return routing.Choice{Target: best.spec}, nil
 }
 
-// expected returns the mean time to an answer, in seconds.
-func (t *target) expected(parts []routing.PrefixPart) float64 {
-	mean := t.stage.mean().Seconds()
+// expectedSeconds returns the mean time to a response, in seconds.
+func (t *target) expectedSeconds(parts []routing.PrefixPart) float64 {
+	mean := t.stage.meanIdleTime().Seconds()
 	own := mean
 	if t.cache != nil {
-		own = (meanAnswer*decodeTime + tailTokens*prefillTime).Seconds()
+		own = (meanOutputTokens*decodeTime + tailTokens*prefillTime).Seconds()
 		for _, part := range parts {
 			if !t.cache.has(part.ID) {
 				own += float64(part.Tokens) * prefillTime.Seconds()
@@ -60,11 +60,12 @@
 	return t.slowness * (own*(1+batchSlowdown*min(use, 1)) + mean*max(0, use-1))
 }
 
-// Oracle returns the bound: no policy of the product.
+// Oracle returns the policy with perfect knowledge, an upper bound that the
+// product can't reach.
 func Oracle() Policy {
 	return Policy{
 		Name:       "oracle",
 		NewRouter:  func(string, string) Router { return &oracleRouter{} },
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
--- a/testkit/experiment/plot.go
+++ b/testkit/experiment/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 4.5 * vg.Inch
 )
 
-// PlotAttainment writes a PNG with the attainment over the load, a line for
-// each policy, for one shape and fault.
+// PlotAttainment writes a PNG that shows attainment over load for one shape and
+// fault, with a line for each policy.
 func PlotAttainment(path string, cells []*Cell, shape string, fault Fault) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s", shape, fault)
--- a/testkit/experiment/policy.go
+++ b/testkit/experiment/policy.go
@@ -7,8 +7,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing/baseline"
 )
 
-func plainControl(*Shape) Control {
-	return Plain{}
+func newPlainControl(*Shape) Control {
+	return PlainControl{}
 }
 
 func baselinePolicy(name string, strategy func() baseline.Strategy) Policy {
@@ -17,11 +17,11 @@
 		NewRouter: func(string, string) Router {
 			return baselineRouter{baseline.New(strategy())}
 		},
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
 
-// Baselines returns the policies that ours is measured against.
+// Baselines returns the policies that the product is compared with.
 func Baselines() []Policy {
 	return []Policy{
 		baselinePolicy("random", func() baseline.Strategy { return baseline.Random{} }),
@@ -32,8 +32,8 @@
 	}
 }
 
-// Routed returns the product's routing with the plain control. The config's
-// instance and data centre are set for each instance.
+// Routed returns a policy with the product's routing and PlainControl. The
+// instance and data centre in config are set for each instance.
 func Routed(name string, config routing.Config) Policy {
 	return Policy{
 		Name: name,
@@ -43,19 +43,20 @@
 			c.LocalDataCentre = dataCentre
 			return tableRouter{routing.New(c)}
 		},
-		NewControl: plainControl,
+		NewControl: newPlainControl,
 	}
 }
 
-// ourConfig is the routing configuration of the product.
-func ourConfig() routing.Config {
+// productConfig returns the product's routing configuration.
+func productConfig() routing.Config {
 	return routing.Config{}
 }
 
-// Ablations returns the product's routing with one mechanism off at a time.
-func Ablations() []Policy {
+// RoutingAblations returns the product's routing, whole and with one mechanism
+// disabled or one parameter changed at a time.
+func RoutingAblations() []Policy {
 	return []Policy{
-		Routed(OurPolicy, ourConfig()),
+		Routed(RoutingPolicy, productConfig()),
 		Routed("no_reports", routing.Config{Disabled: routing.MechanismReports}),
 		Routed("no_age", routing.Config{Disabled: routing.MechanismAgeCorrection}),
 		Routed("no_local", routing.Config{Disabled: routing.MechanismLocalFirst}),
@@ -77,41 +78,42 @@
 	}
 }
 
-// How many times the slots the gates fill: with the slots alone, targets idle
-// while digests and answers travel. Engines order their queue by priority.
+// Factors by which the capacity of the gates exceeds the slots. With the slots
+// alone, targets would be idle while digests and responses are under way.
+// Engines allow more, since they order their queue by priority.
 const (
 	engineOvercommit  = 2
 	serviceOvercommit = 1.5
 )
 
-// Controlled returns the product's routing with its control, whole and with
-// one part off or changed at a time.
-func Controlled() []Policy {
-	whole := Parts{
+// ControlAblations returns the product's routing with its control, whole and
+// with one part of the control or of the routing disabled or changed at a time.
+func ControlAblations() []Policy {
+	whole := ControlOptions{
 		Admission: true, Gate: true, Hedge: true, Budget: true,
 		EngineOvercommit: engineOvercommit, ServiceOvercommit: serviceOvercommit,
 	}
-	without := func(change func(*Parts)) Parts {
-		parts := whole
-		change(&parts)
-		return parts
+	without := func(change func(*ControlOptions)) ControlOptions {
+		options := whole
+		change(&options)
+		return options
 	}
-	gates := func(engines, services float64) Parts {
-		return without(func(p *Parts) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
+	gates := func(engines, services float64) ControlOptions {
+		return without(func(p *ControlOptions) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
 	}
 	routed := func(name string, off routing.Mechanism) Policy {
 		return Managed(name, whole, routing.Config{Disabled: off})
 	}
 	return []Policy{
-		Managed(ManagedPolicy, whole, ourConfig()),
-		Managed("no_admission", without(func(p *Parts) { p.Admission = false }), ourConfig()),
-		Managed("no_gate", without(func(p *Parts) { p.Gate = false }), ourConfig()),
-		Managed("no_hedge", without(func(p *Parts) { p.Hedge = false }), ourConfig()),
-		Managed("no_budget", without(func(p *Parts) { p.Budget = false }), ourConfig()),
-		Managed("gate_1_1", gates(1, 1), ourConfig()),
-		Managed("gate_2_1", gates(2, 1), ourConfig()),
-		Managed("gate_2_2", gates(2, 2), ourConfig()),
-		Managed("gate_3_3", gates(3, 3), ourConfig()),
+		Managed(ManagedPolicy, whole, productConfig()),
+		Managed("no_admission", without(func(p *ControlOptions) { p.Admission = false }), productConfig()),
+		Managed("no_gate", without(func(p *ControlOptions) { p.Gate = false }), productConfig()),
+		Managed("no_hedge", without(func(p *ControlOptions) { p.Hedge = false }), productConfig()),
+		Managed("no_budget", without(func(p *ControlOptions) { p.Budget = false }), productConfig()),
+		Managed("gate_1_1", gates(1, 1), productConfig()),
+		Managed("gate_2_1", gates(2, 1), productConfig()),
+		Managed("gate_2_2", gates(2, 2), productConfig()),
+		Managed("gate_3_3", gates(3, 3), productConfig()),
 		routed("managed_no_digest", routing.MechanismPeerDigest),
 		routed("managed_no_reports", routing.MechanismReports),
 		routed("managed_no_local", routing.MechanismLocalFirst),
@@ -124,16 +126,16 @@
 	}
 }
 
-// OurPolicy names the product's routing with the plain control, ManagedPolicy
-// the same with its admission, gates, hedges and retry budget.
+// Names of the product's policies: RoutingPolicy is its routing with
+// PlainControl, ManagedPolicy adds admission, gates, hedges and retry budgets.
 const (
-	OurPolicy     = "routing"
+	RoutingPolicy = "routing"
 	ManagedPolicy = "managed"
 )
 
-// Policies returns every policy by its name.
+// Policies returns all policies.
 func Policies() []Policy {
-	all := append(Baselines(), Ablations()...)
-	all = append(all, Controlled()...)
+	all := append(Baselines(), RoutingAblations()...)
+	all = append(all, ControlAblations()...)
 	return append(all, Oracle())
 }
--- a/testkit/experiment/report.go
+++ b/testkit/experiment/report.go
@@ -8,12 +8,13 @@
 	"text/tabwriter"
 )
 
-// quantileMS returns a quantile of the response time, in milliseconds.
+// quantileMS returns a measure: a quantile of the response time in
+// milliseconds, with q in percent.
 func quantileMS(q float64) func(*Result) float64 {
-	return func(r *Result) float64 { return float64(r.Response.ValueAtQuantile(q)) / 1000 }
+	return func(r *Result) float64 { return float64(r.ResponseTimes.ValueAtQuantile(q)) / 1000 }
 }
 
-// column is one figure of the reports.
+// column is one measure of the reports.
 type column struct {
 	name    string
 	format  string
@@ -38,15 +39,16 @@
 		{"failed_%", "%.2f", func(r *Result) float64 { return 100 * ratio(float64(r.Failed), float64(r.Offered)) }},
 		{"p50_ms", "%.0f", quantileMS(50)},
 		{"p99_ms", "%.0f", quantileMS(99)},
-		{"stage_s", "%.3f", (*Result).SecondsPerAnswer},
-		{"prefill", "%.0f", (*Result).PrefillPerAnswer},
+		{"stage_s", "%.3f", (*Result).SecondsPerAttained},
+		{"prefill", "%.0f", (*Result).PrefillPerAttained},
 		{"wasted_%", "%.1f", percent((*Result).WastedShare)},
-		{"attempts", "%.3f", func(r *Result) float64 { return ratio(float64(r.Sent), float64(r.Offered)) }},
-		{"saveable", "%.0f", func(r *Result) float64 { return ratio(float64(r.SavedTokens), float64(r.Attained)) }},
+		{"attempts", "%.3f", func(r *Result) float64 { return ratio(float64(r.Attempts), float64(r.Offered)) }},
+		{"saveable", "%.0f", func(r *Result) float64 { return ratio(float64(r.AvoidableTokens), float64(r.Attained)) }},
 	}
 }
 
-// WriteTable writes the cells for a reader; attainment with its spread.
+// WriteTable writes the cells as an aligned table, attainment with its range
+// over the seeds.
 func WriteTable(w io.Writer, cells []*Cell) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(out, "shape\tfault\tload\tpolicy\tspread_%")
@@ -55,7 +57,7 @@
 	}
 	fmt.Fprintln(out)
 	for _, c := range cells {
-		least, most := c.Spread((*Result).Attainment)
+		least, most := c.Range((*Result).Attainment)
 		fmt.Fprintf(out, "%s\t%s\t%.1f\t%s\t%.1f-%.1f", c.Shape, c.Fault, c.Load, c.Policy, 100*least, 100*most)
 		for _, col := range columns() {
 			fmt.Fprintf(out, "\t"+col.format, c.Mean(col.measure))
@@ -65,8 +67,8 @@
 	return out.Flush()
 }
 
-// WriteCSV writes the cells with the mean, least and greatest value of every
-// column, and the cost of each stage.
+// WriteCSV writes the cells as CSV, with the mean, smallest and largest value
+// of every column and the cost of each stage.
 func WriteCSV(w io.Writer, cells []*Cell) error {
 	out := csv.NewWriter(w)
 	header := []string{"shape", "fault", "load", "policy", "seeds"}
@@ -91,7 +93,7 @@
 func (c *Cell) csv() []string {
 	row := []string{c.Shape, string(c.Fault), decimal(c.Load), c.Policy, strconv.Itoa(len(c.Results))}
 	for _, col := range columns() {
-		least, most := c.Spread(col.measure)
+		least, most := c.Range(col.measure)
 		row = append(row, decimal(c.Mean(col.measure)), decimal(least), decimal(most))
 	}
 	for i := range stageShapes() {
--- a/testkit/experiment/result.go
+++ b/testkit/experiment/result.go
@@ -6,70 +6,77 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// fate is how an offered request ended.
-type fate uint8
+// requestOutcome is the outcome of an offered request.
+type requestOutcome uint8
 
 const (
-	fateLate fate = iota // no whole answer by the deadline
-	fateWhole
-	fateRefused
-	fateFailed
+	outcomeDeadlineMissed requestOutcome = iota // no complete response by the deadline
+	outcomeCompleted
+	outcomeRefused
+	outcomeFailed
 )
 
-// record is what is kept of an offered request.
-type record struct {
-	request  *Request
-	fate     fate
-	answered time.Duration
-	attempts []*attempt
-	won      []*attempt
+// requestRecord is the history of an offered request, from which the result is
+// computed. successful holds the attempt of each stage whose response was used.
+type requestRecord struct {
+	request     *Request
+	outcome     requestOutcome
+	completedAt time.Duration
+	attempts    []*attempt
+	successful  []*attempt
 }
 
-func (rec *record) attained() bool {
-	return rec.fate == fateWhole && rec.answered <= rec.request.Deadline
+func (rec *requestRecord) attained() bool {
+	return rec.outcome == outcomeCompleted && rec.completedAt <= rec.request.Deadline
 }
 
-// Result is what one run gave.
+// Result is the result of one run.
 type Result struct {
 	Offered, Attained int
 	Refused, Failed   int
 	Tiers             []TierResult
 	Stages            []StageResult
-	// Sent counts the attempts; Requests with an attempt each would be 1.
-	Sent, Hedges int
-	// SavedTokens were prefilled though another engine had them cached.
-	SavedTokens int
-	// Response is from the intended arrival, in microseconds, of whole answers.
-	Response *hdrhistogram.Histogram
+	// Attempts is the number of attempts sent, Hedges how many of them were hedges.
+	Attempts, Hedges int
+	// AvoidableTokens is the number of tokens that were prefilled although
+	// another engine had them cached.
+	AvoidableTokens int
+	// ResponseTimes holds the times from the intended arrival to the complete
+	// response, in microseconds.
+	ResponseTimes *hdrhistogram.Histogram
 }
 
-// TierResult counts the requests of a tier.
+// TierResult is the number of requests of a tier.
 type TierResult struct {
 	Name              string
 	Offered, Attained int
 }
 
-// StageResult is the work of a stage, of useful and wasted attempts.
+// StageResult is the work done for a stage by all attempts, and the part that
+// was wasted: that of attempts that contributed to no attained request.
 type StageResult struct {
-	Name           string
-	Seconds        float64
-	PrefillTokens  int
-	WastedSeconds  float64
-	WastedPrefills int
+	Name                string
+	Seconds             float64
+	PrefillTokens       int
+	WastedSeconds       float64
+	WastedPrefillTokens int
 }
 
-// Attainment is the share of all offered requests answered whole in time.
+// Attainment returns the share of the offered requests that were completed by
+// their deadline.
 func (r *Result) Attainment() float64 {
 	return ratio(float64(r.Attained), float64(r.Offered))
 }
 
-// Attainment is the tier's share of offered requests answered whole in time.
+// Attainment returns the share of the tier's offered requests that were
+// completed by their deadline.
 func (t *TierResult) Attainment() float64 {
 	return ratio(float64(t.Attained), float64(t.Offered))
 }
 
-// SecondsPerAnswer is the stage-seconds per request answered whole in time.
-func (r *Result) SecondsPerAnswer() float64 {
+// SecondsPerAttained returns the stage-seconds per request completed by its
+// deadline.
+func (r *Result) SecondsPerAttained() float64 {
 	sum := 0.0
 	for _, s := range r.Stages {
 		sum += s.Seconds
@@ -77,8 +84,9 @@
 	return ratio(sum, float64(r.Attained))
 }
 
-// PrefillPerAnswer is the prefill tokens per request answered whole in time.
-func (r *Result) PrefillPerAnswer() float64 {
+// PrefillPerAttained returns the prefilled tokens per request completed by its
+// deadline.
+func (r *Result) PrefillPerAttained() float64 {
 	sum := 0
 	for _, s := range r.Stages {
 		sum += s.PrefillTokens
@@ -86,7 +94,7 @@
 	return ratio(float64(sum), float64(r.Attained))
 }
 
-// WastedShare is the share of the stage-seconds that served no answer.
+// WastedShare returns the share of the stage-seconds that was wasted.
 func (r *Result) WastedShare() float64 {
 	sum, wasted := 0.0, 0.0
 	for _, s := range r.Stages {
@@ -103,17 +111,17 @@
 	return a / b
 }
 
-// warmUpShare is the part of a run before the measure begins.
+// warmUpShare is the first part of a run, whose requests are not counted.
 const warmUpShare = 0.1
 
 const (
-	leastResponse  = int64(1)
-	mostResponse   = int64(60_000_000)
-	responseDigits = 3
+	minResponseTime = int64(1)
+	maxResponseTime = int64(60_000_000)
+	responseDigits  = 3
 )
 
 func (r *run) measure() *Result {
-	result := &Result{Response: hdrhistogram.New(leastResponse, mostResponse, responseDigits)}
+	result := &Result{ResponseTimes: hdrhistogram.New(minResponseTime, maxResponseTime, responseDigits)}
 	for _, tier := range r.config.Shape.Tiers {
 		result.Tiers = append(result.Tiers, TierResult{Name: tier.Name})
 	}
@@ -122,25 +130,25 @@
 	}
 	warm := time.Duration(warmUpShare * float64(r.config.Length))
 	for _, rec := range r.records {
-		if rec.request.Intended >= warm {
-			result.add(rec)
+		if rec.request.IntendedAt >= warm {
+			result.addRequest(rec)
 		}
 	}
 	return result
 }
 
-func (r *Result) add(rec *record) {
+func (r *Result) addRequest(rec *requestRecord) {
 	tier := &r.Tiers[rec.request.Tier]
 	r.Offered++
 	tier.Offered++
-	switch rec.fate {
-	case fateRefused:
+	switch rec.outcome {
+	case outcomeRefused:
 		r.Refused++
-	case fateFailed:
+	case outcomeFailed:
 		r.Failed++
-	case fateWhole:
-		_ = r.Response.RecordValue((rec.answered - rec.request.Intended).Microseconds())
-	case fateLate:
+	case outcomeCompleted:
+		_ = r.ResponseTimes.RecordValue((rec.completedAt - rec.request.IntendedAt).Microseconds())
+	case outcomeDeadlineMissed:
 	}
 	attained := rec.attained()
 	if attained {
@@ -148,7 +156,7 @@
 		tier.Attained++
 	}
 	useful := map[*attempt]bool{}
-	for _, a := range rec.won {
+	for _, a := range rec.successful {
 		useful[a] = attained
 	}
 	for _, a := range rec.attempts {
@@ -158,15 +166,15 @@
 
 func (r *Result) addAttempt(a *attempt, useful bool) {
 	stage := &r.Stages[a.stage]
-	r.Sent++
+	r.Attempts++
 	if a.hedge {
 		r.Hedges++
 	}
-	stage.Seconds += a.job.seconds.Seconds()
-	stage.PrefillTokens += a.job.prefill
-	r.SavedTokens += a.job.saved
+	stage.Seconds += a.job.workTime.Seconds()
+	stage.PrefillTokens += a.job.prefillTokens
+	r.AvoidableTokens += a.job.avoidableTokens
 	if !useful {
-		stage.WastedSeconds += a.job.seconds.Seconds()
-		stage.WastedPrefills += a.job.prefill
+		stage.WastedSeconds += a.job.workTime.Seconds()
+		stage.WastedPrefillTokens += a.job.prefillTokens
 	}
 }
--- a/testkit/experiment/run.go
+++ b/testkit/experiment/run.go
@@ -8,7 +8,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing/baseline"
 )
 
-// Config is one run.
+// Config is the configuration of one run.
 type Config struct {
 	Shape Shape
 	// Load is the offered load as a share of the nominal capacity.
@@ -17,20 +17,20 @@
 	Seed   uint64
 	Length time.Duration
 	Policy Policy
-	// AgeKnown lets routers know the true age of load reports. The interface
-	// of the targets doesn't tell it, so by default they assume reportAge.
+	// AgeKnown gives routers the true age of load reports. The interface of the
+	// targets doesn't transmit it, so by default routers assume reportAge.
 	AgeKnown bool
 }
 
-// Policy is a way to decide, by name. The functions make one router and one
-// control for each instance.
+// Policy is a named combination of a router and a control. The functions
+// create them for each instance.
 type Policy struct {
 	Name       string
 	NewRouter  func(instance, dataCentre string) Router
 	NewControl func(s *Shape) Control
 }
 
-// Intervals of the background traffic.
+// Parameters of the load polls, digests and cache events, and of the pools.
 const (
 	digestInterval = 200 * time.Millisecond
 	pollInterval   = 500 * time.Millisecond
@@ -42,15 +42,15 @@
 
 // run is the state of one run.
 type run struct {
-	config    Config
-	clock     *clock
-	window    window
-	targets   []*target
-	pools     map[string][]*target
-	byName    map[string]*target
-	instances []*instance
-	lostDC    string
-	records   []*record
+	config           Config
+	clock            *clock
+	window           window
+	targets          []*target
+	pools            map[string][]*target
+	byName           map[string]*target
+	instances        []*instance
+	failedDataCentre string
+	records          []*requestRecord
 }
 
 func instanceName(i int) string {
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("dc-%d", i%DataCentres)
 }
 
-// Run runs one configuration and returns what was measured.
+// Run executes one configuration and returns its result.
 func Run(config Config) *Result {
 	r := newRun(config)
 	r.execute()
@@ -78,18 +78,19 @@
 	}
 	r.addTargets()
 	r.addInstances()
-	r.publishLists()
+	r.publishTargets()
 	r.inject(r.window)
-	r.background()
-	r.offer()
+	r.scheduleBackground()
+	r.scheduleRequests()
 	return r
 }
 
-// drain is longer than the longest deadline, so that every request ends.
-const drain = 10 * time.Second
+// drainTime is the simulated time after the arrivals end. It is longer than the longest
+// deadline, so that every request ends.
+const drainTime = 10 * time.Second
 
 func (r *run) execute() {
-	r.clock.runUntil(r.config.Length + drain)
+	r.clock.runUntil(r.config.Length + drainTime)
 }
 
 func (r *run) addTargets() {
@@ -111,13 +112,13 @@
 
 func (r *run) addTarget(spec routing.Target, stage *StageShape) *target {
 	t := newTarget(r.clock, spec, stage, len(r.config.Shape.Tiers))
-	t.elsewhere = r.cachedSomewhere
+	t.cachedElsewhere = r.cachedOnAnyEngine
 	r.targets = append(r.targets, t)
 	r.byName[spec.Incarnation] = t
 	return t
 }
 
-func (r *run) cachedSomewhere(part string) bool {
+func (r *run) cachedOnAnyEngine(part string) bool {
 	for _, t := range r.pools[enginePool] {
 		if !t.down && t.cache.has(part) {
 			return true
@@ -139,13 +140,13 @@
 			router:     router,
 			control:    r.config.Policy.NewControl(&r.config.Shape),
 			rng:        newRand(r.config.Seed, uint64(100+i)),
-			learned:    newLearner(len(r.config.Shape.Stages)),
+			latencies:  newLatencyEstimator(len(r.config.Shape.Stages)),
 		})
 	}
 }
 
-// publishLists gives every instance the platform's list as it is now.
-func (r *run) publishLists() {
+// publishTargets gives every instance the platform's current list of targets.
+func (r *run) publishTargets() {
 	for _, stage := range r.config.Shape.Stages {
 		pool := routing.Pool{Name: stage.Pool, Objective: r.config.Shape.Objective, EjectionFloor: ejectionFloor}
 		var list []routing.Target
@@ -160,15 +161,15 @@
 	}
 }
 
-// background starts the load reports, digests and cache events.
-func (r *run) background() {
+// scheduleBackground schedules load samples, load polls, digests and cache events.
+func (r *run) scheduleBackground() {
 	for _, t := range r.targets {
 		r.clock.every(0, loadSampleInterval, t.sampleLoad)
 	}
 	for n, i := range r.instances {
 		offset := time.Duration(n) * time.Millisecond
-		r.clock.every(offset, digestInterval, func() { r.spreadDigest(i) })
-		r.clock.every(offset, pollInterval, func() { r.poll(i) })
+		r.clock.every(offset, digestInterval, func() { r.sendRoutingDigest(i) })
+		r.clock.every(offset, pollInterval, func() { r.pollTargets(i) })
 	}
 	loss := newRand(r.config.Seed, 2)
 	gaps := make([]bool, len(r.pools[enginePool])*Instances)
@@ -193,63 +194,64 @@
 	}
 }
 
-func (r *run) spreadDigest(from *instance) {
-	if from.lost {
+func (r *run) sendRoutingDigest(from *instance) {
+	if from.failed {
 		return
 	}
 	entries := from.router.Digest(r.clock.time())
 	for _, to := range r.instances {
-		if to == from || to.lost {
+		if to == from || to.failed {
 			continue
 		}
-		r.clock.after(farDelay, func() { to.router.PeerDigest(r.clock.time(), from.name, entries) })
+		r.clock.after(remoteDelay, func() { to.router.PeerDigest(r.clock.time(), from.name, entries) })
 	}
 	if control, ok := from.control.(Gossiper); ok {
-		r.gossip(from, control)
+		r.sendControlDigest(from, control)
 	}
 }
 
-func (r *run) gossip(from *instance, control Gossiper) {
+func (r *run) sendControlDigest(from *instance, control Gossiper) {
 	slots := map[string]int{}
 	for _, stage := range r.config.Shape.Stages {
 		slots[stage.Pool] = from.router.Slots(r.clock.time(), stage.Pool)
 	}
 	digest := control.Digest(r.clock.time(), slots)
 	for _, to := range r.instances {
-		if to == from || to.lost {
+		if to == from || to.failed {
 			continue
 		}
-		r.clock.after(farDelay, func() {
+		r.clock.after(remoteDelay, func() {
 			to.control.(Gossiper).PeerDigest(r.clock.time(), from.name, digest)
 		})
 	}
 }
 
-func (r *run) poll(i *instance) {
-	if i.lost {
+func (r *run) pollTargets(i *instance) {
+	if i.failed {
 		return
 	}
 	for _, t := range r.targets {
-		i.reportFrom(t)
+		i.applyLoadReport(t)
 	}
 }
 
-// offer schedules the workload.
-func (r *run) offer() {
-	surge := r.config.Fault.surge(r.window)
+// scheduleRequests schedules the arrivals of the workload.
+func (r *run) scheduleRequests() {
+	rateFactor := r.config.Fault.rateFactor(r.window)
 	shape := &r.config.Shape
-	for _, request := range workload(shape, r.config.Load, r.config.Length, r.config.Seed, surge) {
-		rec := &record{request: request}
+	for _, request := range generateRequests(shape, r.config.Load, r.config.Length, r.config.Seed, rateFactor) {
+		rec := &requestRecord{request: request}
 		r.records = append(r.records, rec)
-		r.clock.at(request.Intended+shape.ClientDelay, func() { r.balance(request).accept(request, rec) })
+		r.clock.at(request.IntendedAt+shape.ClientDelay, func() { r.pickInstance(request).accept(request, rec) })
 	}
 }
 
-// balance stands for the platform's balancer in front of the instances.
-func (r *run) balance(request *Request) *instance {
+// pickInstance models the platform's balancer in front of the instances. It
+// returns the instance of the request, or the next one that is running.
+func (r *run) pickInstance(request *Request) *instance {
 	for k := range r.instances {
 		i := r.instances[(request.Instance+k)%len(r.instances)]
-		if !i.lost {
+		if !i.failed {
 			return i
 		}
 	}
--- a/testkit/experiment/shape.go
+++ b/testkit/experiment/shape.go
@@ -6,7 +6,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Sizes shared by both organisations.
+// Sizes that both organisations share.
 const (
 	Instances   = 8
 	DataCentres = 3
@@ -14,51 +14,53 @@
 	documents   = 300
 )
 
-// Shape is an organisation's set-up.
+// Shape is the deployment and the traffic of an organisation.
 type Shape struct {
 	Name string
-	// ClientDelay is one way between a client and an instance.
+	// ClientDelay is the one-way delay between a client and an instance.
 	ClientDelay time.Duration
 	Objective   catalog.Objective
 	Tiers       []TierShape
 	Stages      []StageShape
 }
 
-// TierShape is a class of service and its part of the traffic.
+// TierShape is a tier and its share of the traffic.
 type TierShape struct {
 	Name     string
 	Deadline time.Duration
 	Share    float64
 }
 
-// StageShape is a stage and the pool that runs it.
+// StageShape is a stage and the pool of targets that runs it.
 type StageShape struct {
 	Name    string
 	Pool    string
 	Kind    catalog.PoolKind
 	Targets int
 	Slots   int
-	// Time is the mean work of a request on an idle target; for an engine it
-	// follows from the tokens instead.
-	Time time.Duration
-	// Reports tells whether the targets report their load.
-	Reports bool
-	// Share is the part of the requests that have the stage.
+	// MeanTime is the mean processing time of a request on an idle target. It is
+	// 0 for an engine, where the time follows from the number of tokens.
+	MeanTime time.Duration
+	// ReportsLoad is whether the targets report their load.
+	ReportsLoad bool
+	// Share is the share of the requests that have the stage.
 	Share      float64
 	Repeatable bool
 }
 
-// The model of an engine: prompts are an account's part, a document's part and
-// a tail of their own; only the first two can be cached.
+// The model of an engine. A prompt consists of a part shared by the account, a
+// part shared by the document and a tail of its own; only the shared parts can
+// be cached.
 const (
-	accountTokens  = 800
-	documentTokens = 900
-	tailTokens     = 150
-	meanAnswer     = 50
-	prefillTime    = 150 * time.Microsecond // for a token
-	decodeTime     = 10 * time.Millisecond  // for a token
-	cacheTokens    = 24_000
-	// batchSlowdown is how much slower a full batch is than a single request.
+	accountTokens    = 800
+	documentTokens   = 900
+	tailTokens       = 150
+	meanOutputTokens = 50
+	prefillTime      = 150 * time.Microsecond // per token
+	decodeTime       = 10 * time.Millisecond  // per token
+	cacheTokens      = 24_000
+	// batchSlowdown is the slowdown of a full batch against a single request, as
+	// a share of the time of the single one.
 	batchSlowdown = 0.3
 )
 
@@ -80,21 +82,23 @@
 	}
 }
 
-// Periyar is Periyar Pipeworks Consolidated: attainment first.
+// Periyar returns the shape of Periyar Pipeworks Consolidated, whose objective
+// is attainment.
 func Periyar() Shape {
 	return Shape{"periyar", 3 * time.Millisecond, catalog.ObjectiveAttainment, tierShapes(), stageShapes()}
 }
 
-// Fjallaskali is Fjallaskáli Catering: cost first.
+// Fjallaskali returns the shape of Fjallaskáli Catering, whose objective is cost.
 func Fjallaskali() Shape {
 	return Shape{"fjallaskali", 1 * time.Millisecond, catalog.ObjectiveCost, tierShapes(), stageShapes()}
 }
 
-// capacity returns the nominal requests a second: what the engines carry with
-// full batches when the account's part is cached and the document's is not.
+// capacity returns the nominal capacity in requests per second: the throughput
+// of the engines with full batches when the account's part of each prompt is
+// cached and the document's part is not.
 func (s *Shape) capacity() float64 {
 	tokens := float64(documentTokens + tailTokens)
-	work := tokens*prefillTime.Seconds() + meanAnswer*decodeTime.Seconds()
+	work := tokens*prefillTime.Seconds() + meanOutputTokens*decodeTime.Seconds()
 	for _, stage := range s.Stages {
 		if stage.Kind == catalog.KindEngine {
 			return float64(stage.Targets*stage.Slots) / (work * (1 + batchSlowdown))
@@ -103,13 +107,13 @@
 	return 0
 }
 
-// enginePool is the pool whose targets cache prompts.
+// enginePool is the pool whose targets cache prompt prefixes.
 const enginePool = "engines"
 
-// mean returns the usual work of a request on an idle target.
-func (s *StageShape) mean() time.Duration {
+// meanIdleTime returns the mean processing time of a request on an idle target.
+func (s *StageShape) meanIdleTime() time.Duration {
 	if s.Kind == catalog.KindEngine {
-		return (documentTokens+tailTokens)*prefillTime + meanAnswer*decodeTime
+		return (documentTokens+tailTokens)*prefillTime + meanOutputTokens*decodeTime
 	}
-	return s.Time
+	return s.MeanTime
 }
--- a/testkit/experiment/target.go
+++ b/testkit/experiment/target.go
@@ -8,26 +8,26 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// answer is what a target replies.
-type answer struct {
+// response is the response of a target to an attempt.
+type response struct {
 	outcome routing.Outcome
-	// units is the idle time of the work done, as its size tells it: known
-	// from the tokens that the answer counts.
-	units time.Duration
+	// idleTime is the time that the work would take on an idle target. A real
+	// instance derives it from the token counts in the response.
+	idleTime time.Duration
 }
 
-// job is one attempt at a target.
+// job is one attempt as the target runs it.
 type job struct {
 	request *Request
 	stage   int
-	reply   func(answer)
+	reply   func(response)
 
-	state   jobState
-	started time.Duration
-	seconds time.Duration // worked, once ended
-	prefill int           // tokens read because no cache held them
-	saved   int           // of these, tokens that another engine had cached
-	units   time.Duration
+	state           jobState
+	started         time.Duration
+	workTime        time.Duration // time spent running, set at the end
+	prefillTokens   int           // tokens that were not in the target's cache
+	avoidableTokens int           // of these, tokens that another engine had cached
+	idleTime        time.Duration
 }
 
 type jobState uint8
@@ -38,8 +38,8 @@
 	jobEnded
 )
 
-// target is the fake of a target: slots, a queue by priority and, for engines,
-// a prefix cache.
+// target models a target with slots, queues by rank and, for engines, a prefix
+// cache.
 type target struct {
 	clock *clock
 	spec  routing.Target
@@ -50,20 +50,21 @@
 	queued  int
 	queues  [][]*job // by rank
 	running []*job
-	// elsewhere tells whether another engine holds a part.
-	elsewhere func(part string) bool
-	history   loadHistory
+	// cachedElsewhere returns whether any engine has a prompt part cached.
+	cachedElsewhere func(part string) bool
+	history         loadHistory
 
-	slowness float64 // 1 is usual
+	slowness float64 // factor of the processing time, normally 1
 	failing  bool
 	down     bool
 }
 
 const (
-	failFastTime = 5 * time.Millisecond
-	// silenceNoticed is how long it takes to call a silent connection dead.
-	silenceNoticed = 500 * time.Millisecond
-	// connectTimeout is how long it takes to call a target unreachable.
+	failFastDelay = 5 * time.Millisecond
+	// heartbeatTimeout is the time after which a silent connection counts as
+	// failed.
+	heartbeatTimeout = 500 * time.Millisecond
+	// connectTimeout is the time after which a target counts as unreachable.
 	connectTimeout = 300 * time.Millisecond
 )
 
@@ -76,13 +77,13 @@
 	return t
 }
 
-// submit takes a job at the moment it arrives.
+// submit starts or queues a job when it arrives.
 func (t *target) submit(j *job) {
 	if t.failing {
-		t.clock.after(failFastTime, func() { t.end(j, routing.OutcomeFailed) })
+		t.clock.after(failFastDelay, func() { t.respond(j, routing.OutcomeFailed) })
 		return
 	}
-	// The call names how long its answer is of use; the target stops then.
+	// The call carries the deadline; the target cancels the job then.
 	t.clock.at(j.request.Deadline, func() { t.cancel(j, routing.OutcomeDeadlineMissed) })
 	if t.active < t.spec.Slots {
 		t.start(j)
@@ -93,8 +94,8 @@
 	t.queues[queue] = append(t.queues[queue], j)
 }
 
-// queueOf returns the queue of a job: engines serve by priority, services in
-// the order of arrival.
+// queueOf returns the index of a job's queue: engines serve by priority, other
+// targets in the order of arrival.
 func (t *target) queueOf(j *job) int {
 	if t.stage.Kind == catalog.KindEngine {
 		return j.request.Tier
@@ -107,24 +108,25 @@
 	t.running = append(t.running, j)
 	j.state = jobRunning
 	j.started = t.clock.now
-	j.units = t.work(j)
+	j.idleTime = t.computeIdleTime(j)
 	batch := 1 + batchSlowdown*float64(t.active)/float64(t.spec.Slots)
-	length := time.Duration(float64(j.units) * t.slowness * batch)
+	length := time.Duration(float64(j.idleTime) * t.slowness * batch)
 	t.clock.after(length, func() { t.finish(j) })
 }
 
-// work returns the idle time of a job and reads its prompt into the cache.
-func (t *target) work(j *job) time.Duration {
+// computeIdleTime returns the time that a job takes on an idle target. For an
+// engine it also reads the prompt into the cache.
+func (t *target) computeIdleTime(j *job) time.Duration {
 	if t.cache == nil {
-		return time.Duration(j.request.Work[j.stage] * float64(t.stage.Time))
+		return time.Duration(j.request.Work[j.stage] * float64(t.stage.MeanTime))
 	}
 	for _, part := range j.request.Prefix {
-		if !t.cache.has(part.ID) && t.elsewhere(part.ID) {
-			j.saved += part.Tokens
+		if !t.cache.has(part.ID) && t.cachedElsewhere(part.ID) {
+			j.avoidableTokens += part.Tokens
 		}
 	}
-	j.prefill = tailTokens + t.cache.read(j.request.Prefix)
-	return time.Duration(j.prefill)*prefillTime + time.Duration(j.request.Tokens)*decodeTime
+	j.prefillTokens = tailTokens + t.cache.read(j.request.Prefix)
+	return time.Duration(j.prefillTokens)*prefillTime + time.Duration(j.request.OutputTokens)*decodeTime
 }
 
 func (t *target) finish(j *job) {
@@ -132,40 +134,40 @@
 		return
 	}
 	t.release(j)
-	t.end(j, routing.OutcomeOK)
-	t.next()
+	t.respond(j, routing.OutcomeOK)
+	t.startQueued()
 }
 
 func (t *target) release(j *job) {
 	t.active--
 	i := slices.Index(t.running, j)
 	t.running = slices.Delete(t.running, i, i+1)
-	j.seconds = t.clock.now - j.started
+	j.workTime = t.clock.now - j.started
 }
 
-func (t *target) end(j *job, outcome routing.Outcome) {
+func (t *target) respond(j *job, outcome routing.Outcome) {
 	if j.state == jobEnded {
 		return
 	}
 	j.state = jobEnded
-	j.reply(answer{outcome, j.units})
+	j.reply(response{outcome, j.idleTime})
 }
 
-// cancel stops a job, whether it waits or runs.
+// cancel stops a queued or running job.
 func (t *target) cancel(j *job, outcome routing.Outcome) {
 	switch j.state {
 	case jobQueued:
 		t.queued--
-		t.end(j, outcome)
+		t.respond(j, outcome)
 	case jobRunning:
 		t.release(j)
-		t.end(j, outcome)
-		t.next()
+		t.respond(j, outcome)
+		t.startQueued()
 	case jobEnded:
 	}
 }
 
-func (t *target) next() {
+func (t *target) startQueued() {
 	for t.active < t.spec.Slots {
 		j := t.dequeue()
 		if j == nil {
@@ -189,16 +191,16 @@
 	return nil
 }
 
-// lose stops the target as a lost power supply does: nothing is answered.
-func (t *target) lose() {
+// crash stops the target like a power failure: its jobs get no response.
+func (t *target) crash() {
 	t.down = true
 	for _, j := range slices.Clone(t.running) {
 		t.release(j)
-		t.lost(j)
+		t.dropJob(j)
 	}
 	for rank := range t.queues {
 		for _, j := range t.queues[rank] {
-			t.lost(j)
+			t.dropJob(j)
 		}
 		t.queues[rank] = nil
 	}
@@ -208,16 +210,17 @@
 	}
 }
 
-// lost ends a job without an answer: the caller notices by missing heartbeats.
-func (t *target) lost(j *job) {
+// dropJob ends a job without a response. The instance detects the failure by
+// missing heartbeats.
+func (t *target) dropJob(j *job) {
 	if j.state == jobEnded {
 		return
 	}
 	j.state = jobEnded
-	t.clock.after(silenceNoticed, func() { j.reply(answer{outcome: routing.OutcomeFailed}) })
+	t.clock.after(heartbeatTimeout, func() { j.reply(response{outcome: routing.OutcomeFailed}) })
 }
 
-// loadHistory remembers the load of the last seconds for late reports.
+// loadHistory is a ring buffer of the target's recent load, for delayed reports.
 type loadHistory struct {
 	samples [64]loadSample
 	next    int
@@ -235,7 +238,8 @@
 	t.history.next++
 }
 
-// report returns the load as it was some time ago.
+// report returns the load as it was the given time ago, and false if the
+// history doesn't go back that far.
 func (t *target) report(age time.Duration) (loadSample, bool) {
 	back := 1 + int(age/loadSampleInterval)
 	if back > len(t.history.samples) || back > t.history.next {
--- a/testkit/experiment/workload.go
+++ b/testkit/experiment/workload.go
@@ -9,26 +9,27 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// Request is one offered request. Its sizes are drawn before the run, so that
-// every policy meets the same ones.
+// Request is one offered request. Its sizes are sampled before the run, so that
+// they are the same for every policy.
 type Request struct {
 	ID int
-	// Intended is when the client meant to send it, since the start.
-	Intended time.Duration
-	Tier     int
-	Account  int
-	Instance int
-	// Work is the mean-1 size of each stage; 0 leaves the stage out.
+	// IntendedAt is the time at which the client intends to send it, since the
+	// start of the run.
+	IntendedAt time.Duration
+	Tier       int
+	Account    int
+	Instance   int
+	// Work is the size of each stage, with a mean of 1; 0 skips the stage.
 	Work []float64
-	// Tokens is the length of the generated answer.
-	Tokens int
-	Prefix []routing.PrefixPart
-	// Deadline is when the client has no use for the answer any more.
+	// OutputTokens is the length of the generated output.
+	OutputTokens int
+	Prefix       []routing.PrefixPart
+	// Deadline is the time after which the client has no use for the result.
 	Deadline time.Duration
 }
 
 // The arrivals are a Markov-modulated Poisson process: calm and busy periods
-// alternate, with a mean rate of one.
+// alternate, and the rate factor has a mean of 1.
 const (
 	calmRate   = 0.8
 	busyRate   = 2.0
@@ -37,16 +38,17 @@
 )
 
 const (
-	serviceSigma = 0.3
-	answerSigma  = 0.4
+	workSigma   = 0.3
+	outputSigma = 0.4
 )
 
 func newRand(seed uint64, stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// workload draws the requests of a run. Surge multiplies the rate at a moment.
-func workload(s *Shape, load float64, length time.Duration, seed uint64, surge func(time.Duration) float64) []*Request {
+// generateRequests samples the requests of a run. rateFactor multiplies the
+// arrival rate at a moment.
+func generateRequests(s *Shape, load float64, length time.Duration, seed uint64, rateFactor func(time.Duration) float64) []*Request {
 	rng := newRand(seed, 1)
 	zipf := rand.NewZipf(rng, 1.1, 3, documents-1)
 	rate := load * s.capacity()
@@ -66,23 +68,23 @@
 		if busy {
 			factor = busyRate
 		}
-		now += time.Duration(rng.ExpFloat64() / (rate * factor * surge(now)) * float64(time.Second))
-		requests = append(requests, draw(s, rng, zipf, len(requests), now))
+		now += time.Duration(rng.ExpFloat64() / (rate * factor * rateFactor(now)) * float64(time.Second))
+		requests = append(requests, sampleRequest(s, rng, zipf, len(requests), now))
 	}
 	return requests
 }
 
-func draw(s *Shape, rng *rand.Rand, zipf *rand.Zipf, id int, now time.Duration) *Request {
+func sampleRequest(s *Shape, rng *rand.Rand, zipf *rand.Zipf, id int, now time.Duration) *Request {
 	r := &Request{
-		ID:       id,
-		Intended: now,
-		Tier:     drawTier(s, rng),
-		Instance: rng.IntN(Instances),
-		Work:     make([]float64, len(s.Stages)),
-		Tokens:   max(1, int(meanAnswer*logNormal(rng, answerSigma))),
+		ID:           id,
+		IntendedAt:   now,
+		Tier:         sampleTier(s, rng),
+		Instance:     rng.IntN(Instances),
+		Work:         make([]float64, len(s.Stages)),
+		OutputTokens: max(1, int(meanOutputTokens*logNormal(rng, outputSigma))),
 	}
 	for i, stage := range s.Stages {
-		work := logNormal(rng, serviceSigma)
+		work := logNormal(rng, workSigma)
 		if rng.Float64() < stage.Share {
 			r.Work[i] = work
 		}
@@ -101,7 +103,7 @@
 	}
 }
 
-func drawTier(s *Shape, rng *rand.Rand) int {
+func sampleTier(s *Shape, rng *rand.Rand) int {
 	point := rng.Float64()
 	for i, tier := range s.Tiers {
 		point -= tier.Share
@@ -112,7 +114,7 @@
 	return len(s.Tiers) - 1
 }
 
-// logNormal draws from a log-normal distribution of mean 1.
+// logNormal samples a log-normal distribution with mean 1.
 func logNormal(rng *rand.Rand, sigma float64) float64 {
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
