--- a/testkit/capacity/accounts.go
+++ b/testkit/capacity/accounts.go
@@ -21,8 +21,8 @@
 	return config.LiveRecord(key, revision, []byte(spec))
 }
 
-// accountSet returns a configuration with n accounts in force.
-func accountSet(n int) (*config.Set, error) {
+// newAccountSet returns a configuration set with n accounts in force.
+func newAccountSet(n int) (*config.Set, error) {
 	set := config.New(record.Decode)
 	for _, kind := range config.Kinds {
 		set.ApplyList(kind, nil, 0)
@@ -40,9 +40,9 @@
 	return set, nil
 }
 
-// spreadTable returns the records of n accounts as the spread holds them, a
-// second time.
-func spreadTable(n int) *spread.Table {
+// newRecordTable returns the gossip table with the records of n accounts, which
+// an instance holds in addition to its configuration set.
+func newRecordTable(n int) *spread.Table {
 	table := spread.NewTable(maxTombstones)
 	for i := range n {
 		r := accountRecord(i, uint64(10+i))
@@ -53,21 +53,21 @@
 
 func measureAccounts(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "account", Target: targetAccounts, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "account", DesignSize: designAccounts, Budget: budget}
 	}
-	memory := series("configuration set and snapshot", "MB", budgetMemory)
-	table := series("records held by the spread", "MB", budgetMemory)
+	memory := series("configuration set and snapshot", "MB", memoryBudget)
+	table := series("records held by the spread", "MB", memoryBudget)
 	apply := series("Apply of one changed account", "us", 0)
 	lookup := series("finding an account by its key", "ns", 0)
 	put := series("the spread takes one record", "us", 0)
 	for _, n := range o.sizes(5, 1000, 8000, 32000) {
-		if _, err := accountSet(n); err != nil {
+		if _, err := newAccountSet(n); err != nil {
 			return nil, err
 		}
-		memory.add(n, heapOf(func() any { set, _ := accountSet(n); return set })/megabyte)
-		table.add(n, heapOf(func() any { return spreadTable(n) })/megabyte)
-		set, _ := accountSet(n)
-		held, revision := spreadTable(n), uint64(1_000_000)
+		memory.add(n, heapSize(func() any { set, _ := newAccountSet(n); return set })/megabyte)
+		table.add(n, heapSize(func() any { return newRecordTable(n) })/megabyte)
+		set, _ := newAccountSet(n)
+		held, revision := newRecordTable(n), uint64(1_000_000)
 		apply.add(n, o.nsPerOp(func() {
 			revision++
 			set.Apply([]config.Record{accountRecord(int(revision)%n, revision)})
--- a/testkit/capacity/budgets.go
+++ b/testkit/capacity/budgets.go
@@ -12,33 +12,34 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Shape of the measure of budgets.
+// Parameters of the measurement of account budgets.
 const (
-	// accountShare is the part of the accounts that is played: they share
-	// nothing but the bound of accounts remembered, which shrinks with them.
-	accountShare  = 32
-	budgetWarmUp  = 240 * time.Second
-	budgetLength  = 60 * time.Second
-	budgetReserve = 3.0
-	budgetStep    = 50 * time.Millisecond
+	// accountSampling is the number of accounts for each one that is simulated.
+	// Accounts are independent but for the limit of accounts remembered, which
+	// is divided by the same number.
+	accountSampling = 32
+	ledgerWarmUp    = 240 * time.Second
+	ledgerLength    = 60 * time.Second
+	budgetHeadroom  = 3.0
+	ledgerStep      = 50 * time.Millisecond
 )
 
-// budgetFleet plays the ledgers of all instances in virtual time.
-type budgetFleet struct {
+// ledgerFleet simulates the budget ledgers of all instances in virtual time.
+type ledgerFleet struct {
 	now      time.Time
 	ledgers  []*budget.Ledger
 	byName   map[string]*budget.Ledger
 	accounts []*catalog.Account
 	rng      *rand.Rand
 
-	asks, bytes, served, refused int
+	grantRequests, bytes, served, refused int
 }
 
-// newBudgetFleet makes n accounts that together send the target rate, each with
-// a budget of budgetReserve times its mean.
-func newBudgetFleet(n, remembered int) *budgetFleet {
-	f := &budgetFleet{now: time.Unix(1_000_000, 0), byName: map[string]*budget.Ledger{}, rng: rand.New(rand.NewPCG(3, 4))}
-	members := make([]string, targetNodes)
+// newLedgerFleet returns a fleet with n accounts that together send the design
+// rate. The budget of each is budgetHeadroom times its mean rate.
+func newLedgerFleet(n, remembered int) *ledgerFleet {
+	f := &ledgerFleet{now: time.Unix(1_000_000, 0), byName: map[string]*budget.Ledger{}, rng: rand.New(rand.NewPCG(3, 4))}
+	members := make([]string, designNodes)
 	for i := range members {
 		members[i] = instanceName(i)
 	}
@@ -48,31 +49,31 @@
 		f.ledgers = append(f.ledgers, l)
 		f.byName[name] = l
 	}
-	rate := budgetReserve * targetRequests * targetNodes / accountShare / float64(n)
+	rate := budgetHeadroom * designRequestRate * designNodes / accountSampling / float64(n)
 	for i := range n {
 		f.accounts = append(f.accounts, &catalog.Account{Name: accountName(i), RequestsPerSecond: rate, Burst: 10 * rate})
 	}
 	return f
 }
 
-func (f *budgetFleet) run(d time.Duration) {
-	const perStep = targetRequests * targetNodes / accountShare * float64(budgetStep) / float64(time.Second)
+func (f *ledgerFleet) run(d time.Duration) {
+	const perStep = designRequestRate * designNodes / accountSampling * float64(ledgerStep) / float64(time.Second)
 	due := 0.0
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(budgetStep) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(ledgerStep) {
 		for due += perStep; due >= 1; due-- {
-			f.request()
+			f.sendRequest()
 		}
 	}
 }
 
-// request sends one request of a random account to a random instance.
-func (f *budgetFleet) request() {
+// sendRequest sends a request of a random account to a random instance.
+func (f *ledgerFleet) sendRequest() {
 	account := f.accounts[f.rng.IntN(len(f.accounts))]
 	ledger := f.ledgers[f.rng.IntN(len(f.ledgers))]
 	for range 2 {
 		decision := ledger.Allow(f.now, account)
 		if decision.Request != nil {
-			f.ask(ledger, *decision.Request, account)
+			f.requestGrant(ledger, *decision.Request, account)
 		}
 		switch decision.Verdict {
 		case budget.Allowed:
@@ -86,17 +87,18 @@
 	f.refused++
 }
 
-func (f *budgetFleet) ask(from *budget.Ledger, ask budget.GrantRequest, account *catalog.Account) {
-	grant := f.byName[ask.Home].Grant(f.now, ask, account)
+func (f *ledgerFleet) requestGrant(from *budget.Ledger, request budget.GrantRequest, account *catalog.Account) {
+	grant := f.byName[request.Home].Grant(f.now, request, account)
 	from.ApplyGrant(f.now, grant)
-	f.asks++
-	f.bytes += wire(&ask, func(body []byte) peer.Message {
+	f.grantRequests++
+	f.bytes += frameSize(&request, func(body []byte) peer.Message {
 		return &peer.Ask{ID: 1 << 20, Method: accounts.MethodGrant, TimeoutMillis: 50, Body: body}
-	}) + wire(&grant, func(body []byte) peer.Message { return &peer.Answer{ID: 1 << 20, Body: body} })
+	}) + frameSize(&grant, func(body []byte) peer.Message { return &peer.Answer{ID: 1 << 20, Body: body} })
 }
 
-// wire returns the bytes of a frame.
-func wire(value any, message func([]byte) peer.Message) int {
+// frameSize returns the size in bytes of the frame of a message with the
+// encoded value as its body.
+func frameSize(value any, message func([]byte) peer.Message) int {
 	body, err := msgpack.Marshal(value)
 	if err != nil {
 		return 0
@@ -110,38 +112,38 @@
 
 func measureBudgets(o Options) ([]Series, error) {
 	var all []Series
-	for _, remembered := range []int{budget.DefaultMaxAccounts, 2 * targetAccounts} {
-		all = append(all, measureBudget(o, remembered)...)
+	for _, remembered := range []int{budget.DefaultMaxAccounts, 2 * designAccounts} {
+		all = append(all, measureLedgers(o, remembered)...)
 	}
 	return all, nil
 }
 
-func measureBudget(o Options, remembered int) []Series {
+func measureLedgers(o Options, remembered int) []Series {
 	name := "4,096 accounts remembered: "
 	if remembered > budget.DefaultMaxAccounts {
 		name = "all accounts remembered: "
 	}
 	series := func(quantity, unit string, limit float64) Series {
-		return Series{Quantity: name + quantity, Unit: unit, Size: "account", Target: targetAccounts, Budget: limit}
+		return Series{Quantity: name + quantity, Unit: unit, SizeUnit: "account", DesignSize: designAccounts, Budget: limit}
 	}
-	asks := series("questions", "1/s a node", 0)
-	bytes := series("questions and grants", "B/s a node", budgetBytes)
+	grantRequests := series("questions", "1/s a node", 0)
+	bytes := series("questions and grants", "B/s a node", sendBudget)
 	refused := series("refused within budget", "%", 0)
-	memory := series("ledger", "MB a node", budgetMemory)
+	memory := series("ledger", "MB a node", memoryBudget)
 	for _, n := range o.sizes(1000, 8000, 32000) {
-		var f *budgetFleet
-		size := heapOf(func() any {
-			f = newBudgetFleet(max(n/accountShare, 1), max(remembered/accountShare, 1))
-			f.run(budgetWarmUp)
+		var f *ledgerFleet
+		size := heapSize(func() any {
+			f = newLedgerFleet(max(n/accountSampling, 1), max(remembered/accountSampling, 1))
+			f.run(ledgerWarmUp)
 			return f
 		})
-		f.asks, f.bytes, f.served, f.refused = 0, 0, 0, 0
-		f.run(budgetLength)
-		perNode := accountShare / float64(targetNodes) / budgetLength.Seconds()
-		asks.add(n, float64(f.asks)*perNode)
+		f.grantRequests, f.bytes, f.served, f.refused = 0, 0, 0, 0
+		f.run(ledgerLength)
+		perNode := accountSampling / float64(designNodes) / ledgerLength.Seconds()
+		grantRequests.add(n, float64(f.grantRequests)*perNode)
 		bytes.add(n, float64(f.bytes)*perNode)
 		refused.add(n, 100*float64(f.refused)/float64(max(f.refused+f.served, 1)))
-		memory.add(n, size*accountShare/targetNodes/megabyte)
+		memory.add(n, size*accountSampling/designNodes/megabyte)
 	}
-	return []Series{asks, bytes, refused, memory}
+	return []Series{grantRequests, bytes, refused, memory}
 }
--- a/testkit/capacity/capacity.go
+++ b/testkit/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity measures how the state, the messages and the processor time
-// of an instance grow, one size at a time, and extrapolates to a target size by
-// a straight line. The decisions run in virtual time; what needs sockets runs
-// over loopback.
+// Package capacity measures how the state, the messages and the CPU time of an
+// instance grow with one size of the deployment at a time, and extrapolates
+// linearly to the design size. The decision logic runs in virtual time; what
+// needs sockets runs over loopback.
 package capacity
 
 import (
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// Options set how long a measure takes.
+// Options set the effort of a measurement.
 type Options struct {
-	// Repeat is how often each point is measured; the median counts.
+	// Repeat is the number of repetitions of each point, of which the median is
+	// used.
 	Repeat int
-	// Quick leaves the largest sizes out, for tests.
+	// Quick leaves out the largest sizes, for tests.
 	Quick bool
 }
 
-// Measure is one set of series that are measured together.
-type Measure struct {
+// Measurement is a set of series that are measured together.
+type Measurement struct {
 	Name string
-	// About says what is varied and what is kept.
+	// About describes what is varied and what is constant.
 	About string
 	Run   func(Options) ([]Series, error)
 }
 
-// Measures lists all measures in the order of the capacity page.
-func Measures() []Measure {
-	return []Measure{
+// Measurements returns all measurements in the order of the capacity page.
+func Measurements() []Measurement {
+	return []Measurement{
 		{"nodes", "membership, records and load digests, n instances in virtual time", measureNodes},
 		{"loopback", "the same over TCP on loopback, n instances in this process", measureLoopback},
 		{"owners", "views and owners of duties among n instances", measureOwners},
@@ -46,7 +47,7 @@
 	}
 }
 
-// sizes drops the largest sizes of a quick run.
+// sizes returns the sizes to measure: all of them, or the first two of a quick run.
 func (o Options) sizes(all ...int) []int {
 	if o.Quick {
 		return all[:min(len(all), 2)]
@@ -54,8 +55,8 @@
 	return all
 }
 
-// repeat runs f as often as the options ask for and returns the median.
-func (o Options) repeat(f func() float64) float64 {
+// medianOf runs f Repeat times and returns the median of its results.
+func (o Options) medianOf(f func() float64) float64 {
 	values := make([]float64, max(o.Repeat, 1))
 	for i := range values {
 		values[i] = f()
@@ -68,25 +69,25 @@
 	return sorted[len(sorted)/2]
 }
 
-// timed is how long one sample of nsPerOp lasts.
-const timed = 30 * time.Millisecond
+// sampleTime is the duration of one sample of nsPerOp.
+const sampleTime = 30 * time.Millisecond
 
-// nsPerOp returns the median processor time of one call of f, in nanoseconds.
+// nsPerOp returns the median CPU time of one call of f in nanoseconds.
 func (o Options) nsPerOp(f func()) float64 {
 	f()
-	return o.repeat(func() float64 {
-		start, begun, n := cpu(), time.Now(), 0
-		for time.Since(begun) < timed {
+	return o.medianOf(func() float64 {
+		start, begun, n := cpuTime(), time.Now(), 0
+		for time.Since(begun) < sampleTime {
 			f()
 			n++
 		}
-		return float64(cpu()-start) / float64(n)
+		return float64(cpuTime()-start) / float64(n)
 	})
 }
 
-// cpu is the processor time that this process has used. It is less disturbed
-// by other processes than the clock.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used. Other processes
+// disturb it less than wall-clock time.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -94,16 +95,16 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapOf returns the bytes of heap that what build returns takes up.
-func heapOf(build func() any) float64 {
-	before := heap()
+// heapSize returns the heap bytes that the result of build occupies.
+func heapSize(build func() any) float64 {
+	before := heapAlloc()
 	kept := build()
-	size := float64(heap()) - float64(before)
+	size := float64(heapAlloc()) - float64(before)
 	runtime.KeepAlive(kept)
 	return size
 }
 
-func heap() uint64 {
+func heapAlloc() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/testkit/capacity/claims.go
+++ b/testkit/capacity/claims.go
@@ -11,32 +11,33 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// The platform's calls a second, in all.
+// Limits of the platform, in calls per second of the whole cluster.
 const (
 	storeWrites = 400
 	storeReads  = 2000
 )
 
-// claimShare is an assumption: one request in a hundred may not be repeated.
-const claimShare = 0.01
+// nonRepeatableShare is an assumption: one request in a hundred may not be
+// repeated.
+const nonRepeatableShare = 0.01
 
-// targetClaims is the claims a second in all.
-const targetClaims = 42000 * claimShare
+// designClaimRate is the number of claims per second of the whole cluster.
+const designClaimRate = 42000 * nonRepeatableShare
 
-// measureClaims counts the calls to the store that a claim causes from its
-// begin to the end of its retention, and those of one instance's sweep.
+// measureClaims counts the store calls that a claim causes from its begin to the
+// end of its retention, and those of a sweep by one instance.
 func measureClaims(o Options) ([]Series, error) {
-	writes := Series{Quantity: "writes to the store, of 1% of the requests", Unit: "1/s in all", Size: "claim", Target: targetClaims, Budget: storeWrites}
-	pages := Series{Quantity: "reads of one sweep", Unit: "pages", Size: "claim kept", Target: targetClaims * 86400}
+	writes := Series{Quantity: "writes to the store, of 1% of the requests", Unit: "1/s in all", SizeUnit: "claim", DesignSize: designClaimRate, Budget: storeWrites}
+	pages := Series{Quantity: "reads of one sweep", Unit: "pages", SizeUnit: "claim kept", DesignSize: designClaimRate * 86400}
 	for _, n := range o.sizes(1, 100, 420) {
 		store := emulator.New(emulator.Options{WritesPerSecond: emulator.Unlimited, ReadsPerSecond: emulator.Unlimited})
-		claimed(store, n)
-		sweep(store)
+		addClaims(store, n)
+		sweepClaims(store)
 		writes.add(n, float64(store.Calls().Kinds[platformapi.KindClaims].Writes))
 	}
 	for _, n := range o.sizes(400, 4000, 20000) {
 		store := emulator.New(emulator.Options{WritesPerSecond: emulator.Unlimited, ReadsPerSecond: emulator.Unlimited})
-		claimed(store, n)
+		addClaims(store, n)
 		before := store.Calls().Kinds[platformapi.KindClaims].Reads
 		_, _ = claims.NewObjectStorage(store.Local("sweeper")).Sweep(context.Background(), time.Time{}, func() error { return nil })
 		pages.add(n, float64(store.Calls().Kinds[platformapi.KindClaims].Reads-before))
@@ -44,8 +45,8 @@
 	return []Series{writes, pages}, nil
 }
 
-// claimed makes n claims and records their outcomes.
-func claimed(store *emulator.Store, n int) {
+// addClaims begins n claims and records their outcomes.
+func addClaims(store *emulator.Store, n int) {
 	service := claims.New(claims.Options{
 		Owner:   claim.Owner{Instance: "one", Incarnation: 1},
 		Storage: claims.NewObjectStorage(store.Local("one")),
@@ -61,8 +62,8 @@
 	}
 }
 
-// sweep removes every claim, as after their retention.
-func sweep(store *emulator.Store) {
+// sweepClaims removes all claims, as at the end of their retention.
+func sweepClaims(store *emulator.Store) {
 	later := time.Now().Add(time.Hour)
 	_, _ = claims.NewObjectStorage(store.Local("sweeper")).Sweep(context.Background(), later, func() error { return nil })
 }
--- a/testkit/capacity/exchange.go
+++ b/testkit/capacity/exchange.go
@@ -12,28 +12,29 @@
 	"github.com/ivyhollow/ivyhollow/protocol/loadwire"
 )
 
-// Shape of the instance whose digests are exchanged.
+// Parameters of the exchange of load digests.
 const (
-	exchangePools = 10
-	exchangesASec = 5
+	exchangePools      = 10
+	exchangesPerSecond = 5
 )
 
-// heardCluster stands for the spread: the digests of n origins, some of which
-// are replaced each second.
-type heardCluster struct {
+// fakeCluster replaces the gossip: it holds the load digests of n origins, some
+// of which are replaced between two exchanges.
+type fakeCluster struct {
 	loads []spread.Load
 	size  int
 	next  int
 }
 
-func (c *heardCluster) SendDigest(body []byte) { c.size = len(body) }
+func (c *fakeCluster) SendDigest(body []byte) { c.size = len(body) }
 
-func (c *heardCluster) Loads() []spread.Load { return c.loads }
+func (c *fakeCluster) Loads() []spread.Load { return c.loads }
 
-// renew replaces digests as messages do between two exchanges.
-func (c *heardCluster) renew(n int, body []byte) {
+// replaceDigests ages all digests by the interval of the exchanges and replaces
+// n of them, as gossip messages would.
+func (c *fakeCluster) replaceDigests(n int, body []byte) {
 	for i := range c.loads {
-		c.loads[i].Age += time.Second / exchangesASec
+		c.loads[i].Age += time.Second / exchangesPerSecond
 	}
 	for range n {
 		at := c.next % len(c.loads)
@@ -44,23 +45,23 @@
 }
 
 func measureExchange(o Options) ([]Series, error) {
-	cost := Series{Quantity: "taking in peers' load digests", Unit: "ms/s", Size: "origin heard", Target: targetNodes, Budget: budgetCPU}
-	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", Size: "pool", Target: exchangePools, Budget: float64(load.SpreadConfig().MaxLoadBodyBytes)}
+	cost := Series{Quantity: "taking in peers' load digests", Unit: "ms/s", SizeUnit: "origin heard", DesignSize: designNodes, Budget: cpuBudget}
+	size := Series{Quantity: "own load digest, 10 pools of 3 tiers, all busy", Unit: "B", SizeUnit: "pool", DesignSize: exchangePools, Budget: float64(load.SpreadConfig().MaxLoadBodyBytes)}
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		rig := newExchangeRig(n, exchangePools)
-		ns := o.nsPerOp(rig.round)
-		cost.add(n, ns*exchangesASec/1e6)
+		ns := o.nsPerOp(rig.runExchange)
+		cost.add(n, ns*exchangesPerSecond/1e6)
 	}
 	for _, pools := range o.sizes(1, 5, exchangePools) {
 		rig := newExchangeRig(1, pools)
-		rig.round()
+		rig.runExchange()
 		size.add(pools, float64(rig.cluster.size))
 	}
 	return []Series{cost, size}, nil
 }
 
 type exchangeRig struct {
-	cluster  *heardCluster
+	cluster  *fakeCluster
 	exchange *load.Exchange
 	body     []byte
 }
@@ -77,13 +78,13 @@
 			gates.TryEnter(name, gate.Request{Rank: rank, LatestStart: now.Add(time.Hour)})
 		}
 		for range 96 {
-			choice, err := table.Pick(now, random, routing.Query{Pool: name})
+			choice, err := table.Pick(now, rng, routing.Query{Pool: name})
 			if err == nil {
 				table.Started(now, choice.Target.Incarnation, 1)
 			}
 		}
 	}
-	rig := &exchangeRig{cluster: &heardCluster{}, body: peerBody(table, now, pools)}
+	rig := &exchangeRig{cluster: &fakeCluster{}, body: encodePeerDigest(table, now, pools)}
 	for i := range origins {
 		rig.cluster.loads = append(rig.cluster.loads, spread.Load{Origin: fmt.Sprint("instance-", i), Body: rig.body})
 	}
@@ -91,14 +92,15 @@
 	return rig
 }
 
-// round is one exchange, with the digests that came since the last one.
-func (r *exchangeRig) round() {
-	r.cluster.renew(1, r.body)
+// runExchange runs one exchange, before which one digest has been replaced.
+func (r *exchangeRig) runExchange() {
+	r.cluster.replaceDigests(1, r.body)
 	r.exchange.Round(time.Now())
 }
 
-// peerBody is a peer's digest of the greatest size that the spread takes.
-func peerBody(table *routing.Table, now time.Time, pools int) []byte {
+// encodePeerDigest returns the encoded load digest of a peer, of the largest size
+// that the gossip accepts.
+func encodePeerDigest(table *routing.Table, now time.Time, pools int) []byte {
 	digest := loadwire.Digest{Pools: map[string]tiers.Digest{}}
 	for p := range min(pools, 2) {
 		d := tiers.Digest{}
--- a/testkit/capacity/faults.go
+++ b/testkit/capacity/faults.go
@@ -7,39 +7,40 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// fault is one failure of a fleet of the target size.
+// fault is a failure that is injected into a fleet of the design size.
 type fault struct {
 	name string
-	// begin makes the failure, end ends it after length; both may be nil.
-	begin, end func(*fleet)
-	length     time.Duration
+	// inject starts the failure, heal ends it after duration. heal is nil for
+	// a failure that lasts.
+	inject, heal func(*fleet)
+	duration     time.Duration
 }
 
-// rackNodes is an instance rack's share of the fleet: 22 of 440.
-const rackNodes = targetNodes / 20
+// rackNodes is the number of instances in a rack: 22 of 440.
+const rackNodes = designNodes / 20
 
 func faults() []fault {
 	return []fault{
 		{
-			name:   "regions parted for an hour",
-			begin:  func(f *fleet) { f.parted = true },
-			end:    func(f *fleet) { f.parted = false },
-			length: time.Hour,
+			name:     "regions parted for an hour",
+			inject:   func(f *fleet) { f.partitioned = true },
+			heal:     func(f *fleet) { f.partitioned = false },
+			duration: time.Hour,
 		},
-		{name: "nothing", begin: func(*fleet) {}},
-		{name: "one instance lost", begin: func(f *fleet) { f.stop(1) }},
-		{name: "a rack of 22 lost", begin: func(f *fleet) { f.stop(rackNodes) }},
-		{name: "a data centre of 88 lost", begin: func(f *fleet) { f.stopCentre() }},
+		{name: "nothing", inject: func(*fleet) {}},
+		{name: "one instance lost", inject: func(f *fleet) { f.stopNodes(1) }},
+		{name: "a rack of 22 lost", inject: func(f *fleet) { f.stopNodes(rackNodes) }},
+		{name: "a data centre of 88 lost", inject: func(f *fleet) { f.stopDataCentre() }},
 	}
 }
 
-func (f *fleet) stop(n int) {
+func (f *fleet) stopNodes(n int) {
 	for _, node := range f.nodes[1 : 1+n] {
 		node.down = true
 	}
 }
 
-func (f *fleet) stopCentre() {
+func (f *fleet) stopDataCentre() {
 	centre := f.nodes[1].self.DataCentre
 	for _, node := range f.nodes {
 		if node.self.DataCentre == centre {
@@ -48,22 +49,22 @@
 	}
 }
 
-// faultsAtOnce bounds the fleets that are played at once.
-const faultsAtOnce = 2
+// maxParallelFaults is the largest number of fleets that are simulated at once.
+const maxParallelFaults = 2
 
-// measureFaults reports each failure as series of one point.
+// measureFaults returns series of one point for each failure.
 func measureFaults(o Options) ([]Series, error) {
-	n := targetNodes
+	n := designNodes
 	if o.Quick {
 		n = 40
 	}
 	list := faults()
 	results := make([][]Series, len(list))
 	var group errgroup.Group
-	group.SetLimit(faultsAtOnce)
+	group.SetLimit(maxParallelFaults)
 	for i, fault := range list {
 		group.Go(func() error {
-			results[i] = fault.play(n, o.Quick)
+			results[i] = fault.measure(n, o.Quick)
 			return nil
 		})
 	}
@@ -71,33 +72,35 @@
 	return slices.Concat(results...), err
 }
 
-// play lets the fault happen to a fleet at rest.
-func (fault fault) play(n int, quick bool) []Series {
+// measure injects the fault into a fleet that has converged, and measures the
+// minute after its start and the one after its end.
+func (fault fault) measure(n int, quick bool) []Series {
 	f := newFleet(n)
-	f.settle(settleLimit)
-	f.run(warmUp)
-	fault.begin(f)
-	all := f.minute(fault.name)
-	if fault.end == nil || quick {
+	f.converge(convergenceTimeout)
+	f.run(fleetWarmUp)
+	fault.inject(f)
+	all := f.measureMinute(fault.name)
+	if fault.heal == nil || quick {
 		return all
 	}
-	f.run(fault.length - time.Minute)
-	fault.end(f)
-	return append(all, f.minute(fault.name+", over")...)
+	f.run(fault.duration - time.Minute)
+	fault.heal(f)
+	return append(all, f.measureMinute(fault.name+", over")...)
 }
 
-// minute measures the minute after an event.
-func (f *fleet) minute(name string) []Series {
+// measureMinute measures the traffic of the next minute, or of the time until
+// the views have converged if that is longer.
+func (f *fleet) measureMinute(name string) []Series {
 	f.sent = traffic{}
 	begun := f.now
-	took, ok := f.settle(settleLimit)
-	if rest := time.Minute - f.now.Sub(begun); rest > 0 {
-		f.run(rest)
+	took, ok := f.converge(convergenceTimeout)
+	if remaining := time.Minute - f.now.Sub(begun); remaining > 0 {
+		f.run(remaining)
 	}
 	lasted := f.now.Sub(begun).Seconds()
 	n := len(f.nodes)
 	point := func(quantity, unit string, budget, value float64) Series {
-		s := Series{Quantity: name + ": " + quantity, Unit: unit, Size: "node", Target: float64(n), Budget: budget}
+		s := Series{Quantity: name + ": " + quantity, Unit: unit, SizeUnit: "node", DesignSize: float64(n), Budget: budget}
 		s.add(n, value)
 		return s
 	}
@@ -108,6 +111,6 @@
 	return []Series{
 		point("until all views are right", "s", 0, took.Seconds()),
 		point("messages", "1/s a node", 0, float64(f.sent.messages)/perNode),
-		point("sent", "B/s a node", budgetBytes, float64(f.sent.bytes())/perNode),
+		point("sent", "B/s a node", sendBudget, float64(f.sent.bytes())/perNode),
 	}
 }
--- a/testkit/capacity/fleet.go
+++ b/testkit/capacity/fleet.go
@@ -11,38 +11,38 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Times of a fleet.
+// Parameters of a simulated fleet.
 const (
-	step = 100 * time.Millisecond
-	// fleetCentres is the number of data centres; the first regionCentres of
-	// them are the first region.
-	fleetCentres  = 5
-	regionCentres = 3
-	rings         = 8
-	// digestBytes is the size of a load digest's body.
+	tickInterval = 100 * time.Millisecond
+	// fleetDataCentres is the number of data centres. The first
+	// firstRegionDataCentres of them form the first region.
+	fleetDataCentres       = 5
+	firstRegionDataCentres = 3
+	rings                  = 8
+	// digestBytes is the size of the body of a load digest.
 	digestBytes   = 100
 	maxTombstones = 4096
 	recordKind    = "accounts"
 )
 
-// fleet is a number of instances in virtual time: the membership and the
-// spread of each, driven as the daemon drives them. A message arrives in the
-// next step.
+// fleet simulates instances in virtual time: the membership and the gossip of
+// each, driven as the daemon drives them. A message arrives in the next tick.
 type fleet struct {
 	now   time.Time
 	nodes []*fleetNode
-	// byAddress finds a node; queue holds what arrives in the next step.
+	// byAddress holds the nodes by address, inTransit the messages that arrive in
+	// the next tick.
 	byAddress map[string]*fleetNode
-	queue     []fleetMessage
-	// parted cuts the two regions from each other.
-	parted bool
-	sent   traffic
+	inTransit []fleetMessage
+	// partitioned is whether messages between the two regions are dropped.
+	partitioned bool
+	sent        traffic
 }
 
 type fleetNode struct {
 	self    membership.Member
 	members *membership.Membership
-	spread  *spread.Gossip
+	gossip  *spread.Gossip
 	table   *spread.Table
 	view    *membership.View
 	peers   []string
@@ -55,7 +55,8 @@
 	message  peer.Message
 }
 
-// traffic counts what a fleet has sent, in whole frames.
+// traffic is what a fleet has sent: the bytes of whole frames by kind, and the
+// number of messages.
 type traffic struct {
 	membership, records, loads int
 	messages                   int
@@ -75,14 +76,14 @@
 		node := &fleetNode{
 			self:    list[i],
 			members: membership.New(membership.DefaultConfig(), list[i], random(1)),
-			spread:  spread.New(load.SpreadConfig(), table, random(2)),
+			gossip:  spread.New(load.SpreadConfig(), table, random(2)),
 			table:   table,
 		}
 		f.nodes = append(f.nodes, node)
 		f.byAddress[list[i].Address] = node
 	}
 	for _, node := range f.nodes {
-		f.doMembership(node, node.members.Seed(f.now, list))
+		f.applyMembership(node, node.members.Seed(f.now, list))
 	}
 	return f
 }
@@ -92,23 +93,24 @@
 		Name:        fmt.Sprintf("instance-%03d", i),
 		Address:     fmt.Sprintf("10.1.%d.%d:7100", i/250, i%250),
 		CallerURL:   fmt.Sprintf("http://10.1.%d.%d:7000", i/250, i%250),
-		DataCentre:  fmt.Sprint("dc-", i%fleetCentres),
+		DataCentre:  fmt.Sprint("dc-", i%fleetDataCentres),
 		Incarnation: 1_700_000_000_000_000_000,
 	}
 }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
 	}
 }
 
-// step delivers what is under way and ticks every instance.
+// step advances the virtual time by one tick: it delivers the messages in
+// transit and ticks every running instance.
 func (f *fleet) step() {
-	f.now = f.now.Add(step)
-	queue := f.queue
-	f.queue = nil
+	f.now = f.now.Add(tickInterval)
+	queue := f.inTransit
+	f.inTransit = nil
 	for _, m := range queue {
 		f.deliver(m)
 	}
@@ -120,19 +122,19 @@
 }
 
 func (f *fleet) deliver(m fleetMessage) {
-	if m.to.down || m.from.down || f.cut(m.from, m.to) {
+	if m.to.down || m.from.down || f.separated(m.from, m.to) {
 		return
 	}
 	switch message := m.message.(type) {
 	case membership.Message:
-		f.doMembership(m.to, m.to.members.Receive(f.now, m.from.self, message))
+		f.applyMembership(m.to, m.to.members.Receive(f.now, m.from.self, message))
 	case spread.Message:
-		f.doSpread(m.to, m.to.spread.Receive(f.now, m.from.self.Address, message))
+		f.applyGossip(m.to, m.to.gossip.Receive(f.now, m.from.self.Address, message))
 	}
 }
 
 func (f *fleet) tick(node *fleetNode) {
-	f.doMembership(node, node.members.Tick(f.now))
+	f.applyMembership(node, node.members.Tick(f.now))
 	if view := node.members.View(); view != node.view {
 		node.view = view
 		node.peers = nil
@@ -141,13 +143,13 @@
 		}
 	}
 	node.seq++
-	node.spread.SetLoad(f.now, spread.LoadDigest{
+	node.gossip.SetLoad(f.now, spread.LoadDigest{
 		Origin: node.self.Name, Incarnation: node.self.Incarnation, Seq: node.seq, Body: make([]byte, digestBytes),
 	})
-	f.doSpread(node, node.spread.Tick(f.now, node.peers, len(node.view.Live())))
+	f.applyGossip(node, node.gossip.Tick(f.now, node.peers, len(node.view.Live())))
 }
 
-func (f *fleet) doMembership(from *fleetNode, actions []membership.Action) {
+func (f *fleet) applyMembership(from *fleetNode, actions []membership.Action) {
 	for _, a := range actions {
 		if send, ok := a.(membership.Send); ok {
 			f.sent.membership += f.send(from, send.To, send.Message)
@@ -155,7 +157,7 @@
 	}
 }
 
-func (f *fleet) doSpread(from *fleetNode, actions []spread.Action) {
+func (f *fleet) applyGossip(from *fleetNode, actions []spread.Action) {
 	for _, a := range actions {
 		send, ok := a.(spread.Send)
 		if !ok {
@@ -170,7 +172,7 @@
 	}
 }
 
-// send queues a message and returns its bytes on the wire.
+// send queues a message and returns its size on the wire in bytes.
 func (f *fleet) send(from *fleetNode, to string, m peer.Message) int {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -178,28 +180,30 @@
 	}
 	f.sent.messages++
 	if node := f.byAddress[to]; node != nil {
-		f.queue = append(f.queue, fleetMessage{from: from, to: node, message: m})
+		f.inTransit = append(f.inTransit, fleetMessage{from: from, to: node, message: m})
 	}
 	return len(frame)
 }
 
-func (f *fleet) cut(a, b *fleetNode) bool { return f.parted && f.region(a) != f.region(b) }
+func (f *fleet) separated(a, b *fleetNode) bool {
+	return f.partitioned && f.inFirstRegion(a) != f.inFirstRegion(b)
+}
 
-// region tells whether an instance is in the first region.
-func (f *fleet) region(n *fleetNode) bool {
-	return n.self.DataCentre < fmt.Sprint("dc-", regionCentres)
+// inFirstRegion returns whether an instance is in the first region.
+func (f *fleet) inFirstRegion(n *fleetNode) bool {
+	return n.self.DataCentre < fmt.Sprint("dc-", firstRegionDataCentres)
 }
 
-// settled tells whether every running instance sees just those that it can
-// reach as live.
-func (f *fleet) settled() bool {
+// converged returns whether the live members in the view of every running
+// instance are as many as the instances that it can reach.
+func (f *fleet) converged() bool {
 	var up, first int
 	for _, n := range f.nodes {
 		if n.down {
 			continue
 		}
 		up++
-		if f.region(n) {
+		if f.inFirstRegion(n) {
 			first++
 		}
 	}
@@ -208,9 +212,9 @@
 			continue
 		}
 		want := up
-		if f.parted && f.region(n) {
+		if f.partitioned && f.inFirstRegion(n) {
 			want = first
-		} else if f.parted {
+		} else if f.partitioned {
 			want = up - first
 		}
 		if len(n.members.View().Live()) != want {
@@ -220,11 +224,12 @@
 	return true
 }
 
-// settle runs until the views are settled, at most for limit.
-func (f *fleet) settle(limit time.Duration) (took time.Duration, ok bool) {
+// converge runs until the views have converged, at most for limit. It returns
+// the time taken, and false if they have not converged.
+func (f *fleet) converge(limit time.Duration) (took time.Duration, ok bool) {
 	begun := f.now
 	for f.now.Sub(begun) < limit {
-		if f.settled() {
+		if f.converged() {
 			return f.now.Sub(begun), true
 		}
 		f.step()
@@ -232,8 +237,9 @@
 	return limit, false
 }
 
-// everywhere tells whether every running instance holds a revision.
-func (f *fleet) everywhere(name string, revision uint64) bool {
+// recordReachedAll returns whether every running instance holds a revision of
+// a record, or a later one.
+func (f *fleet) recordReachedAll(name string, revision uint64) bool {
 	for _, n := range f.nodes {
 		r, ok := n.table.Get(recordKind, name)
 		if !n.down && (!ok || r.Revision < revision) {
--- a/testkit/capacity/loopback.go
+++ b/testkit/capacity/loopback.go
@@ -13,48 +13,49 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Lengths of the measure over sockets, in real time.
+// Times of the measurement over sockets, in real time.
 const (
-	joinLimit      = time.Minute
+	joinTimeout    = time.Minute
 	loopbackWarmUp = 40 * time.Second
 	loopbackLength = 15 * time.Second
-	digestEvery    = 200 * time.Millisecond
+	digestInterval = 200 * time.Millisecond
 )
 
 func measureLoopback(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "node", Target: targetNodes, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "node", DesignSize: designNodes, Budget: budget}
 	}
-	processor := series("loopback: processor time", "ms/s a node", budgetCPU)
-	bytes := series("loopback: sent", "B/s a node", budgetBytes)
-	memory := series("loopback: heap", "MB a node", budgetMemory)
+	processor := series("loopback: processor time", "ms/s a node", cpuBudget)
+	bytes := series("loopback: sent", "B/s a node", sendBudget)
+	memory := series("loopback: heap", "MB a node", memoryBudget)
 	for _, n := range o.sizes(8, 24, 64) {
-		before := heap()
-		rig, err := newLoopback(n)
+		before := heapAlloc()
+		rig, err := newLoopbackCluster(n)
 		if err != nil {
 			return nil, err
 		}
 		rig.measure()
-		memory.add(n, (float64(heap())-float64(before))/float64(n)/megabyte)
+		memory.add(n, (float64(heapAlloc())-float64(before))/float64(n)/megabyte)
 		rig.stop()
 		perNode := float64(n) * loopbackLength.Seconds()
-		processor.add(n, rig.processor.Seconds()*1000/perNode)
-		bytes.add(n, rig.bytes/perNode)
+		processor.add(n, rig.cpuTime.Seconds()*1000/perNode)
+		bytes.add(n, rig.sentBytes/perNode)
 	}
 	return []Series{processor, bytes, memory}, nil
 }
 
-type loopback struct {
+type loopbackCluster struct {
 	nodes     []*cluster.Cluster
 	scopes    []tally.TestScope
 	ended     chan error
-	processor time.Duration
-	bytes     float64
+	cpuTime   time.Duration
+	sentBytes float64
 }
 
-// newLoopback starts n instances and waits until each sees all.
-func newLoopback(n int) (*loopback, error) {
-	l := &loopback{ended: make(chan error, n)}
+// newLoopbackCluster starts n instances in this process and waits until each has
+// all of them in its view.
+func newLoopbackCluster(n int) (*loopbackCluster, error) {
+	l := &loopbackCluster{ended: make(chan error, n)}
 	var seeds []string
 	for i := range n {
 		scope := tally.NewTestScope("", nil)
@@ -76,11 +77,11 @@
 		l.scopes = append(l.scopes, scope)
 		go func() { l.ended <- node.Execute() }()
 	}
-	return l, l.join()
+	return l, l.waitJoined()
 }
 
-func (l *loopback) join() error {
-	ctx, cancel := context.WithTimeout(context.Background(), joinLimit)
+func (l *loopbackCluster) waitJoined() error {
+	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	for _, node := range l.nodes {
 		whole := func(v *membership.View) bool { return len(v.Live()) == len(l.nodes) }
@@ -92,16 +93,17 @@
 	return nil
 }
 
-func (l *loopback) measure() {
-	l.digests(loopbackWarmUp)
-	start, sent := cpu(), l.sent()
-	l.digests(loopbackLength)
-	l.processor, l.bytes = cpu()-start, l.sent()-sent
+func (l *loopbackCluster) measure() {
+	l.sendDigests(loopbackWarmUp)
+	start, sent := cpuTime(), l.bytesSent()
+	l.sendDigests(loopbackLength)
+	l.cpuTime, l.sentBytes = cpuTime()-start, l.bytesSent()-sent
 }
 
-// digests has every instance renew its load digest for a while.
-func (l *loopback) digests(length time.Duration) {
-	ticker := time.NewTicker(digestEvery)
+// sendDigests makes every instance send load digests at the usual interval for
+// the given time.
+func (l *loopbackCluster) sendDigests(length time.Duration) {
+	ticker := time.NewTicker(digestInterval)
 	defer ticker.Stop()
 	for end := time.Now().Add(length); time.Now().Before(end); <-ticker.C {
 		for _, node := range l.nodes {
@@ -111,7 +113,7 @@
 	}
 }
 
-func (l *loopback) sent() float64 {
+func (l *loopbackCluster) bytesSent() float64 {
 	sum := 0.0
 	for _, scope := range l.scopes {
 		for _, c := range scope.Snapshot().Counters() {
@@ -123,7 +125,7 @@
 	return sum
 }
 
-func (l *loopback) stop() {
+func (l *loopbackCluster) stop() {
 	for _, node := range l.nodes {
 		node.Interrupt(nil)
 	}
--- a/testkit/capacity/nodes.go
+++ b/testkit/capacity/nodes.go
@@ -10,94 +10,96 @@
 	"github.com/ivyhollow/ivyhollow/coordination/spread"
 )
 
-// Lengths of the measures of a fleet, in virtual time.
+// Times of the measurements of a fleet, in virtual time.
 const (
-	// warmUp is the time until the updates of a common start, which each
-	// instance passes on some times, are no longer sent.
-	warmUp      = 16 * time.Minute
-	fleetLength = 60 * time.Second
-	settleLimit = 5 * time.Minute
+	// fleetWarmUp is the time after which the membership updates of a
+	// simultaneous start, which each instance forwards a limited number of
+	// times, are no longer sent.
+	fleetWarmUp        = 16 * time.Minute
+	fleetLength        = 60 * time.Second
+	convergenceTimeout = 5 * time.Minute
 )
 
-// recordBytes is the size of a configuration record's body.
+// recordBytes is the size of the body of a configuration record.
 const recordBytes = 200
 
-// changesPerDay is the changes of configuration to come.
+// changesPerDay is the number of configuration changes to plan for.
 const changesPerDay = 8400
 
 func measureNodes(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "node", Target: targetNodes, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "node", DesignSize: designNodes, Budget: budget}
 	}
-	processor := series("virtual: processor time", "ms/s a node", budgetCPU)
-	probes := series("virtual: membership sent", "B/s a node", budgetBytes)
-	records := series("virtual: records sent", "B/s a node", budgetBytes)
-	loads := series("virtual: load digests sent", "B/s a node", budgetBytes)
-	all := series("virtual: sent in all", "B/s a node", budgetBytes)
-	state := series("virtual: state", "MB a node", budgetMemory)
+	processor := series("virtual: processor time", "ms/s a node", cpuBudget)
+	probes := series("virtual: membership sent", "B/s a node", sendBudget)
+	records := series("virtual: records sent", "B/s a node", sendBudget)
+	loads := series("virtual: load digests sent", "B/s a node", sendBudget)
+	all := series("virtual: sent in all", "B/s a node", sendBudget)
+	state := series("virtual: state", "MB a node", memoryBudget)
 	join := series("virtual: all see all after a common start", "s", 0)
 	heard := series("virtual: peers whose load digest is under 2 s old", "%", 0)
 	age := series("virtual: mean age of the load digests held", "s", 0)
 	reach := series("virtual: a record is everywhere", "s", 3)
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		var f *fleet
-		size := heapOf(func() any { f = newFleet(n).start(&join); return f })
+		size := heapSize(func() any { f = newFleet(n).joinAndWarmUp(&join); return f })
 		if f == nil {
 			return nil, errors.Newf("%d instances did not find one another", n)
 		}
 		f.sent = traffic{}
-		start := cpu()
-		f.change(fleetLength)
+		start := cpuTime()
+		f.runWithChanges(fleetLength)
 		perNode := float64(n) * fleetLength.Seconds()
-		processor.add(n, (cpu()-start).Seconds()*1000/perNode)
+		processor.add(n, (cpuTime()-start).Seconds()*1000/perNode)
 		probes.add(n, float64(f.sent.membership)/perNode)
 		records.add(n, float64(f.sent.records)/perNode)
 		loads.add(n, float64(f.sent.loads)/perNode)
 		all.add(n, float64(f.sent.bytes())/perNode)
 		state.add(n, size/float64(n)/megabyte)
-		young, mean := f.loadAges()
+		young, mean := f.digestFreshness()
 		heard.add(n, young)
 		age.add(n, mean)
-		reach.add(n, f.timeToAll().Seconds())
+		reach.add(n, f.propagationTime().Seconds())
 	}
 	return []Series{processor, probes, records, loads, all, state, heard, age, join, reach}, nil
 }
 
-// start has all instances find one another and come to rest; nil if they don't.
-func (f *fleet) start(join *Series) *fleet {
-	took, ok := f.settle(settleLimit)
+// joinAndWarmUp runs until all instances have all others in their views and the
+// traffic of the start is over. It returns nil if the views don't converge.
+func (f *fleet) joinAndWarmUp(join *Series) *fleet {
+	took, ok := f.converge(convergenceTimeout)
 	if !ok {
 		return nil
 	}
 	join.add(len(f.nodes), took.Seconds())
-	f.run(warmUp)
+	f.run(fleetWarmUp)
 	return f
 }
 
-// change runs with as many changes of configuration as are to come.
-func (f *fleet) change(length time.Duration) {
+// runWithChanges runs with configuration changes at the rate of changesPerDay.
+func (f *fleet) runWithChanges(length time.Duration) {
 	const every = 24 * time.Hour / changesPerDay
 	revision := uint64(1)
 	for end := f.now.Add(length); f.now.Before(end); revision++ {
-		f.put(fmt.Sprint("account-", revision), revision)
+		f.putRecord(fmt.Sprint("account-", revision), revision)
 		f.run(min(every, end.Sub(f.now)))
 	}
 }
 
-func (f *fleet) put(name string, revision uint64) {
+func (f *fleet) putRecord(name string, revision uint64) {
 	r := spread.Record{Kind: recordKind, Name: name, Revision: revision, Body: make([]byte, recordBytes)}
-	f.doSpread(f.nodes[0], f.nodes[0].spread.Put(r))
+	f.applyGossip(f.nodes[0], f.nodes[0].gossip.Put(r))
 }
 
-// timeToAll returns how long one record takes to be at every instance: the
-// longest of five.
-func (f *fleet) timeToAll() time.Duration {
+// propagationTime returns the time until a record has reached every instance:
+// the longest of five.
+func (f *fleet) propagationTime() time.Duration {
 	var longest time.Duration
 	for i := range 5 {
 		name, revision := fmt.Sprint("timed-", i), uint64(1_000_000+i)
-		f.put(name, revision)
+		f.putRecord(name, revision)
 		begun := f.now
-		for !f.everywhere(name, revision) && f.now.Sub(begun) < time.Minute {
+		for !f.recordReachedAll(name, revision) && f.now.Sub(begun) < time.Minute {
 			f.step()
 		}
 		longest = max(longest, f.now.Sub(begun))
@@ -105,13 +107,14 @@
 	return longest
 }
 
-// loadAges returns the share of the peers, in percent, whose load digest an
-// instance holds and may use, and the mean age of all that it holds.
-func (f *fleet) loadAges() (young, mean float64) {
+// digestFreshness returns the share of the peers, in percent, whose load digest
+// an instance holds and may still use, and the mean age in seconds of all the
+// digests that it holds.
+func (f *fleet) digestFreshness() (young, mean float64) {
 	var count, useful int
 	var sum time.Duration
 	for _, node := range f.nodes {
-		for _, l := range node.spread.Loads(f.now) {
+		for _, l := range node.gossip.Loads(f.now) {
 			if l.Origin == node.self.Name {
 				continue
 			}
--- a/testkit/capacity/owners.go
+++ b/testkit/capacity/owners.go
@@ -2,11 +2,11 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/membership"
 
-// measureOwners measures what an instance does for a change of the membership
-// and for a question about a duty.
+// measureOwners measures the CPU time of a new membership view, and of finding
+// the owners of a key and the neighbours of an instance in it.
 func measureOwners(o Options) ([]Series, error) {
 	series := func(quantity string) Series {
-		return Series{Quantity: quantity, Unit: "us", Size: "node", Target: targetNodes}
+		return Series{Quantity: quantity, Unit: "us", SizeUnit: "node", DesignSize: designNodes}
 	}
 	owners, neighbours, view := series("Owners of a key"), series("Neighbours"), series("a new view")
 	for _, n := range o.sizes(8, 64, 440) {
--- a/testkit/capacity/path.go
+++ b/testkit/capacity/path.go
@@ -20,13 +20,13 @@
 const pathLength = 6 * time.Second
 
 // measurePath sends whole requests of four stages through an instance to
-// emulated targets, all in this process.
+// emulated targets, with callers, instance and targets in this process.
 func measurePath(o Options) ([]Series, error) {
-	processor := Series{Quantity: "a request, caller and targets included", Unit: "ms", Size: "caller", Target: 12}
-	rate := Series{Quantity: "answered", Unit: "1/s", Size: "caller", Target: 12}
+	processor := Series{Quantity: "a request, caller and targets included", Unit: "ms", SizeUnit: "caller", DesignSize: 12}
+	rate := Series{Quantity: "answered", Unit: "1/s", SizeUnit: "caller", DesignSize: 12}
 	for _, n := range o.sizes(2, 6, 12) {
 		var answered float64
-		cost := o.repeat(func() float64 {
+		cost := o.medianOf(func() float64 {
 			count, used, err := sendRequests(n)
 			if err != nil || count == 0 {
 				return 0
@@ -43,7 +43,8 @@
 	return []Series{processor, rate}, nil
 }
 
-// sendRequests runs n callers one request after the other.
+// sendRequests runs n callers that each send one request after the other. It
+// returns the number of successful requests and the CPU time used.
 func sendRequests(n int) (answered int64, used time.Duration, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -54,7 +55,7 @@
 	defer stop()
 	var count atomic.Int64
 	var wg sync.WaitGroup
-	begun, end := cpu(), time.Now().Add(pathLength)
+	begun, end := cpuTime(), time.Now().Add(pathLength)
 	for range n {
 		wg.Go(func() {
 			for time.Now().Before(end) {
@@ -65,7 +66,7 @@
 		})
 	}
 	wg.Wait()
-	return count.Load(), cpu() - begun, nil
+	return count.Load(), cpuTime() - begun, nil
 }
 
 func startInstance(ctx context.Context) (*app.App, func(), error) {
@@ -106,11 +107,11 @@
 		return false
 	}
 	request.Header.Set("Authorization", "Bearer "+dev.SampleKey)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }()
-	_, err = io.Copy(io.Discard, answer.Body)
-	return err == nil && answer.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }()
+	_, err = io.Copy(io.Discard, response.Body)
+	return err == nil && response.StatusCode == http.StatusOK
 }
--- a/testkit/capacity/polls.go
+++ b/testkit/capacity/polls.go
@@ -14,12 +14,12 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// targetEngines is the engines that an instance keeps: six models in pools of
-// their own, a subset of 64 of each.
-const targetEngines = 6 * routing.DefaultSubsetSize
+// designEngines is the number of engines that an instance keeps: a subset of 64
+// for each of six models, which have a pool each.
+const designEngines = 6 * routing.DefaultSubsetSize
 
-// Lengths of the measure of polls: the warm-up takes in that every engine is
-// asked once at the start.
+// Times of the measurement of polls. The warm-up covers the start, when every
+// engine is polled once.
 const (
 	pollWarmUp = 25 * time.Second
 	pollLength = 40 * time.Second
@@ -27,10 +27,10 @@
 
 func measurePolls(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "engine", Target: targetEngines, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "engine", DesignSize: designEngines, Budget: budget}
 	}
 	calls := series("calls to engines", "1/s a node", 0)
-	bytes := series("sent to engines", "B/s a node", budgetBytes)
+	bytes := series("sent to engines", "B/s a node", sendBudget)
 	received := series("received from engines", "B/s a node", 0)
 	processor := series("processor time, both ends", "ms/s a node", 0)
 	for _, n := range o.sizes(12, 64, 384) {
@@ -41,20 +41,21 @@
 		rig.run()
 		seconds := pollLength.Seconds()
 		calls.add(n, float64(rig.calls.Load())/seconds)
-		bytes.add(n, float64(rig.in.Load())/seconds)
-		received.add(n, float64(rig.out.Load())/seconds)
-		processor.add(n, rig.processor.Seconds()*1000/seconds)
+		bytes.add(n, float64(rig.bytesIn.Load())/seconds)
+		received.add(n, float64(rig.bytesOut.Load())/seconds)
+		processor.add(n, rig.cpuTime.Seconds()*1000/seconds)
 	}
 	return []Series{calls, bytes, received, processor}, nil
 }
 
-// pollRig is a poller and n engines behind one listener each.
+// pollRig holds n emulated engines with a listener each, and what a poller has
+// sent to them and received.
 type pollRig struct {
-	engines   []poll.Engine
-	close     []func()
-	calls     atomic.Int64
-	in, out   atomic.Int64
-	processor time.Duration
+	engines           []poll.Engine
+	close             []func()
+	calls             atomic.Int64
+	bytesIn, bytesOut atomic.Int64
+	cpuTime           time.Duration
 }
 
 func newPollRig(n int) (*pollRig, error) {
@@ -62,7 +63,7 @@
 	for i := range n {
 		incarnation := instanceName(i)
 		engine := emulator.New(emulator.Options{Incarnation: incarnation, Models: []string{"model-1"}})
-		server := httptest.NewUnstartedServer(rig.counting(engine.Handler()))
+		server := httptest.NewUnstartedServer(rig.countCalls(engine.Handler()))
 		server.Listener = &countingListener{Listener: server.Listener, rig: rig}
 		server.Start()
 		rig.engines = append(rig.engines, poll.Engine{Incarnation: incarnation, Address: server.Listener.Addr().String()})
@@ -71,7 +72,7 @@
 	return rig, nil
 }
 
-func (r *pollRig) counting(next http.Handler) http.Handler {
+func (r *pollRig) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		r.calls.Add(1)
 		next.ServeHTTP(w, request)
@@ -87,13 +88,13 @@
 	var start time.Duration
 	warm := time.AfterFunc(pollWarmUp, func() {
 		r.calls.Store(0)
-		r.in.Store(0)
-		r.out.Store(0)
-		start = cpu()
+		r.bytesIn.Store(0)
+		r.bytesOut.Store(0)
+		start = cpuTime()
 	})
 	defer warm.Stop()
-	_ = poller.Run(ctx) // it ends without an error
-	r.processor = cpu() - start
+	_ = poller.Run(ctx) // ends without an error
+	r.cpuTime = cpuTime() - start
 	client.Close()
 	for _, f := range r.close {
 		f()
@@ -121,12 +122,12 @@
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.rig.in.Add(int64(n))
+	c.rig.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.rig.out.Add(int64(n))
+	c.rig.bytesOut.Add(int64(n))
 	return n, err
 }
--- a/testkit/capacity/requests.go
+++ b/testkit/capacity/requests.go
@@ -12,30 +12,30 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// targetInFlight is the requests in flight on an instance at the peak, by the
-// longest deadline: 95 a second for 12 s.
-const targetInFlight = 1146
+// designInFlight is the peak number of requests in flight at an instance, if
+// each takes the longest deadline: 95 per second for 12 s.
+const designInFlight = 1146
 
 var stageNames = []string{"encode", "retrieve", "rerank", "generate"}
 
 func measureRequests(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "request", Target: targetInFlight, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "request", DesignSize: designInFlight, Budget: budget}
 	}
-	status := series("status of requests in flight", "MB", budgetMemory)
+	status := series("status of requests in flight", "MB", memoryBudget)
 	record := series("recording one request of four stages", "us", 0)
-	gates := series("a gate's requests in flight", "MB", budgetMemory)
+	gates := series("a gate's requests in flight", "MB", memoryBudget)
 	acquire := series("Acquire and Release", "us", 0)
 	now := time.Unix(1_000_000, 0)
 	for _, n := range o.sizes(10, 1000, 10000) {
-		status.add(n, heapOf(func() any { return openRequests(n, now) })/megabyte)
-		table, next := openRequests(n, now), 0
+		status.add(n, heapSize(func() any { return newRequestTable(n, now) })/megabyte)
+		table, next := newRequestTable(n, now), 0
 		record.add(n, o.nsPerOp(func() {
 			next++
 			recordRequest(table, "r"+strconv.Itoa(next), now, true)
 		})/1000)
-		gates.add(n, heapOf(func() any { return openGate(n, now) })/megabyte)
-		held := openGate(n, now)
+		gates.add(n, heapSize(func() any { return newFilledGate(n, now) })/megabyte)
+		held := newFilledGate(n, now)
 		acquire.add(n, o.nsPerOp(func() {
 			grant, err := held.Acquire(context.Background(), gate.Request{LatestStart: now.Add(time.Hour)})
 			if err == nil {
@@ -47,7 +47,7 @@
 	return append([]Series{status, record, gates, acquire}, spans...), err
 }
 
-func openRequests(n int, now time.Time) *requests.Table {
+func newRequestTable(n int, now time.Time) *requests.Table {
 	table := requests.New(requests.Options{MaxRequests: 2 * n, Retention: time.Minute})
 	for i := range n {
 		recordRequest(table, "open-"+strconv.Itoa(i), now, false)
@@ -71,7 +71,7 @@
 	}
 }
 
-func openGate(n int, now time.Time) *gate.Gate {
+func newFilledGate(n int, now time.Time) *gate.Gate {
 	g := gate.New("engines", tiers.Config{}, n+1, func() time.Time { return now })
 	for range n {
 		g.TryAcquire(gate.Request{LatestStart: now.Add(time.Hour)})
@@ -79,15 +79,16 @@
 	return g
 }
 
-// measureTelemetry varies the spans of a request, which are one for each hop.
+// measureTelemetry measures the cost of the spans and counters of a request. A
+// request has one span for each hop.
 func measureTelemetry(o Options) ([]Series, error) {
 	tel, err := telemetry.Start(context.Background(), telemetry.Options{Instance: "capacity"})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = tel.Shutdown(context.Background()) }()
-	spans := Series{Quantity: "spans of a request, traces off", Unit: "us", Size: "span", Target: 13}
-	counts := Series{Quantity: "counters of a request", Unit: "us", Size: "counter", Target: 13}
+	spans := Series{Quantity: "spans of a request, traces off", Unit: "us", SizeUnit: "span", DesignSize: 13}
+	counts := Series{Quantity: "counters of a request", Unit: "us", SizeUnit: "counter", DesignSize: 13}
 	for _, n := range o.sizes(1, 5, 13) {
 		spans.add(n, o.nsPerOp(func() {
 			for i := range n {
@@ -104,5 +105,5 @@
 	return []Series{spans, counts}, nil
 }
 
-// instanceName names the i-th instance of a measure.
+// instanceName returns the name of the i-th instance of a measurement.
 func instanceName(i int) string { return fmt.Sprintf("instance-%03d", i) }
--- a/testkit/capacity/series.go
+++ b/testkit/capacity/series.go
@@ -7,35 +7,35 @@
 	"text/tabwriter"
 )
 
-// Point is one measured value at one size.
+// Point is the value measured at one size.
 type Point struct{ Size, Value float64 }
 
 // Series is a quantity measured at several sizes.
 type Series struct {
-	// Quantity is what was measured, Unit its unit.
+	// Quantity names what is measured, Unit is its unit.
 	Quantity, Unit string
-	// Size names what was varied, Target is its size to come.
-	Size   string
-	Target float64
-	// Budget is the most that the quantity may be at the target; 0 is none.
+	// SizeUnit names what is varied, DesignSize is the size to plan for.
+	SizeUnit   string
+	DesignSize float64
+	// Budget is the limit of the quantity at the design size; 0 means no limit.
 	Budget float64
 	Points []Point
 }
 
-// add measures one more point.
+// add appends a point.
 func (s *Series) add(size int, value float64) {
 	s.Points = append(s.Points, Point{Size: float64(size), Value: value})
 }
 
-// Fit is a straight line by least squares.
+// Fit is a straight line fitted by least squares.
 type Fit struct {
 	Intercept, Slope float64
-	// Residual is the largest distance of a point from the line, as a share of
-	// the largest value.
+	// Residual is the largest distance of a point from the line, relative to the
+	// largest absolute value.
 	Residual float64
 }
 
-// Fit fits the points. A single point gives a level line.
+// Fit fits a line to the points. A single point gives a horizontal line.
 func (s *Series) Fit() Fit {
 	n := float64(len(s.Points))
 	var sumX, sumY, sumXX, sumXY float64
@@ -59,7 +59,7 @@
 func (s *Series) residual(f Fit) float64 {
 	worst, largest := 0.0, 0.0
 	for _, p := range s.Points {
-		worst = max(worst, math.Abs(p.Value-f.at(p.Size)))
+		worst = max(worst, math.Abs(p.Value-f.valueAt(p.Size)))
 		largest = max(largest, math.Abs(p.Value))
 	}
 	if largest == 0 {
@@ -68,26 +68,27 @@
 	return worst / largest
 }
 
-func (f Fit) at(size float64) float64 { return f.Intercept + f.Slope*size }
+func (f Fit) valueAt(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// AtTarget returns the value at the target size, and whether it was measured
-// there and not extrapolated.
-func (s *Series) AtTarget() (value float64, measured bool) {
+// AtDesignSize returns the value at the design size, and whether it was measured
+// there rather than extrapolated.
+func (s *Series) AtDesignSize() (value float64, measured bool) {
 	for _, p := range s.Points {
-		if p.Size == s.Target {
+		if p.Size == s.DesignSize {
 			return p.Value, true
 		}
 	}
-	return s.Fit().at(s.Target), false
+	return s.Fit().valueAt(s.DesignSize), false
 }
 
-// WriteTable writes the points, the fit and the value at the target size.
+// WriteTable writes a line for each series: its points, its fit, its value at
+// the design size and the share of the budget.
 func WriteTable(w io.Writer, all []Series) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i := range all {
 		s := &all[i]
 		fit := s.Fit()
-		value, measured := s.AtTarget()
+		value, measured := s.AtDesignSize()
 		how := "measured"
 		if !measured {
 			how = "EXTRAPOLATED"
@@ -96,39 +97,39 @@
 		for _, p := range s.Points {
 			fmt.Fprintf(table, "%.0f: %.4g\t", p.Size, p.Value)
 		}
-		fmt.Fprintf(table, "slope %.3g per %s\tresidual %.0f%%\tat %.0f: %.4g %s", fit.Slope, s.Size, 100*fit.Residual, s.Target, value, how)
+		fmt.Fprintf(table, "slope %.3g per %s\tresidual %.0f%%\tat %.0f: %.4g %s", fit.Slope, s.SizeUnit, 100*fit.Residual, s.DesignSize, value, how)
 		if s.Budget > 0 {
-			fmt.Fprintf(table, "\t%.0f%% of %.4g%s", 100*value/s.Budget, s.Budget, over(value, s.Budget))
+			fmt.Fprintf(table, "\t%.0f%% of %.4g%s", 100*value/s.Budget, s.Budget, overBudgetMark(value, s.Budget))
 		}
 		fmt.Fprintln(table)
 	}
 	return table.Flush()
 }
 
-func over(value, budget float64) string {
+func overBudgetMark(value, budget float64) string {
 	if value > budget {
 		return " OVER"
 	}
 	return ""
 }
 
-// The budgets of an instance for control.
+// The resource budgets of an instance for its control plane.
 const (
-	// budgetCPU is in milliseconds of processor time a second: 1.2% of a core.
-	budgetCPU = 12
-	// budgetMemory is in megabytes.
-	budgetMemory = 128
-	// budgetBytes is in bytes sent a second.
-	budgetBytes = 2048
+	// cpuBudget is in milliseconds of CPU time per second: 1.2% of a core.
+	cpuBudget = 12
+	// memoryBudget is in megabytes.
+	memoryBudget = 128
+	// sendBudget is in bytes sent per second.
+	sendBudget = 2048
 )
 
-// Sizes to come.
+// Design sizes of a deployment.
 const (
-	targetNodes    = 440
-	targetTargets  = 4000
-	targetAccounts = 32000
-	// targetRequests is the requests a second of one instance at the peak.
-	targetRequests = 42000.0 / targetNodes
+	designNodes    = 440
+	designTargets  = 4000
+	designAccounts = 32000
+	// designRequestRate is the peak number of requests per second at one instance.
+	designRequestRate = 42000.0 / designNodes
 )
 
 const megabyte = 1 << 20
--- a/testkit/capacity/targets.go
+++ b/testkit/capacity/targets.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-var random = rand.New(rand.NewPCG(1, 2))
+var rng = rand.New(rand.NewPCG(1, 2))
 
 func targetList(pool string, n int) []routing.Target {
 	list := make([]routing.Target, n)
@@ -21,7 +21,7 @@
 			Incarnation: fmt.Sprintf("%s-%05d-1700000000", pool, i),
 			Pool:        pool,
 			Address:     fmt.Sprintf("10.2.%d.%d:8000", i/250, i%250),
-			DataCentre:  fmt.Sprint("dc-", i%fleetCentres),
+			DataCentre:  fmt.Sprint("dc-", i%fleetDataCentres),
 			Slots:       16,
 			Models:      []string{fmt.Sprint("model-", i%6)},
 		}
@@ -31,9 +31,9 @@
 
 func measureTargets(o Options) ([]Series, error) {
 	series := func(quantity, unit string, budget float64) Series {
-		return Series{Quantity: quantity, Unit: unit, Size: "target", Target: targetTargets, Budget: budget}
+		return Series{Quantity: quantity, Unit: unit, SizeUnit: "target", DesignSize: designTargets, Budget: budget}
 	}
-	memory := series("routing table", "MB", budgetMemory)
+	memory := series("routing table", "MB", memoryBudget)
 	pick := series("Pick, Started and Done", "ns", 0)
 	set := series("SetTargets", "us", 0)
 	digest := series("Digest", "us", 0)
@@ -48,20 +48,20 @@
 			t.SetTargets(now, pool, list)
 			return t
 		}
-		memory.add(n, heapOf(func() any { return build() })/megabyte)
+		memory.add(n, heapSize(func() any { return build() })/megabyte)
 		table := build()
 		kept.add(n, float64(len(table.Stats(now).Targets)))
 		query := routing.Query{Pool: "engines", Model: "model-1", Prefix: []routing.PrefixPart{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 500}}}
 		pick.add(n, o.nsPerOp(func() { pickOnce(table, now, query) }))
 		set.add(n, o.nsPerOp(func() { table.SetTargets(now, pool, list) })/1000)
-		changed.add(n, o.nsPerOp(newChangingList(n))/1000)
+		changed.add(n, o.nsPerOp(newTargetChange(n))/1000)
 		digest.add(n, o.nsPerOp(func() { table.Digest(now) })/1000)
 	}
 	return []Series{memory, pick, set, digest, kept, changed}, nil
 }
 
 func pickOnce(table *routing.Table, now time.Time, query routing.Query) {
-	choice, err := table.Pick(now, random, query)
+	choice, err := table.Pick(now, rng, query)
 	if err != nil {
 		return
 	}
@@ -69,8 +69,9 @@
 	handle.Done(now, routing.Result{Outcome: routing.OutcomeOK, Latency: time.Second, Expected: time.Second})
 }
 
-// newChangingList returns a function that changes one of n targets in ten pools.
-func newChangingList(n int) func() {
+// newTargetChange returns a function that applies a list of n targets in ten
+// pools in which one target has changed.
+func newTargetChange(n int) func() {
 	now := time.Unix(1_000_000, 0)
 	table := routing.New(routing.Config{Instance: "instance-1", LocalDataCentre: "dc-0"})
 	gates := gate.NewGroup(gate.GroupConfig{}, func() time.Time { return now })
--- a/testkit/cmd/capacity/main.go
+++ b/testkit/cmd/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity measures how an instance's state, messages and processor
-// time grow, and prints the slopes and the values at the size to come.
+// Command capacity measures how the state, the messages and the CPU time of an
+// instance grow, and prints the slopes and the values at the design sizes.
 package main
 
 import (
@@ -27,11 +27,12 @@
 }
 
 func run(only string, o capacity.Options) error {
-	// Hundreds of instances in one process would each log their members.
+	// Disables the logs: hundreds of instances in this process would each log
+	// their members.
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	names := strings.Split(only, ",")
-	for _, m := range capacity.Measures() {
+	for _, m := range capacity.Measurements() {
 		if only != "" && !slices.Contains(names, m.Name) {
 			continue
 		}
