--- a/testkit/cmd/waits/main.go
+++ b/testkit/cmd/waits/main.go
@@ -1,6 +1,6 @@
-// Command waits reads the logs of instances from standard input and prints where the
-// time of requests went and how well it was predicted, by pipeline; with -plot it writes
-// two PNGs beside.
+// Command waits reads the logs of instances from standard input. For each pipeline it prints
+// how the time of requests is divided and how well it was predicted; with -plot it also
+// writes two PNGs.
 package main
 
 import (
--- a/testkit/waits/log.go
+++ b/testkit/waits/log.go
@@ -1,5 +1,5 @@
-// Package waits reads the logs of instances and tells where the time of requests went:
-// in the queue of stage targets, in calls, at the engine.
+// Package waits analyses the logs of instances. It reports how the time of requests is
+// divided between the queue for stage targets, calls to them, and the engine.
 package waits
 
 import (
@@ -13,63 +13,64 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what the logs say of one request.
+// Request is a request as logged by its own instance and by the holder of the stage queue.
 type Request struct {
 	Pipeline string
-	// At is the time of its end.
-	At     time.Time
-	Status int
-	Reason string
-	// Elapsed is the whole time, Stages the wait for the stages' results, First the
-	// time from the sending to the engine to the first event, Pause the longest time
-	// between two events.
-	Elapsed, Stages, First, Pause time.Duration
-	// Made is what the holder of the queue says; nil without a word of it.
-	Made *Made
+	// EndedAt is the time at which the request ended.
+	EndedAt time.Time
+	Status  int
+	Reason  string
+	// Elapsed is the total time, StageWait the time until the results of the stages were
+	// there, FirstEvent the time from sending the request to the engine to the first event,
+	// LongestPause the longest time between two events.
+	Elapsed, StageWait, FirstEvent, LongestPause time.Duration
+	// StageTimes is logged by the holder of the stage queue; nil if no line was found.
+	StageTimes *StageTimes
 }
 
-// Made is how the stages of a request were made.
-type Made struct {
-	// Queued is the time for which its stages waited for calls, the longest way
-	// through them alone not told apart; Called the time in calls.
-	Queued, Called time.Duration
-	// Taken is the time from its admission to the last result, Predicted what was
-	// predicted then, Left the time that there was for an answer in time.
-	Taken, Predicted, Left time.Duration
+// StageTimes holds the times of the execution of a request's stages.
+type StageTimes struct {
+	// Queued is the time for which stages waited for a call, InCalls the time in calls.
+	// Both are sums over all stages, not only over those on the critical path.
+	Queued, InCalls time.Duration
+	// Elapsed is the time from the admission to the last result. Predicted is its prediction
+	// and TimeToObjective the time until the request's objective, both at the admission.
+	Elapsed, Predicted, TimeToObjective time.Duration
 }
 
-// Call is one call to a stage target.
+// Call is a call to a stage target.
 type Call struct {
-	At      time.Time
+	EndedAt time.Time
 	Service string
 	Pieces  int
 }
 
-// Log is what the logs of some instances say.
+// Log is the content of the logs of one or more instances.
 type Log struct {
 	Requests map[string]*Request
 	Calls    []Call
 }
 
 var (
-	// header is klog's: severity, month and day, time.
-	header = regexp.MustCompile(`[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^ ]+\] "([^"]*)"`)
-	pair   = regexp.MustCompile(`(\w+)=(?:"([^"]*)"|(\S+))`)
-	stage  = regexp.MustCompile(`\d+:(\d+)/(\d+)/(\d+)`)
+	// klogHeader matches klog's severity, month and day, and time, and the message.
+	klogHeader        = regexp.MustCompile(`[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^ ]+\] "([^"]*)"`)
+	keyValue          = regexp.MustCompile(`(\w+)=(?:"([^"]*)"|(\S+))`)
+	stageTimesPattern = regexp.MustCompile(`\d+:(\d+)/(\d+)/(\d+)`)
 )
 
-// maxLine bounds a line, in bytes: many times the longest that instances write.
-const maxLine = 64 << 10
+// maxLineBytes is the longest line that is read: many times the longest that instances
+// write.
+const maxLineBytes = 64 << 10
 
-// Read takes in lines; what stands before an instance's own line, as a name or a time,
-// is passed over, and so are lines of other programs.
+// Read parses log lines. It ignores any text before an instance's own line, such as a name
+// or a time, and lines of other programs.
 func Read(r io.Reader) (*Log, error) {
 	l := &Log{Requests: map[string]*Request{}}
-	made := map[string]*Made{}
+	stageTimes := map[string]*StageTimes{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
-		m := header.FindStringSubmatch(lines.Text())
+		m := klogHeader.FindStringSubmatch(lines.Text())
 		if m == nil {
 			continue
 		}
@@ -77,36 +78,36 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "line %d", n)
 		}
-		fields := parse(lines.Text())
+		fields := parseFields(lines.Text())
 		switch m[2] {
 		case "Request ended":
 			l.Requests[fields.text("request_id")] = fields.request(at)
 		case "Stages done":
-			made[fields.text("request_id")] = fields.made()
+			stageTimes[fields.text("request_id")] = fields.stageTimes()
 		case "Stage call ended":
-			l.Calls = append(l.Calls, Call{At: at, Service: fields.text("pool"), Pieces: fields.number("count")})
+			l.Calls = append(l.Calls, Call{EndedAt: at, Service: fields.text("pool"), Pieces: fields.number("count")})
 		}
 		if fields.err != nil {
 			return nil, errors.Wrapf(fields.err, "line %d", n)
 		}
 	}
-	for id, m := range made {
+	for id, times := range stageTimes {
 		if r := l.Requests[id]; r != nil {
-			r.Made = m
+			r.StageTimes = times
 		}
 	}
 	return l, errors.Wrap(lines.Err(), "read")
 }
 
-// fields are the keys and values of a line; err is the first value that is malformed.
+// fields holds the keys and values of a line; err is the error of the first malformed value.
 type fields struct {
 	values map[string]string
 	err    error
 }
 
-func parse(line string) *fields {
+func parseFields(line string) *fields {
 	f := &fields{values: map[string]string{}}
-	for _, m := range pair.FindAllStringSubmatch(line, -1) {
+	for _, m := range keyValue.FindAllStringSubmatch(line, -1) {
 		f.values[m[1]] = m[2] + m[3]
 	}
 	return f
@@ -119,7 +120,7 @@
 		return 0
 	}
 	n, err := strconv.Atoi(f.values[key])
-	f.note(key, err)
+	f.setErr(key, err)
 	return n
 }
 
@@ -128,11 +129,11 @@
 		return 0
 	}
 	d, err := time.ParseDuration(f.values[key])
-	f.note(key, err)
+	f.setErr(key, err)
 	return d
 }
 
-func (f *fields) note(key string, err error) {
+func (f *fields) setErr(key string, err error) {
 	if err != nil && f.err == nil {
 		f.err = errors.Wrap(err, key)
 	}
@@ -140,22 +141,22 @@
 
 func (f *fields) request(at time.Time) *Request {
 	return &Request{
-		Pipeline: f.text("pipeline"), At: at, Status: f.number("status"), Reason: f.text("reason"),
-		Elapsed: f.duration("elapsed"), Stages: f.duration("stages"), First: f.duration("first"), Pause: f.duration("pause"),
+		Pipeline: f.text("pipeline"), EndedAt: at, Status: f.number("status"), Reason: f.text("reason"),
+		Elapsed: f.duration("elapsed"), StageWait: f.duration("stages"), FirstEvent: f.duration("first"), LongestPause: f.duration("pause"),
 	}
 }
 
-func (f *fields) made() *Made {
-	m := &Made{Taken: f.duration("elapsed"), Predicted: f.duration("needed"), Left: f.duration("left")}
-	for _, times := range stage.FindAllStringSubmatch(f.text("stage"), -1) {
+func (f *fields) stageTimes() *StageTimes {
+	t := &StageTimes{Elapsed: f.duration("elapsed"), Predicted: f.duration("needed"), TimeToObjective: f.duration("left")}
+	for _, times := range stageTimesPattern.FindAllStringSubmatch(f.text("stage"), -1) {
 		ready, sent, done := milliseconds(times[1]), milliseconds(times[2]), milliseconds(times[3])
-		m.Queued += sent - ready
-		m.Called += done - sent
+		t.Queued += sent - ready
+		t.InCalls += done - sent
 	}
-	return m
+	return t
 }
 
-// milliseconds reads digits that the expression above has found.
+// milliseconds parses digits that stageTimesPattern has matched.
 func milliseconds(digits string) time.Duration {
 	n, _ := strconv.ParseInt(strings.TrimSpace(digits), 10, 32)
 	return time.Duration(n) * time.Millisecond
--- a/testkit/waits/predictions.go
+++ b/testkit/waits/predictions.go
@@ -11,52 +11,53 @@
 	"github.com/cockroachdb/errors"
 )
 
-// outlook tells whether the stages alone were predicted to take longer than there was for
-// an answer in time.
-func (m *Made) outlook() string {
-	if m.Predicted > m.Left {
+// predictedOutcome returns "late" if the stages alone were predicted to take longer than the
+// time to the objective, and "in time" otherwise.
+func (t *StageTimes) predictedOutcome() string {
+	if t.Predicted > t.TimeToObjective {
 		return "late"
 	}
 	return "in time"
 }
 
-// WritePredictions writes for each pipeline how long stages took and were predicted to
-// take at the admission, apart for those that were predicted to be in time and to be late.
-// It counts all requests whose stages were done, whatever became of them, but those
-// without stages and those that were taken over, of which there is no prediction.
+// WritePredictions writes a table that compares, for each pipeline, the time that the stages
+// took with the prediction at the admission. Requests that were predicted to meet and to
+// miss their objectives are in separate rows. All requests whose stages were completed count,
+// whatever their outcome, except those without a prediction: requests without stages and
+// those imported from another stage queue.
 func (l *Log) WritePredictions(w io.Writer) error {
-	type row struct{ pipeline, outlook string }
-	made := map[row][]*Made{}
+	type row struct{ pipeline, outcome string }
+	byRow := map[row][]*StageTimes{}
 	for _, r := range l.Requests {
-		if r.Made != nil && r.Made.Predicted > 0 {
-			at := row{r.Pipeline, r.Made.outlook()}
-			made[at] = append(made[at], r.Made)
+		if r.StageTimes != nil && r.StageTimes.Predicted > 0 {
+			key := row{r.Pipeline, r.StageTimes.predictedOutcome()}
+			byRow[key] = append(byRow[key], r.StageTimes)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "pipeline\tpredicted\tstages done\tpredicted p50\tp90\ttaken p50\tp90\ttaken less predicted p10\tp50\tp90\tover the time left\t")
-	rows := slices.SortedFunc(maps.Keys(made), func(a, b row) int {
-		return slices.Compare([]string{a.pipeline, a.outlook}, []string{b.pipeline, b.outlook})
+	rows := slices.SortedFunc(maps.Keys(byRow), func(a, b row) int {
+		return slices.Compare([]string{a.pipeline, a.outcome}, []string{b.pipeline, b.outcome})
 	})
-	for _, at := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", at.pipeline, at.outlook, predictions(made[at]))
+	for _, key := range rows {
+		fmt.Fprintf(t, "%s\t%s\t%s\n", key.pipeline, key.outcome, predictionCells(byRow[key]))
 	}
 	return errors.Wrap(t.Flush(), "write")
 }
 
-// predictions are the cells of a row.
-func predictions(made []*Made) string {
-	var predicted, taken, over []time.Duration
+// predictionCells returns the cells of a row, separated by tabs.
+func predictionCells(times []*StageTimes) string {
+	var predicted, elapsed, excess []time.Duration
 	late := 0
-	for _, m := range made {
+	for _, m := range times {
 		predicted = append(predicted, m.Predicted)
-		taken = append(taken, m.Taken)
-		over = append(over, m.Taken-m.Predicted)
-		if m.Taken > m.Left {
+		elapsed = append(elapsed, m.Elapsed)
+		excess = append(excess, m.Elapsed-m.Predicted)
+		if m.Elapsed > m.TimeToObjective {
 			late++
 		}
 	}
-	return fmt.Sprintf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t", len(made),
-		quantile(predicted, 0.5), quantile(predicted, 0.9), quantile(taken, 0.5), quantile(taken, 0.9),
-		quantile(over, 0.1), quantile(over, 0.5), quantile(over, 0.9), late)
+	return fmt.Sprintf("%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t", len(times),
+		formatQuantile(predicted, 0.5), formatQuantile(predicted, 0.9), formatQuantile(elapsed, 0.5), formatQuantile(elapsed, 0.9),
+		formatQuantile(excess, 0.1), formatQuantile(excess, 0.5), formatQuantile(excess, 0.9), late)
 }
--- a/testkit/waits/report.go
+++ b/testkit/waits/report.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// window is the time over which the plots average.
-	window     = 2 * time.Second
+	// plotWindow is the interval over which the plots average.
+	plotWindow = 2 * time.Second
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
 )
 
-// WriteTable writes a line for each pipeline and, below, one for each stage service.
+// WriteTable writes a table with a row for each pipeline and, below, one with a row for each
+// stage service.
 func (l *Log) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "pipeline\trequests\tanswered\tlate by first event\tqueued p50\tp90\tin calls p50\tp90\tfirst p50\tp90\tpause p90\t")
@@ -41,12 +42,12 @@
 		byService[c.Service] = append(byService[c.Service], c)
 	}
 	for _, name := range slices.Sorted(maps.Keys(byService)) {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t\n", name, len(byService[name]), fill(byService[name]))
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t\n", name, len(byService[name]), piecesPerCall(byService[name]))
 	}
 	return errors.Wrap(t.Flush(), "write")
 }
 
-func fill(calls []Call) float64 {
+func piecesPerCall(calls []Call) float64 {
 	pieces := 0
 	for _, c := range calls {
 		pieces += c.Pieces
@@ -55,88 +56,88 @@
 }
 
 func writePipeline(w io.Writer, name string, requests []*Request) {
-	var queued, called, first, pause []time.Duration
+	var queued, inCalls, first, pause []time.Duration
 	answered, late := 0, 0
 	for _, r := range requests {
 		if r.Status != http.StatusOK {
 			continue
 		}
 		answered++
-		first = append(first, r.First)
-		pause = append(pause, r.Pause)
-		if r.Made == nil {
+		first = append(first, r.FirstEvent)
+		pause = append(pause, r.LongestPause)
+		if r.StageTimes == nil {
 			continue
 		}
-		queued = append(queued, r.Made.Queued)
-		called = append(called, r.Made.Called)
-		if r.Made.Left > 0 && r.Stages+r.First > r.Made.Left {
+		queued = append(queued, r.StageTimes.Queued)
+		inCalls = append(inCalls, r.StageTimes.InCalls)
+		if r.StageTimes.TimeToObjective > 0 && r.StageWait+r.FirstEvent > r.StageTimes.TimeToObjective {
 			late++
 		}
 	}
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t", name, len(requests), answered, late)
 	for _, cell := range []struct {
-		of     []time.Duration
+		values []time.Duration
 		shares []float64
-	}{{queued, []float64{0.5, 0.9}}, {called, []float64{0.5, 0.9}}, {first, []float64{0.5, 0.9}}, {pause, []float64{0.9}}} {
+	}{{queued, []float64{0.5, 0.9}}, {inCalls, []float64{0.5, 0.9}}, {first, []float64{0.5, 0.9}}, {pause, []float64{0.9}}} {
 		for _, share := range cell.shares {
-			fmt.Fprintf(w, "%s\t", quantile(cell.of, share))
+			fmt.Fprintf(w, "%s\t", formatQuantile(cell.values, share))
 		}
 	}
 	fmt.Fprintln(w)
 }
 
-// quantile writes a quantile in milliseconds; "-" of nothing.
-func quantile(of []time.Duration, share float64) string {
-	if len(of) == 0 {
+// formatQuantile returns a quantile in milliseconds, or "-" without values.
+func formatQuantile(values []time.Duration, share float64) string {
+	if len(values) == 0 {
 		return "-"
 	}
-	slices.Sort(of)
-	return fmt.Sprint(of[min(int(share*float64(len(of))), len(of)-1)].Milliseconds())
+	slices.Sort(values)
+	return fmt.Sprint(values[min(int(share*float64(len(values))), len(values)-1)].Milliseconds())
 }
 
-// Plot writes two PNGs: the mean time of answered requests by part, and the pieces a
-// call, over the time of the requests' ends.
-func (l *Log) Plot(waitsPath, fillPath string) error {
-	start := l.start()
+// Plot writes two PNGs: the mean time of answered requests by part over the time of their
+// ends, and the mean number of pieces per call over the time of the calls' ends.
+func (l *Log) Plot(waitsPath, piecesPath string) error {
+	start := l.firstTime()
 	parts := map[string]map[int][]float64{}
-	note := func(part string, at time.Time, value float64) {
+	addValue := func(part string, at time.Time, value float64) {
 		if parts[part] == nil {
 			parts[part] = map[int][]float64{}
 		}
-		i := int(at.Sub(start) / window)
+		i := int(at.Sub(start) / plotWindow)
 		parts[part][i] = append(parts[part][i], value)
 	}
 	for _, r := range l.Requests {
-		if r.Status != http.StatusOK || r.Made == nil {
+		if r.Status != http.StatusOK || r.StageTimes == nil {
 			continue
 		}
-		note("queued", r.At, r.Made.Queued.Seconds())
-		note("in calls", r.At, r.Made.Called.Seconds())
-		note("engine, to the first event", r.At, r.First.Seconds())
+		addValue("queued", r.EndedAt, r.StageTimes.Queued.Seconds())
+		addValue("in calls", r.EndedAt, r.StageTimes.InCalls.Seconds())
+		addValue("engine, to the first event", r.EndedAt, r.FirstEvent.Seconds())
 	}
 	if err := plotMeans(waitsPath, "mean seconds of answered requests", parts); err != nil {
 		return err
 	}
 	parts = map[string]map[int][]float64{}
 	for _, c := range l.Calls {
-		note(c.Service, c.At, float64(c.Pieces))
+		addValue(c.Service, c.EndedAt, float64(c.Pieces))
 	}
-	return plotMeans(fillPath, "pieces a call", parts)
+	return plotMeans(piecesPath, "pieces a call", parts)
 }
 
-// start is the time of the first line.
-func (l *Log) start() time.Time {
+// firstTime returns the earliest time of a request or a call.
+func (l *Log) firstTime() time.Time {
 	var start time.Time
-	earlier := func(at time.Time) {
+	observe := func(at time.Time) {
 		if start.IsZero() || at.Before(start) {
 			start = at
 		}
 	}
 	for _, r := range l.Requests {
-		earlier(r.At)
+		observe(r.EndedAt)
 	}
 	for _, c := range l.Calls {
-		earlier(c.At)
+		observe(c.EndedAt)
 	}
 	return start
 }
@@ -148,7 +149,7 @@
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
 		var line plotter.XYs
 		for _, i := range slices.Sorted(maps.Keys(parts[name])) {
-			line = append(line, plotter.XY{X: float64(i) * window.Seconds(), Y: mean(parts[name][i])})
+			line = append(line, plotter.XY{X: float64(i) * plotWindow.Seconds(), Y: mean(parts[name][i])})
 		}
 		args = append(args, name, line)
 	}
--- a/testkit/waits/waits_test.go
+++ b/testkit/waits/waits_test.go
@@ -18,19 +18,19 @@
    1.4 front-2 I1203 10:00:01.400000    8 answer.go:264] "Request ended" request_id="b" pipeline="r" reason="queue_too_long" status=503 elapsed="2ms"
 `
 
-// An on-call engineer asks where the time of a late answer went: what the holder of the
-// queue says of it and what its own instance says are in different logs.
-func TestReadJoinsTheLinesOfARequest(t *testing.T) {
+// Finding the cause of a late response needs the lines of the holder of the stage queue and
+// of the request's own instance, which are in different logs.
+func TestReadJoinsLinesOfRequest(t *testing.T) {
 	l, err := Read(strings.NewReader(sample))
 	require.NoError(t, err)
 	require.Len(t, l.Requests, 2)
 	a := l.Requests["a"]
-	require.Equal(t, 400*time.Millisecond, a.First)
-	require.Equal(t, &Made{
-		Queued: 150 * time.Millisecond, Called: 550 * time.Millisecond,
-		Taken: 700 * time.Millisecond, Predicted: 800 * time.Millisecond, Left: time.Second,
-	}, a.Made)
-	require.Equal(t, []Call{{At: a.At.Add(-300 * time.Millisecond), Service: "s", Pieces: 3}}, l.Calls)
+	require.Equal(t, 400*time.Millisecond, a.FirstEvent)
+	require.Equal(t, &StageTimes{
+		Queued: 150 * time.Millisecond, InCalls: 550 * time.Millisecond,
+		Elapsed: 700 * time.Millisecond, Predicted: 800 * time.Millisecond, TimeToObjective: time.Second,
+	}, a.StageTimes)
+	require.Equal(t, []Call{{EndedAt: a.EndedAt.Add(-300 * time.Millisecond), Service: "s", Pieces: 3}}, l.Calls)
 
 	var table bytes.Buffer
 	require.NoError(t, l.WriteTable(&table))
@@ -47,17 +47,17 @@
 	}
 }
 
-// Predictions are compared with what was taken. Requests without stages or taken over have
-// none and would pass for well predicted; late ones are predicted far longer and would
-// hide how the others are.
-func TestPredictionsAreCompared(t *testing.T) {
-	made := func(predicted, taken time.Duration) *Request {
-		return &Request{Pipeline: "r", Made: &Made{Predicted: predicted, Taken: taken, Left: time.Second}}
+// Requests without stages and those imported from another queue have no prediction and would
+// count as well predicted. Requests predicted to be late have far longer predictions and would hide the
+// others' in the same row.
+func TestWritePredictionsSeparatesLateAndSkipsUnpredicted(t *testing.T) {
+	completed := func(predicted, elapsed time.Duration) *Request {
+		return &Request{Pipeline: "r", StageTimes: &StageTimes{Predicted: predicted, Elapsed: elapsed, TimeToObjective: time.Second}}
 	}
 	l := &Log{Requests: map[string]*Request{
-		"a": made(800*time.Millisecond, 1100*time.Millisecond), "b": made(850*time.Millisecond, 900*time.Millisecond),
-		"late": made(3*time.Second, 700*time.Millisecond),
-		"none": made(0, 0), "refused": {Pipeline: "r"},
+		"a": completed(800*time.Millisecond, 1100*time.Millisecond), "b": completed(850*time.Millisecond, 900*time.Millisecond),
+		"late": completed(3*time.Second, 700*time.Millisecond),
+		"none": completed(0, 0), "refused": {Pipeline: "r"},
 	}}
 	var table bytes.Buffer
 	require.NoError(t, l.WritePredictions(&table))
@@ -66,7 +66,7 @@
 	require.Equal(t, 3, strings.Count(table.String(), "\n"))
 }
 
-func TestReadNamesTheLineAtFault(t *testing.T) {
+func TestReadErrorNamesLine(t *testing.T) {
 	_, err := Read(strings.NewReader("x\nI1203 10:00:01.000000    7 a.go:1] \"Request ended\" request_id=\"a\" elapsed=\"soon\"\n"))
 	require.ErrorContains(t, err, "line 2: elapsed")
 }
