--- a/testkit/capacity/accounts.go
+++ b/testkit/capacity/accounts.go
@@ -34,8 +34,8 @@
 		batch = append(batch, accountRecord(i, uint64(10+i)))
 	}
 	_, snapshot, _ := set.Apply(batch)
-	if held := snapshot.Accounts.Len(); held != n {
-		return nil, errors.Newf("%d of %d accounts are in force", held, n)
+	if inForce := snapshot.Accounts.Len(); inForce != n {
+		return nil, errors.Newf("%d of %d accounts are in force", inForce, n)
 	}
 	return set, nil
 }
@@ -67,14 +67,14 @@
 		memory.add(n, heapSize(func() any { set, _ := newAccountSet(n); return set })/megabyte)
 		table.add(n, heapSize(func() any { return newRecordTable(n) })/megabyte)
 		set, _ := newAccountSet(n)
-		held, revision := newRecordTable(n), uint64(1_000_000)
+		records, revision := newRecordTable(n), uint64(1_000_000)
 		apply.add(n, o.nsPerOp(func() {
 			revision++
 			set.Apply([]config.Record{accountRecord(int(revision)%n, revision)})
 		})/1000)
 		put.add(n, o.nsPerOp(func() {
 			revision++
-			held.Apply(spread.Record{Kind: recordKind, Name: accountName(int(revision) % n), Revision: revision})
+			records.Apply(spread.Record{Kind: recordKind, Name: accountName(int(revision) % n), Revision: revision})
 		})/1000)
 		snapshot, hash := set.Snapshot(), sha256.Sum256([]byte(accountName(n/2)))
 		lookup.add(n, o.nsPerOp(func() { snapshot.AccountByKey(hash) }))
--- a/testkit/capacity/capacity_test.go
+++ b/testkit/capacity/capacity_test.go
@@ -48,10 +48,10 @@
 	require.NotContains(t, lines[1], "OVER")
 }
 
-// Guards against changes that make each instance send to all others or send
-// something for each node times target or account. This doesn't show with eight
-// instances, but exceeds the control plane's budget with hundreds. The traffic is
-// simulated in virtual time and is the same on every run.
+// Guards against changes that make each instance communicate with all others, or
+// maintain something for each pair of a node and a target or account. This doesn't
+// show with eight instances, but exceeds the control plane's budget with hundreds.
+// The traffic is simulated in virtual time and is the same on every run.
 func TestTrafficPerInstanceIsBounded(t *testing.T) {
 	perNode := func(n int) float64 {
 		f := newFleet(n)
--- a/testkit/capacity/nodes.go
+++ b/testkit/capacity/nodes.go
@@ -37,9 +37,9 @@
 	all := series("virtual: sent in all", "B/s a node", sendBudget)
 	state := series("virtual: state", "MB a node", memoryBudget)
 	join := series("virtual: all see all after a common start", "s", 0)
-	heard := series("virtual: peers whose load digest is under 2 s old", "%", 0)
+	fresh := series("virtual: peers whose load digest is under 2 s old", "%", 0)
 	age := series("virtual: mean age of the load digests held", "s", 0)
-	reach := series("virtual: a record is everywhere", "s", 3)
+	propagation := series("virtual: a record is everywhere", "s", 3)
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		var f *fleet
 		size := heapSize(func() any { f = newFleet(n).joinAndWarmUp(&join); return f })
@@ -56,12 +56,12 @@
 		loads.add(n, float64(f.sent.loads)/perNode)
 		all.add(n, float64(f.sent.bytes())/perNode)
 		state.add(n, size/float64(n)/megabyte)
-		young, mean := f.digestFreshness()
-		heard.add(n, young)
+		freshShare, mean := f.digestFreshness()
+		fresh.add(n, freshShare)
 		age.add(n, mean)
-		reach.add(n, f.propagationTime().Seconds())
+		propagation.add(n, f.propagationTime().Seconds())
 	}
-	return []Series{processor, probes, records, loads, all, state, heard, age, join, reach}, nil
+	return []Series{processor, probes, records, loads, all, state, fresh, age, join, propagation}, nil
 }
 
 // joinAndWarmUp runs until all instances have all others in their views and the
@@ -110,7 +110,7 @@
 // digestFreshness returns the share of the peers, in percent, whose load digest
 // an instance holds and may still use, and the mean age in seconds of all the
 // digests that it holds.
-func (f *fleet) digestFreshness() (young, mean float64) {
+func (f *fleet) digestFreshness() (freshShare, mean float64) {
 	var count, useful int
 	var sum time.Duration
 	for _, node := range f.nodes {
--- a/testkit/capacity/requests.go
+++ b/testkit/capacity/requests.go
@@ -35,9 +35,9 @@
 			recordRequest(table, "r"+strconv.Itoa(next), now, true)
 		})/1000)
 		gates.add(n, heapSize(func() any { return newFilledGate(n, now) })/megabyte)
-		held := newFilledGate(n, now)
+		g := newFilledGate(n, now)
 		acquire.add(n, o.nsPerOp(func() {
-			grant, err := held.Acquire(context.Background(), gate.Request{LatestStart: now.Add(time.Hour)})
+			grant, err := g.Acquire(context.Background(), gate.Request{LatestStart: now.Add(time.Hour)})
 			if err == nil {
 				grant.Release()
 			}
