--- a/testkit/capacity/budgets.go
+++ b/testkit/capacity/budgets.go
@@ -12,10 +12,11 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Shape of the measure of budgets.
+// Parameters of the measurement of account budgets.
 const (
-	// accountShare is the part of the accounts that is played: they share
-	// nothing but the bound of accounts remembered, which shrinks with them.
+	// accountSampling is the number of accounts for each one that is simulated.
+	// Accounts are independent but for the limit of accounts remembered, which
+	// is divided by the same number.
 	accountSampling = 32
 	ledgerWarmUp    = 240 * time.Second
 	ledgerLength    = 60 * time.Second
@@ -23,7 +24,7 @@
 	ledgerStep      = 50 * time.Millisecond
 )
 
-// budgetFleet plays the ledgers of all instances in virtual time.
+// ledgerFleet simulates the budget ledgers of all instances in virtual time.
 type ledgerFleet struct {
 	now      time.Time
 	ledgers  []*budget.Ledger
@@ -34,8 +35,8 @@
 	grantRequests, bytes, served, refused int
 }
 
-// newBudgetFleet makes n accounts that together send the target rate, each with
-// a budget of budgetReserve times its mean.
+// newLedgerFleet returns a fleet with n accounts that together send the design
+// rate. The budget of each is budgetHeadroom times its mean rate.
 func newLedgerFleet(n, remembered int) *ledgerFleet {
 	f := &ledgerFleet{now: time.Unix(1_000_000, 0), byName: map[string]*budget.Ledger{}, rng: rand.New(rand.NewPCG(3, 4))}
 	members := make([]string, designNodes)
@@ -65,7 +66,7 @@
 	}
 }
 
-// request sends one request of a random account to a random instance.
+// sendRequest sends a request of a random account to a random instance.
 func (f *ledgerFleet) sendRequest() {
 	account := f.accounts[f.rng.IntN(len(f.accounts))]
 	ledger := f.ledgers[f.rng.IntN(len(f.ledgers))]
@@ -86,16 +87,17 @@
 	f.refused++
 }
 
-func (f *ledgerFleet) requestGrant(from *budget.Ledger, ask budget.GrantRequest, account *catalog.Account) {
-	grant := f.byName[ask.Home].Grant(f.now, ask, account)
+func (f *ledgerFleet) requestGrant(from *budget.Ledger, request budget.GrantRequest, account *catalog.Account) {
+	grant := f.byName[request.Home].Grant(f.now, request, account)
 	from.ApplyGrant(f.now, grant)
 	f.grantRequests++
-	f.bytes += frameSize(&ask, func(body []byte) peer.Message {
+	f.bytes += frameSize(&request, func(body []byte) peer.Message {
 		return &peer.Request{ID: 1 << 20, Method: accounts.MethodGrant, TimeoutMillis: 50, Body: body}
 	}) + frameSize(&grant, func(body []byte) peer.Message { return &peer.Response{ID: 1 << 20, Body: body} })
 }
 
-// wire returns the bytes of a frame.
+// frameSize returns the size in bytes of the frame of a message with the
+// encoded value as its body.
 func frameSize(value any, message func([]byte) peer.Message) int {
 	body, err := msgpack.Marshal(value)
 	if err != nil {
@@ -124,7 +126,7 @@
 	series := func(quantity, unit string, limit float64) Series {
 		return Series{Quantity: name + quantity, Unit: unit, SizeUnit: "account", DesignSize: designAccounts, Budget: limit}
 	}
-	asks := series("questions", "1/s a node", 0)
+	grantRequests := series("questions", "1/s a node", 0)
 	bytes := series("questions and grants", "B/s a node", sendBudget)
 	refused := series("refused within budget", "%", 0)
 	memory := series("ledger", "MB a node", memoryBudget)
@@ -138,10 +140,10 @@
 		f.grantRequests, f.bytes, f.served, f.refused = 0, 0, 0, 0
 		f.run(ledgerLength)
 		perNode := accountSampling / float64(designNodes) / ledgerLength.Seconds()
-		asks.add(n, float64(f.grantRequests)*perNode)
+		grantRequests.add(n, float64(f.grantRequests)*perNode)
 		bytes.add(n, float64(f.bytes)*perNode)
 		refused.add(n, 100*float64(f.refused)/float64(max(f.refused+f.served, 1)))
 		memory.add(n, size*accountSampling/designNodes/megabyte)
 	}
-	return []Series{asks, bytes, refused, memory}
+	return []Series{grantRequests, bytes, refused, memory}
 }
--- a/testkit/capacity/claims.go
+++ b/testkit/capacity/claims.go
@@ -11,20 +11,21 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// The platform's calls a second, in all.
+// Limits of the platform, in calls per second of the whole cluster.
 const (
 	storeWrites = 400
 	storeReads  = 2000
 )
 
-// claimShare is an assumption: one request in a hundred may not be repeated.
+// nonRepeatableShare is an assumption: one request in a hundred may not be
+// repeated.
 const nonRepeatableShare = 0.01
 
-// targetClaims is the claims a second in all.
+// designClaimRate is the number of claims per second of the whole cluster.
 const designClaimRate = 42000 * nonRepeatableShare
 
-// measureClaims counts the calls to the store that a claim causes from its
-// begin to the end of its retention, and those of one instance's sweep.
+// measureClaims counts the store calls that a claim causes from its begin to the
+// end of its retention, and those of a sweep by one instance.
 func measureClaims(o Options) ([]Series, error) {
 	writes := Series{Quantity: "writes to the store, of 1% of the requests", Unit: "1/s in all", SizeUnit: "claim", DesignSize: designClaimRate, Budget: storeWrites}
 	pages := Series{Quantity: "reads of one sweep", Unit: "pages", SizeUnit: "claim kept", DesignSize: designClaimRate * 86400}
@@ -44,7 +45,7 @@
 	return []Series{writes, pages}, nil
 }
 
-// claimed makes n claims and records their outcomes.
+// addClaims begins n claims and records their outcomes.
 func addClaims(store *emulator.Store, n int) {
 	service := claims.New(claims.Options{
 		Owner:   claim.Owner{Instance: "one", Incarnation: 1},
@@ -61,7 +62,7 @@
 	}
 }
 
-// sweep removes every claim, as after their retention.
+// sweepClaims removes all claims, as at the end of their retention.
 func sweepClaims(store *emulator.Store) {
 	later := time.Now().Add(time.Hour)
 	_, _ = claims.NewObjectStorage(store.Local("sweeper")).Sweep(context.Background(), later, func() error { return nil })
--- a/testkit/capacity/exchange.go
+++ b/testkit/capacity/exchange.go
@@ -12,14 +12,14 @@
 	"github.com/ivyhollow/ivyhollow/protocol/loadwire"
 )
 
-// Shape of the instance whose digests are exchanged.
+// Parameters of the exchange of load digests.
 const (
 	exchangePools      = 10
 	exchangesPerSecond = 5
 )
 
-// heardCluster stands for the spread: the digests of n origins, some of which
-// are replaced each second.
+// fakeCluster replaces the gossip: it holds the load digests of n origins, some
+// of which are replaced between two exchanges.
 type fakeCluster struct {
 	loads []spread.Load
 	size  int
@@ -30,7 +30,8 @@
 
 func (c *fakeCluster) Loads() []spread.Load { return c.loads }
 
-// renew replaces digests as messages do between two exchanges.
+// replaceDigests ages all digests by the interval of the exchanges and replaces
+// n of them, as gossip messages would.
 func (c *fakeCluster) replaceDigests(n int, body []byte) {
 	for i := range c.loads {
 		c.loads[i].Age += time.Second / exchangesPerSecond
@@ -91,13 +92,14 @@
 	return rig
 }
 
-// round is one exchange, with the digests that came since the last one.
+// runExchange runs one exchange, before which one digest has been replaced.
 func (r *exchangeRig) runExchange() {
 	r.cluster.replaceDigests(1, r.body)
 	r.exchange.Tick(time.Now())
 }
 
-// peerBody is a peer's digest of the greatest size that the spread takes.
+// encodePeerDigest returns the encoded load digest of a peer, of the largest size
+// that the gossip accepts.
 func encodePeerDigest(table *routing.Table, now time.Time, pools int) []byte {
 	digest := loadwire.Digest{Pools: map[string]tiers.Digest{}}
 	for p := range min(pools, 2) {
--- a/testkit/capacity/faults.go
+++ b/testkit/capacity/faults.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// fault is one failure of a fleet of the target size.
+// fault is a failure that is injected into a fleet of the design size.
 type fault struct {
 	name string
-	// begin makes the failure, end ends it after length; both may be nil.
+	// inject starts the failure, heal ends it after duration. heal is nil for
+	// a failure that lasts.
 	inject, heal func(*fleet)
 	duration     time.Duration
 }
 
-// rackNodes is an instance rack's share of the fleet: 22 of 440.
+// rackNodes is the number of instances in a rack: 22 of 440.
 const rackNodes = designNodes / 20
 
 func faults() []fault {
@@ -48,10 +49,10 @@
 	}
 }
 
-// faultsAtOnce bounds the fleets that are played at once.
+// maxParallelFaults is the largest number of fleets that are simulated at once.
 const maxParallelFaults = 2
 
-// measureFaults reports each failure as series of one point.
+// measureFaults returns series of one point for each failure.
 func measureFaults(o Options) ([]Series, error) {
 	n := designNodes
 	if o.Quick {
@@ -71,7 +72,8 @@
 	return slices.Concat(results...), err
 }
 
-// play lets the fault happen to a fleet at rest.
+// measure injects the fault into a fleet that has converged, and measures the
+// minute after its start and the one after its end.
 func (fault fault) measure(n int, quick bool) []Series {
 	f := newFleet(n)
 	f.converge(convergenceTimeout)
@@ -86,13 +88,14 @@
 	return append(all, f.measureMinute(fault.name+", over")...)
 }
 
-// minute measures the minute after an event.
+// measureMinute measures the traffic of the next minute, or of the time until
+// the views have converged if that is longer.
 func (f *fleet) measureMinute(name string) []Series {
 	f.sent = traffic{}
 	begun := f.now
 	took, ok := f.converge(convergenceTimeout)
-	if rest := time.Minute - f.now.Sub(begun); rest > 0 {
-		f.run(rest)
+	if remaining := time.Minute - f.now.Sub(begun); remaining > 0 {
+		f.run(remaining)
 	}
 	lasted := f.now.Sub(begun).Seconds()
 	n := len(f.nodes)
--- a/testkit/capacity/fleet.go
+++ b/testkit/capacity/fleet.go
@@ -11,30 +11,30 @@
 	"github.com/ivyhollow/ivyhollow/protocol/peer"
 )
 
-// Times of a fleet.
+// Parameters of a simulated fleet.
 const (
 	tickInterval = 100 * time.Millisecond
-	// fleetCentres is the number of data centres; the first regionCentres of
-	// them are the first region.
+	// fleetDataCentres is the number of data centres. The first
+	// firstRegionDataCentres of them form the first region.
 	fleetDataCentres       = 5
 	firstRegionDataCentres = 3
 	rings                  = 8
-	// digestBytes is the size of a load digest's body.
+	// digestBytes is the size of the body of a load digest.
 	digestBytes   = 100
 	maxTombstones = 4096
 	recordKind    = "accounts"
 )
 
-// fleet is a number of instances in virtual time: the membership and the
-// spread of each, driven as the daemon drives them. A message arrives in the
-// next step.
+// fleet simulates instances in virtual time: the membership and the gossip of
+// each, driven as the daemon drives them. A message arrives in the next tick.
 type fleet struct {
 	now   time.Time
 	nodes []*fleetNode
-	// byAddress finds a node; queue holds what arrives in the next step.
+	// byAddress holds the nodes by address, inTransit the messages that arrive in
+	// the next tick.
 	byAddress map[string]*fleetNode
 	inTransit []fleetMessage
-	// parted cuts the two regions from each other.
+	// partitioned is whether messages between the two regions are dropped.
 	partitioned bool
 	sent        traffic
 }
@@ -55,7 +55,8 @@
 	message  peer.Message
 }
 
-// traffic counts what a fleet has sent, in whole frames.
+// traffic is what a fleet has sent: the bytes of whole frames by kind, and the
+// number of messages.
 type traffic struct {
 	membership, records, loads int
 	messages                   int
@@ -97,14 +98,15 @@
 	}
 }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
 	}
 }
 
-// step delivers what is under way and ticks every instance.
+// step advances the virtual time by one tick: it delivers the messages in
+// transit and ticks every running instance.
 func (f *fleet) step() {
 	f.now = f.now.Add(tickInterval)
 	queue := f.inTransit
@@ -170,7 +172,7 @@
 	}
 }
 
-// send queues a message and returns its bytes on the wire.
+// send queues a message and returns its size on the wire in bytes.
 func (f *fleet) send(from *fleetNode, to string, m peer.Message) int {
 	frame, err := peer.Encode(m)
 	if err != nil {
@@ -187,13 +189,13 @@
 	return f.partitioned && f.inFirstRegion(a) != f.inFirstRegion(b)
 }
 
-// region tells whether an instance is in the first region.
+// inFirstRegion returns whether an instance is in the first region.
 func (f *fleet) inFirstRegion(n *fleetNode) bool {
 	return n.self.DataCentre < fmt.Sprint("dc-", firstRegionDataCentres)
 }
 
-// settled tells whether every running instance sees just those that it can
-// reach as live.
+// converged returns whether the live members in the view of every running
+// instance are as many as the instances that it can reach.
 func (f *fleet) converged() bool {
 	var up, first int
 	for _, n := range f.nodes {
@@ -222,7 +224,8 @@
 	return true
 }
 
-// settle runs until the views are settled, at most for limit.
+// converge runs until the views have converged, at most for limit. It returns
+// the time taken, and false if they have not converged.
 func (f *fleet) converge(limit time.Duration) (took time.Duration, ok bool) {
 	begun := f.now
 	for f.now.Sub(begun) < limit {
@@ -234,7 +237,8 @@
 	return limit, false
 }
 
-// everywhere tells whether every running instance holds a revision.
+// recordReachedAll returns whether every running instance holds a revision of
+// a record, or a later one.
 func (f *fleet) recordReachedAll(name string, revision uint64) bool {
 	for _, n := range f.nodes {
 		r, ok := n.table.Get(recordKind, name)
--- a/testkit/capacity/leases.go
+++ b/testkit/capacity/leases.go
@@ -6,17 +6,17 @@
 	"github.com/ivyhollow/ivyhollow/coordination/lease"
 )
 
-// orderedPools is the pools whose engines take orders.
+// orderedPools is the number of pools whose engines receive orders.
 const orderedPools = 6
 
-// leaseStore is the one record of a lease and counts of the calls.
+// leaseStore holds the record of one lease and counts the calls.
 type leaseStore struct {
 	record        lease.Record
 	revision      uint64
 	reads, writes int
 }
 
-// measureLeases plays instances that all compete for the leases of the pools.
+// measureLeases simulates instances that all compete for the leases of the pools.
 func measureLeases(o Options) ([]Series, error) {
 	reads := Series{Quantity: "reads, six pools, if all instances compete", Unit: "1/s in all", SizeUnit: "node", DesignSize: designNodes, Budget: storeReads}
 	writes := Series{Quantity: "writes, six pools", Unit: "1/s in all", SizeUnit: "node", DesignSize: designNodes, Budget: storeWrites}
@@ -28,7 +28,8 @@
 	return []Series{reads, writes}, nil
 }
 
-// playLease plays one pool's lease for a while after it has been taken.
+// simulateLease simulates n instances that compete for one pool's lease. The
+// calls of the second half are counted, in which the lease is held already.
 func simulateLease(n int) *leaseStore {
 	now := time.Unix(1_000_000, 0)
 	store := &leaseStore{}
@@ -47,7 +48,7 @@
 	return store
 }
 
-// act does what a lease asks for until it asks to wait.
+// runLease executes the actions of a lease until it waits.
 func (s *leaseStore) runLease(now time.Time, l *lease.Lease) {
 	for range 4 {
 		switch a := l.Next(now).(type) {
--- a/testkit/capacity/loopback.go
+++ b/testkit/capacity/loopback.go
@@ -13,7 +13,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Lengths of the measure over sockets, in real time.
+// Times of the measurement over sockets, in real time.
 const (
 	joinTimeout    = time.Minute
 	loopbackWarmUp = 40 * time.Second
@@ -52,7 +52,8 @@
 	sentBytes float64
 }
 
-// newLoopback starts n instances and waits until each sees all.
+// newLoopbackCluster starts n instances in this process and waits until each has
+// all of them in its view.
 func newLoopbackCluster(n int) (*loopbackCluster, error) {
 	l := &loopbackCluster{ended: make(chan error, n)}
 	var seeds []string
@@ -99,7 +100,8 @@
 	l.cpuTime, l.sentBytes = cpuTime()-start, l.bytesSent()-sent
 }
 
-// digests has every instance renew its load digest for a while.
+// sendDigests makes every instance send load digests at the usual interval for
+// the given time.
 func (l *loopbackCluster) sendDigests(length time.Duration) {
 	ticker := time.NewTicker(digestInterval)
 	defer ticker.Stop()
--- a/testkit/capacity/nodes.go
+++ b/testkit/capacity/nodes.go
@@ -10,19 +10,20 @@
 	"github.com/ivyhollow/ivyhollow/coordination/spread"
 )
 
-// Lengths of the measures of a fleet, in virtual time.
+// Times of the measurements of a fleet, in virtual time.
 const (
-	// warmUp is the time until the updates of a common start, which each
-	// instance passes on some times, are no longer sent.
+	// fleetWarmUp is the time after which the membership updates of a
+	// simultaneous start, which each instance forwards a limited number of
+	// times, are no longer sent.
 	fleetWarmUp        = 16 * time.Minute
 	fleetLength        = 60 * time.Second
 	convergenceTimeout = 5 * time.Minute
 )
 
-// recordBytes is the size of a configuration record's body.
+// recordBytes is the size of the body of a configuration record.
 const recordBytes = 200
 
-// changesPerDay is the changes of configuration to come.
+// changesPerDay is the number of configuration changes to plan for.
 const changesPerDay = 8400
 
 func measureNodes(o Options) ([]Series, error) {
@@ -36,9 +37,9 @@
 	all := series("virtual: sent in all", "B/s a node", sendBudget)
 	state := series("virtual: state", "MB a node", memoryBudget)
 	join := series("virtual: all see all after a common start", "s", 0)
-	heard := series("virtual: peers whose load digest is under 2 s old", "%", 0)
+	fresh := series("virtual: peers whose load digest is under 2 s old", "%", 0)
 	age := series("virtual: mean age of the load digests held", "s", 0)
-	reach := series("virtual: a record is everywhere", "s", 3)
+	propagation := series("virtual: a record is everywhere", "s", 3)
 	for _, n := range o.sizes(8, 64, 220, 440) {
 		var f *fleet
 		size := heapSize(func() any { f = newFleet(n).joinAndWarmUp(&join); return f })
@@ -55,15 +56,16 @@
 		loads.add(n, float64(f.sent.loads)/perNode)
 		all.add(n, float64(f.sent.bytes())/perNode)
 		state.add(n, size/float64(n)/megabyte)
-		young, mean := f.digestFreshness()
-		heard.add(n, young)
+		freshShare, mean := f.digestFreshness()
+		fresh.add(n, freshShare)
 		age.add(n, mean)
-		reach.add(n, f.propagationTime().Seconds())
+		propagation.add(n, f.propagationTime().Seconds())
 	}
-	return []Series{processor, probes, records, loads, all, state, heard, age, join, reach}, nil
+	return []Series{processor, probes, records, loads, all, state, fresh, age, join, propagation}, nil
 }
 
-// start has all instances find one another and come to rest; nil if they don't.
+// joinAndWarmUp runs until all instances have all others in their views and the
+// traffic of the start is over. It returns nil if the views don't converge.
 func (f *fleet) joinAndWarmUp(join *Series) *fleet {
 	took, ok := f.converge(convergenceTimeout)
 	if !ok {
@@ -74,7 +76,7 @@
 	return f
 }
 
-// change runs with as many changes of configuration as are to come.
+// runWithChanges runs with configuration changes at the rate of changesPerDay.
 func (f *fleet) runWithChanges(length time.Duration) {
 	const every = 24 * time.Hour / changesPerDay
 	revision := uint64(1)
@@ -89,8 +91,8 @@
 	f.applyGossip(f.nodes[0], f.nodes[0].gossip.Put(r))
 }
 
-// timeToAll returns how long one record takes to be at every instance: the
-// longest of five.
+// propagationTime returns the time until a record has reached every instance:
+// the longest of five.
 func (f *fleet) propagationTime() time.Duration {
 	var longest time.Duration
 	for i := range 5 {
@@ -105,9 +107,10 @@
 	return longest
 }
 
-// loadAges returns the share of the peers, in percent, whose load digest an
-// instance holds and may use, and the mean age of all that it holds.
-func (f *fleet) digestFreshness() (young, mean float64) {
+// digestFreshness returns the share of the peers, in percent, whose load digest
+// an instance holds and may still use, and the mean age in seconds of all the
+// digests that it holds.
+func (f *fleet) digestFreshness() (freshShare, mean float64) {
 	var count, useful int
 	var sum time.Duration
 	for _, node := range f.nodes {
--- a/testkit/capacity/owners.go
+++ b/testkit/capacity/owners.go
@@ -2,8 +2,8 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/membership"
 
-// measureOwners measures what an instance does for a change of the membership
-// and for a question about a duty.
+// measureOwners measures the CPU time of a new membership view, and of finding
+// the owners of a key and the neighbours of an instance in it.
 func measureOwners(o Options) ([]Series, error) {
 	series := func(quantity string) Series {
 		return Series{Quantity: quantity, Unit: "us", SizeUnit: "node", DesignSize: designNodes}
--- a/testkit/capacity/path.go
+++ b/testkit/capacity/path.go
@@ -20,7 +20,7 @@
 const pathLength = 6 * time.Second
 
 // measurePath sends whole requests of four stages through an instance to
-// emulated targets, all in this process.
+// emulated targets, with callers, instance and targets in this process.
 func measurePath(o Options) ([]Series, error) {
 	processor := Series{Quantity: "a request, caller and targets included", Unit: "ms", SizeUnit: "caller", DesignSize: 12}
 	rate := Series{Quantity: "answered", Unit: "1/s", SizeUnit: "caller", DesignSize: 12}
@@ -43,7 +43,8 @@
 	return []Series{processor, rate}, nil
 }
 
-// sendRequests runs n callers one request after the other.
+// sendRequests runs n callers that each send one request after the other. It
+// returns the number of successful requests and the CPU time used.
 func sendRequests(n int) (answered int64, used time.Duration, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -106,11 +107,11 @@
 		return false
 	}
 	request.Header.Set("Authorization", "Bearer "+dev.SampleKey)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }()
-	_, err = io.Copy(io.Discard, answer.Body)
-	return err == nil && answer.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }()
+	_, err = io.Copy(io.Discard, response.Body)
+	return err == nil && response.StatusCode == http.StatusOK
 }
--- a/testkit/capacity/polls.go
+++ b/testkit/capacity/polls.go
@@ -14,12 +14,12 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// targetEngines is the engines that an instance keeps: six models in pools of
-// their own, a subset of 64 of each.
+// designEngines is the number of engines that an instance keeps: a subset of 64
+// for each of six models, which have a pool each.
 const designEngines = 6 * routing.DefaultSubsetSize
 
-// Lengths of the measure of polls: the warm-up takes in that every engine is
-// asked once at the start.
+// Times of the measurement of polls. The warm-up covers the start, when every
+// engine is polled once.
 const (
 	pollWarmUp = 25 * time.Second
 	pollLength = 40 * time.Second
@@ -48,7 +48,8 @@
 	return []Series{calls, bytes, received, processor}, nil
 }
 
-// pollRig is a poller and n engines behind one listener each.
+// pollRig holds n emulated engines with a listener each, and what a poller has
+// sent to them and received.
 type pollRig struct {
 	engines           []poll.Engine
 	close             []func()
@@ -92,7 +93,7 @@
 		start = cpuTime()
 	})
 	defer warm.Stop()
-	_ = poller.Run(ctx) // it ends without an error
+	_ = poller.Run(ctx) // ends without an error
 	r.cpuTime = cpuTime() - start
 	client.Close()
 	for _, f := range r.close {
--- a/testkit/capacity/requests.go
+++ b/testkit/capacity/requests.go
@@ -12,8 +12,8 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// targetInFlight is the requests in flight on an instance at the peak, by the
-// longest deadline: 95 a second for 12 s.
+// designInFlight is the peak number of requests in flight at an instance, if
+// each takes the longest deadline: 95 per second for 12 s.
 const designInFlight = 1146
 
 var stageNames = []string{"encode", "retrieve", "rerank", "generate"}
@@ -35,9 +35,9 @@
 			recordRequest(table, "r"+strconv.Itoa(next), now, true)
 		})/1000)
 		gates.add(n, heapSize(func() any { return newFilledGate(n, now) })/megabyte)
-		held := newFilledGate(n, now)
+		g := newFilledGate(n, now)
 		acquire.add(n, o.nsPerOp(func() {
-			grant, err := held.Acquire(context.Background(), gate.Request{LatestStart: now.Add(time.Hour)})
+			grant, err := g.Acquire(context.Background(), gate.Request{LatestStart: now.Add(time.Hour)})
 			if err == nil {
 				grant.Release()
 			}
@@ -79,7 +79,8 @@
 	return g
 }
 
-// measureTelemetry varies the spans of a request, which are one for each hop.
+// measureTelemetry measures the cost of the spans and counters of a request. A
+// request has one span for each hop.
 func measureTelemetry(o Options) ([]Series, error) {
 	tel, err := telemetry.Start(context.Background(), telemetry.Options{Instance: "capacity"})
 	if err != nil {
@@ -104,5 +105,5 @@
 	return []Series{spans, counts}, nil
 }
 
-// instanceName names the i-th instance of a measure.
+// instanceName returns the name of the i-th instance of a measurement.
 func instanceName(i int) string { return fmt.Sprintf("instance-%03d", i) }
--- a/testkit/capacity/targets.go
+++ b/testkit/capacity/targets.go
@@ -69,7 +69,8 @@
 	handle.Done(now, routing.Result{Outcome: routing.OutcomeOK, Latency: time.Second, Expected: time.Second})
 }
 
-// newChangingList returns a function that changes one of n targets in ten pools.
+// newTargetChange returns a function that applies a list of n targets in ten
+// pools in which one target has changed.
 func newTargetChange(n int) func() {
 	now := time.Unix(1_000_000, 0)
 	table := routing.New(routing.Config{Instance: "instance-1", LocalDataCentre: "dc-0"})
--- a/testkit/experiment/experiment_test.go
+++ b/testkit/experiment/experiment_test.go
@@ -21,18 +21,18 @@
 	}
 }
 
-// The same seed must give the same report, whatever runs beside it: otherwise
-// two policies could not be compared.
-func TestGridRepeats(t *testing.T) {
+// Policies are comparable only if the same seed gives the same report,
+// regardless of the runs in parallel.
+func TestGridIsDeterministic(t *testing.T) {
 	var first, second bytes.Buffer
 	require.NoError(t, WriteCSV(&first, testGrid().Run()))
 	require.NoError(t, WriteCSV(&second, testGrid().Run()))
 	require.Equal(t, first.String(), second.String())
 }
 
-// Every offered request has one fate and every job ends, under every fault:
-// work that leaked would make a policy look cheap.
-func TestRunConserves(t *testing.T) {
+// Under every fault each offered request has one outcome and every job ends.
+// Work that is not accounted for would make a policy look cheaper than it is.
+func TestRunEndsEveryRequestAndJob(t *testing.T) {
 	for _, fault := range Faults() {
 		r := newRun(Config{Fjallaskali(), 1.3, fault, 1, testLength, ControlAblations()[0], true})
 		r.execute()
@@ -49,10 +49,10 @@
 	}
 }
 
-// A client meant to send at 1 s, and the instance gets to the request only
-// 500 ms later. Measured from the send the answer looks quick; the client has
-// waited half a second more (coordinated omission).
-func TestResponseCountsFromIntendedArrival(t *testing.T) {
+// A client intends to send at 1 s, but the instance handles the request 500 ms
+// later. Measured from the sending, the response time would leave out these
+// 500 ms (coordinated omission).
+func TestResponseTimeCountsFromIntendedArrival(t *testing.T) {
 	rec := &requestRecord{
 		request:     &Request{IntendedAt: time.Second, Deadline: 3 * time.Second},
 		outcome:     outcomeCompleted,
@@ -73,7 +73,7 @@
 	require.Equal(t, time.Duration(5), c.now)
 }
 
-func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newPrefixCache(accountTokens + 2*documentTokens)
 	request := func(document string) int {
 		return c.read(prefix("a", document))
@@ -87,7 +87,7 @@
 	require.Equal(t, []string{"2"}, removed)
 }
 
-func TestVerdict(t *testing.T) {
+func TestGoalVerdict(t *testing.T) {
 	for _, tc := range []struct {
 		best, ours, cost float64
 		want             string
--- a/testkit/experiment/instance.go
+++ b/testkit/experiment/instance.go
@@ -14,7 +14,7 @@
 	remoteDelay = time.Millisecond
 )
 
-// instance serves requests with its own router and control.
+// instance models one instance with its own router and control.
 type instance struct {
 	run        *run
 	name       string
@@ -27,7 +27,7 @@
 	failed     bool
 }
 
-// flow is one request at an instance.
+// execution is the execution of one request by an instance.
 type execution struct {
 	instance *instance
 	request  *Request
@@ -39,7 +39,7 @@
 	record   *requestRecord
 }
 
-// attempt is one call of a target.
+// attempt is one call to a target.
 type attempt struct {
 	execution *execution
 	stage     int
@@ -51,97 +51,98 @@
 	hedge     bool
 }
 
-func (f *execution) info() StageInfo {
+func (e *execution) info() StageInfo {
 	return StageInfo{
-		Request:   f.request,
-		Shape:     &f.instance.run.config.Shape,
-		Stage:     f.stage,
-		Attempts:  f.sent,
-		Remaining: f.request.Deadline - f.instance.run.clock.now,
+		Request:   e.request,
+		Shape:     &e.instance.run.config.Shape,
+		Stage:     e.stage,
+		Attempts:  e.sent,
+		Remaining: e.request.Deadline - e.instance.run.clock.now,
 	}
 }
 
-// accept takes a request at the moment it reaches the instance.
+// accept starts a request when it reaches the instance, unless admission
+// refuses it.
 func (i *instance) accept(r *Request, rec *requestRecord) {
-	f := &execution{instance: i, request: r, stage: -1, record: rec}
+	e := &execution{instance: i, request: r, stage: -1, record: rec}
 	if !i.control.Admit(i.run.clock.time(), StageInfo{r, &i.run.config.Shape, 0, 0, r.Deadline - i.run.clock.now}) {
 		rec.outcome = outcomeRefused
 		return
 	}
-	i.executions = append(i.executions, f)
-	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { f.end(outcomeDeadlineMissed) })
-	f.nextStage()
+	i.executions = append(i.executions, e)
+	i.run.clock.at(r.Deadline-i.run.config.Shape.ClientDelay, func() { e.end(outcomeDeadlineMissed) })
+	e.nextStage()
 }
 
-func (f *execution) nextStage() {
-	f.stage++
-	f.sent = 0
-	f.excluded = nil
-	for f.stage < len(f.request.Work) && f.request.Work[f.stage] == 0 {
-		f.stage++
+func (e *execution) nextStage() {
+	e.stage++
+	e.sent = 0
+	e.excluded = nil
+	for e.stage < len(e.request.Work) && e.request.Work[e.stage] == 0 {
+		e.stage++
 	}
-	if f.stage == len(f.request.Work) {
-		f.end(outcomeCompleted)
+	if e.stage == len(e.request.Work) {
+		e.end(outcomeCompleted)
 		return
 	}
-	stage := f.stage
-	f.instance.control.StartStage(f.instance.run.clock.time(), f.info(), func(ok bool) {
-		if f.ended || f.stage != stage {
+	stage := e.stage
+	e.instance.control.StartStage(e.instance.run.clock.time(), e.info(), func(ok bool) {
+		if e.ended || e.stage != stage {
 			return
 		}
 		if !ok {
-			f.end(outcomeRefused)
+			e.end(outcomeRefused)
 			return
 		}
-		f.send(false)
-		f.planHedge()
+		e.send(false)
+		e.planHedge()
 	})
 }
 
-func (f *execution) planHedge() {
-	if f.ended {
+func (e *execution) planHedge() {
+	if e.ended {
 		return
 	}
-	clock := f.instance.run.clock
-	control := f.instance.control
-	after, ok := control.HedgeAfter(clock.time(), f.info())
+	clock := e.instance.run.clock
+	control := e.instance.control
+	after, ok := control.HedgeAfter(clock.time(), e.info())
 	if !ok {
 		return
 	}
-	stage := f.stage
+	stage := e.stage
 	clock.after(after, func() {
-		if f.ended || f.stage != stage || len(f.inFlight) != 1 {
+		if e.ended || e.stage != stage || len(e.inFlight) != 1 {
 			return
 		}
-		if control.Hedge(clock.time(), f.info()) {
-			f.send(true)
+		if control.Hedge(clock.time(), e.info()) {
+			e.send(true)
 		}
 	})
 }
 
-// send starts one attempt of the current stage.
-func (f *execution) send(hedge bool) {
-	i := f.instance
-	shape := &i.run.config.Shape.Stages[f.stage]
-	query := routing.Query{Pool: shape.Pool, Exclude: f.excluded, Rank: f.request.Tier}
+// send starts an attempt of the current stage.
+func (e *execution) send(hedge bool) {
+	i := e.instance
+	shape := &i.run.config.Shape.Stages[e.stage]
+	query := routing.Query{Pool: shape.Pool, Exclude: e.excluded, Rank: e.request.Tier}
 	if shape.Pool == enginePool {
-		query.Prefix = f.request.Prefix
+		query.Prefix = e.request.Prefix
 	}
 	choice, err := i.router.Pick(i.run.clock.time(), i.rng, query)
 	if err != nil {
-		if len(f.inFlight) == 0 {
-			f.end(outcomeFailed)
+		if len(e.inFlight) == 0 {
+			e.end(outcomeFailed)
 		}
 		return
 	}
 	t := i.run.byName[choice.Target.Incarnation]
-	a := &attempt{execution: f, stage: f.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
-	a.job = &job{request: f.request, stage: f.stage}
+	a := &attempt{execution: e, stage: e.stage, target: t, sentAt: i.run.clock.now, hedge: hedge}
+	a.job = &job{request: e.request, stage: e.stage}
 	a.done = i.router.Started(i.run.clock.time(), t.spec.Incarnation, 1)
-	f.sent++
-	f.excluded = append(f.excluded, t.spec.Incarnation)
-	f.inFlight = append(f.inFlight, a)
-	f.record.attempts = append(f.record.attempts, a)
+	e.sent++
+	e.excluded = append(e.excluded, t.spec.Incarnation)
+	e.inFlight = append(e.inFlight, a)
+	e.record.attempts = append(e.record.attempts, a)
 	a.dispatch()
 }
 
@@ -154,8 +155,8 @@
 
 func (a *attempt) dispatch() {
 	clock := a.execution.instance.run.clock
-	a.job.reply = func(ans response) {
-		clock.after(a.delay(), func() { a.handleResponse(ans) })
+	a.job.reply = func(resp response) {
+		clock.after(a.delay(), func() { a.handleResponse(resp) })
 	}
 	clock.after(a.delay(), func() {
 		if a.target.down {
@@ -167,52 +168,52 @@
 	})
 }
 
-func (a *attempt) handleResponse(ans response) {
-	f := a.execution
-	if a.settled || f.instance.failed {
+func (a *attempt) handleResponse(resp response) {
+	e := a.execution
+	if a.settled || e.instance.failed {
 		return
 	}
-	f.instance.applyLoadReport(a.target)
-	a.settle(ans.outcome, ans.idleTime)
+	e.instance.applyLoadReport(a.target)
+	a.settle(resp.outcome, resp.idleTime)
 	switch {
-	case ans.outcome == routing.OutcomeOK:
-		f.record.successful = append(f.record.successful, a)
-		f.cancelInFlight()
-		f.nextStage()
-	case len(f.inFlight) > 0:
-	case ans.outcome == routing.OutcomeFailed && f.instance.control.Retry(f.instance.run.clock.time(), f.info()):
-		f.send(false)
+	case resp.outcome == routing.OutcomeOK:
+		e.record.successful = append(e.record.successful, a)
+		e.cancelInFlight()
+		e.nextStage()
+	case len(e.inFlight) > 0:
+	case resp.outcome == routing.OutcomeFailed && e.instance.control.Retry(e.instance.run.clock.time(), e.info()):
+		e.send(false)
 	default:
-		f.end(outcomeFailed)
+		e.end(outcomeFailed)
 	}
 }
 
-// settle tells the router and the control how the attempt ended.
-func (a *attempt) settle(outcome routing.Outcome, units time.Duration) {
+// settle reports the end of the attempt to the router and the control.
+func (a *attempt) settle(outcome routing.Outcome, idleTime time.Duration) {
 	a.settled = true
-	f := a.execution
-	i := f.instance
-	f.inFlight = slices.DeleteFunc(f.inFlight, func(other *attempt) bool { return other == a })
+	e := a.execution
+	i := e.instance
+	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == a })
 	latency := i.run.clock.now - a.sentAt
-	if units == 0 {
-		units = i.run.config.Shape.Stages[a.stage].meanIdleTime()
+	if idleTime == 0 {
+		idleTime = i.run.config.Shape.Stages[a.stage].meanIdleTime()
 	}
-	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.latencies.expected(a.stage, units)}
+	result := routing.Result{Outcome: outcome, Latency: latency, Expected: i.latencies.expected(a.stage, idleTime)}
 	if outcome == routing.OutcomeOK {
-		i.latencies.observe(a.stage, units, latency)
+		i.latencies.observe(a.stage, idleTime, latency)
 	}
 	now := i.run.clock.time()
 	a.done(now, result)
-	info := f.info()
+	info := e.info()
 	info.Stage = a.stage
-	size := float64(units) / float64(i.run.config.Shape.Stages[a.stage].meanIdleTime())
+	size := float64(idleTime) / float64(i.run.config.Shape.Stages[a.stage].meanIdleTime())
 	i.control.AttemptDone(now, info, result, size)
 }
 
-// cancelOpen gives up the attempts still open; a cancel travels to the target.
-func (f *execution) cancelInFlight() {
-	for len(f.inFlight) > 0 {
-		f.inFlight[0].abandon(routing.OutcomeCancelled)
+// cancelInFlight abandons the attempts in flight and cancels them at their targets.
+func (e *execution) cancelInFlight() {
+	for len(e.inFlight) > 0 {
+		e.inFlight[0].abandon(routing.OutcomeCancelled)
 	}
 }
 
@@ -221,38 +222,39 @@
 	a.execution.instance.run.clock.after(a.delay(), func() { a.target.cancel(a.job, outcome) })
 }
 
-func (f *execution) end(fate requestOutcome) {
-	if f.ended {
+func (e *execution) end(outcome requestOutcome) {
+	if e.ended {
 		return
 	}
-	f.ended = true
-	i := f.instance
-	for len(f.inFlight) > 0 {
-		f.inFlight[0].abandon(routing.OutcomeDeadlineMissed)
+	e.ended = true
+	i := e.instance
+	for len(e.inFlight) > 0 {
+		e.inFlight[0].abandon(routing.OutcomeDeadlineMissed)
 	}
-	f.record.outcome = fate
-	if fate == outcomeCompleted {
-		f.record.completedAt = i.run.clock.now + i.run.config.Shape.ClientDelay
+	e.record.outcome = outcome
+	if outcome == outcomeCompleted {
+		e.record.completedAt = i.run.clock.now + i.run.config.Shape.ClientDelay
 	}
 	if i.failed {
 		return
 	}
-	i.executions = slices.DeleteFunc(i.executions, func(other *execution) bool { return other == f })
-	info := f.info()
-	info.Stage = min(info.Stage, len(f.request.Work)-1)
-	i.control.RequestDone(i.run.clock.time(), info, fate == outcomeCompleted)
+	i.executions = slices.DeleteFunc(i.executions, func(other *execution) bool { return other == e })
+	info := e.info()
+	info.Stage = min(info.Stage, len(e.request.Work)-1)
+	i.control.RequestDone(i.run.clock.time(), info, outcome == outcomeCompleted)
 }
 
-// lose stops the instance; the requests it served are lost with it.
+// fail stops the instance; the requests in flight there fail.
 func (i *instance) fail() {
 	i.failed = true
-	for _, f := range i.executions {
-		f.end(outcomeFailed)
+	for _, e := range i.executions {
+		e.end(outcomeFailed)
 	}
 	i.executions = nil
 }
 
-// reportFrom takes in the load that a target states with each answer.
+// applyLoadReport passes the load that a target reports, in a response or to a
+// poll, to the router.
 func (i *instance) applyLoadReport(t *target) {
 	if !t.stage.ReportsLoad || t.down {
 		return
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -12,24 +12,27 @@
 	"github.com/ivyhollow/ivyhollow/state/catalog"
 )
 
-// Parts switches the parts of the product's control.
+// ControlOptions selects the enabled parts of the product's control.
 type ControlOptions struct {
 	Admission, Gate, Hedge, Budget bool
-	// EngineOvercommit and ServiceOvercommit multiply the slots that the gates
-	// may fill.
+	// EngineOvercommit and ServiceOvercommit are the capacity of the gates, as
+	// multiples of the slots.
 	EngineOvercommit, ServiceOvercommit float64
 }
 
 const (
-	// hedgeQuantile of a stage's learned time starts a hedge.
+	// hedgeQuantile is the quantile of a stage's observed time after which a
+	// hedge is sent.
 	hedgeQuantile = 0.95
-	// hedgeShare of a pool's slots in use is where hedging ends.
+	// hedgeShare is the share of a pool's slots in use from which on hedging is
+	// disabled.
 	hedgeShare  = 0.7
 	maxAttempts = 3
 	gateTTL     = 2 * time.Second
 )
 
-// managed is the product's admission, gates, retries and hedges.
+// managedControl is the Control with the product's admission, gates, retries
+// and hedges.
 type managedControl struct {
 	options       ControlOptions
 	shape         *Shape
@@ -43,12 +46,13 @@
 	nextID        uint64
 }
 
-// gate is the queue before a pool.
+// gate is the admission queue in front of a pool.
 type gate struct {
 	*tiers.Gate
 	peers  *tiers.PeerDigests
 	queued map[uint64]*gateItem
-	// slots and inFlight are of all instances, as the digests told last.
+	// slots is the number of routable slots, inFlight the number of requests in
+	// flight at all instances, both at the time of the last digest.
 	slots    int
 	inFlight float64
 }
@@ -60,9 +64,9 @@
 	dispatched bool
 }
 
-func newManagedControl(s *Shape, parts ControlOptions) *managedControl {
+func newManagedControl(s *Shape, options ControlOptions) *managedControl {
 	m := &managedControl{
-		options:       parts,
+		options:       options,
 		shape:         s,
 		rng:           newRand(1, 3),
 		times:         deadline.NewTimes(deadline.Config{}),
@@ -86,7 +90,7 @@
 	return m
 }
 
-// capacity is what a gate may fill of a pool's slots.
+// capacity returns the capacity of a stage's gate for a number of slots.
 func (m *managedControl) capacity(stage *StageShape, slots int) int {
 	if stage.Kind == catalog.KindEngine {
 		return int(m.options.EngineOvercommit * float64(slots))
@@ -98,7 +102,8 @@
 	return deadline.StageKey{Pipeline: catalog.PipelineKey{Name: m.shape.Name}, Stage: m.shape.Stages[stage].Name}
 }
 
-// remaining describes the stages from the given one on.
+// remaining returns the request's stages from the given one on, with their
+// estimated times.
 func (m *managedControl) remaining(now time.Time, r *Request, from int) []deadline.RemainingStage {
 	var list []deadline.RemainingStage
 	for i := from; i < len(r.Work); i++ {
@@ -151,7 +156,7 @@
 	g.apply(g.Enqueue(now, tiers.Item{ID: item.id, Rank: s.Request.Tier, LatestStart: latest}))
 }
 
-// leaveGate ends the request's place at the gate of its stage before.
+// leaveGate releases the request's entry at the gate of its previous stage.
 func (m *managedControl) leaveGate(now time.Time, r *Request) {
 	item := m.itemByRequest[r.ID]
 	if item == nil {
@@ -166,7 +171,8 @@
 	item.gate.apply(item.gate.Abandon(now, item.id))
 }
 
-// busy tells whether the requests in flight at all instances fill the targets.
+// busy returns whether the requests in flight at all instances use too many
+// slots for hedging.
 func (g *gate) busy() bool {
 	return g.inFlight >= hedgeShare*float64(g.slots)
 }
@@ -203,8 +209,8 @@
 	return m.times.Quantile(m.stageKey(s.Stage), s.StageShape().meanIdleTime(), hedgeQuantile), true
 }
 
-// Hedge implements Control. A hedge that can't end in time is not worth it, nor
-// one that takes the slot of a request which waits.
+// Hedge implements Control. It rejects a hedge that would probably miss the
+// deadline, and one that would take the slot of a waiting request.
 func (m *managedControl) Hedge(now time.Time, s StageInfo) bool {
 	if m.options.Gate && m.gates[s.StageShape().Pool].busy() {
 		return false
@@ -268,9 +274,10 @@
 	}
 }
 
-// Managed returns the product's routing with parts of its control.
-func Managed(name string, parts ControlOptions, config routing.Config) Policy {
+// Managed returns a policy with the product's routing and the selected parts of
+// its control.
+func Managed(name string, options ControlOptions, config routing.Config) Policy {
 	p := Routed(name, config)
-	p.NewControl = func(s *Shape) Control { return newManagedControl(s, parts) }
+	p.NewControl = func(s *Shape) Control { return newManagedControl(s, options) }
 	return p
 }
--- a/testkit/experiment/oracle.go
+++ b/testkit/experiment/oracle.go
@@ -7,15 +7,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing"
 )
 
-// oracleRouter sees the true state of every listed target at once, which no instance
-// can: its result bounds what routing alone could reach.
+// oracleRouter knows the true, current state of every listed target, which no
+// instance can. Its result is an upper bound for routing alone.
 type oracleRouter struct {
 	baselineRouter
 	run    *run
 	listed map[string][]*target
 }
 
-// SetTargets takes the list; the oracle sees no more targets than others do.
+// SetTargets stores the list: the oracle knows no more targets than other routers.
 func (r *oracleRouter) SetTargets(_ time.Time, pool routing.Pool, targets []routing.Target) {
 	r.listed[pool.Name] = nil
 	for _, t := range targets {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Pick takes the target where the request would end first, judged by its true
-// queue, speed and cache.
+// Pick returns the target with the shortest expected time for the request,
+// computed from its true queue, speed and cache.
 func (r *oracleRouter) Pick(_ time.Time, rng *rand.Rand, q routing.Query) (routing.Choice, error) {
 	var best *target
 	bestTime := 0.0
@@ -44,7 +44,7 @@
 	return routing.Choice{Target: best.spec}, nil
 }
 
-// expected returns the mean time to an answer, in seconds.
+// expectedSeconds returns the mean time to a response, in seconds.
 func (t *target) expectedSeconds(parts []routing.PrefixPart) float64 {
 	mean := t.stage.meanIdleTime().Seconds()
 	own := mean
@@ -60,7 +60,8 @@
 	return t.slowness * (own*(1+batchSlowdown*min(use, 1)) + mean*max(0, use-1))
 }
 
-// Oracle returns the bound: no policy of the product.
+// Oracle returns the policy with perfect knowledge, an upper bound that the
+// product can't reach.
 func Oracle() Policy {
 	return Policy{
 		Name:       "oracle",
--- a/testkit/experiment/policy.go
+++ b/testkit/experiment/policy.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Baselines returns the policies that ours is measured against.
+// Baselines returns the policies that the product is compared with.
 func Baselines() []Policy {
 	return []Policy{
 		baselinePolicy("random", func() baseline.Strategy { return baseline.Random{} }),
@@ -32,8 +32,8 @@
 	}
 }
 
-// Routed returns the product's routing with the plain control. The config's
-// instance and data centre are set for each instance.
+// Routed returns a policy with the product's routing and PlainControl. The
+// instance and data centre in config are set for each instance.
 func Routed(name string, config routing.Config) Policy {
 	return Policy{
 		Name: name,
@@ -47,12 +47,13 @@
 	}
 }
 
-// ourConfig is the routing configuration of the product.
+// productConfig returns the product's routing configuration.
 func productConfig() routing.Config {
 	return routing.Config{}
 }
 
-// Ablations returns the product's routing with one mechanism off at a time.
+// RoutingAblations returns the product's routing, whole and with one mechanism
+// disabled or one parameter changed at a time.
 func RoutingAblations() []Policy {
 	return []Policy{
 		Routed(RoutingPolicy, productConfig()),
@@ -77,24 +78,25 @@
 	}
 }
 
-// How many times the slots the gates fill: with the slots alone, targets idle
-// while digests and answers travel. Engines order their queue by priority.
+// Factors by which the capacity of the gates exceeds the slots. With the slots
+// alone, targets would be idle while digests and responses are under way.
+// Engines allow more, since they order their queue by priority.
 const (
 	engineOvercommit  = 2
 	serviceOvercommit = 1.5
 )
 
-// Controlled returns the product's routing with its control, whole and with
-// one part off or changed at a time.
+// ControlAblations returns the product's routing with its control, whole and
+// with one part of the control or of the routing disabled or changed at a time.
 func ControlAblations() []Policy {
 	whole := ControlOptions{
 		Admission: true, Gate: true, Hedge: true, Budget: true,
 		EngineOvercommit: engineOvercommit, ServiceOvercommit: serviceOvercommit,
 	}
 	without := func(change func(*ControlOptions)) ControlOptions {
-		parts := whole
-		change(&parts)
-		return parts
+		options := whole
+		change(&options)
+		return options
 	}
 	gates := func(engines, services float64) ControlOptions {
 		return without(func(p *ControlOptions) { p.EngineOvercommit, p.ServiceOvercommit = engines, services })
@@ -124,14 +126,14 @@
 	}
 }
 
-// OurPolicy names the product's routing with the plain control, ManagedPolicy
-// the same with its admission, gates, hedges and retry budget.
+// Names of the product's policies: RoutingPolicy is its routing with
+// PlainControl, ManagedPolicy adds admission, gates, hedges and retry budgets.
 const (
 	RoutingPolicy = "routing"
 	ManagedPolicy = "managed"
 )
 
-// Policies returns every policy by its name.
+// Policies returns all policies.
 func Policies() []Policy {
 	all := append(Baselines(), RoutingAblations()...)
 	all = append(all, ControlAblations()...)
--- a/testkit/experiment/report.go
+++ b/testkit/experiment/report.go
@@ -8,12 +8,13 @@
 	"text/tabwriter"
 )
 
-// quantileMS returns a quantile of the response time, in milliseconds.
+// quantileMS returns a measure: a quantile of the response time in
+// milliseconds, with q in percent.
 func quantileMS(q float64) func(*Result) float64 {
 	return func(r *Result) float64 { return float64(r.ResponseTimes.ValueAtQuantile(q)) / 1000 }
 }
 
-// column is one figure of the reports.
+// column is one measure of the reports.
 type column struct {
 	name    string
 	format  string
@@ -46,7 +47,8 @@
 	}
 }
 
-// WriteTable writes the cells for a reader; attainment with its spread.
+// WriteTable writes the cells as an aligned table, attainment with its range
+// over the seeds.
 func WriteTable(w io.Writer, cells []*Cell) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(out, "shape\tfault\tload\tpolicy\tspread_%")
@@ -65,8 +67,8 @@
 	return out.Flush()
 }
 
-// WriteCSV writes the cells with the mean, least and greatest value of every
-// column, and the cost of each stage.
+// WriteCSV writes the cells as CSV, with the mean, smallest and largest value
+// of every column and the cost of each stage.
 func WriteCSV(w io.Writer, cells []*Cell) error {
 	out := csv.NewWriter(w)
 	header := []string{"shape", "fault", "load", "policy", "seeds"}
--- a/testkit/experiment/result.go
+++ b/testkit/experiment/result.go
@@ -6,17 +6,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// fate is how an offered request ended.
+// requestOutcome is the outcome of an offered request.
 type requestOutcome uint8
 
 const (
-	outcomeDeadlineMissed requestOutcome = iota // no whole answer by the deadline
+	outcomeDeadlineMissed requestOutcome = iota // no complete response by the deadline
 	outcomeCompleted
 	outcomeRefused
 	outcomeFailed
 )
 
-// record is what is kept of an offered request.
+// requestRecord is the history of an offered request, from which the result is
+// computed. successful holds the attempt of each stage whose response was used.
 type requestRecord struct {
 	request     *Request
 	outcome     requestOutcome
@@ -29,27 +30,30 @@
 	return rec.outcome == outcomeCompleted && rec.completedAt <= rec.request.Deadline
 }
 
-// Result is what one run gave.
+// Result is the result of one run.
 type Result struct {
 	Offered, Attained int
 	Refused, Failed   int
 	Tiers             []TierResult
 	Stages            []StageResult
-	// Sent counts the attempts; Requests with an attempt each would be 1.
+	// Attempts is the number of attempts sent, Hedges how many of them were hedges.
 	Attempts, Hedges int
-	// SavedTokens were prefilled though another engine had them cached.
+	// AvoidableTokens is the number of tokens that were prefilled although
+	// another engine had them cached.
 	AvoidableTokens int
-	// Response is from the intended arrival, in microseconds, of whole answers.
+	// ResponseTimes holds the times from the intended arrival to the complete
+	// response, in microseconds.
 	ResponseTimes *hdrhistogram.Histogram
 }
 
-// TierResult counts the requests of a tier.
+// TierResult is the number of requests of a tier.
 type TierResult struct {
 	Name              string
 	Offered, Attained int
 }
 
-// StageResult is the work of a stage, of useful and wasted attempts.
+// StageResult is the work done for a stage by all attempts, and the part that
+// was wasted: that of attempts that contributed to no attained request.
 type StageResult struct {
 	Name                string
 	Seconds             float64
@@ -58,17 +62,20 @@
 	WastedPrefillTokens int
 }
 
-// Attainment is the share of all offered requests answered whole in time.
+// Attainment returns the share of the offered requests that were completed by
+// their deadline.
 func (r *Result) Attainment() float64 {
 	return ratio(float64(r.Attained), float64(r.Offered))
 }
 
-// Attainment is the tier's share of offered requests answered whole in time.
+// Attainment returns the share of the tier's offered requests that were
+// completed by their deadline.
 func (t *TierResult) Attainment() float64 {
 	return ratio(float64(t.Attained), float64(t.Offered))
 }
 
-// SecondsPerAnswer is the stage-seconds per request answered whole in time.
+// SecondsPerAttained returns the stage-seconds per request completed by its
+// deadline.
 func (r *Result) SecondsPerAttained() float64 {
 	sum := 0.0
 	for _, s := range r.Stages {
@@ -77,7 +84,8 @@
 	return ratio(sum, float64(r.Attained))
 }
 
-// PrefillPerAnswer is the prefill tokens per request answered whole in time.
+// PrefillPerAttained returns the prefilled tokens per request completed by its
+// deadline.
 func (r *Result) PrefillPerAttained() float64 {
 	sum := 0
 	for _, s := range r.Stages {
@@ -86,7 +94,7 @@
 	return ratio(float64(sum), float64(r.Attained))
 }
 
-// WastedShare is the share of the stage-seconds that served no answer.
+// WastedShare returns the share of the stage-seconds that was wasted.
 func (r *Result) WastedShare() float64 {
 	sum, wasted := 0.0, 0.0
 	for _, s := range r.Stages {
@@ -103,7 +111,7 @@
 	return a / b
 }
 
-// warmUpShare is the part of a run before the measure begins.
+// warmUpShare is the first part of a run, whose requests are not counted.
 const warmUpShare = 0.1
 
 const (
--- a/testkit/experiment/run.go
+++ b/testkit/experiment/run.go
@@ -8,7 +8,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/routing/baseline"
 )
 
-// Config is one run.
+// Config is the configuration of one run.
 type Config struct {
 	Shape Shape
 	// Load is the offered load as a share of the nominal capacity.
@@ -17,20 +17,20 @@
 	Seed   uint64
 	Length time.Duration
 	Policy Policy
-	// AgeKnown lets routers know the true age of load reports. The interface
-	// of the targets doesn't tell it, so by default they assume reportAge.
+	// AgeKnown gives routers the true age of load reports. The interface of the
+	// targets doesn't transmit it, so by default routers assume reportAge.
 	AgeKnown bool
 }
 
-// Policy is a way to decide, by name. The functions make one router and one
-// control for each instance.
+// Policy is a named combination of a router and a control. The functions
+// create them for each instance.
 type Policy struct {
 	Name       string
 	NewRouter  func(instance, dataCentre string) Router
 	NewControl func(s *Shape) Control
 }
 
-// Intervals of the background traffic.
+// Parameters of the load polls, digests and cache events, and of the pools.
 const (
 	digestInterval = 200 * time.Millisecond
 	pollInterval   = 500 * time.Millisecond
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("dc-%d", i%DataCentres)
 }
 
-// Run runs one configuration and returns what was measured.
+// Run executes one configuration and returns its result.
 func Run(config Config) *Result {
 	r := newRun(config)
 	r.execute()
@@ -85,7 +85,8 @@
 	return r
 }
 
-// drain is longer than the longest deadline, so that every request ends.
+// drainTime is the simulated time after the arrivals end. It is longer than the longest
+// deadline, so that every request ends.
 const drainTime = 10 * time.Second
 
 func (r *run) execute() {
@@ -144,7 +145,7 @@
 	}
 }
 
-// publishLists gives every instance the platform's list as it is now.
+// publishTargets gives every instance the platform's current list of targets.
 func (r *run) publishTargets() {
 	for _, stage := range r.config.Shape.Stages {
 		pool := routing.Pool{Name: stage.Pool, Objective: r.config.Shape.Objective, EjectionFloor: ejectionFloor}
@@ -160,7 +161,7 @@
 	}
 }
 
-// background starts the load reports, digests and cache events.
+// scheduleBackground schedules load samples, load polls, digests and cache events.
 func (r *run) scheduleBackground() {
 	for _, t := range r.targets {
 		r.clock.every(0, loadSampleInterval, t.sampleLoad)
@@ -234,18 +235,19 @@
 	}
 }
 
-// offer schedules the workload.
+// scheduleRequests schedules the arrivals of the workload.
 func (r *run) scheduleRequests() {
-	surge := r.config.Fault.rateFactor(r.window)
+	rateFactor := r.config.Fault.rateFactor(r.window)
 	shape := &r.config.Shape
-	for _, request := range generateRequests(shape, r.config.Load, r.config.Length, r.config.Seed, surge) {
+	for _, request := range generateRequests(shape, r.config.Load, r.config.Length, r.config.Seed, rateFactor) {
 		rec := &requestRecord{request: request}
 		r.records = append(r.records, rec)
 		r.clock.at(request.IntendedAt+shape.ClientDelay, func() { r.pickInstance(request).accept(request, rec) })
 	}
 }
 
-// balance stands for the platform's balancer in front of the instances.
+// pickInstance models the platform's balancer in front of the instances. It
+// returns the instance of the request, or the next one that is running.
 func (r *run) pickInstance(request *Request) *instance {
 	for k := range r.instances {
 		i := r.instances[(request.Instance+k)%len(r.instances)]
--- a/testkit/waits/log.go
+++ b/testkit/waits/log.go
@@ -1,5 +1,5 @@
-// Package waits reads the logs of instances and tells where the time of requests went:
-// in the queue of stage targets, in calls, at the engine.
+// Package waits analyses the logs of instances. It reports how the time of requests is
+// divided between the queue for stage targets, calls to them, and the engine.
 package waits
 
 import (
@@ -13,59 +13,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what the logs say of one request.
+// Request is a request as logged by its own instance and by the holder of the stage queue.
 type Request struct {
 	Pipeline string
-	// At is the time of its end.
+	// EndedAt is the time at which the request ended.
 	EndedAt time.Time
 	Status  int
 	Reason  string
-	// Elapsed is the whole time, Stages the wait for the stages' results, First the
-	// time from the sending to the engine to the first event, Pause the longest time
-	// between two events.
+	// Elapsed is the total time, StageWait the time until the results of the stages were
+	// there, FirstEvent the time from sending the request to the engine to the first event,
+	// LongestPause the longest time between two events.
 	Elapsed, StageWait, FirstEvent, LongestPause time.Duration
-	// Made is what the holder of the queue says; nil without a word of it.
+	// StageTimes is logged by the holder of the stage queue; nil if no line was found.
 	StageTimes *StageTimes
 }
 
-// Made is how the stages of a request were made.
+// StageTimes holds the times of the execution of a request's stages.
 type StageTimes struct {
-	// Queued is the time for which its stages waited for calls, the longest way
-	// through them alone not told apart; Called the time in calls.
+	// Queued is the time for which stages waited for a call, InCalls the time in calls.
+	// Both are sums over all stages, not only over those on the critical path.
 	Queued, InCalls time.Duration
-	// Taken is the time from its admission to the last result, Predicted what was
-	// predicted then, Left the time that there was for an answer in time.
+	// Elapsed is the time from the admission to the last result. Predicted is its prediction
+	// and TimeToObjective the time until the request's objective, both at the admission.
 	Elapsed, Predicted, TimeToObjective time.Duration
 }
 
-// Call is one call to a stage target.
+// Call is a call to a stage target.
 type Call struct {
 	EndedAt time.Time
 	Service string
 	Pieces  int
 }
 
-// Log is what the logs of some instances say.
+// Log is the content of the logs of one or more instances.
 type Log struct {
 	Requests map[string]*Request
 	Calls    []Call
 }
 
 var (
-	// header is klog's: severity, month and day, time.
+	// klogHeader matches klog's severity, month and day, and time, and the message.
 	klogHeader        = regexp.MustCompile(`[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^ ]+\] "([^"]*)"`)
 	keyValue          = regexp.MustCompile(`(\w+)=(?:"([^"]*)"|(\S+))`)
 	stageTimesPattern = regexp.MustCompile(`\d+:(\d+)/(\d+)/(\d+)`)
 )
 
-// maxLine bounds a line, in bytes: many times the longest that instances write.
+// maxLineBytes is the longest line that is read: many times the longest that instances
+// write.
 const maxLineBytes = 64 << 10
 
-// Read takes in lines; what stands before an instance's own line, as a name or a time,
-// is passed over, and so are lines of other programs.
+// Read parses log lines. It ignores any text before an instance's own line, such as a name
+// or a time, and lines of other programs.
 func Read(r io.Reader) (*Log, error) {
 	l := &Log{Requests: map[string]*Request{}}
-	made := map[string]*StageTimes{}
+	stageTimes := map[string]*StageTimes{}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
@@ -82,7 +83,7 @@
 		case "Request ended":
 			l.Requests[fields.text("request_id")] = fields.request(at)
 		case "Stages done":
-			made[fields.text("request_id")] = fields.stageTimes()
+			stageTimes[fields.text("request_id")] = fields.stageTimes()
 		case "Stage call ended":
 			l.Calls = append(l.Calls, Call{EndedAt: at, Service: fields.text("pool"), Pieces: fields.number("count")})
 		}
@@ -90,15 +91,15 @@
 			return nil, errors.Wrapf(fields.err, "line %d", n)
 		}
 	}
-	for id, m := range made {
+	for id, times := range stageTimes {
 		if r := l.Requests[id]; r != nil {
-			r.StageTimes = m
+			r.StageTimes = times
 		}
 	}
 	return l, errors.Wrap(lines.Err(), "read")
 }
 
-// fields are the keys and values of a line; err is the first value that is malformed.
+// fields holds the keys and values of a line; err is the error of the first malformed value.
 type fields struct {
 	values map[string]string
 	err    error
@@ -146,16 +147,16 @@
 }
 
 func (f *fields) stageTimes() *StageTimes {
-	m := &StageTimes{Elapsed: f.duration("elapsed"), Predicted: f.duration("needed"), TimeToObjective: f.duration("left")}
+	t := &StageTimes{Elapsed: f.duration("elapsed"), Predicted: f.duration("needed"), TimeToObjective: f.duration("left")}
 	for _, times := range stageTimesPattern.FindAllStringSubmatch(f.text("stage"), -1) {
 		ready, sent, done := milliseconds(times[1]), milliseconds(times[2]), milliseconds(times[3])
-		m.Queued += sent - ready
-		m.InCalls += done - sent
+		t.Queued += sent - ready
+		t.InCalls += done - sent
 	}
-	return m
+	return t
 }
 
-// milliseconds reads digits that the expression above has found.
+// milliseconds parses digits that stageTimesPattern has matched.
 func milliseconds(digits string) time.Duration {
 	n, _ := strconv.ParseInt(strings.TrimSpace(digits), 10, 32)
 	return time.Duration(n) * time.Millisecond
--- a/testkit/waits/report.go
+++ b/testkit/waits/report.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// window is the time over which the plots average.
+	// plotWindow is the interval over which the plots average.
 	plotWindow = 2 * time.Second
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
 )
 
-// WriteTable writes a line for each pipeline and, below, one for each stage service.
+// WriteTable writes a table with a row for each pipeline and, below, one with a row for each
+// stage service.
 func (l *Log) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "pipeline\trequests\tanswered\tlate by first event\tqueued p50\tp90\tin calls p50\tp90\tfirst p50\tp90\tpause p90\t")
@@ -55,7 +56,7 @@
 }
 
 func writePipeline(w io.Writer, name string, requests []*Request) {
-	var queued, called, first, pause []time.Duration
+	var queued, inCalls, first, pause []time.Duration
 	answered, late := 0, 0
 	for _, r := range requests {
 		if r.Status != http.StatusOK {
@@ -68,38 +69,38 @@
 			continue
 		}
 		queued = append(queued, r.StageTimes.Queued)
-		called = append(called, r.StageTimes.InCalls)
+		inCalls = append(inCalls, r.StageTimes.InCalls)
 		if r.StageTimes.TimeToObjective > 0 && r.StageWait+r.FirstEvent > r.StageTimes.TimeToObjective {
 			late++
 		}
 	}
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t", name, len(requests), answered, late)
 	for _, cell := range []struct {
-		of     []time.Duration
+		values []time.Duration
 		shares []float64
-	}{{queued, []float64{0.5, 0.9}}, {called, []float64{0.5, 0.9}}, {first, []float64{0.5, 0.9}}, {pause, []float64{0.9}}} {
+	}{{queued, []float64{0.5, 0.9}}, {inCalls, []float64{0.5, 0.9}}, {first, []float64{0.5, 0.9}}, {pause, []float64{0.9}}} {
 		for _, share := range cell.shares {
-			fmt.Fprintf(w, "%s\t", formatQuantile(cell.of, share))
+			fmt.Fprintf(w, "%s\t", formatQuantile(cell.values, share))
 		}
 	}
 	fmt.Fprintln(w)
 }
 
-// quantile writes a quantile in milliseconds; "-" of nothing.
-func formatQuantile(of []time.Duration, share float64) string {
-	if len(of) == 0 {
+// formatQuantile returns a quantile in milliseconds, or "-" without values.
+func formatQuantile(values []time.Duration, share float64) string {
+	if len(values) == 0 {
 		return "-"
 	}
-	slices.Sort(of)
-	return fmt.Sprint(of[min(int(share*float64(len(of))), len(of)-1)].Milliseconds())
+	slices.Sort(values)
+	return fmt.Sprint(values[min(int(share*float64(len(values))), len(values)-1)].Milliseconds())
 }
 
-// Plot writes two PNGs: the mean time of answered requests by part, and the pieces a
-// call, over the time of the requests' ends.
-func (l *Log) Plot(waitsPath, fillPath string) error {
+// Plot writes two PNGs: the mean time of answered requests by part over the time of their
+// ends, and the mean number of pieces per call over the time of the calls' ends.
+func (l *Log) Plot(waitsPath, piecesPath string) error {
 	start := l.firstTime()
 	parts := map[string]map[int][]float64{}
-	note := func(part string, at time.Time, value float64) {
+	addValue := func(part string, at time.Time, value float64) {
 		if parts[part] == nil {
 			parts[part] = map[int][]float64{}
 		}
@@ -110,33 +111,33 @@
 		if r.Status != http.StatusOK || r.StageTimes == nil {
 			continue
 		}
-		note("queued", r.EndedAt, r.StageTimes.Queued.Seconds())
-		note("in calls", r.EndedAt, r.StageTimes.InCalls.Seconds())
-		note("engine, to the first event", r.EndedAt, r.FirstEvent.Seconds())
+		addValue("queued", r.EndedAt, r.StageTimes.Queued.Seconds())
+		addValue("in calls", r.EndedAt, r.StageTimes.InCalls.Seconds())
+		addValue("engine, to the first event", r.EndedAt, r.FirstEvent.Seconds())
 	}
 	if err := plotMeans(waitsPath, "mean seconds of answered requests", parts); err != nil {
 		return err
 	}
 	parts = map[string]map[int][]float64{}
 	for _, c := range l.Calls {
-		note(c.Service, c.EndedAt, float64(c.Pieces))
+		addValue(c.Service, c.EndedAt, float64(c.Pieces))
 	}
-	return plotMeans(fillPath, "pieces a call", parts)
+	return plotMeans(piecesPath, "pieces a call", parts)
 }
 
-// start is the time of the first line.
+// firstTime returns the earliest time of a request or a call.
 func (l *Log) firstTime() time.Time {
 	var start time.Time
-	earlier := func(at time.Time) {
+	observe := func(at time.Time) {
 		if start.IsZero() || at.Before(start) {
 			start = at
 		}
 	}
 	for _, r := range l.Requests {
-		earlier(r.EndedAt)
+		observe(r.EndedAt)
 	}
 	for _, c := range l.Calls {
-		earlier(c.EndedAt)
+		observe(c.EndedAt)
 	}
 	return start
 }
