--- a/testkit/relay/link.go
+++ b/testkit/relay/link.go
@@ -13,21 +13,21 @@
 	chunkBytes = 16 << 10
 	// queuedChunks bounds what a delay holds back on one way of a connection;
 	// beyond it the sender feels back pressure.
-	queuedChunks = 256
+	maxQueuedChunks = 256
 )
 
 // link is one connection through the relay.
 type link struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	client net.Conn
-	delay  *[ways]atomic.Int64
-	events *events
-	muted  [ways]atomic.Bool
+	ctx      context.Context
+	cancel   context.CancelFunc
+	client   net.Conn
+	delays   *[ways]atomic.Int64
+	counters *counters
+	muted    [ways]atomic.Bool
 
-	mu     sync.Mutex
-	target net.Conn // nil until dialled
-	broken bool     // by reset
+	mu       sync.Mutex
+	target   net.Conn // nil until dialled
+	wasReset bool     // by reset
 }
 
 // chunk is what one read gave, to be delivered when it is due.
@@ -37,9 +37,9 @@
 	err  error // io.EOF when the sender has closed its side in order
 }
 
-func newLink(client net.Conn, delay *[ways]atomic.Int64, e *events) *link {
+func newLink(client net.Conn, delay *[ways]atomic.Int64, e *counters) *link {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &link{ctx: ctx, cancel: cancel, client: client, delay: delay, events: e}
+	return &link{ctx: ctx, cancel: cancel, client: client, delays: delay, counters: e}
 }
 
 func (l *link) mute(d Direction) {
@@ -55,7 +55,7 @@
 // receiver would read an orderly end.
 func (l *link) reset() {
 	l.mu.Lock()
-	l.broken = true
+	l.wasReset = true
 	reset(l.client)
 	if l.target != nil {
 		reset(l.target)
@@ -70,10 +70,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
-	if l.broken {
+	if l.wasReset {
 		reset(target)
 	}
-	return !l.broken
+	return !l.wasReset
 }
 
 // run forwards until both ways have ended or the link is reset.
@@ -92,7 +92,7 @@
 
 // forward moves the bytes of one way.
 func (l *link) forward(way int, from, to net.Conn) {
-	queue := make(chan chunk, queuedChunks)
+	queue := make(chan chunk, maxQueuedChunks)
 	var wg sync.WaitGroup
 	wg.Go(func() { l.read(way, from, queue) })
 	l.deliver(way, to, queue)
@@ -106,7 +106,7 @@
 	for {
 		buf := make([]byte, chunkBytes)
 		n, err := from.Read(buf)
-		due := time.Now().Add(time.Duration(l.delay[way].Load()))
+		due := time.Now().Add(time.Duration(l.delays[way].Load()))
 		c := chunk{data: buf[:n], due: due, err: err}
 		select {
 		case queue <- c:
@@ -122,34 +122,34 @@
 // deliver writes each chunk when it is due.
 func (l *link) deliver(way int, to net.Conn, queue <-chan chunk) {
 	for c := range queue {
-		if !l.wait(c.due) {
+		if !l.waitUntil(c.due) {
 			return
 		}
 		if l.muted[way].Load() {
-			l.drop(c)
+			l.discard(c)
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
-			l.failed(way)
+			l.writeFailed(way)
 			return
 		}
-		l.end(c.err, to)
+		l.propagateEnd(c.err, to)
 	}
 }
 
 // drop loses a chunk. A close that is lost keeps the link open until it is
 // reset, as the receiver would keep its end.
-func (l *link) drop(c chunk) {
-	l.events.update(func(s *Stats) { s.DroppedBytes += int64(len(c.data)) })
+func (l *link) discard(c chunk) {
+	l.counters.update(func(s *Stats) { s.DroppedBytes += int64(len(c.data)) })
 	if c.err != nil {
-		l.events.update(func(s *Stats) { s.DroppedCloses++ })
+		l.counters.update(func(s *Stats) { s.DroppedCloses++ })
 		<-l.ctx.Done()
 	}
 }
 
 // end passes on how the sender ended, if it has: an abort must not reach the
 // receiver as an orderly end, or a cut answer would look whole.
-func (l *link) end(err error, to net.Conn) {
+func (l *link) propagateEnd(err error, to net.Conn) {
 	switch err {
 	case nil:
 	case io.EOF:
@@ -161,7 +161,7 @@
 
 // failed breaks the link after a write that failed, unless the sender may not
 // learn of it because its way back is muted.
-func (l *link) failed(way int) {
+func (l *link) writeFailed(way int) {
 	if l.muted[1-way].Load() {
 		<-l.ctx.Done()
 		return
@@ -170,7 +170,7 @@
 }
 
 // wait returns false when the link is reset before the time.
-func (l *link) wait(due time.Time) bool {
+func (l *link) waitUntil(due time.Time) bool {
 	left := time.Until(due)
 	if left <= 0 {
 		return l.ctx.Err() == nil
--- a/testkit/relay/port.go
+++ b/testkit/relay/port.go
@@ -16,8 +16,8 @@
 // A second socket, bound and never listening, holds the port; the kernel
 // refuses connections that find only such a socket.
 type port struct {
-	address string
-	holder  int
+	address  string
+	holderFD int
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -42,7 +42,7 @@
 		_ = unix.Close(fd)
 		return nil, err
 	}
-	return &port{address: netip.AddrPortFrom(addr.Addr(), portOf(bound)).String(), holder: fd}, nil
+	return &port{address: netip.AddrPortFrom(addr.Addr(), portOf(bound)).String(), holderFD: fd}, nil
 }
 
 func domain(ip netip.Addr) int {
@@ -53,7 +53,7 @@
 }
 
 func bind(fd int, addr netip.AddrPort) error {
-	if err := share(fd); err != nil {
+	if err := setReusePort(fd); err != nil {
 		return err
 	}
 	if addr.Addr().Is4() {
@@ -63,7 +63,7 @@
 }
 
 // share lets the holder and the listener bind the same port.
-func share(fd int) error {
+func setReusePort(fd int) error {
 	return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 }
 
@@ -87,7 +87,7 @@
 	}
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var shared error
-		if err := c.Control(func(fd uintptr) { shared = share(int(fd)) }); err != nil {
+		if err := c.Control(func(fd uintptr) { shared = setReusePort(int(fd)) }); err != nil {
 			return err
 		}
 		return shared
@@ -108,4 +108,4 @@
 }
 
 // release gives the port back.
-func (p *port) release() { _ = unix.Close(p.holder) }
+func (p *port) release() { _ = unix.Close(p.holderFD) }
--- a/testkit/relay/relay.go
+++ b/testkit/relay/relay.go
@@ -38,11 +38,11 @@
 
 // Relay forwards the connections of one port to one target.
 type Relay struct {
-	target string
-	port   *port
-	delay  [ways]atomic.Int64
-	events events
-	wg     sync.WaitGroup
+	target   string
+	port     *port
+	delays   [ways]atomic.Int64
+	counters counters
+	wg       sync.WaitGroup
 
 	mu      sync.Mutex
 	links   map[*link]struct{}
@@ -60,7 +60,7 @@
 		return nil, fmt.Errorf("relay: reserve %s: %w", address, err)
 	}
 	r := &Relay{target: target, port: p, links: map[*link]struct{}{}}
-	r.events.init()
+	r.counters.init()
 	if err := r.listen(); err != nil {
 		p.release()
 		return nil, err
@@ -107,17 +107,17 @@
 	if r.closed {
 		return nil
 	}
-	l := newLink(conn, &r.delay, &r.events)
+	l := newLink(conn, &r.delays, &r.counters)
 	for way := range ways {
 		l.muted[way].Store(r.muteNew[way])
 	}
 	r.links[l] = struct{}{}
-	r.events.update(func(s *Stats) { s.Accepted++; s.Open++ })
+	r.counters.update(func(s *Stats) { s.Accepted++; s.Open++ })
 	return l
 }
 
 func (r *Relay) serve(l *link) {
-	defer r.forget(l)
+	defer r.remove(l)
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
 	var d net.Dialer
@@ -129,15 +129,15 @@
 	l.run(target)
 }
 
-func (r *Relay) forget(l *link) {
+func (r *Relay) remove(l *link) {
 	r.mu.Lock()
 	delete(r.links, l)
 	r.mu.Unlock()
-	r.events.update(func(s *Stats) { s.Open-- })
+	r.counters.update(func(s *Stats) { s.Open-- })
 }
 
 // each calls a function for every open connection.
-func (r *Relay) each(f func(*link)) {
+func (r *Relay) forEachLink(f func(*link)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for l := range r.links {
@@ -149,7 +149,7 @@
 // can write, and nothing arrives, an end's close included. New connections
 // work. It is what a lost entry in a connection table does.
 func (r *Relay) Mute(d Direction) {
-	r.each(func(l *link) { l.mute(d) })
+	r.forEachLink(func(l *link) { l.mute(d) })
 }
 
 // MuteNew makes connections silent from their start, until Restore.
@@ -163,7 +163,7 @@
 
 // Reset resets the open connections at both ends. New connections work.
 func (r *Relay) Reset() {
-	r.each((*link).reset)
+	r.forEachLink((*link).reset)
 }
 
 // Refuse refuses new connections until Restore. Open ones work.
@@ -174,7 +174,7 @@
 func (r *Relay) Delay(d Direction, by time.Duration) {
 	for way := range ways {
 		if d.has(way) {
-			r.delay[way].Store(int64(by))
+			r.delays[way].Store(int64(by))
 		}
 	}
 }
@@ -195,7 +195,7 @@
 // Close resets all connections, frees the port and waits for the relay's
 // goroutines.
 func (r *Relay) Close() {
-	if !r.close() {
+	if !r.closeListener() {
 		return
 	}
 	r.Reset()
@@ -204,7 +204,7 @@
 }
 
 // close ends the listener; it is false when that was done before.
-func (r *Relay) close() bool {
+func (r *Relay) closeListener() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
--- a/testkit/relay/relay_test.go
+++ b/testkit/relay/relay_test.go
@@ -115,7 +115,7 @@
 
 // A caller ends its side of a connection that the network has forgotten: the
 // server never learns of it, not even once it has ended its own side.
-func TestMuteKeepsAClose(t *testing.T) {
+func TestMuteDropsCloses(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	r := startRelay(t, serveTarget(t, func(conn net.Conn) { conns <- conn }))
 	client := dial(t, r)
@@ -183,7 +183,7 @@
 
 // The reset races with the client's own connect: it shows there or at the
 // first read, and never as an orderly end.
-func TestTargetThatIsDown(t *testing.T) {
+func TestUnreachableTargetResetsTheClient(t *testing.T) {
 	down := startRelay(t, "127.0.0.1:1")
 	down.Refuse()
 	r := startRelay(t, down.Addr())
@@ -199,11 +199,11 @@
 func TestDelayKeepsOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Relay{}
-		r.events.init()
+		r.counters.init()
 		r.Delay(ToTarget, 30*time.Millisecond)
 		client, relayClient := net.Pipe()
 		target, relayTarget := net.Pipe()
-		l := newLink(relayClient, &r.delay, &r.events)
+		l := newLink(relayClient, &r.delays, &r.counters)
 		done := make(chan struct{})
 		go func() {
 			l.run(relayTarget)
@@ -226,7 +226,7 @@
 	})
 }
 
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseResetsConnectionsAndFreesThePort(t *testing.T) {
 	r := startRelay(t, serveTarget(t, echo))
 	conn := dial(t, r)
 	requireEcho(t, conn)
@@ -257,8 +257,8 @@
 		{"/mute?direction=to_client", http.StatusNoContent, nil},
 		{"/mute-new?direction=to_target", http.StatusNoContent, func() { require.Equal(t, [ways]bool{true, false}, r.muteNew) }},
 		{"/delay?by=50ms&direction=to_client", http.StatusNoContent, func() {
-			require.Equal(t, int64(0), r.delay[0].Load())
-			require.Equal(t, int64(50*time.Millisecond), r.delay[1].Load())
+			require.Equal(t, int64(0), r.delays[0].Load())
+			require.Equal(t, int64(50*time.Millisecond), r.delays[1].Load())
 		}},
 		{"/reset", http.StatusNoContent, nil},
 		{"/refuse", http.StatusNoContent, func() {
--- a/testkit/relay/stats.go
+++ b/testkit/relay/stats.go
@@ -18,15 +18,15 @@
 }
 
 // events keeps the counts and wakes those who wait for one of them.
-type events struct {
+type counters struct {
 	mu      sync.Mutex
 	stats   Stats
 	changed chan struct{}
 }
 
-func (e *events) init() { e.changed = make(chan struct{}) }
+func (e *counters) init() { e.changed = make(chan struct{}) }
 
-func (e *events) update(f func(*Stats)) {
+func (e *counters) update(f func(*Stats)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(&e.stats)
@@ -34,7 +34,7 @@
 	e.changed = make(chan struct{})
 }
 
-func (e *events) read() (Stats, <-chan struct{}) {
+func (e *counters) read() (Stats, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats, e.changed
@@ -42,7 +42,7 @@
 
 // Stats returns the counts.
 func (r *Relay) Stats() Stats {
-	s, _ := r.events.read()
+	s, _ := r.counters.read()
 	return s
 }
 
@@ -50,7 +50,7 @@
 // itself and needs no sleep.
 func (r *Relay) Await(ctx context.Context, met func(Stats) bool) error {
 	for {
-		s, changed := r.events.read()
+		s, changed := r.counters.read()
 		if met(s) {
 			return nil
 		}
--- a/testkit/scenario/call.go
+++ b/testkit/scenario/call.go
@@ -46,7 +46,7 @@
 // Do makes the call. A stream whose tokens don't join to its answer, or that
 // ends without one, is an error.
 func (c Call) Do() (Reply, error) {
-	status, header, text, err := exchangeBy(c.Client, http.MethodPost, c.URL+"/v1/pipelines/"+c.Pipeline+"/requests", c.body(), c.header())
+	status, header, text, err := exchangeWith(c.Client, http.MethodPost, c.URL+"/v1/pipelines/"+c.Pipeline+"/requests", c.body(), c.header())
 	if err != nil {
 		return Reply{}, err
 	}
@@ -130,7 +130,7 @@
 	c.URL, c.Pipeline = flags.Arg(0), flags.Arg(1)
 	failed := false
 	for range *count {
-		reply, err := c.do(*retry)
+		reply, err := c.callWithRetries(*retry)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "submit:", err)
 			os.Exit(2)
@@ -145,7 +145,7 @@
 
 // do makes the call, and again when the answer promises that it did not run and
 // names a time to come back.
-func (c Call) do(retry bool) (reply Reply, err error) {
+func (c Call) callWithRetries(retry bool) (reply Reply, err error) {
 	if !retry {
 		return c.Do()
 	}
@@ -173,7 +173,7 @@
 }
 
 // generated is the number of tokens that the sample's generation stage gives.
-const generated = 24
+const generatedTokens = 24
 
 // Expected works out the answer of a sample pipeline, or of "copy" and
 // "twice", which some scripts define by one stage and by two.
@@ -200,6 +200,6 @@
 		rerankFrom = []string{encoded, retrieved}
 	}
 	reranked, _ := targetemulator.Output("rerank", rerankFrom, "", 0)
-	out, _ := targetemulator.Output("generate", []string{reranked}, "writer", generated)
+	out, _ := targetemulator.Output("generate", []string{reranked}, "writer", generatedTokens)
 	return out
 }
--- a/testkit/scenario/load.go
+++ b/testkit/scenario/load.go
@@ -27,22 +27,22 @@
 )
 
 // entrance is one instance as the balancer before it sees it.
-type entrance struct{ callers, admin string }
+type endpoint struct{ callers, admin string }
 
 // loadOrder is one piece of work of a load and what its caller knows of it.
-type loadOrder struct {
+type loadRequest struct {
 	input string
 	// answer is OutcomeRan when it was answered whole, "" when nothing is known.
-	answer callerapi.Outcome
+	outcome callerapi.Outcome
 	// retryAfter is the time that the last refusal asked for.
 	retryAfter time.Duration
 }
 
 // loadCount are the answers of a load, by what they were.
-type loadCount struct {
-	whole, notRun, unknown, failed, cut, late int
+type loadCounts struct {
+	complete, notRun, unknown, failed, cut, late int
 	// undated are those not_run that name no time to come back.
-	undated int
+	withoutRetryAfter int
 	// slowest is the longest time of a whole answer.
 	slowest time.Duration
 }
@@ -52,69 +52,69 @@
 // who is told not_run, or whose connection breaks, tries elsewhere with the
 // same idempotency key.
 type load struct {
-	name  string
-	call  Call
-	keyed bool
+	name            string
+	call            Call
+	idempotencyKeys bool
 	// comesBack makes callers wait for the time that a refusal names.
-	comesBack bool
-	entrances []entrance
-	client    *http.Client
-	stop      chan struct{}
-	abandon   chan struct{}
-	group     sync.WaitGroup
+	honoursRetryAfter bool
+	endpoints         []endpoint
+	client            *http.Client
+	stop              chan struct{}
+	cancel            chan struct{}
+	callers           sync.WaitGroup
 
-	mu     sync.Mutex
-	count  loadCount
-	orders []loadOrder
+	mu       sync.Mutex
+	counts   loadCounts
+	requests []loadRequest
 	// problems counts the refusals and failures by type.
-	problems map[string]int
-	wrong    error
-	changed  chan struct{}
-	ended    bool
+	problems    map[string]int
+	wrongOutput error
+	changed     chan struct{}
+	ended       bool
 }
 
 // runLoad: load begin NAME PIPELINE CALLERS INSTANCE..., load whole NAME COUNT
 // waits for so many further whole answers, load end NAME checks all answers and
 // prints their number. The pipeline "stream" is the dossier, called for streams;
 // PIPELINE@KEY calls as another account.
-func runLoad(ts *testscript.TestScript, w *world, args []string) error {
+func runLoad(ts *testscript.TestScript, w *testbed, args []string) error {
 	switch {
 	case len(args) >= 5 && args[0] == "begin":
 		return w.beginLoad(args[1], args[2], args[3], args[4:])
 	case len(args) == 3 && args[0] == "whole":
-		return w.loads[args[1]].awaitWhole(args[2])
+		return w.loads[args[1]].awaitComplete(args[2])
 	case len(args) == 2 && args[0] == "end":
 		l := w.loads[args[1]]
-		l.end()
-		c := l.count
+		l.finish()
+		c := l.counts
 		fmt.Fprintf(ts.Stdout(), "whole %d not_run %d unknown %d failed %d cut %d late %d\nundated %d\nslowest %v\nproblems %v\n",
-			c.whole, c.notRun, c.unknown, c.failed, c.cut, c.late, c.undated, c.slowest, l.problems)
+			c.complete, c.notRun, c.unknown, c.failed, c.cut, c.late, c.withoutRetryAfter, c.slowest, l.problems)
 		return w.checkLoad(l)
 	}
 	return errors.New("usage: load begin NAME PIPELINE CALLERS INSTANCE... | whole NAME COUNT | end NAME")
 }
 
-func (w *world) beginLoad(name, pipeline, callers string, instances []string) error {
+func (w *testbed) beginLoad(name, pipeline, callers string, instances []string) error {
 	number, err := strconv.Atoi(callers)
 	if err != nil {
 		return err
 	}
 	l := &load{
-		name:    name,
-		call:    Call{Pipeline: pipeline, SchemaVersion: "1", Key: DefaultKey},
-		client:  &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: number}},
-		stop:    make(chan struct{}),
-		abandon: make(chan struct{}),
+		name:   name,
+		call:   Call{Pipeline: pipeline, SchemaVersion: "1", Key: DefaultKey},
+		client: &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: number}},
+		stop:   make(chan struct{}),
+		cancel: make(chan struct{}),
 
 		problems: make(map[string]int),
 		changed:  make(chan struct{}),
 	}
 	if name, key, ok := strings.Cut(pipeline, "@"); ok {
 		pipeline, l.call.Pipeline, l.call.Key = name, name, key
-		l.comesBack = true
+		l.honoursRetryAfter = true
 	}
 	if pipeline == "work-order" {
-		l.keyed = true
+		l.idempotencyKeys = true
 	}
 	if pipeline == "stream" {
 		l.call.Pipeline, l.call.Stream, l.call.SchemaVersion = "dossier", true, "2"
@@ -128,11 +128,11 @@
 		if err != nil {
 			return err
 		}
-		l.entrances = append(l.entrances, entrance{callersURL, adminURL})
+		l.endpoints = append(l.endpoints, endpoint{callersURL, adminURL})
 	}
 	w.loads[name] = l
 	for caller := range number {
-		l.group.Go(func() { l.run(caller) })
+		l.callers.Go(func() { l.run(caller) })
 	}
 	return nil
 }
@@ -141,30 +141,30 @@
 func (l *load) run(caller int) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for n := 0; l.goesOn(); n++ {
-		order := loadOrder{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
-		for try := caller + n; order.answer == "" || order.answer == callerapi.OutcomeNotRun; try++ {
-			if !l.goesOn() && order.answer != "" {
+	for n := 0; l.running(); n++ {
+		order := loadRequest{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
+		for try := caller + n; order.outcome == "" || order.outcome == callerapi.OutcomeNotRun; try++ {
+			if !l.running() && order.outcome != "" {
 				break
 			}
-			if e, ok := l.ready(try); ok {
-				l.try(&order, e)
+			if e, ok := l.findReady(try); ok {
+				l.callOnce(&order, e)
 			}
-			if l.comesBack {
-				l.rest(order.retryAfter)
+			if l.honoursRetryAfter {
+				l.waitRetryAfter(order.retryAfter)
 			}
 			select {
 			case <-ticker.C:
-			case <-l.abandon:
+			case <-l.cancel:
 				return
 			}
 		}
-		l.note(func() { l.orders = append(l.orders, order) })
+		l.update(func() { l.requests = append(l.requests, order) })
 	}
 }
 
 // rest waits for the time that a refusal named, or the load's end.
-func (l *load) rest(d time.Duration) {
+func (l *load) waitRetryAfter(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (l *load) goesOn() bool {
+func (l *load) running() bool {
 	select {
 	case <-l.stop:
 		return false
@@ -183,10 +183,10 @@
 }
 
 // ready finds a ready instance, beginning with one that differs by try.
-func (l *load) ready(try int) (entrance, bool) {
+func (l *load) findReady(try int) (endpoint, bool) {
 	client := &http.Client{Transport: l.client.Transport, Timeout: readyTimeout}
-	for i := range l.entrances {
-		e := l.entrances[(try+i)%len(l.entrances)]
+	for i := range l.endpoints {
+		e := l.endpoints[(try+i)%len(l.endpoints)]
 		answer, err := client.Get(e.admin + "/readyz")
 		if err != nil {
 			continue
@@ -196,63 +196,63 @@
 			return e, true
 		}
 	}
-	return entrance{}, false
+	return endpoint{}, false
 }
 
 // try makes one call and takes down what came of it.
-func (l *load) try(order *loadOrder, e entrance) {
+func (l *load) callOnce(order *loadRequest, e endpoint) {
 	call := l.call
 	call.URL, call.Input, call.Client = e.callers, order.input, l.client
-	if l.keyed {
+	if l.idempotencyKeys {
 		call.IdempotencyKey = order.input
 	}
 	began := time.Now()
 	reply, err := call.Do()
 	elapsed := time.Since(began)
-	l.note(func() {
+	l.update(func() {
 		order.retryAfter = 0
 		if reply.Problem != nil {
 			order.retryAfter = time.Duration(reply.Problem.RetryAfterMS) * time.Millisecond
 			l.problems[reply.Problem.Type]++
 		}
 		if elapsed > loadDeadline {
-			l.count.late++
+			l.counts.late++
 		}
 		switch {
-		case notConnected(err):
+		case connectFailed(err):
 		case err != nil:
-			l.count.cut++
-			order.answer = "" // it may run
+			l.counts.cut++
+			order.outcome = "" // it may run
 		case reply.Problem == nil:
-			l.count.whole++
-			l.count.slowest = max(l.count.slowest, elapsed)
-			order.answer = callerapi.OutcomeRan
+			l.counts.complete++
+			l.counts.slowest = max(l.counts.slowest, elapsed)
+			order.outcome = callerapi.OutcomeRan
 			if want := Expected(call.Pipeline, call.SchemaVersion, call.Input); reply.Answer.Output != want {
-				l.wrong = errors.Newf("%s was answered %q, not %q", call.Input, reply.Answer.Output, want)
+				l.wrongOutput = errors.Newf("%s was answered %q, not %q", call.Input, reply.Answer.Output, want)
 			}
 		case reply.Problem.Outcome == callerapi.OutcomeNotRun:
-			l.count.notRun++
+			l.counts.notRun++
 			if reply.Problem.RetryAfterMS == 0 {
-				l.count.undated++
+				l.counts.withoutRetryAfter++
 			}
-			order.answer = callerapi.OutcomeNotRun
+			order.outcome = callerapi.OutcomeNotRun
 		case reply.Problem.Outcome == callerapi.OutcomeUnknown:
-			l.count.unknown++
-			order.answer = callerapi.OutcomeUnknown
+			l.counts.unknown++
+			order.outcome = callerapi.OutcomeUnknown
 		default:
-			l.count.failed++
-			order.answer = callerapi.OutcomeUnknown
+			l.counts.failed++
+			order.outcome = callerapi.OutcomeUnknown
 		}
 	})
 }
 
 // notConnected tells whether no byte of the call can have left.
-func notConnected(err error) bool {
+func connectFailed(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func (l *load) note(change func()) {
+func (l *load) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -260,16 +260,16 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *load) awaitWhole(text string) error {
+func (l *load) awaitComplete(text string) error {
 	further, err := strconv.Atoi(text)
 	if err != nil {
 		return err
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(waitTimeout)
 	defer timer.Stop()
 	for first := -1; ; {
 		l.mu.Lock()
-		whole, changed := l.count.whole, l.changed
+		whole, changed := l.counts.complete, l.changed
 		l.mu.Unlock()
 		if first < 0 {
 			first = whole
@@ -286,26 +286,26 @@
 }
 
 // end lets each caller finish its piece of work.
-func (l *load) end() {
+func (l *load) finish() {
 	if l.ended {
 		return
 	}
 	l.ended = true
 	close(l.stop)
-	giveUp := time.AfterFunc(patience, func() { close(l.abandon) })
+	giveUp := time.AfterFunc(waitTimeout, func() { close(l.cancel) })
 	defer giveUp.Stop()
-	l.group.Wait()
+	l.callers.Wait()
 	l.client.CloseIdleConnections()
 }
 
 // checkLoad compares what the callers were told with what the targets ran.
-func (w *world) checkLoad(l *load) error {
-	if l.wrong != nil || !l.keyed {
-		return l.wrong
+func (w *testbed) checkLoad(l *load) error {
+	if l.wrongOutput != nil || !l.idempotencyKeys {
+		return l.wrongOutput
 	}
 	runs := make(map[string]int)
 	for _, name := range w.targets {
-		starts, err := w.startsOf(name)
+		starts, err := w.startsByInput(name)
 		if err != nil {
 			return err
 		}
@@ -313,18 +313,18 @@
 			runs[input] += number
 		}
 	}
-	bad := slices.IndexFunc(l.orders, func(o loadOrder) bool { return !o.agrees(runs[o.input]) })
+	bad := slices.IndexFunc(l.requests, func(o loadRequest) bool { return !o.matchesRuns(runs[o.input]) })
 	if bad >= 0 {
-		o := l.orders[bad]
-		return errors.Newf("%s was told %q and ran %d times", o.input, o.answer, runs[o.input])
+		o := l.requests[bad]
+		return errors.Newf("%s was told %q and ran %d times", o.input, o.outcome, runs[o.input])
 	}
 	return nil
 }
 
 // agrees tells whether what a caller was told of work that may not be repeated
 // is true, given how often it ran.
-func (o loadOrder) agrees(runs int) bool {
-	switch o.answer {
+func (o loadRequest) matchesRuns(runs int) bool {
+	switch o.outcome {
 	case callerapi.OutcomeRan:
 		return runs == 1
 	case callerapi.OutcomeNotRun:
--- a/testkit/scenario/orders.go
+++ b/testkit/scenario/orders.go
@@ -22,12 +22,12 @@
 
 // takeoverPatience bounds a wait in which a successor waits out the term and
 // the longest order of its predecessor, 40 s by default.
-const takeoverPatience = 3 * patience
+const takeoverTimeout = 3 * waitTimeout
 
 // waitHolder: holder POOL [ABOVE] waits until an instance holds the pool's
 // lease, under a fencing number above the given one, and sets $HOLDER and
 // $FENCING.
-func waitHolder(ts *testscript.TestScript, w *world, args []string) error {
+func waitHolder(ts *testscript.TestScript, w *testbed, args []string) error {
 	above := 0
 	if len(args) > 1 {
 		var err error
@@ -53,7 +53,7 @@
 
 // waitLapsed: lapsed INSTANCE POOL waits until the instance itself counts the
 // lease, which it held, as lost.
-func waitLapsed(_ *testscript.TestScript, w *world, args []string) error {
+func waitLapsed(_ *testscript.TestScript, w *testbed, args []string) error {
 	base, err := w.url(args[0], "admin")
 	if err != nil {
 		return err
@@ -67,12 +67,12 @@
 
 // waitHas: has TARGET model|adapter|version|role VALUE waits until the target
 // reports it.
-func waitHas(_ *testscript.TestScript, w *world, args []string) error {
+func waitHas(_ *testscript.TestScript, w *testbed, args []string) error {
 	if len(args) != 3 {
 		return errors.New("usage: has TARGET model|adapter|version|role VALUE")
 	}
-	return untilWithin(takeoverPatience, strings.Join(args, " "), func() bool {
-		report, err := w.reportOf(args[0])
+	return untilWithin(takeoverTimeout, strings.Join(args, " "), func() bool {
+		report, err := w.loadReport(args[0])
 		if err != nil {
 			return false
 		}
@@ -88,7 +88,7 @@
 	})
 }
 
-func (w *world) reportOf(name string) (targetapi.Load, error) {
+func (w *testbed) loadReport(name string) (targetapi.Load, error) {
 	var report targetapi.Load
 	base, err := w.url(name, "")
 	if err != nil {
@@ -103,7 +103,7 @@
 
 // printOrders: orders TARGET prints the orders that took effect, the oldest
 // first, each as its fencing number, action and value.
-func printOrders(ts *testscript.TestScript, w *world, args []string) error {
+func printOrders(ts *testscript.TestScript, w *testbed, args []string) error {
 	base, err := w.url(args[0], "")
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 // giveOrder: order TARGET FENCING ACTION VALUE gives an order as a holder does
 // who was paused between its check and the sending. It fails when the target
 // refuses it.
-func giveOrder(_ *testscript.TestScript, w *world, args []string) error {
+func giveOrder(_ *testscript.TestScript, w *testbed, args []string) error {
 	if len(args) != 4 {
 		return errors.New("usage: order TARGET FENCING ACTION VALUE")
 	}
@@ -141,12 +141,12 @@
 	if err != nil {
 		return err
 	}
-	return put(http.MethodPost, base+targetapi.PathOrders, string(text))
+	return sendJSON(http.MethodPost, base+targetapi.PathOrders, string(text))
 }
 
 // waitComplete: complete POOL COUNT waits until the pool's state says that so
 // many targets, and all of them, have what is desired now.
-func waitComplete(_ *testscript.TestScript, w *world, args []string) error {
+func waitComplete(_ *testscript.TestScript, w *testbed, args []string) error {
 	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
 	return until(strings.Join(args, " ")+" complete", func() bool {
 		object, err := store.Get(context.Background(), platformapi.KindOrders, args[0])
--- a/testkit/scenario/records.go
+++ b/testkit/scenario/records.go
@@ -17,7 +17,7 @@
 )
 
 // applyRecords: apply FILE creates or replaces the file's records.
-func applyRecords(ts *testscript.TestScript, w *world, args []string) error {
+func applyRecords(ts *testscript.TestScript, w *testbed, args []string) error {
 	text, err := os.ReadFile(ts.MkAbs(args[0]))
 	if err != nil {
 		return err
@@ -27,10 +27,10 @@
 		return faults
 	}
 	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
-	return write(store, documents)
+	return writeRecords(store, documents)
 }
 
-func write(store platform.Store, documents []record.Document) error {
+func writeRecords(store platform.Store, documents []record.Document) error {
 	for _, d := range documents {
 		kind := string(d.Kind)
 		_, err := store.Create(context.Background(), kind, d.Object)
@@ -47,7 +47,7 @@
 
 // waitInForce: inforce NAME PIPELINE SCHEMA_VERSION waits until the instance
 // serves the definition.
-func waitInForce(_ *testscript.TestScript, w *world, args []string) error {
+func waitInForce(_ *testscript.TestScript, w *testbed, args []string) error {
 	base, err := w.url(args[0], "callers")
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 // waitAnswers: answers NAME PIPELINE TEXT waits until the instance answers a call of the
 // pipeline with an output that begins with the text. Records are passed on one by one:
 // that a later one is in force at an instance doesn't say that an earlier one is.
-func waitAnswers(_ *testscript.TestScript, w *world, args []string) error {
+func waitAnswers(_ *testscript.TestScript, w *testbed, args []string) error {
 	base, err := w.url(args[0], "callers")
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 }
 
 // waitListed: listed waits until the platform lists all started targets.
-func waitListed(_ *testscript.TestScript, w *world, _ []string) error {
+func waitListed(_ *testscript.TestScript, w *testbed, _ []string) error {
 	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
 	return until("list of targets", func() bool {
 		list, err := store.List(context.Background(), platformapi.KindTargets)
@@ -85,7 +85,7 @@
 
 // waitRefused: refused KIND NAME TEXT waits until the record's status says that
 // its newest version is refused, for a reason with the text.
-func waitRefused(_ *testscript.TestScript, w *world, args []string) error {
+func waitRefused(_ *testscript.TestScript, w *testbed, args []string) error {
 	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
 	return until("status of "+args[1], func() bool {
 		object, err := store.Get(context.Background(), args[0], args[1])
@@ -99,11 +99,11 @@
 }
 
 // raceWrites is how often each operator of a race writes.
-const raceWrites = 5
+const writesPerOperator = 5
 
 // raceRecords: race FILE... lets one operator a file write its records, all of
 // them at once and each again and again. One who is told of a conflict goes on.
-func raceRecords(ts *testscript.TestScript, w *world, args []string) error {
+func raceRecords(ts *testscript.TestScript, w *testbed, args []string) error {
 	var operators errgroup.Group
 	for _, name := range args {
 		text, err := os.ReadFile(ts.MkAbs(name))
@@ -116,9 +116,9 @@
 		}
 		store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
 		operators.Go(func() error {
-			for range raceWrites {
+			for range writesPerOperator {
 				var conflict *platform.ConflictError
-				if err := write(store, documents); err != nil && !errors.As(err, &conflict) {
+				if err := writeRecords(store, documents); err != nil && !errors.As(err, &conflict) {
 					return err
 				}
 			}
--- a/testkit/scenario/runs.go
+++ b/testkit/scenario/runs.go
@@ -14,7 +14,7 @@
 
 // waitStarted: started [TARGET] COUNT waits until the target, or all targets
 // together, have started so much work, and fails when it is more.
-func waitStarted(_ *testscript.TestScript, w *world, args []string) error {
+func waitStarted(_ *testscript.TestScript, w *testbed, args []string) error {
 	names := args[:len(args)-1]
 	want, err := strconv.Atoi(args[len(args)-1])
 	if err != nil {
@@ -27,7 +27,7 @@
 	err = until(args[len(args)-1]+" started", func() bool {
 		total = 0
 		for _, name := range names {
-			report, err := w.runsOf(name)
+			report, err := w.runsReport(name)
 			if err != nil {
 				failed = err
 				return true
@@ -47,8 +47,8 @@
 
 // expectWhileLeaving: whileleaving TARGET [MOST] prints how much work the target
 // started after it said that it leaves, and fails when it is more than MOST.
-func expectWhileLeaving(ts *testscript.TestScript, w *world, args []string) error {
-	report, err := w.runsOf(args[0])
+func expectWhileLeaving(ts *testscript.TestScript, w *testbed, args []string) error {
+	report, err := w.runsReport(args[0])
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return err
 }
 
-func (w *world) runsOf(name string) (targetemulator.RunsReport, error) {
+func (w *testbed) runsReport(name string) (targetemulator.RunsReport, error) {
 	var report targetemulator.RunsReport
 	base, err := w.url(name, "")
 	if err != nil {
@@ -79,17 +79,17 @@
 // startsOf returns how often a target started work, by input. A killed one can't
 // be asked; a service has told each start before its work began, and the pipe
 // keeps what it told.
-func (w *world) startsOf(name string) (map[string]int, error) {
-	p, err := w.find(name)
+func (w *testbed) startsByInput(name string) (map[string]int, error) {
+	p, err := w.process(name)
 	if err != nil {
 		return nil, err
 	}
 	select {
 	case <-p.exited:
-		<-p.read
+		<-p.outputRead
 		return p.started, nil
 	default:
-		report, err := w.runsOf(name)
+		report, err := w.runsReport(name)
 		return report.Inputs, err
 	}
 }
--- a/testkit/scenario/verbs.go
+++ b/testkit/scenario/verbs.go
@@ -15,7 +15,7 @@
 )
 
 // verb is the body of a verb: it returns what went wrong.
-type verb func(ts *testscript.TestScript, w *world, args []string) error
+type verb func(ts *testscript.TestScript, w *testbed, args []string) error
 
 // Verbs returns the scenario's verbs; README.md beside this file lists them.
 func Verbs() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
@@ -44,7 +44,7 @@
 		"whileleaving": expectWhileLeaving,
 		"refused":      waitRefused,
 		"relay":        startRelay,
-		"link":         commandRelay,
+		"link":         runRelayCommand,
 		"dropped":      waitDropped,
 		"load":         runLoad,
 		"exits":        expectExitCode,
@@ -60,7 +60,7 @@
 	out := make(map[string]func(*testscript.TestScript, bool, []string), len(verbs))
 	for name, body := range verbs {
 		out[name] = func(ts *testscript.TestScript, neg bool, args []string) {
-			err := body(ts, worldOf(ts), args)
+			err := body(ts, testbedOf(ts), args)
 			if neg && err == nil {
 				ts.Fatalf("%s: unexpected success", name)
 			}
@@ -72,8 +72,8 @@
 	return out
 }
 
-func startPlatform(ts *testscript.TestScript, w *world, args []string) error {
-	p, err := w.start(ts, platformName, "standin", append([]string{"platform"}, args...)...)
+func startPlatform(ts *testscript.TestScript, w *testbed, args []string) error {
+	p, err := w.startProcess(ts, platformProcess, "standin", append([]string{"platform"}, args...)...)
 	if err != nil {
 		return err
 	}
@@ -87,12 +87,12 @@
 }
 
 // startTarget: target NAME POOL KIND [FLAG...].
-func startTarget(ts *testscript.TestScript, w *world, args []string) error {
+func startTarget(ts *testscript.TestScript, w *testbed, args []string) error {
 	if len(args) < 3 {
 		return errors.New("usage: target NAME POOL KIND [FLAG...]")
 	}
 	flags := []string{"target", "--incarnation", args[0], "--pool", args[1], "--kind", args[2], "--platform", w.platform}
-	p, err := w.start(ts, args[0], "standin", append(flags, args[3:]...)...)
+	p, err := w.startProcess(ts, args[0], "standin", append(flags, args[3:]...)...)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 
 // startInstance: instance NAME DATA_CENTRE [--platform RELAY] [--nowait]
 // [SETTING...]. It waits until the instance is ready unless --nowait is given.
-func startInstance(ts *testscript.TestScript, w *world, args []string) error {
+func startInstance(ts *testscript.TestScript, w *testbed, args []string) error {
 	if len(args) < 2 {
 		return errors.New("usage: instance NAME DATA_CENTRE [SETTING...]")
 	}
@@ -131,11 +131,11 @@
 	if nowait {
 		extra = extra[1:]
 	}
-	path, err := w.settings(args[0], args[1], platformURL, extra)
+	path, err := w.writeSettings(args[0], args[1], platformURL, extra)
 	if err != nil {
 		return err
 	}
-	p, err := w.start(ts, args[0], "ivyhollowd", "serve", "--config", path)
+	p, err := w.startProcess(ts, args[0], "ivyhollowd", "serve", "--config", path)
 	if err != nil {
 		return err
 	}
@@ -158,9 +158,9 @@
 }
 
 func signalVerb(s syscall.Signal) verb {
-	return func(_ *testscript.TestScript, w *world, args []string) error {
+	return func(_ *testscript.TestScript, w *testbed, args []string) error {
 		for _, name := range args {
-			p, err := w.find(name)
+			p, err := w.process(name)
 			if err != nil {
 				return err
 			}
@@ -173,8 +173,8 @@
 }
 
 // waitEnded: ended NAME CODE.
-func waitEnded(_ *testscript.TestScript, w *world, args []string) error {
-	p, err := w.find(args[0])
+func waitEnded(_ *testscript.TestScript, w *testbed, args []string) error {
+	p, err := w.process(args[0])
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 }
 
 // waitUnready: unready NAME waits until the instance wants no new connections.
-func waitUnready(_ *testscript.TestScript, w *world, args []string) error {
+func waitUnready(_ *testscript.TestScript, w *testbed, args []string) error {
 	base, err := w.url(args[0], "admin")
 	if err != nil {
 		return err
@@ -201,7 +201,7 @@
 }
 
 // expectExitCode: exits CODE PROGRAM [ARGUMENT...].
-func expectExitCode(ts *testscript.TestScript, _ *world, args []string) error {
+func expectExitCode(ts *testscript.TestScript, _ *testbed, args []string) error {
 	if len(args) < 2 {
 		return errors.New("usage: exits CODE PROGRAM [ARGUMENT...]")
 	}
@@ -220,7 +220,7 @@
 }
 
 // waitReady: ready NAME...
-func waitReady(_ *testscript.TestScript, w *world, args []string) error {
+func waitReady(_ *testscript.TestScript, w *testbed, args []string) error {
 	for _, name := range args {
 		base, err := w.url(name, "admin")
 		if err != nil {
@@ -239,7 +239,7 @@
 
 // expectAnswer: answered FILE compares the last submitted answer with what the
 // program expected printed into the file.
-func expectAnswer(ts *testscript.TestScript, _ *world, args []string) error {
+func expectAnswer(ts *testscript.TestScript, _ *testbed, args []string) error {
 	want := ts.ReadFile(args[0])
 	for line := range strings.Lines(ts.ReadFile("stdout")) {
 		if strings.HasPrefix(line, "output ") {
--- a/testkit/scenario/world.go
+++ b/testkit/scenario/world.go
@@ -22,7 +22,7 @@
 )
 
 // world holds the processes of one scenario.
-type world struct {
+type testbed struct {
 	directory string
 	processes map[string]*process
 	platform  string
@@ -35,25 +35,25 @@
 }
 
 // platformName is the name of the platform's process.
-const platformName = "platform"
+const platformProcess = "platform"
 
 // budgetPattern finds the account budget of the sample records. Busy records
 // have none, so that the load of a scenario, retries included, is never refused
 // for it.
 var budgetPattern = regexp.MustCompile(`"requests_per_s":\s*\d+`)
 
-type worldKey struct{}
+type testbedKey struct{}
 
 // Setup prepares a scenario and ends its processes with it.
 func Setup(env *testscript.Env) error {
-	w := &world{
+	w := &testbed{
 		directory: env.WorkDir,
 		processes: make(map[string]*process),
 		listed:    make(map[string]platformapi.TargetEntry),
 		relays:    make(map[string]*relay.Relay),
 		loads:     make(map[string]*load),
 	}
-	env.Values[worldKey{}] = w
+	env.Values[testbedKey{}] = w
 	busy := budgetPattern.ReplaceAll(dev.Sample, []byte(`"requests_per_s": 0`))
 	if bytes.Equal(busy, dev.Sample) {
 		return errors.New("the sample records have no account budget")
@@ -67,21 +67,21 @@
 	}
 	env.Defer(func() {
 		for _, l := range w.loads {
-			l.end()
+			l.finish()
 		}
 		for _, r := range w.relays {
 			r.Close()
 		}
 		for _, p := range w.processes {
-			p.stop()
+			p.kill()
 		}
 	})
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func testbedOf(ts *testscript.TestScript) *testbed { return ts.Value(testbedKey{}).(*testbed) }
 
-func (w *world) start(ts *testscript.TestScript, name, program string, args ...string) (*process, error) {
+func (w *testbed) startProcess(ts *testscript.TestScript, name, program string, args ...string) (*process, error) {
 	path, err := lookPath(ts, program)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 	return "", errors.Newf("no program %s", program)
 }
 
-func (w *world) find(name string) (*process, error) {
+func (w *testbed) process(name string) (*process, error) {
 	p, ok := w.processes[name]
 	if !ok {
 		return nil, errors.Newf("no process %s in this scenario", name)
@@ -116,8 +116,8 @@
 
 // url returns the base URL of what a process listens on: "callers" and "admin"
 // of an instance, "" of a stand-in.
-func (w *world) url(name, what string) (string, error) {
-	p, err := w.find(name)
+func (w *testbed) url(name, what string) (string, error) {
+	p, err := w.process(name)
 	if err != nil {
 		return "", err
 	}
@@ -130,7 +130,7 @@
 
 // until polls a condition of another process until it holds.
 func until(what string, holds func() bool) error {
-	return untilWithin(patience, what, holds)
+	return untilWithin(waitTimeout, what, holds)
 }
 
 // untilWithin is until with a bound of its own.
@@ -149,17 +149,17 @@
 	return nil
 }
 
-var client = &http.Client{Timeout: patience}
+var defaultClient = &http.Client{Timeout: waitTimeout}
 
 // exchange makes one HTTP call and returns its status and body.
 func exchange(method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
-	return exchangeBy(nil, method, url, body, header)
+	return exchangeWith(nil, method, url, body, header)
 }
 
 // exchangeBy is exchange by another client; nil means the scenarios' own.
-func exchangeBy(by *http.Client, method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
+func exchangeWith(by *http.Client, method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
 	if by == nil {
-		by = client
+		by = defaultClient
 	}
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -178,7 +178,7 @@
 }
 
 // put sends JSON to an admin path of a stand-in.
-func put(method, url, text string) error {
+func sendJSON(method, url, text string) error {
 	if !json.Valid([]byte(text)) {
 		return errors.Newf("not JSON: %s", text)
 	}
@@ -194,7 +194,7 @@
 
 // settings writes the INI file of an instance. A section [shutdown] among the
 // extra lines replaces the short times that scenarios use.
-func (w *world) settings(name, dataCentre, platformURL string, extra []string) (string, error) {
+func (w *testbed) writeSettings(name, dataCentre, platformURL string, extra []string) (string, error) {
 	shutdown := "[shutdown]\nbalancer_delay = 100ms\ngrace = 20s"
 	if slices.Contains(extra, "[shutdown]") {
 		shutdown = ""
--- a/testkit/soak/check.go
+++ b/testkit/soak/check.go
@@ -11,22 +11,22 @@
 
 // seen is what targets saw: the requests that arrived, by id, and the pieces of
 // stages that they made, by handle.
-type seen struct {
-	arrived map[string][]standin.Arrival
-	made    map[string]standin.Piece
+type targetLog struct {
+	arrivals map[string][]standin.Arrival
+	produced map[string]standin.Piece
 	// pieces counts the pieces of each request.
-	pieces map[string]int
+	pieceCounts map[string]int
 }
 
-func (w *world) seen() seen {
-	s := seen{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
+func (w *testbed) readTargetLog() targetLog {
+	s := targetLog{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
 	for _, t := range w.targets {
 		for _, a := range t.Arrivals() {
-			s.arrived[a.ID] = append(s.arrived[a.ID], a)
+			s.arrivals[a.ID] = append(s.arrivals[a.ID], a)
 		}
 		for handle, p := range t.Results() {
-			s.made[handle] = p
-			s.pieces[p.ID]++
+			s.produced[handle] = p
+			s.pieceCounts[p.ID]++
 		}
 	}
 	return s
@@ -34,33 +34,33 @@
 
 // check compares what callers and targets saw. Crashing are the answers to the request that
 // crashes targets, which aren't to be served.
-func (w *world) check(all, crashing []answer, s seen, calmFrom time.Time) {
-	asked := map[string]answer{}
+func (w *testbed) checkResults(all, crashing []callResult, s targetLog, calmFrom time.Time) {
+	asked := map[string]callResult{}
 	for _, a := range crashing {
 		asked[a.id] = a
 	}
 	calmAll, calmServed := 0, 0
 	for _, a := range all {
 		asked[a.id] = a
-		w.checkAnswer(a, s.arrived[a.id])
+		w.checkResult(a, s.arrivals[a.id])
 		if a.ended.After(calmFrom) {
 			calmAll++
-			if a.status == http.StatusOK && a.whole {
+			if a.status == http.StatusOK && a.complete {
 				calmServed++
 			}
 		}
 	}
-	for id, arrivals := range s.arrived {
-		w.checkArrivals(id, asked, arrivals, s.made)
+	for id, arrivals := range s.arrivals {
+		w.checkArrivals(id, asked, arrivals, s.produced)
 	}
-	w.checkPieces(asked, s.made)
-	if float64(calmServed) < calmShare*float64(calmAll) || calmAll == 0 {
-		w.breach("after the faults %d of %d are served", calmServed, calmAll)
+	w.checkPieces(asked, s.produced)
+	if float64(calmServed) < minServedShare*float64(calmAll) || calmAll == 0 {
+		w.violation("after the faults %d of %d are served", calmServed, calmAll)
 	}
 }
 
 // runs counts the targets that worked on a request.
-func runs(arrivals []standin.Arrival) int {
+func countRuns(arrivals []standin.Arrival) int {
 	ran := 0
 	for _, arrival := range arrivals {
 		if arrival.Executed {
@@ -71,16 +71,16 @@
 }
 
 // checkAnswer looks at one answer.
-func (w *world) checkAnswer(a answer, arrivals []standin.Arrival) {
-	ran := runs(arrivals)
+func (w *testbed) checkResult(a callResult, arrivals []standin.Arrival) {
+	ran := countRuns(arrivals)
 	if a.once && ran > 1 {
-		w.breach("%s %s may run once and ran %d times", a.path, a.id, ran)
+		w.violation("%s %s may run once and ran %d times", a.path, a.id, ran)
 	}
 	if !a.once && ran > 2 {
-		w.breach("%s %s ran at %d targets", a.path, a.id, ran)
+		w.violation("%s %s ran at %d targets", a.path, a.id, ran)
 	}
 	if a.once && ran > 0 && a.status == http.StatusServiceUnavailable {
-		w.breach("%s %s was called not run and ran", a.path, a.id)
+		w.violation("%s %s was called not run and ran", a.path, a.id)
 	}
 	if a.status == http.StatusOK {
 		w.checkBody(a)
@@ -89,41 +89,41 @@
 
 // checkBody looks at the body of a success, and at what a caller has of one that broke
 // off.
-func (w *world) checkBody(a answer) {
+func (w *testbed) checkBody(a callResult) {
 	body, want := a.body, "answer to "+a.id
 	if strings.HasPrefix(a.path, "/stream") {
-		body, want = withoutComments(body), events(a.after)
+		body, want = withoutComments(body), streamEvents(a.resumedAfter)
 	}
 	switch {
-	case a.whole && body != want:
-		w.breach("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.after, a.body, w.conduct.faults(a.id))
-	case !a.whole && !isPart(body, want):
-		w.breach("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.after, a.body, w.conduct.faults(a.id))
+	case a.complete && body != want:
+		w.violation("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, w.injector.injectedInto(a.id))
+	case !a.complete && !isPartial(body, want):
+		w.violation("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, w.injector.injectedInto(a.id))
 	}
 }
 
 // checkArrivals looks at what targets got of a request.
-func (w *world) checkArrivals(id string, asked map[string]answer, arrivals []standin.Arrival, made map[string]standin.Piece) {
+func (w *testbed) checkArrivals(id string, asked map[string]callResult, arrivals []standin.Arrival, made map[string]standin.Piece) {
 	a, ok := asked[id]
 	if !ok {
-		w.breach("a target got %s, which nobody sent", id)
+		w.violation("a target got %s, which nobody sent", id)
 		return
 	}
 	for _, arrival := range arrivals {
-		if arrival.Body != a.request() || arrival.Path != a.path || arrival.Account() != "account-1" || arrival.HasKey() {
-			w.breach("%s %s reached a target changed: %v", a.path, id, arrival)
+		if arrival.Body != a.requestBody() || arrival.Path != a.path || arrival.Account() != "account-1" || arrival.HasKey() {
+			w.violation("%s %s reached a target changed: %v", a.path, id, arrival)
 		}
-		if after, err := lastID(arrival); err != nil || after < a.after {
-			w.breach("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.after, arrival.ResumesAfter())
+		if after, err := resumedAfter(arrival); err != nil || after < a.resumedAfter {
+			w.violation("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.resumedAfter, arrival.ResumesAfter())
 		}
 		if a.path == "/stream-staged/a" {
-			w.checkInputs(id, arrival.Inputs(), a.pieces[1], 1, made)
+			w.checkInputs(id, arrival.Inputs(), a.pieceCounts[1], 1, made)
 		}
 	}
 }
 
 // lastID is the event behind which a target was told to go on; 0 for none.
-func lastID(a standin.Arrival) (int, error) {
+func resumedAfter(a standin.Arrival) (int, error) {
 	if a.ResumesAfter() == "" {
 		return 0, nil
 	}
@@ -132,30 +132,30 @@
 
 // checkInputs looks at the results that are read together: all of one stage of one
 // request, each once.
-func (w *world) checkInputs(id string, inputs []string, want, stage int, made map[string]standin.Piece) {
+func (w *testbed) checkInputs(id string, inputs []string, want, stage int, made map[string]standin.Piece) {
 	seen := map[int]bool{}
 	for _, handle := range inputs {
 		p, ok := made[handle]
 		if !ok || p.ID != id || p.Stage != stage || seen[p.Index] {
-			w.breach("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
+			w.violation("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
 		}
 		seen[p.Index] = true
 	}
 	if len(inputs) != want {
-		w.breach("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
+		w.violation("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
 	}
 }
 
 // checkPieces looks at the pieces that targets were asked for.
-func (w *world) checkPieces(asked map[string]answer, made map[string]standin.Piece) {
+func (w *testbed) checkPieces(asked map[string]callResult, made map[string]standin.Piece) {
 	for _, p := range made {
 		a, ok := asked[p.ID]
-		if !ok || p.Stage > 1 || p.Index >= a.pieces[p.Stage] {
-			w.breach("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
+		if !ok || p.Stage > 1 || p.Index >= a.pieceCounts[p.Stage] {
+			w.violation("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
 			continue
 		}
-		if p.Stage == 1 && a.pieces[0] > 0 {
-			w.checkInputs(p.ID, p.Inputs, a.pieces[0], 0, made)
+		if p.Stage == 1 && a.pieceCounts[0] > 0 {
+			w.checkInputs(p.ID, p.Inputs, a.pieceCounts[0], 0, made)
 		}
 	}
 }
--- a/testkit/soak/conduct.go
+++ b/testkit/soak/conduct.go
@@ -26,61 +26,61 @@
 const (
 	// troubleLeast and troubleMost bound a span in which all engines misbehave, and
 	// troubleRest the time to the next.
-	troubleLeast = time.Second
-	troubleMost  = 3 * time.Second
-	troubleRest  = time.Second
+	minEngineFaultTime  = time.Second
+	maxEngineFaultTime  = 3 * time.Second
+	maxEngineFaultPause = time.Second
 	// faultyLeast and faultyMost bound one in how many requests meets faults then.
-	faultyLeast = 2
-	faultyMost  = 6
+	minFaultOneIn = 2
+	maxFaultOneIn = 6
 	// wellAgain is one in how many targets after the first serve such a request well.
-	wellAgain = 3
+	recoveredOneIn = 3
 )
 
 // conduct is how targets serve: single ones badly, or all engines at once.
-type conduct struct {
+type faultInjector struct {
 	seed uint64
 
 	mu sync.Mutex
 	// alone are the faults of targets that misbehave by themselves, by name.
-	alone map[string]func() standin.Fault
+	targetFaults map[string]func() standin.Fault
 	// every is one in how many requests meets faults at the engines; 0 for none.
-	every int
+	oneIn int
 	// met are the faults that each request met at engines, in turn.
-	met map[string][]standin.Fault
+	injected map[string][]standin.Fault
 }
 
-func newConduct(seed uint64) *conduct {
-	return &conduct{seed: seed, alone: map[string]func() standin.Fault{}, met: map[string][]standin.Fault{}}
+func newFaultInjector(seed uint64) *faultInjector {
+	return &faultInjector{seed: seed, targetFaults: map[string]func() standin.Fault{}, injected: map[string][]standin.Fault{}}
 }
 
 // fault tells how a target serves a request.
-func (c *conduct) fault(target string, a standin.Arrival) standin.Fault {
+func (c *faultInjector) nextFault(target string, a standin.Arrival) standin.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if isCrashing(a) {
+	if isCrashRequest(a) {
 		return crashFault(target)
 	}
 	fault := standin.NoFault
-	if alone := c.alone[target]; alone != nil {
+	if alone := c.targetFaults[target]; alone != nil {
 		fault = alone()
 	}
 	if !strings.HasPrefix(target, "engine-") {
 		return fault
 	}
-	if fault == standin.NoFault && c.every > 0 {
-		fault = c.draw(a, len(c.met[a.ID]))
+	if fault == standin.NoFault && c.oneIn > 0 {
+		fault = c.sample(a, len(c.injected[a.ID]))
 	}
-	c.met[a.ID] = append(c.met[a.ID], fault)
+	c.injected[a.ID] = append(c.injected[a.ID], fault)
 	return fault
 }
 
 // draw chooses the fault that a request meets at the target after so many others. It
 // depends on the seed and the request alone, not on the order in which requests come.
-func (c *conduct) draw(a standin.Arrival, others int) standin.Fault {
+func (c *faultInjector) sample(a standin.Arrival, others int) standin.Fault {
 	id := fnv.New64a()
 	_, _ = id.Write([]byte(a.ID)) // a hash takes all
 	random := rand.New(rand.NewPCG(c.seed, id.Sum64()))
-	if random.IntN(c.every) > 0 {
+	if random.IntN(c.oneIn) > 0 {
 		return standin.NoFault
 	}
 	faults := streamFaults
@@ -90,7 +90,7 @@
 	fault := faults[random.IntN(len(faults))]
 	for range others {
 		fault = streamFaults[random.IntN(len(streamFaults))]
-		if random.IntN(wellAgain) == 0 {
+		if random.IntN(recoveredOneIn) == 0 {
 			fault = standin.NoFault
 		}
 	}
@@ -102,42 +102,42 @@
 }
 
 // misbehave has one target misbehave until the function that it returns is called.
-func (c *conduct) misbehave(target string, fault func() standin.Fault) (end func()) {
+func (c *faultInjector) injectAt(target string, fault func() standin.Fault) (end func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alone[target] = fault
+	c.targetFaults[target] = fault
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.alone, target)
+		delete(c.targetFaults, target)
 	}
 }
 
 // trouble has one in so many requests meet faults at all engines; 0 ends it.
-func (c *conduct) trouble(every int) {
+func (c *faultInjector) setRate(every int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.every = every
+	c.oneIn = every
 }
 
 // faults returns what a request met at engines, in turn.
-func (c *conduct) faults(id string) []standin.Fault {
+func (c *faultInjector) injectedInto(id string) []standin.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.met[id])
+	return slices.Clone(c.injected[id])
 }
 
 // troubleEngines has all engines misbehave at once, again and again until the time is
 // over, so that a stream meets one fault at its first target and another at its second.
-func (w *world) troubleEngines(until time.Time) {
+func (w *testbed) injectEngineFaults(until time.Time) {
 	random := rand.New(rand.NewPCG(w.options.Seed, 3<<32))
 	for time.Now().Before(until) {
-		every := faultyLeast + random.IntN(faultyMost-faultyLeast+1)
-		span := between(random, troubleLeast, troubleMost)
-		w.note("engines misbehave for %v, one request in %d", span, every)
-		w.conduct.trouble(every)
+		every := minFaultOneIn + random.IntN(maxFaultOneIn-minFaultOneIn+1)
+		span := randomDuration(random, minEngineFaultTime, maxEngineFaultTime)
+		w.logf("engines misbehave for %v, one request in %d", span, every)
+		w.injector.setRate(every)
 		time.Sleep(min(span, time.Until(until)))
-		w.conduct.trouble(0)
-		time.Sleep(between(random, 0, troubleRest))
+		w.injector.setRate(0)
+		time.Sleep(randomDuration(random, 0, maxEngineFaultPause))
 	}
 }
--- a/testkit/soak/config.go
+++ b/testkit/soak/config.go
@@ -5,21 +5,21 @@
 // keptKeys is how many versions a key is good for, keptKeysPlanned where callers wait
 // until a key is in force everywhere before they use it.
 const (
-	keptKeys        = 2
-	keptKeysPlanned = 4
+	keysInForce        = 2
+	keysInForcePlanned = 4
 )
 
 // configure writes the next version of the configuration. Its keys are those of the
 // latest versions, the newest first, so that a caller's key is good for a while.
-func (w *world) configure() {
-	w.version++
-	kept, timeout := keptKeys, requestWait
+func (w *testbed) writeConfiguration() {
+	w.configVersion++
+	kept, timeout := keysInForce, requestDeadline
 	if w.options.Planned {
-		kept, timeout = keptKeysPlanned, longestWait
+		kept, timeout = keysInForcePlanned, maxStreamDeadline
 	}
 	var keys []string
 	for n := range kept {
-		keys = append(keys, fmt.Sprint("key-", w.version-n))
+		keys = append(keys, fmt.Sprint("key-", w.configVersion-n))
 	}
 	route := func(name, prefix, kind, service string, more map[string]any) map[string]any {
 		r := map[string]any{
@@ -44,7 +44,7 @@
 		return s
 	}
 	w.store.Put("config", "main", map[string]any{
-		"version": w.version,
+		"version": w.configVersion,
 		"routes": []map[string]any{
 			route("once", "/once/", "non_idempotent", "plain", nil),
 			route("get", "/get/", "idempotent", "plain", map[string]any{"max_attempts": 2}),
--- a/testkit/soak/events.go
+++ b/testkit/soak/events.go
@@ -7,12 +7,12 @@
 )
 
 // unnumbered is the event without an id that a target may send before it breaks off.
-const unnumbered = "data: token 1\n\n"
+const unnumberedEvent = "data: token 1\n\n"
 
 // events is a stream behind one of its events; 0 for all of it.
-func events(after int) string {
+func streamEvents(after int) string {
 	var text strings.Builder
-	for i := after + 1; i <= eventsOfAStream; i++ {
+	for i := after + 1; i <= eventsPerStream; i++ {
 		fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", i, i)
 	}
 	return text.String()
@@ -42,16 +42,16 @@
 
 // isPart tells whether a caller may have this much of a stream when it breaks off: its
 // first events, and behind them one that its target sent without an id.
-func isPart(got, stream string) bool {
+func isPartial(got, stream string) bool {
 	if strings.HasPrefix(stream, got) {
 		return true
 	}
-	numbered, ok := strings.CutSuffix(got, unnumbered)
+	numbered, ok := strings.CutSuffix(got, unnumberedEvent)
 	return ok && strings.HasPrefix(stream, numbered) && (numbered == "" || strings.HasSuffix(numbered, "\n\n"))
 }
 
 // lastEvent is the id of the last whole event; 0 if there is none with an id.
-func lastEvent(body string) int {
+func lastEventID(body string) int {
 	last := 0
 	blocks := strings.Split(body, "\n\n")
 	for _, block := range blocks[:len(blocks)-1] {
--- a/testkit/soak/faults.go
+++ b/testkit/soak/faults.go
@@ -11,11 +11,11 @@
 )
 
 // harm draws faults until the time is over. They come in series and overlap.
-func (w *world) harm(until time.Time) {
+func (w *testbed) injectFaults(until time.Time) {
 	done := make(chan struct{}, 64)
 	running := 0
 	for time.Now().Before(until) {
-		fault := w.draw()
+		fault := w.sampleFault()
 		running++
 		go func() {
 			fault()
@@ -30,7 +30,7 @@
 
 // draw chooses a fault. All that is drawn is drawn here, so that a seed gives the
 // same series.
-func (w *world) draw() func() {
+func (w *testbed) sampleFault() func() {
 	in := w.instances[w.random.IntN(len(w.instances))]
 	names := []string{"plain-1", "plain-2", "engine-1", "engine-2", "stage-1"}
 	target := names[w.random.IntN(len(names))]
@@ -42,7 +42,7 @@
 	kind := w.random.IntN(12)
 	behaviour := standin.Fault(w.random.IntN(int(standin.Unframed) + 1))
 	every := 2 + w.random.IntN(10)
-	w.note("kind %d, %s, %s, path %s, %v, fault %d of one in %d", kind, in.name, target, path, span, behaviour, every)
+	w.logf("kind %d, %s, %s, path %s, %v, fault %d of one in %d", kind, in.name, target, path, span, behaviour, every)
 	switch kind {
 	case 0:
 		return func() { w.restart(in, syscall.SIGKILL, span) }
@@ -55,13 +55,13 @@
 			in.signal(syscall.SIGCONT, false)
 		}
 	case 3:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.Mute(relay.Both) }) }
+		return func() { w.disturbPath(path, span, func(r *relay.Relay) { r.Mute(relay.Both) }) }
 	case 4:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.MuteNew(relay.Both) }) }
+		return func() { w.disturbPath(path, span, func(r *relay.Relay) { r.MuteNew(relay.Both) }) }
 	case 5:
-		return func() { w.onPath(path, span, (*relay.Relay).Reset) }
+		return func() { w.disturbPath(path, span, (*relay.Relay).Reset) }
 	case 6:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.Delay(relay.Both, span/10) }) }
+		return func() { w.disturbPath(path, span, func(r *relay.Relay) { r.Delay(relay.Both, span/10) }) }
 	case 7:
 		return func() {
 			w.store.Refuse(func(*http.Request) int { return http.StatusServiceUnavailable })
@@ -73,13 +73,13 @@
 	case 9:
 		return w.reconfigure
 	case 10:
-		return func() { w.misbehave(target, behaviour, every, span) }
+		return func() { w.injectTargetFault(target, behaviour, every, span) }
 	default:
-		return in.hangUp
+		return in.reload
 	}
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *testbed) logf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, fmt.Sprintf(format, args...))
@@ -87,39 +87,39 @@
 
 // reconfigure writes a version; the latest but one stays good, so at most one a
 // second.
-func (w *world) reconfigure() {
+func (w *testbed) reconfigure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.configure()
+	w.writeConfiguration()
 }
 
 // restart ends an instance and starts it again after a while.
-func (w *world) restart(in *instance, s syscall.Signal, after time.Duration) {
+func (w *testbed) restart(in *instance, s syscall.Signal, after time.Duration) {
 	in.restarting.Lock()
 	defer in.restarting.Unlock()
 	in.signal(syscall.SIGCONT, false)
 	in.signal(s, true)
-	in.await()
+	in.awaitExit()
 	time.Sleep(after)
 	if err := w.launch(in); err != nil {
-		w.breach("%s doesn't start: %v", in.name, err)
+		w.violation("%s doesn't start: %v", in.name, err)
 	}
 }
 
 // onPath harms a path and heals it.
-func (w *world) onPath(name string, span time.Duration, harm func(*relay.Relay)) {
+func (w *testbed) disturbPath(name string, span time.Duration, harm func(*relay.Relay)) {
 	_, path := w.target(name)
 	harm(path)
 	time.Sleep(span)
 	if err := path.Restore(); err != nil {
-		w.breach("path %s doesn't heal: %v", name, err)
+		w.violation("path %s doesn't heal: %v", name, err)
 	}
 }
 
 // misbehave has a target serve one request in a few badly.
-func (w *world) misbehave(name string, fault standin.Fault, every int, span time.Duration) {
+func (w *testbed) injectTargetFault(name string, fault standin.Fault, every int, span time.Duration) {
 	n := 0
-	end := w.conduct.misbehave(name, func() standin.Fault {
+	end := w.injector.injectAt(name, func() standin.Fault {
 		if n++; n%every == 0 {
 			return fault
 		}
--- a/testkit/soak/instance.go
+++ b/testkit/soak/instance.go
@@ -20,50 +20,50 @@
 	balancerDelay = 500 * time.Millisecond
 	// lateGrace is how much longer than its grace a process may last; a paused or
 	// busy one needs some of it.
-	lateGrace = 2 * time.Second
+	graceTolerance = 2 * time.Second
 )
 
 // instance is one daemon, started again whenever it ends.
 type instance struct {
-	name     string
-	callers  string
-	admin    string
-	settings string
+	name          string
+	callerAddress string
+	adminAddress  string
+	settingsPath  string
 	// text is the settings but for the times of a planned stop.
-	text string
-	log  *os.File
+	baseSettings string
+	log          *os.File
 	// grace is the time that a planned stop has.
 	grace time.Duration
 	// oneCore has one thread run at a time, as on a small machine: what is due after a
 	// pause is done in turn, timers before what lies in sockets.
-	oneCore bool
+	singleThread bool
 	// restarting is held from an end to the next start.
 	restarting sync.Mutex
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	life    *life
+	history *processHistory
 	// ended is closed when the present process has ended.
-	ended chan struct{}
+	exited chan struct{}
 	// asked tells that the run itself ended the present process.
-	asked bool
+	endRequested bool
 }
 
 // addInstance writes an instance's settings and starts it.
-func (w *world) addInstance(name string) error {
+func (w *testbed) addInstance(name string) error {
 	path, err := relay.Start("127.0.0.1:0", w.storeHTTP.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	w.paths[name] = path
+	w.relays[name] = path
 	ports, err := w.reservePorts(3)
 	if err != nil {
 		return err
 	}
 	in := &instance{
-		name: name, callers: ports[0], admin: ports[1], settings: filepath.Join(w.options.Dir, name+".ini"),
-		grace: grace, oneCore: w.options.Planned && len(w.instances)%2 == 0,
-		text: fmt.Sprintf("[instance]\nname = %s\ndata_centre = x\n[listen]\ncallers = %s\nadmin = %s\npeers = %s\n"+
+		name: name, callerAddress: ports[0], adminAddress: ports[1], settingsPath: filepath.Join(w.options.Dir, name+".ini"),
+		grace: grace, singleThread: w.options.Planned && len(w.instances)%2 == 0,
+		baseSettings: fmt.Sprintf("[instance]\nname = %s\ndata_centre = x\n[listen]\ncallers = %s\nadmin = %s\npeers = %s\n"+
 			"[platform]\nurl = http://%s\ncalls_per_second = 200\n", name, ports[0], ports[1], ports[2], path.Addr()),
 	}
 	if w.options.Planned && len(w.instances)%3 == 1 {
@@ -81,18 +81,18 @@
 
 // writeSettings puts a settings file in place, whole at any moment.
 func (in *instance) writeSettings(delay time.Duration) error {
-	text := in.text + fmt.Sprintf("[shutdown]\ngrace = %s\nbalancer_delay = %s\n", in.grace, delay)
-	if err := os.WriteFile(in.settings+".new", []byte(text), 0o600); err != nil {
+	text := in.baseSettings + fmt.Sprintf("[shutdown]\ngrace = %s\nbalancer_delay = %s\n", in.grace, delay)
+	if err := os.WriteFile(in.settingsPath+".new", []byte(text), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(in.settings+".new", in.settings)
+	return os.Rename(in.settingsPath+".new", in.settingsPath)
 }
 
 // launch starts an instance's process and watches for its end.
-func (w *world) launch(in *instance) error {
-	command := exec.Command(w.options.Binary, "gateway", "--config", in.settings)
+func (w *testbed) launch(in *instance) error {
+	command := exec.Command(w.options.Binary, "gateway", "--config", in.settingsPath)
 	command.Stdout, command.Stderr = in.log, in.log
-	if in.oneCore {
+	if in.singleThread {
 		command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
 	// The process ends with this one, however this one ends.
@@ -102,21 +102,21 @@
 	}
 	in.mu.Lock()
 	ended := make(chan struct{})
-	l := &life{instance: in.name, grace: in.grace, launched: time.Now()}
-	in.process, in.life, in.asked, in.ended = command, l, false, ended
+	l := &processHistory{instance: in.name, grace: in.grace, launchedAt: time.Now()}
+	in.process, in.history, in.endRequested, in.exited = command, l, false, ended
 	in.mu.Unlock()
 	go func() {
 		defer close(ended)
 		err := command.Wait()
-		l.end()
+		l.recordExit()
 		in.mu.Lock()
-		asked := in.asked
+		asked := in.endRequested
 		in.mu.Unlock()
 		if !asked {
-			w.breach("%s ended by itself: %v", in.name, err)
+			w.violation("%s ended by itself: %v", in.name, err)
 		}
-		if err != nil && w.options.Planned && l.stopsCleanly() {
-			w.breach("a planned stop ended with %v: %s", err, l.at(time.Now()))
+		if err != nil && w.options.Planned && l.mustExitCleanly() {
+			w.violation("a planned stop ended with %v: %s", err, l.describe(time.Now()))
 		}
 	}()
 	return nil
@@ -126,22 +126,22 @@
 func (in *instance) signal(s syscall.Signal, ends bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.asked = in.asked || ends
+	in.endRequested = in.endRequested || ends
 	in.send(s)
 }
 
 // send sends a signal; the caller holds the lock.
 func (in *instance) send(s syscall.Signal) {
-	in.life.note(s)
+	in.history.recordSignal(s)
 	_ = in.process.Process.Signal(s) // it may have ended
 }
 
 // hangUp has the process read its settings again, once it catches signals. Before, one
 // would end it, as any program.
-func (in *instance) hangUp() {
+func (in *instance) reload() {
 	for {
 		in.mu.Lock()
-		early := startTime - time.Since(in.life.launched)
+		early := startupTime - time.Since(in.history.launchedAt)
 		if early <= 0 {
 			in.send(syscall.SIGHUP)
 			in.mu.Unlock()
@@ -153,14 +153,14 @@
 }
 
 // present is the process that runs, or the one that ran last.
-func (in *instance) present() (l *life, ended <-chan struct{}) {
+func (in *instance) current() (l *processHistory, ended <-chan struct{}) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.life, in.ended
+	return in.history, in.exited
 }
 
 // await waits until the present process has ended.
-func (in *instance) await() {
-	_, ended := in.present()
+func (in *instance) awaitExit() {
+	_, ended := in.current()
 	<-ended
 }
--- a/testkit/soak/keepers.go
+++ b/testkit/soak/keepers.go
@@ -17,31 +17,31 @@
 const (
 	// plannedWait is a caller's patience; it is longer than a request's time and a
 	// pause together, so whatever ends by it had no answer.
-	plannedWait = 8 * time.Second
+	plannedCallerTimeout = 8 * time.Second
 	// longestWait is what streams wait at most. It is longer than a planned stop, so a
 	// stop comes to its end while streams wait for their stages.
-	longestWait = 5 * time.Second
+	maxStreamDeadline = 5 * time.Second
 	// refusedWait bounds how long a caller that was refused stays away.
-	refusedWait = 200 * time.Millisecond
+	maxRefusalPause = 200 * time.Millisecond
 	// settledKey is which of the keys callers use, from the newest: one that had two
 	// seconds to come into force everywhere, and that the next version keeps.
-	settledKey = 2
+	settledKeyIndex = 2
 )
 
 // manners are how a caller uses its connection.
-type manners struct {
+type callerProfile struct {
 	// least and most bound the time between an answer and the next request.
-	least, most time.Duration
+	minPause, maxPause time.Duration
 	// parted is one in how many requests is sent in two parts; 0 for none.
-	parted int
+	splitOneIn int
 }
 
 // partedMost bounds the time between the parts of a request. A stop often finds a
 // request of which it has a part only.
-const partedMost = 300 * time.Millisecond
+const maxSplitPause = 300 * time.Millisecond
 
 // kinds of callers; each caller is of one of them.
-var kinds = []manners{
+var callerProfiles = []callerProfile{
 	{0, 20 * time.Millisecond, 0},
 	{0, 150 * time.Millisecond, 2},
 	{200 * time.Millisecond, 900 * time.Millisecond, 0},
@@ -54,17 +54,17 @@
 
 // exchange is a request on a kept connection and what came of it.
 type exchange struct {
-	answer
-	life *life
+	callResult
+	history *processHistory
 	// wait is the time that the request names.
-	wait time.Duration
+	deadline time.Duration
 	// kept counts the answers that the connection had given before.
-	kept int
+	answersBefore int
 	// sent tells that all bytes were written: from first to last.
-	sent        bool
-	first, last time.Time
+	fullySent           bool
+	firstByte, lastByte time.Time
 	// closed is when the connection was seen to be closed instead of an answer.
-	closed     time.Time
+	closeSeen  time.Time
 	retryAfter string
 	// err is why there is no whole answer.
 	err error
@@ -72,22 +72,22 @@
 
 // keepers send requests on connections that they keep, until the context ends, and
 // return what came of each.
-func (w *world) keepers(ctx context.Context) []exchange {
+func (w *testbed) runPersistentCallers(ctx context.Context) []exchange {
 	var mu sync.Mutex
 	var all []exchange
 	var callers, probes sync.WaitGroup
 	balancing, done := context.WithCancel(context.Background())
-	b := balance(balancing, &probes, w.instances)
+	b := startBalancer(balancing, &probes, w.instances)
 	for i := range w.options.Callers {
-		k := keeper{
-			world: w, balancer: b, number: i, manners: kinds[i%len(kinds)],
+		k := persistentCaller{
+			testbed: w, balancer: b, number: i, profile: callerProfiles[i%len(callerProfiles)],
 			random: rand.New(rand.NewPCG(w.options.Seed, uint64(i)+1)),
 		}
 		callers.Go(func() {
 			k.run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, k.all...)
+			all = append(all, k.exchanges...)
 		})
 	}
 	callers.Wait()
@@ -97,51 +97,51 @@
 }
 
 // keeper is a caller that keeps its connection.
-type keeper struct {
-	world    *world
-	balancer *balancer
-	number   int
-	manners  manners
-	random   *rand.Rand
-	all      []exchange
+type persistentCaller struct {
+	testbed   *testbed
+	balancer  *balancer
+	number    int
+	profile   callerProfile
+	random    *rand.Rand
+	exchanges []exchange
 }
 
-func (c *keeper) run(ctx context.Context) {
+func (c *persistentCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		in := c.balancer.choose(c.random)
 		if in == nil {
-			pause(ctx, probeEvery)
+			sleep(ctx, probeInterval)
 			continue
 		}
-		k := keep(in)
+		k := dialInstance(in)
 		if k == nil {
-			pause(ctx, probeEvery/10)
+			sleep(ctx, probeInterval/10)
 			continue
 		}
-		c.use(ctx, k)
-		_ = k.nc.Close() // it may be closed already
+		c.useConnection(ctx, k)
+		_ = k.conn.Close() // it may be closed already
 	}
 }
 
 // use sends requests on a connection until it is of no use any more.
-func (c *keeper) use(ctx context.Context, k *kept) {
+func (c *persistentCaller) useConnection(ctx context.Context, k *persistentConn) {
 	for {
-		pause(ctx, c.between(c.manners.least, c.manners.most))
-		over, stray := k.over()
+		sleep(ctx, c.randomDuration(c.profile.minPause, c.profile.maxPause))
+		over, stray := k.finished()
 		if stray {
-			c.world.breach("%s sent bytes that nobody asked for", k.life.instance)
+			c.testbed.violation("%s sent bytes that nobody asked for", k.history.instance)
 		}
 		if over || ctx.Err() != nil {
 			return
 		}
-		x := c.next()
-		x.life, x.kept = k.life, k.answers
-		parts := c.parts(&x)
-		k.send(&x, parts, c.between(0, partedMost))
+		x := c.nextRequest()
+		x.history, x.answersBefore = k.history, k.answers
+		parts := c.encodeRequest(&x)
+		k.send(&x, parts, c.randomDuration(0, maxSplitPause))
 		goesOn := k.receive(&x)
-		c.all = append(c.all, x)
+		c.exchanges = append(c.exchanges, x)
 		if x.status == http.StatusServiceUnavailable {
-			pause(ctx, min(seconds(x.retryAfter), refusedWait))
+			sleep(ctx, min(parseRetryAfter(x.retryAfter), maxRefusalPause))
 		}
 		if !goesOn {
 			return
@@ -150,34 +150,34 @@
 }
 
 // next draws the next request.
-func (c *keeper) next() exchange {
-	kind := paths[c.random.IntN(len(paths))]
-	x := exchange{answer: answer{
-		id: fmt.Sprintf("%04x%06x", c.number, len(c.all)), path: kind.path, once: kind.once,
-		pieces: [2]int{c.random.IntN(4), 1 + c.random.IntN(4)},
+func (c *persistentCaller) nextRequest() exchange {
+	kind := requestKinds[c.random.IntN(len(requestKinds))]
+	x := exchange{callResult: callResult{
+		id: fmt.Sprintf("%04x%06x", c.number, len(c.exchanges)), path: kind.path, once: kind.once,
+		pieceCounts: [2]int{c.random.IntN(4), 1 + c.random.IntN(4)},
 	}}
-	x.wait = c.between(time.Second, requestWait)
+	x.deadline = c.randomDuration(time.Second, requestDeadline)
 	if strings.HasPrefix(x.path, "/stream") {
-		x.wait = c.between(requestWait, longestWait)
+		x.deadline = c.randomDuration(requestDeadline, maxStreamDeadline)
 	}
 	return x
 }
 
 // parts are the bytes of a request, in the parts in which they are sent. The cut is
 // in the head as well as in the body.
-func (c *keeper) parts(x *exchange) [][]byte {
+func (c *persistentCaller) encodeRequest(x *exchange) [][]byte {
 	request, err := http.NewRequest(http.MethodPost, "http://host.example"+x.path, strings.NewReader("body of "+x.id))
 	if err != nil {
 		panic(err) // a path of our own
 	}
 	request.Header = standin.Call{
-		ID: x.id, Key: (*c.world.keys.Load())[settledKey], Wait: x.wait, SharedPart: "s1", Pieces: x.pieces[:], PieceKey: "key" + x.id,
+		ID: x.id, Key: (*c.testbed.keys.Load())[settledKeyIndex], Wait: x.deadline, SharedPart: "s1", Pieces: x.pieceCounts[:], PieceKey: "key" + x.id,
 	}.Header()
 	var text bytes.Buffer
 	if err := request.Write(&text); err != nil {
 		panic(err) // a buffer takes all
 	}
-	if c.manners.parted == 0 || c.random.IntN(c.manners.parted) > 0 {
+	if c.profile.splitOneIn == 0 || c.random.IntN(c.profile.splitOneIn) > 0 {
 		return [][]byte{text.Bytes()}
 	}
 	head := bytes.Index(text.Bytes(), []byte("\r\n\r\n"))
@@ -189,12 +189,12 @@
 }
 
 // between draws a time.
-func (c *keeper) between(least, most time.Duration) time.Duration {
+func (c *persistentCaller) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
 }
 
 // pause waits, at most until the context ends.
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
@@ -202,7 +202,7 @@
 }
 
 // seconds reads the time of a Retry-After header; 0 if there is none.
-func seconds(text string) time.Duration {
+func parseRetryAfter(text string) time.Duration {
 	n, _ := strconv.ParseFloat(text, 64) // an unreadable one is found by the check
 	return time.Duration(n * float64(time.Second))
 }
--- a/testkit/soak/life.go
+++ b/testkit/soak/life.go
@@ -8,7 +8,7 @@
 )
 
 // life is what was done to one process of an instance, and when.
-type life struct {
+type processHistory struct {
 	instance string
 	// grace is the time that its planned stop has.
 	grace time.Duration
@@ -16,7 +16,7 @@
 	mu sync.Mutex
 	// launched is when it was started, stopped when its planned stop began, again when
 	// the signal came once more, ended when it was gone; zero if not.
-	launched, stopped, again, ended time.Time
+	launchedAt, stopBeganAt, secondTermAt, exitedAt time.Time
 	// killed tells that it was not to end by itself.
 	killed bool
 	// pauses are the spans in which it was paused; the last may be open.
@@ -32,16 +32,16 @@
 }
 
 // note takes in a signal that is about to be sent.
-func (l *life) note(s syscall.Signal) {
+func (l *processHistory) recordSignal(s syscall.Signal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	switch s {
 	case syscall.SIGTERM:
-		if l.stopped.IsZero() {
-			l.stopped = now
-		} else if l.again.IsZero() {
-			l.again = now
+		if l.stopBeganAt.IsZero() {
+			l.stopBeganAt = now
+		} else if l.secondTermAt.IsZero() {
+			l.secondTermAt = now
 		}
 	case syscall.SIGKILL:
 		l.killed = true
@@ -54,25 +54,25 @@
 	}
 }
 
-func (l *life) end() {
+func (l *processHistory) recordExit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = time.Now()
+	l.exitedAt = time.Now()
 }
 
 // startTime is how long a process may take until it catches signals. One that ends
 // it before has cut nothing.
-const startTime = 250 * time.Millisecond
+const startupTime = 250 * time.Millisecond
 
 // stopsCleanly tells whether the process had to end by itself and without an error.
-func (l *life) stopsCleanly() bool {
+func (l *processHistory) mustExitCleanly() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.killed && !l.stopped.IsZero() && l.stopped.Sub(l.launched) > startTime
+	return !l.killed && !l.stopBeganAt.IsZero() && l.stopBeganAt.Sub(l.launchedAt) > startupTime
 }
 
 // paused tells whether the process was paused at some moment of a span.
-func (l *life) paused(s span) bool {
+func (l *processHistory) paused(s span) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.pauses {
@@ -84,24 +84,24 @@
 }
 
 // sinceStop is how long before a moment the planned stop began, if it had.
-func (l *life) sinceStop(at time.Time) (time.Duration, bool) {
+func (l *processHistory) sinceStop(at time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.stopped.IsZero() || at.Before(l.stopped) {
+	if l.stopBeganAt.IsZero() || at.Before(l.stopBeganAt) {
 		return 0, false
 	}
-	return at.Sub(l.stopped), true
+	return at.Sub(l.stopBeganAt), true
 }
 
 // at tells what had been done to the process by a moment.
-func (l *life) at(moment time.Time) string {
+func (l *processHistory) describe(moment time.Time) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	text := l.instance
 	for _, event := range []struct {
 		name string
 		at   time.Time
-	}{{"stop began", l.stopped}, {"second SIGTERM", l.again}, {"process ended", l.ended}} {
+	}{{"stop began", l.stopBeganAt}, {"second SIGTERM", l.secondTermAt}, {"process ended", l.exitedAt}} {
 		if !event.at.IsZero() {
 			text += fmt.Sprintf(", %s %v before", event.name, moment.Sub(event.at).Round(time.Millisecond))
 		}
--- a/testkit/soak/losses.go
+++ b/testkit/soak/losses.go
@@ -22,26 +22,26 @@
 	// crossing is how long after its first byte a request may see its connection
 	// closed and count as one that crossed the close. On loopback that takes far
 	// less than a millisecond, and a loaded machine some more.
-	crossing = 10 * time.Millisecond
+	crossingTime = 10 * time.Millisecond
 	// early is how long before the end of its time, counted from its last byte, a
 	// request may be given up: its time counts from the head, and a part may come later.
-	early = partedMost + 100*time.Millisecond
+	deadlineTolerance = maxSplitPause + 100*time.Millisecond
 	// crossedShare of all requests may cross a close or come unaccepted; a few may
 	// in a run that is too short for the share to say much.
-	crossedShare = 0.003
-	crossedFew   = 2
+	maxCrossedShare  = 0.003
+	crossedAllowance = 2
 	// A request is refused early enough to be tried elsewhere: not within
 	// lastOfGrace, in which the instance ends what is left, unless it came no longer
 	// than freshRefusal before.
-	lastOfGrace  = 700 * time.Millisecond
-	freshRefusal = time.Second
+	refusalReserve  = 700 * time.Millisecond
+	freshRequestAge = time.Second
 	// servedShare is what a fleet serves at least while it is stopped in turn.
-	servedShare = 0.5
+	minServedSharePlanned = 0.5
 )
 
 // checkPlanned looks for what planned work took from callers: each request whose
 // bytes were sent has a whole answer or a true refusal.
-func (w *world) checkPlanned(all []exchange, s seen) Losses {
+func (w *testbed) checkPlanned(all []exchange, s targetLog) Losses {
 	var losses Losses
 	served := 0
 	for i := range all {
@@ -51,89 +51,89 @@
 			w.checkClosed(x, s, &losses)
 		case x.overdue():
 			losses.Overdue++
-			w.note("overdue: %d, %s", x.status, w.story(x, s))
-		case !x.whole:
-			w.lost(x, s, "was cut in the middle of its answer")
+			w.logf("overdue: %d, %s", x.status, w.describe(x, s))
+		case !x.complete:
+			w.reportLoss(x, s, "was cut in the middle of its answer")
 		case x.status == http.StatusOK:
 			served++
 		case x.status == http.StatusServiceUnavailable:
 			losses.Refused++
 			w.checkRefusal(x, s)
 		default:
-			w.lost(x, s, "was answered %d %q", x.status, x.body)
+			w.reportLoss(x, s, "was answered %d %q", x.status, x.body)
 		}
 	}
-	few := crossedFew + int(crossedShare*float64(len(all)))
+	few := crossedAllowance + int(maxCrossedShare*float64(len(all)))
 	if losses.Crossed > few || losses.Unaccepted > few {
-		w.breach("of %d requests %d crossed the close of an idle connection and %d were not accepted, at most %d may",
+		w.violation("of %d requests %d crossed the close of an idle connection and %d were not accepted, at most %d may",
 			len(all), losses.Crossed, losses.Unaccepted, few)
 	}
-	if float64(served) < servedShare*float64(len(all)) {
-		w.breach("%d of %d requests are served during planned work", served, len(all))
+	if float64(served) < minServedSharePlanned*float64(len(all)) {
+		w.violation("%d of %d requests are served during planned work", served, len(all))
 	}
 	return losses
 }
 
 // overdue tells whether a request was given up when its time was over.
 func (x *exchange) overdue() bool {
-	gaveUp := !x.whole || x.status == http.StatusGatewayTimeout
-	return gaveUp && x.sent && x.ended.Sub(x.last) >= x.wait-early
+	gaveUp := !x.complete || x.status == http.StatusGatewayTimeout
+	return gaveUp && x.fullySent && x.ended.Sub(x.lastByte) >= x.deadline-deadlineTolerance
 }
 
 // checkClosed looks at a request without any answer.
-func (w *world) checkClosed(x *exchange, s seen, losses *Losses) {
-	between := span{x.first, x.closed}
-	sinceStop, stopping := x.life.sinceStop(x.first)
+func (w *testbed) checkClosed(x *exchange, s targetLog, losses *Losses) {
+	between := span{x.firstByte, x.closeSeen}
+	sinceStop, stopping := x.history.sinceStop(x.firstByte)
 	switch {
 	case timedOut(x.err):
-		w.lost(x, s, "was not answered")
-	case len(s.arrived[x.id]) > 0:
-		w.lost(x, s, "reached a target and was closed without an answer")
-	case s.pieces[x.id] > 0:
-		w.lost(x, s, "was closed without an answer after %d pieces were made", s.pieces[x.id])
-	case x.kept == 0 && stopping && sinceStop > balancerDelay:
+		w.reportLoss(x, s, "was not answered")
+	case len(s.arrivals[x.id]) > 0:
+		w.reportLoss(x, s, "reached a target and was closed without an answer")
+	case s.pieceCounts[x.id] > 0:
+		w.reportLoss(x, s, "was closed without an answer after %d pieces were made", s.pieceCounts[x.id])
+	case x.answersBefore == 0 && stopping && sinceStop > balancerDelay:
 		// The balancer has looked away by then; what is connected may wait for an
 		// accept that doesn't come.
 		losses.Unaccepted++
-		w.note("not accepted: %s", w.story(x, s))
-	case x.life.paused(between):
-		w.lost(x, s, "lay in the socket of a paused instance and was closed without an answer")
-	case x.closed.Sub(x.first) > crossing:
-		w.lost(x, s, "was closed without an answer")
+		w.logf("not accepted: %s", w.describe(x, s))
+	case x.history.paused(between):
+		w.reportLoss(x, s, "lay in the socket of a paused instance and was closed without an answer")
+	case x.closeSeen.Sub(x.firstByte) > crossingTime:
+		w.reportLoss(x, s, "was closed without an answer")
 	default:
 		losses.Crossed++
-		w.note("crossed a close: %s", w.story(x, s))
+		w.logf("crossed a close: %s", w.describe(x, s))
 	}
 }
 
 // checkRefusal looks at a refusal: that it is true, says when to come back, and came
 // in time for another instance.
-func (w *world) checkRefusal(x *exchange, s seen) {
-	if runs(s.arrived[x.id]) > 0 {
-		w.lost(x, s, "ran and was refused")
+func (w *testbed) checkRefusal(x *exchange, s targetLog) {
+	if countRuns(s.arrivals[x.id]) > 0 {
+		w.reportLoss(x, s, "ran and was refused")
 	}
-	if seconds(x.retryAfter) <= 0 {
-		w.lost(x, s, "was refused without a time to come back: %q", x.retryAfter)
+	if parseRetryAfter(x.retryAfter) <= 0 {
+		w.reportLoss(x, s, "was refused without a time to come back: %q", x.retryAfter)
 	}
-	since, stopping := x.life.sinceStop(x.ended)
-	if stopping && since > x.life.grace-lastOfGrace && x.ended.Sub(x.first) > freshRefusal {
-		w.lost(x, s, "was refused at the end of the grace only")
+	since, stopping := x.history.sinceStop(x.ended)
+	if stopping && since > x.history.grace-refusalReserve && x.ended.Sub(x.firstByte) > freshRequestAge {
+		w.reportLoss(x, s, "was refused at the end of the grace only")
 	}
 }
 
 // lost notes what became of a request that planned work cost its caller.
-func (w *world) lost(x *exchange, s seen, format string, args ...any) {
-	w.breach("%s %s %s, %s", x.path, x.id, fmt.Sprintf(format, args...), w.story(x, s))
+func (w *testbed) reportLoss(x *exchange, s targetLog, format string, args ...any) {
+	w.violation("%s %s %s, %s", x.path, x.id, fmt.Sprintf(format, args...), w.describe(x, s))
 }
 
 // story tells what happened to a request, and what was done to its instance.
-func (w *world) story(x *exchange, s seen) string {
+func (w *testbed) describe(x *exchange, s targetLog) string {
 	after := func(t time.Time) time.Duration {
 		if t.IsZero() {
 			return -1 // it didn't come to that
 		}
-		return t.Sub(x.first).Round(100 * time.Microsecond)
+		return t.Sub(x.firstByte).Round(100 * time.Microsecond)
 	}
 	return fmt.Sprintf("%v after its first byte, last byte sent after %v, close seen after %v, %d answers before, %d arrivals, %v: %s",
-		after(x.ended), after(x.last), after(x.closed), x.kept, len(s.arrived[x.id]), x.err, x.life.at(x.ended))
+		after(x.ended), after(x.lastByte), after(x.closeSeen), x.answersBefore, len(s.arrivals[x.id]), x.err, x.history.describe(x.ended))
 }
--- a/testkit/soak/soak_test.go
+++ b/testkit/soak/soak_test.go
@@ -48,8 +48,8 @@
 				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: 5 * time.Second, Instances: 3, Callers: 8,
 			})
 			require.NoError(t, err)
-			t.Logf("%d requests, %d served", report.Answers, report.Served)
-			require.Empty(t, report.Broken, "faults: %v", report.Faults)
+			t.Logf("%d requests, %d served", report.Requests, report.Served)
+			require.Empty(t, report.Violations, "faults: %v", report.Faults)
 		})
 	}
 }
@@ -62,8 +62,8 @@
 		Binary: binary, Dir: t.TempDir(), Seed: 7010, Faults: 500 * time.Millisecond, Instances: 3, Callers: 8, Silences: 1,
 	})
 	require.NoError(t, err)
-	t.Logf("%d requests, %d served", report.Answers, report.Served)
-	require.Empty(t, report.Broken, "faults: %v", report.Faults)
+	t.Logf("%d requests, %d served", report.Requests, report.Served)
+	require.Empty(t, report.Violations, "faults: %v", report.Faults)
 }
 
 // A work order ends with a closed connection though only planned work is going on:
@@ -79,8 +79,8 @@
 				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: 4 * time.Second, Instances: 3, Callers: 120, Planned: true,
 			})
 			require.NoError(t, err)
-			t.Logf("%d requests, %d served, losses %+v", report.Answers, report.Served, report.Losses)
-			require.Empty(t, report.Broken, "planned work: %v", report.Faults)
+			t.Logf("%d requests, %d served, losses %+v", report.Requests, report.Served, report.Losses)
+			require.Empty(t, report.Violations, "planned work: %v", report.Faults)
 		})
 	}
 }
--- a/testkit/soak/targets.go
+++ b/testkit/soak/targets.go
@@ -16,47 +16,47 @@
 	// some room; its entry goes then.
 	drainTime = 2500 * time.Millisecond
 	// holdTime is how long a target lives on for the readers of its results.
-	holdTime = 4500 * time.Millisecond
+	resultRetention = 4500 * time.Millisecond
 	// streamPace is the pause before each event of a stream; streams are far
 	// shorter than a planned stop.
-	streamPace        = 10 * time.Millisecond
-	streamPacePlanned = 80 * time.Millisecond
+	eventInterval        = 10 * time.Millisecond
+	eventIntervalPlanned = 80 * time.Millisecond
 	// slowest is the delay of a stage's call each way that leaves a stream with two
 	// stages time within its wait, if not within a planned stop.
-	slowest = time.Second
+	maxStageDelay = time.Second
 )
 
-func (w *world) addTarget(name string) error {
+func (w *testbed) addTarget(name string) error {
 	t := standin.NewTarget(name)
-	pace := streamPace
+	pace := eventInterval
 	if w.options.Planned {
-		pace = streamPacePlanned
+		pace = eventIntervalPlanned
 	}
-	t.SetStream(eventsOfAStream, pace)
-	t.SetFaults(func(a standin.Arrival) standin.Fault { return w.conduct.fault(name, a) })
+	t.SetStream(eventsPerStream, pace)
+	t.SetFaults(func(a standin.Arrival) standin.Fault { return w.injector.nextFault(name, a) })
 	path, err := relay.Start("127.0.0.1:0", t.Address())
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.targets[name], w.paths[name] = t, path
+	w.targets[name], w.relays[name] = t, path
 	w.mu.Unlock()
-	if slices.Contains(crashing, name) {
-		w.canCrash(name)
+	if slices.Contains(crashingTargets, name) {
+		w.enableCrashes(name)
 	}
-	w.enter(name, "ready")
+	w.writeEntry(name, "ready")
 	return nil
 }
 
 // target returns a target and the relay before it.
-func (w *world) target(name string) (*standin.Target, *relay.Relay) {
+func (w *testbed) target(name string) (*standin.Target, *relay.Relay) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.targets[name], w.paths[name]
+	return w.targets[name], w.relays[name]
 }
 
 // enter writes a target's entry, under the address of the relay before it.
-func (w *world) enter(name, state string) {
+func (w *testbed) writeEntry(name, state string) {
 	service, _, _ := strings.Cut(name, "-")
 	target, path := w.target(name)
 	entry := target.Entry(service, "x", state)
@@ -68,10 +68,10 @@
 var replaceable = []string{"plain-3", "engine-3", "stage-2"}
 
 // changes writes configurations and replaces targets until the time is over.
-func (w *world) changes(until time.Time, rest time.Duration, random *rand.Rand) {
+func (w *testbed) runChanges(until time.Time, rest time.Duration, random *rand.Rand) {
 	current := append([]string{}, replaceable...)
 	for n := 1; time.Now().Before(until); n++ {
-		time.Sleep(rest + between(random, time.Second, 2*time.Second))
+		time.Sleep(rest + randomDuration(random, time.Second, 2*time.Second))
 		w.reconfigure()
 		slot := random.IntN(len(current))
 		if random.IntN(2) == 0 {
@@ -79,29 +79,29 @@
 		}
 		service, _, _ := strings.Cut(current[slot], "-")
 		next := fmt.Sprintf("%s-new-%d", service, n)
-		w.note("planned: %s leaves, %s comes", current[slot], next)
+		w.logf("planned: %s leaves, %s comes", current[slot], next)
 		if err := w.addTarget(next); err != nil {
-			w.breach("%s doesn't start: %v", next, err)
+			w.violation("%s doesn't start: %v", next, err)
 			return
 		}
-		w.leave(current[slot])
+		w.removeTarget(current[slot])
 		current[slot] = next
 	}
 }
 
 // slowStages has the calls of stages take longer for a while, as under a load: streams
 // that were admitted before then wait for their stages when a stop comes to its end.
-func (w *world) slowStages(by, span time.Duration) {
-	w.note("planned: stages are slow by %v each way for %v", by, span)
+func (w *testbed) slowStages(by, span time.Duration) {
+	w.logf("planned: stages are slow by %v each way for %v", by, span)
 	w.delayStages(by)
 	time.Sleep(span)
 	w.delayStages(0)
 }
 
-func (w *world) delayStages(by time.Duration) {
+func (w *testbed) delayStages(by time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name, path := range w.paths {
+	for name, path := range w.relays {
 		if strings.HasPrefix(name, "stage-") {
 			path.Delay(relay.Both, by)
 		}
@@ -109,14 +109,14 @@
 }
 
 // leave has a target leave: it says so, its entry goes, then the target itself.
-func (w *world) leave(name string) {
-	w.enter(name, "draining")
-	w.leaving.Go(func() {
-		if !w.waits(drainTime) {
+func (w *testbed) removeTarget(name string) {
+	w.writeEntry(name, "draining")
+	w.departures.Go(func() {
+		if !w.waitUnlessOver(drainTime) {
 			return
 		}
 		w.store.Delete("servers", name)
-		if !w.waits(holdTime) {
+		if !w.waitUnlessOver(resultRetention) {
 			return
 		}
 		target, path := w.target(name)
@@ -126,7 +126,7 @@
 }
 
 // waits waits, and tells whether the run goes on.
-func (w *world) waits(span time.Duration) bool {
+func (w *testbed) waitUnlessOver(span time.Duration) bool {
 	select {
 	case <-w.over:
 		return false
--- a/testkit/soak/world.go
+++ b/testkit/soak/world.go
@@ -36,35 +36,35 @@
 }
 
 // world is one run.
-type world struct {
+type testbed struct {
 	options   Options
 	random    *rand.Rand
-	conduct   *conduct
+	injector  *faultInjector
 	store     *standin.Store
 	storeHTTP *httptest.Server
 	targets   map[string]*standin.Target
 	// paths are the relays before targets, by name, and before the store, by
 	// instance.
-	paths     map[string]*relay.Relay
+	relays    map[string]*relay.Relay
 	instances []*instance
 	// reserved are the sockets that hold the instances' ports.
-	reserved []int
-	version  int
-	keys     atomic.Pointer[[]string]
+	reservedSockets []int
+	configVersion   int
+	keys            atomic.Pointer[[]string]
 
 	// over is closed at the end of the run, leaving are the targets on their way out.
-	over    chan struct{}
-	leaving sync.WaitGroup
+	over       chan struct{}
+	departures sync.WaitGroup
 
-	mu     sync.Mutex
-	faults []string
-	broken []string
+	mu         sync.Mutex
+	faults     []string
+	violations []string
 }
 
-func newWorld(o Options) (*world, error) {
-	w := &world{
-		options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), conduct: newConduct(o.Seed),
-		store: standin.NewStore(), targets: map[string]*standin.Target{}, paths: map[string]*relay.Relay{},
+func newTestbed(o Options) (*testbed, error) {
+	w := &testbed{
+		options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), injector: newFaultInjector(o.Seed),
+		store: standin.NewStore(), targets: map[string]*standin.Target{}, relays: map[string]*relay.Relay{},
 		over: make(chan struct{}),
 	}
 	w.storeHTTP = httptest.NewServer(w.store)
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 	}
-	w.configure()
+	w.writeConfiguration()
 	for i := range o.Instances {
 		if err := w.addInstance(fmt.Sprintf("instance-%d", i+1)); err != nil {
 			return nil, err
@@ -86,14 +86,14 @@
 // listen holds each of them while the soak runs: an instance can listen there, but
 // while it is down no connection and no other listener gets the port. Else the
 // instance could not start again.
-func (w *world) reservePorts(n int) ([]string, error) {
+func (w *testbed) reservePorts(n int) ([]string, error) {
 	var addresses []string
 	for range n {
 		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
 			return nil, errors.Wrap(err, "reserve a port")
 		}
-		w.reserved = append(w.reserved, fd)
+		w.reservedSockets = append(w.reservedSockets, fd)
 		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 			return nil, errors.Wrap(err, "reserve a port")
 		}
@@ -114,20 +114,20 @@
 }
 
 // breach notes a promise that was broken.
-func (w *world) breach(format string, args ...any) {
+func (w *testbed) violation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *world) close() {
+func (w *testbed) close() {
 	close(w.over)
-	w.leaving.Wait()
+	w.departures.Wait()
 	for _, in := range w.instances {
 		in.signal(syscall.SIGCONT, true)
 		in.signal(syscall.SIGKILL, true)
 	}
-	for _, path := range w.paths {
+	for _, path := range w.relays {
 		path.Close()
 	}
 	for _, t := range w.targets {
@@ -135,7 +135,7 @@
 	}
 	w.storeHTTP.CloseClientConnections()
 	w.storeHTTP.Close()
-	for _, fd := range w.reserved {
+	for _, fd := range w.reservedSockets {
 		_ = syscall.Close(fd) // the ports are of no use any more
 	}
 	for _, in := range w.instances {
