--- a/testkit/cmd/soak/main.go
+++ b/testkit/cmd/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak plays seeds of the fault soak by hand.
+// Command soak runs the fault soak with a series of seeds.
 package main
 
 import (
@@ -32,7 +32,7 @@
 			Seed: seed, Faults: *faults, Instances: *instances, Callers: *callers, Planned: *planned,
 			Silences: *silences,
 		}
-		if !play(o, *verbose) {
+		if !runSeed(o, *verbose) {
 			failed++
 		}
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// play plays one seed and keeps its logs if it failed.
-func play(o soak.Options, verbose bool) bool {
+// runSeed runs one seed, prints its report and keeps its logs if it failed.
+func runSeed(o soak.Options, verbose bool) bool {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
@@ -53,22 +53,22 @@
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	fmt.Printf("seed %d: %d requests, %d served, %d promises broken\n", report.Seed, report.Answers, report.Served, len(report.Broken))
+	fmt.Printf("seed %d: %d requests, %d served, %d promises broken\n", report.Seed, report.Requests, report.Served, len(report.Violations))
 	if o.Planned {
 		fmt.Printf("  refused %d, crossed a close %d, not accepted %d, overdue %d\n",
 			report.Losses.Refused, report.Losses.Crossed, report.Losses.Unaccepted, report.Losses.Overdue)
 	}
-	for _, b := range report.Broken {
+	for _, b := range report.Violations {
 		fmt.Println("  broken:", b)
 	}
-	failed := len(report.Broken) > 0
+	failed := len(report.Violations) > 0
 	if failed || verbose {
 		for _, f := range report.Faults {
 			fmt.Println("  fault:", f)
 		}
 	}
 	if !failed {
-		_ = os.RemoveAll(o.Dir) // only logs that nobody needs
+		_ = os.RemoveAll(o.Dir) // logs of a passed run aren't needed
 	}
 	return !failed
 }
--- a/testkit/soak/balancer.go
+++ b/testkit/soak/balancer.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// probeEvery is how often readiness is asked, and how long an answer may take.
-	probeEvery = 100 * time.Millisecond
-	// missesOut is how many failed questions in a row take an instance out, well
-	// within the delay that a stopping instance leaves the balancer.
-	missesOut = 2
+	// probeInterval is the time between two readiness probes, and the timeout of each.
+	probeInterval = 100 * time.Millisecond
+	// probeFailureLimit is how many consecutive failed probes remove an instance from the
+	// balancer. It is reached well within the delay that a stopping instance leaves the
+	// balancer.
+	probeFailureLimit = 2
 )
 
-// balancer says which instances get new connections: those that are ready.
+// balancer returns the instances for new connections: those whose readiness probe succeeds.
 type balancer struct {
 	instances []*instance
-	in        []atomic.Bool
+	available []atomic.Bool
 }
 
-// balance asks the instances until the context ends.
-func balance(ctx context.Context, wg *sync.WaitGroup, instances []*instance) *balancer {
-	b := &balancer{instances: instances, in: make([]atomic.Bool, len(instances))}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeEvery}
+// startBalancer probes the instances until the context ends.
+func startBalancer(ctx context.Context, wg *sync.WaitGroup, instances []*instance) *balancer {
+	b := &balancer{instances: instances, available: make([]atomic.Bool, len(instances))}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeInterval}
 	for i, in := range instances {
-		wg.Go(func() { b.probe(ctx, client, in, &b.in[i]) })
+		wg.Go(func() { b.probe(ctx, client, in, &b.available[i]) })
 	}
 	return b
 }
 
 func (b *balancer) probe(ctx context.Context, client *http.Client, in *instance, state *atomic.Bool) {
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	misses := 0
 	for {
-		if ready(client, in) {
+		if isReady(client, in) {
 			misses = 0
 			state.Store(true)
-		} else if misses++; misses >= missesOut {
+		} else if misses++; misses >= probeFailureLimit {
 			state.Store(false)
 		}
 		select {
@@ -52,21 +53,21 @@
 	}
 }
 
-func ready(client *http.Client, in *instance) bool {
-	response, err := client.Get("http://" + in.admin + "/readyz")
+func isReady(client *http.Client, in *instance) bool {
+	response, err := client.Get("http://" + in.adminAddress + "/readyz")
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // only the status counts
+	_ = response.Body.Close() // only the status matters
 	return response.StatusCode == http.StatusOK
 }
 
-// choose returns an instance for a new connection; nil if none is ready.
+// choose returns a ready instance for a new connection; nil if there is none.
 func (b *balancer) choose(random *rand.Rand) *instance {
 	first := random.IntN(len(b.instances))
 	for i := range b.instances {
 		n := (first + i) % len(b.instances)
-		if b.in[n].Load() {
+		if b.available[n].Load() {
 			return b.instances[n]
 		}
 	}
--- a/testkit/soak/callers.go
+++ b/testkit/soak/callers.go
@@ -14,8 +14,8 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// paths are what callers ask for; once tells which of them may run once at most.
-var paths = []struct {
+// requestKinds are the paths that callers request; once marks those that may run at most once.
+var requestKinds = []struct {
 	path string
 	once bool
 }{
@@ -23,126 +23,128 @@
 }
 
 const (
-	// requestWait is the wait that a request names, callerWait the caller's own.
-	requestWait = 3 * time.Second
-	callerWait  = 3500 * time.Millisecond
-	// eventsOfAStream is what the targets send.
-	eventsOfAStream = 5
-	// resumesMost is how often a caller asks for the rest of a stream.
-	resumesMost = 3
+	// requestDeadline is the deadline that a request carries, callerTimeout the caller's own
+	// timeout.
+	requestDeadline = 3 * time.Second
+	callerTimeout   = 3500 * time.Millisecond
+	// eventsPerStream is the number of events in each target's stream.
+	eventsPerStream = 5
+	// maxResumes is how often a caller requests the remaining events of a broken stream.
+	maxResumes = 3
 )
 
-// answer is what a caller got.
-type answer struct {
+// callResult is a request and the response that its caller received.
+type callResult struct {
 	id, path string
-	// sent is the body of the request; empty for the usual one, which names the id.
-	sent   string
-	once   bool
-	pieces [2]int
-	// after is the event behind which the caller asked the stream to go on; 0 for none.
-	after  int
-	status int
-	body   string
-	// whole tells that the answer ended as it should.
-	whole bool
-	ended time.Time
+	// customBody is the body of the request; empty for the default one, which contains the id.
+	customBody  string
+	once        bool
+	pieceCounts [2]int
+	// resumedAfter is the last event that the caller had when it resumed the stream; 0 for a
+	// new stream.
+	resumedAfter int
+	status       int
+	body         string
+	// complete reports whether the response ended without an error.
+	complete bool
+	ended    time.Time
 }
 
-// callers send requests until the context ends and return all answers.
-func (w *world) callers(ctx context.Context) []answer {
+// runCallers sends requests until the context ends and returns all results.
+func (tb *testbed) runCallers(ctx context.Context) []callResult {
 	var mu sync.Mutex
-	var all []answer
+	var all []callResult
 	var wg sync.WaitGroup
-	for i := range w.options.Callers {
-		c := newCaller(w, i)
+	for i := range tb.options.Callers {
+		c := newCaller(tb, i)
 		wg.Go(func() {
 			defer c.client.CloseIdleConnections()
 			c.run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, c.all...)
+			all = append(all, c.results...)
 		})
 	}
 	wg.Wait()
 	return all
 }
 
-// caller sends one request after the other.
+// caller sends requests one after the other.
 type caller struct {
-	world *world
-	// client keeps its connections until they are gone.
+	testbed *testbed
+	// client keeps its connections until they are closed.
 	client *http.Client
 	number int
-	// random draws requests, instances those that are asked for the rest of a stream.
-	random, instances *rand.Rand
-	all               []answer
+	// random samples requests, resumeRandom the instances to which a stream is resumed.
+	random, resumeRandom *rand.Rand
+	results              []callResult
 }
 
-func newCaller(w *world, number int) *caller {
+func newCaller(tb *testbed, number int) *caller {
 	return &caller{
-		world: w, client: &http.Client{Transport: &http.Transport{}, Timeout: callerWait}, number: number,
-		random:    rand.New(rand.NewPCG(w.options.Seed, uint64(number)+1)),
-		instances: rand.New(rand.NewPCG(w.options.Seed, 4<<32+uint64(number))),
+		testbed: tb, client: &http.Client{Transport: &http.Transport{}, Timeout: callerTimeout}, number: number,
+		random:       rand.New(rand.NewPCG(tb.options.Seed, uint64(number)+1)),
+		resumeRandom: rand.New(rand.NewPCG(tb.options.Seed, 4<<32+uint64(number))),
 	}
 }
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		kind := paths[c.random.IntN(len(paths))]
-		a := answer{id: c.nextID(), path: kind.path, once: kind.once, pieces: [2]int{c.random.IntN(4), 1 + c.random.IntN(4)}}
+		kind := requestKinds[c.random.IntN(len(requestKinds))]
+		a := callResult{id: c.nextID(), path: kind.path, once: kind.once, pieceCounts: [2]int{c.random.IntN(4), 1 + c.random.IntN(4)}}
 		c.call(&a, c.random)
-		for range resumesMost {
-			after, cut := a.brokeOff()
+		for range maxResumes {
+			after, cut := a.resumePoint()
 			if !cut || ctx.Err() != nil {
 				break
 			}
-			a = answer{id: c.nextID(), path: a.path, after: after}
-			c.call(&a, c.instances)
+			a = callResult{id: c.nextID(), path: a.path, resumedAfter: after}
+			c.call(&a, c.resumeRandom)
 		}
 	}
 }
 
-// nextID is the id of the caller's next request.
-func (c *caller) nextID() string { return fmt.Sprintf("%04x%06x", c.number, len(c.all)) }
+// nextID returns the id of the caller's next request.
+func (c *caller) nextID() string { return fmt.Sprintf("%04x%06x", c.number, len(c.results)) }
 
-// brokeOff tells that the caller has a part of a stream that may go on, and the last
-// event it has.
-func (a *answer) brokeOff() (after int, cut bool) {
-	if a.path != "/stream-resume/a" || a.status != http.StatusOK || a.whole {
+// resumePoint reports whether the caller has received a part of a resumable stream that broke
+// off, and returns the last event that it has.
+func (a *callResult) resumePoint() (after int, cut bool) {
+	if a.path != "/stream-resume/a" || a.status != http.StatusOK || a.complete {
 		return 0, false
 	}
-	after = max(a.after, lastEvent(a.body))
+	after = max(a.resumedAfter, lastEventID(a.body))
 	return after, after > 0
 }
 
-// request is the body of the request.
-func (a *answer) request() string { return cmp.Or(a.sent, "body of "+a.id) }
+// requestBody returns the body of the request.
+func (a *callResult) requestBody() string { return cmp.Or(a.customBody, "body of "+a.id) }
 
-// call sends a request to an instance and keeps its answer.
-func (c *caller) call(a *answer, random *rand.Rand) {
-	c.exchange(a, c.world.instances[random.IntN(len(c.world.instances))])
+// call sends a request to a random instance and records the result.
+func (c *caller) call(a *callResult, random *rand.Rand) {
+	c.send(a, c.testbed.instances[random.IntN(len(c.testbed.instances))])
 	a.ended = time.Now()
-	c.all = append(c.all, *a)
+	c.results = append(c.results, *a)
 	if a.status != http.StatusOK {
-		time.Sleep(30 * time.Millisecond) // a caller that was refused doesn't come back at once
+		time.Sleep(30 * time.Millisecond) // refused callers retry after a pause
 	}
 }
 
-func (c *caller) exchange(a *answer, in *instance) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+in.callers+a.path, strings.NewReader(a.request()))
+func (c *caller) send(a *callResult, in *instance) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+in.callerAddress+a.path, strings.NewReader(a.requestBody()))
 	if err != nil {
-		panic(err) // a path of our own
+		panic(err) // the URL is constant and valid
 	}
 	request.Host = "host.example"
 	request.Header = standin.Call{
-		ID: a.id, Key: (*c.world.keys.Load())[0], Wait: requestWait, Subject: "s1", Pieces: a.pieces[:], PieceKey: "key" + a.id,
-		After: a.after,
+		ID: a.id, Key: (*c.testbed.keys.Load())[0], Wait: requestDeadline, Subject: "s1", Pieces: a.pieceCounts[:], PieceKey: "key" + a.id,
+		After: a.resumedAfter,
 	}.Header()
 	response, err := c.client.Do(request)
 	if err != nil {
-		return // the status stays 0
+		return // status 0 stands for no response
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	a.status, a.body, a.whole = response.StatusCode, string(body), err == nil
+	a.status, a.body, a.complete = response.StatusCode, string(body), err == nil
 }
--- a/testkit/soak/check.go
+++ b/testkit/soak/check.go
@@ -9,58 +9,58 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// seen is what targets saw: the requests that arrived, by id, and the pieces of
-// stages that they made, by handle.
-type seen struct {
-	arrived map[string][]standin.Arrival
-	made    map[string]standin.Piece
-	// pieces counts the pieces of each request.
-	pieces map[string]int
+// targetLog is what the targets recorded: the requests that arrived, by id, and the pieces of
+// stages that they produced, by handle.
+type targetLog struct {
+	arrivals map[string][]standin.Arrival
+	produced map[string]standin.Piece
+	// pieceCounts holds the number of pieces of each request.
+	pieceCounts map[string]int
 }
 
-func (w *world) seen() seen {
-	s := seen{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
-	for _, t := range w.targets {
+func (tb *testbed) readTargetLog() targetLog {
+	log := targetLog{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
+	for _, t := range tb.targets {
 		for _, a := range t.Arrivals() {
-			s.arrived[a.ID] = append(s.arrived[a.ID], a)
+			log.arrivals[a.ID] = append(log.arrivals[a.ID], a)
 		}
 		for handle, p := range t.Made() {
-			s.made[handle] = p
-			s.pieces[p.ID]++
+			log.produced[handle] = p
+			log.pieceCounts[p.ID]++
 		}
 	}
-	return s
+	return log
 }
 
-// check compares what callers and targets saw. Crashing are the answers to the request that
-// crashes targets, which aren't to be served.
-func (w *world) check(all, crashing []answer, s seen, calmFrom time.Time) {
-	asked := map[string]answer{}
+// checkResults compares what callers and targets recorded. crashing holds the results of the
+// request that crashes targets, which need not be served.
+func (tb *testbed) checkResults(all, crashing []callResult, log targetLog, calmFrom time.Time) {
+	sent := map[string]callResult{}
 	for _, a := range crashing {
-		asked[a.id] = a
+		sent[a.id] = a
 	}
 	calmAll, calmServed := 0, 0
 	for _, a := range all {
-		asked[a.id] = a
-		w.checkAnswer(a, s.arrived[a.id])
+		sent[a.id] = a
+		tb.checkResult(a, log.arrivals[a.id])
 		if a.ended.After(calmFrom) {
 			calmAll++
-			if a.status == http.StatusOK && a.whole {
+			if a.status == http.StatusOK && a.complete {
 				calmServed++
 			}
 		}
 	}
-	for id, arrivals := range s.arrived {
-		w.checkArrivals(id, asked, arrivals, s.made)
+	for id, arrivals := range log.arrivals {
+		tb.checkArrivals(id, sent, arrivals, log.produced)
 	}
-	w.checkPieces(asked, s.made)
-	if float64(calmServed) < calmShare*float64(calmAll) || calmAll == 0 {
-		w.breach("after the faults %d of %d are served", calmServed, calmAll)
+	tb.checkPieces(sent, log.produced)
+	if float64(calmServed) < minServedShare*float64(calmAll) || calmAll == 0 {
+		tb.violation("after the faults %d of %d are served", calmServed, calmAll)
 	}
 }
 
-// runs counts the targets that worked on a request.
-func runs(arrivals []standin.Arrival) int {
+// countRuns returns how many targets ran a request.
+func countRuns(arrivals []standin.Arrival) int {
 	ran := 0
 	for _, arrival := range arrivals {
 		if arrival.Ran {
@@ -70,92 +70,92 @@
 	return ran
 }
 
-// checkAnswer looks at one answer.
-func (w *world) checkAnswer(a answer, arrivals []standin.Arrival) {
-	ran := runs(arrivals)
+// checkResult checks one result against the arrivals of its request at targets.
+func (tb *testbed) checkResult(a callResult, arrivals []standin.Arrival) {
+	ran := countRuns(arrivals)
 	if a.once && ran > 1 {
-		w.breach("%s %s may run once and ran %d times", a.path, a.id, ran)
+		tb.violation("%s %s may run once and ran %d times", a.path, a.id, ran)
 	}
 	if !a.once && ran > 2 {
-		w.breach("%s %s ran at %d targets", a.path, a.id, ran)
+		tb.violation("%s %s ran at %d targets", a.path, a.id, ran)
 	}
 	if a.once && ran > 0 && a.status == http.StatusServiceUnavailable {
-		w.breach("%s %s was called not run and ran", a.path, a.id)
+		tb.violation("%s %s was called not run and ran", a.path, a.id)
 	}
 	if a.status == http.StatusOK {
-		w.checkBody(a)
+		tb.checkBody(a)
 	}
 }
 
-// checkBody looks at the body of a success, and at what a caller has of one that broke
+// checkBody checks the body of a successful response, and the received part of one that broke
 // off.
-func (w *world) checkBody(a answer) {
+func (tb *testbed) checkBody(a callResult) {
 	body, want := a.body, "answer to "+a.id
 	if strings.HasPrefix(a.path, "/stream") {
-		body, want = withoutComments(body), events(a.after)
+		body, want = withoutComments(body), streamEvents(a.resumedAfter)
 	}
 	switch {
-	case a.whole && body != want:
-		w.breach("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.after, a.body, w.conduct.faults(a.id))
-	case !a.whole && !isPart(body, want):
-		w.breach("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.after, a.body, w.conduct.faults(a.id))
+	case a.complete && body != want:
+		tb.violation("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, tb.injector.injectedInto(a.id))
+	case !a.complete && !isPartial(body, want):
+		tb.violation("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, tb.injector.injectedInto(a.id))
 	}
 }
 
-// checkArrivals looks at what targets got of a request.
-func (w *world) checkArrivals(id string, asked map[string]answer, arrivals []standin.Arrival, made map[string]standin.Piece) {
-	a, ok := asked[id]
+// checkArrivals checks what targets received of a request.
+func (tb *testbed) checkArrivals(id string, sent map[string]callResult, arrivals []standin.Arrival, produced map[string]standin.Piece) {
+	a, ok := sent[id]
 	if !ok {
-		w.breach("a target got %s, which nobody sent", id)
+		tb.violation("a target got %s, which nobody sent", id)
 		return
 	}
 	for _, arrival := range arrivals {
-		if arrival.Body != a.request() || arrival.Path != a.path || arrival.Account() != "account-1" || arrival.HasKey() {
-			w.breach("%s %s reached a target changed: %v", a.path, id, arrival)
+		if arrival.Body != a.requestBody() || arrival.Path != a.path || arrival.Account() != "account-1" || arrival.HasKey() {
+			tb.violation("%s %s reached a target changed: %v", a.path, id, arrival)
 		}
-		if after, err := lastID(arrival); err != nil || after < a.after {
-			w.breach("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.after, arrival.GoesOnAfter())
+		if after, err := resumedAfter(arrival); err != nil || after < a.resumedAfter {
+			tb.violation("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.resumedAfter, arrival.GoesOnAfter())
 		}
 		if a.path == "/stream-staged/a" {
-			w.checkInputs(id, arrival.Inputs(), a.pieces[1], 1, made)
+			tb.checkInputs(id, arrival.Inputs(), a.pieceCounts[1], 1, produced)
 		}
 	}
 }
 
-// lastID is the event behind which a target was told to go on; 0 for none.
-func lastID(a standin.Arrival) (int, error) {
+// resumedAfter returns the event after which a target was requested to resume; 0 for none.
+func resumedAfter(a standin.Arrival) (int, error) {
 	if a.GoesOnAfter() == "" {
 		return 0, nil
 	}
 	return strconv.Atoi(a.GoesOnAfter())
 }
 
-// checkInputs looks at the results that are read together: all of one stage of one
+// checkInputs checks the results that one piece or request reads: all of one stage of the same
 // request, each once.
-func (w *world) checkInputs(id string, inputs []string, want, stage int, made map[string]standin.Piece) {
+func (tb *testbed) checkInputs(id string, inputs []string, want, stage int, produced map[string]standin.Piece) {
 	seen := map[int]bool{}
 	for _, handle := range inputs {
-		p, ok := made[handle]
+		p, ok := produced[handle]
 		if !ok || p.ID != id || p.Stage != stage || seen[p.Index] {
-			w.breach("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
+			tb.violation("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
 		}
 		seen[p.Index] = true
 	}
 	if len(inputs) != want {
-		w.breach("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
+		tb.violation("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
 	}
 }
 
-// checkPieces looks at the pieces that targets were asked for.
-func (w *world) checkPieces(asked map[string]answer, made map[string]standin.Piece) {
-	for _, p := range made {
-		a, ok := asked[p.ID]
-		if !ok || p.Stage > 1 || p.Index >= a.pieces[p.Stage] {
-			w.breach("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
+// checkPieces checks the pieces that targets produced.
+func (tb *testbed) checkPieces(sent map[string]callResult, produced map[string]standin.Piece) {
+	for _, p := range produced {
+		a, ok := sent[p.ID]
+		if !ok || p.Stage > 1 || p.Index >= a.pieceCounts[p.Stage] {
+			tb.violation("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
 			continue
 		}
-		if p.Stage == 1 && a.pieces[0] > 0 {
-			w.checkInputs(p.ID, p.Inputs, a.pieces[0], 0, made)
+		if p.Stage == 1 && a.pieceCounts[0] > 0 {
+			tb.checkInputs(p.ID, p.Inputs, a.pieceCounts[0], 0, produced)
 		}
 	}
 }
--- a/testkit/soak/config.go
+++ b/testkit/soak/config.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// keptKeys is how many versions a key is good for, keptKeysPlanned where callers wait
-// until a key is in force everywhere before they use it.
+// keysInForce is how many configuration versions accept a key; keysInForcePlanned applies
+// where callers wait until a key is in force everywhere before they use it.
 const (
-	keptKeys        = 2
-	keptKeysPlanned = 4
+	keysInForce        = 2
+	keysInForcePlanned = 4
 )
 
-// configure writes the next version of the configuration. Its keys are those of the
-// latest versions, the newest first, so that a caller's key is good for a while.
-func (w *world) configure() {
-	w.version++
-	kept, timeout := keptKeys, requestWait
-	if w.options.Planned {
-		kept, timeout = keptKeysPlanned, longestWait
+// writeConfiguration writes the next version of the configuration. It accepts the keys of the
+// latest versions, the newest first, so that a caller's key stays valid for some versions.
+func (tb *testbed) writeConfiguration() {
+	tb.configVersion++
+	kept, timeout := keysInForce, requestDeadline
+	if tb.options.Planned {
+		kept, timeout = keysInForcePlanned, maxStreamDeadline
 	}
 	var keys []string
 	for n := range kept {
-		keys = append(keys, fmt.Sprint("key-", w.version-n))
+		keys = append(keys, fmt.Sprint("key-", tb.configVersion-n))
 	}
 	route := func(name, prefix, kind, service string, more map[string]any) map[string]any {
 		r := map[string]any{
@@ -43,8 +43,8 @@
 		}
 		return s
 	}
-	w.store.Put("config", "main", map[string]any{
-		"version": w.version,
+	tb.store.Put("config", "main", map[string]any{
+		"version": tb.configVersion,
 		"routes": []map[string]any{
 			route("once", "/once/", "non_idempotent", "plain", nil),
 			route("get", "/get/", "idempotent", "plain", map[string]any{"max_attempts": 2}),
@@ -62,5 +62,5 @@
 		"tenants": []map[string]any{{"name": "account-1", "api_keys": keys}},
 		"limits":  map[string]any{"max_header_bytes": 8192, "max_body_bytes": 65536},
 	})
-	w.keys.Store(&keys)
+	tb.keys.Store(&keys)
 }
--- a/testkit/soak/crashing.go
+++ b/testkit/soak/crashing.go
@@ -13,94 +13,95 @@
 const (
 	// crashBody is the body of the requests that crash the targets which run them.
 	crashBody = "crash"
-	// crashPause is the time between two of them.
-	crashPause = 150 * time.Millisecond
-	// crashedFor is how long a target is away after a crash.
-	crashedFor = 700 * time.Millisecond
-	// crashesAllowed is how many targets such a request may crash before it is blocked, and
-	// arrivalsAfter how many more targets it may reach later than heardWithin after that.
-	crashesAllowed = 3
-	arrivalsAfter  = 3
-	heardWithin    = 3 * time.Second
+	// crashInterval is the time between two of these requests.
+	crashInterval = 150 * time.Millisecond
+	// crashDowntime is how long a target is down after a crash.
+	crashDowntime = 700 * time.Millisecond
+	// maxCrashes is how many targets such a request may crash before it must be blocked.
+	// maxLateArrivals is how many more targets it may reach once blockPropagationTime has
+	// passed after that.
+	maxCrashes           = 3
+	maxLateArrivals      = 3
+	blockPropagationTime = 3 * time.Second
 )
 
-// crashing are the targets that such a request crashes. Others, which are also replaced,
-// refuse it.
-var crashing = []string{"plain-1", "plain-2", "engine-1", "engine-2"}
+// crashingTargets are the targets that such a request crashes. All others, some of which are
+// replaced during the run, refuse it.
+var crashingTargets = []string{"plain-1", "plain-2", "engine-1", "engine-2"}
 
-// canCrash has a target crash under the requests that crash targets, with the relay before
-// it: nothing listens there until the target is back.
-func (w *world) canCrash(name string) {
-	target, path := w.target(name)
-	target.AfterCrash(crashedFor, func() {
+// enableCrashes has a target crash when it runs a crash request. The relay before it refuses
+// connections until the target is back.
+func (tb *testbed) enableCrashes(name string) {
+	target, path := tb.target(name)
+	target.AfterCrash(crashDowntime, func() {
 		path.Refuse()
 		path.Reset()
 	}, func() {
 		if err := path.Restore(); err != nil {
-			w.breach("path %s doesn't heal after a crash: %v", name, err)
+			tb.violation("path %s doesn't heal after a crash: %v", name, err)
 		}
-		w.enter(name, "ready")
+		tb.writeEntry(name, "ready")
 	})
 }
 
-// crashFault tells how a target serves a request that crashes targets.
+// crashFault returns how a target serves a crash request.
 func crashFault(target string) standin.Fault {
-	if slices.Contains(crashing, target) {
+	if slices.Contains(crashingTargets, target) {
 		return standin.Crashes
 	}
 	return standin.Full
 }
 
-// crashCaller repeats one request that crashes targets, at instances in turn, until the
-// context ends. It returns its answers.
-func (w *world) crashCaller(ctx context.Context) []answer {
-	c := newCaller(w, w.options.Callers)
+// runCrashCaller repeats one crash request, at the instances in turn, until the context ends.
+// It returns the results.
+func (tb *testbed) runCrashCaller(ctx context.Context) []callResult {
+	c := newCaller(tb, tb.options.Callers)
 	defer c.client.CloseIdleConnections()
-	random := rand.New(rand.NewPCG(w.options.Seed, 5<<32))
-	kind := paths[random.IntN(len(paths)-1)] // the last one has stages, which targets of others make
-	w.note("%s with the body %q crashes targets", kind.path, crashBody)
+	random := rand.New(rand.NewPCG(tb.options.Seed, 5<<32))
+	kind := requestKinds[random.IntN(len(requestKinds)-1)] // the last one has stages, whose targets don't crash
+	tb.logf("%s with the body %q crashes targets", kind.path, crashBody)
 	for i := 0; ctx.Err() == nil; i++ {
-		a := answer{id: c.nextID(), path: kind.path, once: kind.once, sent: crashBody}
-		c.exchange(&a, w.instances[i%len(w.instances)])
+		a := callResult{id: c.nextID(), path: kind.path, once: kind.once, customBody: crashBody}
+		c.send(&a, tb.instances[i%len(tb.instances)])
 		a.ended = time.Now()
-		c.all = append(c.all, a)
-		time.Sleep(crashPause)
+		c.results = append(c.results, a)
+		time.Sleep(crashInterval)
 	}
-	return c.all
+	return c.results
 }
 
-// checkCrashing looks at how many targets the request reached that crashes them, once the
-// fleet was well again.
-func (w *world) checkCrashing(all []answer, s seen, calmFrom time.Time) {
+// checkCrashes checks how many targets the crash request reached after it had to be blocked
+// and the faults had ended.
+func (tb *testbed) checkCrashes(all []callResult, log targetLog, calmFrom time.Time) {
 	var crashes, arrivals []time.Time
 	for _, a := range all {
-		for _, arrival := range s.arrived[a.id] {
+		for _, arrival := range log.arrivals[a.id] {
 			arrivals = append(arrivals, arrival.At)
 			if arrival.Ran {
 				crashes = append(crashes, arrival.At)
 			}
 		}
-		w.checkAnswer(a, s.arrived[a.id])
+		tb.checkResult(a, log.arrivals[a.id])
 	}
 	slices.SortFunc(crashes, time.Time.Compare)
-	w.note("%d targets crashed, %d arrivals of %d requests", len(crashes), len(arrivals), len(all))
-	if len(crashes) < crashesAllowed {
+	tb.logf("%d targets crashed, %d arrivals of %d requests", len(crashes), len(arrivals), len(all))
+	if len(crashes) < maxCrashes {
 		return
 	}
-	from := crashes[crashesAllowed-1]
+	from := crashes[maxCrashes-1]
 	if calmFrom.After(from) {
 		from = calmFrom
 	}
 	late := 0
 	for _, at := range arrivals {
-		if at.Sub(from) > heardWithin {
+		if at.Sub(from) > blockPropagationTime {
 			late++
 		}
 	}
-	if late > arrivalsAfter {
-		w.breach("a request that crashed %d targets reached %d more", len(crashes), late)
+	if late > maxLateArrivals {
+		tb.violation("a request that crashed %d targets reached %d more", len(crashes), late)
 	}
 }
 
-// isCrashing tells whether a request is the one that crashes targets.
-func isCrashing(a standin.Arrival) bool { return strings.HasPrefix(a.Body, crashBody) }
+// isCrashRequest reports whether a request is the one that crashes targets.
+func isCrashRequest(a standin.Arrival) bool { return strings.HasPrefix(a.Body, crashBody) }
--- a/testkit/soak/events.go
+++ b/testkit/soak/events.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// unnumbered is the event without an id that a target may send before it breaks off.
-const unnumbered = "data: token 1\n\n"
+// unnumberedEvent is the event without an id that a target may send before it breaks off.
+const unnumberedEvent = "data: token 1\n\n"
 
-// events is a stream behind one of its events; 0 for all of it.
-func events(after int) string {
+// streamEvents returns the events of a stream that follow the given one; 0 for all of them.
+func streamEvents(after int) string {
 	var text strings.Builder
-	for i := after + 1; i <= eventsOfAStream; i++ {
+	for i := after + 1; i <= eventsPerStream; i++ {
 		fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", i, i)
 	}
 	return text.String()
 }
 
-// withoutComments leaves out the comment lines of a stream, and the blank line behind
-// those that are no part of an event. All else stays as it is.
+// withoutComments removes the comment lines of a stream, and the blank line after those that
+// belong to no event. Everything else is unchanged.
 func withoutComments(body string) string {
 	var text, block strings.Builder
 	comments := false
@@ -40,24 +40,24 @@
 	return text.String() + block.String()
 }
 
-// isPart tells whether a caller may have this much of a stream when it breaks off: its
-// first events, and behind them one that its target sent without an id.
-func isPart(got, stream string) bool {
+// isPartial reports whether got is a valid part of a stream that broke off: its first events,
+// optionally followed by one that the target sent without an id.
+func isPartial(got, stream string) bool {
 	if strings.HasPrefix(stream, got) {
 		return true
 	}
-	numbered, ok := strings.CutSuffix(got, unnumbered)
+	numbered, ok := strings.CutSuffix(got, unnumberedEvent)
 	return ok && strings.HasPrefix(stream, numbered) && (numbered == "" || strings.HasSuffix(numbered, "\n\n"))
 }
 
-// lastEvent is the id of the last whole event; 0 if there is none with an id.
-func lastEvent(body string) int {
+// lastEventID returns the id of the last complete event; 0 if none has an id.
+func lastEventID(body string) int {
 	last := 0
 	blocks := strings.Split(body, "\n\n")
 	for _, block := range blocks[:len(blocks)-1] {
 		for line := range strings.SplitSeq(block, "\n") {
 			if id, ok := strings.CutPrefix(line, "id: "); ok {
-				last, _ = strconv.Atoi(id) // another id is found by the check
+				last, _ = strconv.Atoi(id) // the body check finds an invalid id
 			}
 		}
 	}
--- a/testkit/soak/events_test.go
+++ b/testkit/soak/events_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyCommentsAreLeftOut guards against a check that passes over what a stream has too
-// much or too little.
-func TestOnlyCommentsAreLeftOut(t *testing.T) {
+// TestOnlyCommentsAreRemoved prevents a check that overlooks missing or additional bytes in a
+// stream.
+func TestOnlyCommentsAreRemoved(t *testing.T) {
 	const one, two = "id: 1\ndata: token 1\n\n", "id: 2\ndata: token 2\n\n"
 	for body, want := range map[string]string{
 		"":                                    "",
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestPartsOfAStream guards against a check that passes over events that come twice or are
-// missing where an answer broke off.
-func TestPartsOfAStream(t *testing.T) {
+// TestPartialStreams prevents a check that overlooks duplicate or missing events in a response
+// that broke off.
+func TestPartialStreams(t *testing.T) {
 	const one, two, three = "id: 1\ndata: token 1\n\n", "id: 2\ndata: token 2\n\n", "id: 3\ndata: token 3\n\n"
 	cases := map[string]struct {
 		got  string
@@ -38,11 +38,11 @@
 		"nothing":               {"", true, 0},
 		"first events":          {one + two, true, 2},
 		"torn":                  {one + "id: 2\ndata", true, 1},
-		"behind no id":          {one + unnumbered, true, 1},
-		"no id alone":           {unnumbered, true, 0},
-		"no id within an event": {one + "id: 2\n" + unnumbered, false, 0},
-		"no id twice":           {unnumbered + unnumbered, false, 0},
-		"goes on behind no id":  {unnumbered + one, false, 0},
+		"after no id":           {one + unnumberedEvent, true, 1},
+		"no id alone":           {unnumberedEvent, true, 0},
+		"no id within an event": {one + "id: 2\n" + unnumberedEvent, false, 0},
+		"no id twice":           {unnumberedEvent + unnumberedEvent, false, 0},
+		"more after no id":      {unnumberedEvent + one, false, 0},
 		"twice":                 {one + one, false, 0},
 		"missing":               {one + three, false, 0},
 		"not from the first":    {two, false, 0},
@@ -50,9 +50,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, c.part, isPart(c.got, events(0)))
+			require.Equal(t, c.part, isPartial(c.got, streamEvents(0)))
 			if c.part {
-				require.Equal(t, c.last, lastEvent(c.got))
+				require.Equal(t, c.last, lastEventID(c.got))
 			}
 		})
 	}
--- a/testkit/soak/faults.go
+++ b/testkit/soak/faults.go
@@ -10,44 +10,45 @@
 	"github.com/ivyhollow/ivyhollow/testkit/relay"
 )
 
-// harm draws faults until the time is over. They come in series and overlap.
-func (w *world) harm(until time.Time) {
+// injectFaults starts sampled faults until the given time, several of which may overlap, and
+// waits for their ends.
+func (tb *testbed) injectFaults(until time.Time) {
 	done := make(chan struct{}, 64)
 	running := 0
 	for time.Now().Before(until) {
-		fault := w.draw()
+		fault := tb.sampleFault()
 		running++
 		go func() {
 			fault()
 			done <- struct{}{}
 		}()
-		time.Sleep(time.Duration(100+w.random.IntN(500)) * time.Millisecond)
+		time.Sleep(time.Duration(100+tb.random.IntN(500)) * time.Millisecond)
 	}
 	for ; running > 0; running-- {
 		<-done
 	}
 }
 
-// draw chooses a fault. All that is drawn is drawn here, so that a seed gives the
-// same series.
-func (w *world) draw() func() {
-	in := w.instances[w.random.IntN(len(w.instances))]
+// sampleFault samples a fault. It samples all values whatever the kind, so that a seed gives
+// the same series of faults.
+func (tb *testbed) sampleFault() func() {
+	in := tb.instances[tb.random.IntN(len(tb.instances))]
 	names := []string{"plain-1", "plain-2", "engine-1", "engine-2", "stage-1"}
-	target := names[w.random.IntN(len(names))]
-	span := time.Duration(200+w.random.IntN(1500)) * time.Millisecond
+	target := names[tb.random.IntN(len(names))]
+	span := time.Duration(200+tb.random.IntN(1500)) * time.Millisecond
 	path := in.name
-	if w.random.IntN(2) == 0 {
+	if tb.random.IntN(2) == 0 {
 		path = target
 	}
-	kind := w.random.IntN(12)
-	behaviour := standin.Fault(w.random.IntN(int(standin.Unframed) + 1))
-	every := 2 + w.random.IntN(10)
-	w.note("kind %d, %s, %s, path %s, %v, fault %d of one in %d", kind, in.name, target, path, span, behaviour, every)
+	kind := tb.random.IntN(12)
+	behaviour := standin.Fault(tb.random.IntN(int(standin.Unframed) + 1))
+	every := 2 + tb.random.IntN(10)
+	tb.logf("kind %d, %s, %s, path %s, %v, fault %d of one in %d", kind, in.name, target, path, span, behaviour, every)
 	switch kind {
 	case 0:
-		return func() { w.restart(in, syscall.SIGKILL, span) }
+		return func() { tb.restart(in, syscall.SIGKILL, span) }
 	case 1:
-		return func() { w.restart(in, syscall.SIGTERM, 0) }
+		return func() { tb.restart(in, syscall.SIGTERM, 0) }
 	case 2:
 		return func() {
 			in.signal(syscall.SIGSTOP, false)
@@ -55,71 +56,71 @@
 			in.signal(syscall.SIGCONT, false)
 		}
 	case 3:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.Mute(relay.Both) }) }
+		return func() { tb.disturbPath(path, span, func(r *relay.Relay) { r.Mute(relay.Both) }) }
 	case 4:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.MuteNew(relay.Both) }) }
+		return func() { tb.disturbPath(path, span, func(r *relay.Relay) { r.MuteNew(relay.Both) }) }
 	case 5:
-		return func() { w.onPath(path, span, (*relay.Relay).Reset) }
+		return func() { tb.disturbPath(path, span, (*relay.Relay).Reset) }
 	case 6:
-		return func() { w.onPath(path, span, func(r *relay.Relay) { r.Delay(relay.Both, span/10) }) }
+		return func() { tb.disturbPath(path, span, func(r *relay.Relay) { r.Delay(relay.Both, span/10) }) }
 	case 7:
 		return func() {
-			w.store.Refuse(func(*http.Request) int { return http.StatusServiceUnavailable })
+			tb.store.Refuse(func(*http.Request) int { return http.StatusServiceUnavailable })
 			time.Sleep(span)
-			w.store.Refuse(nil)
+			tb.store.Refuse(nil)
 		}
 	case 8:
-		return w.store.Compact
+		return tb.store.Compact
 	case 9:
-		return w.reconfigure
+		return tb.reconfigure
 	case 10:
-		return func() { w.misbehave(target, behaviour, every, span) }
+		return func() { tb.injectTargetFault(target, behaviour, every, span) }
 	default:
-		return in.hangUp
+		return in.reload
 	}
 }
 
-func (w *world) note(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (tb *testbed) logf(format string, args ...any) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.faults = append(tb.faults, fmt.Sprintf(format, args...))
 }
 
-// reconfigure writes a version; the latest but one stays good, so at most one a
-// second.
-func (w *world) reconfigure() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.configure()
+// reconfigure writes a configuration version. A key is valid for two versions only, so at most
+// one version a second may be written.
+func (tb *testbed) reconfigure() {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.writeConfiguration()
 }
 
-// restart ends an instance and starts it again after a while.
-func (w *world) restart(in *instance, s syscall.Signal, after time.Duration) {
+// restart ends an instance and starts it again after the given time.
+func (tb *testbed) restart(in *instance, s syscall.Signal, after time.Duration) {
 	in.restarting.Lock()
 	defer in.restarting.Unlock()
 	in.signal(syscall.SIGCONT, false)
 	in.signal(s, true)
-	in.await()
+	in.awaitExit()
 	time.Sleep(after)
-	if err := w.launch(in); err != nil {
-		w.breach("%s doesn't start: %v", in.name, err)
+	if err := tb.launch(in); err != nil {
+		tb.violation("%s doesn't start: %v", in.name, err)
 	}
 }
 
-// onPath harms a path and heals it.
-func (w *world) onPath(name string, span time.Duration, harm func(*relay.Relay)) {
-	_, path := w.target(name)
-	harm(path)
+// disturbPath applies a fault to a relay and restores it after the given time.
+func (tb *testbed) disturbPath(name string, span time.Duration, disturb func(*relay.Relay)) {
+	_, path := tb.target(name)
+	disturb(path)
 	time.Sleep(span)
 	if err := path.Restore(); err != nil {
-		w.breach("path %s doesn't heal: %v", name, err)
+		tb.violation("path %s doesn't heal: %v", name, err)
 	}
 }
 
-// misbehave has a target serve one request in a few badly.
-func (w *world) misbehave(name string, fault standin.Fault, every int, span time.Duration) {
+// injectTargetFault has a target inject the fault into one in so many requests.
+func (tb *testbed) injectTargetFault(name string, fault standin.Fault, every int, span time.Duration) {
 	n := 0
-	end := w.conduct.misbehave(name, func() standin.Fault {
+	end := tb.injector.injectAt(name, func() standin.Fault {
 		if n++; n%every == 0 {
 			return fault
 		}
--- /dev/null
+++ b/testkit/soak/injector.go
@@ -0,0 +1,146 @@
+package soak
+
+import (
+	"hash/fnv"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/ivyhollow/ivyhollow/platform/standin"
+)
+
+// streamFaults are the faults that an engine may inject into a stream.
+var streamFaults = []standin.Fault{
+	standin.Full, standin.Fails, standin.Silent, standin.Cuts, standin.Resets, standin.Unsigned,
+	standin.Stray, standin.Unframed, standin.InputsGone, standin.NoContent, standin.Restarts, standin.Twice,
+	standin.Empty, standin.CutsTheEnd, standin.UnnumberedThenCuts, standin.CommentsThenCuts, standin.EmptyUnframed,
+}
+
+// breakFaults break off a stream of which the caller already has a part. Half of the first
+// faults are sampled from these: the retry budget lets few requests be resumed, and only these
+// faults lead to a resume in the middle of a response.
+var breakFaults = []standin.Fault{standin.Cuts, standin.CutsTheEnd, standin.CommentsThenCuts, standin.Twice}
+
+const (
+	// minEngineFaultTime and maxEngineFaultTime bound a period in which all engines inject
+	// faults, and maxEngineFaultPause the time until the next period.
+	minEngineFaultTime  = time.Second
+	maxEngineFaultTime  = 3 * time.Second
+	maxEngineFaultPause = time.Second
+	// In such a period one request in N meets faults; minFaultOneIn and maxFaultOneIn bound N.
+	minFaultOneIn = 2
+	maxFaultOneIn = 6
+	// One in recoveredOneIn targets after the first serves such a request without a fault.
+	recoveredOneIn = 3
+)
+
+// faultInjector decides how targets serve requests: single targets may inject faults, or all
+// engines at once.
+type faultInjector struct {
+	seed uint64
+
+	mu sync.Mutex
+	// targetFaults holds the fault source of each target that injects faults by itself, by
+	// name.
+	targetFaults map[string]func() standin.Fault
+	// oneIn is N if one in N requests meets faults at the engines; 0 for none.
+	oneIn int
+	// injected holds the faults that each request met at engines, in order.
+	injected map[string][]standin.Fault
+}
+
+func newFaultInjector(seed uint64) *faultInjector {
+	return &faultInjector{seed: seed, targetFaults: map[string]func() standin.Fault{}, injected: map[string][]standin.Fault{}}
+}
+
+// nextFault returns the fault with which a target serves a request.
+func (f *faultInjector) nextFault(target string, a standin.Arrival) standin.Fault {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if isCrashRequest(a) {
+		return crashFault(target)
+	}
+	fault := standin.Well
+	if targetFault := f.targetFaults[target]; targetFault != nil {
+		fault = targetFault()
+	}
+	if !strings.HasPrefix(target, "engine-") {
+		return fault
+	}
+	if fault == standin.Well && f.oneIn > 0 {
+		fault = f.sample(a, len(f.injected[a.ID]))
+	}
+	f.injected[a.ID] = append(f.injected[a.ID], fault)
+	return fault
+}
+
+// sample chooses the fault that a request meets at its next target, after the given number of
+// other targets. It depends only on the seed and the request, not on the order in which
+// requests arrive.
+func (f *faultInjector) sample(a standin.Arrival, others int) standin.Fault {
+	id := fnv.New64a()
+	_, _ = id.Write([]byte(a.ID)) // hash writes never fail
+	random := rand.New(rand.NewPCG(f.seed, id.Sum64()))
+	if random.IntN(f.oneIn) > 0 {
+		return standin.Well
+	}
+	faults := streamFaults
+	if random.IntN(2) == 0 {
+		faults = breakFaults
+	}
+	fault := faults[random.IntN(len(faults))]
+	for range others {
+		fault = streamFaults[random.IntN(len(streamFaults))]
+		if random.IntN(recoveredOneIn) == 0 {
+			fault = standin.Well
+		}
+	}
+	if fault == standin.Empty && a.GoesOnAfter() != "" {
+		// After an event, Empty is the valid response of a target that has no events left.
+		return standin.EmptyUnframed
+	}
+	return fault
+}
+
+// injectAt has one target inject faults until the returned function is called.
+func (f *faultInjector) injectAt(target string, fault func() standin.Fault) (end func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.targetFaults[target] = fault
+	return func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.targetFaults, target)
+	}
+}
+
+// setRate has one in so many requests meet faults at all engines; 0 ends it.
+func (f *faultInjector) setRate(oneIn int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.oneIn = oneIn
+}
+
+// injectedInto returns the faults that a request met at engines, in order.
+func (f *faultInjector) injectedInto(id string) []standin.Fault {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.injected[id])
+}
+
+// injectEngineFaults repeatedly has all engines inject faults at once until the given time, so
+// that a stream meets one fault at its first target and another at its second.
+func (tb *testbed) injectEngineFaults(until time.Time) {
+	random := rand.New(rand.NewPCG(tb.options.Seed, 3<<32))
+	for time.Now().Before(until) {
+		oneIn := minFaultOneIn + random.IntN(maxFaultOneIn-minFaultOneIn+1)
+		span := randomDuration(random, minEngineFaultTime, maxEngineFaultTime)
+		tb.logf("engines misbehave for %v, one request in %d", span, oneIn)
+		tb.injector.setRate(oneIn)
+		time.Sleep(min(span, time.Until(until)))
+		tb.injector.setRate(0)
+		time.Sleep(randomDuration(random, 0, maxEngineFaultPause))
+	}
+}
--- a/testkit/soak/instance.go
+++ b/testkit/soak/instance.go
@@ -12,136 +12,136 @@
 	"github.com/ivyhollow/ivyhollow/testkit/relay"
 )
 
-// The times of a planned stop in the instances' settings.
+// Times of a planned stop in the settings of the instances.
 const (
-	// A short grace ends while streams wait for slow stages.
+	// shortGrace ends while streams still wait for slow stages.
 	grace         = 4 * time.Second
 	shortGrace    = 2500 * time.Millisecond
 	balancerDelay = 500 * time.Millisecond
-	// lateGrace is how much longer than its grace a process may last; a paused or
-	// busy one needs some of it.
-	lateGrace = 2 * time.Second
+	// graceTolerance is how much longer than its grace a process may run; a paused or busy
+	// process needs part of it.
+	graceTolerance = 2 * time.Second
 )
 
 // instance is one daemon, started again whenever it ends.
 type instance struct {
-	name     string
-	callers  string
-	admin    string
-	settings string
-	// text is the settings but for the times of a planned stop.
-	text string
-	log  *os.File
-	// grace is the time that a planned stop has.
+	name          string
+	callerAddress string
+	adminAddress  string
+	settingsPath  string
+	// baseSettings are the settings without the times of a planned stop.
+	baseSettings string
+	log          *os.File
+	// grace is the time limit of a planned stop.
 	grace time.Duration
-	// oneCore has one thread run at a time, as on a small machine: what is due after a
-	// pause is done in turn, timers before what lies in sockets.
-	oneCore bool
-	// restarting is held from an end to the next start.
+	// singleThread sets GOMAXPROCS=1, as on a small machine: after a pause, expired timers run
+	// before pending socket data is read.
+	singleThread bool
+	// restarting is held from an end until the next start.
 	restarting sync.Mutex
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	life    *life
-	// ended is closed when the present process has ended.
-	ended chan struct{}
-	// asked tells that the run itself ended the present process.
-	asked bool
+	history *processHistory
+	// exited is closed when the current process has exited.
+	exited chan struct{}
+	// endRequested reports whether the soak itself ended the current process.
+	endRequested bool
 }
 
 // addInstance writes an instance's settings and starts it.
-func (w *world) addInstance(name string) error {
-	path, err := relay.Start("127.0.0.1:0", w.storeHTTP.Listener.Addr().String())
+func (tb *testbed) addInstance(name string) error {
+	path, err := relay.Start("127.0.0.1:0", tb.storeHTTP.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	w.paths[name] = path
-	ports, err := w.reservePorts(3)
+	tb.relays[name] = path
+	ports, err := tb.reservePorts(3)
 	if err != nil {
 		return err
 	}
 	in := &instance{
-		name: name, callers: ports[0], admin: ports[1], settings: filepath.Join(w.options.Dir, name+".ini"),
-		grace: grace, oneCore: w.options.Planned && len(w.instances)%2 == 0,
-		text: fmt.Sprintf("[instance]\nname = %s\ndata_centre = x\n[listen]\ncallers = %s\nadmin = %s\npeers = %s\n"+
+		name: name, callerAddress: ports[0], adminAddress: ports[1], settingsPath: filepath.Join(tb.options.Dir, name+".ini"),
+		grace: grace, singleThread: tb.options.Planned && len(tb.instances)%2 == 0,
+		baseSettings: fmt.Sprintf("[instance]\nname = %s\ndata_centre = x\n[listen]\ncallers = %s\nadmin = %s\npeers = %s\n"+
 			"[platform]\nurl = http://%s\ncalls_per_second = 200\n", name, ports[0], ports[1], ports[2], path.Addr()),
 	}
-	if w.options.Planned && len(w.instances)%3 == 1 {
+	if tb.options.Planned && len(tb.instances)%3 == 1 {
 		in.grace = shortGrace
 	}
 	if err := in.writeSettings(balancerDelay); err != nil {
 		return err
 	}
-	if in.log, err = os.Create(filepath.Join(w.options.Dir, name+".log")); err != nil {
+	if in.log, err = os.Create(filepath.Join(tb.options.Dir, name+".log")); err != nil {
 		return err
 	}
-	w.instances = append(w.instances, in)
-	return w.launch(in)
+	tb.instances = append(tb.instances, in)
+	return tb.launch(in)
 }
 
-// writeSettings puts a settings file in place, whole at any moment.
+// writeSettings replaces the settings file atomically.
 func (in *instance) writeSettings(delay time.Duration) error {
-	text := in.text + fmt.Sprintf("[shutdown]\ngrace = %s\nbalancer_delay = %s\n", in.grace, delay)
-	if err := os.WriteFile(in.settings+".new", []byte(text), 0o600); err != nil {
+	text := in.baseSettings + fmt.Sprintf("[shutdown]\ngrace = %s\nbalancer_delay = %s\n", in.grace, delay)
+	if err := os.WriteFile(in.settingsPath+".new", []byte(text), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(in.settings+".new", in.settings)
+	return os.Rename(in.settingsPath+".new", in.settingsPath)
 }
 
-// launch starts an instance's process and watches for its end.
-func (w *world) launch(in *instance) error {
-	command := exec.Command(w.options.Binary, "gateway", "--config", in.settings)
+// launch starts an instance's process and watches for its exit.
+func (tb *testbed) launch(in *instance) error {
+	command := exec.Command(tb.options.Binary, "gateway", "--config", in.settingsPath)
 	command.Stdout, command.Stderr = in.log, in.log
-	if in.oneCore {
+	if in.singleThread {
 		command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
-	// The process ends with this one, however this one ends.
+	// The kernel kills the process when this one ends, for whatever reason.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
 	}
 	in.mu.Lock()
 	ended := make(chan struct{})
-	l := &life{instance: in.name, grace: in.grace, launched: time.Now()}
-	in.process, in.life, in.asked, in.ended = command, l, false, ended
+	history := &processHistory{instance: in.name, grace: in.grace, launchedAt: time.Now()}
+	in.process, in.history, in.endRequested, in.exited = command, history, false, ended
 	in.mu.Unlock()
 	go func() {
 		defer close(ended)
 		err := command.Wait()
-		l.end()
+		history.recordExit()
 		in.mu.Lock()
-		asked := in.asked
+		asked := in.endRequested
 		in.mu.Unlock()
 		if !asked {
-			w.breach("%s ended by itself: %v", in.name, err)
+			tb.violation("%s ended by itself: %v", in.name, err)
 		}
-		if err != nil && w.options.Planned && l.stopsCleanly() {
-			w.breach("a planned stop ended with %v: %s", err, l.at(time.Now()))
+		if err != nil && tb.options.Planned && history.mustExitCleanly() {
+			tb.violation("a planned stop ended with %v: %s", err, history.describe(time.Now()))
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to an instance's process; ends tells that it is to end.
+// signal sends a signal to an instance's process; ends marks an end that the soak requests.
 func (in *instance) signal(s syscall.Signal, ends bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.asked = in.asked || ends
+	in.endRequested = in.endRequested || ends
 	in.send(s)
 }
 
-// send sends a signal; the caller holds the lock.
+// send sends a signal. The caller holds in.mu.
 func (in *instance) send(s syscall.Signal) {
-	in.life.note(s)
-	_ = in.process.Process.Signal(s) // it may have ended
+	in.history.recordSignal(s)
+	_ = in.process.Process.Signal(s) // the process may have exited
 }
 
-// hangUp has the process read its settings again, once it catches signals. Before, one
-// would end it, as any program.
-func (in *instance) hangUp() {
+// reload sends SIGHUP, so that the process reads its settings again. It waits until the
+// process handles signals: before that, SIGHUP ends a process by default.
+func (in *instance) reload() {
 	for {
 		in.mu.Lock()
-		early := startTime - time.Since(in.life.launched)
+		early := startupTime - time.Since(in.history.launchedAt)
 		if early <= 0 {
 			in.send(syscall.SIGHUP)
 			in.mu.Unlock()
@@ -152,15 +152,15 @@
 	}
 }
 
-// present is the process that runs, or the one that ran last.
-func (in *instance) present() (l *life, ended <-chan struct{}) {
+// current returns the history of the running process, or of the last one.
+func (in *instance) current() (history *processHistory, ended <-chan struct{}) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.life, in.ended
+	return in.history, in.exited
 }
 
-// await waits until the present process has ended.
-func (in *instance) await() {
-	_, ended := in.present()
+// awaitExit waits until the current process has exited.
+func (in *instance) awaitExit() {
+	_, ended := in.current()
 	<-ended
 }
--- a/testkit/soak/instance_test.go
+++ b/testkit/soak/instance_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHangupAtAStartEndsNoProcess guards against a soak that ends a process by a signal
-// which no program catches yet, and blames the process.
-func TestHangupAtAStartEndsNoProcess(t *testing.T) {
-	w, err := newWorld(Options{Binary: build(t), Dir: t.TempDir(), Instances: 1})
+// TestReloadDuringStartupEndsNoProcess prevents a false violation: SIGHUP would otherwise end
+// a process that doesn't handle signals yet.
+func TestReloadDuringStartupEndsNoProcess(t *testing.T) {
+	tb, err := newTestbed(Options{Binary: build(t), Dir: t.TempDir(), Instances: 1})
 	require.NoError(t, err)
-	defer w.close()
-	in := w.instances[0]
-	w.restart(in, syscall.SIGKILL, 0)
-	in.hangUp()
+	defer tb.close()
+	in := tb.instances[0]
+	tb.restart(in, syscall.SIGKILL, 0)
+	in.reload()
 	in.signal(syscall.SIGTERM, true)
-	in.await()
+	in.awaitExit()
 	require.True(t, in.process.ProcessState.Success(), "%v", in.process.ProcessState)
 }
--- a/testkit/soak/run.go
+++ b/testkit/soak/run.go
@@ -7,102 +7,104 @@
 	"time"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Answers counts the requests, Served those answered well.
-	Answers, Served int
-	// Losses are counted in runs of planned work only.
+	// Requests counts all requests, Served those with a complete successful response.
+	Requests, Served int
+	// Losses are counted only in runs of planned work.
 	Losses Losses
-	// Broken are the promises that were broken, Faults what was done.
-	Broken, Faults []string
+	// Violations are the guarantees that were broken, Faults the log of injected faults and
+	// planned work.
+	Violations, Faults []string
 }
 
 const (
-	// settle is how long after the last fault the fleet has to be well again.
-	settle = 4 * time.Second
-	// calm is how long it is watched then, and calmShare what it must serve.
-	calm      = 2 * time.Second
-	calmShare = 0.9
-	// restAmongFaults is the time between two series of planned stops where other
-	// faults come as well, restPlanned where they don't.
-	restAmongFaults = 3 * time.Second
-	restPlanned     = 200 * time.Millisecond
+	// recoveryTime is how long after the last fault the fleet must serve normally again.
+	recoveryTime = 4 * time.Second
+	// observationTime is how long it is observed then, and minServedShare the share of
+	// requests that it must serve.
+	observationTime = 2 * time.Second
+	minServedShare  = 0.9
+	// seriesPauseWithFaults is the time between two series of planned stops in runs with other
+	// faults, seriesPausePlanned in runs without.
+	seriesPauseWithFaults = 3 * time.Second
+	seriesPausePlanned    = 200 * time.Millisecond
 )
 
-// Run plays one seed.
+// Run runs the soak with one seed.
 func Run(o Options) (Report, error) {
-	w, err := newWorld(o)
+	tb, err := newTestbed(o)
 	if err != nil {
 		return Report{}, err
 	}
-	defer w.close()
-	time.Sleep(time.Second) // the instances find one another
+	defer tb.close()
+	time.Sleep(time.Second) // the instances discover each other
 	report := Report{Seed: o.Seed}
-	var all []answer
+	var all []callResult
 	if o.Planned {
-		all, report.Losses = w.runPlanned()
+		all, report.Losses = tb.runPlanned()
 	} else {
-		all = w.runFaults()
+		all = tb.runFaults()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	report.Answers, report.Broken, report.Faults = len(all), w.broken, w.faults
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	report.Requests, report.Violations, report.Faults = len(all), tb.violations, tb.faults
 	for _, a := range all {
-		if a.status == http.StatusOK && a.whole {
+		if a.status == http.StatusOK && a.complete {
 			report.Served++
 		}
 	}
 	return report, nil
 }
 
-// runFaults harms the fleet in all ways while callers use it.
-func (w *world) runFaults() []answer {
+// runFaults injects faults of all kinds and does planned work while callers use the fleet.
+func (tb *testbed) runFaults() []callResult {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	crashes := make(chan []answer, 1)
-	go func() { crashes <- w.crashCaller(ctx) }()
-	all, calmFrom := during(w.callers, func() {
-		until := time.Now().Add(w.options.Faults)
+	crashes := make(chan []callResult, 1)
+	go func() { crashes <- tb.runCrashCaller(ctx) }()
+	all, calmFrom := whileInUse(tb.runCallers, func() {
+		until := time.Now().Add(tb.options.Faults)
 		var wg sync.WaitGroup
-		wg.Go(func() { w.plan(until, restAmongFaults) })
-		wg.Go(func() { w.troubleEngines(until) })
-		w.harm(until)
+		wg.Go(func() { tb.runPlannedWork(until, seriesPauseWithFaults) })
+		wg.Go(func() { tb.injectEngineFaults(until) })
+		tb.injectFaults(until)
 		wg.Wait()
-		w.leaveAfterSilences(w.options.Silences)
+		tb.removeTargetsAfterSilences(tb.options.Silences)
 	})
 	stop()
 	crashing := <-crashes
-	s := w.seen()
-	w.checkCrashing(crashing, s, calmFrom)
-	w.check(all, crashing, s, calmFrom)
+	log := tb.readTargetLog()
+	tb.checkCrashes(crashing, log, calmFrom)
+	tb.checkResults(all, crashing, log, calmFrom)
 	return all
 }
 
-// runPlanned does planned work only while callers use the fleet.
-func (w *world) runPlanned() ([]answer, Losses) {
-	exchanges, calmFrom := during(w.keepers, func() {
-		w.plan(time.Now().Add(w.options.Faults), restPlanned)
+// runPlanned does only planned work while callers use the fleet.
+func (tb *testbed) runPlanned() ([]callResult, Losses) {
+	exchanges, calmFrom := whileInUse(tb.runPersistentCallers, func() {
+		tb.runPlannedWork(time.Now().Add(tb.options.Faults), seriesPausePlanned)
 	})
-	all := make([]answer, 0, len(exchanges))
+	all := make([]callResult, 0, len(exchanges))
 	for _, x := range exchanges {
-		all = append(all, x.answer)
+		all = append(all, x.callResult)
 	}
-	s := w.seen()
-	w.check(all, nil, s, calmFrom)
-	return all, w.checkPlanned(exchanges, s)
+	log := tb.readTargetLog()
+	tb.checkResults(all, nil, log, calmFrom)
+	return all, tb.checkPlanned(exchanges, log)
 }
 
-// during has callers use the fleet while it is harmed, and until it must be well
-// again: from calmFrom on.
-func during[T any](use func(context.Context) []T, harm func()) (all []T, calmFrom time.Time) {
+// whileInUse runs harm while callers use the fleet, and lets them go on until the fleet has
+// been observed. The fleet must serve normally from calmFrom on.
+func whileInUse[T any](use func(context.Context) []T, disturb func()) (all []T, calmFrom time.Time) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	results := make(chan []T, 1)
 	go func() { results <- use(ctx) }()
-	harm()
-	calmFrom = time.Now().Add(settle)
-	time.Sleep(settle + calm)
+	disturb()
+	calmFrom = time.Now().Add(recoveryTime)
+	time.Sleep(recoveryTime + observationTime)
 	stop()
 	return <-results, calmFrom
 }
--- a/testkit/soak/silence.go
+++ b/testkit/soak/silence.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// silenceLeast and silenceMost bound a silence of the store: shorter and longer than
-	// the leases of entries.
-	silenceLeast = 300 * time.Millisecond
-	silenceMost  = 6 * time.Second
-	// settledAfter is the time after the store's return from which on what leaves gets
-	// nothing new within its bound.
-	settledAfter = 3 * time.Second
+	// minSilence and maxSilence bound a silence of the store: shorter and longer than the
+	// leases of entries.
+	minSilence = 300 * time.Millisecond
+	maxSilence = 6 * time.Second
+	// storeSettleTime is the time after the store's return from which on a removed target must
+	// get nothing new within its time bound.
+	storeSettleTime = 3 * time.Second
 )
 
-// leaveAfterSilences has the store be silent a few times, each at another point of the
-// instances' watches, and a target leave after each, with a word or without one. Nothing
-// new may reach it after its bound, though it would serve: instances that lost a watch in
-// the silence, and don't notice, go on sending to it.
-func (w *world) leaveAfterSilences(times int) {
-	random := rand.New(rand.NewPCG(w.options.Seed, 2<<32))
+// removeTargetsAfterSilences silences the store a few times, each at another point of the
+// instances' watches, and removes a target after each, with or without a draining state.
+// Nothing new may reach the target after drainTime, though it would still serve: instances
+// that lost a watch in the silence without noticing would go on sending to it.
+func (tb *testbed) removeTargetsAfterSilences(times int) {
+	random := rand.New(rand.NewPCG(tb.options.Seed, 2<<32))
 	services := []string{"plain", "engine", "stage"}
 	for n := range times {
 		name := services[random.IntN(len(services))] + "-passing-" + string(rune('a'+n))
-		if err := w.addTarget(name); err != nil {
-			w.breach("%s doesn't start: %v", name, err)
+		if err := tb.addTarget(name); err != nil {
+			tb.violation("%s doesn't start: %v", name, err)
 			return
 		}
-		time.Sleep(between(random, 500*time.Millisecond, 3*time.Second))
-		span := between(random, silenceLeast, silenceMost)
+		time.Sleep(randomDuration(random, 500*time.Millisecond, 3*time.Second))
+		span := randomDuration(random, minSilence, maxSilence)
 		silent, reset := random.IntN(2) == 0, random.IntN(3) > 0
-		w.note("the store is silent for %v, connections reset: %v, then %s leaves, without a word: %v", span, reset, name, silent)
-		w.store.Silence(true)
+		tb.logf("the store is silent for %v, connections reset: %v, then %s leaves, without a word: %v", span, reset, name, silent)
+		tb.store.Silence(true)
 		if reset {
-			// What waits is sent again at once, into the silence.
-			w.storeHTTP.CloseClientConnections()
+			// Waiting calls are sent again at once, while the store is still silent.
+			tb.storeHTTP.CloseClientConnections()
 		}
 		time.Sleep(span)
-		w.store.Silence(false)
-		time.Sleep(settledAfter)
+		tb.store.Silence(false)
+		time.Sleep(storeSettleTime)
 		if silent {
-			w.store.Delete("servers", name)
+			tb.store.Delete("servers", name)
 		} else {
-			w.enter(name, "draining")
+			tb.writeEntry(name, "draining")
 		}
 		time.Sleep(drainTime)
-		before := w.reached(name)
+		before := tb.arrivalsAt(name)
 		time.Sleep(time.Second)
-		if late := w.reached(name) - before; late > 0 {
-			w.breach("%d arrivals at %s over %v after it left", late, name, drainTime)
+		if late := tb.arrivalsAt(name) - before; late > 0 {
+			tb.violation("%d arrivals at %s over %v after it left", late, name, drainTime)
 		}
 	}
 }
 
-// reached counts the requests and the pieces that reached a target.
-func (w *world) reached(name string) int {
-	t, _ := w.target(name)
+// arrivalsAt counts the requests and pieces that reached a target.
+func (tb *testbed) arrivalsAt(name string) int {
+	t, _ := tb.target(name)
 	return len(t.Arrivals()) + len(t.Pieces())
 }
--- a/testkit/soak/soak_test.go
+++ b/testkit/soak/soak_test.go
@@ -10,24 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seeds are played in every run of the tests: one to find what is new in the code,
-// and each that ever failed, with its cause.
+// seeds are run by every test run: seed 1 to find new faults of the code, and each seed that
+// ever failed, with its cause.
 //
-// 520: a connection took the port of an instance that was down, which then could not
-// start again; the ports are reserved since.
+// 520: a connection used the port of an instance that was down, which then could not start
+// again; the ports are now reserved.
 //
-// 705: streams went on at targets that answered with a failure, began anew or sent a second
-// answer, or ended before their first event, and came out as whole.
+// 705: streams were resumed at targets that answered with a failure, started over, sent a
+// second response or ended before their first event, and were passed on as complete.
 var seeds = []uint64{1, 520, 705}
 
-// plannedSeeds are played with planned work only.
+// plannedSeeds are run with planned work only.
 //
-// 6: a stop closed connections while requests lay in the sockets of a paused process,
-// and at the end of its grace one that waited for its stages; a second SIGTERM ended a
+// 6: a stop closed connections while requests were waiting in the sockets of a paused process,
+// and, at the end of its grace, one that was waiting for its stages; a second SIGTERM ended a
 // process in the middle of its stop.
 var plannedSeeds = []uint64{6}
 
-// build builds the daemon.
+// build builds the daemon and returns its path.
 func build(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "ivyhollowd")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/ivyhollow/ivyhollow/cmd/ivyhollowd").CombinedOutput()
@@ -35,11 +35,11 @@
 	return binary
 }
 
-// Instances are killed, paused, restarted and cut off, targets and the store
-// misbehave, engines all at once too, at random and overlapping. What callers and
-// targets saw is compared afterwards: nothing ran twice, no refusal was false, no answer
-// was another's or cut short, no piece read another request's results, and the fleet is
-// well afterwards.
+// Instances are killed, paused, restarted and cut off; targets, the store and all engines at
+// once inject faults, at random and overlapping. The records of callers and targets must
+// agree: no request that may run once ran twice, no refusal was false, no response belonged to
+// another request or was shortened unnoticed, no piece read the results of another request,
+// and the fleet serves normally afterwards.
 func TestSoak(t *testing.T) {
 	binary := build(t)
 	for _, seed := range seeds {
@@ -48,29 +48,30 @@
 				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: 5 * time.Second, Instances: 3, Callers: 8,
 			})
 			require.NoError(t, err)
-			t.Logf("%d requests, %d served", report.Answers, report.Served)
-			require.Empty(t, report.Broken, "faults: %v", report.Faults)
+			t.Logf("%d requests, %d served", report.Requests, report.Served)
+			require.Empty(t, report.Violations, "faults: %v", report.Faults)
 		})
 	}
 }
 
-// A target leaves three seconds after a silence of the store, in which the instances'
-// watches were never received, and still gets requests long after its word.
+// Prevents requests to a target that left three seconds after a silence of the store:
+// instances whose watches were never received during the silence would go on using it long
+// after its draining state.
 func TestSoakSilences(t *testing.T) {
 	binary := build(t)
 	report, err := Run(Options{
 		Binary: binary, Dir: t.TempDir(), Seed: 7010, Faults: 500 * time.Millisecond, Instances: 3, Callers: 8, Silences: 1,
 	})
 	require.NoError(t, err)
-	t.Logf("%d requests, %d served", report.Answers, report.Served)
-	require.Empty(t, report.Broken, "faults: %v", report.Faults)
+	t.Logf("%d requests, %d served", report.Requests, report.Served)
+	require.Empty(t, report.Violations, "faults: %v", report.Faults)
 }
 
-// A work order ends with a closed connection though only planned work is going on:
-// instances are stopped in series that overlap, signalled twice or given new settings
-// meanwhile, stopped again at their start, or paused just before they let go of idle
-// connections; configurations and targets change. Callers keep their connections, and
-// each request whose bytes were sent must have a whole answer or a true refusal.
+// Prevents a request, such as a work order, from being lost to a closed connection during
+// planned work alone: instances are stopped in overlapping series, get a second signal or new
+// settings meanwhile, are stopped again during startup, or are paused just before they close
+// idle connections; configurations and targets change. Callers reuse their connections, and
+// each request whose bytes were sent must have a complete response or a true refusal.
 func TestSoakPlannedWork(t *testing.T) {
 	binary := build(t)
 	for _, seed := range plannedSeeds {
@@ -79,8 +80,8 @@
 				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: 4 * time.Second, Instances: 3, Callers: 120, Planned: true,
 			})
 			require.NoError(t, err)
-			t.Logf("%d requests, %d served, losses %+v", report.Answers, report.Served, report.Losses)
-			require.Empty(t, report.Broken, "planned work: %v", report.Faults)
+			t.Logf("%d requests, %d served, losses %+v", report.Requests, report.Served, report.Losses)
+			require.Empty(t, report.Violations, "planned work: %v", report.Faults)
 		})
 	}
 }
--- a/testkit/soak/stops.go
+++ b/testkit/soak/stops.go
@@ -7,81 +7,80 @@
 	"time"
 )
 
-// stop is one planned stop of an instance. Times count from the first SIGTERM; zero
-// times don't happen.
+// stop is one planned stop of an instance. Times count from the first SIGTERM; events with a
+// zero time don't happen.
 type stop struct {
 	in *instance
-	// after is when it begins, from the series' begin.
-	after time.Duration
-	// again is when SIGTERM comes a second time.
-	again time.Duration
-	// hangup is when SIGHUP comes, after the settings were written with this delay
-	// for the balancer.
-	hangup, delay time.Duration
-	// freeze and thaw are when the process is paused and continued.
-	freeze, thaw time.Duration
-	// down is the time from the process' end to the next start.
-	down time.Duration
-	// early tells that the next process is stopped at its start, as long after the
-	// launch as earlyAfter.
-	early      bool
-	earlyAfter time.Duration
+	// offset is when the stop begins, counted from the start of the series.
+	offset time.Duration
+	// secondTermAt is when a second SIGTERM is sent.
+	secondTermAt time.Duration
+	// reloadAt is when the settings are rewritten with newDelay as balancer delay and SIGHUP
+	// is sent.
+	reloadAt, newDelay time.Duration
+	// pauseAt and resumeAt are when the process is paused and resumed.
+	pauseAt, resumeAt time.Duration
+	// downtime is the time from the exit of the process to the next start.
+	downtime time.Duration
+	// stopNextEarly has the next process stopped during startup, earlyOffset after its launch.
+	stopNextEarly bool
+	earlyOffset   time.Duration
 }
 
-// times are what is noted of a stop.
+// times returns the values of a stop that are logged.
 func (s stop) times() any {
 	return struct {
 		After, Again, Hangup, Freeze, Thaw time.Duration
 		Early                              bool
-	}{s.after, s.again, s.hangup, s.freeze, s.thaw, s.early}
+	}{s.offset, s.secondTermAt, s.reloadAt, s.pauseAt, s.resumeAt, s.stopNextEarly}
 }
 
-// stop stops an instance and starts it again. One that is stopping or down already
-// is left alone.
-func (w *world) stop(s stop) {
+// runStop stops an instance and starts it again. It does nothing if the instance is already
+// stopping or down.
+func (tb *testbed) runStop(s stop) {
 	if !s.in.restarting.TryLock() {
 		return
 	}
 	defer s.in.restarting.Unlock()
-	w.end(s)
-	time.Sleep(s.down)
-	w.start(s.in)
-	if s.early {
-		time.Sleep(s.earlyAfter)
-		w.end(stop{in: s.in})
-		w.start(s.in)
+	tb.performStop(s)
+	time.Sleep(s.downtime)
+	tb.relaunch(s.in)
+	if s.stopNextEarly {
+		time.Sleep(s.earlyOffset)
+		tb.performStop(stop{in: s.in})
+		tb.relaunch(s.in)
 	}
 }
 
-func (w *world) start(in *instance) {
-	if err := w.launch(in); err != nil {
-		w.breach("%s doesn't start: %v", in.name, err)
+func (tb *testbed) relaunch(in *instance) {
+	if err := tb.launch(in); err != nil {
+		tb.violation("%s doesn't start: %v", in.name, err)
 	}
 }
 
-// event is something that is done during a stop.
-type event struct {
+// stopAction is an action during a stop.
+type stopAction struct {
 	at time.Duration
 	do func()
 }
 
-// end does a stop's events in turn and waits for the end of the process.
-func (w *world) end(s stop) {
+// performStop performs the actions of a stop in order and waits for the exit of the process.
+func (tb *testbed) performStop(s stop) {
 	in := s.in
-	_, ended := in.present()
-	events := []event{{0, func() { in.signal(syscall.SIGTERM, true) }}}
+	_, ended := in.current()
+	actions := []stopAction{{0, func() { in.signal(syscall.SIGTERM, true) }}}
 	add := func(at time.Duration, do func()) {
 		if at > 0 {
-			events = append(events, event{at, do})
+			actions = append(actions, stopAction{at, do})
 		}
 	}
-	add(s.again, func() { in.signal(syscall.SIGTERM, true) })
-	add(s.hangup, func() { w.rewrite(in, s.delay) })
-	add(s.freeze, func() { in.signal(syscall.SIGSTOP, false) })
-	add(s.thaw, func() { in.signal(syscall.SIGCONT, false) })
-	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
+	add(s.secondTermAt, func() { in.signal(syscall.SIGTERM, true) })
+	add(s.reloadAt, func() { tb.rewriteSettings(in, s.newDelay) })
+	add(s.pauseAt, func() { in.signal(syscall.SIGSTOP, false) })
+	add(s.resumeAt, func() { in.signal(syscall.SIGCONT, false) })
+	slices.SortStableFunc(actions, func(a, b stopAction) int { return cmp.Compare(a.at, b.at) })
 	begin := time.Now()
-	for _, e := range events {
+	for _, e := range actions {
 		select {
 		case <-ended:
 			return
@@ -91,19 +90,19 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(time.Until(begin.Add(in.grace + lateGrace))):
-		if w.options.Planned {
-			w.breach("%s still runs %v after its stop began", in.name, in.grace+lateGrace)
+	case <-time.After(time.Until(begin.Add(in.grace + graceTolerance))):
+		if tb.options.Planned {
+			tb.violation("%s still runs %v after its stop began", in.name, in.grace+graceTolerance)
 		}
 		in.signal(syscall.SIGKILL, true)
 		<-ended
 	}
 }
 
-// rewrite writes an instance's settings anew and has it read them.
-func (w *world) rewrite(in *instance, delay time.Duration) {
+// rewriteSettings rewrites an instance's settings and sends SIGHUP.
+func (tb *testbed) rewriteSettings(in *instance, delay time.Duration) {
 	if err := in.writeSettings(delay); err != nil {
-		w.breach("settings of %s: %v", in.name, err)
+		tb.violation("settings of %s: %v", in.name, err)
 	}
 	in.signal(syscall.SIGHUP, false)
 }
--- a/testkit/soak/targets.go
+++ b/testkit/soak/targets.go
@@ -12,123 +12,123 @@
 )
 
 const (
-	// drainTime is what instances have to send a leaving target nothing new, with
-	// some room; its entry goes then.
+	// drainTime is the time within which instances must stop sending new work to a leaving
+	// target, with some margin; its entry is deleted then.
 	drainTime = 2500 * time.Millisecond
-	// holdTime is how long a target lives on for the readers of its results.
-	holdTime = 4500 * time.Millisecond
-	// streamPace is the pause before each event of a stream; streams are far
-	// shorter than a planned stop.
-	streamPace        = 10 * time.Millisecond
-	streamPacePlanned = 80 * time.Millisecond
-	// slowest is the delay of a stage's call each way that leaves a stream with two
-	// stages time within its wait, if not within a planned stop.
-	slowest = time.Second
+	// resultRetention is how long a target then stays up for readers of its results.
+	resultRetention = 4500 * time.Millisecond
+	// eventInterval is the pause before each event of a stream; streams are far shorter than a
+	// planned stop.
+	eventInterval        = 10 * time.Millisecond
+	eventIntervalPlanned = 80 * time.Millisecond
+	// maxStageDelay is the longest delay of a stage call in each direction. A stream with two
+	// stages can still meet its deadline with it, though not within a planned stop.
+	maxStageDelay = time.Second
 )
 
-func (w *world) addTarget(name string) error {
+func (tb *testbed) addTarget(name string) error {
 	t := standin.NewTarget(name)
-	pace := streamPace
-	if w.options.Planned {
-		pace = streamPacePlanned
+	pace := eventInterval
+	if tb.options.Planned {
+		pace = eventIntervalPlanned
 	}
-	t.Stream(eventsOfAStream, pace)
-	t.Behave(func(a standin.Arrival) standin.Fault { return w.conduct.fault(name, a) })
+	t.Stream(eventsPerStream, pace)
+	t.Behave(func(a standin.Arrival) standin.Fault { return tb.injector.nextFault(name, a) })
 	path, err := relay.Start("127.0.0.1:0", t.Address())
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	w.targets[name], w.paths[name] = t, path
-	w.mu.Unlock()
-	if slices.Contains(crashing, name) {
-		w.canCrash(name)
+	tb.mu.Lock()
+	tb.targets[name], tb.relays[name] = t, path
+	tb.mu.Unlock()
+	if slices.Contains(crashingTargets, name) {
+		tb.enableCrashes(name)
 	}
-	w.enter(name, "ready")
+	tb.writeEntry(name, "ready")
 	return nil
 }
 
 // target returns a target and the relay before it.
-func (w *world) target(name string) (*standin.Target, *relay.Relay) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.targets[name], w.paths[name]
+func (tb *testbed) target(name string) (*standin.Target, *relay.Relay) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.targets[name], tb.relays[name]
 }
 
-// enter writes a target's entry, under the address of the relay before it.
-func (w *world) enter(name, state string) {
+// writeEntry writes a target's entry, with the address of the relay before it.
+func (tb *testbed) writeEntry(name, state string) {
 	service, _, _ := strings.Cut(name, "-")
-	target, path := w.target(name)
+	target, path := tb.target(name)
 	entry := target.Entry(service, "x", state)
 	entry["address"] = path.Addr()
-	w.store.Put("servers", name, entry)
+	tb.store.Put("servers", name, entry)
 }
 
-// replaceable are the targets that are replaced; other faults leave them alone.
+// replaceable are the targets that are replaced; other faults don't affect them.
 var replaceable = []string{"plain-3", "engine-3", "stage-2"}
 
-// changes writes configurations and replaces targets until the time is over.
-func (w *world) changes(until time.Time, rest time.Duration, random *rand.Rand) {
+// runChanges writes configurations and replaces targets until the given time.
+func (tb *testbed) runChanges(until time.Time, pause time.Duration, random *rand.Rand) {
 	current := append([]string{}, replaceable...)
 	for n := 1; time.Now().Before(until); n++ {
-		time.Sleep(rest + between(random, time.Second, 2*time.Second))
-		w.reconfigure()
+		time.Sleep(pause + randomDuration(random, time.Second, 2*time.Second))
+		tb.reconfigure()
 		slot := random.IntN(len(current))
 		if random.IntN(2) == 0 {
 			continue
 		}
 		service, _, _ := strings.Cut(current[slot], "-")
 		next := fmt.Sprintf("%s-new-%d", service, n)
-		w.note("planned: %s leaves, %s comes", current[slot], next)
-		if err := w.addTarget(next); err != nil {
-			w.breach("%s doesn't start: %v", next, err)
+		tb.logf("planned: %s leaves, %s comes", current[slot], next)
+		if err := tb.addTarget(next); err != nil {
+			tb.violation("%s doesn't start: %v", next, err)
 			return
 		}
-		w.leave(current[slot])
+		tb.removeTarget(current[slot])
 		current[slot] = next
 	}
 }
 
-// slowStages has the calls of stages take longer for a while, as under a load: streams
-// that were admitted before then wait for their stages when a stop comes to its end.
-func (w *world) slowStages(by, span time.Duration) {
-	w.note("planned: stages are slow by %v each way for %v", by, span)
-	w.delayStages(by)
+// slowStages delays the calls of stages for a while, as load does: streams that were admitted
+// before then still wait for their stages when a stop reaches its end.
+func (tb *testbed) slowStages(by, span time.Duration) {
+	tb.logf("planned: stages are slow by %v each way for %v", by, span)
+	tb.delayStages(by)
 	time.Sleep(span)
-	w.delayStages(0)
+	tb.delayStages(0)
 }
 
-func (w *world) delayStages(by time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, path := range w.paths {
+func (tb *testbed) delayStages(by time.Duration) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for name, path := range tb.relays {
 		if strings.HasPrefix(name, "stage-") {
 			path.Delay(relay.Both, by)
 		}
 	}
 }
 
-// leave has a target leave: it says so, its entry goes, then the target itself.
-func (w *world) leave(name string) {
-	w.enter(name, "draining")
-	w.leaving.Go(func() {
-		if !w.waits(drainTime) {
+// removeTarget removes a target: it first drains, then its entry is deleted, then it closes.
+func (tb *testbed) removeTarget(name string) {
+	tb.writeEntry(name, "draining")
+	tb.departures.Go(func() {
+		if !tb.waitUnlessOver(drainTime) {
 			return
 		}
-		w.store.Delete("servers", name)
-		if !w.waits(holdTime) {
+		tb.store.Delete("servers", name)
+		if !tb.waitUnlessOver(resultRetention) {
 			return
 		}
-		target, path := w.target(name)
+		target, path := tb.target(name)
 		path.Close()
 		target.Close()
 	})
 }
 
-// waits waits, and tells whether the run goes on.
-func (w *world) waits(span time.Duration) bool {
+// waitUnlessOver waits for the given time and reports whether the run is still going on.
+func (tb *testbed) waitUnlessOver(span time.Duration) bool {
 	select {
-	case <-w.over:
+	case <-tb.over:
 		return false
 	case <-time.After(span):
 		return true
