--- a/testkit/relay/admin.go
+++ b/testkit/relay/admin.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Handler serves the relay's commands over HTTP, for loopback alone: it asks
-// nobody who they are.
+// Handler serves the relay's commands over HTTP. It must listen on loopback only: it doesn't
+// authenticate its callers.
 //
 //	POST /mute?direction=both|to_target|to_client
 //	POST /mute-new?direction=...
--- a/testkit/relay/cmd/relay/main.go
+++ b/testkit/relay/cmd/relay/main.go
@@ -1,5 +1,4 @@
-// Command relay runs a test relay as a process of its own, with its commands
-// served over HTTP.
+// Command relay runs a test relay as a separate process, with its commands served over HTTP.
 package main
 
 import (
@@ -32,8 +31,7 @@
 	}
 }
 
-// run serves until the context ends. It prints both addresses first, for a
-// script to read.
+// run serves until the context ends. It first prints both addresses, for scripts to read.
 func run(ctx context.Context, listen, target, admin string) error {
 	r, err := relay.Start(listen, target)
 	if err != nil {
--- a/testkit/relay/link.go
+++ b/testkit/relay/link.go
@@ -11,35 +11,35 @@
 
 const (
 	chunkBytes = 16 << 10
-	// queuedChunks bounds what a delay holds back on one way of a connection;
-	// beyond it the sender feels back pressure.
-	queuedChunks = 256
+	// maxQueuedChunks bounds the delayed chunks of one way of a connection; beyond it the
+	// sender is subject to back pressure.
+	maxQueuedChunks = 256
 )
 
 // link is one connection through the relay.
 type link struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	client net.Conn
-	delay  *[ways]atomic.Int64
-	events *events
-	muted  [ways]atomic.Bool
+	ctx      context.Context
+	cancel   context.CancelFunc
+	client   net.Conn
+	delays   *[ways]atomic.Int64
+	counters *counters
+	muted    [ways]atomic.Bool
 
-	mu     sync.Mutex
-	target net.Conn // nil until dialled
-	broken bool     // by reset
+	mu       sync.Mutex
+	target   net.Conn // nil until dialled
+	wasReset bool
 }
 
-// chunk is what one read gave, to be delivered when it is due.
+// chunk is the result of one read, to be delivered at its due time.
 type chunk struct {
 	data []byte
 	due  time.Time
-	err  error // io.EOF when the sender has closed its side in order
+	err  error // io.EOF when the sender has closed its side orderly
 }
 
-func newLink(client net.Conn, delay *[ways]atomic.Int64, e *events) *link {
+func newLink(client net.Conn, delays *[ways]atomic.Int64, c *counters) *link {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &link{ctx: ctx, cancel: cancel, client: client, delay: delay, events: e}
+	return &link{ctx: ctx, cancel: cancel, client: client, delays: delays, counters: c}
 }
 
 func (l *link) mute(d Direction) {
@@ -50,12 +50,12 @@
 	}
 }
 
-// reset breaks the connection at both ends. The sockets are reset before the
-// link's goroutines are woken: one of them could close a socket first, and the
-// receiver would read an orderly end.
+// reset breaks the connection at both ends. The sockets are reset before the link's goroutines
+// are woken: one of them could otherwise close a socket first, and the receiver would read an
+// orderly end.
 func (l *link) reset() {
 	l.mu.Lock()
-	l.broken = true
+	l.wasReset = true
 	reset(l.client)
 	if l.target != nil {
 		reset(l.target)
@@ -64,16 +64,16 @@
 	l.cancel()
 }
 
-// attach gives the link its target. It is false when the link was reset
-// meanwhile; the target is then reset too.
+// attach sets the link's target connection. It returns false if the link has been reset in the
+// meantime; the target connection is then reset too.
 func (l *link) attach(target net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
-	if l.broken {
+	if l.wasReset {
 		reset(target)
 	}
-	return !l.broken
+	return !l.wasReset
 }
 
 // run forwards until both ways have ended or the link is reset.
@@ -92,21 +92,21 @@
 
 // forward moves the bytes of one way.
 func (l *link) forward(way int, from, to net.Conn) {
-	queue := make(chan chunk, queuedChunks)
+	queue := make(chan chunk, maxQueuedChunks)
 	var wg sync.WaitGroup
 	wg.Go(func() { l.read(way, from, queue) })
 	l.deliver(way, to, queue)
 	wg.Wait()
 }
 
-// read queues what arrives. It goes on while the way is muted: a sender whose
-// bytes are lost on the way still sees its writes succeed.
+// read queues the bytes that arrive. It continues while the way is muted: the writes of a
+// sender whose bytes are lost in the network still succeed.
 func (l *link) read(way int, from net.Conn, queue chan<- chunk) {
 	defer close(queue)
 	for {
 		buf := make([]byte, chunkBytes)
 		n, err := from.Read(buf)
-		due := time.Now().Add(time.Duration(l.delay[way].Load()))
+		due := time.Now().Add(time.Duration(l.delays[way].Load()))
 		c := chunk{data: buf[:n], due: due, err: err}
 		select {
 		case queue <- c:
@@ -119,37 +119,37 @@
 	}
 }
 
-// deliver writes each chunk when it is due.
+// deliver writes each chunk at its due time.
 func (l *link) deliver(way int, to net.Conn, queue <-chan chunk) {
 	for c := range queue {
-		if !l.wait(c.due) {
+		if !l.waitUntil(c.due) {
 			return
 		}
 		if l.muted[way].Load() {
-			l.drop(c)
+			l.discard(c)
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
-			l.failed(way)
+			l.writeFailed(way)
 			return
 		}
-		l.end(c.err, to)
+		l.propagateEnd(c.err, to)
 	}
 }
 
-// drop loses a chunk. A close that is lost keeps the link open until it is
-// reset, as the receiver would keep its end.
-func (l *link) drop(c chunk) {
-	l.events.update(func(s *Stats) { s.DroppedBytes += int64(len(c.data)) })
+// discard drops a chunk. A dropped close keeps the link open until it is reset, since the
+// receiver would keep its end open.
+func (l *link) discard(c chunk) {
+	l.counters.update(func(s *Stats) { s.DroppedBytes += int64(len(c.data)) })
 	if c.err != nil {
-		l.events.update(func(s *Stats) { s.DroppedCloses++ })
+		l.counters.update(func(s *Stats) { s.DroppedCloses++ })
 		<-l.ctx.Done()
 	}
 }
 
-// end passes on how the sender ended, if it has: an abort must not reach the
-// receiver as an orderly end, or a cut answer would look whole.
-func (l *link) end(err error, to net.Conn) {
+// propagateEnd passes on how the sender ended, if it has: an abort must not reach the receiver
+// as an orderly end, or a truncated response would look complete.
+func (l *link) propagateEnd(err error, to net.Conn) {
 	switch err {
 	case nil:
 	case io.EOF:
@@ -159,9 +159,9 @@
 	}
 }
 
-// failed breaks the link after a write that failed, unless the sender may not
-// learn of it because its way back is muted.
-func (l *link) failed(way int) {
+// writeFailed resets the link after a failed write, unless the way back to the sender is muted
+// and the sender must not notice.
+func (l *link) writeFailed(way int) {
 	if l.muted[1-way].Load() {
 		<-l.ctx.Done()
 		return
@@ -169,8 +169,8 @@
 	l.reset()
 }
 
-// wait returns false when the link is reset before the time.
-func (l *link) wait(due time.Time) bool {
+// waitUntil returns false if the link is reset before the given time.
+func (l *link) waitUntil(due time.Time) bool {
 	left := time.Until(due)
 	if left <= 0 {
 		return l.ctx.Err() == nil
@@ -185,7 +185,7 @@
 	}
 }
 
-// reset closes a connection so that the other end reads an error and not an
+// reset closes a connection with a TCP reset, so that the other end reads an error and not an
 // orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
--- a/testkit/relay/port.go
+++ b/testkit/relay/port.go
@@ -10,20 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is a TCP port that stays reserved while nobody listens on it. The
-// failure it guards against: a refusal closes the listener, another test is
-// given the port, and the relay can't come back or a client reaches a stranger.
-// A second socket, bound and never listening, holds the port; the kernel
-// refuses connections that find only such a socket.
+// port is a TCP port that stays reserved while nothing listens on it. Otherwise, after refuse
+// has closed the listener, another test could be given the port: the relay could not listen
+// again, or a client would reach the wrong server. A second socket, bound but never listening,
+// holds the port; the kernel refuses connections to a port with only such a socket.
 type port struct {
-	address string
-	holder  int
+	address  string
+	holderFD int
 
 	mu       sync.Mutex
 	listener net.Listener
 }
 
-// reserve binds the holder. Port 0 lets the system choose.
+// reserve binds the socket that holds the port. Port 0 lets the system choose.
 func reserve(address string) (*port, error) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -42,7 +41,7 @@
 		_ = unix.Close(fd)
 		return nil, err
 	}
-	return &port{address: netip.AddrPortFrom(addr.Addr(), portOf(bound)).String(), holder: fd}, nil
+	return &port{address: netip.AddrPortFrom(addr.Addr(), portOf(bound)).String(), holderFD: fd}, nil
 }
 
 func domain(ip netip.Addr) int {
@@ -53,7 +52,7 @@
 }
 
 func bind(fd int, addr netip.AddrPort) error {
-	if err := share(fd); err != nil {
+	if err := setReusePort(fd); err != nil {
 		return err
 	}
 	if addr.Addr().Is4() {
@@ -62,8 +61,8 @@
 	return unix.Bind(fd, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()})
 }
 
-// share lets the holder and the listener bind the same port.
-func share(fd int) error {
+// setReusePort lets the holding socket and the listener bind the same port.
+func setReusePort(fd int) error {
 	return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 }
 
@@ -78,7 +77,7 @@
 	}
 }
 
-// listen returns a new listener, or nil when there is one already.
+// listen returns a new listener, or nil if there is one already.
 func (p *port) listen() (net.Listener, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +86,7 @@
 	}
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var shared error
-		if err := c.Control(func(fd uintptr) { shared = share(int(fd)) }); err != nil {
+		if err := c.Control(func(fd uintptr) { shared = setReusePort(int(fd)) }); err != nil {
 			return err
 		}
 		return shared
@@ -107,5 +106,5 @@
 	}
 }
 
-// release gives the port back.
-func (p *port) release() { _ = unix.Close(p.holder) }
+// release frees the port.
+func (p *port) release() { _ = unix.Close(p.holderFD) }
--- a/testkit/relay/relay.go
+++ b/testkit/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is a TCP relay for tests. It forwards a loopback port and, on
-// command, makes the connections through it fail as a network does: they go
-// silent while new ones work, they are reset, refused or slow. Commands come
-// from the test itself or over HTTP, for a relay in a process of its own.
+// Package relay is a TCP relay for tests. It forwards a loopback port and, on command, makes
+// the connections through it fail as in a network fault: open ones fall silent while new ones
+// work, or connections are reset, refused or delayed. Commands come from the test itself or
+// over HTTP, for a relay in a separate process.
 package relay
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Direction is the way of the bytes that a command concerns.
+// Direction is the direction of the bytes that a command applies to.
 type Direction uint8
 
 // The directions.
@@ -24,25 +24,25 @@
 	ToClient
 )
 
-// ways is the number of single directions; way turns one into an index.
+// ways is the number of single directions; a way is the index of one of them.
 const ways = 2
 
-// has tells whether the direction includes the way with index 0 (to the
-// target) or 1 (to the client).
+// has reports whether the direction includes the way with index 0 (to the target) or 1 (to the
+// client).
 func (d Direction) has(way int) bool {
 	return d == Both || int(d)-1 == way
 }
 
-// dialTimeout bounds the wait for the target.
+// dialTimeout bounds a dial of the target.
 const dialTimeout = 5 * time.Second
 
 // Relay forwards the connections of one port to one target.
 type Relay struct {
-	target string
-	port   *port
-	delay  [ways]atomic.Int64
-	events events
-	wg     sync.WaitGroup
+	target   string
+	port     *port
+	delays   [ways]atomic.Int64
+	counters counters
+	wg       sync.WaitGroup
 
 	mu      sync.Mutex
 	links   map[*link]struct{}
@@ -50,7 +50,7 @@
 	closed  bool
 }
 
-// ErrClosed is returned by a command to a relay that is closed.
+// ErrClosed is returned by a command to a closed relay.
 var ErrClosed = errors.New("relay: closed")
 
 // Start listens on the address, such as 127.0.0.1:0, and forwards to the target.
@@ -60,7 +60,7 @@
 		return nil, fmt.Errorf("relay: reserve %s: %w", address, err)
 	}
 	r := &Relay{target: target, port: p, links: map[*link]struct{}{}}
-	r.events.init()
+	r.counters.init()
 	if err := r.listen(); err != nil {
 		p.release()
 		return nil, err
@@ -68,11 +68,11 @@
 	return r, nil
 }
 
-// Addr is the IP:port that the relay listens on. It stays the same, and stays
-// reserved, also while new connections are refused.
+// Addr returns the IP:port of the relay. It doesn't change, and it stays reserved while new
+// connections are refused.
 func (r *Relay) Addr() string { return r.port.address }
 
-// listen starts to accept connections, if the relay doesn't yet.
+// listen starts to accept connections unless the relay already does.
 func (r *Relay) listen() error {
 	l, err := r.port.listen()
 	if err != nil {
@@ -99,25 +99,25 @@
 	}
 }
 
-// add registers a connection before its target is dialled, so that no command
-// misses it. It returns nil when the relay is closed.
+// add registers a connection before its target is dialled, so that every command applies to
+// it. It returns nil if the relay is closed.
 func (r *Relay) add(conn net.Conn) *link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return nil
 	}
-	l := newLink(conn, &r.delay, &r.events)
+	l := newLink(conn, &r.delays, &r.counters)
 	for way := range ways {
 		l.muted[way].Store(r.muteNew[way])
 	}
 	r.links[l] = struct{}{}
-	r.events.update(func(s *Stats) { s.Accepted++; s.Open++ })
+	r.counters.update(func(s *Stats) { s.Accepted++; s.Open++ })
 	return l
 }
 
 func (r *Relay) serve(l *link) {
-	defer r.forget(l)
+	defer r.remove(l)
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
 	var d net.Dialer
@@ -129,15 +129,15 @@
 	l.run(target)
 }
 
-func (r *Relay) forget(l *link) {
+func (r *Relay) remove(l *link) {
 	r.mu.Lock()
 	delete(r.links, l)
 	r.mu.Unlock()
-	r.events.update(func(s *Stats) { s.Open-- })
+	r.counters.update(func(s *Stats) { s.Open-- })
 }
 
-// each calls a function for every open connection.
-func (r *Relay) each(f func(*link)) {
+// forEachLink calls a function for every open connection.
+func (r *Relay) forEachLink(f func(*link)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for l := range r.links {
@@ -145,14 +145,14 @@
 	}
 }
 
-// Mute makes the open connections silent for good: they stay open, both ends
-// can write, and nothing arrives, an end's close included. New connections
-// work. It is what a lost entry in a connection table does.
+// Mute makes the open connections silent permanently: they stay open and both ends can write,
+// but nothing arrives, not even a close. New connections work. It simulates the loss of an
+// entry in a connection table, as in a firewall.
 func (r *Relay) Mute(d Direction) {
-	r.each(func(l *link) { l.mute(d) })
+	r.forEachLink(func(l *link) { l.mute(d) })
 }
 
-// MuteNew makes connections silent from their start, until Restore.
+// MuteNew makes new connections silent from their start, until Restore.
 func (r *Relay) MuteNew(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,24 +163,24 @@
 
 // Reset resets the open connections at both ends. New connections work.
 func (r *Relay) Reset() {
-	r.each((*link).reset)
+	r.forEachLink((*link).reset)
 }
 
-// Refuse refuses new connections until Restore. Open ones work.
+// Refuse refuses new connections until Restore. Open ones continue to work.
 func (r *Relay) Refuse() { r.port.refuse() }
 
-// Delay delivers bytes this much later, on open and on new connections, until
-// Restore. The order of bytes stays.
+// Delay delays the delivery of bytes, on open and on new connections, until Restore. The order
+// of bytes is preserved.
 func (r *Relay) Delay(d Direction, by time.Duration) {
 	for way := range ways {
 		if d.has(way) {
-			r.delay[way].Store(int64(by))
+			r.delays[way].Store(int64(by))
 		}
 	}
 }
 
-// Restore lets new connections work, without delay. Connections that are
-// muted or reset stay so.
+// Restore lets new connections work, without delay. Connections that are muted or reset are
+// not restored.
 func (r *Relay) Restore() error {
 	r.Delay(Both, 0)
 	r.mu.Lock()
@@ -192,10 +192,9 @@
 	return r.listen()
 }
 
-// Close resets all connections, frees the port and waits for the relay's
-// goroutines.
+// Close resets all connections, frees the port and waits for the relay's goroutines.
 func (r *Relay) Close() {
-	if !r.close() {
+	if !r.closeListener() {
 		return
 	}
 	r.Reset()
@@ -203,8 +202,8 @@
 	r.port.release()
 }
 
-// close ends the listener; it is false when that was done before.
-func (r *Relay) close() bool {
+// closeListener closes the listener; it returns false if the relay was already closed.
+func (r *Relay) closeListener() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
--- a/testkit/relay/relay_test.go
+++ b/testkit/relay/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serveTarget accepts connections and hands each to serve.
+// serveTarget accepts connections and serves each with the given function.
 func serveTarget(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,8 +64,7 @@
 	require.Equal(t, "ping", string(got))
 }
 
-// requireReset reads the end of a connection: nothing may come before it, and
-// it may not look orderly.
+// requireReset requires that a connection ends with a reset, without any bytes before it.
 func requireReset(t *testing.T, conn net.Conn) {
 	t.Helper()
 	n, err := conn.Read(make([]byte, 1))
@@ -90,8 +89,8 @@
 	require.NoError(t, r.Await(t.Context(), func(s Stats) bool { return s.Open == 0 }))
 }
 
-// A firewall forgets a connection: the client's writes succeed, no answer ever
-// comes, and a new connection to the same address works.
+// As when a firewall forgets a connection: the client's writes succeed, no response arrives,
+// and a new connection to the same address works.
 func TestMuteSilencesOpenConnectionsOnly(t *testing.T) {
 	for name, d := range map[string]Direction{"both": Both, "to target": ToTarget, "to client": ToClient} {
 		t.Run(name, func(t *testing.T) {
@@ -113,9 +112,9 @@
 	}
 }
 
-// A caller ends its side of a connection that the network has forgotten: the
-// server never learns of it, not even once it has ended its own side.
-func TestMuteKeepsAClose(t *testing.T) {
+// As when a caller closes its side of a connection that the network has forgotten: the server
+// never learns of it, even after it has closed its own side.
+func TestMuteDropsCloses(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	r := startRelay(t, serveTarget(t, func(conn net.Conn) { conns <- conn }))
 	client := dial(t, r)
@@ -152,7 +151,7 @@
 	requireEcho(t, dial(t, r))
 }
 
-// The port must refuse, stay ours meanwhile, and be the same afterwards.
+// The port must refuse connections, stay reserved meanwhile, and be the same afterwards.
 func TestRefuseUntilRestore(t *testing.T) {
 	r := startRelay(t, serveTarget(t, echo))
 	old := dial(t, r)
@@ -168,8 +167,8 @@
 	requireEcho(t, dial(t, r))
 }
 
-// A target dies in the middle of an answer. If its reset reached the client as
-// an orderly end, half an answer would look whole.
+// Prevents a truncated response from looking complete: the reset of a target that fails in the
+// middle of a response must not reach the client as an orderly end.
 func TestResetOfTheTargetReachesTheClient(t *testing.T) {
 	r := startRelay(t, serveTarget(t, func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, 1))
@@ -181,9 +180,9 @@
 	requireReset(t, conn)
 }
 
-// The reset races with the client's own connect: it shows there or at the
-// first read, and never as an orderly end.
-func TestTargetThatIsDown(t *testing.T) {
+// The reset races with the client's connect: it is seen there or at the first read, and never
+// as an orderly end.
+func TestUnreachableTargetResetsTheClient(t *testing.T) {
 	down := startRelay(t, "127.0.0.1:1")
 	down.Refuse()
 	r := startRelay(t, down.Addr())
@@ -199,11 +198,11 @@
 func TestDelayKeepsOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Relay{}
-		r.events.init()
+		r.counters.init()
 		r.Delay(ToTarget, 30*time.Millisecond)
 		client, relayClient := net.Pipe()
 		target, relayTarget := net.Pipe()
-		l := newLink(relayClient, &r.delay, &r.events)
+		l := newLink(relayClient, &r.delays, &r.counters)
 		done := make(chan struct{})
 		go func() {
 			l.run(relayTarget)
@@ -226,7 +225,7 @@
 	})
 }
 
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseResetsConnectionsAndFreesThePort(t *testing.T) {
 	r := startRelay(t, serveTarget(t, echo))
 	conn := dial(t, r)
 	requireEcho(t, conn)
@@ -257,8 +256,8 @@
 		{"/mute?direction=to_client", http.StatusNoContent, nil},
 		{"/mute-new?direction=to_target", http.StatusNoContent, func() { require.Equal(t, [ways]bool{true, false}, r.muteNew) }},
 		{"/delay?by=50ms&direction=to_client", http.StatusNoContent, func() {
-			require.Equal(t, int64(0), r.delay[0].Load())
-			require.Equal(t, int64(50*time.Millisecond), r.delay[1].Load())
+			require.Equal(t, int64(0), r.delays[0].Load())
+			require.Equal(t, int64(50*time.Millisecond), r.delays[1].Load())
 		}},
 		{"/reset", http.StatusNoContent, nil},
 		{"/refuse", http.StatusNoContent, func() {
--- a/testkit/relay/stats.go
+++ b/testkit/relay/stats.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// Stats counts what a relay has done.
+// Stats counts the events of a relay.
 type Stats struct {
-	// Open counts the connections that are open, muted ones included.
+	// Open counts the open connections, including muted ones.
 	Open int `json:"open"`
-	// Accepted counts connections since the start.
+	// Accepted counts the connections since the start.
 	Accepted int `json:"accepted"`
 	// DroppedBytes counts the bytes that arrived on muted ways.
 	DroppedBytes int64 `json:"dropped_bytes"`
@@ -17,40 +17,39 @@
 	DroppedCloses int `json:"dropped_closes"`
 }
 
-// events keeps the counts and wakes those who wait for one of them.
-type events struct {
+// counters holds the stats and notifies waiters of changes.
+type counters struct {
 	mu      sync.Mutex
 	stats   Stats
 	changed chan struct{}
 }
 
-func (e *events) init() { e.changed = make(chan struct{}) }
+func (c *counters) init() { c.changed = make(chan struct{}) }
 
-func (e *events) update(f func(*Stats)) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	f(&e.stats)
-	close(e.changed)
-	e.changed = make(chan struct{})
+func (c *counters) update(f func(*Stats)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f(&c.stats)
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-func (e *events) read() (Stats, <-chan struct{}) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.stats, e.changed
+func (c *counters) read() (Stats, <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stats, c.changed
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (r *Relay) Stats() Stats {
-	s, _ := r.events.read()
+	s, _ := r.counters.read()
 	return s
 }
 
-// Await waits until the counts meet a condition: a test waits for the event
-// itself and needs no sleep.
+// Await waits until the stats meet a condition, so that a test needs no sleep.
 func (r *Relay) Await(ctx context.Context, met func(Stats) bool) error {
 	for {
-		s, changed := r.events.read()
+		s, changed := r.counters.read()
 		if met(s) {
 			return nil
 		}
