--- a/testkit/cmd/standin/main.go
+++ b/testkit/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in of the platform or of a target.
+// Command standin runs an emulator of the platform or of a target.
 package main
 
 import (
--- a/testkit/standin/standin.go
+++ b/testkit/standin/standin.go
@@ -1,5 +1,4 @@
-// Package standin runs one stand-in as a process of its own: the platform or
-// one target.
+// Package standin runs an emulator as a separate process: the platform or one target.
 package standin
 
 import (
@@ -25,7 +24,7 @@
 
 const readTimeout = 5 * time.Second
 
-// Main runs the command line of the stand-ins and returns the exit code.
+// Main runs the command line of the emulators and returns the exit code.
 func Main() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -108,7 +107,7 @@
 	})
 }
 
-// serve prints "listening ADDRESS" once the port is open and serves until ctx
+// serve listens on the address, calls opened, prints "listening ADDRESS" and serves until ctx
 // ends.
 func serve(ctx context.Context, listen string, handler http.Handler, opened func(address string) error) error {
 	listener, err := net.Listen("tcp", listen)
@@ -140,13 +139,13 @@
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return errors.Newf("platform answered %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return errors.Newf("platform answered %d", response.StatusCode)
 	}
 	return nil
 }
