--- a/testkit/scenario/call.go
+++ b/testkit/scenario/call.go
@@ -17,7 +17,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/sse"
 )
 
-// DefaultKey is the caller key of the scenarios' client account.
+// DefaultKey is the API key of the scenarios' client account.
 const DefaultKey = "demo-key"
 
 // Call is one request of a caller.
@@ -31,11 +31,11 @@
 	Stream         bool
 	// Malformed sends a body that is refused as soon as it is read.
 	Malformed bool
-	// Client makes the call; nil means the scenarios' own.
+	// Client sends the request; nil means the package's default client.
 	Client *http.Client
 }
 
-// Reply is what the caller got, streamed or not.
+// Reply is the response that the caller received, streamed or not.
 type Reply struct {
 	Status  int
 	Header  http.Header
@@ -43,10 +43,10 @@
 	Problem *callerapi.Problem
 }
 
-// Do makes the call. A stream whose tokens don't join to its answer, or that
-// ends without one, is an error.
+// Do sends the request. A stream that ends early, or whose joined tokens differ from its final
+// output, is an error.
 func (c Call) Do() (Reply, error) {
-	status, header, text, err := exchangeBy(c.Client, http.MethodPost, c.URL+"/v1/pipelines/"+c.Pipeline+"/requests", c.body(), c.header())
+	status, header, text, err := exchangeWith(c.Client, http.MethodPost, c.URL+"/v1/pipelines/"+c.Pipeline+"/requests", c.body(), c.header())
 	if err != nil {
 		return Reply{}, err
 	}
@@ -64,7 +64,7 @@
 	if c.Malformed {
 		return []byte("{")
 	}
-	body, _ := json.Marshal(callerapi.Request{Input: c.Input}) // strings only
+	body, _ := json.Marshal(callerapi.Request{Input: c.Input}) // strings always encode
 	return body
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// SubmitMain is the program "submit": it makes one call and prints the status,
-// the outcome and the output, each on a line.
+// SubmitMain is the program "submit": it sends one or more requests and prints the status, the
+// outcome and the output of each, one per line.
 func SubmitMain() {
 	c := Call{}
 	flags := flag.NewFlagSet("submit", flag.ExitOnError)
@@ -126,11 +126,11 @@
 	flags.BoolVar(&c.Stream, "stream", false, "")
 	count := flags.Int("count", 1, "number of calls, one after the other")
 	retry := flags.Bool("retry", false, "come back after a refusal when it says so")
-	_ = flags.Parse(os.Args[1:]) // ends the program
+	_ = flags.Parse(os.Args[1:]) // exits on an error
 	c.URL, c.Pipeline = flags.Arg(0), flags.Arg(1)
 	failed := false
 	for range *count {
-		reply, err := c.do(*retry)
+		reply, err := c.callWithRetries(*retry)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "submit:", err)
 			os.Exit(2)
@@ -143,9 +143,9 @@
 	}
 }
 
-// do makes the call, and again when the answer promises that it did not run and
-// names a time to come back.
-func (c Call) do(retry bool) (reply Reply, err error) {
+// callWithRetries sends the request and, if retry is set, repeats it as long as the response
+// names a time to retry.
+func (c Call) callWithRetries(retry bool) (reply Reply, err error) {
 	if !retry {
 		return c.Do()
 	}
@@ -165,18 +165,18 @@
 	fmt.Printf("retry_after_ms %d\nfield %s\nstep %s\n", r.Problem.RetryAfterMS, r.Problem.Field, r.Problem.Step)
 }
 
-// ExpectedMain is the program "expected": it prints the output that the sample
-// pipelines give for an input, worked out from the emulated targets alone.
+// ExpectedMain is the program "expected": it prints the output of a sample pipeline for an
+// input, computed from the emulated targets alone.
 func ExpectedMain() {
 	pipeline, version, input := os.Args[1], os.Args[2], os.Args[3]
 	fmt.Printf("output %s\n", Expected(pipeline, version, input))
 }
 
-// generated is the number of tokens that the sample's generation stage gives.
-const generated = 24
+// generatedTokens is the number of tokens that the sample's generation stage produces.
+const generatedTokens = 24
 
-// Expected works out the answer of a sample pipeline, or of "copy" and
-// "twice", which some scripts define by one stage and by two.
+// Expected computes the output of a sample pipeline, or of "copy" and "twice", which some
+// scripts define with one and two stages.
 func Expected(pipeline, version, input string) string {
 	if pipeline == "work-order" {
 		out, _ := targetemulator.Output("submit", []string{input}, "", 0)
@@ -200,6 +200,6 @@
 		rerankFrom = []string{encoded, retrieved}
 	}
 	reranked, _ := targetemulator.Output("rerank", rerankFrom, "", 0)
-	out, _ := targetemulator.Output("generate", []string{reranked}, "writer", generated)
+	out, _ := targetemulator.Output("generate", []string{reranked}, "writer", generatedTokens)
 	return out
 }
--- a/testkit/scenario/faults.go
+++ b/testkit/scenario/faults.go
@@ -15,17 +15,17 @@
 )
 
 // setStoreFaults: store JSON, store ok.
-func setStoreFaults(_ *testscript.TestScript, w *world, args []string) error {
+func setStoreFaults(_ *testscript.TestScript, tb *testbed, args []string) error {
 	text := strings.Join(args, " ")
 	if text == "ok" {
 		text = "{}"
 	}
-	return put(http.MethodPut, w.platform+platformemulator.PathFaults, text)
+	return sendJSON(http.MethodPut, tb.platform+platformemulator.PathFaults, text)
 }
 
 // setTargetFaults: fault TARGET JSON, fault TARGET ok.
-func setTargetFaults(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "")
+func setTargetFaults(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "")
 	if err != nil {
 		return err
 	}
@@ -33,31 +33,32 @@
 	if text == "ok" {
 		text = "[]"
 	}
-	return put(http.MethodPost, base+targetemulator.PathAdminFaults, text)
+	return sendJSON(http.MethodPost, base+targetemulator.PathAdminFaults, text)
 }
 
-// setLeaving: leaving TARGET; the target itself says so, the list does not yet.
-func setLeaving(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "")
+// setLeaving: leaving TARGET has the target report that it leaves, while the platform still
+// lists it as ready.
+func setLeaving(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "")
 	if err != nil {
 		return err
 	}
-	return put(http.MethodPost, base+targetemulator.PathAdminLeaving, `{"leaving":true}`)
+	return sendJSON(http.MethodPost, base+targetemulator.PathAdminLeaving, `{"leaving":true}`)
 }
 
-// unlistTarget: unlist TARGET takes it off the platform's list.
-func unlistTarget(_ *testscript.TestScript, w *world, args []string) error {
-	return put(http.MethodDelete, w.platform+platformemulator.PathTargets+"/"+args[0], "{}")
+// unlistTarget: unlist TARGET removes it from the platform's list.
+func unlistTarget(_ *testscript.TestScript, tb *testbed, args []string) error {
+	return sendJSON(http.MethodDelete, tb.platform+platformemulator.PathTargets+"/"+args[0], "{}")
 }
 
-// startRelay: relay NAME platform|TARGET starts a TCP relay before a process. A
-// target is listed under the relay's address from then on; an instance takes
-// the relay as its platform by --platform NAME.
-func startRelay(_ *testscript.TestScript, w *world, args []string) error {
+// startRelay: relay NAME platform|TARGET starts a TCP relay before a process. A target is
+// listed with the relay's address from then on; an instance uses the relay as its platform by
+// --platform NAME.
+func startRelay(_ *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) != 2 {
 		return errors.New("usage: relay NAME platform|TARGET")
 	}
-	p, err := w.find(args[1])
+	p, err := tb.process(args[1])
 	if err != nil {
 		return err
 	}
@@ -69,32 +70,31 @@
 	if err != nil {
 		return err
 	}
-	w.relays[args[0]] = r
-	if args[1] == platformName {
+	tb.relays[args[0]] = r
+	if args[1] == platformProcess {
 		return nil
 	}
-	return w.relist(args[1], r.Addr())
+	return tb.listTarget(args[1], r.Addr())
 }
 
-// relist gives the platform another address of a target.
-func (w *world) relist(incarnation, address string) error {
-	entry := w.listed[incarnation]
+// listTarget lists a target at the platform with another address.
+func (tb *testbed) listTarget(incarnation, address string) error {
+	entry := tb.listed[incarnation]
 	entry.Address = address
 	text, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
-	return put(http.MethodPut, w.platform+platformemulator.PathTargets, string(text))
+	return sendJSON(http.MethodPut, tb.platform+platformemulator.PathTargets, string(text))
 }
 
-// commandRelay: link RELAY mute|mute-answers|mute-new|reset|refuse|restore. Mute
-// makes the open connections silent for good while new ones work, mute-answers
-// only on the way back.
-func commandRelay(_ *testscript.TestScript, w *world, args []string) error {
+// runRelayCommand: link RELAY mute|mute-answers|mute-new|reset|refuse|restore. mute makes the
+// open connections silent permanently while new ones work, mute-answers only on the way back.
+func runRelayCommand(_ *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) != 2 {
 		return errors.New("usage: link RELAY COMMAND")
 	}
-	r, ok := w.relays[args[0]]
+	r, ok := tb.relays[args[0]]
 	if !ok {
 		return errors.Newf("no relay %s in this scenario", args[0])
 	}
@@ -117,13 +117,13 @@
 	return nil
 }
 
-// waitDropped: dropped RELAY waits until bytes were lost on muted connections.
-func waitDropped(_ *testscript.TestScript, w *world, args []string) error {
-	r, ok := w.relays[args[0]]
+// waitDropped: dropped RELAY waits until muted connections have dropped bytes.
+func waitDropped(_ *testscript.TestScript, tb *testbed, args []string) error {
+	r, ok := tb.relays[args[0]]
 	if !ok {
 		return errors.Newf("no relay %s in this scenario", args[0])
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return r.Await(ctx, func(s relay.Stats) bool { return s.DroppedBytes > 0 })
 }
--- a/testkit/scenario/load.go
+++ b/testkit/scenario/load.go
@@ -17,122 +17,123 @@
 )
 
 const (
-	// loadTimeout bounds one call of a load's caller. It is longer than any
-	// tier's deadline that the sample's account has.
+	// loadTimeout bounds one request of a load. It is longer than the deadline of any tier
+	// that the sample's account has.
 	loadTimeout = 8 * time.Second
 	// loadDeadline is the deadline of the sample account's tier.
 	loadDeadline = 6 * time.Second
-	// readyTimeout bounds a look at an instance's readiness.
+	// readyTimeout bounds a readiness probe.
 	readyTimeout = 500 * time.Millisecond
 )
 
-// entrance is one instance as the balancer before it sees it.
-type entrance struct{ callers, admin string }
+// endpoint is the addresses of one instance: for callers, and for the readiness probes of the
+// balancer.
+type endpoint struct{ callers, admin string }
 
-// loadOrder is one piece of work of a load and what its caller knows of it.
-type loadOrder struct {
+// loadRequest is one request of a load, repeated until its outcome is final, and what its
+// caller knows of it.
+type loadRequest struct {
 	input string
-	// answer is OutcomeRan when it was answered whole, "" when nothing is known.
-	answer callerapi.Outcome
-	// retryAfter is the time that the last refusal asked for.
+	// outcome is OutcomeRan after a complete answer, "" if nothing is known.
+	outcome callerapi.Outcome
+	// retryAfter is the time that the last refusal named.
 	retryAfter time.Duration
 }
 
-// loadCount are the answers of a load, by what they were.
-type loadCount struct {
-	whole, notRun, unknown, failed, cut, late int
-	// undated are those not_run that name no time to come back.
-	undated int
-	// slowest is the longest time of a whole answer.
+// loadCounts counts the answers of a load by kind.
+type loadCounts struct {
+	complete, notRun, unknown, failed, cut, late int
+	// withoutRetryAfter counts the not_run answers that name no time to retry.
+	withoutRetryAfter int
+	// slowest is the longest time of a complete answer.
 	slowest time.Duration
 }
 
-// load is a number of callers who call on and on, each checking every answer.
-// They choose among ready instances as the platform's balancer does. A caller
-// who is told not_run, or whose connection breaks, tries elsewhere with the
-// same idempotency key.
+// load is a number of callers that send requests continuously and check every answer. They
+// choose among ready instances as the platform's balancer does. After not_run or a broken
+// connection, a caller retries at another instance with the same idempotency key.
 type load struct {
-	name  string
-	call  Call
-	keyed bool
-	// comesBack makes callers wait for the time that a refusal names.
-	comesBack bool
-	entrances []entrance
-	client    *http.Client
-	stop      chan struct{}
-	abandon   chan struct{}
-	group     sync.WaitGroup
+	name            string
+	call            Call
+	idempotencyKeys bool
+	// honoursRetryAfter makes callers wait for the time that a refusal names.
+	honoursRetryAfter bool
+	endpoints         []endpoint
+	client            *http.Client
+	stop              chan struct{}
+	cancel            chan struct{}
+	callers           sync.WaitGroup
 
-	mu     sync.Mutex
-	count  loadCount
-	orders []loadOrder
+	mu       sync.Mutex
+	counts   loadCounts
+	requests []loadRequest
 	// problems counts the refusals and failures by type.
-	problems map[string]int
-	wrong    error
-	changed  chan struct{}
-	ended    bool
+	problems    map[string]int
+	wrongOutput error
+	changed     chan struct{}
+	ended       bool
 }
 
-// runLoad: load begin NAME PIPELINE CALLERS INSTANCE..., load whole NAME COUNT
-// waits for so many further whole answers, load end NAME checks all answers and
-// prints their number. The pipeline "stream" is the dossier, called for streams;
-// PIPELINE@KEY calls as another account.
-func runLoad(ts *testscript.TestScript, w *world, args []string) error {
+// runLoad: load begin NAME PIPELINE CALLERS INSTANCE... starts a load, load whole NAME COUNT
+// waits for the given number of further complete answers, load end NAME checks all answers and
+// prints the counts. The pipeline "stream" is the dossier requested as a stream; PIPELINE@KEY
+// uses another account.
+func runLoad(ts *testscript.TestScript, tb *testbed, args []string) error {
 	switch {
 	case len(args) >= 5 && args[0] == "begin":
-		return w.beginLoad(args[1], args[2], args[3], args[4:])
+		return tb.beginLoad(args[1], args[2], args[3], args[4:])
 	case len(args) == 3 && args[0] == "whole":
-		return w.loads[args[1]].awaitWhole(args[2])
+		return tb.loads[args[1]].awaitComplete(args[2])
 	case len(args) == 2 && args[0] == "end":
-		l := w.loads[args[1]]
-		l.end()
-		c := l.count
+		l := tb.loads[args[1]]
+		l.finish()
+		c := l.counts
 		fmt.Fprintf(ts.Stdout(), "whole %d not_run %d unknown %d failed %d cut %d late %d\nundated %d\nslowest %v\nproblems %v\n",
-			c.whole, c.notRun, c.unknown, c.failed, c.cut, c.late, c.undated, c.slowest, l.problems)
-		return w.checkLoad(l)
+			c.complete, c.notRun, c.unknown, c.failed, c.cut, c.late, c.withoutRetryAfter, c.slowest, l.problems)
+		return tb.checkLoad(l)
 	}
 	return errors.New("usage: load begin NAME PIPELINE CALLERS INSTANCE... | whole NAME COUNT | end NAME")
 }
 
-func (w *world) beginLoad(name, pipeline, callers string, instances []string) error {
+func (tb *testbed) beginLoad(name, pipeline, callers string, instances []string) error {
 	number, err := strconv.Atoi(callers)
 	if err != nil {
 		return err
 	}
 	l := &load{
-		name:    name,
-		call:    Call{Pipeline: pipeline, SchemaVersion: "1", Key: DefaultKey},
-		client:  &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: number}},
-		stop:    make(chan struct{}),
-		abandon: make(chan struct{}),
+		name:   name,
+		call:   Call{Pipeline: pipeline, SchemaVersion: "1", Key: DefaultKey},
+		client: &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: number}},
+		stop:   make(chan struct{}),
+		cancel: make(chan struct{}),
 
 		problems: make(map[string]int),
 		changed:  make(chan struct{}),
 	}
 	if name, key, ok := strings.Cut(pipeline, "@"); ok {
 		pipeline, l.call.Pipeline, l.call.Key = name, name, key
-		l.comesBack = true
+		l.honoursRetryAfter = true
 	}
 	if pipeline == "work-order" {
-		l.keyed = true
+		l.idempotencyKeys = true
 	}
 	if pipeline == "stream" {
 		l.call.Pipeline, l.call.Stream, l.call.SchemaVersion = "dossier", true, "2"
 	}
 	for _, instance := range instances {
-		callersURL, err := w.url(instance, "callers")
+		callersURL, err := tb.url(instance, "callers")
 		if err != nil {
 			return err
 		}
-		adminURL, err := w.url(instance, "admin")
+		adminURL, err := tb.url(instance, "admin")
 		if err != nil {
 			return err
 		}
-		l.entrances = append(l.entrances, entrance{callersURL, adminURL})
+		l.endpoints = append(l.endpoints, endpoint{callersURL, adminURL})
 	}
-	w.loads[name] = l
+	tb.loads[name] = l
 	for caller := range number {
-		l.group.Go(func() { l.run(caller) })
+		l.callers.Go(func() { l.run(caller) })
 	}
 	return nil
 }
@@ -141,30 +142,30 @@
 func (l *load) run(caller int) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for n := 0; l.goesOn(); n++ {
-		order := loadOrder{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
-		for try := caller + n; order.answer == "" || order.answer == callerapi.OutcomeNotRun; try++ {
-			if !l.goesOn() && order.answer != "" {
+	for n := 0; l.running(); n++ {
+		request := loadRequest{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
+		for try := caller + n; request.outcome == "" || request.outcome == callerapi.OutcomeNotRun; try++ {
+			if !l.running() && request.outcome != "" {
 				break
 			}
-			if e, ok := l.ready(try); ok {
-				l.try(&order, e)
+			if e, ok := l.findReady(try); ok {
+				l.callOnce(&request, e)
 			}
-			if l.comesBack {
-				l.rest(order.retryAfter)
+			if l.honoursRetryAfter {
+				l.waitRetryAfter(request.retryAfter)
 			}
 			select {
 			case <-ticker.C:
-			case <-l.abandon:
+			case <-l.cancel:
 				return
 			}
 		}
-		l.note(func() { l.orders = append(l.orders, order) })
+		l.update(func() { l.requests = append(l.requests, request) })
 	}
 }
 
-// rest waits for the time that a refusal named, or the load's end.
-func (l *load) rest(d time.Duration) {
+// waitRetryAfter waits for the time that a refusal named, or the end of the load.
+func (l *load) waitRetryAfter(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -173,7 +174,7 @@
 	}
 }
 
-func (l *load) goesOn() bool {
+func (l *load) running() bool {
 	select {
 	case <-l.stop:
 		return false
@@ -182,77 +183,77 @@
 	}
 }
 
-// ready finds a ready instance, beginning with one that differs by try.
-func (l *load) ready(try int) (entrance, bool) {
+// findReady returns a ready instance, starting at one that depends on try.
+func (l *load) findReady(try int) (endpoint, bool) {
 	client := &http.Client{Transport: l.client.Transport, Timeout: readyTimeout}
-	for i := range l.entrances {
-		e := l.entrances[(try+i)%len(l.entrances)]
-		answer, err := client.Get(e.admin + "/readyz")
+	for i := range l.endpoints {
+		e := l.endpoints[(try+i)%len(l.endpoints)]
+		response, err := client.Get(e.admin + "/readyz")
 		if err != nil {
 			continue
 		}
-		_ = answer.Body.Close()
-		if answer.StatusCode == http.StatusOK {
+		_ = response.Body.Close()
+		if response.StatusCode == http.StatusOK {
 			return e, true
 		}
 	}
-	return entrance{}, false
+	return endpoint{}, false
 }
 
-// try makes one call and takes down what came of it.
-func (l *load) try(order *loadOrder, e entrance) {
+// callOnce sends the request once and records the result.
+func (l *load) callOnce(request *loadRequest, e endpoint) {
 	call := l.call
-	call.URL, call.Input, call.Client = e.callers, order.input, l.client
-	if l.keyed {
-		call.IdempotencyKey = order.input
+	call.URL, call.Input, call.Client = e.callers, request.input, l.client
+	if l.idempotencyKeys {
+		call.IdempotencyKey = request.input
 	}
 	began := time.Now()
 	reply, err := call.Do()
 	elapsed := time.Since(began)
-	l.note(func() {
-		order.retryAfter = 0
+	l.update(func() {
+		request.retryAfter = 0
 		if reply.Problem != nil {
-			order.retryAfter = time.Duration(reply.Problem.RetryAfterMS) * time.Millisecond
+			request.retryAfter = time.Duration(reply.Problem.RetryAfterMS) * time.Millisecond
 			l.problems[reply.Problem.Type]++
 		}
 		if elapsed > loadDeadline {
-			l.count.late++
+			l.counts.late++
 		}
 		switch {
-		case notConnected(err):
+		case connectFailed(err):
 		case err != nil:
-			l.count.cut++
-			order.answer = "" // it may run
+			l.counts.cut++
+			request.outcome = "" // it may have run
 		case reply.Problem == nil:
-			l.count.whole++
-			l.count.slowest = max(l.count.slowest, elapsed)
-			order.answer = callerapi.OutcomeRan
+			l.counts.complete++
+			l.counts.slowest = max(l.counts.slowest, elapsed)
+			request.outcome = callerapi.OutcomeRan
 			if want := Expected(call.Pipeline, call.SchemaVersion, call.Input); reply.Answer.Output != want {
-				l.wrong = errors.Newf("%s was answered %q, not %q", call.Input, reply.Answer.Output, want)
+				l.wrongOutput = errors.Newf("%s was answered %q, not %q", call.Input, reply.Answer.Output, want)
 			}
 		case reply.Problem.Outcome == callerapi.OutcomeNotRun:
-			l.count.notRun++
+			l.counts.notRun++
 			if reply.Problem.RetryAfterMS == 0 {
-				l.count.undated++
+				l.counts.withoutRetryAfter++
 			}
-			order.answer = callerapi.OutcomeNotRun
+			request.outcome = callerapi.OutcomeNotRun
 		case reply.Problem.Outcome == callerapi.OutcomeUnknown:
-			l.count.unknown++
-			order.answer = callerapi.OutcomeUnknown
+			l.counts.unknown++
+			request.outcome = callerapi.OutcomeUnknown
 		default:
-			l.count.failed++
-			order.answer = callerapi.OutcomeUnknown
+			l.counts.failed++
+			request.outcome = callerapi.OutcomeUnknown
 		}
 	})
 }
 
-// notConnected tells whether no byte of the call can have left.
-func notConnected(err error) bool {
+// connectFailed reports whether no byte of the request can have been sent.
+func connectFailed(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func (l *load) note(change func()) {
+func (l *load) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -260,52 +261,52 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *load) awaitWhole(text string) error {
+func (l *load) awaitComplete(text string) error {
 	further, err := strconv.Atoi(text)
 	if err != nil {
 		return err
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(waitTimeout)
 	defer timer.Stop()
 	for first := -1; ; {
 		l.mu.Lock()
-		whole, changed := l.count.whole, l.changed
+		complete, changed := l.counts.complete, l.changed
 		l.mu.Unlock()
 		if first < 0 {
-			first = whole
+			first = complete
 		}
-		if whole >= first+further {
+		if complete >= first+further {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return errors.Newf("%d of %d whole answers in time", whole-first, further)
+			return errors.Newf("%d of %d whole answers in time", complete-first, further)
 		}
 	}
 }
 
-// end lets each caller finish its piece of work.
-func (l *load) end() {
+// finish stops the load. Each caller finishes its current request, within waitTimeout.
+func (l *load) finish() {
 	if l.ended {
 		return
 	}
 	l.ended = true
 	close(l.stop)
-	giveUp := time.AfterFunc(patience, func() { close(l.abandon) })
-	defer giveUp.Stop()
-	l.group.Wait()
+	canceller := time.AfterFunc(waitTimeout, func() { close(l.cancel) })
+	defer canceller.Stop()
+	l.callers.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// checkLoad compares what the callers were told with what the targets ran.
-func (w *world) checkLoad(l *load) error {
-	if l.wrong != nil || !l.keyed {
-		return l.wrong
+// checkLoad compares the outcomes that callers received with the runs at the targets.
+func (tb *testbed) checkLoad(l *load) error {
+	if l.wrongOutput != nil || !l.idempotencyKeys {
+		return l.wrongOutput
 	}
 	runs := make(map[string]int)
-	for _, name := range w.targets {
-		starts, err := w.startsOf(name)
+	for _, name := range tb.targets {
+		starts, err := tb.startsByInput(name)
 		if err != nil {
 			return err
 		}
@@ -313,18 +314,18 @@
 			runs[input] += number
 		}
 	}
-	bad := slices.IndexFunc(l.orders, func(o loadOrder) bool { return !o.agrees(runs[o.input]) })
+	bad := slices.IndexFunc(l.requests, func(o loadRequest) bool { return !o.matchesRuns(runs[o.input]) })
 	if bad >= 0 {
-		o := l.orders[bad]
-		return errors.Newf("%s was told %q and ran %d times", o.input, o.answer, runs[o.input])
+		o := l.requests[bad]
+		return errors.Newf("%s was told %q and ran %d times", o.input, o.outcome, runs[o.input])
 	}
 	return nil
 }
 
-// agrees tells whether what a caller was told of work that may not be repeated
-// is true, given how often it ran.
-func (o loadOrder) agrees(runs int) bool {
-	switch o.answer {
+// matchesRuns reports whether the outcome of a request that must not be repeated is true,
+// given how often it ran.
+func (o loadRequest) matchesRuns(runs int) bool {
+	switch o.outcome {
 	case callerapi.OutcomeRan:
 		return runs == 1
 	case callerapi.OutcomeNotRun:
--- a/testkit/scenario/orders.go
+++ b/testkit/scenario/orders.go
@@ -20,14 +20,13 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// takeoverPatience bounds a wait in which a successor waits out the term and
-// the longest order of its predecessor, 40 s by default.
-const takeoverPatience = 3 * patience
+// takeoverTimeout bounds a wait in which a successor waits out the lease term and the longest
+// order of its predecessor, 40 s by default.
+const takeoverTimeout = 3 * waitTimeout
 
-// waitHolder: holder POOL [ABOVE] waits until an instance holds the pool's
-// lease, under a fencing number above the given one, and sets $HOLDER and
-// $FENCING.
-func waitHolder(ts *testscript.TestScript, w *world, args []string) error {
+// waitHolder: holder POOL [ABOVE] waits until an instance holds the pool's lease with a
+// fencing number above the given one, and sets $HOLDER and $FENCING.
+func waitHolder(ts *testscript.TestScript, tb *testbed, args []string) error {
 	above := 0
 	if len(args) > 1 {
 		var err error
@@ -35,7 +34,7 @@
 			return err
 		}
 	}
-	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
+	store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
 	var held lease.Record
 	err := until("lease of "+args[0], func() bool {
 		object, err := store.Get(context.Background(), platformapi.KindLeases, args[0])
@@ -51,10 +50,10 @@
 	return err
 }
 
-// waitLapsed: lapsed INSTANCE POOL waits until the instance itself counts the
-// lease, which it held, as lost.
-func waitLapsed(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "admin")
+// waitLapsed: lapsed INSTANCE POOL waits until the instance itself counts the lease, which it
+// held, as lost.
+func waitLapsed(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "admin")
 	if err != nil {
 		return err
 	}
@@ -65,14 +64,13 @@
 	})
 }
 
-// waitHas: has TARGET model|adapter|version|role VALUE waits until the target
-// reports it.
-func waitHas(_ *testscript.TestScript, w *world, args []string) error {
+// waitHas: has TARGET model|adapter|version|role VALUE waits until the target reports it.
+func waitHas(_ *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) != 3 {
 		return errors.New("usage: has TARGET model|adapter|version|role VALUE")
 	}
-	return untilWithin(takeoverPatience, strings.Join(args, " "), func() bool {
-		report, err := w.reportOf(args[0])
+	return untilWithin(takeoverTimeout, strings.Join(args, " "), func() bool {
+		report, err := tb.loadReport(args[0])
 		if err != nil {
 			return false
 		}
@@ -88,9 +86,9 @@
 	})
 }
 
-func (w *world) reportOf(name string) (targetapi.Load, error) {
+func (tb *testbed) loadReport(name string) (targetapi.Load, error) {
 	var report targetapi.Load
-	base, err := w.url(name, "")
+	base, err := tb.url(name, "")
 	if err != nil {
 		return report, err
 	}
@@ -101,10 +99,10 @@
 	return report, json.Unmarshal(body, &report)
 }
 
-// printOrders: orders TARGET prints the orders that took effect, the oldest
-// first, each as its fencing number, action and value.
-func printOrders(ts *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "")
+// printOrders: orders TARGET prints the orders that took effect, the oldest first, each as its
+// fencing number, action and value.
+func printOrders(ts *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "")
 	if err != nil {
 		return err
 	}
@@ -122,10 +120,9 @@
 	return nil
 }
 
-// giveOrder: order TARGET FENCING ACTION VALUE gives an order as a holder does
-// who was paused between its check and the sending. It fails when the target
-// refuses it.
-func giveOrder(_ *testscript.TestScript, w *world, args []string) error {
+// giveOrder: order TARGET FENCING ACTION VALUE gives an order as a holder does that was paused
+// between its check of the lease and the sending. It fails when the target refuses the order.
+func giveOrder(_ *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) != 4 {
 		return errors.New("usage: order TARGET FENCING ACTION VALUE")
 	}
@@ -133,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	base, err := w.url(args[0], "")
+	base, err := tb.url(args[0], "")
 	if err != nil {
 		return err
 	}
@@ -141,13 +138,13 @@
 	if err != nil {
 		return err
 	}
-	return put(http.MethodPost, base+targetapi.PathOrders, string(text))
+	return sendJSON(http.MethodPost, base+targetapi.PathOrders, string(text))
 }
 
-// waitComplete: complete POOL COUNT waits until the pool's state says that so
-// many targets, and all of them, have what is desired now.
-func waitComplete(_ *testscript.TestScript, w *world, args []string) error {
-	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
+// waitComplete: complete POOL COUNT waits until the pool's state reports that it has COUNT
+// targets and all of them match the present desired state.
+func waitComplete(_ *testscript.TestScript, tb *testbed, args []string) error {
+	store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
 	return until(strings.Join(args, " ")+" complete", func() bool {
 		object, err := store.Get(context.Background(), platformapi.KindOrders, args[0])
 		if err != nil {
--- a/testkit/scenario/process.go
+++ b/testkit/scenario/process.go
@@ -13,9 +13,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// patience bounds every wait for something to happen. It is no measure: a
-// scenario that reaches it has failed.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for an event. It measures nothing: a scenario that reaches it
+// has failed.
+const waitTimeout = 30 * time.Second
 
 // process is one process of a scenario.
 type process struct {
@@ -24,38 +24,38 @@
 	log  *os.File
 
 	mu sync.Mutex
-	// seen holds the addresses that the process has told, by what listens.
-	seen   map[string]string
-	signal chan struct{}
-	// started counts the runs that a service has told, by input.
+	// addresses holds the addresses that the process has printed, by listener.
+	addresses    map[string]string
+	addressAdded chan struct{}
+	// started counts the runs that a service has printed, by input.
 	started map[string]int
 	exited  chan struct{}
-	// read is closed once all that the process printed is read.
-	read chan struct{}
+	// outputRead is closed once all output of the process is read.
+	outputRead chan struct{}
 }
 
-// Lines by which processes tell their addresses.
+// Lines in which processes print their addresses, and a service the start of a run.
 var (
-	daemonLine  = regexp.MustCompile(`"listening for (\w+)".* address="([^"]+)"`)
-	standinLine = regexp.MustCompile(`^()listening (\S+)`)
-	startedLine = regexp.MustCompile(`^started (\S+)$`)
+	daemonAddressLine  = regexp.MustCompile(`"listening for (\w+)".* address="([^"]+)"`)
+	standinAddressLine = regexp.MustCompile(`^()listening (\S+)`)
+	startedLine        = regexp.MustCompile(`^started (\S+)$`)
 )
 
-// start runs a program of the test binary and follows what it prints.
+// start runs a program of the test binary and reads its output.
 func start(name, logPath string, environment []string, program string, args ...string) (*process, error) {
 	log, err := os.Create(logPath)
 	if err != nil {
 		return nil, err
 	}
 	p := &process{
-		name:    name,
-		cmd:     exec.Command(program, args...),
-		log:     log,
-		seen:    make(map[string]string),
-		signal:  make(chan struct{}),
-		started: make(map[string]int),
-		exited:  make(chan struct{}),
-		read:    make(chan struct{}),
+		name:         name,
+		cmd:          exec.Command(program, args...),
+		log:          log,
+		addresses:    make(map[string]string),
+		addressAdded: make(chan struct{}),
+		started:      make(map[string]int),
+		exited:       make(chan struct{}),
+		outputRead:   make(chan struct{}),
 	}
 	p.cmd.Env = environment
 	reader, writer := io.Pipe()
@@ -64,7 +64,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
-	go p.follow(reader)
+	go p.readOutput(reader)
 	go func() {
 		_ = p.cmd.Wait() // the exit code is read from ProcessState
 		_ = writer.Close()
@@ -73,8 +73,8 @@
 	return p, nil
 }
 
-func (p *process) follow(output io.Reader) {
-	defer close(p.read)
+func (p *process) readOutput(output io.Reader) {
+	defer close(p.outputRead)
 	scanner := bufio.NewScanner(output)
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -84,31 +84,31 @@
 			p.started[found[1]]++
 			p.mu.Unlock()
 		}
-		for _, pattern := range []*regexp.Regexp{daemonLine, standinLine} {
+		for _, pattern := range []*regexp.Regexp{daemonAddressLine, standinAddressLine} {
 			if found := pattern.FindStringSubmatch(line); found != nil {
-				p.told(found[1], found[2])
+				p.addAddress(found[1], found[2])
 			}
 		}
 	}
 	_, _ = io.Copy(p.log, output)
 }
 
-func (p *process) told(what, address string) {
+func (p *process) addAddress(what, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seen[what] = address
-	close(p.signal)
-	p.signal = make(chan struct{})
+	p.addresses[what] = address
+	close(p.addressAdded)
+	p.addressAdded = make(chan struct{})
 }
 
-// address waits until the process has told where it listens.
+// address waits until the process has printed where it listens.
 func (p *process) address(what string) (string, error) {
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(waitTimeout)
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		address, ok := p.seen[what]
-		signal := p.signal
+		address, ok := p.addresses[what]
+		signal := p.addressAdded
 		p.mu.Unlock()
 		if ok {
 			return address, nil
@@ -128,19 +128,18 @@
 	return errors.Wrapf(p.cmd.Process.Signal(s), "signal %s", p.name)
 }
 
-// wait waits for the end of the process and returns its exit code, -1 after a
-// signal.
+// wait waits for the exit of the process and returns its exit code, -1 after a signal.
 func (p *process) wait() (int, error) {
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return 0, errors.Newf("%s did not end in time", p.name)
 	}
 }
 
-// stop ends the process for good, at the end of a scenario.
-func (p *process) stop() {
+// kill kills the process at the end of a scenario, also if it is paused.
+func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
--- a/testkit/scenario/records.go
+++ b/testkit/scenario/records.go
@@ -17,7 +17,7 @@
 )
 
 // applyRecords: apply FILE creates or replaces the file's records.
-func applyRecords(ts *testscript.TestScript, w *world, args []string) error {
+func applyRecords(ts *testscript.TestScript, tb *testbed, args []string) error {
 	text, err := os.ReadFile(ts.MkAbs(args[0]))
 	if err != nil {
 		return err
@@ -26,11 +26,11 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
-	return write(store, documents)
+	store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
+	return writeRecords(store, documents)
 }
 
-func write(store platform.Store, documents []record.Document) error {
+func writeRecords(store platform.Store, documents []record.Document) error {
 	for _, d := range documents {
 		kind := string(d.Kind)
 		_, err := store.Create(context.Background(), kind, d.Object)
@@ -45,65 +45,65 @@
 	return nil
 }
 
-// waitInForce: inforce NAME PIPELINE SCHEMA_VERSION waits until the instance
-// serves the definition.
-func waitInForce(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "callers")
+// waitInForce: inforce NAME PIPELINE SCHEMA_VERSION waits until the instance serves the
+// definition.
+func waitInForce(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "callers")
 	if err != nil {
 		return err
 	}
 	return until(strings.Join(args, " "), func() bool {
 		call := Call{URL: base, Pipeline: args[1], SchemaVersion: args[2], Key: DefaultKey, Malformed: true}
-		answer, err := call.Do()
-		return err == nil && answer.Status == http.StatusBadRequest
+		reply, err := call.Do()
+		return err == nil && reply.Status == http.StatusBadRequest
 	})
 }
 
-// waitAnswers: answers NAME PIPELINE TEXT waits until the instance answers a call of the
-// pipeline with an output that begins with the text. Records are passed on one by one:
-// that a later one is in force at an instance doesn't say that an earlier one is.
-func waitAnswers(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "callers")
+// waitAnswers: answers NAME PIPELINE TEXT waits until the instance answers a request to the
+// pipeline with an output that begins with the text. Records are disseminated one by one: that
+// a later one is in force at an instance doesn't imply that an earlier one is.
+func waitAnswers(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "callers")
 	if err != nil {
 		return err
 	}
 	return until(strings.Join(args, " "), func() bool {
 		call := Call{URL: base, Pipeline: args[1], Key: DefaultKey, Input: "x"}
-		answer, err := call.Do()
-		return err == nil && answer.Status == http.StatusOK && strings.HasPrefix(answer.Answer.Output, args[2])
+		reply, err := call.Do()
+		return err == nil && reply.Status == http.StatusOK && strings.HasPrefix(reply.Answer.Output, args[2])
 	})
 }
 
 // waitListed: listed waits until the platform lists all started targets.
-func waitListed(_ *testscript.TestScript, w *world, _ []string) error {
-	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
+func waitListed(_ *testscript.TestScript, tb *testbed, _ []string) error {
+	store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
 	return until("list of targets", func() bool {
 		list, err := store.List(context.Background(), platformapi.KindTargets)
-		return err == nil && len(list.Items) == len(w.targets)
+		return err == nil && len(list.Items) == len(tb.targets)
 	})
 }
 
-// waitRefused: refused KIND NAME TEXT waits until the record's status says that
-// its newest version is refused, for a reason with the text.
-func waitRefused(_ *testscript.TestScript, w *world, args []string) error {
-	store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
+// waitRefused: refused KIND NAME TEXT waits until the record's status reports that its newest
+// version is refused, for a reason that contains the text.
+func waitRefused(_ *testscript.TestScript, tb *testbed, args []string) error {
+	store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
 	return until("status of "+args[1], func() bool {
 		object, err := store.Get(context.Background(), args[0], args[1])
 		if err != nil {
 			return false
 		}
 		var status platformapi.RecordStatus
-		_ = json.Unmarshal(object.Status, &status) // no status yet is no refusal
+		_ = json.Unmarshal(object.Status, &status) // without a status the record isn't refused
 		return !status.Accepted && strings.Contains(status.Reason, args[2])
 	})
 }
 
-// raceWrites is how often each operator of a race writes.
-const raceWrites = 5
+// writesPerOperator is how often each operator of a race writes its records.
+const writesPerOperator = 5
 
-// raceRecords: race FILE... lets one operator a file write its records, all of
-// them at once and each again and again. One who is told of a conflict goes on.
-func raceRecords(ts *testscript.TestScript, w *world, args []string) error {
+// raceRecords: race FILE... has one operator per file write its records, all operators
+// concurrently and each repeatedly. An operator continues after a conflict.
+func raceRecords(ts *testscript.TestScript, tb *testbed, args []string) error {
 	var operators errgroup.Group
 	for _, name := range args {
 		text, err := os.ReadFile(ts.MkAbs(name))
@@ -114,11 +114,11 @@
 		if len(faults) > 0 {
 			return faults
 		}
-		store := platform.New(platform.Options{BaseURL: w.platform, Instance: "operator"})
+		store := platform.New(platform.Options{BaseURL: tb.platform, Instance: "operator"})
 		operators.Go(func() error {
-			for range raceWrites {
+			for range writesPerOperator {
 				var conflict *platform.ConflictError
-				if err := write(store, documents); err != nil && !errors.As(err, &conflict) {
+				if err := writeRecords(store, documents); err != nil && !errors.As(err, &conflict) {
 					return err
 				}
 			}
--- a/testkit/scenario/runs.go
+++ b/testkit/scenario/runs.go
@@ -12,22 +12,22 @@
 	targetemulator "github.com/ivyhollow/ivyhollow/emulator/target"
 )
 
-// waitStarted: started [TARGET] COUNT waits until the target, or all targets
-// together, have started so much work, and fails when it is more.
-func waitStarted(_ *testscript.TestScript, w *world, args []string) error {
+// waitStarted: started [TARGET] COUNT waits until the target, or all targets together, have
+// started COUNT runs, and fails when there are more.
+func waitStarted(_ *testscript.TestScript, tb *testbed, args []string) error {
 	names := args[:len(args)-1]
 	want, err := strconv.Atoi(args[len(args)-1])
 	if err != nil {
 		return err
 	}
 	if len(names) == 0 {
-		names = w.targets
+		names = tb.targets
 	}
 	total, failed := 0, error(nil)
 	err = until(args[len(args)-1]+" started", func() bool {
 		total = 0
 		for _, name := range names {
-			report, err := w.runsOf(name)
+			report, err := tb.runsReport(name)
 			if err != nil {
 				failed = err
 				return true
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// expectWhileLeaving: whileleaving TARGET [MOST] prints how much work the target
-// started after it said that it leaves, and fails when it is more than MOST.
-func expectWhileLeaving(ts *testscript.TestScript, w *world, args []string) error {
-	report, err := w.runsOf(args[0])
+// expectWhileLeaving: whileleaving TARGET [MOST] prints how many runs the target started after
+// it reported that it leaves, and fails when there are more than MOST.
+func expectWhileLeaving(ts *testscript.TestScript, tb *testbed, args []string) error {
+	report, err := tb.runsReport(args[0])
 	if err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 	return err
 }
 
-func (w *world) runsOf(name string) (targetemulator.RunsReport, error) {
+func (tb *testbed) runsReport(name string) (targetemulator.RunsReport, error) {
 	var report targetemulator.RunsReport
-	base, err := w.url(name, "")
+	base, err := tb.url(name, "")
 	if err != nil {
 		return report, err
 	}
@@ -76,20 +76,19 @@
 	return report, json.Unmarshal(body, &report)
 }
 
-// startsOf returns how often a target started work, by input. A killed one can't
-// be asked; a service has told each start before its work began, and the pipe
-// keeps what it told.
-func (w *world) startsOf(name string) (map[string]int, error) {
-	p, err := w.find(name)
+// startsByInput returns how often a target started a run, by input. A killed target can't be
+// queried; a service prints each start before it runs, and its output is kept.
+func (tb *testbed) startsByInput(name string) (map[string]int, error) {
+	p, err := tb.process(name)
 	if err != nil {
 		return nil, err
 	}
 	select {
 	case <-p.exited:
-		<-p.read
+		<-p.outputRead
 		return p.started, nil
 	default:
-		report, err := w.runsOf(name)
+		report, err := tb.runsReport(name)
 		return report.Inputs, err
 	}
 }
--- a/testkit/scenario/scenario_test.go
+++ b/testkit/scenario/scenario_test.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// operatorMain is the operators' client, as its command wires it.
+// operatorMain is the operators' client, wired as in its command.
 func operatorMain() {
 	os.Exit(operators.Run(context.Background(), os.Args[1:], operators.Options{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, Getenv: os.Getenv,
--- a/testkit/scenario/world.go
+++ b/testkit/scenario/testbed.go
@@ -21,39 +21,38 @@
 	"github.com/ivyhollow/ivyhollow/testkit/relay"
 )
 
-// world holds the processes of one scenario.
-type world struct {
+// testbed holds the processes of one scenario.
+type testbed struct {
 	directory string
 	processes map[string]*process
 	platform  string
 	// targets names the started targets, in order.
 	targets []string
-	// listed holds the targets as they stand in the platform's list.
+	// listed holds the entries of the targets in the platform's list.
 	listed map[string]platformapi.TargetEntry
 	relays map[string]*relay.Relay
 	loads  map[string]*load
 }
 
-// platformName is the name of the platform's process.
-const platformName = "platform"
+// platformProcess is the name of the platform's process.
+const platformProcess = "platform"
 
-// budgetPattern finds the account budget of the sample records. Busy records
-// have none, so that the load of a scenario, retries included, is never refused
-// for it.
+// budgetPattern matches the account budget of the sample records. The "busy" records have no
+// budget, so that the load of a scenario, including retries, is never refused because of it.
 var budgetPattern = regexp.MustCompile(`"requests_per_s":\s*\d+`)
 
-type worldKey struct{}
+type testbedKey struct{}
 
-// Setup prepares a scenario and ends its processes with it.
+// Setup prepares a scenario, and kills its processes at its end.
 func Setup(env *testscript.Env) error {
-	w := &world{
+	tb := &testbed{
 		directory: env.WorkDir,
 		processes: make(map[string]*process),
 		listed:    make(map[string]platformapi.TargetEntry),
 		relays:    make(map[string]*relay.Relay),
 		loads:     make(map[string]*load),
 	}
-	env.Values[worldKey{}] = w
+	env.Values[testbedKey{}] = tb
 	busy := budgetPattern.ReplaceAll(dev.Sample, []byte(`"requests_per_s": 0`))
 	if bytes.Equal(busy, dev.Sample) {
 		return errors.New("the sample records have no account budget")
@@ -66,36 +65,36 @@
 		}
 	}
 	env.Defer(func() {
-		for _, l := range w.loads {
-			l.end()
+		for _, l := range tb.loads {
+			l.finish()
 		}
-		for _, r := range w.relays {
+		for _, r := range tb.relays {
 			r.Close()
 		}
-		for _, p := range w.processes {
-			p.stop()
+		for _, p := range tb.processes {
+			p.kill()
 		}
 	})
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func testbedOf(ts *testscript.TestScript) *testbed { return ts.Value(testbedKey{}).(*testbed) }
 
-func (w *world) start(ts *testscript.TestScript, name, program string, args ...string) (*process, error) {
+func (tb *testbed) startProcess(ts *testscript.TestScript, name, program string, args ...string) (*process, error) {
 	path, err := lookPath(ts, program)
 	if err != nil {
 		return nil, err
 	}
-	environment := append(os.Environ(), "PATH="+ts.Getenv("PATH"), "HOME="+w.directory)
-	p, err := start(name, filepath.Join(w.directory, name+".log"), environment, path, args...)
+	environment := append(os.Environ(), "PATH="+ts.Getenv("PATH"), "HOME="+tb.directory)
+	p, err := start(name, filepath.Join(tb.directory, name+".log"), environment, path, args...)
 	if err != nil {
 		return nil, err
 	}
-	w.processes[name] = p
+	tb.processes[name] = p
 	return p, nil
 }
 
-// lookPath finds a program that the test binary plays.
+// lookPath finds a program that the test binary provides.
 func lookPath(ts *testscript.TestScript, program string) (string, error) {
 	for _, directory := range filepath.SplitList(ts.Getenv("PATH")) {
 		path := filepath.Join(directory, program)
@@ -106,18 +105,18 @@
 	return "", errors.Newf("no program %s", program)
 }
 
-func (w *world) find(name string) (*process, error) {
-	p, ok := w.processes[name]
+func (tb *testbed) process(name string) (*process, error) {
+	p, ok := tb.processes[name]
 	if !ok {
 		return nil, errors.Newf("no process %s in this scenario", name)
 	}
 	return p, nil
 }
 
-// url returns the base URL of what a process listens on: "callers" and "admin"
-// of an instance, "" of a stand-in.
-func (w *world) url(name, what string) (string, error) {
-	p, err := w.find(name)
+// url returns the base URL of a listener of a process: "callers" and "admin" of an instance,
+// "" of an emulator.
+func (tb *testbed) url(name, what string) (string, error) {
+	p, err := tb.process(name)
 	if err != nil {
 		return "", err
 	}
@@ -125,15 +124,15 @@
 	return "http://" + address, err
 }
 
-// pollInterval is the time between two looks at a condition outside.
+// pollInterval is the time between two checks of an external condition.
 const pollInterval = 20 * time.Millisecond
 
 // until polls a condition of another process until it holds.
 func until(what string, holds func() bool) error {
-	return untilWithin(patience, what, holds)
+	return untilWithin(waitTimeout, what, holds)
 }
 
-// untilWithin is until with a bound of its own.
+// untilWithin is until with another timeout.
 func untilWithin(bound time.Duration, what string, holds func() bool) error {
 	timeout := time.NewTimer(bound)
 	defer timeout.Stop()
@@ -149,17 +148,17 @@
 	return nil
 }
 
-var client = &http.Client{Timeout: patience}
+var defaultClient = &http.Client{Timeout: waitTimeout}
 
-// exchange makes one HTTP call and returns its status and body.
+// exchange sends one HTTP request and returns the status, header and body of the response.
 func exchange(method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
-	return exchangeBy(nil, method, url, body, header)
+	return exchangeWith(nil, method, url, body, header)
 }
 
-// exchangeBy is exchange by another client; nil means the scenarios' own.
-func exchangeBy(by *http.Client, method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
-	if by == nil {
-		by = client
+// exchangeWith is exchange with another client; nil means the package's default client.
+func exchangeWith(client *http.Client, method, url string, body []byte, header http.Header) (int, http.Header, []byte, error) {
+	if client == nil {
+		client = defaultClient
 	}
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -168,17 +167,17 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	answer, err := by.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	return answer.StatusCode, answer.Header, text, err
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return response.StatusCode, response.Header, text, err
 }
 
-// put sends JSON to an admin path of a stand-in.
-func put(method, url, text string) error {
+// sendJSON sends JSON to an admin path of an emulator.
+func sendJSON(method, url, text string) error {
 	if !json.Valid([]byte(text)) {
 		return errors.Newf("not JSON: %s", text)
 	}
@@ -192,9 +191,9 @@
 	return nil
 }
 
-// settings writes the INI file of an instance. A section [shutdown] among the
-// extra lines replaces the short times that scenarios use.
-func (w *world) settings(name, dataCentre, platformURL string, extra []string) (string, error) {
+// writeSettings writes the INI file of an instance. A section [shutdown] among the extra lines
+// replaces the short times that scenarios use by default.
+func (tb *testbed) writeSettings(name, dataCentre, platformURL string, extra []string) (string, error) {
 	shutdown := "[shutdown]\nbalancer_delay = 100ms\ngrace = 20s"
 	if slices.Contains(extra, "[shutdown]") {
 		shutdown = ""
@@ -212,6 +211,6 @@
 %s
 %s
 `, name, dataCentre, platformURL, shutdown, strings.Join(extra, "\n"))
-	path := filepath.Join(w.directory, name+".ini")
+	path := filepath.Join(tb.directory, name+".ini")
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
--- a/testkit/scenario/verbs.go
+++ b/testkit/scenario/verbs.go
@@ -14,10 +14,10 @@
 	"github.com/ivyhollow/ivyhollow/protocol/platformapi"
 )
 
-// verb is the body of a verb: it returns what went wrong.
-type verb func(ts *testscript.TestScript, w *world, args []string) error
+// verb implements one verb of the scripts; it returns the failure.
+type verb func(ts *testscript.TestScript, tb *testbed, args []string) error
 
-// Verbs returns the scenario's verbs; README.md beside this file lists them.
+// Verbs returns the verbs of the scenarios; README.md in this folder lists them.
 func Verbs() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	verbs := map[string]verb{
 		"platform":     startPlatform,
@@ -44,7 +44,7 @@
 		"whileleaving": expectWhileLeaving,
 		"refused":      waitRefused,
 		"relay":        startRelay,
-		"link":         commandRelay,
+		"link":         runRelayCommand,
 		"dropped":      waitDropped,
 		"load":         runLoad,
 		"exits":        expectExitCode,
@@ -60,7 +60,7 @@
 	out := make(map[string]func(*testscript.TestScript, bool, []string), len(verbs))
 	for name, body := range verbs {
 		out[name] = func(ts *testscript.TestScript, neg bool, args []string) {
-			err := body(ts, worldOf(ts), args)
+			err := body(ts, testbedOf(ts), args)
 			if neg && err == nil {
 				ts.Fatalf("%s: unexpected success", name)
 			}
@@ -72,8 +72,8 @@
 	return out
 }
 
-func startPlatform(ts *testscript.TestScript, w *world, args []string) error {
-	p, err := w.start(ts, platformName, "standin", append([]string{"platform"}, args...)...)
+func startPlatform(ts *testscript.TestScript, tb *testbed, args []string) error {
+	p, err := tb.startProcess(ts, platformProcess, "standin", append([]string{"platform"}, args...)...)
 	if err != nil {
 		return err
 	}
@@ -81,30 +81,30 @@
 	if err != nil {
 		return err
 	}
-	w.platform = "http://" + address
-	ts.Setenv("PLATFORM", w.platform)
+	tb.platform = "http://" + address
+	ts.Setenv("PLATFORM", tb.platform)
 	return nil
 }
 
 // startTarget: target NAME POOL KIND [FLAG...].
-func startTarget(ts *testscript.TestScript, w *world, args []string) error {
+func startTarget(ts *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) < 3 {
 		return errors.New("usage: target NAME POOL KIND [FLAG...]")
 	}
-	flags := []string{"target", "--incarnation", args[0], "--pool", args[1], "--kind", args[2], "--platform", w.platform}
-	p, err := w.start(ts, args[0], "standin", append(flags, args[3:]...)...)
+	flags := []string{"target", "--incarnation", args[0], "--pool", args[1], "--kind", args[2], "--platform", tb.platform}
+	p, err := tb.startProcess(ts, args[0], "standin", append(flags, args[3:]...)...)
 	if err != nil {
 		return err
 	}
 	address, err := p.address("")
-	w.targets = append(w.targets, args[0])
-	w.listed[args[0]] = platformapi.TargetEntry{
+	tb.targets = append(tb.targets, args[0])
+	tb.listed[args[0]] = platformapi.TargetEntry{
 		Pool: args[1], Address: address, DataCentre: dataCentreOf(args[3:]), Incarnation: args[0], State: platformapi.TargetReady,
 	}
 	return err
 }
 
-// dataCentreOf finds the data centre among the flags of a target.
+// dataCentreOf returns the data centre among the flags of a target.
 func dataCentreOf(flags []string) string {
 	if i := slices.Index(flags, "--data-centre"); i >= 0 && i+1 < len(flags) {
 		return flags[i+1]
@@ -112,16 +112,16 @@
 	return "dc1"
 }
 
-// startInstance: instance NAME DATA_CENTRE [--platform RELAY] [--nowait]
-// [SETTING...]. It waits until the instance is ready unless --nowait is given.
-func startInstance(ts *testscript.TestScript, w *world, args []string) error {
+// startInstance: instance NAME DATA_CENTRE [--platform RELAY] [--nowait] [SETTING...]. It
+// waits until the instance is ready unless --nowait is given.
+func startInstance(ts *testscript.TestScript, tb *testbed, args []string) error {
 	if len(args) < 2 {
 		return errors.New("usage: instance NAME DATA_CENTRE [SETTING...]")
 	}
 	extra := args[2:]
-	platformURL := w.platform
+	platformURL := tb.platform
 	if len(extra) > 1 && extra[0] == "--platform" {
-		r, ok := w.relays[extra[1]]
+		r, ok := tb.relays[extra[1]]
 		if !ok {
 			return errors.Newf("no relay %s in this scenario", extra[1])
 		}
@@ -131,11 +131,11 @@
 	if nowait {
 		extra = extra[1:]
 	}
-	path, err := w.settings(args[0], args[1], platformURL, extra)
+	path, err := tb.writeSettings(args[0], args[1], platformURL, extra)
 	if err != nil {
 		return err
 	}
-	p, err := w.start(ts, args[0], "ivyhollowd", "serve", "--config", path)
+	p, err := tb.startProcess(ts, args[0], "ivyhollowd", "serve", "--config", path)
 	if err != nil {
 		return err
 	}
@@ -154,13 +154,13 @@
 	if nowait {
 		return nil
 	}
-	return waitReady(ts, w, args[:1])
+	return waitReady(ts, tb, args[:1])
 }
 
 func signalVerb(s syscall.Signal) verb {
-	return func(_ *testscript.TestScript, w *world, args []string) error {
+	return func(_ *testscript.TestScript, tb *testbed, args []string) error {
 		for _, name := range args {
-			p, err := w.find(name)
+			p, err := tb.process(name)
 			if err != nil {
 				return err
 			}
@@ -172,9 +172,9 @@
 	}
 }
 
-// waitEnded: ended NAME CODE.
-func waitEnded(_ *testscript.TestScript, w *world, args []string) error {
-	p, err := w.find(args[0])
+// waitEnded: ended NAME [CODE] waits for the exit of the process, with the code if given.
+func waitEnded(_ *testscript.TestScript, tb *testbed, args []string) error {
+	p, err := tb.process(args[0])
 	if err != nil {
 		return err
 	}
@@ -188,9 +188,10 @@
 	return nil
 }
 
-// waitUnready: unready NAME waits until the instance wants no new connections.
-func waitUnready(_ *testscript.TestScript, w *world, args []string) error {
-	base, err := w.url(args[0], "admin")
+// waitUnready: unready NAME waits until the instance reports that it accepts no new
+// connections.
+func waitUnready(_ *testscript.TestScript, tb *testbed, args []string) error {
+	base, err := tb.url(args[0], "admin")
 	if err != nil {
 		return err
 	}
@@ -201,7 +202,7 @@
 }
 
 // expectExitCode: exits CODE PROGRAM [ARGUMENT...].
-func expectExitCode(ts *testscript.TestScript, _ *world, args []string) error {
+func expectExitCode(ts *testscript.TestScript, _ *testbed, args []string) error {
 	if len(args) < 2 {
 		return errors.New("usage: exits CODE PROGRAM [ARGUMENT...]")
 	}
@@ -220,9 +221,9 @@
 }
 
 // waitReady: ready NAME...
-func waitReady(_ *testscript.TestScript, w *world, args []string) error {
+func waitReady(_ *testscript.TestScript, tb *testbed, args []string) error {
 	for _, name := range args {
-		base, err := w.url(name, "admin")
+		base, err := tb.url(name, "admin")
 		if err != nil {
 			return err
 		}
@@ -237,9 +238,9 @@
 	return nil
 }
 
-// expectAnswer: answered FILE compares the last submitted answer with what the
-// program expected printed into the file.
-func expectAnswer(ts *testscript.TestScript, _ *world, args []string) error {
+// expectAnswer: answered FILE compares the output of the last submitted request with the one
+// that the program "expected" printed into the file.
+func expectAnswer(ts *testscript.TestScript, _ *testbed, args []string) error {
 	want := ts.ReadFile(args[0])
 	for line := range strings.Lines(ts.ReadFile("stdout")) {
 		if strings.HasPrefix(line, "output ") {
