--- a/testkit/soak/crashing.go
+++ b/testkit/soak/crashing.go
@@ -58,7 +58,7 @@
 	c := newCaller(tb, tb.options.Callers)
 	defer c.client.CloseIdleConnections()
 	random := rand.New(rand.NewPCG(tb.options.Seed, 5<<32))
-	kind := requestKinds[random.IntN(len(requestKinds)-1)] // the last one has stages, whose targets don't crash
+	kind := requestKinds[random.IntN(len(requestKinds)-1)] // the last one has stages, which run at other targets
 	tb.logf("%s with the body %q crashes targets", kind.path, crashBody)
 	for i := 0; ctx.Err() == nil; i++ {
 		a := callResult{id: c.nextID(), path: kind.path, once: kind.once, customBody: crashBody}
@@ -71,7 +71,7 @@
 }
 
 // checkCrashes checks how many targets the crash request reached after it had to be blocked
-// and the faults had ended.
+// and the fleet had recovered from the faults.
 func (tb *testbed) checkCrashes(all []callResult, log targetLog, calmFrom time.Time) {
 	var crashes, arrivals []time.Time
 	for _, a := range all {
--- a/testkit/soak/instance.go
+++ b/testkit/soak/instance.go
@@ -110,9 +110,9 @@
 		err := command.Wait()
 		history.recordExit()
 		in.mu.Lock()
-		asked := in.endRequested
+		endRequested := in.endRequested
 		in.mu.Unlock()
-		if !asked {
+		if !endRequested {
 			tb.violation("%s ended by itself: %v", in.name, err)
 		}
 		if err != nil && tb.options.Planned && history.mustExitCleanly() {
--- a/testkit/soak/run.go
+++ b/testkit/soak/run.go
@@ -95,7 +95,7 @@
 	return all, tb.checkPlanned(exchanges, log)
 }
 
-// whileInUse runs harm while callers use the fleet, and lets them go on until the fleet has
+// whileInUse runs disturb while callers use the fleet, and lets them go on until the fleet has
 // been observed. The fleet must serve normally from calmFrom on.
 func whileInUse[T any](use func(context.Context) []T, disturb func()) (all []T, calmFrom time.Time) {
 	ctx, stop := context.WithCancel(context.Background())
