--- a/testkit/cmd/soak/main.go
+++ b/testkit/cmd/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak plays seeds of the fault soak by hand.
+// Command soak runs the fault soak with a series of seeds.
 package main
 
 import (
@@ -42,7 +42,7 @@
 	}
 }
 
-// play plays one seed and keeps its logs if it failed.
+// runSeed runs one seed, prints its report and keeps its logs if it failed.
 func runSeed(o soak.Options, verbose bool) bool {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -68,7 +68,7 @@
 		}
 	}
 	if !failed {
-		_ = os.RemoveAll(o.Dir) // only logs that nobody needs
+		_ = os.RemoveAll(o.Dir) // logs of a passed run aren't needed
 	}
 	return !failed
 }
--- a/testkit/relay/link.go
+++ b/testkit/relay/link.go
@@ -11,8 +11,8 @@
 
 const (
 	chunkBytes = 16 << 10
-	// queuedChunks bounds what a delay holds back on one way of a connection;
-	// beyond it the sender feels back pressure.
+	// maxQueuedChunks bounds the delayed chunks of one way of a connection; beyond it the
+	// sender is subject to back pressure.
 	maxQueuedChunks = 256
 )
 
@@ -27,19 +27,19 @@
 
 	mu       sync.Mutex
 	target   net.Conn // nil until dialled
-	wasReset bool     // by reset
+	wasReset bool
 }
 
-// chunk is what one read gave, to be delivered when it is due.
+// chunk is the result of one read, to be delivered at its due time.
 type chunk struct {
 	data []byte
 	due  time.Time
-	err  error // io.EOF when the sender has closed its side in order
+	err  error // io.EOF when the sender has closed its side orderly
 }
 
-func newLink(client net.Conn, delay *[ways]atomic.Int64, e *counters) *link {
+func newLink(client net.Conn, delays *[ways]atomic.Int64, c *counters) *link {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &link{ctx: ctx, cancel: cancel, client: client, delays: delay, counters: e}
+	return &link{ctx: ctx, cancel: cancel, client: client, delays: delays, counters: c}
 }
 
 func (l *link) mute(d Direction) {
@@ -50,9 +50,9 @@
 	}
 }
 
-// reset breaks the connection at both ends. The sockets are reset before the
-// link's goroutines are woken: one of them could close a socket first, and the
-// receiver would read an orderly end.
+// reset breaks the connection at both ends. The sockets are reset before the link's goroutines
+// are woken: one of them could otherwise close a socket first, and the receiver would read an
+// orderly end.
 func (l *link) reset() {
 	l.mu.Lock()
 	l.wasReset = true
@@ -64,8 +64,8 @@
 	l.cancel()
 }
 
-// attach gives the link its target. It is false when the link was reset
-// meanwhile; the target is then reset too.
+// attach sets the link's target connection. It returns false if the link has been reset in the
+// meantime; the target connection is then reset too.
 func (l *link) attach(target net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,8 +99,8 @@
 	wg.Wait()
 }
 
-// read queues what arrives. It goes on while the way is muted: a sender whose
-// bytes are lost on the way still sees its writes succeed.
+// read queues the bytes that arrive. It continues while the way is muted: the writes of a
+// sender whose bytes are lost in the network still succeed.
 func (l *link) read(way int, from net.Conn, queue chan<- chunk) {
 	defer close(queue)
 	for {
@@ -119,7 +119,7 @@
 	}
 }
 
-// deliver writes each chunk when it is due.
+// deliver writes each chunk at its due time.
 func (l *link) deliver(way int, to net.Conn, queue <-chan chunk) {
 	for c := range queue {
 		if !l.waitUntil(c.due) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// drop loses a chunk. A close that is lost keeps the link open until it is
-// reset, as the receiver would keep its end.
+// discard drops a chunk. A dropped close keeps the link open until it is reset, since the
+// receiver would keep its end open.
 func (l *link) discard(c chunk) {
 	l.counters.update(func(s *Stats) { s.DroppedBytes += int64(len(c.data)) })
 	if c.err != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// end passes on how the sender ended, if it has: an abort must not reach the
-// receiver as an orderly end, or a cut answer would look whole.
+// propagateEnd passes on how the sender ended, if it has: an abort must not reach the receiver
+// as an orderly end, or a truncated response would look complete.
 func (l *link) propagateEnd(err error, to net.Conn) {
 	switch err {
 	case nil:
@@ -159,8 +159,8 @@
 	}
 }
 
-// failed breaks the link after a write that failed, unless the sender may not
-// learn of it because its way back is muted.
+// writeFailed resets the link after a failed write, unless the way back to the sender is muted
+// and the sender must not notice.
 func (l *link) writeFailed(way int) {
 	if l.muted[1-way].Load() {
 		<-l.ctx.Done()
@@ -169,7 +169,7 @@
 	l.reset()
 }
 
-// wait returns false when the link is reset before the time.
+// waitUntil returns false if the link is reset before the given time.
 func (l *link) waitUntil(due time.Time) bool {
 	left := time.Until(due)
 	if left <= 0 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// reset closes a connection so that the other end reads an error and not an
+// reset closes a connection with a TCP reset, so that the other end reads an error and not an
 // orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
--- a/testkit/scenario/load.go
+++ b/testkit/scenario/load.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// loadTimeout bounds one call of a load's caller. It is longer than any
-	// tier's deadline that the sample's account has.
+	// loadTimeout bounds one request of a load. It is longer than the deadline of any tier
+	// that the sample's account has.
 	loadTimeout = 8 * time.Second
 	// loadDeadline is the deadline of the sample account's tier.
 	loadDeadline = 6 * time.Second
-	// readyTimeout bounds a look at an instance's readiness.
+	// readyTimeout bounds a readiness probe.
 	readyTimeout = 500 * time.Millisecond
 )
 
-// entrance is one instance as the balancer before it sees it.
+// endpoint is the addresses of one instance: for callers, and for the readiness probes of the
+// balancer.
 type endpoint struct{ callers, admin string }
 
-// loadOrder is one piece of work of a load and what its caller knows of it.
+// loadRequest is one request of a load, repeated until its outcome is final, and what its
+// caller knows of it.
 type loadRequest struct {
 	input string
-	// answer is OutcomeRan when it was answered whole, "" when nothing is known.
+	// outcome is OutcomeRan after a complete answer, "" if nothing is known.
 	outcome callerapi.Outcome
-	// retryAfter is the time that the last refusal asked for.
+	// retryAfter is the time that the last refusal named.
 	retryAfter time.Duration
 }
 
-// loadCount are the answers of a load, by what they were.
+// loadCounts counts the answers of a load by kind.
 type loadCounts struct {
 	complete, notRun, unknown, failed, cut, late int
-	// undated are those not_run that name no time to come back.
+	// withoutRetryAfter counts the not_run answers that name no time to retry.
 	withoutRetryAfter int
-	// slowest is the longest time of a whole answer.
+	// slowest is the longest time of a complete answer.
 	slowest time.Duration
 }
 
-// load is a number of callers who call on and on, each checking every answer.
-// They choose among ready instances as the platform's balancer does. A caller
-// who is told not_run, or whose connection breaks, tries elsewhere with the
-// same idempotency key.
+// load is a number of callers that send requests continuously and check every answer. They
+// choose among ready instances as the platform's balancer does. After not_run or a broken
+// connection, a caller retries at another instance with the same idempotency key.
 type load struct {
 	name            string
 	call            Call
 	idempotencyKeys bool
-	// comesBack makes callers wait for the time that a refusal names.
+	// honoursRetryAfter makes callers wait for the time that a refusal names.
 	honoursRetryAfter bool
 	endpoints         []endpoint
 	client            *http.Client
@@ -73,28 +74,28 @@
 	ended       bool
 }
 
-// runLoad: load begin NAME PIPELINE CALLERS INSTANCE..., load whole NAME COUNT
-// waits for so many further whole answers, load end NAME checks all answers and
-// prints their number. The pipeline "stream" is the dossier, called for streams;
-// PIPELINE@KEY calls as another account.
-func runLoad(ts *testscript.TestScript, w *testbed, args []string) error {
+// runLoad: load begin NAME PIPELINE CALLERS INSTANCE... starts a load, load whole NAME COUNT
+// waits for the given number of further complete answers, load end NAME checks all answers and
+// prints the counts. The pipeline "stream" is the dossier requested as a stream; PIPELINE@KEY
+// uses another account.
+func runLoad(ts *testscript.TestScript, tb *testbed, args []string) error {
 	switch {
 	case len(args) >= 5 && args[0] == "begin":
-		return w.beginLoad(args[1], args[2], args[3], args[4:])
+		return tb.beginLoad(args[1], args[2], args[3], args[4:])
 	case len(args) == 3 && args[0] == "whole":
-		return w.loads[args[1]].awaitComplete(args[2])
+		return tb.loads[args[1]].awaitComplete(args[2])
 	case len(args) == 2 && args[0] == "end":
-		l := w.loads[args[1]]
+		l := tb.loads[args[1]]
 		l.finish()
 		c := l.counts
 		fmt.Fprintf(ts.Stdout(), "whole %d not_run %d unknown %d failed %d cut %d late %d\nundated %d\nslowest %v\nproblems %v\n",
 			c.complete, c.notRun, c.unknown, c.failed, c.cut, c.late, c.withoutRetryAfter, c.slowest, l.problems)
-		return w.checkLoad(l)
+		return tb.checkLoad(l)
 	}
 	return errors.New("usage: load begin NAME PIPELINE CALLERS INSTANCE... | whole NAME COUNT | end NAME")
 }
 
-func (w *testbed) beginLoad(name, pipeline, callers string, instances []string) error {
+func (tb *testbed) beginLoad(name, pipeline, callers string, instances []string) error {
 	number, err := strconv.Atoi(callers)
 	if err != nil {
 		return err
@@ -120,17 +121,17 @@
 		l.call.Pipeline, l.call.Stream, l.call.SchemaVersion = "dossier", true, "2"
 	}
 	for _, instance := range instances {
-		callersURL, err := w.url(instance, "callers")
+		callersURL, err := tb.url(instance, "callers")
 		if err != nil {
 			return err
 		}
-		adminURL, err := w.url(instance, "admin")
+		adminURL, err := tb.url(instance, "admin")
 		if err != nil {
 			return err
 		}
 		l.endpoints = append(l.endpoints, endpoint{callersURL, adminURL})
 	}
-	w.loads[name] = l
+	tb.loads[name] = l
 	for caller := range number {
 		l.callers.Go(func() { l.run(caller) })
 	}
@@ -142,16 +143,16 @@
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for n := 0; l.running(); n++ {
-		order := loadRequest{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
-		for try := caller + n; order.outcome == "" || order.outcome == callerapi.OutcomeNotRun; try++ {
-			if !l.running() && order.outcome != "" {
+		request := loadRequest{input: fmt.Sprintf("%s-%d-%d", l.name, caller, n)}
+		for try := caller + n; request.outcome == "" || request.outcome == callerapi.OutcomeNotRun; try++ {
+			if !l.running() && request.outcome != "" {
 				break
 			}
 			if e, ok := l.findReady(try); ok {
-				l.callOnce(&order, e)
+				l.callOnce(&request, e)
 			}
 			if l.honoursRetryAfter {
-				l.waitRetryAfter(order.retryAfter)
+				l.waitRetryAfter(request.retryAfter)
 			}
 			select {
 			case <-ticker.C:
@@ -159,11 +160,11 @@
 				return
 			}
 		}
-		l.update(func() { l.requests = append(l.requests, order) })
+		l.update(func() { l.requests = append(l.requests, request) })
 	}
 }
 
-// rest waits for the time that a refusal named, or the load's end.
+// waitRetryAfter waits for the time that a refusal named, or the end of the load.
 func (l *load) waitRetryAfter(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -182,37 +183,37 @@
 	}
 }
 
-// ready finds a ready instance, beginning with one that differs by try.
+// findReady returns a ready instance, starting at one that depends on try.
 func (l *load) findReady(try int) (endpoint, bool) {
 	client := &http.Client{Transport: l.client.Transport, Timeout: readyTimeout}
 	for i := range l.endpoints {
 		e := l.endpoints[(try+i)%len(l.endpoints)]
-		answer, err := client.Get(e.admin + "/readyz")
+		response, err := client.Get(e.admin + "/readyz")
 		if err != nil {
 			continue
 		}
-		_ = answer.Body.Close()
-		if answer.StatusCode == http.StatusOK {
+		_ = response.Body.Close()
+		if response.StatusCode == http.StatusOK {
 			return e, true
 		}
 	}
 	return endpoint{}, false
 }
 
-// try makes one call and takes down what came of it.
-func (l *load) callOnce(order *loadRequest, e endpoint) {
+// callOnce sends the request once and records the result.
+func (l *load) callOnce(request *loadRequest, e endpoint) {
 	call := l.call
-	call.URL, call.Input, call.Client = e.callers, order.input, l.client
+	call.URL, call.Input, call.Client = e.callers, request.input, l.client
 	if l.idempotencyKeys {
-		call.IdempotencyKey = order.input
+		call.IdempotencyKey = request.input
 	}
 	began := time.Now()
 	reply, err := call.Do()
 	elapsed := time.Since(began)
 	l.update(func() {
-		order.retryAfter = 0
+		request.retryAfter = 0
 		if reply.Problem != nil {
-			order.retryAfter = time.Duration(reply.Problem.RetryAfterMS) * time.Millisecond
+			request.retryAfter = time.Duration(reply.Problem.RetryAfterMS) * time.Millisecond
 			l.problems[reply.Problem.Type]++
 		}
 		if elapsed > loadDeadline {
@@ -222,11 +223,11 @@
 		case connectFailed(err):
 		case err != nil:
 			l.counts.cut++
-			order.outcome = "" // it may run
+			request.outcome = "" // it may have run
 		case reply.Problem == nil:
 			l.counts.complete++
 			l.counts.slowest = max(l.counts.slowest, elapsed)
-			order.outcome = callerapi.OutcomeRan
+			request.outcome = callerapi.OutcomeRan
 			if want := Expected(call.Pipeline, call.SchemaVersion, call.Input); reply.Answer.Output != want {
 				l.wrongOutput = errors.Newf("%s was answered %q, not %q", call.Input, reply.Answer.Output, want)
 			}
@@ -235,18 +236,18 @@
 			if reply.Problem.RetryAfterMS == 0 {
 				l.counts.withoutRetryAfter++
 			}
-			order.outcome = callerapi.OutcomeNotRun
+			request.outcome = callerapi.OutcomeNotRun
 		case reply.Problem.Outcome == callerapi.OutcomeUnknown:
 			l.counts.unknown++
-			order.outcome = callerapi.OutcomeUnknown
+			request.outcome = callerapi.OutcomeUnknown
 		default:
 			l.counts.failed++
-			order.outcome = callerapi.OutcomeUnknown
+			request.outcome = callerapi.OutcomeUnknown
 		}
 	})
 }
 
-// notConnected tells whether no byte of the call can have left.
+// connectFailed reports whether no byte of the request can have been sent.
 func connectFailed(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
@@ -269,43 +270,43 @@
 	defer timer.Stop()
 	for first := -1; ; {
 		l.mu.Lock()
-		whole, changed := l.counts.complete, l.changed
+		complete, changed := l.counts.complete, l.changed
 		l.mu.Unlock()
 		if first < 0 {
-			first = whole
+			first = complete
 		}
-		if whole >= first+further {
+		if complete >= first+further {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return errors.Newf("%d of %d whole answers in time", whole-first, further)
+			return errors.Newf("%d of %d whole answers in time", complete-first, further)
 		}
 	}
 }
 
-// end lets each caller finish its piece of work.
+// finish stops the load. Each caller finishes its current request, within waitTimeout.
 func (l *load) finish() {
 	if l.ended {
 		return
 	}
 	l.ended = true
 	close(l.stop)
-	giveUp := time.AfterFunc(waitTimeout, func() { close(l.cancel) })
-	defer giveUp.Stop()
+	canceller := time.AfterFunc(waitTimeout, func() { close(l.cancel) })
+	defer canceller.Stop()
 	l.callers.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// checkLoad compares what the callers were told with what the targets ran.
-func (w *testbed) checkLoad(l *load) error {
+// checkLoad compares the outcomes that callers received with the runs at the targets.
+func (tb *testbed) checkLoad(l *load) error {
 	if l.wrongOutput != nil || !l.idempotencyKeys {
 		return l.wrongOutput
 	}
 	runs := make(map[string]int)
-	for _, name := range w.targets {
-		starts, err := w.startsByInput(name)
+	for _, name := range tb.targets {
+		starts, err := tb.startsByInput(name)
 		if err != nil {
 			return err
 		}
@@ -321,8 +322,8 @@
 	return nil
 }
 
-// agrees tells whether what a caller was told of work that may not be repeated
-// is true, given how often it ran.
+// matchesRuns reports whether the outcome of a request that must not be repeated is true,
+// given how often it ran.
 func (o loadRequest) matchesRuns(runs int) bool {
 	switch o.outcome {
 	case callerapi.OutcomeRan:
--- a/testkit/scenario/process.go
+++ b/testkit/scenario/process.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// patience bounds every wait for something to happen. It is no measure: a
-// scenario that reaches it has failed.
+// waitTimeout bounds every wait for an event. It measures nothing: a scenario that reaches it
+// has failed.
 const waitTimeout = 30 * time.Second
 
 // process is one process of a scenario.
@@ -24,24 +24,24 @@
 	log  *os.File
 
 	mu sync.Mutex
-	// seen holds the addresses that the process has told, by what listens.
+	// addresses holds the addresses that the process has printed, by listener.
 	addresses    map[string]string
 	addressAdded chan struct{}
-	// started counts the runs that a service has told, by input.
+	// started counts the runs that a service has printed, by input.
 	started map[string]int
 	exited  chan struct{}
-	// read is closed once all that the process printed is read.
+	// outputRead is closed once all output of the process is read.
 	outputRead chan struct{}
 }
 
-// Lines by which processes tell their addresses.
+// Lines in which processes print their addresses, and a service the start of a run.
 var (
 	daemonAddressLine  = regexp.MustCompile(`"listening for (\w+)".* address="([^"]+)"`)
 	standinAddressLine = regexp.MustCompile(`^()listening (\S+)`)
 	startedLine        = regexp.MustCompile(`^started (\S+)$`)
 )
 
-// start runs a program of the test binary and follows what it prints.
+// start runs a program of the test binary and reads its output.
 func start(name, logPath string, environment []string, program string, args ...string) (*process, error) {
 	log, err := os.Create(logPath)
 	if err != nil {
@@ -101,7 +101,7 @@
 	p.addressAdded = make(chan struct{})
 }
 
-// address waits until the process has told where it listens.
+// address waits until the process has printed where it listens.
 func (p *process) address(what string) (string, error) {
 	timer := time.NewTimer(waitTimeout)
 	defer timer.Stop()
@@ -128,8 +128,7 @@
 	return errors.Wrapf(p.cmd.Process.Signal(s), "signal %s", p.name)
 }
 
-// wait waits for the end of the process and returns its exit code, -1 after a
-// signal.
+// wait waits for the exit of the process and returns its exit code, -1 after a signal.
 func (p *process) wait() (int, error) {
 	select {
 	case <-p.exited:
@@ -139,7 +138,7 @@
 	}
 }
 
-// stop ends the process for good, at the end of a scenario.
+// kill kills the process at the end of a scenario, also if it is paused.
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
--- a/testkit/soak/balancer.go
+++ b/testkit/soak/balancer.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// probeEvery is how often readiness is asked, and how long an answer may take.
+	// probeInterval is the time between two readiness probes, and the timeout of each.
 	probeInterval = 100 * time.Millisecond
-	// missesOut is how many failed questions in a row take an instance out, well
-	// within the delay that a stopping instance leaves the balancer.
+	// probeFailureLimit is how many consecutive failed probes remove an instance from the
+	// balancer. It is reached well within the delay that a stopping instance leaves the
+	// balancer.
 	probeFailureLimit = 2
 )
 
-// balancer says which instances get new connections: those that are ready.
+// balancer returns the instances for new connections: those whose readiness probe succeeds.
 type balancer struct {
 	instances []*instance
 	available []atomic.Bool
 }
 
-// balance asks the instances until the context ends.
+// startBalancer probes the instances until the context ends.
 func startBalancer(ctx context.Context, wg *sync.WaitGroup, instances []*instance) *balancer {
 	b := &balancer{instances: instances, available: make([]atomic.Bool, len(instances))}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeInterval}
@@ -57,11 +58,11 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // only the status counts
+	_ = response.Body.Close() // only the status matters
 	return response.StatusCode == http.StatusOK
 }
 
-// choose returns an instance for a new connection; nil if none is ready.
+// choose returns a ready instance for a new connection; nil if there is none.
 func (b *balancer) choose(random *rand.Rand) *instance {
 	first := random.IntN(len(b.instances))
 	for i := range b.instances {
--- a/testkit/soak/callers.go
+++ b/testkit/soak/callers.go
@@ -14,7 +14,7 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// paths are what callers ask for; once tells which of them may run once at most.
+// requestKinds are the paths that callers request; once marks those that may run at most once.
 var requestKinds = []struct {
 	path string
 	once bool
@@ -23,38 +23,40 @@
 }
 
 const (
-	// requestWait is the wait that a request names, callerWait the caller's own.
+	// requestDeadline is the deadline that a request carries, callerTimeout the caller's own
+	// timeout.
 	requestDeadline = 3 * time.Second
 	callerTimeout   = 3500 * time.Millisecond
-	// eventsOfAStream is what the targets send.
+	// eventsPerStream is the number of events in each target's stream.
 	eventsPerStream = 5
-	// resumesMost is how often a caller asks for the rest of a stream.
+	// maxResumes is how often a caller requests the remaining events of a broken stream.
 	maxResumes = 3
 )
 
-// answer is what a caller got.
+// callResult is a request and the response that its caller received.
 type callResult struct {
 	id, path string
-	// sent is the body of the request; empty for the usual one, which names the id.
+	// customBody is the body of the request; empty for the default one, which contains the id.
 	customBody  string
 	once        bool
 	pieceCounts [2]int
-	// after is the event behind which the caller asked the stream to go on; 0 for none.
+	// resumedAfter is the last event that the caller had when it resumed the stream; 0 for a
+	// new stream.
 	resumedAfter int
 	status       int
 	body         string
-	// whole tells that the answer ended as it should.
+	// complete reports whether the response ended without an error.
 	complete bool
 	ended    time.Time
 }
 
-// callers send requests until the context ends and return all answers.
-func (w *testbed) runCallers(ctx context.Context) []callResult {
+// runCallers sends requests until the context ends and returns all results.
+func (tb *testbed) runCallers(ctx context.Context) []callResult {
 	var mu sync.Mutex
 	var all []callResult
 	var wg sync.WaitGroup
-	for i := range w.options.Callers {
-		c := newCaller(w, i)
+	for i := range tb.options.Callers {
+		c := newCaller(tb, i)
 		wg.Go(func() {
 			defer c.client.CloseIdleConnections()
 			c.run(ctx)
@@ -67,22 +69,22 @@
 	return all
 }
 
-// caller sends one request after the other.
+// caller sends requests one after the other.
 type caller struct {
 	testbed *testbed
-	// client keeps its connections until they are gone.
+	// client keeps its connections until they are closed.
 	client *http.Client
 	number int
-	// random draws requests, instances those that are asked for the rest of a stream.
+	// random samples requests, resumeRandom the instances to which a stream is resumed.
 	random, resumeRandom *rand.Rand
 	results              []callResult
 }
 
-func newCaller(w *testbed, number int) *caller {
+func newCaller(tb *testbed, number int) *caller {
 	return &caller{
-		testbed: w, client: &http.Client{Transport: &http.Transport{}, Timeout: callerTimeout}, number: number,
-		random:       rand.New(rand.NewPCG(w.options.Seed, uint64(number)+1)),
-		resumeRandom: rand.New(rand.NewPCG(w.options.Seed, 4<<32+uint64(number))),
+		testbed: tb, client: &http.Client{Transport: &http.Transport{}, Timeout: callerTimeout}, number: number,
+		random:       rand.New(rand.NewPCG(tb.options.Seed, uint64(number)+1)),
+		resumeRandom: rand.New(rand.NewPCG(tb.options.Seed, 4<<32+uint64(number))),
 	}
 }
 
@@ -102,11 +104,11 @@
 	}
 }
 
-// nextID is the id of the caller's next request.
+// nextID returns the id of the caller's next request.
 func (c *caller) nextID() string { return fmt.Sprintf("%04x%06x", c.number, len(c.results)) }
 
-// brokeOff tells that the caller has a part of a stream that may go on, and the last
-// event it has.
+// resumePoint reports whether the caller has received a part of a resumable stream that broke
+// off, and returns the last event that it has.
 func (a *callResult) resumePoint() (after int, cut bool) {
 	if a.path != "/stream-resume/a" || a.status != http.StatusOK || a.complete {
 		return 0, false
@@ -115,23 +117,23 @@
 	return after, after > 0
 }
 
-// request is the body of the request.
+// requestBody returns the body of the request.
 func (a *callResult) requestBody() string { return cmp.Or(a.customBody, "body of "+a.id) }
 
-// call sends a request to an instance and keeps its answer.
+// call sends a request to a random instance and records the result.
 func (c *caller) call(a *callResult, random *rand.Rand) {
 	c.send(a, c.testbed.instances[random.IntN(len(c.testbed.instances))])
 	a.ended = time.Now()
 	c.results = append(c.results, *a)
 	if a.status != http.StatusOK {
-		time.Sleep(30 * time.Millisecond) // a caller that was refused doesn't come back at once
+		time.Sleep(30 * time.Millisecond) // refused callers retry after a pause
 	}
 }
 
 func (c *caller) send(a *callResult, in *instance) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+in.callerAddress+a.path, strings.NewReader(a.requestBody()))
 	if err != nil {
-		panic(err) // a path of our own
+		panic(err) // the URL is constant and valid
 	}
 	request.Host = "host.example"
 	request.Header = standin.Call{
@@ -140,7 +142,7 @@
 	}.Header()
 	response, err := c.client.Do(request)
 	if err != nil {
-		return // the status stays 0
+		return // status 0 stands for no response
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
--- a/testkit/soak/check.go
+++ b/testkit/soak/check.go
@@ -9,40 +9,40 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// seen is what targets saw: the requests that arrived, by id, and the pieces of
-// stages that they made, by handle.
+// targetLog is what the targets recorded: the requests that arrived, by id, and the pieces of
+// stages that they produced, by handle.
 type targetLog struct {
 	arrivals map[string][]standin.Arrival
 	produced map[string]standin.Piece
-	// pieces counts the pieces of each request.
+	// pieceCounts holds the number of pieces of each request.
 	pieceCounts map[string]int
 }
 
-func (w *testbed) readTargetLog() targetLog {
-	s := targetLog{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
-	for _, t := range w.targets {
+func (tb *testbed) readTargetLog() targetLog {
+	log := targetLog{map[string][]standin.Arrival{}, map[string]standin.Piece{}, map[string]int{}}
+	for _, t := range tb.targets {
 		for _, a := range t.Arrivals() {
-			s.arrivals[a.ID] = append(s.arrivals[a.ID], a)
+			log.arrivals[a.ID] = append(log.arrivals[a.ID], a)
 		}
 		for handle, p := range t.Results() {
-			s.produced[handle] = p
-			s.pieceCounts[p.ID]++
+			log.produced[handle] = p
+			log.pieceCounts[p.ID]++
 		}
 	}
-	return s
+	return log
 }
 
-// check compares what callers and targets saw. Crashing are the answers to the request that
-// crashes targets, which aren't to be served.
-func (w *testbed) checkResults(all, crashing []callResult, s targetLog, calmFrom time.Time) {
-	asked := map[string]callResult{}
+// checkResults compares what callers and targets recorded. crashing holds the results of the
+// request that crashes targets, which need not be served.
+func (tb *testbed) checkResults(all, crashing []callResult, log targetLog, calmFrom time.Time) {
+	sent := map[string]callResult{}
 	for _, a := range crashing {
-		asked[a.id] = a
+		sent[a.id] = a
 	}
 	calmAll, calmServed := 0, 0
 	for _, a := range all {
-		asked[a.id] = a
-		w.checkResult(a, s.arrivals[a.id])
+		sent[a.id] = a
+		tb.checkResult(a, log.arrivals[a.id])
 		if a.ended.After(calmFrom) {
 			calmAll++
 			if a.status == http.StatusOK && a.complete {
@@ -50,16 +50,16 @@
 			}
 		}
 	}
-	for id, arrivals := range s.arrivals {
-		w.checkArrivals(id, asked, arrivals, s.produced)
+	for id, arrivals := range log.arrivals {
+		tb.checkArrivals(id, sent, arrivals, log.produced)
 	}
-	w.checkPieces(asked, s.produced)
+	tb.checkPieces(sent, log.produced)
 	if float64(calmServed) < minServedShare*float64(calmAll) || calmAll == 0 {
-		w.violation("after the faults %d of %d are served", calmServed, calmAll)
+		tb.violation("after the faults %d of %d are served", calmServed, calmAll)
 	}
 }
 
-// runs counts the targets that worked on a request.
+// countRuns returns how many targets ran a request.
 func countRuns(arrivals []standin.Arrival) int {
 	ran := 0
 	for _, arrival := range arrivals {
@@ -70,59 +70,59 @@
 	return ran
 }
 
-// checkAnswer looks at one answer.
-func (w *testbed) checkResult(a callResult, arrivals []standin.Arrival) {
+// checkResult checks one result against the arrivals of its request at targets.
+func (tb *testbed) checkResult(a callResult, arrivals []standin.Arrival) {
 	ran := countRuns(arrivals)
 	if a.once && ran > 1 {
-		w.violation("%s %s may run once and ran %d times", a.path, a.id, ran)
+		tb.violation("%s %s may run once and ran %d times", a.path, a.id, ran)
 	}
 	if !a.once && ran > 2 {
-		w.violation("%s %s ran at %d targets", a.path, a.id, ran)
+		tb.violation("%s %s ran at %d targets", a.path, a.id, ran)
 	}
 	if a.once && ran > 0 && a.status == http.StatusServiceUnavailable {
-		w.violation("%s %s was called not run and ran", a.path, a.id)
+		tb.violation("%s %s was called not run and ran", a.path, a.id)
 	}
 	if a.status == http.StatusOK {
-		w.checkBody(a)
+		tb.checkBody(a)
 	}
 }
 
-// checkBody looks at the body of a success, and at what a caller has of one that broke
+// checkBody checks the body of a successful response, and the received part of one that broke
 // off.
-func (w *testbed) checkBody(a callResult) {
+func (tb *testbed) checkBody(a callResult) {
 	body, want := a.body, "answer to "+a.id
 	if strings.HasPrefix(a.path, "/stream") {
 		body, want = withoutComments(body), streamEvents(a.resumedAfter)
 	}
 	switch {
 	case a.complete && body != want:
-		w.violation("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, w.injector.injectedInto(a.id))
+		tb.violation("%s %s behind event %d was answered %q, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, tb.injector.injectedInto(a.id))
 	case !a.complete && !isPartial(body, want):
-		w.violation("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, w.injector.injectedInto(a.id))
+		tb.violation("%s %s behind event %d got %q before it broke off, its targets' faults: %v", a.path, a.id, a.resumedAfter, a.body, tb.injector.injectedInto(a.id))
 	}
 }
 
-// checkArrivals looks at what targets got of a request.
-func (w *testbed) checkArrivals(id string, asked map[string]callResult, arrivals []standin.Arrival, made map[string]standin.Piece) {
-	a, ok := asked[id]
+// checkArrivals checks what targets received of a request.
+func (tb *testbed) checkArrivals(id string, sent map[string]callResult, arrivals []standin.Arrival, produced map[string]standin.Piece) {
+	a, ok := sent[id]
 	if !ok {
-		w.violation("a target got %s, which nobody sent", id)
+		tb.violation("a target got %s, which nobody sent", id)
 		return
 	}
 	for _, arrival := range arrivals {
 		if arrival.Body != a.requestBody() || arrival.Path != a.path || arrival.Account() != "account-1" || arrival.HasKey() {
-			w.violation("%s %s reached a target changed: %v", a.path, id, arrival)
+			tb.violation("%s %s reached a target changed: %v", a.path, id, arrival)
 		}
 		if after, err := resumedAfter(arrival); err != nil || after < a.resumedAfter {
-			w.violation("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.resumedAfter, arrival.ResumesAfter())
+			tb.violation("%s %s of a caller that has event %d reached a target behind %q", a.path, id, a.resumedAfter, arrival.ResumesAfter())
 		}
 		if a.path == "/stream-staged/a" {
-			w.checkInputs(id, arrival.Inputs(), a.pieceCounts[1], 1, made)
+			tb.checkInputs(id, arrival.Inputs(), a.pieceCounts[1], 1, produced)
 		}
 	}
 }
 
-// lastID is the event behind which a target was told to go on; 0 for none.
+// resumedAfter returns the event after which a target was requested to resume; 0 for none.
 func resumedAfter(a standin.Arrival) (int, error) {
 	if a.ResumesAfter() == "" {
 		return 0, nil
@@ -130,32 +130,32 @@
 	return strconv.Atoi(a.ResumesAfter())
 }
 
-// checkInputs looks at the results that are read together: all of one stage of one
+// checkInputs checks the results that one piece or request reads: all of one stage of the same
 // request, each once.
-func (w *testbed) checkInputs(id string, inputs []string, want, stage int, made map[string]standin.Piece) {
+func (tb *testbed) checkInputs(id string, inputs []string, want, stage int, produced map[string]standin.Piece) {
 	seen := map[int]bool{}
 	for _, handle := range inputs {
-		p, ok := made[handle]
+		p, ok := produced[handle]
 		if !ok || p.ID != id || p.Stage != stage || seen[p.Index] {
-			w.violation("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
+			tb.violation("%s reads result %s of %s, stage %d, piece %d", id, handle, p.ID, p.Stage, p.Index)
 		}
 		seen[p.Index] = true
 	}
 	if len(inputs) != want {
-		w.violation("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
+		tb.violation("%s reads %d results of stage %d, not %d", id, len(inputs), stage, want)
 	}
 }
 
-// checkPieces looks at the pieces that targets were asked for.
-func (w *testbed) checkPieces(asked map[string]callResult, made map[string]standin.Piece) {
-	for _, p := range made {
-		a, ok := asked[p.ID]
+// checkPieces checks the pieces that targets produced.
+func (tb *testbed) checkPieces(sent map[string]callResult, produced map[string]standin.Piece) {
+	for _, p := range produced {
+		a, ok := sent[p.ID]
 		if !ok || p.Stage > 1 || p.Index >= a.pieceCounts[p.Stage] {
-			w.violation("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
+			tb.violation("a target made piece %d of stage %d of %s", p.Index, p.Stage, p.ID)
 			continue
 		}
 		if p.Stage == 1 && a.pieceCounts[0] > 0 {
-			w.checkInputs(p.ID, p.Inputs, a.pieceCounts[0], 0, made)
+			tb.checkInputs(p.ID, p.Inputs, a.pieceCounts[0], 0, produced)
 		}
 	}
 }
--- a/testkit/soak/check_test.go
+++ b/testkit/soak/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// TestChecksOfBodies guards against a check that takes an answer for a whole one which isn't.
+// TestBodyChecks prevents a check that accepts an incomplete or wrong body as complete.
 func TestBodyChecks(t *testing.T) {
 	const first = "id: 1\ndata: token 1\n\n"
 	cases := map[string]struct {
@@ -25,11 +25,11 @@
 		"second answer":              {callResult{path: "/stream/a", complete: true, body: streamEvents(0) + "HTTP/1.1 200 OK\r\n\r\n" + streamEvents(0)}, true},
 		"cut":                        {callResult{path: "/stream/a", body: first}, false},
 		"cut, event twice":           {callResult{path: "/stream/a", body: first + first}, true},
-		"the rest":                   {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(1)}, false},
-		"nothing left":               {callResult{path: "/stream-resume/a", resumedAfter: 5, complete: true}, false},
-		"all instead of the rest":    {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(0)}, true},
-		"less than the rest":         {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(2)}, true},
-		"cut, not behind the last":   {callResult{path: "/stream-resume/a", resumedAfter: 1, body: first}, true},
+		"resumed":                    {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(1)}, false},
+		"resumed after the last":     {callResult{path: "/stream-resume/a", resumedAfter: 5, complete: true}, false},
+		"resumed from the start":     {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(0)}, true},
+		"resumed, one missing":       {callResult{path: "/stream-resume/a", resumedAfter: 1, complete: true, body: streamEvents(2)}, true},
+		"cut, not after the last":    {callResult{path: "/stream-resume/a", resumedAfter: 1, body: first}, true},
 		"plain":                      {callResult{path: "/get/a", id: "1", complete: true, body: "answer to 1"}, false},
 		"plain, another's":           {callResult{path: "/get/a", id: "1", complete: true, body: "answer to 2"}, true},
 		"plain, with a comment":      {callResult{path: "/get/a", id: "1", complete: true, body: ": c\n\nanswer to 1"}, true},
@@ -38,31 +38,31 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := &testbed{injector: newFaultInjector(1)}
+			tb := &testbed{injector: newFaultInjector(1)}
 			c.answer.status = http.StatusOK
-			w.checkResult(c.answer, nil)
-			require.Equal(t, c.broken, len(w.violations) > 0, w.violations)
+			tb.checkResult(c.answer, nil)
+			require.Equal(t, c.broken, len(tb.violations) > 0, tb.violations)
 		})
 	}
 }
 
-// TestChecksWhereAStreamGoesOn guards against a target that is told to go on before the
-// last event of the caller.
+// TestChecksResumePointOfTargets prevents a check that passes a target which is requested to
+// resume before the last event of the caller.
 func TestChecksResumePointOfTargets(t *testing.T) {
 	for asked, broken := range map[int]bool{0: true, 1: true, 2: false, 3: false} {
-		w := &testbed{injector: newFaultInjector(1)}
+		tb := &testbed{injector: newFaultInjector(1)}
 		header := standin.Call{ID: "1", LastEvent: asked}.Header()
 		header.Del("Authorization")
 		header.Set("Tenant", "account-1")
 		a := callResult{id: "1", path: "/stream-resume/a", resumedAfter: 2}
 		arrival := standin.Arrival{ID: "1", Path: a.path, Body: "body of 1", Header: header}
-		w.checkArrivals("1", map[string]callResult{"1": a}, []standin.Arrival{arrival}, nil)
-		require.Equal(t, broken, len(w.violations) > 0, "%d: %v", asked, w.violations)
+		tb.checkArrivals("1", map[string]callResult{"1": a}, []standin.Arrival{arrival}, nil)
+		require.Equal(t, broken, len(tb.violations) > 0, "%d: %v", asked, tb.violations)
 	}
 }
 
-// TestCallerGoesOnBehindItsLastEvent guards against a caller that asks for the rest of
-// nothing, or forgets what earlier answers brought.
+// TestCallerResumesAfterItsLastEvent prevents a caller that resumes a stream of which it has
+// no event, or forgets the events of earlier responses.
 func TestCallerResumesAfterItsLastEvent(t *testing.T) {
 	const resumed = "/stream-resume/a"
 	cases := map[string]struct {
@@ -70,13 +70,13 @@
 		after  int
 		cut    bool
 	}{
-		"cut":                       {callResult{path: resumed, status: 200, body: "id: 1\ndata: token 1\n\nid: 2\nda"}, 1, true},
-		"cut before any event":      {callResult{path: resumed, status: 200, body: ": no event yet\n\n"}, 0, false},
-		"cut again before any":      {callResult{path: resumed, status: 200, resumedAfter: 3}, 3, true},
-		"whole":                     {callResult{path: resumed, status: 200, complete: true, body: streamEvents(0)}, 0, false},
-		"refused":                   {callResult{path: resumed, status: 503, resumedAfter: 3}, 0, false},
-		"may not be sent again":     {callResult{path: "/stream/a", status: 200, body: "id: 1\n\n"}, 0, false},
-		"cut behind the last event": {callResult{path: resumed, status: 200, body: streamEvents(0)}, 5, true},
+		"cut":                      {callResult{path: resumed, status: 200, body: "id: 1\ndata: token 1\n\nid: 2\nda"}, 1, true},
+		"cut before any event":     {callResult{path: resumed, status: 200, body: ": no event yet\n\n"}, 0, false},
+		"cut again before any":     {callResult{path: resumed, status: 200, resumedAfter: 3}, 3, true},
+		"whole":                    {callResult{path: resumed, status: 200, complete: true, body: streamEvents(0)}, 0, false},
+		"refused":                  {callResult{path: resumed, status: 503, resumedAfter: 3}, 0, false},
+		"may not be sent again":    {callResult{path: "/stream/a", status: 200, body: "id: 1\n\n"}, 0, false},
+		"cut after the last event": {callResult{path: resumed, status: 200, body: streamEvents(0)}, 5, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/testkit/soak/events_test.go
+++ b/testkit/soak/events_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyCommentsAreLeftOut guards against a check that passes over what a stream has too
-// much or too little.
+// TestOnlyCommentsAreRemoved prevents a check that overlooks missing or additional bytes in a
+// stream.
 func TestOnlyCommentsAreRemoved(t *testing.T) {
 	const one, two = "id: 1\ndata: token 1\n\n", "id: 2\ndata: token 2\n\n"
 	for body, want := range map[string]string{
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestPartsOfAStream guards against a check that passes over events that come twice or are
-// missing where an answer broke off.
+// TestPartialStreams prevents a check that overlooks duplicate or missing events in a response
+// that broke off.
 func TestPartialStreams(t *testing.T) {
 	const one, two, three = "id: 1\ndata: token 1\n\n", "id: 2\ndata: token 2\n\n", "id: 3\ndata: token 3\n\n"
 	cases := map[string]struct {
@@ -38,11 +38,11 @@
 		"nothing":               {"", true, 0},
 		"first events":          {one + two, true, 2},
 		"torn":                  {one + "id: 2\ndata", true, 1},
-		"behind no id":          {one + unnumberedEvent, true, 1},
+		"after no id":           {one + unnumberedEvent, true, 1},
 		"no id alone":           {unnumberedEvent, true, 0},
 		"no id within an event": {one + "id: 2\n" + unnumberedEvent, false, 0},
 		"no id twice":           {unnumberedEvent + unnumberedEvent, false, 0},
-		"goes on behind no id":  {unnumberedEvent + one, false, 0},
+		"more after no id":      {unnumberedEvent + one, false, 0},
 		"twice":                 {one + one, false, 0},
 		"missing":               {one + three, false, 0},
 		"not from the first":    {two, false, 0},
--- a/testkit/soak/conduct_test.go
+++ b/testkit/soak/injector_test.go
@@ -10,33 +10,33 @@
 	"github.com/ivyhollow/ivyhollow/platform/standin"
 )
 
-// TestEveryPairOfFaultsIsDrawn guards against a soak in which no stream meets one fault at
-// its first target and another at its second.
+// TestEveryPairOfFaultsIsSampled prevents a soak in which no stream meets one fault at its
+// first target and another at its second.
 func TestEveryPairOfFaultsIsSampled(t *testing.T) {
 	c := newFaultInjector(1)
 	c.setRate(minFaultOneIn)
-	drawn := map[[2]standin.Fault]bool{}
+	sampled := map[[2]standin.Fault]bool{}
 	for i := range 20000 {
 		a := standin.Arrival{ID: fmt.Sprintf("%010x", i)}
 		first := c.nextFault("engine-1", a)
-		drawn[[2]standin.Fault{first, c.nextFault("engine-2", a)}] = true
+		sampled[[2]standin.Fault{first, c.nextFault("engine-2", a)}] = true
 	}
 	for _, first := range streamFaults {
 		for _, second := range append([]standin.Fault{standin.NoFault}, streamFaults...) {
-			require.True(t, drawn[[2]standin.Fault{first, second}], "%v, %v", first, second)
+			require.True(t, sampled[[2]standin.Fault{first, second}], "%v, %v", first, second)
 		}
 	}
 }
 
-// TestAllFaultsOfTargetsAreDrawn guards against a fault of targets that the soak doesn't play.
+// TestAllTargetFaultsAreSampled prevents a target fault that the soak never injects.
 func TestAllTargetFaultsAreSampled(t *testing.T) {
 	for fault := standin.Full; fault <= standin.CommentsThenTruncates; fault++ {
 		require.Contains(t, streamFaults, fault)
 	}
 }
 
-// TestFaultsOfARequestAreItsOwn guards against a seed whose requests meet other faults
-// whenever they come in another order.
+// TestFaultsDependOnSeedAndRequestOnly prevents a seed whose requests meet other faults
+// whenever they arrive in another order.
 func TestFaultsDependOnSeedAndRequestOnly(t *testing.T) {
 	one, other := newFaultInjector(1), newFaultInjector(1)
 	one.setRate(minFaultOneIn)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestNoRestOfAStreamIsEmpty guards against a target that is blamed on the instance: behind
-// an event an empty answer is that of a target which has nothing left.
+// TestNoEmptyFaultForResumedStreams prevents a false violation: after an event, an empty
+// response is the valid one of a target that has no events left.
 func TestNoEmptyFaultForResumedStreams(t *testing.T) {
 	c := newFaultInjector(1)
 	c.setRate(1)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestOtherTargetsServeWell guards against faults of streams at targets of other services,
-// and of all targets at once outside their spans.
+// TestFaultsAreLimitedToTheirTargets prevents stream faults at targets of other services, and
+// faults of all engines outside their periods.
 func TestFaultsAreLimitedToTheirTargets(t *testing.T) {
 	c := newFaultInjector(1)
 	for i := range 1000 {
--- a/testkit/soak/instance.go
+++ b/testkit/soak/instance.go
@@ -12,14 +12,14 @@
 	"github.com/ivyhollow/ivyhollow/testkit/relay"
 )
 
-// The times of a planned stop in the instances' settings.
+// Times of a planned stop in the settings of the instances.
 const (
-	// A short grace ends while streams wait for slow stages.
+	// shortGrace ends while streams still wait for slow stages.
 	grace         = 4 * time.Second
 	shortGrace    = 2500 * time.Millisecond
 	balancerDelay = 500 * time.Millisecond
-	// lateGrace is how much longer than its grace a process may last; a paused or
-	// busy one needs some of it.
+	// graceTolerance is how much longer than its grace a process may run; a paused or busy
+	// process needs part of it.
 	graceTolerance = 2 * time.Second
 )
 
@@ -29,57 +29,57 @@
 	callerAddress string
 	adminAddress  string
 	settingsPath  string
-	// text is the settings but for the times of a planned stop.
+	// baseSettings are the settings without the times of a planned stop.
 	baseSettings string
 	log          *os.File
-	// grace is the time that a planned stop has.
+	// grace is the time limit of a planned stop.
 	grace time.Duration
-	// oneCore has one thread run at a time, as on a small machine: what is due after a
-	// pause is done in turn, timers before what lies in sockets.
+	// singleThread sets GOMAXPROCS=1, as on a small machine: after a pause, expired timers run
+	// before pending socket data is read.
 	singleThread bool
-	// restarting is held from an end to the next start.
+	// restarting is held from an end until the next start.
 	restarting sync.Mutex
 
 	mu      sync.Mutex
 	process *exec.Cmd
 	history *processHistory
-	// ended is closed when the present process has ended.
+	// exited is closed when the current process has exited.
 	exited chan struct{}
-	// asked tells that the run itself ended the present process.
+	// endRequested reports whether the soak itself ended the current process.
 	endRequested bool
 }
 
 // addInstance writes an instance's settings and starts it.
-func (w *testbed) addInstance(name string) error {
-	path, err := relay.Start("127.0.0.1:0", w.storeHTTP.Listener.Addr().String())
+func (tb *testbed) addInstance(name string) error {
+	path, err := relay.Start("127.0.0.1:0", tb.storeHTTP.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	w.relays[name] = path
-	ports, err := w.reservePorts(3)
+	tb.relays[name] = path
+	ports, err := tb.reservePorts(3)
 	if err != nil {
 		return err
 	}
 	in := &instance{
-		name: name, callerAddress: ports[0], adminAddress: ports[1], settingsPath: filepath.Join(w.options.Dir, name+".ini"),
-		grace: grace, singleThread: w.options.Planned && len(w.instances)%2 == 0,
+		name: name, callerAddress: ports[0], adminAddress: ports[1], settingsPath: filepath.Join(tb.options.Dir, name+".ini"),
+		grace: grace, singleThread: tb.options.Planned && len(tb.instances)%2 == 0,
 		baseSettings: fmt.Sprintf("[instance]\nname = %s\ndata_centre = x\n[listen]\ncallers = %s\nadmin = %s\npeers = %s\n"+
 			"[platform]\nurl = http://%s\ncalls_per_second = 200\n", name, ports[0], ports[1], ports[2], path.Addr()),
 	}
-	if w.options.Planned && len(w.instances)%3 == 1 {
+	if tb.options.Planned && len(tb.instances)%3 == 1 {
 		in.grace = shortGrace
 	}
 	if err := in.writeSettings(balancerDelay); err != nil {
 		return err
 	}
-	if in.log, err = os.Create(filepath.Join(w.options.Dir, name+".log")); err != nil {
+	if in.log, err = os.Create(filepath.Join(tb.options.Dir, name+".log")); err != nil {
 		return err
 	}
-	w.instances = append(w.instances, in)
-	return w.launch(in)
+	tb.instances = append(tb.instances, in)
+	return tb.launch(in)
 }
 
-// writeSettings puts a settings file in place, whole at any moment.
+// writeSettings replaces the settings file atomically.
 func (in *instance) writeSettings(delay time.Duration) error {
 	text := in.baseSettings + fmt.Sprintf("[shutdown]\ngrace = %s\nbalancer_delay = %s\n", in.grace, delay)
 	if err := os.WriteFile(in.settingsPath+".new", []byte(text), 0o600); err != nil {
@@ -88,41 +88,41 @@
 	return os.Rename(in.settingsPath+".new", in.settingsPath)
 }
 
-// launch starts an instance's process and watches for its end.
-func (w *testbed) launch(in *instance) error {
-	command := exec.Command(w.options.Binary, "gateway", "--config", in.settingsPath)
+// launch starts an instance's process and watches for its exit.
+func (tb *testbed) launch(in *instance) error {
+	command := exec.Command(tb.options.Binary, "gateway", "--config", in.settingsPath)
 	command.Stdout, command.Stderr = in.log, in.log
 	if in.singleThread {
 		command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
-	// The process ends with this one, however this one ends.
+	// The kernel kills the process when this one ends, for whatever reason.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
 	}
 	in.mu.Lock()
 	ended := make(chan struct{})
-	l := &processHistory{instance: in.name, grace: in.grace, launchedAt: time.Now()}
-	in.process, in.history, in.endRequested, in.exited = command, l, false, ended
+	history := &processHistory{instance: in.name, grace: in.grace, launchedAt: time.Now()}
+	in.process, in.history, in.endRequested, in.exited = command, history, false, ended
 	in.mu.Unlock()
 	go func() {
 		defer close(ended)
 		err := command.Wait()
-		l.recordExit()
+		history.recordExit()
 		in.mu.Lock()
-		asked := in.endRequested
+		endRequested := in.endRequested
 		in.mu.Unlock()
-		if !asked {
-			w.violation("%s ended by itself: %v", in.name, err)
+		if !endRequested {
+			tb.violation("%s ended by itself: %v", in.name, err)
 		}
-		if err != nil && w.options.Planned && l.mustExitCleanly() {
-			w.violation("a planned stop ended with %v: %s", err, l.describe(time.Now()))
+		if err != nil && tb.options.Planned && history.mustExitCleanly() {
+			tb.violation("a planned stop ended with %v: %s", err, history.describe(time.Now()))
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to an instance's process; ends tells that it is to end.
+// signal sends a signal to an instance's process; ends marks an end that the soak requests.
 func (in *instance) signal(s syscall.Signal, ends bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -130,14 +130,14 @@
 	in.send(s)
 }
 
-// send sends a signal; the caller holds the lock.
+// send sends a signal. The caller holds in.mu.
 func (in *instance) send(s syscall.Signal) {
 	in.history.recordSignal(s)
-	_ = in.process.Process.Signal(s) // it may have ended
+	_ = in.process.Process.Signal(s) // the process may have exited
 }
 
-// hangUp has the process read its settings again, once it catches signals. Before, one
-// would end it, as any program.
+// reload sends SIGHUP, so that the process reads its settings again. It waits until the
+// process handles signals: before that, SIGHUP ends a process by default.
 func (in *instance) reload() {
 	for {
 		in.mu.Lock()
@@ -152,14 +152,14 @@
 	}
 }
 
-// present is the process that runs, or the one that ran last.
-func (in *instance) current() (l *processHistory, ended <-chan struct{}) {
+// current returns the history of the running process, or of the last one.
+func (in *instance) current() (history *processHistory, ended <-chan struct{}) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.history, in.exited
 }
 
-// await waits until the present process has ended.
+// awaitExit waits until the current process has exited.
 func (in *instance) awaitExit() {
 	_, ended := in.current()
 	<-ended
--- a/testkit/soak/instance_test.go
+++ b/testkit/soak/instance_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHangupAtAStartEndsNoProcess guards against a soak that ends a process by a signal
-// which no program catches yet, and blames the process.
+// TestReloadDuringStartupEndsNoProcess prevents a false violation: SIGHUP would otherwise end
+// a process that doesn't handle signals yet.
 func TestReloadDuringStartupEndsNoProcess(t *testing.T) {
-	w, err := newTestbed(Options{Binary: build(t), Dir: t.TempDir(), Instances: 1})
+	tb, err := newTestbed(Options{Binary: build(t), Dir: t.TempDir(), Instances: 1})
 	require.NoError(t, err)
-	defer w.close()
-	in := w.instances[0]
-	w.restart(in, syscall.SIGKILL, 0)
+	defer tb.close()
+	in := tb.instances[0]
+	tb.restart(in, syscall.SIGKILL, 0)
 	in.reload()
 	in.signal(syscall.SIGTERM, true)
 	in.awaitExit()
--- a/testkit/soak/keepers.go
+++ b/testkit/soak/persistentcaller.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// plannedWait is a caller's patience; it is longer than a request's time and a
-	// pause together, so whatever ends by it had no answer.
+	// plannedCallerTimeout is a caller's timeout. It is longer than a request's deadline and a
+	// pause together, so a request that reaches it was not answered.
 	plannedCallerTimeout = 8 * time.Second
-	// longestWait is what streams wait at most. It is longer than a planned stop, so a
-	// stop comes to its end while streams wait for their stages.
+	// maxStreamDeadline is the longest deadline of a stream. It is longer than a planned stop,
+	// so that a stop reaches its end while streams wait for their stages.
 	maxStreamDeadline = 5 * time.Second
-	// refusedWait bounds how long a caller that was refused stays away.
+	// maxRefusalPause bounds the pause of a caller after a refusal.
 	maxRefusalPause = 200 * time.Millisecond
-	// settledKey is which of the keys callers use, from the newest: one that had two
-	// seconds to come into force everywhere, and that the next version keeps.
+	// settledKeyIndex selects the key that callers use, counted from the newest: one that had
+	// two seconds to come into force everywhere, and that the next version still accepts.
 	settledKeyIndex = 2
 )
 
-// manners are how a caller uses its connection.
+// callerProfile describes how a caller uses its connection.
 type callerProfile struct {
-	// least and most bound the time between an answer and the next request.
+	// minPause and maxPause bound the time between a response and the next request.
 	minPause, maxPause time.Duration
-	// parted is one in how many requests is sent in two parts; 0 for none.
+	// splitOneIn is N if one in N requests is sent in two parts; 0 for none.
 	splitOneIn int
 }
 
-// partedMost bounds the time between the parts of a request. A stop often finds a
-// request of which it has a part only.
+// maxSplitPause bounds the time between the parts of a request, so that a stop often meets a
+// request that has arrived only in part.
 const maxSplitPause = 300 * time.Millisecond
 
-// kinds of callers; each caller is of one of them.
+// callerProfiles are assigned to the callers in turn.
 var callerProfiles = []callerProfile{
 	{0, 20 * time.Millisecond, 0},
 	{0, 150 * time.Millisecond, 2},
@@ -52,42 +52,42 @@
 	{400 * time.Millisecond, 2500 * time.Millisecond, 3},
 }
 
-// exchange is a request on a kept connection and what came of it.
+// exchange is a request on a persistent connection and its result.
 type exchange struct {
 	callResult
 	history *processHistory
-	// wait is the time that the request names.
+	// deadline is the deadline that the request carries.
 	deadline time.Duration
-	// kept counts the answers that the connection had given before.
+	// answersBefore counts the earlier responses on the connection.
 	answersBefore int
-	// sent tells that all bytes were written: from first to last.
+	// fullySent reports whether all bytes were written, between firstByte and lastByte.
 	fullySent           bool
 	firstByte, lastByte time.Time
-	// closed is when the connection was seen to be closed instead of an answer.
+	// closeSeen is when the connection was found closed in place of a response.
 	closeSeen  time.Time
 	retryAfter string
-	// err is why there is no whole answer.
+	// err is why there is no complete response.
 	err error
 }
 
-// keepers send requests on connections that they keep, until the context ends, and
-// return what came of each.
-func (w *testbed) runPersistentCallers(ctx context.Context) []exchange {
+// runPersistentCallers sends requests on persistent connections until the context ends, and
+// returns all exchanges.
+func (tb *testbed) runPersistentCallers(ctx context.Context) []exchange {
 	var mu sync.Mutex
 	var all []exchange
 	var callers, probes sync.WaitGroup
 	balancing, done := context.WithCancel(context.Background())
-	b := startBalancer(balancing, &probes, w.instances)
-	for i := range w.options.Callers {
-		k := persistentCaller{
-			testbed: w, balancer: b, number: i, profile: callerProfiles[i%len(callerProfiles)],
-			random: rand.New(rand.NewPCG(w.options.Seed, uint64(i)+1)),
+	b := startBalancer(balancing, &probes, tb.instances)
+	for i := range tb.options.Callers {
+		conn := persistentCaller{
+			testbed: tb, balancer: b, number: i, profile: callerProfiles[i%len(callerProfiles)],
+			random: rand.New(rand.NewPCG(tb.options.Seed, uint64(i)+1)),
 		}
 		callers.Go(func() {
-			k.run(ctx)
+			conn.run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, k.exchanges...)
+			all = append(all, conn.exchanges...)
 		})
 	}
 	callers.Wait()
@@ -96,7 +96,7 @@
 	return all
 }
 
-// keeper is a caller that keeps its connection.
+// persistentCaller is a caller that reuses its connection.
 type persistentCaller struct {
 	testbed   *testbed
 	balancer  *balancer
@@ -113,32 +113,32 @@
 			sleep(ctx, probeInterval)
 			continue
 		}
-		k := dialInstance(in)
-		if k == nil {
+		conn := dialInstance(in)
+		if conn == nil {
 			sleep(ctx, probeInterval/10)
 			continue
 		}
-		c.useConnection(ctx, k)
-		_ = k.conn.Close() // it may be closed already
+		c.useConnection(ctx, conn)
+		_ = conn.conn.Close() // it may be closed already
 	}
 }
 
-// use sends requests on a connection until it is of no use any more.
-func (c *persistentCaller) useConnection(ctx context.Context, k *persistentConn) {
+// useConnection sends requests on a connection until it can't be used any more.
+func (c *persistentCaller) useConnection(ctx context.Context, conn *persistentConn) {
 	for {
 		sleep(ctx, c.randomDuration(c.profile.minPause, c.profile.maxPause))
-		over, stray := k.finished()
+		over, stray := conn.finished()
 		if stray {
-			c.testbed.violation("%s sent bytes that nobody asked for", k.history.instance)
+			c.testbed.violation("%s sent bytes that nobody asked for", conn.history.instance)
 		}
 		if over || ctx.Err() != nil {
 			return
 		}
 		x := c.nextRequest()
-		x.history, x.answersBefore = k.history, k.answers
+		x.history, x.answersBefore = conn.history, conn.answers
 		parts := c.encodeRequest(&x)
-		k.send(&x, parts, c.randomDuration(0, maxSplitPause))
-		goesOn := k.receive(&x)
+		conn.send(&x, parts, c.randomDuration(0, maxSplitPause))
+		goesOn := conn.receive(&x)
 		c.exchanges = append(c.exchanges, x)
 		if x.status == http.StatusServiceUnavailable {
 			sleep(ctx, min(parseRetryAfter(x.retryAfter), maxRefusalPause))
@@ -149,7 +149,7 @@
 	}
 }
 
-// next draws the next request.
+// nextRequest samples the next request.
 func (c *persistentCaller) nextRequest() exchange {
 	kind := requestKinds[c.random.IntN(len(requestKinds))]
 	x := exchange{callResult: callResult{
@@ -163,19 +163,19 @@
 	return x
 }
 
-// parts are the bytes of a request, in the parts in which they are sent. The cut is
-// in the head as well as in the body.
+// encodeRequest returns the bytes of a request, in the parts in which they are sent. The split
+// is in the head or in the body.
 func (c *persistentCaller) encodeRequest(x *exchange) [][]byte {
 	request, err := http.NewRequest(http.MethodPost, "http://host.example"+x.path, strings.NewReader("body of "+x.id))
 	if err != nil {
-		panic(err) // a path of our own
+		panic(err) // the URL is constant and valid
 	}
 	request.Header = standin.Call{
 		ID: x.id, Key: (*c.testbed.keys.Load())[settledKeyIndex], Wait: x.deadline, SharedPart: "s1", Pieces: x.pieceCounts[:], PieceKey: "key" + x.id,
 	}.Header()
 	var text bytes.Buffer
 	if err := request.Write(&text); err != nil {
-		panic(err) // a buffer takes all
+		panic(err) // buffer writes never fail
 	}
 	if c.profile.splitOneIn == 0 || c.random.IntN(c.profile.splitOneIn) > 0 {
 		return [][]byte{text.Bytes()}
@@ -188,12 +188,12 @@
 	return [][]byte{text.Bytes()[:cut], text.Bytes()[cut:]}
 }
 
-// between draws a time.
+// randomDuration samples a duration between the bounds.
 func (c *persistentCaller) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
 }
 
-// pause waits, at most until the context ends.
+// sleep waits for the given time, at most until the context ends.
 func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -201,8 +201,8 @@
 	}
 }
 
-// seconds reads the time of a Retry-After header; 0 if there is none.
+// parseRetryAfter returns the time of a Retry-After header; 0 if there is none.
 func parseRetryAfter(text string) time.Duration {
-	n, _ := strconv.ParseFloat(text, 64) // an unreadable one is found by the check
+	n, _ := strconv.ParseFloat(text, 64) // checkRefusal finds an invalid one
 	return time.Duration(n * float64(time.Second))
 }
--- a/testkit/soak/run.go
+++ b/testkit/soak/run.go
@@ -7,47 +7,49 @@
 	"time"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Answers counts the requests, Served those answered well.
+	// Requests counts all requests, Served those with a complete successful response.
 	Requests, Served int
-	// Losses are counted in runs of planned work only.
+	// Losses are counted only in runs of planned work.
 	Losses Losses
-	// Broken are the promises that were broken, Faults what was done.
+	// Violations are the guarantees that were broken, Faults the log of injected faults and
+	// planned work.
 	Violations, Faults []string
 }
 
 const (
-	// settle is how long after the last fault the fleet has to be well again.
+	// recoveryTime is how long after the last fault the fleet must serve normally again.
 	recoveryTime = 4 * time.Second
-	// calm is how long it is watched then, and calmShare what it must serve.
+	// observationTime is how long it is observed then, and minServedShare the share of
+	// requests that it must serve.
 	observationTime = 2 * time.Second
 	minServedShare  = 0.9
-	// restAmongFaults is the time between two series of planned stops where other
-	// faults come as well, restPlanned where they don't.
+	// seriesPauseWithFaults is the time between two series of planned stops in runs with other
+	// faults, seriesPausePlanned in runs without.
 	seriesPauseWithFaults = 3 * time.Second
 	seriesPausePlanned    = 200 * time.Millisecond
 )
 
-// Run plays one seed.
+// Run runs the soak with one seed.
 func Run(o Options) (Report, error) {
-	w, err := newTestbed(o)
+	tb, err := newTestbed(o)
 	if err != nil {
 		return Report{}, err
 	}
-	defer w.close()
-	time.Sleep(time.Second) // the instances find one another
+	defer tb.close()
+	time.Sleep(time.Second) // the instances discover each other
 	report := Report{Seed: o.Seed}
 	var all []callResult
 	if o.Planned {
-		all, report.Losses = w.runPlanned()
+		all, report.Losses = tb.runPlanned()
 	} else {
-		all = w.runFaults()
+		all = tb.runFaults()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	report.Requests, report.Violations, report.Faults = len(all), w.violations, w.faults
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	report.Requests, report.Violations, report.Faults = len(all), tb.violations, tb.faults
 	for _, a := range all {
 		if a.status == http.StatusOK && a.complete {
 			report.Served++
@@ -56,51 +58,51 @@
 	return report, nil
 }
 
-// runFaults harms the fleet in all ways while callers use it.
-func (w *testbed) runFaults() []callResult {
+// runFaults injects faults of all kinds and does planned work while callers use the fleet.
+func (tb *testbed) runFaults() []callResult {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	crashes := make(chan []callResult, 1)
-	go func() { crashes <- w.runCrashCaller(ctx) }()
-	all, calmFrom := whileInUse(w.runCallers, func() {
-		until := time.Now().Add(w.options.Faults)
+	go func() { crashes <- tb.runCrashCaller(ctx) }()
+	all, calmFrom := whileInUse(tb.runCallers, func() {
+		until := time.Now().Add(tb.options.Faults)
 		var wg sync.WaitGroup
-		wg.Go(func() { w.runPlannedWork(until, seriesPauseWithFaults) })
-		wg.Go(func() { w.injectEngineFaults(until) })
-		w.injectFaults(until)
+		wg.Go(func() { tb.runPlannedWork(until, seriesPauseWithFaults) })
+		wg.Go(func() { tb.injectEngineFaults(until) })
+		tb.injectFaults(until)
 		wg.Wait()
-		w.removeTargetsAfterSilences(w.options.Silences)
+		tb.removeTargetsAfterSilences(tb.options.Silences)
 	})
 	stop()
 	crashing := <-crashes
-	s := w.readTargetLog()
-	w.checkCrashes(crashing, s, calmFrom)
-	w.checkResults(all, crashing, s, calmFrom)
+	log := tb.readTargetLog()
+	tb.checkCrashes(crashing, log, calmFrom)
+	tb.checkResults(all, crashing, log, calmFrom)
 	return all
 }
 
-// runPlanned does planned work only while callers use the fleet.
-func (w *testbed) runPlanned() ([]callResult, Losses) {
-	exchanges, calmFrom := whileInUse(w.runPersistentCallers, func() {
-		w.runPlannedWork(time.Now().Add(w.options.Faults), seriesPausePlanned)
+// runPlanned does only planned work while callers use the fleet.
+func (tb *testbed) runPlanned() ([]callResult, Losses) {
+	exchanges, calmFrom := whileInUse(tb.runPersistentCallers, func() {
+		tb.runPlannedWork(time.Now().Add(tb.options.Faults), seriesPausePlanned)
 	})
 	all := make([]callResult, 0, len(exchanges))
 	for _, x := range exchanges {
 		all = append(all, x.callResult)
 	}
-	s := w.readTargetLog()
-	w.checkResults(all, nil, s, calmFrom)
-	return all, w.checkPlanned(exchanges, s)
+	log := tb.readTargetLog()
+	tb.checkResults(all, nil, log, calmFrom)
+	return all, tb.checkPlanned(exchanges, log)
 }
 
-// during has callers use the fleet while it is harmed, and until it must be well
-// again: from calmFrom on.
-func whileInUse[T any](use func(context.Context) []T, harm func()) (all []T, calmFrom time.Time) {
+// whileInUse runs disturb while callers use the fleet, and lets them go on until the fleet has
+// been observed. The fleet must serve normally from calmFrom on.
+func whileInUse[T any](use func(context.Context) []T, disturb func()) (all []T, calmFrom time.Time) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	results := make(chan []T, 1)
 	go func() { results <- use(ctx) }()
-	harm()
+	disturb()
 	calmFrom = time.Now().Add(recoveryTime)
 	time.Sleep(recoveryTime + observationTime)
 	stop()
--- a/testkit/soak/stops.go
+++ b/testkit/soak/stops.go
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// stop is one planned stop of an instance. Times count from the first SIGTERM; zero
-// times don't happen.
+// stop is one planned stop of an instance. Times count from the first SIGTERM; events with a
+// zero time don't happen.
 type stop struct {
 	in *instance
-	// after is when it begins, from the series' begin.
+	// offset is when the stop begins, counted from the start of the series.
 	offset time.Duration
-	// again is when SIGTERM comes a second time.
+	// secondTermAt is when a second SIGTERM is sent.
 	secondTermAt time.Duration
-	// hangup is when SIGHUP comes, after the settings were written with this delay
-	// for the balancer.
+	// reloadAt is when the settings are rewritten with newDelay as balancer delay and SIGHUP
+	// is sent.
 	reloadAt, newDelay time.Duration
-	// freeze and thaw are when the process is paused and continued.
+	// pauseAt and resumeAt are when the process is paused and resumed.
 	pauseAt, resumeAt time.Duration
-	// down is the time from the process' end to the next start.
+	// downtime is the time from the exit of the process to the next start.
 	downtime time.Duration
-	// early tells that the next process is stopped at its start, as long after the
-	// launch as earlyAfter.
+	// stopNextEarly has the next process stopped during startup, earlyOffset after its launch.
 	stopNextEarly bool
 	earlyOffset   time.Duration
 }
 
-// times are what is noted of a stop.
+// times returns the values of a stop that are logged.
 func (s stop) times() any {
 	return struct {
 		After, Again, Hangup, Freeze, Thaw time.Duration
@@ -36,52 +35,52 @@
 	}{s.offset, s.secondTermAt, s.reloadAt, s.pauseAt, s.resumeAt, s.stopNextEarly}
 }
 
-// stop stops an instance and starts it again. One that is stopping or down already
-// is left alone.
-func (w *testbed) runStop(s stop) {
+// runStop stops an instance and starts it again. It does nothing if the instance is already
+// stopping or down.
+func (tb *testbed) runStop(s stop) {
 	if !s.in.restarting.TryLock() {
 		return
 	}
 	defer s.in.restarting.Unlock()
-	w.performStop(s)
+	tb.performStop(s)
 	time.Sleep(s.downtime)
-	w.relaunch(s.in)
+	tb.relaunch(s.in)
 	if s.stopNextEarly {
 		time.Sleep(s.earlyOffset)
-		w.performStop(stop{in: s.in})
-		w.relaunch(s.in)
+		tb.performStop(stop{in: s.in})
+		tb.relaunch(s.in)
 	}
 }
 
-func (w *testbed) relaunch(in *instance) {
-	if err := w.launch(in); err != nil {
-		w.violation("%s doesn't start: %v", in.name, err)
+func (tb *testbed) relaunch(in *instance) {
+	if err := tb.launch(in); err != nil {
+		tb.violation("%s doesn't start: %v", in.name, err)
 	}
 }
 
-// event is something that is done during a stop.
+// stopAction is an action during a stop.
 type stopAction struct {
 	at time.Duration
 	do func()
 }
 
-// end does a stop's events in turn and waits for the end of the process.
-func (w *testbed) performStop(s stop) {
+// performStop performs the actions of a stop in order and waits for the exit of the process.
+func (tb *testbed) performStop(s stop) {
 	in := s.in
 	_, ended := in.current()
-	events := []stopAction{{0, func() { in.signal(syscall.SIGTERM, true) }}}
+	actions := []stopAction{{0, func() { in.signal(syscall.SIGTERM, true) }}}
 	add := func(at time.Duration, do func()) {
 		if at > 0 {
-			events = append(events, stopAction{at, do})
+			actions = append(actions, stopAction{at, do})
 		}
 	}
 	add(s.secondTermAt, func() { in.signal(syscall.SIGTERM, true) })
-	add(s.reloadAt, func() { w.rewriteSettings(in, s.newDelay) })
+	add(s.reloadAt, func() { tb.rewriteSettings(in, s.newDelay) })
 	add(s.pauseAt, func() { in.signal(syscall.SIGSTOP, false) })
 	add(s.resumeAt, func() { in.signal(syscall.SIGCONT, false) })
-	slices.SortStableFunc(events, func(a, b stopAction) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(actions, func(a, b stopAction) int { return cmp.Compare(a.at, b.at) })
 	begin := time.Now()
-	for _, e := range events {
+	for _, e := range actions {
 		select {
 		case <-ended:
 			return
@@ -92,18 +91,18 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Until(begin.Add(in.grace + graceTolerance))):
-		if w.options.Planned {
-			w.violation("%s still runs %v after its stop began", in.name, in.grace+graceTolerance)
+		if tb.options.Planned {
+			tb.violation("%s still runs %v after its stop began", in.name, in.grace+graceTolerance)
 		}
 		in.signal(syscall.SIGKILL, true)
 		<-ended
 	}
 }
 
-// rewrite writes an instance's settings anew and has it read them.
-func (w *testbed) rewriteSettings(in *instance, delay time.Duration) {
+// rewriteSettings rewrites an instance's settings and sends SIGHUP.
+func (tb *testbed) rewriteSettings(in *instance, delay time.Duration) {
 	if err := in.writeSettings(delay); err != nil {
-		w.violation("settings of %s: %v", in.name, err)
+		tb.violation("settings of %s: %v", in.name, err)
 	}
 	in.signal(syscall.SIGHUP, false)
 }
--- a/testkit/soak/world.go
+++ b/testkit/soak/testbed.go
@@ -1,6 +1,6 @@
-// Package soak runs instances as processes of their own before stand-ins of the
-// users' platform, harms them from outside at random, and checks from what callers
-// and targets saw that the promises hold.
+// Package soak runs instances as separate processes with emulated targets and an emulated
+// store, injects random faults from outside, and checks from the records of callers and
+// targets that the guarantees hold.
 package soak
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/ivyhollow/ivyhollow/testkit/relay"
 )
 
-// Options of one run.
+// Options configure one run.
 type Options struct {
-	// Binary is the daemon, Dir takes settings and logs.
+	// Binary is the path of the daemon, Dir the directory for settings and logs.
 	Binary string
 	Dir    string
 	Seed   uint64
-	// Faults is how long faults come; the run takes some seconds more.
+	// Faults is how long faults are injected; the run takes some seconds more.
 	Faults    time.Duration
 	Instances int
 	Callers   int
-	// Planned has planned work done only, and checks that no caller loses by it.
+	// Planned limits the run to planned work, and checks that no caller loses a request by it.
 	Planned bool
-	// Silences is how often the store is silent after the faults, and a target leaves
-	// then; not in runs of planned work.
+	// Silences is how often, after the faults, the store falls silent and a target leaves; not
+	// used in runs of planned work.
 	Silences int
 }
 
-// world is one run.
+// testbed holds the processes and records of one run.
 type testbed struct {
 	options   Options
 	random    *rand.Rand
@@ -43,16 +43,16 @@
 	store     *standin.Store
 	storeHTTP *httptest.Server
 	targets   map[string]*standin.Target
-	// paths are the relays before targets, by name, and before the store, by
-	// instance.
+	// relays are the relays before targets, by target name, and before the store, by instance
+	// name.
 	relays    map[string]*relay.Relay
 	instances []*instance
-	// reserved are the sockets that hold the instances' ports.
+	// reservedSockets hold the instances' ports.
 	reservedSockets []int
 	configVersion   int
 	keys            atomic.Pointer[[]string]
 
-	// over is closed at the end of the run, leaving are the targets on their way out.
+	// over is closed at the end of the run. departures waits for the targets that are leaving.
 	over       chan struct{}
 	departures sync.WaitGroup
 
@@ -62,38 +62,37 @@
 }
 
 func newTestbed(o Options) (*testbed, error) {
-	w := &testbed{
+	tb := &testbed{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), injector: newFaultInjector(o.Seed),
 		store: standin.NewStore(), targets: map[string]*standin.Target{}, relays: map[string]*relay.Relay{},
 		over: make(chan struct{}),
 	}
-	w.storeHTTP = httptest.NewServer(w.store)
+	tb.storeHTTP = httptest.NewServer(tb.store)
 	for _, name := range []string{"plain-1", "plain-2", "plain-3", "engine-1", "engine-2", "engine-3", "stage-1", "stage-2"} {
-		if err := w.addTarget(name); err != nil {
+		if err := tb.addTarget(name); err != nil {
 			return nil, err
 		}
 	}
-	w.writeConfiguration()
+	tb.writeConfiguration()
 	for i := range o.Instances {
-		if err := w.addInstance(fmt.Sprintf("instance-%d", i+1)); err != nil {
+		if err := tb.addInstance(fmt.Sprintf("instance-%d", i+1)); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return tb, nil
 }
 
-// reservePorts returns addresses on loopback for an instance. A socket that doesn't
-// listen holds each of them while the soak runs: an instance can listen there, but
-// while it is down no connection and no other listener gets the port. Else the
-// instance could not start again.
-func (w *testbed) reservePorts(n int) ([]string, error) {
+// reservePorts returns loopback addresses for an instance. A bound socket that doesn't listen
+// holds each port while the soak runs: the instance can listen there, but while it is down no
+// connection and no other listener gets the port, which would keep it from starting again.
+func (tb *testbed) reservePorts(n int) ([]string, error) {
 	var addresses []string
 	for range n {
 		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
 			return nil, errors.Wrap(err, "reserve a port")
 		}
-		w.reservedSockets = append(w.reservedSockets, fd)
+		tb.reservedSockets = append(tb.reservedSockets, fd)
 		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 			return nil, errors.Wrap(err, "reserve a port")
 		}
@@ -113,32 +112,32 @@
 	return addresses, nil
 }
 
-// breach notes a promise that was broken.
-func (w *testbed) violation(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+// violation records a broken guarantee.
+func (tb *testbed) violation(format string, args ...any) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.violations = append(tb.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *testbed) close() {
-	close(w.over)
-	w.departures.Wait()
-	for _, in := range w.instances {
+func (tb *testbed) close() {
+	close(tb.over)
+	tb.departures.Wait()
+	for _, in := range tb.instances {
 		in.signal(syscall.SIGCONT, true)
 		in.signal(syscall.SIGKILL, true)
 	}
-	for _, path := range w.relays {
+	for _, path := range tb.relays {
 		path.Close()
 	}
-	for _, t := range w.targets {
+	for _, t := range tb.targets {
 		t.Close()
 	}
-	w.storeHTTP.CloseClientConnections()
-	w.storeHTTP.Close()
-	for _, fd := range w.reservedSockets {
-		_ = syscall.Close(fd) // the ports are of no use any more
+	tb.storeHTTP.CloseClientConnections()
+	tb.storeHTTP.Close()
+	for _, fd := range tb.reservedSockets {
+		_ = syscall.Close(fd) // the ports are no longer needed
 	}
-	for _, in := range w.instances {
-		_ = in.log.Close() // its content is only read
+	for _, in := range tb.instances {
+		_ = in.log.Close() // nothing is written any more
 	}
 }
