--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -1,5 +1,5 @@
-// Package app puts an instance together from its parts and runs them as one
-// group: it makes no decision of its own.
+// Package app assembles an instance from its components and runs them as one group.
+// It contains wiring only and makes no decisions.
 package app
 
 import (
@@ -49,65 +49,65 @@
 // watchersKey is the key whose owners watch the store.
 const watchersKey = "configuration-watchers"
 
-// sweeperKey is the key whose owner removes old claims.
+// sweeperKey is the key whose owner removes expired claims.
 const sweeperKey = "claims-sweeper"
 
-// streamIdle bounds the wait for a caller that does not read its stream.
-const streamIdle = 10 * time.Second
+// callerWriteTimeout limits the wait for a caller that doesn't read its stream.
+const callerWriteTimeout = 10 * time.Second
 
-// eventGap is how long a stream may stay without a byte. Engines send a token
-// every hundred milliseconds or a comment meanwhile; a longer silence is that of
-// a connection which something between the two ends has lost track of.
-const eventGap = 2 * time.Second
+// maxEventGap is the maximum time without a byte on a stream. Engines send a token, or
+// else a comment, every hundred milliseconds. A longer silence means that a network
+// element between the two ends has dropped the connection's state.
+const maxEventGap = 2 * time.Second
 
-// retryReserve is how many extra attempts a pool may have before it has earned
-// any. An instance that serves few requests earns slowly: with a reserve of two
-// one broken engine among two failed the sixth stream that met it.
+// retryReserve is the number of extra attempts that a pool has before it has earned any.
+// An instance with few requests earns slowly: with a reserve of two, and one of two
+// engines broken, the sixth stream that was sent to the broken engine failed.
 const retryReserve = 10
 
 // App is one instance.
 type App struct {
-	settings  settings.Settings
-	self      membership.Member
-	telemetry *telemetry.Telemetry
-	store     platform.Store
-	calls     *platform.Budget
-	targets   *target.Client
-
-	cluster   *cluster.Cluster
-	sync      *confsync.Sync
-	router    *routing.Table
-	marking   discovery.Marking
-	gates     *gate.Group
-	extra     *retrybudget.Budgets
-	budgets   *accounts.Budgets
-	ledger    *budget.Ledger
-	claims    *claims.Service
-	status    *requests.Table
-	server    *serve.Server
-	registrar *register.Registrar
-	exchange  *load.Exchange
-	discovery *discovery.Discovery
-	poller    *poll.Poller
-	orders    *orders.Group
-	reporter  *report.Reporter
-	tidier    *tidy.Tidier
-	// blocklist holds the requests that crash their targets.
+	settings   settings.Settings
+	self       membership.Member
+	telemetry  *telemetry.Telemetry
+	store      platform.Store
+	callBudget *platform.Budget
+	targets    *target.Client
+
+	cluster        *cluster.Cluster
+	sync           *confsync.Sync
+	router         *routing.Table
+	marking        discovery.MarkingTable
+	gates          *gate.Group
+	retryBudgets   *retrybudget.Budgets
+	accountBudgets *accounts.Budgets
+	budgetLedger   *budget.Ledger
+	claims         *claims.Service
+	status         *requests.Table
+	server         *serve.Server
+	registrar      *register.Registrar
+	exchange       *load.Exchange
+	discovery      *discovery.Discovery
+	poller         *poll.Poller
+	orders         *orders.Group
+	reporter       *report.Reporter
+	tidier         *tidy.Tidier
+	// blocklist blocks the requests that crash their targets.
 	blocklist *blocklist.Blocklist
 
 	callers  net.Listener
 	admin    net.Listener
 	draining atomic.Bool
-	// listed counts the instances that the platform listed last.
-	listed atomic.Int64
+	// listedCount is the number of instances in the platform's last list.
+	listedCount atomic.Int64
 }
 
-// New puts an instance together and opens its ports. A nil store means the
-// platform that the settings name.
+// New assembles an instance and opens its ports. If store is nil, the instance uses the
+// platform named in the settings.
 func New(s settings.Settings, t *telemetry.Telemetry, store platform.Store) (*App, error) {
-	a := &App{settings: s, telemetry: t, store: store, calls: newCalls(s)}
+	a := &App{settings: s, telemetry: t, store: store, callBudget: newCallBudget(s)}
 	if store == nil {
-		a.store = newStore(s, a.calls)
+		a.store = newStore(s, a.callBudget)
 	}
 	if err := a.listen(); err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 		DataCentre:  s.Instance.DataCentre,
 		Incarnation: uint64(time.Now().UnixNano()),
 	}
-	a.buildDecisions()
+	a.buildLocalParts()
 	if err := a.buildCluster(); err != nil {
 		return nil, err
 	}
@@ -138,17 +138,17 @@
 	})
 }
 
-func newCalls(s settings.Settings) *platform.Budget {
+func newCallBudget(s settings.Settings) *platform.Budget {
 	calls := s.Platform.CallsPerSecond
 	return platform.NewBudget(platform.BudgetOptions{
 		ReadsPerSecond:  calls,
-		WritesPerSecond: calls * writeShare,
+		WritesPerSecond: calls * writeRateShare,
 	})
 }
 
-// writeShare is the part of the budget of calls that may be writes: the
-// platform takes far fewer of them.
-const writeShare = 0.4
+// writeRateShare is the share of the call budget for writes. The platform accepts far
+// fewer writes than reads.
+const writeRateShare = 0.4
 
 func (a *App) listen() error {
 	var err error
@@ -160,30 +160,30 @@
 	return errors.Wrap(err, "listen for admin")
 }
 
-// buildDecisions makes the pure parts and those that need nothing else.
-func (a *App) buildDecisions() {
+// buildLocalParts creates the components that don't depend on the cluster.
+func (a *App) buildLocalParts() {
 	s := a.settings
 	a.router = routing.New(routing.Config{
 		Instance:        s.Instance.Name,
 		LocalDataCentre: s.Instance.DataCentre,
-		Subset:          s.Routing.Subset,
+		SubsetSize:      s.Routing.Subset,
 	})
 	a.gates = gate.NewGroup(gate.GroupConfig{Tiers: tiers.Config{Preempt: true}}, time.Now)
-	a.ledger = budget.NewLedger(time.Now(), budget.Config{Self: s.Instance.Name})
-	a.extra = retrybudget.New(retry.Config{Reserve: retryReserve})
+	a.budgetLedger = budget.NewLedger(time.Now(), budget.Config{Self: s.Instance.Name})
+	a.retryBudgets = retrybudget.New(retry.Config{Reserve: retryReserve})
 	a.status = requests.New(requests.Options{
 		MaxRequests: s.Status.RingSize,
 		Retention:   s.Status.Retention,
 	})
-	a.targets = target.New(target.Options{EventGap: eventGap, Tracer: a.telemetry.Tracer})
+	a.targets = target.New(target.Options{BodyIdleTimeout: maxEventGap, Tracer: a.telemetry.Tracer})
 	a.registrar = register.New(a.store, func() membership.Member { return a.self })
 }
 
 func (a *App) buildCluster() error {
 	s := a.settings
-	var files *peer.Files
+	var files *peer.TLSFiles
 	if s.Peers.TLS() {
-		files = &peer.Files{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
+		files = &peer.TLSFiles{Cert: s.Peers.TLSCert, Key: s.Peers.TLSKey, CA: s.Peers.TLSCA}
 	}
 	var err error
 	a.cluster, err = cluster.New(cluster.Options{
@@ -195,7 +195,7 @@
 			Scope:   a.telemetry.Scope,
 		},
 		Membership:    membership.DefaultConfig(),
-		Spread:        load.SpreadConfig(),
+		Gossip:        load.GossipConfig(),
 		Seeds:         s.Peers.Seeds,
 		ListInstances: a.listInstances,
 		OnRecord:      func(r spread.Record) { a.sync.Receive([]spread.Record{r}) },
@@ -205,10 +205,10 @@
 	}
 	a.self = a.cluster.Self()
 	a.discovery = discovery.New(a.router, a.gates, time.Now)
-	a.marking = discovery.Marking{Table: a.router, Mark: func(incarnation string) { a.sync.MarkLeaving(incarnation) }}
+	a.marking = discovery.MarkingTable{Table: a.router, MarkLeaving: func(incarnation string) { a.sync.MarkLeaving(incarnation) }}
 	a.sync = confsync.New(confsync.Options{
 		Store:       a.store,
-		Spreader:    peers{a.cluster},
+		Publisher:   peers{a.cluster},
 		Peers:       peers{a.cluster},
 		WatcherRank: a.watcherRank,
 		OnSnapshot:  a.discovery.SetSnapshot,
@@ -216,15 +216,15 @@
 		OnLeaving:   func(incarnation string) { a.router.Leaving(time.Now(), incarnation) },
 		Scope:       a.telemetry.Scope,
 	})
-	a.budgets = accounts.New(a.ledger, peers{a.cluster}, a.sync.Snapshot, time.Now)
-	a.exchange = load.New(s.Instance.Name, a.cluster, a.router, a.gates, a.instances)
+	a.accountBudgets = accounts.New(a.budgetLedger, peers{a.cluster}, a.sync.Snapshot, time.Now)
+	a.exchange = load.New(s.Instance.Name, a.cluster, a.router, a.gates, a.liveCount)
 	a.poller = poll.New(a.targets, a.marking, a.engines, a.discovery.SetLoaded)
 	a.reporter = report.New(a.store, s.Instance.Name, a.status, time.Now)
-	a.tidier = tidy.New(a.store, a.firstWatcher, a.isLive, time.Now)
+	a.tidier = tidy.New(a.store, a.isFirstWatcher, a.isLive, time.Now)
 	return nil
 }
 
-// engines returns the engines that this instance routes to.
+// engines returns the engines in this instance's routing table.
 func (a *App) engines() []poll.Engine {
 	kept := make(map[string]bool)
 	for _, t := range a.router.Stats(time.Now()).Targets {
@@ -238,13 +238,13 @@
 	return engines
 }
 
-func (a *App) firstWatcher() bool {
+func (a *App) isFirstWatcher() bool {
 	rank, ok := a.watcherRank()
 	return ok && rank == 0
 }
 
-// owns tells whether this instance is the first owner of a key.
-func (a *App) owns(key string) bool {
+// isFirstOwner reports whether this instance is the first owner of a key.
+func (a *App) isFirstOwner(key string) bool {
 	owners := a.cluster.Owners(key, 1)
 	return len(owners) > 0 && owners[0].Name == a.self.Name
 }
@@ -257,14 +257,15 @@
 func (a *App) listInstances(ctx context.Context) ([]membership.Member, error) {
 	members, err := a.registrar.List(ctx)
 	if err == nil {
-		a.listed.Store(int64(len(members)))
+		a.listedCount.Store(int64(len(members)))
 	}
 	return members, err
 }
 
-func (a *App) instances() int { return len(a.cluster.View().Live()) }
+func (a *App) liveCount() int { return len(a.cluster.View().Live()) }
 
-// watcherRank returns this instance's place among those that watch the store.
+// watcherRank returns this instance's rank among the watchers of the store, false if it
+// is none.
 func (a *App) watcherRank() (int, bool) {
 	for i, owner := range a.cluster.Owners(watchersKey, confsync.Watchers) {
 		if owner.Name == a.self.Name {
@@ -276,12 +277,12 @@
 
 func (a *App) buildClaims() {
 	a.claims = claims.New(claims.Options{
-		Owner:     claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
-		Storage:   claims.NewObjects(a.store),
-		Asker:     asker{a.cluster},
-		Retention: a.settings.Claims.Retention,
-		Sweeper:   func() bool { return a.owns(sweeperKey) },
-		Scope:     a.telemetry.Scope,
+		Owner:        claim.Owner{Instance: a.self.Name, Incarnation: a.self.Incarnation},
+		Storage:      claims.NewObjectStorage(a.store),
+		StatusClient: claimStatusClient{a.cluster},
+		Retention:    a.settings.Claims.Retention,
+		IsSweeper:    func() bool { return a.isFirstOwner(sweeperKey) },
+		Scope:        a.telemetry.Scope,
 	})
 }
 
@@ -291,7 +292,7 @@
 		Router:  a.marking,
 		Targets: a.targets,
 		Gate:    a.gates,
-		Budgets: a.extra,
+		Budgets: a.retryBudgets,
 		Times:   deadline.NewTimes(deadline.Config{}),
 		Status:  a.status,
 		Config:  a.sync.Snapshot,
@@ -302,34 +303,34 @@
 	})
 	limits := a.settings.Limits
 	a.server = serve.New(serve.Options{
-		Config:       a.sync.Snapshot,
-		Executor:     executor,
-		Claims:       a.claims,
-		Budgets:      a.budgets,
-		Status:       a.status,
-		Forward:      forwarder{a.cluster},
-		IDs:          requestid.NewSource(a.self.Name, a.self.Incarnation),
-		Scope:        a.telemetry.Scope,
-		Tracer:       a.telemetry.Tracer,
-		MaxBodyBytes: limits.MaxBodyBytes,
-		MaxInFlight:  limits.MaxInFlight,
-		MaxStreams:   limits.MaxStreams,
-		StreamIdle:   streamIdle,
+		Config:             a.sync.Snapshot,
+		Executor:           executor,
+		Claims:             a.claims,
+		Budgets:            a.accountBudgets,
+		Status:             a.status,
+		Forward:            forwarder{a.cluster},
+		IDs:                requestid.NewGenerator(a.self.Name, a.self.Incarnation),
+		Scope:              a.telemetry.Scope,
+		Tracer:             a.telemetry.Tracer,
+		MaxBodyBytes:       limits.MaxBodyBytes,
+		MaxInFlight:        limits.MaxInFlight,
+		MaxStreams:         limits.MaxStreams,
+		CallerWriteTimeout: callerWriteTimeout,
 	})
 }
 
-// CallersURL is where callers reach the instance.
+// CallersURL returns the base URL for callers.
 func (a *App) CallersURL() string { return "http://" + a.callers.Addr().String() }
 
-// AdminURL is where health, readiness and metrics are.
+// AdminURL returns the base URL of health, readiness and metrics.
 func (a *App) AdminURL() string { return "http://" + a.admin.Addr().String() }
 
-// Ready tells whether the instance wants new connections.
+// Ready reports whether the instance accepts new connections.
 func (a *App) Ready() bool {
 	return a.sync.Snapshot() != nil && !a.draining.Load()
 }
 
-// Started is closed once a whole configuration is in force.
+// Started returns a channel that is closed once a complete configuration is in force.
 func (a *App) Started() <-chan struct{} { return a.sync.Ready() }
 
 func (a *App) adminHandler() http.Handler {
--- a/daemon/app/metrics.go
+++ b/daemon/app/metrics.go
@@ -6,15 +6,15 @@
 	"github.com/ivyhollow/ivyhollow/daemon/metrics"
 )
 
-// sampleMetrics sets the metrics of the parts that count for themselves.
+// sampleMetrics publishes the metrics of the components that keep their own counters.
 func (a *App) sampleMetrics(ctx context.Context) error {
 	sampler := metrics.New(metrics.Options{
-		Calls:  a.calls,
-		Gates:  a.gates,
-		Router: a.router,
-		Status: a.status,
-		Extra:  a.extra,
-		Scope:  a.telemetry.Scope,
+		Calls:        a.callBudget,
+		Gates:        a.gates,
+		Router:       a.router,
+		Status:       a.status,
+		RetryBudgets: a.retryBudgets,
+		Scope:        a.telemetry.Scope,
 	})
 	return sampler.Run(ctx)
 }
--- a/daemon/app/orders.go
+++ b/daemon/app/orders.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// ordersKey and a pool's name make the key whose owners compete for the
-	// pool's lease.
-	ordersKey = "orders/"
-	// competitors is how many instances compete for a lease: the holder and
-	// one that takes over. The others need not read the store for it.
-	competitors = 2
+	// leaseKeyPrefix followed by a pool's name is the key whose owners compete for
+	// the pool's lease.
+	leaseKeyPrefix = "orders/"
+	// leaseCompetitors is the number of instances that compete for a lease: the holder
+	// and one successor. The other instances don't have to read the lease.
+	leaseCompetitors = 2
 )
 
 func (a *App) buildOrders() {
-	terms := lease.DefaultTerms
+	terms := lease.DefaultTiming
 	terms.LongestOrder = a.settings.Orders.LongestOrder
 	a.orders = orders.NewGroup(orders.GroupOptions{
-		Keeper: orders.Options{
-			Holder:  a.self.Name + "-" + strconv.FormatUint(a.self.Incarnation, 10),
-			Store:   a.store,
-			Targets: a.targets,
-			Scope:   a.telemetry.Scope,
-			Terms:   terms,
+		Controller: orders.Options{
+			Holder: a.self.Name + "-" + strconv.FormatUint(a.self.Incarnation, 10),
+			Store:  a.store,
+			Client: a.targets,
+			Scope:  a.telemetry.Scope,
+			Timing: terms,
 		},
 		Snapshot: a.sync.Snapshot,
 		Members:  a.orderedTargets,
-		Competes: func(pool string) bool { return a.ownsAmong(ordersKey+pool, competitors) },
+		Competes: func(pool string) bool { return a.isOwner(leaseKeyPrefix+pool, leaseCompetitors) },
 	})
 }
 
-// ownsAmong tells whether this instance is among the first n owners of a key.
-func (a *App) ownsAmong(key string, n int) bool {
+// isOwner reports whether this instance is among the first n owners of a key.
+func (a *App) isOwner(key string, n int) bool {
 	for _, owner := range a.cluster.Owners(key, n) {
 		if owner.Name == a.self.Name {
 			return true
@@ -45,7 +45,7 @@
 	return false
 }
 
-// orderedTargets returns the engines of a pool that are not leaving.
+// orderedTargets returns the targets of a pool to which orders go: its ready engines.
 func (a *App) orderedTargets(pool string) []orders.Member {
 	var members []orders.Member
 	for _, t := range a.discovery.Engines(func(string) bool { return true }) {
@@ -56,7 +56,7 @@
 	return members
 }
 
-// handOverOrders gives up the leases under which this instance gives orders.
-func (a *App) handOverOrders() {
-	bounded(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.HandOver(ctx) })
+// handOverLeases releases the leases under which this instance issues orders.
+func (a *App) handOverLeases() {
+	runWithTimeout(leaveTimeout, "hand over leases", func(ctx context.Context) error { return a.orders.ReleaseLeases(ctx) })
 }
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs membership and spread over the connections between
-// instances, in real time. It is an actor of an oklog/run group.
+// Package cluster runs the membership protocol and the gossip over the connections
+// between instances, in real time. It is an actor of an oklog/run group.
 package cluster
 
 import (
@@ -20,44 +20,44 @@
 
 // Defaults of Options.
 const (
-	defaultTick      = 50 * time.Millisecond
-	defaultListEvery = 5 * time.Minute
-	defaultListRetry = 5 * time.Second
-	// maxTombstones bounds the deleted records that are remembered.
+	defaultTick              = 50 * time.Millisecond
+	defaultListInterval      = 5 * time.Minute
+	defaultListRetryInterval = 5 * time.Second
+	// maxTombstones limits the number of deleted records that are kept.
 	maxTombstones = 4096
 )
 
-// Options are the settings of a Cluster.
+// Options configure a Cluster.
 type Options struct {
 	Transport  peer.Options
 	Membership membership.Config
-	Spread     spread.Config
-	// Seeds are peer addresses from the settings.
+	Gossip     spread.Config
+	// Seeds are peer addresses from the instance's settings.
 	Seeds []string
-	// ListInstances asks the platform for its list of instances; nil if there
-	// is none. The list lags and its names are only candidates.
+	// ListInstances returns the platform's list of instances; nil if there is none. The
+	// list may be out of date, so its members are only candidates.
 	ListInstances func(ctx context.Context) ([]membership.Member, error)
-	// ListEvery is the time between two listings, ListRetry the time after a
+	// ListInterval is the time between two listings, ListRetryInterval the time after a
 	// failed one or while no other instance is known. Both are jittered.
-	ListEvery time.Duration
-	ListRetry time.Duration
-	// OnRecord is told each record that is news. It must not block. Calls may
-	// overlap and come out of order: the receiver keeps the highest revision.
+	ListInterval      time.Duration
+	ListRetryInterval time.Duration
+	// OnRecord is called with each new record. It must not block. Calls may overlap and
+	// come out of order: the receiver keeps the highest revision.
 	OnRecord func(r spread.Record)
-	// Tick is the resolution of all periods.
+	// Tick is the resolution of all intervals.
 	Tick time.Duration
 }
 
-// withDefaults fills what is zero.
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	if o.Tick == 0 {
 		o.Tick = defaultTick
 	}
-	if o.ListEvery == 0 {
-		o.ListEvery = defaultListEvery
+	if o.ListInterval == 0 {
+		o.ListInterval = defaultListInterval
 	}
-	if o.ListRetry == 0 {
-		o.ListRetry = defaultListRetry
+	if o.ListRetryInterval == 0 {
+		o.ListRetryInterval = defaultListRetryInterval
 	}
 	if o.Membership.Rings == 0 {
 		o.Membership.Rings = membership.DefaultConfig().Rings
@@ -68,7 +68,7 @@
 	return o
 }
 
-// Cluster is this instance's part in the cluster.
+// Cluster is this instance's membership in the cluster.
 type Cluster struct {
 	opts    Options
 	node    *peer.Node
@@ -77,30 +77,32 @@
 	cancel  context.CancelFunc
 
 	view atomic.Pointer[membership.View]
-	// listed is how many instances the platform's list last named.
-	listed atomic.Int64
-	// listedOthers is how many of these aren't this instance, in any of its runs.
-	listedOthers atomic.Int64
-	// listTried is closed once the list was asked for, with an answer or without.
-	listTried chan struct{}
-	listDone  sync.Once
+	// listedCount is the number of instances in the platform's last list.
+	listedCount atomic.Int64
+	// listedOtherCount is the number of those that aren't this instance or an earlier
+	// incarnation of it.
+	listedOtherCount atomic.Int64
+	// firstListDone is closed after the first listing, successful or not.
+	firstListDone chan struct{}
+	firstListOnce sync.Once
 
-	mu         sync.Mutex
-	members    *membership.Membership
-	changed    chan struct{}
-	left       chan struct{}
-	joined     chan struct{}
-	leaving    bool
-	superseded sync.Once
+	mu             sync.Mutex
+	members        *membership.Membership
+	viewChanged    chan struct{}
+	left           chan struct{}
+	joined         chan struct{}
+	leaving        bool
+	supersededOnce sync.Once
 
-	spreadMu  sync.Mutex
-	spread    *spread.Spread
+	gossipMu  sync.Mutex
+	gossip    *spread.Gossip
 	peers     []string
 	peersView *membership.View
-	loadSeq   uint64
+	digestSeq uint64
 }
 
-// New binds the peer address. Handlers are registered before Execute.
+// New creates a cluster and binds the peer address. Handlers have to be registered before
+// Execute.
 func New(opts Options) (*Cluster, error) {
 	opts = opts.withDefaults()
 	node, err := peer.New(opts.Transport)
@@ -113,30 +115,30 @@
 	self := opts.Transport.Self
 	self.Address = node.Addr()
 	c := &Cluster{
-		opts:    opts,
-		node:    node,
-		metrics: newMetrics(opts.Transport.Scope),
-		changed: make(chan struct{}),
-		left:    make(chan struct{}),
-		joined:  make(chan struct{}),
+		opts:        opts,
+		node:        node,
+		metrics:     newMetrics(opts.Transport.Scope),
+		viewChanged: make(chan struct{}),
+		left:        make(chan struct{}),
+		joined:      make(chan struct{}),
 
-		listTried: make(chan struct{}),
-		members:   membership.New(opts.Membership, self, newRand()),
-		spread:    spread.New(opts.Spread, spread.NewTable(maxTombstones), newRand()),
+		firstListDone: make(chan struct{}),
+		members:       membership.New(opts.Membership, self, newRand()),
+		gossip:        spread.New(opts.Gossip, spread.NewTable(maxTombstones), newRand()),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.view.Store(c.members.View())
-	c.metrics.size(c.View()) // a lone instance's view never changes
+	c.metrics.setCounts(c.View()) // a lone instance's view never changes
 	node.OnMessage(c.receive)
 	return c, nil
 }
 
-// newRand returns a random source of its own; each is used under one lock.
+// newRand returns a new random source. Each source is used under one lock only.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// Execute runs until Interrupt. It implements an actor of oklog/run.
+// Execute runs the cluster until Interrupt. Both are an actor of oklog/run.
 func (c *Cluster) Execute() error {
 	c.node.Start()
 	var wg sync.WaitGroup
@@ -164,20 +166,20 @@
 	}
 }
 
-// tick does what is due.
+// tick advances both state machines.
 func (c *Cluster) tick(now time.Time) {
-	c.membership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
-	peers, size := c.spreadPeers()
-	c.withSpread(nil, func(s *spread.Spread) []spread.Action { return s.Tick(now, peers, size) })
+	c.stepMembership(nil, func(m *membership.Membership) []membership.Action { return m.Tick(now) })
+	peers, size := c.gossipPeers()
+	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
 }
 
-// spreadPeers returns the addresses that records and digests go to: the
-// neighbours, to whom there are connections anyway, and the cluster's size.
-func (c *Cluster) spreadPeers() (peers []string, size int) {
+// gossipPeers returns the addresses for records and digests, and the cluster's size. The
+// addresses are those of the neighbours, which have connections anyway.
+func (c *Cluster) gossipPeers() (peers []string, size int) {
 	view := c.View()
 	size = len(view.Live())
-	c.spreadMu.Lock()
-	defer c.spreadMu.Unlock()
+	c.gossipMu.Lock()
+	defer c.gossipMu.Unlock()
 	if c.peersView == view {
 		return c.peers, size
 	}
@@ -190,29 +192,29 @@
 	return peers, size
 }
 
-// receive hands a message to its state machine.
+// receive passes a message to its state machine.
 func (c *Cluster) receive(from peer.Peer, m protocol.Message) {
 	now := time.Now()
 	switch m := m.(type) {
 	case membership.Message:
-		c.membership(&from, func(s *membership.Membership) []membership.Action {
+		c.stepMembership(&from, func(s *membership.Membership) []membership.Action {
 			return s.Receive(now, from.Member, m)
 		})
 	case spread.Message:
-		c.withSpread(&from, func(s *spread.Spread) []spread.Action {
+		c.stepGossip(&from, func(s *spread.Gossip) []spread.Action {
 			return s.Receive(now, from.Address, m)
 		})
 	}
 }
 
-// membership runs a step of the membership under its lock and does its actions
-// without it.
-func (c *Cluster) membership(from *peer.Peer, step func(*membership.Membership) []membership.Action) {
+// stepMembership runs a step of the membership under its lock, then runs the resulting
+// actions without the lock.
+func (c *Cluster) stepMembership(from *peer.Peer, step func(*membership.Membership) []membership.Action) {
 	c.mu.Lock()
 	actions := step(c.members)
 	for _, a := range actions {
-		if changed, ok := a.(membership.Changed); ok {
-			c.publish(changed.View)
+		if changed, ok := a.(membership.ViewChanged); ok {
+			c.publishView(changed.View)
 		}
 	}
 	c.checkLeft()
@@ -221,42 +223,42 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			c.send(from, a)
+			c.sendMembership(from, a)
 		case membership.Superseded:
-			c.superseded.Do(func() { c.reportSuperseded(a.By) })
+			c.supersededOnce.Do(func() { c.reportSuperseded(a.By) })
 		}
 	}
 }
 
-// publish replaces the view and wakes those who wait for a change; mu is held.
-func (c *Cluster) publish(view *membership.View) {
-	c.metrics.report(c.view.Load(), view)
+// publishView replaces the view and wakes WaitView; mu is held.
+func (c *Cluster) publishView(view *membership.View) {
+	c.metrics.reportChanges(c.view.Load(), view)
 	c.view.Store(view)
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.viewChanged)
+	c.viewChanged = make(chan struct{})
 }
 
-// send does a membership's Send.
-func (c *Cluster) send(from *peer.Peer, s membership.Send) {
+// sendMembership runs a Send of the membership.
+func (c *Cluster) sendMembership(from *peer.Peer, s membership.Send) {
 	if s.Reply && from != nil {
 		_ = from.Reply(s.Message)
 		return
 	}
-	c.node.Post(s.To, s.Message, s.Fresh)
+	c.node.Post(s.To, s.Message, s.NewConnection)
 }
 
-// reportSuperseded says that this instance is outdated.
+// reportSuperseded logs and counts that a later incarnation of this instance is running.
 func (c *Cluster) reportSuperseded(by membership.Member) {
 	klog.ErrorS(nil, "A later run has this instance's name", "name", by.Name, "address", by.Address, "incarnation", by.Incarnation)
 	c.metrics.superseded.Inc(1)
 }
 
-// withSpread runs a step of the spread under its lock and does its actions
-// without it.
-func (c *Cluster) withSpread(from *peer.Peer, step func(*spread.Spread) []spread.Action) {
-	c.spreadMu.Lock()
-	actions := step(c.spread)
-	c.spreadMu.Unlock()
+// stepGossip runs a step of the gossip under its lock, then runs the resulting actions
+// without the lock.
+func (c *Cluster) stepGossip(from *peer.Peer, step func(*spread.Gossip) []spread.Action) {
+	c.gossipMu.Lock()
+	actions := step(c.gossip)
+	c.gossipMu.Unlock()
 	for _, a := range actions {
 		switch a := a.(type) {
 		case spread.Send:
@@ -273,13 +275,13 @@
 	}
 }
 
-// seedLoop names the settings' seeds and the platform's list to the
-// membership, which contacts those it does not know.
+// seedLoop passes the configured seeds and the platform's list to the membership at
+// intervals. The membership contacts those that it doesn't know.
 func (c *Cluster) seedLoop() {
 	for {
-		wait := c.opts.ListEvery
-		if !c.seed() || len(c.View().Live()) == 1 {
-			wait = c.opts.ListRetry
+		wait := c.opts.ListInterval
+		if !c.contactSeeds() || len(c.View().Live()) == 1 {
+			wait = c.opts.ListRetryInterval
 		}
 		timer := time.NewTimer(jitter(wait))
 		select {
@@ -291,41 +293,42 @@
 	}
 }
 
-// jitter returns a duration between half and one and a half of d, so that
-// instances started together do not ask the platform together.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that instances started
+// together don't call the platform together.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
-// seed names all seeds once, false if the platform's list was not had.
-func (c *Cluster) seed() bool {
+// contactSeeds passes all seeds to the membership and reports whether the platform's list
+// was available.
+func (c *Cluster) contactSeeds() bool {
 	seeds := make([]membership.Member, 0, len(c.opts.Seeds))
 	for _, address := range c.opts.Seeds {
 		seeds = append(seeds, membership.Member{Address: address})
 	}
-	listed, err := c.list()
+	listed, err := c.listInstances()
 	if err != nil {
 		klog.ErrorS(err, "Listing the instances failed", "step", "list instances")
 	}
 	if err == nil {
-		c.listed.Store(int64(len(listed)))
-		c.listedOthers.Store(int64(c.others(listed)))
+		c.listedCount.Store(int64(len(listed)))
+		c.listedOtherCount.Store(int64(c.countOthers(listed)))
 	}
 	seeds = append(seeds, listed...)
 	now := time.Now()
-	c.membership(nil, func(m *membership.Membership) []membership.Action {
+	c.stepMembership(nil, func(m *membership.Membership) []membership.Action {
 		actions := m.Seed(now, seeds)
 		if err == nil {
-			m.Listed()
+			m.MarkSeedsComplete()
 		}
 		return actions
 	})
-	c.listDone.Do(func() { close(c.listTried) })
+	c.firstListOnce.Do(func() { close(c.firstListDone) })
 	return err == nil
 }
 
-// others counts the members that aren't this instance.
-func (c *Cluster) others(members []membership.Member) int {
+// countOthers returns the number of members that aren't this instance.
+func (c *Cluster) countOthers(members []membership.Member) int {
 	n := 0
 	for _, m := range members {
 		if m.Name != c.opts.Transport.Self.Name {
@@ -335,12 +338,12 @@
 	return n
 }
 
-// list asks the platform for its list, within ListRetry.
-func (c *Cluster) list() ([]membership.Member, error) {
+// listInstances returns the platform's list, within ListRetryInterval.
+func (c *Cluster) listInstances() ([]membership.Member, error) {
 	if c.opts.ListInstances == nil {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, c.opts.ListRetry)
+	ctx, cancel := context.WithTimeout(c.ctx, c.opts.ListRetryInterval)
 	defer cancel()
 	return c.opts.ListInstances(ctx)
 }
--- a/daemon/command/command.go
+++ b/daemon/command/command.go
@@ -31,7 +31,7 @@
 var Version = "unreleased"
 
 const (
-	configFlag       = "config"
+	settingsFlag     = "config"
 	telemetryTimeout = 2 * time.Second
 )
 
@@ -44,22 +44,22 @@
 	return ExitFault
 }
 
-// All returns the daemon's commands.
+// All returns the commands of the daemon.
 func All() []*cli.Command {
 	return []*cli.Command{
 		{
 			Name:  "serve",
 			Usage: "run an instance until SIGTERM, then stop it without cutting a request",
-			Flags: []cli.Flag{&cli.StringFlag{Name: configFlag, Usage: "the settings file (INI)", Required: true}},
+			Flags: []cli.Flag{&cli.StringFlag{Name: settingsFlag, Usage: "the settings file (INI)", Required: true}},
 			Action: func(ctx context.Context, c *cli.Command) error {
 				hangups := catchHangups()
-				s, err := settings.Load(c.String(configFlag))
+				s, err := settings.Load(c.String(settingsFlag))
 				if err != nil {
 					return err
 				}
-				reading, end := context.WithCancel(context.Background())
-				defer end()
-				go reloadOnHangup(reading, hangups, c.String(configFlag), keepSettings)
+				reloadContext, endReload := context.WithCancel(context.Background())
+				defer endReload()
+				go reloadOnHangup(reloadContext, hangups, c.String(settingsFlag), logSettingsUnchanged)
 				return serve(ctx, s, nil, func(*app.App) {})
 			},
 		},
@@ -67,11 +67,11 @@
 			Name:  "gateway",
 			Usage: "run an instance on the users' platform until SIGTERM, then stop it without cutting a request",
 			Flags: []cli.Flag{&cli.StringFlag{
-				Name: configFlag, Usage: "the settings file (INI)", Required: true,
+				Name: settingsFlag, Usage: "the settings file (INI)", Required: true,
 				Sources: cli.EnvVars(platform.SettingsVariable),
 			}},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				return runGateway(ctx, c.String(configFlag), catchHangups())
+				return runGateway(ctx, c.String(settingsFlag), catchHangups())
 			},
 		},
 		{
@@ -98,6 +98,8 @@
 	}
 }
 
+// serve runs an instance until ctx ends. started is called once a complete configuration is
+// in force.
 func serve(ctx context.Context, s settings.Settings, objects store.Store, started func(*app.App)) error {
 	t, err := startTelemetry(ctx, s, os.Stderr)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return t, nil
 }
 
-// runGateway runs an instance on the users' platform with the settings at path.
+// runGateway runs an instance on the users' platform with the settings file at path.
 func runGateway(ctx context.Context, path string, hangups <-chan os.Signal) error {
 	s, err := settings.Load(path)
 	if err != nil {
@@ -152,19 +154,19 @@
 	if err != nil {
 		return err
 	}
-	reading, end := context.WithCancel(context.Background())
-	defer end()
-	go reloadOnHangup(reading, hangups, path, instance.Reload)
+	reloadContext, endReload := context.WithCancel(context.Background())
+	defer endReload()
+	go reloadOnHangup(reloadContext, hangups, path, instance.Reload)
 	return instance.Run(ctx)
 }
 
 func shutdown(t *telemetry.Telemetry) {
 	ctx, cancel := context.WithTimeout(context.Background(), telemetryTimeout)
 	defer cancel()
-	_ = t.Shutdown(ctx) // what could not be exported is lost with the process
+	_ = t.Shutdown(ctx) // spans that could not be exported are lost with the process
 }
 
-// runDev runs an instance against an embedded world.
+// runDev runs an instance against an embedded platform and targets.
 func runDev(ctx context.Context, c *cli.Command) error {
 	world, err := dev.Start(ctx)
 	if err != nil {
--- a/daemon/metrics/bench_test.go
+++ b/daemon/metrics/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// BenchmarkSample measures what one second costs an instance: five pools of 64
-// kept targets each, 10,000 requests in the status table, three tiers.
+// BenchmarkSample measures one sample, which an instance takes each second, with five pools
+// of 64 targets each, 10,000 requests in the status table and three tiers.
 func BenchmarkSample(b *testing.B) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -37,16 +37,16 @@
 	}
 	status := requests.New(requests.Options{MaxRequests: 20_000, Retention: time.Minute})
 	for i := range 10_000 {
-		info := requests.Info{ID: fmt.Sprint(i), Tier: fmt.Sprint(i % 3), Deadline: time.Minute, Begun: now}
-		status.Finish(status.Begin(info), requests.End{State: requests.Answered, At: now})
+		info := requests.Info{ID: fmt.Sprint(i), Tier: fmt.Sprint(i % 3), Deadline: time.Minute, StartedAt: now}
+		status.Finish(status.Begin(info), requests.End{State: requests.StateAnswered, At: now})
 	}
 	s := New(Options{
-		Calls:  platform.NewBudget(platform.BudgetOptions{}),
-		Gates:  gates,
-		Router: router,
-		Status: status,
-		Extra:  retrybudget.New(retry.Config{}),
-		Scope:  tally.NewTestScope("", nil),
+		Calls:        platform.NewBudget(platform.BudgetOptions{}),
+		Gates:        gates,
+		Router:       router,
+		Status:       status,
+		RetryBudgets: retrybudget.New(retry.Config{}),
+		Scope:        tally.NewTestScope("", nil),
 	})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -17,13 +17,13 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// fixedCalls and fixedRoutes are parts that say what a test sets.
+// fixedCalls and fixedRoutes are components that return what a test sets.
 type (
 	fixedCalls  struct{ read platform.ClassStats }
 	fixedRoutes struct{ stats routing.Stats }
 )
 
-func (c *fixedCalls) Stats() platform.Stats { return platform.Stats{Outage: c.read.Held > 0} }
+func (c *fixedCalls) Stats() platform.Stats { return platform.Stats{Outage: c.read.NotAdmitted > 0} }
 
 func (c *fixedCalls) ClassStats(class platform.Class) platform.ClassStats {
 	if class == platform.ClassRead {
@@ -34,14 +34,13 @@
 
 func (r *fixedRoutes) Stats(time.Time) routing.Stats { return r.stats }
 
-// An operator reads a counter as a rate: were a total added again with every
-// sample, ten ejections would look like ten a second for ever. A pool that is
-// deleted must read 0, not its last number of targets, and an instance without
-// requests must not keep those of yesterday.
-func TestSamplesFollowTheParts(t *testing.T) {
+// Operators read a counter as a rate: a total that was added again with every sample would
+// turn ten ejections into ten per second. The gauges of a deleted pool are 0 instead of its
+// last number of targets, and an instance without new requests drops expired ones.
+func TestSamplesMatchComponents(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	scope := tally.NewTestScope("", nil)
-	calls := &fixedCalls{read: platform.ClassStats{Sent: 9, Limited: 2, Failed: 3, Held: 4, Rate: 50}}
+	calls := &fixedCalls{read: platform.ClassStats{Sent: 9, Limited: 2, Failed: 3, NotAdmitted: 4, Rate: 50}}
 	routes := &fixedRoutes{stats: routing.Stats{Ejections: 10, Targets: []routing.TargetStats{
 		{Pool: "a", Leaving: true, Ejected: true}, {Pool: "a", Ejected: true}, {Pool: "a"}, {Pool: "b"},
 	}}}
@@ -50,13 +49,13 @@
 	_, ok := gates.TryEnter("a", gate.Request{Rank: 2, LatestStart: now.Add(time.Minute)})
 	require.True(t, ok)
 	status := requests.New(requests.Options{MaxRequests: 4, Retention: time.Minute})
-	status.Finish(status.Begin(requests.Info{ID: "r", Tier: "gold", Deadline: time.Second, Begun: now}),
-		requests.End{State: requests.Failed, At: now})
+	status.Finish(status.Begin(requests.Info{ID: "r", Tier: "gold", Deadline: time.Second, StartedAt: now}),
+		requests.End{State: requests.StateFailed, At: now})
 	extra := retrybudget.New(retry.Config{})
 	for range 5 {
-		extra.Hedge(now, "p")
+		extra.TakeHedge(now, "p")
 	}
-	s := New(Options{Calls: calls, Gates: gates, Router: routes, Status: status, Extra: extra, Scope: scope})
+	s := New(Options{Calls: calls, Gates: gates, Router: routes, Status: status, RetryBudgets: extra, Scope: scope})
 	s.Sample(now)
 	s.Sample(now)
 	counter := func(name string) int64 { return scope.Snapshot().Counters()[name].Value() }
@@ -83,7 +82,7 @@
 	}
 	require.Equal(t, 1.0, gauge("gate_in_flight+pool=a,rank=2"))
 	names := slices.Collect(maps.Keys(scope.Snapshot().Gauges()))
-	require.NotContains(t, names, "gate_in_flight+pool=a,rank=1", "a rank that is not in use has no series")
+	require.NotContains(t, names, "gate_in_flight+pool=a,rank=1", "a rank that was never used has no series")
 
 	routes.stats.Ejections++
 	routes.stats.Targets = routes.stats.Targets[:3]
--- a/daemon/metrics/series.go
+++ b/daemon/metrics/series.go
@@ -5,40 +5,39 @@
 // label is one label of a metric; the zero label is none.
 type label struct{ key, value string }
 
-// id names one time series.
-type id struct {
+// seriesID identifies one time series.
+type seriesID struct {
 	name   string
 	labels [maxLabels]label
 }
 
-// maxLabels is the most labels that one of these metrics has.
+// maxLabels is the maximum number of labels of these metrics.
 const maxLabels = 2
 
-// counter is a counter whose total is kept elsewhere.
+// counter is a counter whose total is kept by a component; total is the value reported last.
 type counter struct {
 	tally.Counter
 	total uint64
 }
 
-// series keeps the metrics in use: a scope's Tagged costs a lock and a map. Its
-// size is bounded by the pools, tiers and constants that are label values.
+// series caches the metrics in use, since a scope's Tagged costs a lock and a map. Its size
+// is limited by the number of pools, tiers and constants that are label values.
 type series struct {
 	scope    tally.Scope
-	gauges   map[id]tally.Gauge
-	counters map[id]*counter
+	gauges   map[seriesID]tally.Gauge
+	counters map[seriesID]*counter
 }
 
 func newSeries(scope tally.Scope) *series {
 	return &series{
 		scope:    scope,
-		gauges:   make(map[id]tally.Gauge),
-		counters: make(map[id]*counter),
+		gauges:   make(map[seriesID]tally.Gauge),
+		counters: make(map[seriesID]*counter),
 	}
 }
 
-// gauge sets a gauge.
-func (s *series) gauge(value float64, name string, labels ...label) {
-	key := newID(name, labels)
+func (s *series) setGauge(value float64, name string, labels ...label) {
+	key := newSeriesID(name, labels)
 	g, ok := s.gauges[key]
 	if !ok {
 		g = s.tagged(labels).Gauge(name)
@@ -47,9 +46,9 @@
 	g.Update(value)
 }
 
-// count brings a counter up to a total, which only grows.
-func (s *series) count(total uint64, name string, labels ...label) {
-	key := newID(name, labels)
+// raiseCounter raises a counter to a total, which never decreases.
+func (s *series) raiseCounter(total uint64, name string, labels ...label) {
+	key := newSeriesID(name, labels)
 	c, ok := s.counters[key]
 	if !ok {
 		c = &counter{Counter: s.tagged(labels).Counter(name)}
@@ -61,8 +60,8 @@
 	}
 }
 
-func newID(name string, labels []label) id {
-	key := id{name: name}
+func newSeriesID(name string, labels []label) seriesID {
+	key := seriesID{name: name}
 	copy(key.labels[:], labels)
 	return key
 }
--- a/daemon/metrics/targets.go
+++ b/daemon/metrics/targets.go
@@ -2,11 +2,12 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/routing"
 
-// targets counts a pool's targets by state.
-type targets struct{ ready, ejected, leaving int }
+// targetCounts is the number of a pool's targets in each state.
+type targetCounts struct{ ready, ejected, leaving int }
 
-// add counts one more; a leaving target that is ejected too counts as leaving.
-func (c targets) add(t routing.TargetStats) targets {
+// add returns the counts with one more target. A target that is both leaving and ejected
+// counts as leaving.
+func (c targetCounts) add(t routing.TargetStats) targetCounts {
 	switch {
 	case t.Leaving:
 		c.leaving++
@@ -18,23 +19,23 @@
 	return c
 }
 
-// pools reports the targets of each pool. A pool that is gone counts down to
-// zero: else its last reading would stand for ever.
-func (s *Sampler) pools(now map[string]targets) {
-	for pool := range s.known {
+// setPoolGauges reports the targets of each pool. The gauges of a removed pool are set to
+// zero, since they would otherwise keep their last values.
+func (s *Sampler) setPoolGauges(now map[string]targetCounts) {
+	for pool := range s.knownPools {
 		if _, ok := now[pool]; !ok {
-			s.targets(pool, targets{})
+			s.setTargetGauges(pool, targetCounts{})
 		}
 	}
 	for pool, c := range now {
-		s.known[pool] = struct{}{}
-		s.targets(pool, c)
+		s.knownPools[pool] = struct{}{}
+		s.setTargetGauges(pool, c)
 	}
 }
 
-func (s *Sampler) targets(pool string, c targets) {
-	by := label{"pool", pool}
-	s.series.gauge(float64(c.ready), "routing_targets", by, label{"state", "ready"})
-	s.series.gauge(float64(c.ejected), "routing_targets", by, label{"state", "ejected"})
-	s.series.gauge(float64(c.leaving), "routing_targets", by, label{"state", "leaving"})
+func (s *Sampler) setTargetGauges(pool string, c targetCounts) {
+	poolLabel := label{"pool", pool}
+	s.series.setGauge(float64(c.ready), "routing_targets", poolLabel, label{"state", "ready"})
+	s.series.setGauge(float64(c.ejected), "routing_targets", poolLabel, label{"state", "ejected"})
+	s.series.setGauge(float64(c.leaving), "routing_targets", poolLabel, label{"state", "leaving"})
 }
