--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -336,9 +336,9 @@
 	}
 }
 
-// An account's home fails. Until the others detect it, which takes some seconds,
-// the account's callers would get 429 from the alive instances with most of the
-// budget unspent, if only the home could grant it.
+// An account's home fails, which the others detect only after some seconds. If only
+// the home could grant the budget, the account's callers would get 429 from the
+// alive instances until then, with most of the budget unspent.
 func TestFailedHomeRefusesNothingWithinTheBudget(t *testing.T) {
 	f := newFleet(1, 2, account(100, 100))
 	home := f.node(f.nodes[0].ledger.view.Load().home(f.account.Name))
--- a/coordination/budget/ledger.go
+++ b/coordination/budget/ledger.go
@@ -11,8 +11,9 @@
 
 const shardCount = 16
 
-// Ledger holds one instance's state of the account budgets: what it may spend, and
-// what it grants as a home. It is safe for concurrent use.
+// Ledger holds one instance's part of the account budgets: what the instance may
+// spend, and what it grants to others as the home of an account. It is safe for
+// concurrent use.
 type Ledger struct {
 	config     Config
 	view       atomic.Pointer[view]
@@ -43,9 +44,10 @@
 	}
 	next.trim()
 	l.view.Store(next)
-	// An instance that is no longer an account's home drops the bucket. Otherwise the
-	// bucket would be full again when the account returns, while the home in between
-	// had a bucket of its own: each flap would give the account another burst.
+	// An instance drops an account's bucket when it stops being the account's home. A
+	// bucket that it kept would have refilled by the time the account returns, and the
+	// home in between has a bucket of its own. Each move away and back would then give
+	// the account another burst.
 	l.buckets.DeleteFunc(func(account string, _ *homeBucket) bool {
 		return next.home(account) != l.config.Self
 	})
--- a/coordination/budget/simulation_test.go
+++ b/coordination/budget/simulation_test.go
@@ -34,11 +34,12 @@
 	updateDue time.Time
 }
 
+// message is a request to a home or its grant; the other field is nil.
 type message struct {
-	at       time.Time
-	from, to *node
-	request  *GrantRequest
-	grant    *Grant
+	arrivesAt time.Time
+	from, to  *node
+	request   *GrantRequest
+	grant     *Grant
 }
 
 func newFleet(seed uint64, size int, account catalog.Account) *fleet {
@@ -65,7 +66,7 @@
 }
 
 // updateMembership applies the current membership to nodes: each reaches the alive
-// nodes of its partition, and the platform lists all that are alive.
+// nodes of its partition, and the platform lists the alive nodes of all partitions.
 func (f *fleet) updateMembership(nodes ...*node) {
 	alive := f.alive()
 	for _, n := range nodes {
@@ -106,7 +107,7 @@
 }
 
 func (f *fleet) send(from, to *node, m message) {
-	m.at, m.from, m.to = f.now.Add(f.latency), from, to
+	m.arrivesAt, m.from, m.to = f.now.Add(f.latency), from, to
 	f.inFlight = append(f.inFlight, m)
 }
 
@@ -122,7 +123,7 @@
 // step advances time and delivers the messages and updates that are due.
 func (f *fleet) step(d time.Duration) {
 	f.now = f.now.Add(d)
-	for len(f.inFlight) > 0 && !f.inFlight[0].at.After(f.now) {
+	for len(f.inFlight) > 0 && !f.inFlight[0].arrivesAt.After(f.now) {
 		m := f.inFlight[0]
 		f.inFlight = f.inFlight[1:]
 		if !m.from.alive || !m.to.alive || m.from.partition != m.to.partition {
@@ -143,8 +144,8 @@
 	}
 }
 
-// baseline is a simpler strategy that the ledger is compared with: one token bucket
-// per instance, whose rate is the instance's share.
+// baseline is a simpler strategy that the ledger is compared with: each instance has
+// one token bucket that fills at the rate of the instance's share.
 type baseline struct {
 	account      catalog.Account
 	rng          *rand.Rand
--- a/coordination/claim/call.go
+++ b/coordination/claim/call.go
@@ -49,7 +49,7 @@
 	limits   Limits
 	phase    phase
 	writes   int
-	// found is the last claim of another token that was read, foundRevision its
+	// found is the claim under another token that was read last, foundRevision its
 	// revision.
 	found          Record
 	foundRevision  uint64
@@ -153,15 +153,15 @@
 	default:
 		// The response was lost and the read-back failed. The store may hold the
 		// claim under this token or under another one. Dispatching could cause a
-		// second run, so the call ends and its token is never dispatched.
+		// second run, so the call ends and nothing is dispatched under its token.
 		return c.notRun("answer of the store lost and read-back failed")
 	}
 }
 
-// createAgain repeats the create under the same token. A create whose response was
-// lost may take effect after a read-back found no claim. Under the same token both
-// writes are one claim, so the delayed one is harmless; if the call ends instead,
-// the claimant keeps the token as abandoned.
+// createAgain creates the claim, under the same token, after a read-back found none.
+// The write whose response was lost may still take effect later. Under the same
+// token both writes are one claim, so the delayed one is harmless. If the call ends
+// instead, its instance keeps the token as abandoned.
 func (c *Call) createAgain() Action {
 	c.storeResponded = true
 	if c.writes >= c.limits.MaxWrites {
@@ -245,7 +245,7 @@
 		return c.examine(exists)
 	}
 	// The claimant has failed without recording an outcome. It may have dispatched
-	// the work just before it failed, so the key never runs again.
+	// the work just before it failed, so nothing is dispatched for the key again.
 	return c.unknown("claimant gone without an outcome")
 }
 
--- a/coordination/claim/call_test.go
+++ b/coordination/claim/call_test.go
@@ -153,7 +153,7 @@
 	require.Equal(t, TokenForgotten, tracker.Status(1).State)
 	require.NoError(t, open(4))
 	require.NoError(t, tracker.Abandon(4, false, callStart))
-	require.Equal(t, TokenAbandoned, tracker.Status(3).State, "an unwritten token uses no capacity")
+	require.Equal(t, TokenAbandoned, tracker.Status(3).State, "an abandoned attempt that was never written evicts no closed one")
 	require.NoError(t, tracker.Open(ID{5}, BodyDigest{}, 5, callStart.Add(2*time.Hour)))
 	require.Empty(t, tracker.closedOrder, "closed tokens are forgotten after Retention")
 	require.ErrorIs(t, tracker.Dispatch(5, callStart.Add(3*time.Hour)), ErrWindowExpired)
@@ -162,7 +162,7 @@
 }
 
 // An instance serves small responses for weeks and never reaches MaxResultBytes.
-// When it forgets tokens over MaxClosed, the list of their results must shrink too,
+// When it forgets attempts beyond MaxClosed, the list of results must shrink too,
 // or the memory of the instance grows until it is killed.
 func TestTrackerForgetsResultsWithTheirTokens(t *testing.T) {
 	const closed = 8
--- a/coordination/claim/tracker.go
+++ b/coordination/claim/tracker.go
@@ -15,24 +15,24 @@
 	// ErrDispatched means that work may have been dispatched under the token,
 	// so that it can't be abandoned any more.
 	ErrDispatched = errors.New("claim: already dispatched")
-	// ErrWindowExpired means that DispatchWindow passed between claim and
-	// dispatch.
+	// ErrWindowExpired means that more than DispatchWindow has passed since the
+	// start of the attempt.
 	ErrWindowExpired = errors.New("claim: dispatch window over")
 )
 
 // TrackerLimits are the bounds of a Tracker.
 type TrackerLimits struct {
-	// MaxOpen bounds the claims that are neither finished nor abandoned.
+	// MaxOpen bounds the attempts that are neither finished nor abandoned.
 	MaxOpen int
-	// MaxClosed bounds the finished and abandoned tokens that are kept.
+	// MaxClosed bounds the finished and abandoned attempts that are kept.
 	MaxClosed int
-	// MaxResultBytes bounds the total size of the bodies kept for finished tokens.
+	// MaxResultBytes bounds the total size of the bodies kept for finished attempts.
 	MaxResultBytes int
-	// Retention is how long a closed token is kept. It equals the retention of
-	// claims, since a write whose response was lost may appear in the store as
-	// long as its claim may exist.
+	// Retention is how long a closed attempt is kept. It equals the retention of
+	// claims: for that long, peers may find the attempt's claim in the store, also
+	// if the response to its write was lost.
 	Retention time.Duration
-	// DispatchWindow is the longest time between a claim's start and its
+	// DispatchWindow is the longest time between the start of an attempt and its
 	// dispatch. It is far shorter than the retention of claims.
 	DispatchWindow time.Duration
 }
@@ -56,13 +56,14 @@
 	result     *StoredResult
 }
 
-// Tracker holds the state of one incarnation's own tokens: it supplies the status
-// that peers request, and it alone decides whether work may still be dispatched
-// under a token. It isn't safe for concurrent use.
+// Tracker holds the state of one incarnation's own attempts. Each attempt has one
+// token, which contains its number. The Tracker supplies the status that peers
+// request, and it alone decides whether work may still be dispatched under a token.
+// It isn't safe for concurrent use.
 type Tracker struct {
 	limits   TrackerLimits
 	attempts map[uint64]*trackedAttempt
-	// latest maps a key to the attempt that a second call with the key joins.
+	// latest maps a key to the attempt that another call with the key joins.
 	latest map[ID]uint64
 	// closedOrder lists the closed attempts, oldest first.
 	closedOrder []uint64
@@ -117,9 +118,9 @@
 // After it has returned nil the attempt can't be abandoned.
 //
 // An instance may be paused between claim and dispatch for longer than the
-// retention of claims, so that its claim has been removed and another call has
-// run the key. DispatchWindow, measured on a clock that advances during the pause,
-// prevents a dispatch after that.
+// retention of claims. Its claim has then been removed, and another call may have
+// dispatched work for the key. DispatchWindow, measured on a clock that advances
+// during the pause, prevents a dispatch after such a pause.
 func (t *Tracker) Dispatch(attempt uint64, now time.Time) error {
 	a, ok := t.attempts[attempt]
 	if !ok || a.state == finished || a.state == abandoned {
@@ -152,7 +153,7 @@
 }
 
 // Finish records the result of a dispatched attempt. Outcome not_run means that
-// every dispatched stage is known not to have started; the token then counts as
+// every dispatched stage is known not to have started; the attempt then counts as
 // abandoned.
 func (t *Tracker) Finish(attempt uint64, result StoredResult, now time.Time) error {
 	a, ok := t.attempts[attempt]
@@ -203,8 +204,8 @@
 }
 
 // expire forgets the closed attempts that are too old or too many. Forgetting is
-// always safe: a call that requests the status of a forgotten token ends as unknown
-// and never runs the key again.
+// always safe: a call that requests the status of a forgotten attempt decides by the
+// claim in the store, and ends as unknown if no outcome is recorded there.
 func (t *Tracker) expire(now time.Time) {
 	for len(t.closedOrder) > 0 {
 		attempt := t.closedOrder[0]
@@ -213,9 +214,9 @@
 			return
 		}
 		t.closedOrder = t.closedOrder[1:]
-		// Both lists are in the order of closing, so the result of the oldest
-		// token is the first. If it stayed in the list, the list would grow
-		// without bound in an instance whose bodies never reach MaxResultBytes.
+		// Both lists are in the order of closing, so if the oldest closed attempt
+		// has a result, it is the first of withResult. If it stayed there, the list
+		// would grow without bound in an instance that never reaches MaxResultBytes.
 		if len(t.withResult) > 0 && t.withResult[0] == attempt {
 			t.withResult = t.withResult[1:]
 		}
@@ -229,8 +230,8 @@
 	t.unlink(attempt, a)
 }
 
-// evictResults drops the oldest results while their bodies exceed the bound; the
-// store holds them.
+// evictResults drops the oldest results until the bodies of the others fit into
+// MaxResultBytes. Later calls read a dropped result from the store.
 func (t *Tracker) evictResults() {
 	for t.resultBytes > t.limits.MaxResultBytes && len(t.withResult) > 0 {
 		attempt := t.withResult[0]
--- a/coordination/config/evaluate.go
+++ b/coordination/config/evaluate.go
@@ -35,8 +35,8 @@
 	tx.putInForce(e, e.newest, e.candidate)
 }
 
-// findings are the reasons to refuse a candidate, and the kinds whose change may
-// remove them.
+// findings are the reasons to refuse a candidate, and the kinds of records that can
+// remove these reasons by a change.
 type findings struct {
 	reasons  []string
 	waitsFor kindSet
--- a/coordination/config/index.go
+++ b/coordination/config/index.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxTombstones bounds the number of tombstones kept. The floor of the kind
-// replaces those that are pruned.
+// MaxTombstones bounds the number of tombstones kept. The floor of their kind
+// replaces the tombstones that are pruned.
 const MaxTombstones = 4096
 
 // revisionIndex lists the entries in the order of their newest revisions.
--- a/coordination/config/peers_test.go
+++ b/coordination/config/peers_test.go
@@ -17,9 +17,10 @@
 	return r
 }
 
-// Two operators write at the same time: one shortens a tier's deadline, one slows
-// a pipeline. Each write is valid alone. An instance that receives the tier first
-// refuses the pipeline, another one the tier, and they would disagree forever.
+// Two operators write at the same time: one shortens a tier's deadline, the other
+// slows a pipeline. Each write is valid alone. An instance that receives the tier
+// first refuses the pipeline; one that receives the pipeline first refuses the tier.
+// Without an exchange they would disagree forever.
 func TestInstancesThatEvaluateInDifferentOrdersConverge(t *testing.T) {
 	tier, pipeline := record("tiers/gold", 10, "600"), record("pipelines/chat", 11, "p 900")
 	a, b := newCompleteSet(baseRecords()...), newCompleteSet(baseRecords()...)
@@ -35,8 +36,9 @@
 	assert.Equal(t, describe(a.Snapshot()), describe(b.Snapshot()))
 }
 
-// An instance starts from the store, where a tier is deleted that accounts still
-// use. Without the spec that its peers retain it would refuse these callers.
+// An instance starts from the store, in which a tier has been deleted although
+// accounts still use it. The instance needs the tier's spec from its peers; without
+// it, it would refuse the callers of these accounts.
 func TestSpecOfADeletedTierComesFromPeers(t *testing.T) {
 	deleted := record("tiers/gold", 30, "-")
 	peer := newCompleteSet(baseRecords()...)
--- a/coordination/config/set.go
+++ b/coordination/config/set.go
@@ -11,17 +11,19 @@
 type Set struct {
 	decode  Decoder
 	entries map[Key]*entry
-	// waiting holds the refused entries by the kind whose change may lead to
-	// another verdict.
+	// waiting holds the refused entries by the kinds of records that can change
+	// their verdict.
 	waiting map[kindSet]map[Key]*entry
 	users   map[Key]*userCount
 	index   revisionIndex
 	sums    digestSums
 	// listedKinds are the kinds of which a full list has been applied; asOf holds
-	// the revisions of the newest lists.
+	// the revision of each kind's newest list.
 	listedKinds kindSet
 	asOf        map[catalog.RecordKind]uint64
-	// floor is the revision at or below which an unknown record is stale.
+	// floor is, for each kind, the greatest revision of a full list or of a pruned
+	// tombstone. A version at or below it that would restore a removed record is
+	// stale.
 	floor      map[catalog.RecordKind]uint64
 	tombstones int
 	// maxInForce is the greatest revision that was ever in force.
@@ -42,7 +44,7 @@
 	candidate catalog.Item
 	// reason states why the last evaluation refused newest.
 	reason string
-	// waitsFor are the kinds whose change may reverse that refusal.
+	// waitsFor are the kinds of records that can reverse this refusal by a change.
 	waitsFor kindSet
 	verdict  verdict
 	sum      uint64
@@ -106,8 +108,8 @@
 }
 
 // ApplyList merges a full list of one kind as of a revision. Records that are
-// missing from the list and not newer than it are deleted. A list older than the
-// one applied before is a stale read of the store or of a peer and changes nothing.
+// missing from the list and aren't newer than it are deleted. A list older than
+// the kind's floor is a stale read of the store or of a peer and changes nothing.
 func (s *Set) ApplyList(kind catalog.RecordKind, records []Record, asOf uint64) (changed []Record, snapshot *catalog.Snapshot, verdicts []Verdict) {
 	tx := s.begin()
 	if kindBit(kind) != 0 && asOf >= s.floor[kind] {
--- a/coordination/deadline/plan.go
+++ b/coordination/deadline/plan.go
@@ -31,10 +31,12 @@
 }
 
 // Plan divides the time until deadline among the remaining stages, which are sorted
-// topologically: each comes after those it needs. A stage gets a budget in proportion to
-// its weight on the longest path through it. The budgets on a path therefore never
-// exceed the remaining time, and a stage outside the critical path gets the slack of its
-// own path. Plan is called again after each stage.
+// topologically: each comes after those it needs. A stage's weight is its wait plus the 95th
+// percentile of its remaining run time. Its budget is a fraction of the time until deadline:
+// its weight divided by the weight of the longest path through it. The budgets on a path
+// therefore never exceed the time until deadline together, and a stage outside the critical
+// path gets a part of the slack of its own longest path. Plan is called again after each
+// stage.
 func Plan(now, deadline time.Time, stages []RemainingStage) []StageBudget {
 	chains := longestChainsFrom(stages)
 	before := longestPathsBefore(stages)
@@ -67,10 +69,12 @@
 }
 
 // latestStart returns the latest time from which a chain meets the deadline with a
-// probability of 95%. Under overload, a queue that started each item at the last moment
-// with any chance would mostly run work that just misses its deadline. The limit doesn't
-// apply to work that is ready now and has a confidence of MinConfidence or more: if it
-// isn't queued, no other work needs the slot. Work with less confidence never starts.
+// probability of 95%. If a lower probability were enough, a queue under overload would
+// mostly run work that just misses its deadline.
+//
+// For work that is ready now and has a confidence of MinConfidence or more, the result is
+// never before now: if such work isn't queued, no other work needs the slot. Work with less
+// confidence gets a time in the past, so it never starts.
 func latestStart(now, deadline time.Time, chain chainTime, ready bool) time.Time {
 	chain.wait = 0
 	safe := deadline.Add(-chain.p95())
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -33,9 +33,10 @@
 	Expected time.Duration
 }
 
-// Accepts reports whether a request that has just arrived is served. A plain one is if its
-// response is certain to end in time. Until the balancer has noticed, any other is served too
-// if its expected time is left, as its caller might be sent to this instance again.
+// Accepts reports whether a request that has just arrived is served. A request that isn't
+// streaming is served if its deadline isn't after End. Until arrivalGrace after
+// BalancerNoticed, any other request is served too if its expected time is left: if it were
+// refused, the balancer might send its caller to this instance again.
 func (w Window) Accepts(r Request) bool {
 	if !r.Streaming && !r.Deadline.After(w.End) {
 		return true
--- a/coordination/drain/estimate.go
+++ b/coordination/drain/estimate.go
@@ -14,8 +14,8 @@
 	meanDivisor      = 8
 	deviationDivisor = 4
 	// deviationFactor is the number of deviations that are added to the mean. Response lengths
-	// are skewed: two deviations cover nine of ten streams whose lengths are distributed like
-	// those of callers.
+	// are skewed: for the distribution of lengths in callers' streams, two deviations cover
+	// nine of ten streams.
 	deviationFactor = 2
 	// DefaultDuration applies to a kind of request without a response yet. It is the duration
 	// of streams of a few hundred tokens.
--- a/coordination/gather/backlog.go
+++ b/coordination/gather/backlog.go
@@ -90,8 +90,8 @@
 	return sum
 }
 
-// backlogEntry is how a stage is counted in its service's backlog. Its piece time is the
-// one at the time of counting.
+// backlogEntry is what a stage has added to its service's backlog. It keeps the piece time
+// that was added, since the learned time may change before the entry is removed.
 type backlogEntry struct {
 	rank   float64
 	bucket int64
--- a/coordination/gather/capacity.go
+++ b/coordination/gather/capacity.go
@@ -9,8 +9,9 @@
 // call until it is freed, so the throughput of a stage is bounded by this capacity as well
 // as by the target's speed.
 const (
-	// unknownReservationTime is how long capacity stays reserved that a target turned out
-	// not to have: a fraction of the time for which results are usually kept.
+	// unknownReservationTime is how long capacity is reserved after a target refused a result
+	// for which it should have had room: a fraction of the time for which results are usually
+	// kept.
 	unknownReservationTime = time.Second
 	// shortageWindow is how long a target counts as short of capacity after a result didn't
 	// fit: about the time for which a result is held.
@@ -21,8 +22,8 @@
 )
 
 // smallResultShare is the fraction of a target's capacity that large results leave to small
-// ones. Without it a dozen results of 1.5 MB keep out pieces of 8 KB, whose requests then
-// wait half a second and more.
+// ones. Without it a dozen results of 1.5 MB leave no room for results of 8 KB, and the
+// requests that need these wait half a second and more.
 const smallResultShare = 0.08
 
 // maxResults returns how many results of a size fit into the free capacity.
@@ -103,14 +104,15 @@
 const punctualFactor = 1.2
 
 // punctual reports whether the target answered its last calls about when expected, which
-// means that a call starts when it is sent. While two instances hold queues, a call waits
-// behind the other's call before it reads its inputs; they must not be freed by then.
+// means that a call starts when it is sent. While two instances hold queues, a call may wait
+// behind a call of the other instance and read its inputs later than expected. The inputs
+// must not be freed before that.
 func (t *target) punctual() bool {
 	return t.answered && t.unsuccessfulCalls == 0 && t.slowness < punctualFactor
 }
 
-// freeInputsOf frees the inputs of a stage that all their readers have read and whose
-// targets are short of capacity. It reports whether none remains.
+// freeInputsOf frees those inputs of a stage that all their readers have read and that are at
+// targets short of capacity. It reports whether no input is left to free.
 func (p *Planner) freeInputsOf(now time.Time, st *heldStage) bool {
 	if p.requests[st.request.ID] != st.request || st.request.completed {
 		return true
--- a/coordination/gather/capacity_test.go
+++ b/coordination/gather/capacity_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// A call fails whose inputs were freed after it had read them. They must be produced again
+// A call reads its inputs, they are freed, and the call fails. They must be produced again
 // before its pieces go to another target; sent without them, the pieces would be reported
 // as missing their inputs forever.
 func TestReadInputsAreProducedAgainForUnansweredCall(t *testing.T) {
@@ -125,9 +125,10 @@
 	require.Len(t, r.calls, 3, "the first stage ran once")
 }
 
-// Two instances hold queues for a while, and a call waits at its target behind that of the
-// other instance before it reads its inputs. Freed at the time when they should have been
-// read, the inputs would be missing and the requests would restart at their first stage.
+// Two instances hold queues for a while, and a call waits at its target behind a call of the
+// other instance before it reads its inputs. If the inputs were freed at the time when they
+// should have been read, they would be missing and the requests would restart at their first
+// stage.
 func TestInputsStayWhileCallsWaitAtTargets(t *testing.T) {
 	r := newRig(t)
 	tightCapacity(r)
--- a/coordination/gather/choices_test.go
+++ b/coordination/gather/choices_test.go
@@ -42,9 +42,9 @@
 	require.Equal(t, "y", second(10*time.Millisecond).DataCentre)
 }
 
-// A request needs one large result and a chain of small ones. Produced first, the large one
-// would occupy its target while the chain runs, and a dozen of them would leave no capacity
-// there.
+// A request needs one large result and a chain of small ones. If the large one were produced
+// first, it would occupy its target while the chain runs, and a dozen large results would
+// leave no capacity there.
 func TestLargeResultsAreProducedLast(t *testing.T) {
 	r := newRig(t)
 	r.service("a", largeCapacity, "x")
--- a/coordination/gather/crashes.go
+++ b/coordination/gather/crashes.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// suspectCrashes is the number of target crashes under a request's calls from which on
-	// its pieces are sent in calls of their own: only such calls show which request causes
-	// the crashes. One crash is not enough, since separate calls take up more targets.
+	// suspectCrashes is the number of target crashes under a request's calls after which its
+	// pieces are sent in separate calls: only such calls show which request causes the
+	// crashes. One crash is not enough, since separate calls take up more targets.
 	suspectCrashes = 2
-	// MaxCrashes is the number of targets that may crash under a request's calls.
+	// MaxCrashes is the number of target crashes under a request's calls at which the request
+	// is refused, if the last of these calls had no other pieces.
 	MaxCrashes = 3
 )
 
@@ -24,7 +25,7 @@
 }
 
 // countCrash counts a call under which the target crashed, for each request with pieces in
-// it. It refuses a request with too many such calls if this one had no other pieces.
+// the call. If all pieces are of one request and it has reached MaxCrashes, it is refused.
 func (p *Planner) countCrash(c *call) {
 	under := map[*heldRequest]bool{}
 	for _, ref := range c.pieces {
--- a/coordination/gather/deadlines.go
+++ b/coordination/gather/deadlines.go
@@ -23,9 +23,9 @@
 	return p.flush()
 }
 
-// enforceShortenedDeadline refuses a request that won't be done by its new deadline. For a
-// started request the minimum time it still takes decides, for another the same rules as at
-// admission.
+// enforceShortenedDeadline refuses a request that won't be done by its new deadline. A request
+// that has started is refused only if its minimum remaining time is too long; any other is
+// also subject to the rules of admission.
 func (p *Planner) enforceShortenedDeadline(now time.Time, req *heldRequest) {
 	if remaining := p.minRemaining(req); now.Add(remaining).After(req.Deadline) {
 		p.refuse(req, Refused{Reason: ReasonDeadlineTooNear, Needed: remaining, TimeToDeadline: req.Deadline.Sub(now)})
--- a/coordination/gather/dispatch.go
+++ b/coordination/gather/dispatch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// crossingTolerance is how many more bytes than at the best target may cross data centres
-// without a wait: below it a crossing costs less than a hundredth of what a request is
+// crossingTolerance is how many bytes between data centres a closer target must save for a
+// stage to wait for it. Transferring fewer costs less than a hundredth of what a request is
 // worth.
 const crossingTolerance = 64 << 10
 
@@ -38,19 +38,19 @@
 			cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	ordered := p.sortedQueue(now, s)
-	near := s.fastDataCentres(now)
+	fast := s.fastDataCentres(now)
 	for _, t := range free {
-		if chosen := p.choosePieces(now, t, ordered, near); len(chosen) > 0 {
+		if chosen := p.choosePieces(now, t, ordered, fast); len(chosen) > 0 {
 			p.startCall(now, t, chosen)
 			ordered = slices.DeleteFunc(ordered, func(c candidate) bool { return len(c.stage.pending) == 0 })
 		}
 	}
 }
 
-// missedObjectivePenalty is how many priorities lower a request ranks that can't meet its
-// objective: below requests of the next priority that can meet theirs, which it would make
-// miss them, and above those of the priority after that, which must not starve it until its
-// deadline.
+// missedObjectivePenalty is by how many priorities a request that can't meet its objective
+// ranks lower. It then ranks behind requests of the next priority that can meet theirs, since
+// it would make them miss these. It ranks ahead of requests of the priority after that, so
+// that they don't starve it until its deadline.
 const missedObjectivePenalty = 1.5
 
 // sortedQueue returns the queue sorted by rank, then by ascending height, since stages near
@@ -72,11 +72,11 @@
 }
 
 // choosePieces returns the pieces of a target's next call. The pieces of one stage of a
-// request stay together, since each of them reads all results before it. A stage is split
-// only if no call can hold all of it.
+// request stay together, since each of them reads all inputs of the stage. A stage's pending
+// pieces are split only if they exceed MaxPieces or the target's free capacity.
 //
-// near lists the data centres where pieces may wait for a target.
-func (p *Planner) choosePieces(now time.Time, t *target, ordered []candidate, near []string) []pieceRef {
+// fastDataCentres lists the data centres where a stage may wait for a target.
+func (p *Planner) choosePieces(now time.Time, t *target, ordered []candidate, fastDataCentres []string) []pieceRef {
 	s := t.service
 	if p.skipsSlow(now, t) {
 		return nil
@@ -90,7 +90,7 @@
 		}
 		st := c.stage
 		n := len(st.pending)
-		if n == 0 || (n > left && len(chosen) > 0) || !canShareCall(chosen, st.request) || p.waitsForCloserTarget(now, t, st, near) {
+		if n == 0 || (n > left && len(chosen) > 0) || !canShareCall(chosen, st.request) || p.waitsForCloserTarget(now, t, st, fastDataCentres) {
 			continue
 		}
 		n = min(n, left)
@@ -110,8 +110,8 @@
 }
 
 // skipsSlow reports whether a slow target gets no call because a call there takes longer
-// than waiting for another target. Now and then it gets one, to learn whether it is still
-// slow.
+// than waiting for another target. After slowProbeInterval without a call it gets one, which
+// shows whether it is still slow.
 func (p *Planner) skipsSlow(now time.Time, t *target) bool {
 	if t.slowness < slowThreshold || now.Sub(t.lastCallAt) > slowProbeInterval {
 		return false
@@ -135,23 +135,23 @@
 
 // fastDataCentres lists the data centres that have a target of usual speed.
 func (s *service) fastDataCentres(now time.Time) []string {
-	var near []string
+	var dataCentres []string
 	for _, t := range s.targets {
-		if t.available(now) && t.slowness < slowThreshold && !slices.Contains(near, t.DataCentre) {
-			near = append(near, t.DataCentre)
+		if t.available(now) && t.slowness < slowThreshold && !slices.Contains(dataCentres, t.DataCentre) {
+			dataCentres = append(dataCentres, t.DataCentre)
 		}
 	}
-	return near
+	return dataCentres
 }
 
-// waitsForCloserTarget reports whether pieces should wait briefly for a target near their
-// inputs or their reader, in one of the data centres in near.
-func (p *Planner) waitsForCloserTarget(now time.Time, t *target, st *heldStage, near []string) bool {
+// waitsForCloserTarget reports whether a stage should wait briefly for a target in one of
+// fastDataCentres, because its inputs or the reader of its results are closer to it than to t.
+func (p *Planner) waitsForCloserTarget(now time.Time, t *target, st *heldStage, fastDataCentres []string) bool {
 	here := st.crossingBytes(t.DataCentre) * int64(len(st.pending))
 	if here <= crossingTolerance || now.Sub(st.readySince) >= p.localityWait(now, st) {
 		return false
 	}
-	for _, dataCentre := range near {
+	for _, dataCentre := range fastDataCentres {
 		if st.crossingBytes(dataCentre)*int64(len(st.pending))+crossingTolerance < here {
 			return true
 		}
@@ -159,8 +159,8 @@
 	return false
 }
 
-// localityWaitDivisor divides a request's spare time to get how long one stage may wait for
-// a target near its inputs.
+// localityWaitDivisor is the divisor of a request's spare time that gives the longest wait of
+// one stage for a target near its inputs.
 const localityWaitDivisor = 2
 
 // localityWait returns how long a stage waits for a target near its inputs: at most a part
--- a/coordination/gather/handover_test.go
+++ b/coordination/gather/handover_test.go
@@ -90,9 +90,9 @@
 // as a call and the results of a request.
 var longTTL = ServiceConfig{Slots: 1, MaxPieces: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, ResultCapacity: 14_000, ResultTTL: time.Minute}
 
-// The holder of the queue stops while calls are in progress and requests wait. Restarted
-// elsewhere, pieces would run twice, calls would find targets full that work for the old
-// holder, and results wouldn't fit beside those that nobody frees.
+// The holder of the queue stops while calls are in progress and requests wait. If the requests
+// were submitted anew elsewhere, pieces would run twice, targets that still work for the old
+// holder would refuse calls, and results wouldn't fit beside those that nobody frees.
 //
 // In a simulated day of stops, 335 of 2,130 calls found their target full and 1,224 results
 // didn't fit, nearly all within seven seconds of a holder's stop.
@@ -186,8 +186,8 @@
 	require.Len(t, r.completed, 1)
 }
 
-// The new holder knows a target that the old one didn't. Its first call is full: requests
-// are imported all at once and not one by one.
+// The new holder knows a target that the old one didn't. Its first call must be full: calls
+// start only after all requests are imported.
 func TestHandoverToFreeTargets(t *testing.T) {
 	r := newRig(t)
 	r.service("a", smallBatch, "x")
@@ -256,8 +256,8 @@
 	require.Zero(t, target.usedBytes)
 }
 
-// The new holder learns of a target's restart from the queue that it imports before its own
-// list has it. Once the list does, the results at the old process are produced again.
+// The new holder learns of a target's restart from the imported queue, before its own list
+// has it. Once the list has it, the results at the old process are produced again.
 func TestHandoverReportsRestartBeforeTargetList(t *testing.T) {
 	r := producedByFirst(t)
 	other := New(Config{})
--- a/coordination/gather/planner.go
+++ b/coordination/gather/planner.go
@@ -37,7 +37,7 @@
 	requests map[string]*heldRequest
 	calls    map[uint64]*call
 	nextCall uint64
-	// freeing has the results whose targets are being asked to free them, by handle.
+	// freeing has the results that their targets have been asked to free, by handle.
 	freeing     map[string]pendingFree
 	attainments attainments
 	// capacityShortAt is when a result last didn't fit at any target.
@@ -62,13 +62,13 @@
 	startedAt        time.Time
 	expectedDuration time.Duration
 	// overdueAt is when the pieces are queued for another target as well; hedged is true
-	// once they are.
+	// once that has happened.
 	overdueAt time.Time
 	hedged    bool
 	// timeoutAt is when the call counts as unanswered.
 	timeoutAt time.Time
-	// inputsReadAt is when the call has read its inputs; inputsFreed is true once they have
-	// been freed since.
+	// inputsReadAt is when the call is expected to have read its inputs; inputsFreed is true
+	// once they have been freed.
 	inputsReadAt time.Time
 	inputsFreed  bool
 }
@@ -229,17 +229,17 @@
 	return p.flush()
 }
 
-// expireResults drops results that their targets no longer keep and produces again those
-// that are still needed.
+// expireResults drops results that their targets no longer keep, and queues pieces again if
+// their results are still needed.
 func (p *Planner) expireResults(now time.Time, req *heldRequest) {
 	if p.dropResults(req, func(r *result) bool { return !now.Before(r.expiresAt) }) {
 		p.advance(now, req)
 	}
 }
 
-// rerunPiece queues a piece again whose result is missing. Stages that read the result wait
-// until it exists: a piece with only some of its inputs would be answered with another
-// request's work, or with none.
+// rerunPiece queues a piece again because its result is missing. Stages that read the result
+// wait until it exists again: a piece that is sent with only some of its inputs would get the
+// result of another request's work, or none.
 func (p *Planner) rerunPiece(s *heldStage, index int) {
 	s.results[index] = nil
 	s.produced--
@@ -253,9 +253,10 @@
 	}
 }
 
-// needed reports whether the results will still be read by the request's own target or by
-// pending pieces. Pieces in a call have read them; if that call fails, the answer to the
-// next one reports them missing.
+// needed reports whether a stage's results will still be read: by the request's own target, if
+// the stage is final, or by stages that have pending pieces or wait for inputs. Pieces in a
+// call aren't counted; allReadersRead checks whether they have read the results. If such a
+// call fails after the results were freed, the results are produced again.
 func (p *Planner) needed(s *heldStage) bool {
 	if s.final() {
 		return true
@@ -337,9 +338,10 @@
 	}
 }
 
-// rerunMissingInputs produces the inputs again that stages with pending pieces need and
-// that were freed or have expired. Inputs are freed when the piece is expected to run for the
-// last time; run again without them, it would waste a call that only reports them missing.
+// rerunMissingInputs queues pieces again if their results were freed or have expired and are
+// inputs of stages with pending pieces. Inputs are freed when their readers are expected to
+// run for the last time. A reader that ran again without them would waste a call that only
+// reports them missing.
 func (p *Planner) rerunMissingInputs(req *heldRequest) {
 	for i := len(req.stages) - 1; i >= 0; i-- {
 		s := req.stages[i]
@@ -379,8 +381,8 @@
 	p.freeHandle(r.target, r.handle, r.bytes)
 }
 
-// freeHandle combines the handles of one target into one action. The capacity counts as
-// occupied until the target has been notified.
+// freeHandle adds a handle to the target's pending FreeResults action, or starts one. The
+// capacity counts as occupied until FreeDone reports the end of the action.
 func (p *Planner) freeHandle(producer *target, handle string, bytes int64) {
 	t := producer.Target
 	p.freeing[handle] = pendingFree{producer, bytes}
@@ -394,7 +396,7 @@
 	p.actions = append(p.actions, FreeResults{Target: t, Handles: []string{handle}})
 }
 
-// FreeDone reports that a target freed results, or that it couldn't be notified.
+// FreeDone reports that a target has freed results, or couldn't be notified.
 func (p *Planner) FreeDone(now time.Time, handles []string) []Action {
 	touched := map[*service]bool{}
 	for _, handle := range handles {
--- a/coordination/gather/readcost.go
+++ b/coordination/gather/readcost.go
@@ -13,10 +13,10 @@
 // between data centres.
 func CrossingCost(bytes int64) time.Duration { return time.Duration(bytes) * crossingPerByte }
 
-// ReadCosts returns the cost for a request, not admitted yet, of having its results read in
-// a data centre: the wait for the targets there beyond that for the targets that are free
-// first, or the transfer of its results from elsewhere if that is less. Only large results
-// count.
+// ReadCosts returns the cost of having the results of a request that isn't admitted yet read
+// in a data centre. It is how much longer the wait for the targets there is than the shortest
+// wait of all data centres, or the cost of transferring the results from elsewhere if that is
+// less. Only large results count.
 //
 // It is designed for one target of four in a data centre that has a third of the engines:
 // requests whose results are all read there wait for that one target, or their results
--- a/coordination/gather/restart.go
+++ b/coordination/gather/restart.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// dropResults drops results that are missing at their targets and queues the pieces again
-// whose results are still needed. It reports whether there are any; the caller then
-// advances the request.
+// dropResults drops results that are missing at their targets, and queues pieces again if
+// their results are still needed. It reports whether it queued any; the caller then advances
+// the request.
 func (p *Planner) dropResults(req *heldRequest, missing func(*result) bool) bool {
 	rerun := false
 	for _, s := range req.stages {
--- a/coordination/gather/results.go
+++ b/coordination/gather/results.go
@@ -20,8 +20,9 @@
 	}
 }
 
-// hedgeCall queues the pieces of a call again that are still needed. Their requests advance
-// only after all pieces are queued, since separate calls would take up as many targets.
+// hedgeCall queues those pieces of a call again that are still needed. Their requests advance
+// only after all pieces are queued, so that the pieces can share a call: separate calls would
+// take up as many targets.
 func (p *Planner) hedgeCall(now time.Time, c *call) {
 	if c.hedged {
 		return
--- a/coordination/gather/state.go
+++ b/coordination/gather/state.go
@@ -6,9 +6,9 @@
 )
 
 // State is the exported state of a planner, which the planner of another instance
-// continues. It is sent between instances; an instance that knows other fields than the
-// sender rejects it, and each continues with its own queue. All times are relative to the
-// export, negative for the past, since clocks differ.
+// continues. It is sent between instances. If the receiver's State has other fields than the
+// sender's, the receiver rejects it, and both instances continue with their own queues. All
+// times are relative to the export, negative for the past, since clocks differ.
 type State struct {
 	Requests []RequestState
 	Calls    []CallState
@@ -70,7 +70,8 @@
 	Freed     bool
 }
 
-// CallState is a call in progress. The instance that sent it forwards its end.
+// CallState is a call in progress. The instance that started the call reports its end to the
+// instance that imports the state.
 type CallState struct {
 	// ID is the call's id at the planner that sent it.
 	ID uint64
@@ -84,12 +85,14 @@
 	Hedged, InputsFreed                           bool
 }
 
-// PieceState is a piece in a call. If its request is no longer held, it occupies Bytes of
-// capacity until the call ends.
+// PieceState is a piece in a call.
 type PieceState struct {
+	// Request is empty if the exporting planner no longer holds the request.
 	Request      string
 	Stage, Index int
-	Bytes        int64
+	// Bytes is the size of the piece's result. It is needed if the request isn't held: the
+	// result then occupies this capacity until it is freed.
+	Bytes int64
 }
 
 // TargetState is what is known of a target.
--- a/coordination/gather/target.go
+++ b/coordination/gather/target.go
@@ -57,8 +57,8 @@
 	// slownessWeight is the weight of a new sample in the moving average: three or four
 	// calls, about a second, show that a target turned slow.
 	slownessWeight = 0.35
-	// slowThreshold is the slowness from which on a target is skipped while others have
-	// time: below it differences are those of batch sizes.
+	// slowThreshold is the slowness at which a target starts to be skipped while others have
+	// time. Below it, different batch sizes explain the differences.
 	slowThreshold = 1.7
 	// slowProbeInterval is the time after which a slow target gets a call again, to learn
 	// whether it is still slow.
@@ -74,8 +74,8 @@
 	timeoutMargin = time.Second
 	// rateHalfLife is the default half-life of a rate: bursts last seconds.
 	rateHalfLife = 700 * time.Millisecond
-	// fullPause is how long a target that refused a call gets no other: about half a call
-	// of another sender.
+	// fullPause is how long a target that refused a call gets no other call: about half the
+	// duration of another sender's call.
 	fullPause = 120 * time.Millisecond
 	// downPause is the first pause after an unanswered call; it doubles up to downPauseMax.
 	downPause    = 400 * time.Millisecond
--- a/coordination/gather/types.go
+++ b/coordination/gather/types.go
@@ -12,7 +12,7 @@
 	CallTime, PieceTime time.Duration
 	// ResultCapacity is the capacity of one target for results, in bytes.
 	ResultCapacity int64
-	// ResultTTL is how long a result is kept that nobody frees.
+	// ResultTTL is how long a result is kept unless it is freed earlier.
 	ResultTTL time.Duration
 }
 
@@ -28,7 +28,7 @@
 // Stage is one stage of a request.
 type Stage struct {
 	Service string
-	// After lists the stages of which each piece reads all results.
+	// After lists the stages that this one depends on: each piece reads all their results.
 	After []int
 	// Pieces is the number of pieces; a stage with zero pieces is left out.
 	Pieces int
--- a/coordination/holder/holder.go
+++ b/coordination/holder/holder.go
@@ -13,8 +13,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/membership"
 )
 
-// Pick returns the live member with the highest capacity, and of those the one that has run
-// the longest. It returns the instance itself if all others are avoided.
+// Pick returns the live member with the highest capacity; of several with that capacity, the
+// one that has run the longest. It returns the instance itself if all others are avoided.
 //
 // A restarted instance counts as the youngest, so a duty moves only when its holder ends. If
 // the holder were chosen by a hash of names, the duty would move back to each restarted
--- a/coordination/holder/next.go
+++ b/coordination/holder/next.go
@@ -2,8 +2,8 @@
 
 import "github.com/ivyhollow/ivyhollow/coordination/membership"
 
-// Next returns the live member that holds a duty once this instance has left, as all others
-// pick it; false if all others are avoided.
+// Next returns the live member that all others pick for a duty once this instance has left. It
+// returns false if all others are avoided.
 func Next(view *membership.View, avoided func(name string) bool) (membership.Member, bool) {
 	var chosen membership.Member
 	found := false
--- a/coordination/holder/stall.go
+++ b/coordination/holder/stall.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stallThreshold is the silence after which those who wait for a holder turn to another one.
+// stallThreshold is the silence after which instances that wait for a holder turn to another.
 const stallThreshold = time.Second
 
 // StallDetector detects that the instance was stalled, for example while its machine was
--- a/coordination/membership/apply.go
+++ b/coordination/membership/apply.go
@@ -43,6 +43,7 @@
 	}
 	e := m.table[u.Name]
 	if e == nil && !m.admits(u) {
+		// This ignores all but departures, also a live member beyond MaxMembers.
 		m.storeUnknownDeparture(now, u)
 		return
 	}
@@ -61,9 +62,10 @@
 	m.storeAndGossip(now, u)
 }
 
-// admits reports whether an unknown member is added to the table. One that is
-// dead or has left is not: otherwise members removed here would come back from
-// instances that still remember them.
+// admits reports whether an unknown member is added to the table: only a live one,
+// and only while there are fewer than MaxMembers live ones. If dead members and
+// those that left were added, members removed here would come back from instances
+// that still remember them.
 func (m *Membership) admits(u Member) bool {
 	return u.Live() && len(m.table)-len(m.deadOrLeft) < m.cfg.MaxMembers
 }
@@ -163,8 +165,8 @@
 	}
 }
 
-// expireDeadOrLeft removes members that are dead or left after the retention,
-// and the oldest ones beyond MaxDeadOrLeft.
+// expireDeadOrLeft removes members that have been dead or left for the retention,
+// and those that have been so the longest while there are more than MaxDeadOrLeft.
 func (m *Membership) expireDeadOrLeft(now time.Time) {
 	for name := range m.deadOrLeft {
 		if now.Sub(m.table[name].stateSince) >= m.cfg.Retention {
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -22,7 +22,7 @@
 	// target is the member being probed, empty when there is none.
 	target    string
 	targetSeq uint64
-	// directDeadline is when the direct probe counts as failed, zero once it has.
+	// directDeadline is when the direct probe counts as failed, zero once it has failed.
 	directDeadline time.Time
 	relays         map[uint64]relayedProbe
 	// disputed holds, by name, states of members on which another instance and
--- a/coordination/membership/sync.go
+++ b/coordination/membership/sync.go
@@ -32,10 +32,10 @@
 	// joined is set once a full exchange has completed.
 	joined bool
 	// repeatAt is when the repeated full exchange is next requested, zero once it has
-	// completed. repeatPending is set once it was requested.
+	// completed. repeatPending is set once the repetition has been requested.
 	repeatAt      time.Time
 	repeatPending bool
-	// differsSince is since when the digests differ, zero if they do not.
+	// differsSince is when the digests began to differ, zero if they are equal.
 	differsSince time.Time
 	nextRequest  time.Time
 }
--- a/coordination/placing/choose.go
+++ b/coordination/placing/choose.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// isBetter reports whether an engine of a cost is preferred to the best so far; if the costs
-// are equal, the lower incarnation is.
+// isBetter reports whether an engine with the given cost is preferred to the best so far. If
+// the costs are equal, the lower incarnation is preferred.
 func (s *search) isBetter(cost time.Duration, e *engineState) bool {
 	return s.best == nil || cost < s.cost || cost == s.cost && e.Incarnation < s.best.Incarnation
 }
--- a/coordination/placing/engine.go
+++ b/coordination/placing/engine.go
@@ -120,7 +120,7 @@
 	return duration(m.seconds(uncached)*e.slowdown + extra)
 }
 
-// queueCost returns the cost of a request that is sent now, without that of its prompt.
+// queueCost returns the cost of a request that is sent now, without the cost of its prompt.
 func (e *engineState) queueCost(now time.Time) time.Duration {
 	if now.Before(e.avoidUntil) {
 		return e.queueWait(now) + unreachablePenalty
@@ -128,8 +128,8 @@
 	return e.queueWait(now)
 }
 
-// markUnreachable starts a backoff since nothing listens at the engine's address. Reports
-// during a backoff are ignored: they are of attempts from before it began.
+// markUnreachable starts a backoff because nothing listens at the engine's address. Reports
+// during a backoff are ignored: they usually concern requests that were sent before it began.
 func (e *engineState) markUnreachable(now time.Time) {
 	if now.Before(e.avoidUntil) {
 		return
@@ -151,8 +151,8 @@
 	return max(uncached, 0)
 }
 
-// addToCache records that the engine has processed these parts, the first of which, as
-// many as shared, belong to other requests too. capacity is that of its cache, in tokens.
+// addToCache records that the engine has processed these parts. The first shared parts also
+// belong to other requests. capacity is the size of the engine's cache in tokens.
 func (e *engineState) addToCache(now time.Time, parts []Part, shared, capacity int) {
 	for i, part := range parts {
 		c := e.cached[part.ID]
--- a/coordination/placing/pool.go
+++ b/coordination/placing/pool.go
@@ -93,9 +93,9 @@
 	p.bySlowdown = slices.Insert(p.bySlowdown, i, e)
 }
 
-// enginesWithRarePart returns the engines that have the first part of a prompt in cache that
-// is cached by at most maxScannedCachers of them, and a lower bound for the uncached tokens
-// at every other engine. If there is no such part, the engines are those of the last part.
+// enginesWithRarePart finds the first part of a prompt that at most maxScannedCachers engines
+// have in cache. It returns these engines, and a lower bound for the uncached tokens at every
+// other engine. If there is no such part, it returns the engines that have the last part.
 func (p *poolState) enginesWithRarePart(prompt *Prompt) (cachers []*engineState, uncached int) {
 	uncached = prompt.Tokens
 	for _, part := range prompt.Parts {
@@ -149,7 +149,7 @@
 // addCacher records that an engine has a part in cache.
 func (p *poolState) addCacher(id string, e *engineState) { p.cachedBy[id] = append(p.cachedBy[id], e) }
 
-// removeCacher records that an engine has a part no longer.
+// removeCacher records that an engine no longer has a part in cache.
 func (p *poolState) removeCacher(id string, e *engineState) {
 	cachers := p.cachedBy[id]
 	if len(cachers) == 1 {
--- a/coordination/placing/table.go
+++ b/coordination/placing/table.go
@@ -67,8 +67,8 @@
 }
 
 // RecordUnreachable records that nothing listens at an engine's address. An engine that
-// processes nothing counts as idle; without a backoff it would be chosen again for each of
-// the hundreds of instances that find out one by one, and only after the choice.
+// processes nothing counts as idle, so without a backoff it would be chosen again and again:
+// hundreds of instances find out one by one, and each only after the choice.
 func (t *Table) RecordUnreachable(now time.Time, pool, engine string) {
 	if p := t.pools[pool]; p != nil && p.engines[engine] != nil {
 		p.engines[engine].markUnreachable(now)
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -134,9 +134,9 @@
 	return n
 }
 
-// Prevents a request that crashes its targets from being sent on, whichever requests run beside
-// it, messages are lost and instances are replaced, and common requests from being blocked for
-// its crashes.
+// Prevents a request that crashes its targets from being sent again and again, and common
+// requests from being blocked for its crashes, whichever requests run beside it, whichever
+// messages are lost and whichever instances are replaced.
 func TestCrashingRequestIsBlockedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -16,9 +16,9 @@
 
 var suspect = digestOf("suspect")
 
-// crashApart records n crashes of the suspect, one second apart, and returns the time of the
+// recordCrashes records n crashes of the suspect, one second apart, and returns the time of the
 // last one.
-func crashApart(t *Table, n int) time.Time {
+func recordCrashes(t *Table, n int) time.Time {
 	now := start
 	for i := range n {
 		now = start.Add(time.Duration(i) * time.Second)
@@ -35,7 +35,7 @@
 	} {
 		t.Run(fmt.Sprint(crashes), func(t *testing.T) {
 			table := New(c)
-			latest := crashApart(table, crashes)
+			latest := recordCrashes(table, crashes)
 			if hold == 0 {
 				require.Equal(t, Allowed, table.Judge(latest, suspect).State)
 				return
@@ -92,7 +92,7 @@
 // it again because of records from before it was cleared.
 func TestCompletedRunClearsCrashes(t *testing.T) {
 	table, other := New(DefaultConfig()), New(DefaultConfig())
-	latest := crashApart(table, 4)
+	latest := recordCrashes(table, 4)
 	old := table.Sample(latest, 10)
 	require.True(t, table.RecordCompletion(latest, suspect))
 	require.False(t, table.RecordCompletion(latest, suspect), "there is nothing left to clear")
@@ -114,7 +114,7 @@
 func TestOneTrialAtATime(t *testing.T) {
 	c := DefaultConfig()
 	table := New(c)
-	latest := crashApart(table, 3)
+	latest := recordCrashes(table, 3)
 	require.False(t, table.GrantTrial(latest.Add(c.BlockPeriod-1), suspect, time.Second), "it is blocked")
 	now := latest.Add(c.BlockPeriod)
 	require.False(t, table.GrantTrial(now, digestOf("unknown"), time.Second), "the request has no records here")
@@ -131,7 +131,7 @@
 	c := DefaultConfig()
 	c.MaxRequests = 10
 	table := New(c)
-	latest := crashApart(table, 100)
+	latest := recordCrashes(table, 100)
 	for i := range 1000 {
 		table.RecordCrash(latest, digestOf(fmt.Sprint(i)), "target")
 	}
@@ -176,7 +176,7 @@
 func TestSamplesRotateThroughAllRecords(t *testing.T) {
 	const others, limit = 50, 8
 	table, other := New(DefaultConfig()), New(DefaultConfig())
-	latest := crashApart(table, 3)
+	latest := recordCrashes(table, 3)
 	for i := range others {
 		table.RecordCrash(latest, digestOf(fmt.Sprint(i)), "target")
 	}
@@ -196,7 +196,7 @@
 // Prevents gossip that is never sent, or sent for ever.
 func TestGossipIsSentLimitedTimes(t *testing.T) {
 	table := New(DefaultConfig())
-	crashApart(table, 3)
+	recordCrashes(table, 3)
 	sent := 0
 	for table.HasGossip() {
 		sent += len(table.Gossip(start, 2, 4))
@@ -211,7 +211,7 @@
 func TestTrialsOfCrashingRequestAreRare(t *testing.T) {
 	const most, within = 3, 15 * time.Minute
 	table := New(DefaultConfig())
-	blocked := crashApart(table, 3)
+	blocked := recordCrashes(table, 3)
 	trials := 0
 	for now := blocked; now.Before(blocked.Add(within)); now = now.Add(time.Second) {
 		if table.GrantTrial(now, suspect, time.Second) {
@@ -222,12 +222,12 @@
 	require.Equal(t, most, trials)
 }
 
-// Prevents instances from sending each other over and over the records that exceed the limit.
+// Prevents instances from repeatedly sending each other records that exceed the limit.
 func TestDroppedCrashIsNotGossiped(t *testing.T) {
 	a, b := New(DefaultConfig()), New(DefaultConfig())
-	latest := crashApart(a, 3*DefaultConfig().MaxCrashes)
+	latest := recordCrashes(a, 3*DefaultConfig().MaxCrashes)
 	early := New(DefaultConfig())
-	crashApart(early, DefaultConfig().MaxCrashes)
+	recordCrashes(early, DefaultConfig().MaxCrashes)
 	for _, from := range []*Table{a, early, a, early} {
 		for _, c := range from.Sample(latest, 100) {
 			b.Merge(latest, c)
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -86,7 +86,7 @@
 }
 
 // choose applies the rules in order: the only candidate, a due probe, the removal of
-// ejected targets down to the ejection floor, then those of byRule.
+// ejected targets down to the ejection floor, then the rules of byRule.
 func (p *pick) choose() (*candidate, Reason) {
 	if len(p.candidates) == 1 {
 		p.scoreCandidates()
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// dropEjected removes the ejected targets, except for as many as the ejection floor
-// requires, of those whose ejection ends first. It reports whether it kept any.
+// dropEjected removes the ejected targets, but keeps as many as the ejection floor
+// requires: those with the earliest ends of ejection. It reports whether it kept any.
 func (p *pick) dropEjected() bool {
 	slices.SortStableFunc(p.candidates, func(a, b *candidate) int {
 		return cmp.Compare(a.ejectedUntil(), b.ejectedUntil())
@@ -221,7 +221,7 @@
 }
 
 // remotePenalty is the margin by which the score of a target in another data centre has
-// to be better: it is a third of the slots more free than at the local one.
+// to be better: about the effect of a third more of its slots being free.
 const remotePenalty = 0.1
 
 // byLoad compares the best of a sample of the local targets with the best of a sample of
@@ -256,7 +256,7 @@
 }
 
 // bestOfSample samples up to limit distinct candidates that match and returns the best,
-// or nil if none matches. A candidate is passed over with a probability of 1 less its
+// or nil if none matches. A candidate is passed over with a probability of 1 minus its
 // traffic share; if all are passed over, the best of those is returned.
 func (p *pick) bestOfSample(limit int, matches func(*candidate) bool) *candidate {
 	var best, fallback *candidate
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -8,7 +8,8 @@
 )
 
 // localShare is the share of a subset that comes from the local data centre if it has
-// enough targets; the others serve overflow and a failure of the local data centre.
+// enough targets. The rest of the subset comes from other data centres, for overflow and
+// for a failure of the local one.
 const localShare = 0.75
 
 // minPerModel is the number of targets of each model that a subset keeps if there are
--- a/coordination/spread/loads.go
+++ b/coordination/spread/loads.go
@@ -96,10 +96,10 @@
 	return out
 }
 
-// sendLoads sends load digests within MaxLoadBytes. If its own digest fits for
-// all other instances, each of them gets it, which gives the lowest age.
-// Otherwise one peer gets its own digest and those of others, so that the bytes
-// stay the same and the age of the digests grows with the cluster's size.
+// sendLoads sends load digests within MaxLoadBytes. If this instance's own digest
+// fits for all other instances, each of them gets it, which gives the lowest age.
+// Otherwise one peer gets this digest and those of others, so that the bytes stay
+// the same and the age of the digests grows with the cluster's size.
 func (s *Gossip) sendLoads(now time.Time, peers []string, size int) {
 	own := s.loads.byOrigin[s.loads.self]
 	fullMesh := len(peers) == size-1
--- a/state/catalog/accounts.go
+++ b/state/catalog/accounts.go
@@ -19,8 +19,8 @@
 type AccountTable struct {
 	byName *[accountShardCount]map[string]*Account
 	byKey  *[accountShardCount]map[[32]byte]*Account
-	// keyContenders holds, by key hash, the accounts that list a key which
-	// belongs to another account.
+	// keyContenders holds, by key hash, the accounts that list the key although
+	// it belongs to another account.
 	keyContenders map[[32]byte][]*Account
 	count         int
 }
@@ -47,7 +47,7 @@
 	return a, ok
 }
 
-// ByKey returns the account of the caller key with a SHA-256 digest.
+// ByKey returns the account of the caller key with the given SHA-256 digest.
 func (t AccountTable) ByKey(hash [32]byte) (*Account, bool) {
 	if t.byKey == nil {
 		return nil, false
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -154,7 +154,7 @@
 // Account returns an account by name.
 func (s *Snapshot) Account(name string) (*Account, bool) { return s.Accounts.Get(name) }
 
-// AccountByKey returns the account of the caller key with a SHA-256 digest.
+// AccountByKey returns the account of the caller key with the given SHA-256 digest.
 func (s *Snapshot) AccountByKey(hash [32]byte) (*Account, bool) { return s.Accounts.ByKey(hash) }
 
 // Tier returns a tier by name.
