--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -265,7 +265,7 @@
 func (a *App) liveCount() int { return len(a.cluster.View().Live()) }
 
 // watcherRank returns this instance's rank among the watchers of the store, false if it
-// is none.
+// isn't a watcher.
 func (a *App) watcherRank() (int, bool) {
 	for i, owner := range a.cluster.Owners(watchersKey, confsync.Watchers) {
 		if owner.Name == a.self.Name {
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -114,8 +114,8 @@
 	return response.StatusCode, problem, response.Header.Get(callerapi.HeaderRequestID)
 }
 
-// Invalid requests, as misconfigured clients and port scanners send them, are refused
-// with a problem that names the field. They don't affect other requests.
+// Invalid requests, such as those of misconfigured clients and port scanners, are refused
+// with a problem that names the field if one is at fault. They don't affect other requests.
 func TestBadRequestsAreRefusedByField(t *testing.T) {
 	a := startInstance(t)
 	path := a.CallersURL() + "/v1/pipelines/dossier/requests"
@@ -161,8 +161,8 @@
 	require.Equal(t, http.StatusOK, status, "others are still served")
 }
 
-// Prevents a disclosure: the status of another account's request looks as if there were
-// no such request, or ids would reveal who is a client.
+// The status of another account's request must look as if the request didn't exist.
+// Otherwise request IDs would reveal who is a client.
 func TestStatusIsForItsAccountAlone(t *testing.T) {
 	a := startInstance(t)
 	_, _, id := send(t, http.MethodPost, a.CallersURL()+"/v1/pipelines/dossier/requests", dev.SampleKey, `{"input":"x"}`)
--- a/daemon/app/metrics_test.go
+++ b/daemon/app/metrics_test.go
@@ -98,7 +98,8 @@
 	return names
 }
 
-// servedMetrics returns the metrics that the instance serves, each with its lines.
+// servedMetrics returns the lines of the project's own metrics that the instance serves, by
+// the metric's name without its prefix.
 func servedMetrics(t require.TestingT, a *App) map[string]string {
 	response, err := http.Get(a.AdminURL() + "/metrics")
 	require.NoError(t, err)
--- a/daemon/app/wire_test.go
+++ b/daemon/app/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// Prevents a change of a field's name or type: instances of two versions run side by side
-// for minutes during a rollout, could no longer read each other's claim status and would
+// Prevents a change of a field's name or type. During a rollout, instances of two versions
+// run side by side for minutes. They could no longer read each other's claim status and would
 // run a request twice.
 func TestBytesOfStatusMessages(t *testing.T) {
 	cases := []struct {
--- a/daemon/claims/claim_key.go
+++ b/daemon/claims/claim_key.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// conclude converts a decision into a result and closes the attempt, unless that holds
-// the claim.
+// conclude converts a decision into a result and closes the attempt, unless the attempt
+// holds the claim.
 func (s *Service) conclude(id claim.ID, attempt uint64, call *claim.Call, d claim.Decision) BeginResult {
 	if d.Verdict == Run {
 		t := &Ticket{service: s, id: id, attempt: attempt, record: call.Record(), revision: d.Revision}
--- a/daemon/claims/journal.go
+++ b/daemon/claims/journal.go
@@ -22,7 +22,7 @@
 	// leads to another attempt.
 	maxCommitAttempts = 4
 	// maxBatchOps and maxJournalBodyBytes keep a head below the store's limit of a
-	// megabyte. Of a longer response body, a journal stores only length and digest.
+	// megabyte. A journal stores only the length and the digest of a longer response body.
 	maxBatchOps         = 64
 	maxJournalBodyBytes = 8 << 10
 	// maxPendingOps bounds the operations that wait for one journal.
@@ -202,9 +202,9 @@
 	return true
 }
 
-// respondWriteError responds to a batch whose write failed. If the response of the store
-// was lost, the write may have been applied: the view is no longer known, and the call
-// behind each operation must read its claim back.
+// respondWriteError responds to the operations of a batch after its write failed. If the
+// response of the store was lost, the write may have been applied: the view is no longer
+// known, and the call behind each operation must read its claim back.
 func (j *journal) respondWriteError(batch []*journalOp, err error) {
 	event := writeErrorEvent(err)
 	if _, nothingDone := event.(claim.StoreUnavailable); nothingDone {
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -119,8 +119,8 @@
 }
 
 // conflictEvent returns the event for a write that conflicted. It is certain that the
-// write was not applied. If the response doesn't include the current claim, that is
-// read.
+// write was not applied. If the response doesn't include the current claim, the
+// claim is read.
 func (o *ObjectStorage) conflictEvent(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
 	if current != nil {
 		return decodeClaim(current)
--- a/daemon/claims/service.go
+++ b/daemon/claims/service.go
@@ -1,6 +1,10 @@
 // Package claims executes the decisions of package coordination/claim: it calls the
 // platform's store and the claimants, tracks this incarnation's own tokens, records
 // outcomes and removes claims past their retention.
+//
+// A claim is the record in the store that reserves an idempotency key. A token identifies one
+// attempt to claim a key. A ticket is the right to dispatch work under a claim. A sweep reads
+// the stored claims and removes those past their retention.
 package claims
 
 import (
@@ -77,7 +81,7 @@
 	// MaxOpen bounds the claims of this instance that are neither finished nor
 	// abandoned.
 	MaxOpen int
-	// MaxClosed bounds the finished and abandoned tokens that are tracked.
+	// MaxClosed bounds the tracked tokens of finished and abandoned attempts.
 	MaxClosed int
 	// MaxResultBytes bounds the total size of the bodies kept for calls that join.
 	MaxResultBytes int
@@ -182,7 +186,8 @@
 	return BeginResult{Verdict: Replay, Result: status.Result, Reason: "joined a call on this instance"}, true
 }
 
-// HandleStatusRequest returns the status of a token of this incarnation to a peer.
+// HandleStatusRequest returns to a peer the status of an attempt of this incarnation, by its
+// token.
 func (s *Service) HandleStatusRequest(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
 	// A new incarnation at the same address doesn't know the tokens of the previous
 	// one. If it responded "abandoned", a key could run twice.
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -29,8 +29,9 @@
 	form     func(Store) Storage
 	services map[claim.Owner]*Service
 	stops    []func()
-	// silentCalls is the number of calls without response that one claim waits for: a
-	// journal is read before its first write.
+	// silentCalls is the number of calls without a response that one claim waits for: a
+	// journal is read before its first write. Its type is time.Duration because it is
+	// multiplied with a timeout.
 	silentCalls time.Duration
 }
 
@@ -125,10 +126,11 @@
 		name   string
 		faults emulator.Faults
 		first  Verdict
-		// retry and orphan are the verdicts of b while a is running and after a has
-		// failed.
-		retry, orphan Verdict
-		maxTime       time.Duration
+		// whileRunning and afterFailure are the verdicts of b while a is running and after
+		// a has failed.
+		whileRunning, afterFailure Verdict
+		// maxTime bounds the wait for the first verdict, per call of silentCalls.
+		maxTime time.Duration
 	}{
 		{"none", emulator.Faults{}, Run, Unknown, Unknown, 0},
 		{"response lost after the effect", lost, Run, Unknown, Unknown, 0},
@@ -154,10 +156,10 @@
 					}
 					w.store.SetFaults(emulator.Faults{})
 					time.Sleep(20 * time.Second)
-					want := tc.retry
+					want := tc.whileRunning
 					if failed {
 						w.kill(a)
-						want = tc.orphan
+						want = tc.afterFailure
 					}
 					second := w.begin(b, 2*time.Second)
 					require.Equal(t, want, second.Verdict, second.Reason)
@@ -304,6 +306,8 @@
 	})
 }
 
+// The number of open claims is bounded, and so are the number and the bytes of the writes
+// that wait for the store.
 func TestOpenClaimsAreBounded(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		limits := claim.TrackerLimits{MaxOpen: 0}
--- a/daemon/command/signals.go
+++ b/daemon/command/signals.go
@@ -13,11 +13,9 @@
 // exitForced is the exit code if an interrupt ended a planned stop early.
 const exitForced = 3
 
-// stopSignals are the signals that request a planned stop.
-//
-// Signals are caught from the start of the process to its end. A signal that isn't caught
-// ends the process with all requests in flight, as SIGHUP would during a planned stop, when
-// the settings are no longer reloaded.
+// stopSignals receives the signals that request a planned stop. They are caught from the
+// start of the process to its end, because a signal that isn't caught ends the process with
+// all requests in flight.
 type stopSignals struct {
 	received chan os.Signal
 }
@@ -32,17 +30,19 @@
 	return s
 }
 
-// catchHangups catches SIGHUP from now on, which would otherwise end the process.
+// catchHangups catches SIGHUP from now on. The signal stays caught during a planned stop,
+// when the settings are no longer reloaded: otherwise it would end the process with all
+// requests in flight.
 func catchHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// stopOnSignal starts the planned stop at the first signal. A later interrupt comes from a
-// person who doesn't want to wait any longer and ends the process. A repeated SIGTERM comes
-// from process managers whose restarts overlap and is ignored: SIGKILL ends the process
-// without a planned stop.
+// stopOnSignal starts the planned stop at the first signal. A later SIGINT ends the process:
+// it comes from a person who doesn't want to wait any longer. A later SIGTERM is ignored: it
+// comes from a process manager that runs overlapping restarts, and SIGKILL can still end the
+// process without a planned stop.
 func (s stopSignals) stopOnSignal(stop context.CancelFunc, exit func(code int)) {
 	<-s.received
 	stop()
--- a/daemon/confsync/bootstrap.go
+++ b/daemon/confsync/bootstrap.go
@@ -46,7 +46,7 @@
 func (s *Sync) finishBootstrap() {
 	s.withLock(func() {
 		s.bootstrapped = true
-		s.publishChanges(s.set.Apply(nil))
+		s.applySetChanges(s.set.Apply(nil))
 	})
 }
 
@@ -142,14 +142,14 @@
 func (s *Sync) applySnapshot(got peerSnapshot) error {
 	s.withLock(func() {
 		for _, kind := range config.Kinds {
-			s.publishChanges(s.set.ApplyList(kind, got.records, got.asOf[string(kind)]))
+			s.applySetChanges(s.set.ApplyList(kind, got.records, got.asOf[string(kind)]))
 		}
 		s.applyRecords(got.records)
 		for _, r := range got.otherRecords {
-			s.applyOther(r)
+			s.applyTargetOrMark(r)
 		}
 		s.targets.raiseFloor(got.asOf[platformapi.KindTargets])
-		s.gossipTargets()
+		s.queueTargetChanges()
 	})
 	return nil
 }
--- a/daemon/confsync/codec.go
+++ b/daemon/confsync/codec.go
@@ -46,13 +46,13 @@
 	return out
 }
 
-// publishNewerInForce publishes the version in force here of each record for which the
+// queueNewerInForce queues for gossip the version in force here of each record for which the
 // sender reported an older one. If two records are each valid only without the other,
 // instances that evaluate them in different orders accept different ones. As gossip drops
 // a second record of the same revision, they would never converge. Each instance adopts
 // what another has accepted, so both records come into force everywhere. The caller holds
 // the lock.
-func (s *Sync) publishNewerInForce(records []config.Record) {
+func (s *Sync) queueNewerInForce(records []config.Record) {
 	for i := range records {
 		held, known := s.set.Get(records[i].Key)
 		if !known || held.Accepted || held.InForce.Revision <= acceptedRevision(records[i]) {
--- a/daemon/confsync/leaving.go
+++ b/daemon/confsync/leaving.go
@@ -33,7 +33,7 @@
 )
 
 // leavingMarks holds the incarnations that some instance has reported as leaving. The
-// platform's list lags by seconds, so an instance that learns it from the target itself
+// platform's list lags by seconds, so an instance that learns this from the target itself
 // notifies the others.
 type leavingMarks struct {
 	// lastListed holds, for each mark that is set, when the target was last known to be
--- a/daemon/confsync/sync.go
+++ b/daemon/confsync/sync.go
@@ -29,8 +29,8 @@
 	watchWait  = time.Second
 	watchGrace = 500 * time.Millisecond
 	// minRelistInterval is the time between two lists of all kinds on a watcher, which
-	// find changes that the watch has skipped. Each full page of the lists adds the same
-	// time again.
+	// find changes that the watch has skipped. Each full page of the lists adds this time
+	// once more.
 	minRelistInterval = 2 * time.Second
 	followInterval    = 500 * time.Millisecond
 	retryMin          = 200 * time.Millisecond
@@ -65,7 +65,7 @@
 	Peers     Peers
 	// WatcherRank returns this instance's rank among the watchers, starting at 0, or
 	// false if it isn't a watcher. The watcher of rank 0 writes the verdicts to the
-	// store.
+	// store: whether each record is accepted or refused.
 	WatcherRank func() (rank int, ok bool)
 	// OnSnapshot is called with each new configuration. Calls don't overlap.
 	OnSnapshot func(*catalog.Snapshot)
@@ -196,15 +196,15 @@
 	s.withLock(func() {
 		s.applyRecords(decodeRecords(records))
 		for _, r := range records {
-			s.applyOther(r)
+			s.applyTargetOrMark(r)
 		}
 		s.notifyTargets()
 	})
 }
 
-// applyOther applies a record of a target or a mark; it ignores configuration records.
-// The caller holds the lock.
-func (s *Sync) applyOther(r spread.Record) {
+// applyTargetOrMark applies a record that holds a target's entry or the mark of a leaving
+// incarnation. It ignores configuration records. The caller holds the lock.
+func (s *Sync) applyTargetOrMark(r spread.Record) {
 	switch r.Kind {
 	case platformapi.KindTargets:
 		s.targets.put(r.Name, r.Revision, r.Deleted, r.Body)
@@ -213,9 +213,9 @@
 	}
 }
 
-// withLock runs a step under the lock and publishes its results after releasing it: the
-// publisher passes the records to Receive before it returns, which would otherwise
-// deadlock.
+// withLock runs a step under the lock and passes the queued records and leaving marks on
+// after releasing it: the publisher may pass the records to Receive before it returns, which
+// would deadlock under the lock.
 func (s *Sync) withLock(step func()) {
 	s.mu.Lock()
 	step()
@@ -242,13 +242,14 @@
 	if len(records) == 0 {
 		return
 	}
-	s.publishChanges(s.set.Apply(records))
-	s.publishNewerInForce(records)
+	s.applySetChanges(s.set.Apply(records))
+	s.queueNewerInForce(records)
 }
 
-// publishChanges publishes the results of a change of the record set. The caller holds the
-// lock.
-func (s *Sync) publishChanges(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
+// applySetChanges applies the results of a change of the record set: it queues the changed
+// records for gossip and the verdicts for the store, and puts the snapshot in force if the
+// set is complete. The caller holds the lock.
+func (s *Sync) applySetChanges(changed []config.Record, snapshot *catalog.Snapshot, verdicts []config.Verdict) {
 	s.outbox = append(s.outbox, encodeRecords(changed)...)
 	s.queueVerdicts(verdicts)
 	if !s.bootstrapped || !s.set.Complete() {
--- a/daemon/confsync/watch.go
+++ b/daemon/confsync/watch.go
@@ -23,7 +23,7 @@
 // have stopped with unwritten verdicts, and only the store shows which.
 func (s *Sync) watch(ctx context.Context) error {
 	role := s.role()
-	if role != writer {
+	if role != writingWatcher {
 		s.verdicts.clear()
 	}
 	from, err := s.list(ctx)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// watchOnce waits for changes. It sets its own timeout, because the store client's is
+// watchOnce waits for changes. It sets its own timeout, because the store client's timeout is
 // longer than the time in which a change has to be in force.
 func (s *Sync) watchOnce(ctx context.Context, from uint64, wait time.Duration) (platformapi.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
@@ -61,8 +61,9 @@
 	follower role = iota
 	// watcher watches the store.
 	watcher
-	// writer is the watcher that also writes the verdicts.
-	writer
+	// writingWatcher is the watcher that also writes the verdicts, which say whether
+	// each record is accepted or refused.
+	writingWatcher
 )
 
 func (s *Sync) role() role {
@@ -71,7 +72,7 @@
 	case !ok:
 		return follower
 	case rank == 0:
-		return writer
+		return writingWatcher
 	}
 	return watcher
 }
@@ -107,15 +108,15 @@
 func (s *Sync) mergeList(kind string, list platformapi.List) {
 	if kind == platformapi.KindTargets {
 		s.targets.applyList(list)
-		s.gossipTargets()
+		s.queueTargetChanges()
 		return
 	}
 	records := make([]config.Record, 0, len(list.Items))
 	for i := range list.Items {
 		records = append(records, record.FromObject(catalog.RecordKind(kind), &list.Items[i]))
 	}
-	s.publishChanges(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
-	s.publishNewerInForce(records)
+	s.applySetChanges(s.set.ApplyList(catalog.RecordKind(kind), records, list.Revision))
+	s.queueNewerInForce(records)
 	if !s.isVerdictWriter() {
 		return
 	}
@@ -140,7 +141,7 @@
 		records = append(records, record.FromEvent(catalog.RecordKind(e.Kind), e))
 	}
 	s.applyRecords(records)
-	s.gossipTargets()
+	s.queueTargetChanges()
 	if !s.isVerdictWriter() {
 		return
 	}
@@ -151,9 +152,9 @@
 	}
 }
 
-// gossipTargets queues the changes of the list of targets for gossip and calls OnTargets.
-// The caller holds the lock.
-func (s *Sync) gossipTargets() {
+// queueTargetChanges queues the changes of the list of targets for gossip, and calls
+// OnTargets if the list has changed. The caller holds the lock.
+func (s *Sync) queueTargetChanges() {
 	s.outbox = append(s.outbox, s.targets.takeUnsent()...)
 	s.notifyTargets()
 }
--- a/daemon/execute/admissions.go
+++ b/daemon/execute/admissions.go
@@ -18,7 +18,7 @@
 }
 
 // maxControllers limits the number of controllers. When it is reached, all are dropped, so
-// that those of removed definitions don't accumulate.
+// that controllers of removed definitions don't accumulate.
 const maxControllers = 4096
 
 // admissionControllers holds the admission controllers of one instance.
@@ -45,7 +45,8 @@
 	return c.inner.Decide(now, job.Deadline, stages, c.rng)
 }
 
-// probeEnded records whether a job that was admitted as a probe met its deadline.
+// probeEnded records whether a probe, a job that was admitted to measure its stages again,
+// met its deadline.
 func (a *admissionControllers) probeEnded(job *Job, metDeadline bool) {
 	c := a.get(admissionKey{pipeline: job.Pipeline.Key, tier: job.Tier.Name})
 	c.mu.Lock()
--- a/daemon/execute/content.go
+++ b/daemon/execute/content.go
@@ -8,7 +8,7 @@
 	"github.com/ivyhollow/ivyhollow/transport/target"
 )
 
-// errCrashes is the cause of a failure with ReasonCrashes.
+// errCrashesTargets is the cause of a failure with ReasonCrashes.
 var errCrashesTargets = errors.New("the request crashes targets")
 
 // admitContent refuses a job that crashes targets before any stage runs.
--- a/daemon/execute/content_test.go
+++ b/daemon/execute/content_test.go
@@ -40,7 +40,7 @@
 	return r.table.Judge(time.Now(), d)
 }
 
-// Crashed records each crash as that of another incarnation of the target.
+// RecordCrash records each crash as the crash of another incarnation of the target.
 func (r *fakeRecords) RecordCrash(d quarantine.Digest, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +115,7 @@
 	return quarantine.Verdict{State: v.judge}
 }
 
-// Prevents a job from being sent that was blocked at admission or is blocked while it waits.
+// A job must not be sent if it was blocked at admission or is blocked while it waits.
 func TestBlockedJobIsRefusedAtAnyTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		fixedVerdicts
--- a/daemon/execute/estimate.go
+++ b/daemon/execute/estimate.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// size returns the work of stage i in tokens, those of the prompt and those to generate.
+// size returns the work of stage i in tokens: the prompt's tokens and those to generate.
 func (r *jobRun) size(i int) int {
 	total := r.maxTokens(i)
 	if total == 0 {
--- a/daemon/execute/executor.go
+++ b/daemon/execute/executor.go
@@ -82,7 +82,7 @@
 	// rank is the position of the tier among the tiers in force; 0 is the highest.
 	rank int
 	// content is the digest of what the job's repetitions have in common. trialGranted is
-	// true if this is the one run of it that is allowed as a trial.
+	// true if this is the one run of this content that is allowed as a trial.
 	content      quarantine.Digest
 	trialGranted bool
 	// probe is true if the job was admitted to measure its stages again.
@@ -96,8 +96,8 @@
 }
 
 // Run runs the job's stages and returns the complete response of the last one. Its
-// error is always a *Failure, whose verdict is final: nothing of the job is sent to
-// a target after Run returned.
+// error is always a *Failure with a final verdict: nothing of the job is sent to a
+// target after Run has returned.
 func (e *Executor) Run(ctx context.Context, job Job) (result Result, err error) {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
@@ -141,8 +141,8 @@
 	return r
 }
 
-// admit refuses a job that can't meet its deadline, or for one of whose stages there is
-// no target, before any stage runs.
+// admit refuses, before any stage runs, a job that can't meet its deadline or has a stage
+// without a target.
 func (r *jobRun) admit() *Failure {
 	for i := range r.job.Pipeline.Stages {
 		stage := &r.job.Pipeline.Stages[i]
--- a/daemon/execute/panic.go
+++ b/daemon/execute/panic.go
@@ -12,7 +12,7 @@
 //
 // Without it, a panic outside an attempt would end the process, since net/http recovers only
 // on its own goroutines. All callers of the instance would lose their requests, and when the
-// request is retried elsewhere, so would those of the next instance. Recovered, the panic
+// request is retried elsewhere, so would the callers of the next instance. Recovered, the panic
 // fails this request alone. What the stage has done is not known then, so an attempt that
 // never settles is recorded in the ledgers: it prevents the verdict "not run".
 func (s *stageRun) recoverPanic(err *error) {
@@ -28,7 +28,7 @@
 }
 
 // recoverPanic turns a panic of the attempt into a result with an unknown outcome. It is
-// needed besides that of the stage because a hedged attempt has its own goroutine. An attempt
+// needed in addition to the stage's because a hedged attempt has its own goroutine. An attempt
 // that was not settled remains open in the ledgers, which results in the same verdict.
 func (a *attempt) recoverPanic(result *attemptResult) {
 	cause := recover()
--- a/daemon/execute/ports.go
+++ b/daemon/execute/ports.go
@@ -29,8 +29,8 @@
 	Stream(ctx context.Context, call target.Call, onToken func(offset int, token string) error) (targetapi.RunResponse, target.ResponseMeta, error)
 }
 
-// Gate admits attempts to a pool, those of higher tiers first; *gate.Group implements
-// it. A refusal is a *gate.RefusedError.
+// Gate admits attempts to a pool, higher tiers first; *gate.Group implements it. A refusal
+// is a *gate.RefusedError.
 type Gate interface {
 	// Enter blocks until the attempt gets a slot or is refused, or the context ends.
 	// The caller must call Release on the grant.
@@ -46,9 +46,9 @@
 // Budgets holds the instance's retry budget of each pool, from which additional
 // attempts are paid; *retrybudget.Budgets implements it. Calls don't block.
 type Budgets interface {
-	// Retry takes the price of a retry and reports whether the budget sufficed.
+	// TakeRetry takes the price of a retry and reports whether the budget sufficed.
 	TakeRetry(now time.Time, pool string) bool
-	// Hedge takes the price of a hedge and reports whether the budget sufficed.
+	// TakeHedge takes the price of a hedge and reports whether the budget sufficed.
 	TakeHedge(now time.Time, pool string) bool
 	// Succeeded records that a stage got a complete response, which adds to the budget.
 	Succeeded(now time.Time, pool string)
--- a/daemon/execute/script_test.go
+++ b/daemon/execute/script_test.go
@@ -28,7 +28,7 @@
 type step struct {
 	after         time.Duration
 	err           *target.AttemptError // nil means a complete response
-	ignoresCancel bool                 // to a cancel
+	ignoresCancel bool                 // the attempt goes on after its context is cancelled
 }
 
 // scriptedCaller is a Caller whose n-th attempt ends as described by the n-th step. Attempts
@@ -185,13 +185,13 @@
 	const hour, learned = time.Hour, 20 * time.Millisecond // oneStage's expected time
 	full := step{err: notRun(0)}
 	cases := map[string]struct {
-		once    bool
+		once    bool // the stage isn't repeatable
 		steps   []step
 		empty   bool            // the retry budget is empty
 		within  []time.Duration // the latest start of each attempt
-		reason  Reason          // of the failure, if any
-		retried string          // why it was not sent again
-		waits   bool            // before its retries
+		reason  Reason          // the reason of the failure; empty if the job succeeds
+		noRetry string          // the reason why a failed attempt wasn't retried
+		waits   bool            // the retries aren't sent at once
 	}{
 		"the hedge wins, the loser is cancelled":  {steps: []step{{after: hour}, {}}, within: []time.Duration{0, 4 * learned}},
 		"no hedge if not repeatable":              {once: true, steps: []step{{after: 500 * time.Millisecond}}, within: []time.Duration{0}},
@@ -199,9 +199,9 @@
 		"a failure is retried at once":            {steps: []step{{err: connectionReset}, {}}, within: []time.Duration{0, 0}},
 		"a refusal is retried after a backoff":    {once: true, waits: true, steps: []step{full, full, {}}, within: []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond}},
 		"no longer than the target's Retry-After": {once: true, steps: []step{{err: notRun(2)}, {}}, within: []time.Duration{0, 2 * time.Millisecond}},
-		"no retry without budget":                 {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, retried: string(retry.ReasonBudgetUsedUp)},
+		"no retry without budget":                 {empty: true, steps: []step{{err: connectionReset}}, within: []time.Duration{0}, reason: ReasonTarget, noRetry: string(retry.ReasonBudgetUsedUp)},
 		"no connection needs no budget":           {empty: true, once: true, steps: []step{{err: notConnected}, {err: notConnected}, {}}, within: []time.Duration{0, 0, 0}},
-		"full everywhere":                         {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, retried: string(retry.ReasonAttemptsUsedUp)},
+		"full everywhere":                         {once: true, waits: true, steps: []step{full, full, {err: notRun(7)}}, within: []time.Duration{0, hour, hour}, reason: ReasonOverload, noRetry: string(retry.ReasonAttemptsUsedUp)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -233,13 +233,13 @@
 				var failure *Failure
 				require.ErrorAs(t, err, &failure)
 				require.Equal(t, c.reason, failure.Reason)
-				require.ErrorContains(t, err, c.retried)
+				require.ErrorContains(t, err, c.noRetry)
 			})
 		})
 	}
 }
 
-// brokenGate is a gate that fails with an error that is no *gate.RefusedError.
+// brokenGate is a gate that fails with an error that isn't a *gate.RefusedError.
 type brokenGate struct{ Gate }
 
 func (brokenGate) Enter(context.Context, string, gate.Request) (*gate.Grant, error) {
--- a/daemon/follow/fleet_test.go
+++ b/daemon/follow/fleet_test.go
@@ -102,14 +102,14 @@
 	}
 }
 
-// fleets are a small one, all of whose instances watch, and a large one.
+// fleets are a small fleet, in which all instances watch, and a large one.
 var fleets = []struct {
 	size int
 	all  bool
 }{{8, true}, {10, false}}
 
-// As TestLeavingAfterSilenceTakesEffect, for a whole fleet. Each instance's watch may be orphaned by
-// the silence, but the first watcher's for no longer than a short timeout.
+// As TestLeavingAfterSilenceTakesEffect, for a whole fleet. Each instance's watch may be lost in the
+// silence, but the first watcher's watch ends after a short timeout at the latest.
 func TestFleetLearnsOfLeavingAfterSilence(t *testing.T) {
 	for _, c := range fleets {
 		silences(coarseStep, func(begins, lasts time.Duration) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// The first watcher fails around the store's recovery. No other instance has a short watch, and those
-// of the others may be orphaned: one of them has to take over in time.
+// The first watcher fails around the store's recovery. No other instance's watch has a
+// short timeout, and the others' watches may be lost: one of them has to take over in time.
 func TestFirstWatcherFailsAtStoreRecovery(t *testing.T) {
 	for _, c := range fleets {
 		for _, after := range []time.Duration{-2 * time.Second, -300 * time.Millisecond, 0, 500 * time.Millisecond, 2 * time.Second} {
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -36,7 +36,7 @@
 	rosterInterval = 200 * time.Millisecond
 )
 
-// Kinds of the gossiped records, and the name of that of the configuration.
+// Kinds of the gossiped records, and the name of the configuration's record.
 const (
 	recordConfig     = "config"
 	recordTarget     = "target"
@@ -157,7 +157,8 @@
 	onList  func(platformapi.List)
 }
 
-// errResend cancels a watch that is sent again because its silence proves nothing.
+// errResend cancels a watch that is to be sent again: it may have been lost while the store was
+// unavailable, or its timeout is longer than this instance may now use.
 var errResend = errors.New("the watch is sent again")
 
 // watchKind lists a kind and then watches it.
@@ -188,9 +189,10 @@
 	}
 }
 
-// awaitBatch delays the next watch after changes, in a fleet most of which receives changes by
-// gossip. Where all instances watch, each must receive changes at once: until it knows that a
-// target has restarted under its name, requests are sent on connections to the earlier process.
+// awaitBatch delays the next watch after changes, in a fleet in which most instances receive
+// changes by gossip. Where all instances watch, each must receive changes at once: until it knows
+// that a target has restarted under its name, requests are sent on connections to the earlier
+// process.
 func (f *Follower) awaitBatch(ctx context.Context, changes int) {
 	if changes == 0 || f.options.Fleet.AllWatch() {
 		return
@@ -319,7 +321,7 @@
 	}
 }
 
-// applyConfig puts a version in force that is newer than the present one. A version that can't be
+// applyConfig puts a version in force if it is newer than the present one. A version that can't be
 // decoded leaves the present one in force. If direct, the version comes from the store and is
 // gossiped to the other instances.
 func (f *Follower) applyConfig(revision uint64, spec []byte, direct bool) {
@@ -368,7 +370,7 @@
 	f.options.OnChange(now, table, f.roster.Usable())
 }
 
-// markReady records that a configuration is in force whose targets have been published.
+// markReady records that a configuration is in force and its targets have been published.
 func (f *Follower) markReady() {
 	if f.targetsListed.Load() && !f.Ready() {
 		close(f.ready)
--- a/daemon/follow/poll.go
+++ b/daemon/follow/poll.go
@@ -25,7 +25,7 @@
 type Fleet interface {
 	// WatcherCount returns the number of watchers.
 	WatcherCount() int
-	// Rank returns this instance's rank among the watchers; watching.NoRank if it is none.
+	// Rank returns this instance's rank among the watchers; watching.NoRank if it isn't a watcher.
 	Rank() int
 	// AllWatch reports whether all instances watch, so that none depends on gossip alone.
 	AllWatch() bool
@@ -81,8 +81,8 @@
 	}
 }
 
-// pollOnce polls one watcher, and resends the watches that have become useless by its report or
-// by this instance's present rank.
+// pollOnce polls one watcher. It sends those watches again that are useless according to the
+// watcher's report or this instance's present rank.
 func (f *Follower) pollOnce(ctx context.Context) {
 	f.shouldWatch()
 	watchers := f.options.Fleet.WatcherCount()
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -19,13 +19,15 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// Bounds that users require, counted from the store's acknowledgement.
+// Bounds that users require. The first two are counted from the store's acknowledgement of a
+// change, the others from the store's recovery.
 const (
 	// leavingBound is the time after which a target that has left gets no new work.
 	leavingBound = 2 * time.Second
 	// configBound is the time within which a configuration is in force.
 	configBound = 2 * time.Second
-	// settledAfter is the time after the store's recovery from which on both bounds hold.
+	// settledAfter is the time after the store's recovery from which leavingBound and
+	// configBound hold.
 	settledAfter = 3 * time.Second
 	// returnBound is the time after the store's recovery within which expired entries
 	// reappear.
@@ -43,7 +45,7 @@
 type silence struct{ from, to time.Time }
 
 // timedStore is a store in virtual time. While it is silent it receives nothing: a watch that is
-// sent then is orphaned, that is, never answered, not even after the store's recovery.
+// sent then is lost, that is, never answered, not even after the store's recovery.
 type timedStore struct {
 	platform.Store
 
@@ -308,8 +310,8 @@
 	return slices.Clone(fl.usable[i])
 }
 
-// expireEntries makes the store silent for a while in which all entries expire, and from which they
-// reappear as late as they may.
+// expireEntries makes the store silent for a while. All entries expire 100 ms before the silence
+// ends and reappear as late as allowed, returnBound after it.
 func (fl *fleet) expireEntries(lasts time.Duration) {
 	names := []string{"a", "b", "c"}
 	fl.store.silent(lasts)
@@ -334,8 +336,9 @@
 	coarseStep = 2300 * time.Millisecond
 )
 
-// silences calls test with the begin and length of silences of the store: at each phase of a watch's
-// timeout, shorter and longer than a lease.
+// silences calls test with the start and the duration of each of a series of silences of the store.
+// They start at all phases of a watch's timeout; some are shorter and some longer than the lease of
+// an entry.
 func silences(step time.Duration, test func(begins, lasts time.Duration)) {
 	for begins := 10 * time.Second; begins < 19*time.Second; begins += step {
 		for _, lasts := range []time.Duration{300 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second, 9600 * time.Millisecond} {
@@ -366,7 +369,7 @@
 
 // The same with a target whose entry is removed without a report. Entries that vanish while the store
 // is unavailable are kept for 2.2 s. If that time were counted from the failure of a watch that was
-// orphaned before the store's recovery, the instance would go on sending work to the target.
+// lost before the store's recovery, the instance would go on sending work to the target.
 func TestRemovalAfterSilenceTakesEffect(t *testing.T) {
 	silences(fineStep, func(begins, lasts time.Duration) {
 		t.Run(fmt.Sprint(begins, " for ", lasts), func(t *testing.T) {
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -27,8 +27,8 @@
 		targets, records = append(targets, t), append(records, r)
 	}
 	f.applyTargets(targets, l.Revision)
-	// Gossip passes each record back to Receive. The list has been applied, so they are no changes
-	// any more; otherwise each would publish all targets.
+	// Gossip passes each record back to Receive. The list has been applied before, so that the
+	// records change nothing there; otherwise each of them would publish all targets.
 	for _, r := range records {
 		f.options.Gossip(r)
 	}
--- a/daemon/follow/targets_test.go
+++ b/daemon/follow/targets_test.go
@@ -162,8 +162,8 @@
 	require.True(t, log, "a lasting fault is logged again")
 }
 
-// A configuration names a service for the first time, whose targets have long been known. If it were in
-// force before they are published, requests in between would be refused for lack of a target.
+// A configuration is the first to name a service with targets that have long been known. If it were
+// in force before they are published, requests in between would be refused for lack of a target.
 func TestTargetsArePublishedBeforeConfiguration(t *testing.T) {
 	h := newRecordingFollower()
 	h.event("a", 1, "ready 100")
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -176,11 +176,13 @@
 	// instance uses. The remainder covers repeats that the budget doesn't count, such
 	// as those of stage calls.
 	retryRatioShare = 0.5
-	// retryReserveShare is an instance's share of the fleet's slack at its start. It
-	// suffices for a small fleet, and for 90 instances that start at once with a
-	// slack of 220.
+	// retryReserveShare is the part of the configured slack that the budget of an
+	// instance holds at its start. It suffices for a small fleet.
 	retryReserveShare = 1.0 / 16
-	maxRetryReserve   = 2.4
+	// maxRetryReserve limits, in retries, what an instance's budget holds at its start.
+	// It also suffices for 90 instances that start at once with a slack of 220: together
+	// they hold 216.
+	maxRetryReserve = 2.4
 )
 
 // retryConfig returns the retry budget of this instance, its share of the fleet's budget.
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -23,8 +23,8 @@
 	// watchersKey is the key whose owners watch the store.
 	watchersKey = "store-watchers"
 	// maxWatchers is the number of instances that watch the store for the others. If
-	// the store refuses a third of the instances, the probability that no watcher
-	// receives its changes is 0.2 % (0.35 to the sixth).
+	// the store refuses 35 % of the instances, the probability that no watcher receives
+	// its changes is 0.2 % (0.35 to the sixth).
 	maxWatchers = 6
 	// allWatchLimit is the fleet size up to which all instances watch the store. For a
 	// dozen instances the additional calls cost less than the delay of gossip.
--- a/daemon/load/load.go
+++ b/daemon/load/load.go
@@ -1,5 +1,5 @@
-// Package load exchanges load digests with the peers: it sends the requests in flight of
-// this instance and applies those of the other instances.
+// Package load exchanges load digests with the peers: it sends the counts of this instance's
+// requests in flight and applies the counts that the other instances send.
 package load
 
 import (
@@ -17,12 +17,13 @@
 // they are sent.
 const interval = 200 * time.Millisecond
 
-// digestTTL is the time for which the gates use a peer's digest.
+// digestTTL is the age up to which a peer's digest is applied to the router and the gates.
+// The gates also stop using it at this age; the router has its own limit.
 const digestTTL = 3 * time.Second
 
 // Limits of the digests that the gossip sends.
 const (
-	// maxLoadBytes is the maximum of bytes sent directly per second.
+	// maxLoadBytes is the maximum number of bytes sent directly per second.
 	maxLoadBytes = 1100
 	// directPeers is the number of peers to which a digest is sent directly.
 	directPeers = 7
@@ -35,8 +36,8 @@
 //
 // It prevents outdated digests in small clusters. If the direct bytes don't suffice for
 // a digest to each of seven peers, the gossip forwards digests from instance to instance,
-// as it has to among hundreds. Among eight instances most digests would then be older than
-// digestTTL.
+// as it has to among hundreds of instances. Among eight instances most digests would then
+// be older than digestTTL.
 func GossipConfig() spread.Config {
 	c := spread.DefaultConfig()
 	c.MaxLoadBytes = maxLoadBytes
--- a/daemon/orders/group.go
+++ b/daemon/orders/group.go
@@ -150,8 +150,8 @@
 }
 
 // start starts the controller of a pool. The caller holds the lock. Each controller gets
-// its own holder name: one that continued the lease of an earlier controller of this
-// instance would not know that one's orders in progress, and its numbering of the lease's
+// its own holder name. If it continued the lease of an earlier controller of this instance,
+// it would not know the earlier one's orders in progress, and its numbering of the lease's
 // writes would start again.
 func (g *Group) start(ctx context.Context, name string) *runningController {
 	g.startCount++
--- a/daemon/orders/observations.go
+++ b/daemon/orders/observations.go
@@ -9,9 +9,9 @@
 
 // Limits on the targets read in one reconciliation.
 const (
-	// maxRechecksPerPass bounds the targets that were complete when last read. A read
-	// takes about 240 bytes, and an instance may send 2 KB of control traffic per
-	// second, independently of the size of the pool.
+	// maxRechecksPerPass bounds the targets read again that were complete when last
+	// read. A read takes about 240 bytes, and an instance may send 2 KB of control
+	// traffic per second, independently of the size of the pool.
 	maxRechecksPerPass = 4
 	// maxIncompletePerPass bounds the targets that need orders or weren't read yet.
 	maxIncompletePerPass = 64
@@ -31,8 +31,8 @@
 }
 
 // selectDue returns the members to read in this reconciliation: those not known to be
-// complete and, in rotation, some of the others. Those that were read the longest ago come
-// first.
+// complete and, in rotation, some of the others. In each of the two groups the targets that
+// were read the longest ago come first.
 func (c *Controller) selectDue(members []Member) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,8 @@
 	c.observations[m.Incarnation] = observation{revision: revision, fencing: number, missing: missing, pass: c.pass}
 }
 
-// recordReadFailure records that a target couldn't be read in this reconciliation.
+// recordReadFailure records that a target couldn't be read in this reconciliation. The
+// target then counts as not known to be complete.
 func (c *Controller) recordReadFailure(m Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/orders/state.go
+++ b/daemon/orders/state.go
@@ -94,8 +94,8 @@
 	return entry, held
 }
 
-// describeMissing returns the orders that a target needs as text; none if it couldn't be
-// read.
+// describeMissing returns, as text, the orders that a target needs; none if the target
+// couldn't be read.
 func (o observation) describeMissing() []string {
 	texts := make([]string, 0, len(o.missing))
 	for _, order := range o.missing {
--- a/daemon/orders/wire_test.go
+++ b/daemon/orders/wire_test.go
@@ -14,8 +14,9 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// A renamed field or value changes what is stored of a pool's lease and orders: two
-// instances hold the lease at once, and operators read that no target lacks anything.
+// The stored form of a pool's lease and orders must not change. If a field or value were
+// renamed, instances of another build and operators would look for the old name: two
+// instances would hold the lease at once, and no target would seem to lack anything.
 func TestBytesOfStoredOrders(t *testing.T) {
 	rows := []struct {
 		name string
--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// forwardPlainReply forwards a reply that isn't a stream of events. One that isn't too long is
-// read completely before its head is sent.
+// forwardPlainReply forwards a reply that isn't a stream of events. A reply that isn't too long
+// is read completely before its head is sent.
 func (q *request) forwardPlainReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedReply))
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // forwardEvents parses bytes of a stream and sends the complete events. It returns an error for
-// what is no event or doesn't follow the events before it.
+// bytes that aren't an event, and for an event that doesn't follow the events before it.
 func (q *request) forwardEvents(reply *forward.Reply, events *sse.Splitter, p []byte, controller *http.ResponseController) error {
 	before := events.Events()
 	whole, err := events.Add(p)
@@ -177,9 +177,9 @@
 	return q.resumeID()
 }
 
-// completesStream reports whether a target's stream that has ended completes the caller's. A
-// stream without events may mean that nothing remained, but only if its end is marked by more
-// than the end of the connection.
+// completesStream reports whether a target's stream that has ended completes the caller's
+// stream. A stream without events may mean that nothing remained, but only if its end is marked
+// by more than the end of the connection.
 func (q *request) completesStream(events *sse.Splitter) bool {
 	if len(events.Partial()) > 0 {
 		return false
@@ -272,7 +272,7 @@
 	return errors.As(err, &refused) && refused.Reason == gather.ReasonIDInUse
 }
 
-// reasonCrashes is the reason of refusing a request because it crashes targets.
+// reasonCrashes is the reason for refusing a request that crashes targets.
 const reasonCrashes = "crashes_targets"
 
 // minRetryAfter is the shortest retry delay: about one stage call.
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -25,8 +25,8 @@
 	// maxFirstByteDelay is the time to the first byte after which a target is replaced, if
 	// that is allowed: several times what an engine takes for the longest prompts.
 	maxFirstByteDelay = 1200 * time.Millisecond
-	// maxEventGap is the longest pause of a stream that may be resumed elsewhere: a few times
-	// the pause that misses its objective.
+	// maxEventGap is the pause after which a stream that may be resumed is resumed at another
+	// target. It is a few times as long as a pause that misses the objective.
 	maxEventGap = 1200 * time.Millisecond
 	// hedgeShare is the share of the objective after which a plain request may be sent to
 	// another target, so that the second response can still meet the objective.
@@ -39,8 +39,7 @@
 var errTargetSilent = errors.New("the target was silent for too long")
 
 // attempt sends the request to one target. It reports whether another attempt is to follow.
-// If not, either the response has been forwarded or the error is the reason why there is
-// none.
+// If not, either the response has been forwarded or the error says why there is no response.
 func (q *request) attempt(ctx context.Context) (retry bool, err error) {
 	if err := q.checkBlocklist(ctx); err != nil {
 		return false, err
@@ -93,13 +92,13 @@
 	return q.relay.options.Router.Pick(time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), query)
 }
 
-// minLargeInput is the size in bytes from which on a stage's result is worth a target
-// nearby: transferring it between data centres costs as much as reading hundreds of tokens
-// again.
+// minLargeInput is the minimum size, in bytes, of a stage's result for which a target near it
+// is preferred: transferring a result of this size between data centres costs as much as
+// reading hundreds of tokens again.
 const minLargeInput = 256 << 10
 
-// inputShares returns where the large inputs of the request are produced, as shares of the
-// data centres; nil if it has none.
+// inputShares returns the data centres' shares of the targets that produce the request's first
+// large input; nil if the request has no large input.
 func (q *request) inputShares() map[string]float64 {
 	for _, i := range q.route.FinalStages() {
 		if st := q.route.Stages[i]; st.ResultBytes >= minLargeInput {
@@ -110,8 +109,8 @@
 }
 
 // lastSharedPart returns the ID of the last part of a prompt that other requests read too. The
-// very last part belongs to the request itself, or to its session, whose requests have the
-// parts before it in common.
+// very last part belongs to the request itself or to its session. The requests of a session
+// have the parts before it in common.
 func lastSharedPart(prefix []routing.PrefixPart) string {
 	if len(prefix) == 0 {
 		return ""
@@ -158,14 +157,15 @@
 	}
 	var refused *stages.RefusedError
 	if errors.As(err, &refused) {
-		// Another instance doesn't stop, so it has more time by the difference of the deadlines.
+		// A retry goes to another instance. If this one is stopping, the other one's deadline is
+		// later, so the retry delay is shorter by the difference.
 		refused.RetryAfter -= q.eventDeadline(time.Now()).Sub(r.Deadline)
 	}
 	return err
 }
 
-// stagesDeadline returns when the first event is due that the stages are run for. In a
-// planned stop it leaves time for the remaining response.
+// stagesDeadline returns the deadline for the first event that needs the stages' results.
+// During a planned stop it is early enough to leave time for the rest of the response.
 func (q *request) stagesDeadline(now time.Time) time.Time {
 	due := q.eventDeadline(now)
 	if window, stopping := q.relay.stopWindow(); stopping {
@@ -183,7 +183,7 @@
 )
 
 // eventDeadline returns when the next event is due: the first one or, if a stream was broken
-// off, the one that it resumes with. Work that ends later is of no use.
+// off, the event with which it resumes. Work that ends later is of no use.
 func (q *request) eventDeadline(now time.Time) time.Time {
 	if !q.isStream() {
 		return q.deadline
@@ -199,10 +199,10 @@
 	return q.deadline
 }
 
-// resumeObjective is when a stream that was broken off should resume. Its caller has a part of
-// the response and waits. By the request's own objective it would have missed its deadline,
-// and its stages would run after those of all requests that have not begun, until the caller
-// gives up.
+// resumeObjective is the time in which a stream that was broken off should resume. Its caller has
+// a part of the response and waits. By its own objective the request would already be late, and
+// its stages would run after those of all requests that have not begun, until the caller gives
+// up.
 const resumeObjective = 2 * time.Second
 
 // engineFirstEventTime is how long an engine takes to its first event, as measured at the
@@ -271,8 +271,8 @@
 	case !f.notRun && (!q.route.Repeatable() || q.possibleRuns >= q.route.MaxAttempts):
 		return false, err
 	case !f.notConnected && !q.payForRetry():
-		// The budget limits the load beyond a target's share; an attempt that reached no target
-		// added none.
+		// The budget limits the additional load on the targets. An attempt that reached no target
+		// caused no load, so its retry is free.
 		return false, err
 	}
 	q.retryPaid.Store(false)
--- a/daemon/relay/blocklist.go
+++ b/daemon/relay/blocklist.go
@@ -49,8 +49,8 @@
 // with err.
 //
 // A target that crashes closes all its connections, and then nothing listens at its address.
-// One that breaks off a single response, or whose connection was reset on the way, still
-// listens. The end of a target that was leaving was planned, so it isn't a crash.
+// A target still listens if it breaks off a single response or if a connection to it was
+// reset on the way. The end of a target that was leaving was planned, so it isn't a crash.
 func (q *request) recordAttemptEnd(ctx context.Context, err error) {
 	records := q.relay.options.Blocklist
 	var f *failure
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -2,8 +2,8 @@
 // route's service, after the route's stages have run.
 //
 // Each request gets one final response: the target's, or a refusal that states that it didn't
-// run and when to retry, or an error that promises nothing. What may have run and may not be
-// repeated is never sent a second time.
+// run and when to retry, or an error that promises nothing. A request that may have run
+// and may not be repeated is never sent a second time.
 package relay
 
 import (
@@ -36,10 +36,10 @@
 type StageRunner interface {
 	Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (stages.Result, error)
 	Drop(owner string, served placing.RequestEnd)
-	// EngineGone reports to an owner that nothing listens at an engine's address.
+	// ReportUnreachable reports to an owner that nothing listens at an engine's address.
 	ReportUnreachable(owner, pool, engine string)
-	// Bound shortens the deadline of requests that wait in Make, and refuses those that won't
-	// meet it. It doesn't wait.
+	// ShortenDeadlines shortens the deadlines of requests that wait in Execute, which returns
+	// at once for those that won't meet the new one. It doesn't wait.
 	ShortenDeadlines(until time.Time, ids ...string)
 }
 
@@ -57,7 +57,7 @@
 	KnowledgeAge func() time.Duration
 	Router       *routing.Table
 	Client       *forward.Client
-	// TargetShares returns the share of a service's targets that each data centre has.
+	// TargetShares returns the data centres' shares of a service's targets.
 	TargetShares func(service string) map[string]float64
 	Stages       StageRunner
 	Budgets      *retrybudget.Budgets
@@ -145,7 +145,7 @@
 	objective time.Time
 	deadline  time.Time
 
-	// mayHaveRun is set once bytes of an attempt were sent whose target didn't guarantee that nothing
+	// mayHaveRun is true if bytes of an attempt were sent and its target didn't guarantee that nothing
 	// was run.
 	mayHaveRun bool
 	// possibleRuns counts the attempts that may have run, refusals those that didn't.
@@ -207,9 +207,9 @@
 // chunked reports whether the body is sent in chunks.
 //
 // Prevents request smuggling by a body that has a length as well: net/http reads the chunks
-// and silently ignores the length. It would then treat what the length covers as the next
-// request, under an ID chosen by its sender. A connection that closes after the response has
-// no next request.
+// and silently ignores the length. It would then treat the bytes that the length covers as
+// the next request, under an ID chosen by its sender. A connection that closes after the
+// response has no next request.
 func chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
 // accept validates and reads the request. It returns false if it has sent a final response.
--- a/daemon/relay/stop.go
+++ b/daemon/relay/stop.go
@@ -14,7 +14,7 @@
 var (
 	// errNoTimeToSend ends the wait for stages that won't end before a planned stop.
 	errNoTimeToSend = errors.New("the instance stops before the request can be served")
-	// errStopEnded cancels what is in flight at the end of a planned stop.
+	// errStopEnded cancels the requests in flight at the end of a planned stop.
 	errStopEnded = errors.New("the instance stops")
 )
 
@@ -36,9 +36,9 @@
 	return s
 }
 
-// Drain begins the planned stop. The balancer has certainly noticed it by noticed. From now on
-// each response closes its connection, and requests that can't be answered by ends are
-// refused. What is still in flight then is cancelled.
+// Drain begins the planned stop. At the time noticed the balancer has certainly noticed it.
+// From now on each response closes its connection, and requests that can't be answered before
+// the time ends are refused. Requests still in flight at that time are cancelled.
 func (s *Relay) Drain(noticed, ends time.Time) {
 	s.stop.once.Do(func() {
 		s.stop.window = drain.Window{Start: time.Now(), BalancerNoticed: noticed, End: ends}
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -75,7 +75,7 @@
 type stageRunner struct {
 	started chan gather.Request
 	refused chan time.Time
-	// unreachable is true if the runner receives no deadlines of a stop.
+	// unreachable is true if the runner doesn't receive the deadlines that a stop shortens.
 	unreachable bool
 	// retryAfter is the retry delay of a refusal.
 	retryAfter time.Duration
@@ -215,7 +215,9 @@
 		began := time.Now()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
 		require.Equal(t, began.Add(4*time.Second+engineFirstEventTime), (<-m.started).Deadline)
-		// Its own deadline is 20 s, 15.75 s later.
+		// Both the runner's delay (18 s) and the deadline without a stop (20 s) are reduced by
+		// answerMargin. The stop's deadline (4.25 s) is 15.75 s before the unreduced 20 s, so the
+		// delay is 18 s - 15.75 s.
 		require.Equal(t, "2.25", w.Header().Get("Retry-After"))
 	})
 }
--- a/daemon/stages/assign.go
+++ b/daemon/stages/assign.go
@@ -46,8 +46,8 @@
 }
 
 // assignEngine chooses the engine of a request whose stages have completed. mu must be held.
-// It returns "" if the request's prompt is unknown, as for a request that was taken over and
-// whose requester hasn't asked here: the requester then chooses.
+// It returns "" if the request's prompt is unknown, as for a request that was taken over
+// before its requester asked here: the requester then chooses.
 func (q *queue) assignEngine(now time.Time, done gather.Completed) string {
 	prompt, ok := q.prompts[done.Request]
 	if !ok {
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -75,13 +75,14 @@
 	gather.CallTargetCrashed: "crashed",
 }
 
-// useFree separates the connections that are used to free results. Their responses contain
-// nothing that would tell them from a response to a call for pieces.
-const useFree = "free"
+// freeConnGroup is the group of the connections on which results are freed. They are kept
+// separate from those for stage calls, because nothing in a response to a free request tells
+// it from a response to a stage call.
+const freeConnGroup = "free"
 
-// sendCall sends a call and reads its results. A reused connection is in step, and kept, if
-// the response has a new result. Any other response may be a duplicate of that to an earlier
-// call, and the expected one may follow it.
+// sendCall sends a call and reads its results. A reused connection is kept only if the response
+// contains a new result. Any other response may be a duplicate of the response to an earlier
+// call, and the expected response may follow it on the connection.
 func (q *queue) sendCall(c gather.StartCall) ([]gather.PieceResult, gather.CallOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -93,9 +94,9 @@
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
-	inStep := !reply.Reused()
+	keepConn := !reply.Reused()
 	defer func() {
-		if !inStep {
+		if !keepConn {
 			reply.DiscardConn()
 		}
 		reply.Close()
@@ -117,11 +118,11 @@
 		err = errors.Newf("%d results for %d pieces", len(results), len(c.Pieces))
 	}
 	if err == nil && !q.responses.add(c.Target.Incarnation, results) {
-		inStep, err = false, errRepeatedResponse
+		keepConn, err = false, errRepeatedResponse
 	}
 	if err != nil {
 		return nil, gather.CallUnanswered, err
 	}
-	inStep = inStep || firstHandle(results) != ""
+	keepConn = keepConn || firstHandle(results) != ""
 	return results, gather.CallAnswered, nil
 }
--- a/daemon/stages/queue.go
+++ b/daemon/stages/queue.go
@@ -53,12 +53,12 @@
 	mu      sync.Mutex
 	planner *gather.Planner
 	engines *placing.Table
-	// prompts are those of the requests whose stages run here, by request ID. waiters have
-	// the channels that receive the requests' outcomes.
+	// prompts holds the prompts of the requests whose stages run here, by request ID. waiters
+	// holds the channels that receive the requests' outcomes.
 	prompts     map[string]placing.Prompt
 	waiters     map[string]chan outcome
 	pendingFree map[gather.Target][]string
-	// stall detects by bootClock and the time of day that this instance was stalled.
+	// stall detects, by bootClock and the time of day, that this instance was stalled.
 	stall     holder.StallDetector
 	bootClock boottime.Clock
 	// onStall is called after the queue was frozen because this instance was stalled.
@@ -137,8 +137,8 @@
 // execute runs the stages of a request and waits for their results. A request that was taken
 // over with another instance's queue continues with the results that it has.
 //
-// shortened means that its deadline was shortened since the first request for it. remote
-// means that another instance is the requester, to whose connection the context is bound.
+// shortened means that the request's deadline was shortened since it was first sent. remote
+// means that the requester is another instance; the context is then bound to its connection.
 func (q *queue) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, shortened, remote bool) (outcome, error) {
 	done, err := q.submit(ctx, r, prompt, shortened)
 	if err != nil {
@@ -342,7 +342,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	reply, err := q.client.Do(ctx, t.Address, request, forward.Options{Incarnation: t.Incarnation, ConnGroup: useFree})
+	reply, err := q.client.Do(ctx, t.Address, request, forward.Options{Incarnation: t.Incarnation, ConnGroup: freeConnGroup})
 	if err == nil {
 		_, err = io.Copy(io.Discard, reply)
 		reply.Close()
--- a/daemon/stages/readers.go
+++ b/daemon/stages/readers.go
@@ -10,7 +10,7 @@
 // resultReader is the instance that reads the results of a request.
 type resultReader struct {
 	instanceID
-	// deadline is the deadline of the request, at which the planner has dropped it.
+	// deadline is the deadline of the request. After it, the planner has dropped the request.
 	deadline time.Time
 }
 
@@ -23,7 +23,7 @@
 
 // dropOrphaned frees the results of requests whose requesters have died or restarted: nobody
 // reads them, and nobody will report their end. The results for requesters that leave as
-// planned stay, since these still serve the requests that they have.
+// planned are kept, since such requesters still serve the requests that they have.
 func (q *queue) dropOrphaned(now time.Time, view *membership.View) {
 	var orphaned []placing.RequestEnd
 	q.mu.Lock()
--- a/daemon/stages/responses.go
+++ b/daemon/stages/responses.go
@@ -21,8 +21,8 @@
 type recentResponses struct {
 	mu   sync.Mutex
 	seen map[string]struct{}
-	// keys are the seen ones. Once there are maxRecentResponses of them, oldest is the index
-	// of the oldest.
+	// keys holds the keys in seen, as a ring. Once it has maxRecentResponses keys, oldest is
+	// the index of the oldest one.
 	keys   []string
 	oldest int
 }
--- a/daemon/stages/shorten.go
+++ b/daemon/stages/shorten.go
@@ -35,7 +35,8 @@
 
 // ShortenDeadlines shortens the deadlines of this instance's requests that wait for their
 // stages, as the instance begins its planned stop. Execute returns a *RefusedError with
-// gather.ReasonStopping at once for those that won't complete by then. It doesn't wait.
+// gather.ReasonStopping at once for requests that won't complete by the new deadline.
+// ShortenDeadlines doesn't wait.
 //
 // Without it a request would wait until the grace period of its instance ends and then be
 // given up, when its caller has no time left to be served elsewhere.
--- a/daemon/stages/slowholder_test.go
+++ b/daemon/stages/slowholder_test.go
@@ -12,8 +12,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Prevents a second queue beside that of a live holder that responds slowly, and requests
-// that continue to be sent to one whose connection is silent.
+// Prevents a second queue beside the queue of a live holder that responds slowly, and
+// requests that continue to be sent to a holder with a silent connection.
 func TestSlowHolder(t *testing.T) {
 	const deadline = 3 * time.Second
 	cases := map[string]struct {
@@ -115,8 +115,8 @@
 	}
 }
 
-// Prevents a queue from being handed over to a third instance, while requesters turn to the
-// one whose connection was found lost after the holder's stall.
+// Prevents a queue from being handed over to a third instance while requesters turn to the
+// instance to which the holder's connection was found lost after its stall.
 func TestHandoverOverLostConnection(t *testing.T) {
 	for lost, holder := range map[int]string{1: "at-b", 2: "at-c"} {
 		synctest.Test(t, func(t *testing.T) {
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -384,9 +384,9 @@
 	return response, nil
 }
 
-// ActiveCount returns the number of requests whose stages this instance holds, of calls that
-// it carries out, also for another instance's queue, and of targets whose results it is about
-// to free.
+// ActiveCount returns the sum of three numbers: the requests whose stages this instance holds,
+// the calls that it carries out, also for another instance's queue, and the targets whose
+// results it is about to free.
 func (s *Stages) ActiveCount() int {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
--- a/daemon/stages/transfer.go
+++ b/daemon/stages/transfer.go
@@ -13,8 +13,8 @@
 	// here: some round trips between data centres, and the time until a lost connection is
 	// detected. After that nobody waits for it.
 	claimTimeout = 2 * time.Second
-	// callEndMargin is added to the timeout of a call whose end another instance reports;
-	// after that it counts as unanswered.
+	// callEndMargin is added to the timeout of a call if another instance reports its end.
+	// Without a report by then, the call counts as unanswered.
 	callEndMargin = 500 * time.Millisecond
 )
 
@@ -39,14 +39,14 @@
 
 // handoverState is the state of the handovers in which a queue took part.
 type handoverState struct {
-	// frozen means that a handover to another instance is in progress: until that has
-	// accepted the queue or not, nothing changes here. exported is the frozen state.
+	// frozen means that a handover to another instance is in progress: nothing changes here
+	// until it is known whether that instance has accepted the queue. exported is the frozen state.
 	frozen   bool
 	exported gather.State
 	// unfrozen is closed when the queue is no longer frozen.
 	unfrozen chan struct{}
 	// deferredSteps, deferredEnds and deferredDrops arrived while the queue was frozen.
-	// deferredTargets applies the targets that did.
+	// deferredTargets applies the targets that arrived in that time.
 	deferredSteps   []func(*gather.Planner) []gather.Action
 	deferredEnds    []callEnd
 	deferredDrops   []placing.RequestEnd
@@ -63,7 +63,7 @@
 	// renumbered are the new IDs of calls that changed when the queue was imported again, by
 	// their old IDs.
 	renumbered map[uint64]uint64
-	// remoteCalls are the IDs here of calls that other instances carry out.
+	// remoteCalls holds this instance's IDs of the calls that other instances carry out.
 	remoteCalls map[remoteCall]uint64
 	// unclaimed are the requests taken over whose requesters haven't asked here, with the
 	// time until which they are kept. earlyOutcomes are the outcomes of those that have
@@ -196,8 +196,8 @@
 	return true
 }
 
-// timeOutRemoteCall counts a call as unanswered whose end was not reported, and forgets one
-// that was handed over with the queue: its new holder has a timeout of its own.
+// timeOutRemoteCall counts a call as unanswered if its end was not reported. It only forgets
+// a call that was handed over with the queue, because the new holder has a timeout of its own.
 //
 // Prevents records from staying for ever if the instance that carries out the call has failed
 // and never reports its end.
@@ -263,7 +263,7 @@
 	q.performActions(actions)
 }
 
-// dropUnclaimed drops requests that were taken over and whose requesters never asked here.
+// dropUnclaimed drops requests that were taken over if their requesters never asked here.
 func (q *queue) dropUnclaimed(now time.Time) {
 	var expired []placing.RequestEnd
 	q.mu.Lock()
--- a/daemon/stages/unreachable.go
+++ b/daemon/stages/unreachable.go
@@ -11,10 +11,10 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// methodUnreachable reports an engine at whose address nothing listens.
+// methodUnreachable reports that nothing listens at the address of an engine.
 const methodUnreachable = "stages.gone"
 
-// unreachableTimeout limits that report.
+// unreachableTimeout limits the time to send the report.
 const unreachableTimeout = time.Second
 
 // unreachableReport is the body of methodUnreachable.
