--- a/client/harness_test.go
+++ b/client/harness_test.go
@@ -19,15 +19,15 @@
 	"github.com/ivyhollow/ivyhollow/transport/platform"
 )
 
-// fakeStore is a store in memory whose hooks can fail a call or change records
-// concurrently.
+// fakeStore is an in-memory store. Its hooks can fail a call, or change records during
+// the call.
 type fakeStore struct {
 	objects  map[string]map[string]platformapi.Object
 	revision uint64
 	events   []platformapi.Event
 	calls    []string
 	// beforeCall runs before each call, afterWrite after each write that took
-	// effect; an error is that of the call.
+	// effect. The call returns the error of the hook.
 	beforeCall func(call string) error
 	afterWrite func(call string) error
 }
@@ -51,7 +51,8 @@
 	return s.afterWrite(call)
 }
 
-// set writes a record as another client does.
+// set writes a record without running hooks or checking the revision. Tests use it to
+// simulate a write of another client.
 func (s *fakeStore) set(kind, name, spec, status string) {
 	s.revision++
 	if s.objects[kind] == nil {
--- a/client/submit.go
+++ b/client/submit.go
@@ -137,15 +137,15 @@
 	app      *app
 	cmd      *cli.Command
 	response *http.Response
-	// nextOffset is the offset of the next token.
+	// nextOffset is the offset of the next token, counted in tokens.
 	nextOffset int
 	// received is the concatenation of the tokens so far; the limit on the body
 	// bounds its length.
 	received strings.Builder
 }
 
-// read handles events until the one that ends the stream. A stream that ends
-// without it is truncated.
+// read handles events until one ends the stream. A stream that ends without such an
+// event is truncated.
 func (s *answerStream) read() error {
 	events := sse.NewDecoder(io.LimitReader(s.response.Body, maxResponseBytes), sse.Limits{})
 	for {
@@ -180,8 +180,8 @@
 	return false, nil
 }
 
-// handleToken prints a token. A token out of order means that one was lost or
-// repeated, so that the printed text isn't the answer.
+// handleToken records a token and prints it in table format. A token out of order
+// means that one was lost or repeated, so the printed text isn't the answer.
 func (s *answerStream) handleToken(event sse.Event) error {
 	if event.ID != strconv.Itoa(s.nextOffset) {
 		return truncatedAnswer(s.response, errors.Newf("token %q came in place of token %d", event.ID, s.nextOffset))
@@ -198,9 +198,10 @@
 	return nil
 }
 
-// finish prints the part of the answer that the tokens didn't contain. The stored
-// answer of a repeated request arrives without tokens: without this the output
-// would be an empty line and a success.
+// finish prints the part of the answer that the tokens didn't contain; as JSON it
+// prints the whole answer, since tokens aren't printed then. The stored answer to a
+// repeated request arrives without tokens: the output would otherwise be an empty
+// line, with success reported.
 func (s *answerStream) finish(answer callerapi.Response) error {
 	remaining, ok := strings.CutPrefix(answer.Output, s.received.String())
 	if !ok {
@@ -212,8 +213,8 @@
 	return s.app.printAnswer(s.cmd, answer)
 }
 
-// truncatedAnswer returns the error of an answer that ended early: the request was
-// run, at least in part.
+// truncatedAnswer returns the error for an answer that ended early or is invalid. The
+// request was run, at least in part.
 func truncatedAnswer(response *http.Response, cause error) error {
 	return &RequestError{Problem: callerapi.Problem{
 		Title: "the answer was cut off", Detail: cause.Error(),
--- a/emulator/platform/faults.go
+++ b/emulator/platform/faults.go
@@ -23,8 +23,8 @@
 
 // Faults describes the faults in force; the zero value has none.
 type Faults struct {
-	// Instances limits the faults below to calls of these instances; empty means
-	// all.
+	// Instances limits all faults except DropHistory to calls of these instances;
+	// empty means all.
 	Instances []string `json:"instances,omitempty"`
 	// Calls limits Down and LatencyMS to these kinds of calls; empty means all.
 	Calls []CallKind `json:"calls,omitempty"`
@@ -32,9 +32,9 @@
 	LatencyMS int `json:"latency_ms,omitempty"`
 	// Down fails each call before any effect.
 	Down Failure `json:"down,omitempty"`
-	// LoseWrites loses the responses of the given number of next writes, LoseShare
-	// those of a share of the writes after them. The write takes effect at once,
-	// or after ApplyAfterMS.
+	// LoseWrites loses the responses to the given number of next writes, LoseShare
+	// the responses to a share of the writes after them. These writes take effect at
+	// once, or after ApplyAfterMS.
 	LoseWrites   int     `json:"lose_writes,omitempty"`
 	LoseShare    float64 `json:"lose_share,omitempty"`
 	ApplyAfterMS int     `json:"apply_after_ms,omitempty"`
@@ -42,15 +42,16 @@
 	LoseBy Failure `json:"lose_by,omitempty"`
 	// StaleBy makes reads stale by the given number of revisions.
 	StaleBy uint64 `json:"stale_by,omitempty"`
-	// MuteWatches withholds all events from watches, SkipEvents the given number of
-	// next events.
+	// MuteWatches withholds all events from watches, SkipEvents only the given number
+	// of next events.
 	MuteWatches bool `json:"mute_watches,omitempty"`
 	SkipEvents  int  `json:"skip_events,omitempty"`
 	// DropHistory drops the history of changes once, when the faults are set.
 	DropHistory bool `json:"drop_history,omitempty"`
 }
 
-// affects reports whether the faults apply to calls of the instance.
+// affects reports whether the faults, apart from DropHistory, apply to calls of the
+// instance.
 func (f *Faults) affects(instance string) bool {
 	return len(f.Instances) == 0 || slices.Contains(f.Instances, instance)
 }
@@ -105,7 +106,7 @@
 	}
 }
 
-// sampleLoss returns how the response of a write is lost, if it is, and the delay of
+// sampleLoss returns how the response to a write is lost, if it is, and the delay of
 // the write's effect. The caller must hold s.mu.
 func (s *Store) sampleLoss(instance string) (Failure, time.Duration) {
 	f := &s.faults
--- a/emulator/target/target_test.go
+++ b/emulator/target/target_test.go
@@ -56,7 +56,7 @@
 	return decoded
 }
 
-func runInBubble(t *testing.T, options Options, test func(t *testing.T, target *Target)) {
+func runInVirtualTime(t *testing.T, options Options, test func(t *testing.T, target *Target)) {
 	synctest.Test(t, func(t *testing.T) {
 		target := New(options)
 		defer target.Close()
@@ -85,7 +85,7 @@
 	engine := Options{Kind: catalog.KindEngine, CallTime: 100 * time.Millisecond, TokenTime: 10 * time.Millisecond,
 		BatchSlowdown: 0.5, PrefillRate: 1000, CacheTokens: 1000}
 	prefix := targetapi.RunRequest{Prefix: []targetapi.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 300}}}
-	runInBubble(t, engine, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, engine, func(t *testing.T, target *Target) {
 		require.Equal(t, 200*time.Millisecond, run(t.Context(), target, "1", tenTokens).elapsed)
 		resumed := targetapi.RunRequest{Stage: "s", MaxTokens: 10, ResumeFrom: 7}
 		require.Equal(t, 137*time.Millisecond, run(t.Context(), target, "resumed", resumed).elapsed, "7 tokens read, 3 generated")
@@ -102,11 +102,11 @@
 }
 
 // The deadline of a queued call passes, the queue is full, or a queued call is
-// cancelled. The target must not run the call and must report that: the caller
-// couldn't retry otherwise.
+// cancelled. The target must not run the call and must report that it hasn't run:
+// otherwise the caller couldn't retry.
 func TestRefusedInTheQueue(t *testing.T) {
 	options := Options{Kind: catalog.KindService, Slots: 1, QueueLimit: 1, CallTime: time.Second}
-	runInBubble(t, options, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, options, func(t *testing.T, target *Target) {
 		active := startRun(t, target, "running", targetapi.RunRequest{})
 		queued := startRun(t, target, "queued", targetapi.RunRequest{}, targetapi.HeaderDeadline, "300")
 		full := run(t.Context(), target, "full", targetapi.RunRequest{})
@@ -125,15 +125,15 @@
 	})
 }
 
-// An urgent call arrives while a less urgent one holds the only slot. An engine
-// yields the slot at the next token, and the preempted call completes later with its
-// whole answer; other kinds of targets don't preempt.
+// An urgent call arrives while a less urgent one holds the only slot. In an engine
+// the urgent call gets the slot at the next token, and the preempted call completes
+// later with its whole answer. Other kinds of targets don't preempt.
 func TestUrgentCallPreempts(t *testing.T) {
 	for kind, urgentElapsed := range map[catalog.PoolKind]time.Duration{
 		catalog.KindEngine: 105 * time.Millisecond, catalog.KindReranker: 1095 * time.Millisecond,
 	} {
 		options := Options{Kind: kind, Slots: 1, TokenTime: 10 * time.Millisecond}
-		runInBubble(t, options, func(t *testing.T, target *Target) {
+		runInVirtualTime(t, options, func(t *testing.T, target *Target) {
 			long := targetapi.RunRequest{MaxTokens: 100}
 			slow := startRun(t, target, "slow", long, targetapi.HeaderPriority, "8")
 			<-time.After(5 * time.Millisecond)
@@ -150,7 +150,7 @@
 // An attempt is cancelled in the middle of its stream, or the target is closed. The
 // caller must get an error and never a done event.
 func TestStoppedStream(t *testing.T) {
-	runInBubble(t, Options{TokenTime: time.Second, KeepAlive: 300 * time.Millisecond}, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, Options{TokenTime: time.Second, KeepAlive: 300 * time.Millisecond}, func(t *testing.T, target *Target) {
 		stream := startRun(t, target, "x", tenTokens, "Accept", "text/event-stream")
 		<-time.After(1500 * time.Millisecond)
 		call(t.Context(), target, http.MethodPost, targetapi.PathCancel, targetapi.CancelRequest{AttemptID: "x"})
@@ -187,7 +187,7 @@
 // meanwhile.
 func TestLoadLags(t *testing.T) {
 	options := Options{Slots: 3, CallTime: time.Second, ReportLag: 400 * time.Millisecond}
-	runInBubble(t, options, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, options, func(t *testing.T, target *Target) {
 		load := func() int {
 			return decode[targetapi.Load](t, call(t.Context(), target, http.MethodGet, targetapi.PathLoad, nil)).Active
 		}
@@ -211,7 +211,7 @@
 
 func TestCacheEventsLagAndAreLost(t *testing.T) {
 	options := Options{CacheTokens: 10, EventLag: time.Second, EventLoss: 0.3}
-	runInBubble(t, options, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, options, func(t *testing.T, target *Target) {
 		read := func(after uint64) targetapi.CacheEvents {
 			path := targetapi.PathCacheEvents + "?after=" + fmt.Sprint(after)
 			return decode[targetapi.CacheEvents](t, call(t.Context(), target, http.MethodGet, path, nil))
@@ -251,11 +251,11 @@
 	}
 }
 
-// Orders overlap: while an order of an old lease holder is still loading, its
-// successor sends a newer one. The old order must not take effect at its end.
+// Orders overlap: while an order of an old lease holder is still loading, the next
+// holder sends a newer order. The old order must not take effect when its load ends.
 func TestOldOrderCompletesAfterNewerOne(t *testing.T) {
 	options := Options{ChecksFencing: true, LoadTime: time.Second, Models: []string{}}
-	runInBubble(t, options, func(t *testing.T, target *Target) {
+	runInVirtualTime(t, options, func(t *testing.T, target *Target) {
 		send := func(order targetapi.Order) int {
 			got := call(t.Context(), target, http.MethodPost, targetapi.PathOrders, order)
 			if order.Fencing == 0 {
--- a/protocol/loadwire/loadwire.go
+++ b/protocol/loadwire/loadwire.go
@@ -51,8 +51,8 @@
 }
 
 // Encode encodes a digest in at most limit bytes. It leaves out the last targets
-// and the pools of least demand that do not fit. Loads of pools are rounded, with
-// an error of at most one part in twenty.
+// and the pools of least demand that don't fit. Loads of pools are rounded, with an
+// error of at most one part in twenty of load+1.
 //
 // Gossip drops a digest above its size limit. Without the limit here, peers would
 // receive nothing at all under load, when digests are largest.
--- a/protocol/loadwire/loadwire_test.go
+++ b/protocol/loadwire/loadwire_test.go
@@ -15,7 +15,8 @@
 
 // If many pools and targets are busy, the digest must still be sent, or instances
 // would have no news of one another while they contend for targets. Decoded values
-// must equal the encoded ones, with the loads of pools to one part in twenty.
+// must equal the encoded ones; for loads of pools, load+1 must be within one part in
+// twenty.
 func TestDigestFitsAndRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Digest{Pools: map[string]tiers.Digest{}}
--- a/protocol/loadwire/pack.go
+++ b/protocol/loadwire/pack.go
@@ -124,9 +124,10 @@
 // codesPerDoubling is the number of codes per doubling of a load.
 const codesPerDoubling = 8
 
-// packLoad encodes a load in one byte by its logarithm: 0 and 1 are exact, other
-// loads have an error of at most one part in twenty, or one part in forty of
-// load+1.
+// packLoad encodes the logarithm of load+1 in one byte. It rounds load+1 by at most
+// 4.5% (2^(1/16)-1). Thus 0 and 1 are exact and other whole loads have an error of at
+// most one part in twenty, but the share is larger for fractional loads below 8. The
+// largest code, 255, stands for 3.9e9; larger loads get it too.
 func packLoad(load float32) byte {
 	code := math.Round(codesPerDoubling * math.Log2(1+float64(max(load, 0))))
 	return byte(min(code, math.MaxUint8))
--- a/testkit/experiment/grid.go
+++ b/testkit/experiment/grid.go
@@ -14,10 +14,12 @@
 	Seeds    []uint64
 	Policies []Policy
 	Length   time.Duration
+	// AgeKnown is Config.AgeKnown of all runs.
 	AgeKnown bool
 }
 
-// Cell is one point of a grid with the results of all seeds.
+// Cell is one combination of shape, policy, load and fault, with the results of all
+// seeds.
 type Cell struct {
 	Shape, Policy string
 	Load          float64
@@ -28,7 +30,8 @@
 // maxParallel is the largest number of runs at once.
 const maxParallel = 4
 
-// Run executes the grid and returns its cells in the order of the lists.
+// Run executes the runs of the grid. It returns the cells ordered by shape, then fault,
+// load and policy, each in the order of its list.
 func (g *Grid) Run() []*Cell {
 	var cells []*Cell
 	var work []func()
--- a/testkit/experiment/result.go
+++ b/testkit/experiment/result.go
@@ -17,7 +17,7 @@
 )
 
 // requestRecord is the history of an offered request, from which the result is
-// computed. successful holds the attempt of each stage whose response was used.
+// computed. successful holds, for each stage, the attempt whose response was used.
 type requestRecord struct {
 	request     *Request
 	outcome     requestOutcome
@@ -36,9 +36,10 @@
 	Refused, Failed   int
 	Tiers             []TierResult
 	Stages            []StageResult
-	// Attempts is the number of attempts sent, Hedges how many of them were hedges.
+	// Attempts is the number of attempts sent, including hedges; Hedges is the number
+	// of hedges among them.
 	Attempts, Hedges int
-	// AvoidableTokens is the number of tokens that were prefilled although
+	// AvoidableTokens is the number of tokens that an engine prefilled although
 	// another engine had them cached.
 	AvoidableTokens int
 	// ResponseTimes holds the times from the intended arrival to the complete
@@ -46,14 +47,14 @@
 	ResponseTimes *hdrhistogram.Histogram
 }
 
-// TierResult is the number of requests of a tier.
+// TierResult holds the numbers of offered and attained requests of a tier.
 type TierResult struct {
 	Name              string
 	Offered, Attained int
 }
 
-// StageResult is the work done for a stage by all attempts, and the part that
-// was wasted: that of attempts that contributed to no attained request.
+// StageResult is the work done for a stage by all attempts, and the part that was
+// wasted: the work of attempts whose response wasn't used for an attained request.
 type StageResult struct {
 	Name                string
 	Seconds             float64
@@ -111,7 +112,8 @@
 	return a / b
 }
 
-// warmUpShare is the first part of a run, whose requests are not counted.
+// warmUpShare is the share of a run's length that is warm-up. Requests whose intended
+// arrival is in it aren't counted.
 const warmUpShare = 0.1
 
 const (
--- a/testkit/scenario/testbed.go
+++ b/testkit/scenario/testbed.go
@@ -37,13 +37,14 @@
 // platformProcess is the name of the platform's process.
 const platformProcess = "platform"
 
-// budgetPattern matches the account budget of the sample records. The "busy" records have no
-// budget, so that the load of a scenario, including retries, is never refused because of it.
+// budgetPattern matches the account budget of the sample records. In the "busy" records the
+// budget is 0, which means none, so that the load of a scenario, including retries, is never
+// refused because of it.
 var budgetPattern = regexp.MustCompile(`"requests_per_s":\s*\d+`)
 
 type testbedKey struct{}
 
-// Setup prepares a scenario, and kills its processes at its end.
+// Setup prepares a scenario, and kills its processes when it ends.
 func Setup(env *testscript.Env) error {
 	tb := &testbed{
 		directory: env.WorkDir,
--- a/testkit/soak/injector.go
+++ b/testkit/soak/injector.go
@@ -18,9 +18,9 @@
 	standin.EmptyStream, standin.TruncatesEnd, standin.UnnumberedThenTruncates, standin.CommentsThenTruncates, standin.EmptyUnframedStream,
 }
 
-// breakFaults break off a stream of which the caller already has a part. Half of the first
-// faults are sampled from these: the retry budget lets few requests be resumed, and only these
-// faults lead to a resume in the middle of a response.
+// breakFaults spoil a stream after its first bytes: they truncate it or append a second
+// response. Half of the first faults are sampled from these: the retry budget lets few requests
+// be resumed, and only these faults lead to a resume in the middle of a response.
 var breakFaults = []standin.Fault{standin.Truncates, standin.TruncatesEnd, standin.CommentsThenTruncates, standin.SecondResponse}
 
 const (
@@ -36,18 +36,18 @@
 	recoveredOneIn = 3
 )
 
-// faultInjector decides how targets serve requests: single targets may inject faults, or all
-// engines at once.
+// faultInjector decides with which faults targets serve requests: single targets may inject
+// faults, or all engines at once.
 type faultInjector struct {
 	seed uint64
 
 	mu sync.Mutex
-	// targetFaults holds the fault source of each target that injects faults by itself, by
-	// name.
+	// targetFaults holds, by target name, the fault source of each target that injects faults
+	// by itself.
 	targetFaults map[string]func() standin.Fault
 	// oneIn is N if one in N requests meets faults at the engines; 0 for none.
 	oneIn int
-	// injected holds the faults that each request met at engines, in order.
+	// injected holds, by request id, the faults that each request met at engines, in order.
 	injected map[string][]standin.Fault
 }
 
@@ -98,13 +98,13 @@
 		}
 	}
 	if fault == standin.EmptyStream && a.ResumesAfter() != "" {
-		// After an event, Empty is the valid response of a target that has no events left.
+		// After an event, EmptyStream is the valid response of a target that has no events left.
 		return standin.EmptyUnframedStream
 	}
 	return fault
 }
 
-// injectAt has one target inject faults until the returned function is called.
+// injectAt makes one target inject faults until the returned function is called.
 func (f *faultInjector) injectAt(target string, fault func() standin.Fault) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// setRate has one in so many requests meet faults at all engines; 0 ends it.
+// setRate makes one in oneIn requests meet faults at all engines; 0 ends this.
 func (f *faultInjector) setRate(oneIn int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,7 +130,7 @@
 	return slices.Clone(f.injected[id])
 }
 
-// injectEngineFaults repeatedly has all engines inject faults at once until the given time, so
+// injectEngineFaults repeatedly makes all engines inject faults at once until the given time, so
 // that a stream meets one fault at its first target and another at its second.
 func (tb *testbed) injectEngineFaults(until time.Time) {
 	random := rand.New(rand.NewPCG(tb.options.Seed, 3<<32))
--- a/transport/inbound/server_test.go
+++ b/transport/inbound/server_test.go
@@ -12,28 +12,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bound is the timeout of waits; no test may reach it.
-const bound = 10 * time.Second
+// waitTimeout bounds each wait of a test; a test that reaches it fails.
+const waitTimeout = 10 * time.Second
 
-const text = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+const requestText = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// rig is a server under test.
-type rig struct {
+// testServer is a server under test.
+type testServer struct {
 	t      *testing.T
 	server *Server
-	// entered receives a value when a request reaches the handler, which responds when
-	// it receives one from release; both are nil if the handler responds at once.
+	// entered receives a value when a request reaches the handler. The handler then waits
+	// for a value from release before it responds. Both are nil if it responds at once.
 	entered, release chan struct{}
 }
 
-func newRig(t *testing.T, l net.Listener, holds bool) *rig {
-	r := &rig{t: t}
-	if holds {
-		r.entered, r.release = make(chan struct{}, 16), make(chan struct{}, 16)
+func newTestServer(t *testing.T, l net.Listener, waitsForRelease bool) *testServer {
+	s := &testServer{t: t}
+	if waitsForRelease {
+		s.entered, s.release = make(chan struct{}, 16), make(chan struct{}, 16)
 	}
-	r.server = New(l, http.HandlerFunc(r.handle), Options{})
-	t.Cleanup(r.server.Close)
-	return r
+	s.server = New(l, http.HandlerFunc(s.handle), Options{})
+	t.Cleanup(s.server.Close)
+	return s
 }
 
 func listen(t *testing.T) net.Listener {
@@ -43,16 +43,16 @@
 	return l
 }
 
-func (r *rig) handle(w http.ResponseWriter, _ *http.Request) {
-	if r.entered != nil {
-		r.entered <- struct{}{}
-		<-r.release
+func (s *testServer) handle(w http.ResponseWriter, _ *http.Request) {
+	if s.entered != nil {
+		s.entered <- struct{}{}
+		<-s.release
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (r *rig) serve() {
-	go func() { _ = r.server.Serve() }() // Drain waits for its end
+func (s *testServer) serve() {
+	go func() { _ = s.server.Serve() }() // Drain waits for Serve to end
 }
 
 // caller is a client connection to the server.
@@ -62,12 +62,12 @@
 	reader *bufio.Reader
 }
 
-func (r *rig) dial() *caller {
-	nc, err := net.Dial("tcp", r.server.listener.Addr().String())
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = nc.Close() })
-	require.NoError(r.t, nc.SetDeadline(time.Now().Add(bound)))
-	return &caller{nc, r.t, bufio.NewReader(nc)}
+func (s *testServer) dial() *caller {
+	nc, err := net.Dial("tcp", s.server.listener.Addr().String())
+	require.NoError(s.t, err)
+	s.t.Cleanup(func() { _ = nc.Close() })
+	require.NoError(s.t, nc.SetDeadline(time.Now().Add(waitTimeout)))
+	return &caller{nc, s.t, bufio.NewReader(nc)}
 }
 
 func (c *caller) send(text string) {
@@ -88,81 +88,81 @@
 	require.ErrorIs(c.t, err, io.EOF)
 }
 
-func (r *rig) drain() {
-	ctx, cancel := context.WithTimeout(r.t.Context(), bound)
+func (s *testServer) drain() {
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitTimeout)
 	defer cancel()
-	require.NoError(r.t, r.server.Drain(ctx))
-	require.Zero(r.t, r.server.OpenConns())
+	require.NoError(s.t, s.server.Drain(ctx))
+	require.Zero(s.t, s.server.OpenConns())
 }
 
-// Draining closes idle connections, so that their callers use another instance, and no
-// others.
+// Draining closes only idle connections at once, so that their callers use another
+// instance. A connection opened later still gets a response, and closes after it.
 func TestDrainClosesIdleConnections(t *testing.T) {
-	r := newRig(t, listen(t), false)
-	r.serve()
-	idle := r.dial()
-	idle.send(text)
+	s := newTestServer(t, listen(t), false)
+	s.serve()
+	idle := s.dial()
+	idle.send(requestText)
 	require.False(t, idle.readResponse())
-	r.server.BeginDrain()
+	s.server.BeginDrain()
 	idle.requireClosed()
-	later := r.dial()
-	later.send(text)
+	later := s.dial()
+	later.send(requestText)
 	require.True(t, later.readResponse())
 	later.requireClosed()
-	r.drain()
+	s.drain()
 }
 
-// gated accepts connections whose reads block until the gate is closed, like those of a
+// pausedListener accepts connections whose reads block until resumed is closed, as in a
 // process that is paused.
-type gated struct {
+type pausedListener struct {
 	net.Listener
-	gate chan struct{}
+	resumed chan struct{}
 }
 
-type gatedConn struct {
+type pausedConn struct {
 	*net.TCPConn
-	gate chan struct{}
+	resumed chan struct{}
 }
 
-func (g *gated) Accept() (net.Conn, error) {
-	nc, err := g.Listener.Accept()
+func (l *pausedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &gatedConn{nc.(*net.TCPConn), g.gate}, nil
+	return &pausedConn{nc.(*net.TCPConn), l.resumed}, nil
 }
 
-func (c *gatedConn) Read(p []byte) (int, error) {
-	<-c.gate
+func (c *pausedConn) Read(p []byte) (int, error) {
+	<-c.resumed
 	return c.TCPConn.Read(p)
 }
 
 // An instance was paused, and a request lies unread in the socket. When the instance
 // resumes, it drains at once, and the connection looks idle. The request must be served.
 func TestDrainServesUnreadRequest(t *testing.T) {
-	g := &gated{listen(t), make(chan struct{})}
-	r := newRig(t, g, false)
-	r.serve()
-	c := r.dial()
-	c.send(text)
-	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
-	r.server.connections()[0].drain()
-	close(g.gate)
+	listener := &pausedListener{listen(t), make(chan struct{})}
+	s := newTestServer(t, listener, false)
+	s.serve()
+	c := s.dial()
+	c.send(requestText)
+	require.Eventually(t, func() bool { return s.server.CountByState()[Unread] == 1 }, waitTimeout, time.Millisecond)
+	s.server.connections()[0].drain()
+	close(listener.resumed)
 	c.readResponse()
-	r.drain()
+	s.drain()
 	c.requireClosed()
 }
 
 // Half of a request's head has been read when draining begins. The other half arrives
 // later.
 func TestDrainWaitsForPartialHead(t *testing.T) {
-	r := newRig(t, listen(t), false)
-	r.serve()
-	c := r.dial()
-	c.send(text[:10])
-	require.Eventually(t, func() bool { return r.server.CountByState()[Busy] == 1 }, bound, time.Millisecond)
-	r.server.BeginDrain()
-	c.send(text[10:])
+	s := newTestServer(t, listen(t), false)
+	s.serve()
+	c := s.dial()
+	c.send(requestText[:10])
+	require.Eventually(t, func() bool { return s.server.CountByState()[Busy] == 1 }, waitTimeout, time.Millisecond)
+	s.server.BeginDrain()
+	c.send(requestText[10:])
 	require.True(t, c.readResponse())
 	c.requireClosed()
 }
@@ -171,30 +171,30 @@
 // been read ahead when draining begins, and the response to the first request doesn't
 // announce that the connection closes.
 func TestDrainServesRequestReadAhead(t *testing.T) {
-	r := newRig(t, listen(t), true)
-	r.serve()
-	c := r.dial()
-	c.send(text)
-	<-r.entered
-	c.send(text[:1])
-	connection := r.server.connections()[0]
+	s := newTestServer(t, listen(t), true)
+	s.serve()
+	c := s.dial()
+	c.send(requestText)
+	<-s.entered
+	c.send(requestText[:1])
+	connection := s.server.connections()[0]
 	require.Eventually(t, func() bool {
 		connection.mu.Lock()
 		defer connection.mu.Unlock()
 		return connection.readAhead
-	}, bound, time.Millisecond)
-	r.server.BeginDrain()
-	r.release <- struct{}{}
+	}, waitTimeout, time.Millisecond)
+	s.server.BeginDrain()
+	s.release <- struct{}{}
 	require.False(t, c.readResponse())
 	require.Eventually(t, func() bool {
 		connection.mu.Lock()
 		defer connection.mu.Unlock()
 		return connection.responded
-	}, bound, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	require.Equal(t, Busy, connection.state())
-	c.send(text[1:])
-	<-r.entered
-	r.release <- struct{}{}
+	c.send(requestText[1:])
+	<-s.entered
+	s.release <- struct{}{}
 	require.True(t, c.readResponse())
 	c.requireClosed()
 }
@@ -202,77 +202,77 @@
 // Callers have opened connections and sent requests that are still in the accept queue
 // when accepting stops. Closing the listener would reset them.
 func TestDrainServesAcceptQueue(t *testing.T) {
-	r := newRig(t, listen(t), false)
-	callers := []*caller{r.dial(), r.dial(), r.dial()}
+	s := newTestServer(t, listen(t), false)
+	callers := []*caller{s.dial(), s.dial(), s.dial()}
 	for _, c := range callers {
-		c.send(text)
+		c.send(requestText)
 	}
-	r.server.listener.drain()
-	r.serve()
+	s.server.listener.drain()
+	s.serve()
 	for _, c := range callers {
 		c.readResponse()
 	}
-	r.drain()
-	_, err := net.Dial("tcp", r.server.listener.Addr().String())
+	s.drain()
+	_, err := net.Dial("tcp", s.server.listener.Addr().String())
 	require.Error(t, err)
 }
 
 // A request is being served when Drain is called: the caller gets its response, and Drain
 // returns after it.
 func TestDrainWaitsForResponses(t *testing.T) {
-	r := newRig(t, listen(t), true)
-	r.serve()
-	c := r.dial()
-	c.send(text)
-	<-r.entered
+	s := newTestServer(t, listen(t), true)
+	s.serve()
+	c := s.dial()
+	c.send(requestText)
+	<-s.entered
 	finished := make(chan error, 1)
-	go func() { finished <- r.server.Drain(t.Context()) }()
-	require.Eventually(t, r.server.isDraining, bound, time.Millisecond)
+	go func() { finished <- s.server.Drain(t.Context()) }()
+	require.Eventually(t, s.server.isDraining, waitTimeout, time.Millisecond)
 	select {
 	case <-finished:
 		require.Fail(t, "Drain didn't wait for the response")
 	default:
 	}
-	r.release <- struct{}{}
+	s.release <- struct{}{}
 	c.readResponse()
 	require.NoError(t, <-finished)
 }
 
 // A request never ends. Drain returns the context's error when the context ends.
 func TestDrainEndsWithContext(t *testing.T) {
-	r := newRig(t, listen(t), true)
-	r.serve()
-	c := r.dial()
-	c.send(text)
-	<-r.entered
+	s := newTestServer(t, listen(t), true)
+	s.serve()
+	c := s.dial()
+	c.send(requestText)
+	<-s.entered
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.ErrorIs(t, r.server.Drain(ctx), context.Canceled)
-	r.release <- struct{}{}
+	require.ErrorIs(t, s.server.Drain(ctx), context.Canceled)
+	s.release <- struct{}{}
 }
 
-// Two requests arrive in one segment, so the second one's bytes are in net/http's buffer
-// while the first is served, and none of them is read from the socket. Draining begins
+// Two requests arrive in one segment, so the bytes of the second are in net/http's buffer
+// while the first is served, and none of them is read from the socket later. Draining begins
 // during the first or the second request. Prevents closing the connection as idle while
 // the target runs the second request.
 func TestDrainServesBufferedRequest(t *testing.T) {
 	for name, stopDuring := range map[string]int{"the first": 1, "the second": 2} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, listen(t), true)
-			r.serve()
-			c := r.dial()
-			c.send(text + text)
+			s := newTestServer(t, listen(t), true)
+			s.serve()
+			c := s.dial()
+			c.send(requestText + requestText)
 			for n := 1; n <= 2; n++ {
-				<-r.entered
+				<-s.entered
 				if n == stopDuring {
-					r.server.BeginDrain()
-					require.Equal(t, Busy, r.server.connections()[0].state())
+					s.server.BeginDrain()
+					require.Equal(t, Busy, s.server.connections()[0].state())
 				}
-				r.release <- struct{}{}
+				s.release <- struct{}{}
 				c.readResponse()
 			}
 			c.requireClosed()
-			r.drain()
+			s.drain()
 		})
 	}
 }
@@ -280,70 +280,70 @@
 // Half of the second request's head is in net/http's buffer when draining begins. The
 // other half arrives later.
 func TestDrainWaitsForPartialBufferedHead(t *testing.T) {
-	r := newRig(t, listen(t), true)
-	r.serve()
-	c := r.dial()
-	c.send(text + text[:10])
-	<-r.entered
-	connection := r.server.connections()[0]
-	r.release <- struct{}{}
+	s := newTestServer(t, listen(t), true)
+	s.serve()
+	c := s.dial()
+	c.send(requestText + requestText[:10])
+	<-s.entered
+	connection := s.server.connections()[0]
+	s.release <- struct{}{}
 	c.readResponse()
-	require.Eventually(t, func() bool { return connection.state() == Busy }, bound, time.Millisecond)
-	r.server.BeginDrain()
-	c.send(text[10:])
-	<-r.entered
-	r.release <- struct{}{}
+	require.Eventually(t, func() bool { return connection.state() == Busy }, waitTimeout, time.Millisecond)
+	s.server.BeginDrain()
+	c.send(requestText[10:])
+	<-s.entered
+	s.release <- struct{}{}
 	c.readResponse()
 }
 
-// A caller sends only a part of a head. Otherwise the stop would wait for it until the end
-// of the grace period and close the connection without a response. The caller must get a
-// response that its request hasn't run, and draining must finish.
+// A caller sends only a part of a head. The caller must get a response that its request
+// hasn't run, and draining must finish. Otherwise the stop would wait for the rest of the
+// head until the end of the grace period and close the connection without a response.
 func TestDrainRefusesIncompleteHead(t *testing.T) {
-	r := newRig(t, listen(t), false)
-	r.serve()
-	c := r.dial()
-	c.send(text[:10])
-	require.Eventually(t, func() bool { return r.server.CountByState()[Busy] == 1 }, bound, time.Millisecond)
-	r.server.BeginDrain()
+	s := newTestServer(t, listen(t), false)
+	s.serve()
+	c := s.dial()
+	c.send(requestText[:10])
+	require.Eventually(t, func() bool { return s.server.CountByState()[Busy] == 1 }, waitTimeout, time.Millisecond)
+	s.server.BeginDrain()
 	response, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestTimeout, response.StatusCode)
 	c.requireClosed()
-	r.drain()
+	s.drain()
 }
 
 // A caller has just opened a connection when draining begins, and others open theirs
 // afterwards. Each gets time for its first request; one that sends none doesn't delay the
 // stop.
 func TestDrainGivesNewConnectionsTime(t *testing.T) {
-	r := newRig(t, listen(t), false)
-	r.serve()
-	before := r.dial()
-	require.Eventually(t, func() bool { return r.server.OpenConns() == 1 }, bound, time.Millisecond)
-	r.server.BeginDrain()
-	require.Equal(t, 1, r.server.CountByState()[Idle])
-	before.send(text)
+	s := newTestServer(t, listen(t), false)
+	s.serve()
+	before := s.dial()
+	require.Eventually(t, func() bool { return s.server.OpenConns() == 1 }, waitTimeout, time.Millisecond)
+	s.server.BeginDrain()
+	require.Equal(t, 1, s.server.CountByState()[Idle])
+	before.send(requestText)
 	before.readResponse()
-	during, silent := r.dial(), r.dial()
-	require.Eventually(t, func() bool { return r.server.CountByState()[Idle] == 2 }, bound, time.Millisecond)
-	during.send(text)
+	during, silent := s.dial(), s.dial()
+	require.Eventually(t, func() bool { return s.server.CountByState()[Idle] == 2 }, waitTimeout, time.Millisecond)
+	during.send(requestText)
 	during.readResponse()
 	silent.requireClosed()
-	r.drain()
+	s.drain()
 }
 
 // An instance was paused for longer than the idle timeout, and a request lies unread in
 // the socket when it resumes. The request must be served.
 func TestIdleTimeoutChecksSocket(t *testing.T) {
-	g := &gated{listen(t), make(chan struct{})}
-	r := &rig{t: t}
-	r.server = New(g, http.HandlerFunc(r.handle), Options{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond})
-	t.Cleanup(r.server.Close)
-	r.serve()
-	c := r.dial()
-	c.send(text)
-	require.Eventually(t, func() bool { return r.server.CountByState()[Unread] == 1 }, bound, time.Millisecond)
-	close(g.gate)
+	listener := &pausedListener{listen(t), make(chan struct{})}
+	s := &testServer{t: t}
+	s.server = New(listener, http.HandlerFunc(s.handle), Options{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond})
+	t.Cleanup(s.server.Close)
+	s.serve()
+	c := s.dial()
+	c.send(requestText)
+	require.Eventually(t, func() bool { return s.server.CountByState()[Unread] == 1 }, waitTimeout, time.Millisecond)
+	close(listener.resumed)
 	c.readResponse()
 }
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -28,7 +28,8 @@
 		read, write, watch string
 		readSpec           string // the spec that a successful read returns
 		events             int    // number of events of a successful watch from revision 1
-		soon, later        string // the stored spec right after the write, and at the end
+		specAfterWrite     string // the stored spec right after the write
+		specAtEnd          string // the stored spec after the delay of a late write
 	}{
 		"none":             {emulator.Faults{}, "done", "done", "done", at2, 2, at3, at3},
 		"slow":             {emulator.Faults{LatencyMS: 900}, "done", "done", "done", at2, 2, at3, at3},
@@ -70,13 +71,13 @@
 				}
 				_, err = s.Update(t.Context(), kind, object("a", "3"))
 				require.Equal(t, c.write, class(err))
-				require.Equal(t, c.soon, storedSpec())
+				require.Equal(t, c.specAfterWrite, storedSpec())
 				w, err := s.Watch(t.Context(), []string{kind}, 1, time.Second)
 				require.Equal(t, c.watch, class(err))
 				require.Len(t, w.Events, c.events)
 				time.Sleep(lateMS * time.Millisecond) // virtual
 				synctest.Wait()
-				require.Equal(t, c.later, storedSpec())
+				require.Equal(t, c.specAtEnd, storedSpec())
 			})
 		})
 	}
@@ -98,8 +99,8 @@
 	})
 }
 
-// TestSkippedEvent drops the only event of a waiting watch. The watch continues to
-// wait and returns the next change, but never the dropped one.
+// TestSkippedEvent drops the first event of a waiting watch. The watch must continue to
+// wait, and return the next event without the dropped one.
 func TestSkippedEvent(t *testing.T) {
 	eachStore(t, func(t *testing.T, e *emulator.Store, s platform.Store) {
 		e.SetFaults(emulator.Faults{SkipEvents: 1})
@@ -145,7 +146,7 @@
 
 // TestSilentConnections makes every open connection permanently silent while new ones
 // work, as if a middlebox had dropped their state. Only one call may time out: if the
-// idle connections were not closed, one more call would fail on each of them.
+// idle connections weren't closed, one more call would fail on each of them.
 func TestSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
@@ -210,7 +211,7 @@
 }
 
 // TestNoConnection checks that a write without a connection counts as not done. With an
-// unknown effect, the caller would read back an object that cannot exist.
+// unknown effect, the caller would read back an object that can't exist.
 func TestNoConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, network := serve(t, http.NotFoundHandler())
