--- a/client/harness_test.go
+++ b/client/harness_test.go
@@ -51,8 +51,8 @@
 	return s.afterWrite(call)
 }
 
-// set writes a record without running hooks or checking the revision. Tests use it to
-// simulate a write of another client.
+// set writes a record without running hooks or checking the revision. Called by a test,
+// it simulates a write of another client.
 func (s *fakeStore) set(kind, name, spec, status string) {
 	s.revision++
 	if s.objects[kind] == nil {
--- a/client/submit.go
+++ b/client/submit.go
@@ -79,8 +79,8 @@
 	return header
 }
 
-// readInput returns the input that the flag value stands for: the content of
-// standard input for -, of the file for @FILE, or else the value itself.
+// readInput returns the input that the flag value stands for: standard input for -,
+// the content of the file for @FILE, or else the value itself.
 func (a *app) readInput(value string) (string, error) {
 	if value == "-" {
 		text, err := readAtMost(a.Stdin, maxInputBytes)
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestRateLimits checks that the limits apply to all callers together, and that a call
-// above them is refused without any effect and with a time for the retry.
+// above them is refused without any effect, with the time after which to retry.
 func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{WritesPerSecond: 20, ReadsPerSecond: 10})
@@ -224,7 +224,7 @@
 }
 
 // TestStatuses checks that only the refusals named in the contract mean that a write
-// was not done. A redirect must not be followed: it would send the write twice.
+// wasn't done. A redirect must not be followed: it would send the write twice.
 func TestStatuses(t *testing.T) {
 	for status, want := range map[int]string{
 		200: "done", 307: "unknown", 400: "refused", 403: "refused", 404: "not found", 408: "unknown", 409: "conflict",
@@ -277,8 +277,8 @@
 	}
 }
 
-// TestChangeBetweenPages changes an object while its kind is listed, after its page was
-// read. A watch from the revision of the last page would miss the change, and the
+// TestChangeBetweenPages changes an object while its kind is listed, after the page with
+// the object was read. A watch from the revision of the last page would miss the change, and the
 // instance would keep the old object. The list must have the revision of the first page.
 func TestChangeBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -309,9 +309,9 @@
 	})
 }
 
-// TestRecoveryFromOutage checks that after failures calls are refused immediately and
-// nothing is sent, until a single probe is. Here the probe is a watch: if it waited, all
-// other calls would be held back for that time.
+// TestRecoveryFromOutage checks that after failures calls are refused immediately without
+// being sent, until a single one is sent as a probe. Here the probe is a watch: if it
+// waited for changes, all other calls would be held back for that time.
 func TestRecoveryFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := emulator.New(emulator.Options{})
