--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -1,12 +1,12 @@
 // Package roster decides which targets may receive new work. Its sources are the entries in
 // the platform's store, their removals, and what the targets report themselves.
 //
-// It has to handle two failures with opposite needs. A target that leaves must receive
-// nothing new within two seconds of its report. But entries also vanish when the store was
-// unavailable: they expire although their targets live, and reappear about two seconds after
-// the store does. Therefore the removal of an entry takes effect at once while the store is
-// available, and only after a grace period if it was not. A report that an incarnation leaves
-// is final.
+// Two cases have opposite needs. A target that leaves must stop receiving new work within two
+// seconds of its report. But entries also vanish when the store was unavailable: they expire
+// although their targets still run, and reappear about two seconds after the store is
+// available again. Therefore a removal that this instance sees in the store takes effect at
+// once, unless the store was unavailable shortly before: then it takes effect only after a
+// grace period. A report that an incarnation leaves is final.
 //
 // Entries are identified by name. A name may have several incarnations one after the other,
 // since a process keeps its name when it restarts. What was reported of one incarnation
@@ -23,8 +23,8 @@
 	"github.com/ivyhollow/ivyhollow/state/routes"
 )
 
-// outageGrace is how long after the store's return the entry of a live target may be missing.
-// The platform states about two seconds.
+// outageGrace is how long the entry of a live target may be missing after the store is
+// available again. The platform states about two seconds.
 const outageGrace = 2200 * time.Millisecond
 
 // Limits of the incarnations that are remembered as leaving, and of the names whose starts
@@ -43,10 +43,10 @@
 // Roster holds the targets of all services.
 type Roster struct {
 	removals []Removal
-	// entries are by name.
+	// entries holds the entries by name.
 	entries map[string]*entry
-	// leaving has the incarnations that were reported as leaving; nothing makes them usable
-	// again.
+	// leaving holds the latest maxLeaving incarnations that were reported as leaving. Nothing
+	// makes them usable again while they are in it.
 	leaving      map[string]struct{}
 	leavingOrder []string
 	// lastStart is the latest start of each name whose entries report starts. It outlives the
@@ -76,9 +76,10 @@
 // Put adds or updates an entry as of a revision of the store. It reports whether that is a
 // change.
 //
-// An entry with an earlier start than the latest known one is ignored. The report of a
-// process that has ended may be written after that of the process that took over its name.
-// It would make a target usable that has left, or remove one that exists.
+// An entry with an earlier start than the latest known one is ignored. The last entry of a
+// process that has ended may be written after the first entry of the process that took over
+// its name. Without this rule the late entry could make a target usable that has left, or
+// replace that of a target that still runs.
 func (r *Roster) Put(t routes.Target, revision uint64) bool {
 	e := r.entries[t.Name]
 	if e != nil && revision < e.revision {
@@ -129,9 +130,9 @@
 }
 
 // RemoveNow removes an entry whose removal has taken effect at another instance, or that no
-// longer names a target. It takes effect at once, whatever this instance's own contact with
-// the store is like. Otherwise an instance that the store refuses would go on sending work to
-// a target that has left, for as long as it is refused.
+// longer names a target. The removal takes effect at once, even if this instance itself can't
+// reach the store. Otherwise an instance that the store refuses would continue to send work to
+// a target that has left for as long as the store refuses it.
 func (r *Roster) RemoveNow(now time.Time, name string, revision uint64) bool {
 	return r.remove(now, name, revision, true)
 }
@@ -189,8 +190,8 @@
 	}
 }
 
-// Tick drops the entries whose grace period is over. It returns when the next one ends; zero
-// if there is none.
+// Tick drops the entries whose removal has taken effect by now. It returns when the next
+// removal takes effect; zero if none is pending.
 func (r *Roster) Tick(now time.Time) time.Time {
 	var next time.Time
 	for name, e := range r.entries {
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -126,9 +126,9 @@
 }
 
 // A target leaves, by its entry or by a response from its address, and the process restarts
-// under the same name. The report was about the previous start. Applied to the name, it would
-// keep the new process without work for as long as it lives. And no later report of the
-// previous start may make that one usable again.
+// under the same name. The report was about the previous start. If it applied to the name, the
+// new process would receive no work for as long as it runs. A later report of the previous
+// start must not make that start usable again either.
 func TestRestartAfterLeaving(t *testing.T) {
 	leaving := startedAt("a", 100)
 	leaving.Leaving = true
@@ -168,7 +168,7 @@
 }
 
 // The entry of a target that crashed is removed, and the target restarts. Afterwards instances
-// still pass on the removal and the entry from before it.
+// still pass on the removal and the entry that preceded it.
 func TestUpdatesFromBeforeRestartAreIgnored(t *testing.T) {
 	r := New()
 	r.Put(startedAt("a", 100), 1)
