--- a/coordination/watching/watching.go
+++ b/coordination/watching/watching.go
@@ -1,13 +1,13 @@
 // Package watching decides how an instance keeps its knowledge of the platform's store up to
-// date: how long its watches wait, which watch is sent again, whose report replaces the
-// store's response, and when the instance has to watch itself.
+// date: how long its watches wait, which watch is sent again, which reports of other instances
+// replace the store's responses, and when the instance has to watch the store itself.
 //
-// A waiting watch looks the same whether there are no changes or nobody is listening. A watch
-// that is sent while the store is silent is orphaned: it is never answered, not even after the
-// store has recovered. So a watch without a response proves nothing beyond its timeout, and a
-// short timeout costs calls. Therefore only the first watcher of a fleet uses short timeouts.
-// The others poll one another for the age of their knowledge, receive changes by gossip, and
-// take over from the first watcher if it is silent.
+// A watch without a response doesn't show whether there are no changes or the store is silent.
+// A watch that is sent while the store is silent is orphaned: it is never answered, not even
+// after the store has recovered. So a silent store is detected only at the end of a watch's
+// timeout, and shorter timeouts cost more calls. Therefore only the first watcher of a fleet
+// uses short timeouts. The others poll the watchers for the age of their knowledge, receive
+// changes by gossip, and take over from the first watcher if it is silent.
 //
 // Tracker is a pure state machine: time is an argument. It is not safe for concurrent use.
 package watching
@@ -29,23 +29,25 @@
 	longTimeout = 8 * time.Second
 	// shortTimeout is the timeout of the first watcher's watches. With the slack that its
 	// client grants and the pause after a failure, it limits the time until an orphaned watch
-	// is sent again. That must be within the three seconds after a disruption of the store in
-	// which no bound holds.
+	// is sent again. That time must end within the three seconds after a disruption of the
+	// store in which no bound holds.
 	shortTimeout = 800 * time.Millisecond
 	// maxReportAge is the maximum age of a watcher's knowledge for its report to be fresh: a
 	// short timeout, a response of a slow store, and the time between two polls.
 	maxReportAge = 2500 * time.Millisecond
 	// maxMissedReports is the number of polls in a row without a fresh report after which an
-	// instance watches itself.
+	// instance watches the store itself.
 	maxMissedReports = 2
-	// maxStaleReports is that number for an instance that doesn't usually watch, if the
-	// watchers respond but have no fresh knowledge: the store is probably unavailable to all,
-	// and calls from many more instances wouldn't help.
+	// maxStaleReports replaces maxMissedReports for an instance without a rank if the last
+	// polled watcher responded but had no fresh knowledge: the store is probably unavailable to
+	// all, and calls from many more instances wouldn't help.
 	maxStaleReports = 4
-	// maxWaitingRank limits the additional polls that a watcher waits for those of lower rank
-	// to take over. It limits the time until any watcher does.
+	// maxWaitingRank is the highest rank that still adds to a watcher's wait. A watcher waits
+	// for additional polls, one fewer than its rank, so that those of lower rank can take over
+	// first. The limit bounds the time until some watcher takes over.
 	maxWaitingRank = 3
-	// takeoverPeriod is how long an instance watches itself if it receives no fresh report.
+	// takeoverPeriod is how long an instance that took over watches the store itself after its
+	// last poll without a fresh report.
 	takeoverPeriod = 6 * time.Second
 	// batchDelay is how long a watcher other than the first waits after a change, so that one
 	// call returns the following changes too. The first watcher's gossip delivers them anyway.
@@ -55,7 +57,7 @@
 // NoRank is the rank of an instance that leaves watching to others.
 const NoRank = -1
 
-// Report describes the knowledge of an instance to another one. It is sent by field names.
+// Report describes the knowledge of an instance to another one. Its fields are sent by name.
 type Report struct {
 	// Known is true if the instance knows everything as of Age ago.
 	Known bool
@@ -185,7 +187,7 @@
 func (t *Tracker) Recovered() time.Time { return t.recovered }
 
 // Age returns the age of the knowledge of a part, by the store's responses and by the reports
-// of others; 0 if the store has never answered.
+// of others; 0 if the store has never answered a call for the part.
 func (t *Tracker) Age(now time.Time, part Part) time.Duration {
 	known := t.parts[part].knownAt
 	if known.IsZero() {
@@ -223,7 +225,7 @@
 }
 
 // RecordReport records the report of a watcher that was polled at a time; the zero Report if
-// there was no response. It reports whether this instance starts to watch itself.
+// there was no response. It reports whether this instance starts to watch the store itself.
 func (t *Tracker) RecordReport(polledAt, now time.Time, r Report) (takesOver bool) {
 	if r.Recovered > 0 {
 		// A later time than the actual one is safe; with an earlier one, a watch that was sent
@@ -253,7 +255,7 @@
 }
 
 // maxMissed returns the number of polls in a row without a fresh report after which the
-// instance watches itself. r is the last report.
+// instance watches the store itself. r is the last report.
 func (t *Tracker) maxMissed(r Report) int {
 	switch {
 	case t.rank == NoRank && r.Known:
--- a/coordination/watching/watching_test.go
+++ b/coordination/watching/watching_test.go
@@ -11,8 +11,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// newHealthyTracker returns a tracker of a rank, to which the store answered for both parts at
-// start.
+// newHealthyTracker returns a tracker with the given rank. At start it has received the
+// store's responses for both parts.
 func newHealthyTracker(rank int) *Tracker {
 	t := New()
 	t.SetRank(rank)
@@ -23,7 +23,7 @@
 	return t
 }
 
-// After a failed watch, the next one has no timeout: a watch sent while the store is still
+// After a failed watch, the next one has a timeout of 0: a watch sent while the store is still
 // silent would be orphaned for its whole timeout after the recovery.
 func TestWatchTimeout(t *testing.T) {
 	first, other := newHealthyTracker(0), newHealthyTracker(1)
@@ -121,8 +121,8 @@
 	require.False(t, tracker.ShouldResend(start, Targets))
 }
 
-// An instance that leaves watching to others polls any of them, watches itself if no report is
-// fresh, and stops at the end of the takeover period.
+// An instance that leaves watching to others polls any of them, watches the store itself if no
+// report is fresh, and stops at the end of the takeover period.
 func TestInstanceWithoutRank(t *testing.T) {
 	tracker := newHealthyTracker(NoRank)
 	require.False(t, tracker.ShouldWatch(start))
@@ -200,7 +200,7 @@
 }
 
 // The first watcher of a fleet of eight fails. If all seven others took over at the same time,
-// each would call the store as often as the first: those of higher rank wait longer.
+// each would call the store as often as the first. So those of higher rank wait longer.
 func TestHigherRanksWaitLonger(t *testing.T) {
 	polls := map[int]int{1: 2, 2: 3, 3: 4, 6: 4, NoRank: 2}
 	for rank, want := range polls {
