--- a/coordination/outcome/ledger_test.go
+++ b/coordination/outcome/ledger_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Prevents two runs of the same work: a caller that receives "not run" submits again, although
-// an attempt had been sent before the refusal and its result was not counted, or a hedge is
+// A caller that receives "not run" submits the work again. The work would run twice if the
+// result of an attempt that was sent before the refusal weren't counted, or if a hedge were
 // sent after the refusal was written.
 func TestSealNeverReturnsFalseNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/coordination/rendezvous/rendezvous_test.go
+++ b/coordination/rendezvous/rendezvous_test.go
@@ -8,7 +8,7 @@
 )
 
 // Instances of two versions run side by side during a rollout. If their scores differed,
-// they would choose different owners, and duties would be held twice or by no instance. If
+// they would choose different owners, and a duty would be held by two instances or by none. If
 // the candidate and the key weren't separated, distinct pairs would get the same score.
 func TestScoreNeverChanges(t *testing.T) {
 	require.Equal(t, uint64(8667156902975964436), Score("one", "orders/engines"))
