--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -82,7 +82,7 @@
 )
 
 // Decide decides whether to admit a request that is due at the given time. The stages
-// include the expected waits in their queues (tiers.Gate.Wait).
+// include the expected waits in their queues (tiers.Gate.EstimatedWait).
 func (c *Controller) Decide(now, due time.Time, stages []deadline.RemainingStage, rng *rand.Rand) Decision {
 	remaining := due.Sub(now)
 	d := Decision{
@@ -135,10 +135,10 @@
 const maxProbeRamp = 1024
 
 // ProbeEnded records whether a request that was admitted as a probe met its deadline.
-// Each one that did doubles the number of probes that may be admitted at once, so the
-// refusals end within a few stage times; one that didn't stops them until the next probe
-// is due. With learned times alone, as many probes would be needed as there were slow
-// requests.
+// Each probe that did doubles the number of probes that may be admitted at once, up to
+// maxProbeRamp, so the refusals end within a few stage times. A probe that didn't
+// allows no further ones until the next is due after ProbeInterval. If only the learned
+// times ended the refusals, as many probes would be needed as there were slow requests.
 func (c *Controller) ProbeEnded(metDeadline bool) {
 	if !metDeadline {
 		c.probeCredit, c.probeRamp = 0, 0
@@ -148,8 +148,8 @@
 	c.probeCredit = c.probeRamp
 }
 
-// queueDrainTime returns how long the queues have to drain until a request that arrives
-// then would meet its deadline with mean stage times.
+// queueDrainTime returns how long the queues must drain before a request that arrives
+// with the same remaining time would meet its deadline with mean stage times.
 func queueDrainTime(remaining time.Duration, stages []deadline.RemainingStage) time.Duration {
 	return deadline.MeanTime(stages) - remaining
 }
