--- a/coordination/retry/attempts.go
+++ b/coordination/retry/attempts.go
@@ -29,7 +29,7 @@
 	// Failed means that the stage may have run.
 	Failed
 	// Preempted means that the attempt was cancelled for a higher tier. For a
-	// stage that can't be resumed it counts as Failed.
+	// stage that isn't both repeatable and resumable it counts as Failed.
 	Preempted
 )
 
@@ -95,12 +95,13 @@
 // last one failed. latestStart is the last moment at which an attempt can start
 // and still meet the deadline.
 //
-// A preempted attempt counts neither as an attempt nor against the budget. An
-// attempt without a connection does not cost a token either: when several
-// targets of a pool are killed at once, the platform lists them for some time
-// more, and attempts at them would empty the budget, so that most requests would
-// fail although other targets are healthy. Such an attempt caused the pool no
-// work, so its retry does not multiply the load. It still counts as an attempt.
+// A preempted attempt of a stage that is repeatable and resumable doesn't count
+// as an attempt, and its retry costs no token. The retry after an attempt without
+// a connection costs none either: when several targets of a pool are killed at
+// once, the platform still lists them for some time, and the retries of attempts
+// at them would empty the budget, so that most requests would fail although other
+// targets are healthy. An attempt without a connection caused the pool no work, so
+// its retry does not multiply the load. It still counts as an attempt.
 func (a *Attempts) AfterFailure(now, latestStart time.Time, rng *rand.Rand, failure Failure) Decision {
 	if failure.Kind == Preempted && a.stage.Repeatable && a.stage.Resumable {
 		a.sent--
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -49,8 +49,8 @@
 //
 // A success adds a fraction of a token and an extra attempt costs a whole one,
 // so over any time the extra attempts are at most the ratio times the successes,
-// plus the reserve. Unspent tokens decay: the tokens of a good hour cannot be
-// spent at once in a brown-out, which adds none.
+// plus the reserve. Unspent tokens decay, so the tokens of an hour of successes
+// cannot all be spent in a brown-out, in which none are added.
 type Budget struct {
 	config Config
 	retry  bucket
