--- a/coordination/tiers/dispatch.go
+++ b/coordination/tiers/dispatch.go
@@ -31,9 +31,9 @@
 // lower rank if one has to make way. The item is dispatched even if lower ranks
 // hold all slots: they dispatch nothing until the excess has drained, and until
 // then the targets queue the item by the priority passed to them. Delaying it
-// here by the in-flight figures of the peers stalls short stages: those figures
-// are older than the work, so all instances wait for one another while the
-// targets idle.
+// here by the in-flight figures of the peers would stall short stages: those
+// figures are older than the duration of such a stage, so all instances would
+// wait for one another while the targets are idle.
 func (g *Gate) dispatchFirst(now time.Time, rank int) []Action {
 	var out []Action
 	if victim := g.preemptionVictim(now, rank); victim != nil {
@@ -114,9 +114,9 @@
 
 // preemptionVictim returns the running item to cancel so that the first item of
 // rank can start. It returns nil if the targets have a free slot or will have
-// one soon enough, since a cancelled generation processes its prompt twice. The
-// victim is of the lowest rank and, within it, the one that started last and so
-// loses the least work.
+// one soon enough, because the prompt of a cancelled generation is processed
+// twice. The victim is of the lowest rank and, within it, the one that started
+// last and so loses the least work.
 func (g *Gate) preemptionVictim(now time.Time, rank int) *running {
 	over := g.totalInFlight() + 1 - float64(g.capacity)
 	if !g.config.Preempt || over <= 0 || g.slotFreesInTime(now, rank, over) {
--- a/coordination/tiers/types.go
+++ b/coordination/tiers/types.go
@@ -21,7 +21,7 @@
 	// its deadline. Items of one rank are dispatched in order of LatestStart,
 	// then of arrival.
 	LatestStart time.Time
-	// Resumable work may be cancelled and resumed for a higher tier.
+	// Resumable work may be cancelled for a higher tier and resumed later.
 	Resumable bool
 	// Preemptions counts how often this item was cancelled for a higher tier.
 	Preemptions int
@@ -36,8 +36,8 @@
 	Dispatch ActionKind = iota + 1
 	// Refuse ends the item without running it.
 	Refuse
-	// Preempt cancels the running item. The caller calls Finished once it is
-	// cancelled and enqueues it again for its remaining work.
+	// Preempt cancels the running item. Once that is done, the caller calls
+	// Finished and enqueues the item again for its remaining work.
 	Preempt
 )
 
@@ -49,8 +49,8 @@
 	// ReasonQueueFull means that the queue is full of items of the same or a
 	// higher rank.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonDisplaced means that an item of a higher rank took its place in the
-	// full queue.
+	// ReasonDisplaced means that an item of a higher rank took the item's place
+	// in the full queue.
 	ReasonDisplaced Reason = "displaced"
 	// ReasonTooLate means that the item was queued past its LatestStart.
 	ReasonTooLate Reason = "too_late"
