--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -80,8 +80,8 @@
 	self   string
 	timing Timing
 	// observed is the record last read from or written to the store, and revision
-	// its revision. It has been observed unchanged since observedSince; a failed
-	// call restarts that time.
+	// its revision. The record is known to be unchanged since observedSince, which
+	// starts anew with the first read after a failed call.
 	observed      Record
 	revision      uint64
 	observedSince time.Time
@@ -123,14 +123,14 @@
 	return l.write(now, l.acquisition())
 }
 
-// ObservedAbsent reports that the store has no lease.
+// ObservedAbsent records that the store has no lease.
 func (l *Lease) ObservedAbsent(now time.Time) {
 	l.held = false
 	l.upToDate, l.observed, l.revision, l.observedSince = true, Record{}, 0, now
 	l.nextActionAt = now
 }
 
-// Observed reports the record in the store, after a read or a conflict.
+// Observed records the content of the store after a read or a conflict.
 //
 // The response to a write can be lost after the write was applied. If exactly
 // that write is read back, the term starts when it was sent, the earliest time at
@@ -157,14 +157,14 @@
 	}
 }
 
-// Written reports that the write in progress was applied.
+// Written records that the write in progress was applied.
 func (l *Lease) Written(now time.Time, revision uint64) {
 	l.observed, l.revision, l.observedSince = l.lastWrite, revision, now
 	l.nextActionAt = l.writeSentAt.Add(l.timing.RenewInterval)
 	l.startTerm()
 }
 
-// CallFailed reports that a call to the store got no response. The lease is read
+// CallFailed records that a call to the store got no response. The lease is read
 // before the next write; a held lease stays held until it expires.
 func (l *Lease) CallFailed(now time.Time) {
 	l.upToDate = false
@@ -247,11 +247,11 @@
 
 // acquisition returns the record that makes this incarnation the holder.
 //
-// The predecessor may have checked its lease just before it expired and then sent
+// The predecessor may have checked the lease just before the term ended and then sent
 // an order that runs for LongestOrder. At a target that ignores the fencing number
-// it would overlap with orders of the new holder, which therefore waits for the
-// predecessor's term and longest order, measured from when the predecessor's last
-// write was observed.
+// that order would overlap with orders of the new holder. The new holder therefore
+// waits for the predecessor's term and longest order, measured from when it observed
+// the predecessor's last write.
 func (l *Lease) acquisition() Record {
 	if l.observed.Holder != "" {
 		l.safeWithoutFencingAt = l.observedSince.Add(l.observed.term() + l.observed.longestOrder())
