--- a/coordination/config/bench_test.go
+++ b/coordination/config/bench_test.go
@@ -25,7 +25,7 @@
 	return set
 }
 
-// BenchmarkApplyOne measures one changed account, snapshot included.
+// BenchmarkApplyOne measures the change of one account, including the new snapshot.
 func BenchmarkApplyOne(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/coordination/config/peers_test.go
+++ b/coordination/config/peers_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// An instance that starts while no other runs lists two conflicting records. It
-// must accept the one that was written first, as earlier instances did, whatever
-// the order of the lists.
+// An instance starts while no other is running, and the lists that it reads contain
+// two conflicting records. It must accept the one that was written first, as earlier
+// instances did, whatever the order of the lists.
 func TestFirstWrittenIsEvaluatedFirst(t *testing.T) {
 	for range 20 {
 		set := config.New(decodeShortSpec)
--- a/coordination/config/set_test.go
+++ b/coordination/config/set_test.go
@@ -16,8 +16,8 @@
 )
 
 // decodeShortSpec decodes the short specs of these tests. A tier has its deadline
-// in ms; a pipeline its pool, its expected time in ms and the tiers with a deadline
-// of an hour; an account its tier and key. The spec "bad" is refused.
+// in ms; a pipeline has its pool, its expected time in ms and the tiers with a
+// deadline of an hour; an account has its tier and key. The spec "bad" is refused.
 func decodeShortSpec(kind catalog.RecordKind, name string, revision uint64, spec []byte) (catalog.Item, error) {
 	fields := strings.Fields(string(spec))
 	if len(fields) == 0 || fields[0] == "bad" {
