--- a/coordination/membership/leave_test.go
+++ b/coordination/membership/leave_test.go
@@ -37,7 +37,7 @@
 	b.run(2 * time.Minute)
 	response := m.Receive(b.now, member(1), &Ping{Updates: []Member{member(12), member(13), member(14), member(15)}})
 	require.Contains(t, response[0].(Send).Message.(*Ack).Updates, leftMember(6), "not displaced by newer updates")
-	b.run(10 * time.Second) // its digest differs for long enough by now to request a full exchange
+	b.run(10 * time.Second) // its digest has differed for long enough to request a full exchange
 
 	requests := map[string]Message{
 		"ping":                            &Ping{Seq: 9},
@@ -97,8 +97,8 @@
 
 // An instance starts while another leaves. It contacts the leaving one, or a member that
 // knows of the departure, and then receives older updates from a member that doesn't. The
-// leaving instance must not be live in any of its views, in whatever order the messages
-// arrive.
+// leaving instance must not be live in any view of the new instance, in whatever order the
+// messages arrive.
 func TestJoinerNeverSeesLeavingInstanceAsLive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{SyncPage: rapid.IntRange(2, 16).Draw(rt, "page")}
@@ -130,7 +130,7 @@
 // A new instance knows a leaving one only from members that weren't aware of its departure.
 // It probes a member that is aware but has used up its transmissions of the departure. The
 // response must correct the stale update, or the new instance would send requests to the
-// leaving one until that has stopped.
+// leaving instance until it has stopped.
 func TestStaleUpdateIsCorrectedInTheResponse(t *testing.T) {
 	b := newSimCluster(t, 8, Config{})
 	b.run(10 * time.Second)
@@ -175,9 +175,10 @@
 	require.Empty(t, m.deadOrLeft)
 }
 
-// One of 90 instances leaves. Each forwards the departure immediately to a few, so that
-// nearly all know of it before the next probe: until then some would send requests to the
-// leaving instance and all others to its successor. The messages per instance are bounded.
+// One of 90 instances leaves. Each instance forwards the departure immediately to a few
+// others, so that nearly all know of it before the next probe. Otherwise some would send
+// requests to the leaving instance until then, and all others to its successor. The messages
+// per instance are bounded.
 func TestDepartureIsDisseminatedBeforeTheNextProbe(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
@@ -236,7 +237,7 @@
 	})...)
 }
 
-// An instance starts at the moment in which another leaves: the member that responds to its
+// An instance starts at the moment when another leaves: the member that responds to its
 // first full exchange doesn't know of the departure yet, and no member knows the new
 // instance while the departure is disseminated. Piggybacked on probes, the departure
 // competes with the updates of all other members that start and stop.
@@ -307,9 +308,9 @@
 }
 
 // Instances stop in turn and two start meanwhile. If the instance that hands over a duty
-// knows only the second of them, it assigns the duty there, while the others assign it to
-// the first, which is older: two instances hold it. So starts are forwarded immediately as
-// well, but not those that an instance learns of while it joins.
+// knew only the second of the two, it would assign the duty to that one, while the others
+// assign it to the first, which is older. Two instances would then perform it. So starts are
+// forwarded immediately as well, but not those that an instance learns of while it joins.
 func TestStartIsDisseminatedBeforeTheNextProbe(t *testing.T) {
 	const n = 90
 	cfg := DefaultConfig()
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -241,7 +241,7 @@
 }
 
 // Instances start and stop for days. The members that are dead or left must stay
-// bounded, and must not come back from others that still remember them.
+// bounded, and must not be added again by updates from others that still remember them.
 func TestRememberedMembersAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := New(Config{MaxDeadOrLeft: 4, MaxMembers: 9}, member(0), rand.New(rand.NewPCG(1, 1)))
--- a/coordination/membership/simcluster_test.go
+++ b/coordination/membership/simcluster_test.go
@@ -20,8 +20,8 @@
 	onMessage func(Message)
 	// onView is called for each new view.
 	onView func(*View)
-	// worst holds the worst state of each member in any view, worstInOwnCentre
-	// that in the views of its own data centre.
+	// worst holds the worst state of each member in any view; worstInOwnCentre holds
+	// the worst one in the views of the member's own data centre.
 	worst, worstInOwnCentre map[string]State
 }
 
