--- a/coordination/routing/health_test.go
+++ b/coordination/routing/health_test.go
@@ -60,8 +60,8 @@
 }
 
 // A target accepts requests and completes none. There is no result to learn from, and
-// by the first missed deadline all requests sent there will miss theirs. The age of the
-// attempts in flight shows it earlier.
+// when the first request misses its deadline, all others that were sent there meanwhile
+// will miss theirs too. The age of the attempts in flight shows the failure earlier.
 func TestHangingTargetIsDetectedByAttemptAges(t *testing.T) {
 	busy := func(string) Result {
 		return Result{Latency: 350 * time.Millisecond, Expected: 350 * time.Millisecond}
@@ -169,9 +169,9 @@
 	require.Greater(t, table.shares(t, at(2*time.Minute), 100, Query{}, healthyResult)["t0"], 18)
 }
 
-// Each of eight instances sees only an eighth of a target's failures and would send it
-// several requests before it ejects it. Ejections by peers reduce that number, but they
-// aren't enough on their own: a peer that has lost its network connection suspects every
+// Each of eight instances sees only an eighth of a target's failures and would send the
+// target several requests before ejecting it. Ejections by peers reduce that number, but
+// they aren't enough on their own: a peer that has lost its network connection suspects every
 // target.
 func TestSuspicionRequiresOwnFailure(t *testing.T) {
 	table := newTable(Config{}, testTargets(4))
--- a/coordination/routing/home_test.go
+++ b/coordination/routing/home_test.go
@@ -78,9 +78,10 @@
 	require.InDelta(t, 250, count["dc2"], 70)
 }
 
-// An engine restarts under its name with an empty cache. Its own subjects are read again
-// there, but no others. If homes followed the incarnation, its subjects would move to
-// other engines and as many of theirs to it, and all of them would be read again.
+// An engine restarts under its name with an empty cache. Only the subjects that have
+// their home there are read again. If homes depended on the incarnation, these subjects
+// would move to other engines, as many subjects of other engines would move to the
+// restarted one, and all of them would be read again.
 func TestRestartedTargetKeepsItsHomes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	named := func(incarnation func(i int) string) []Target {
--- a/coordination/routing/pick_test.go
+++ b/coordination/routing/pick_test.go
@@ -143,7 +143,8 @@
 }
 
 // A data centre has failed and the list doesn't show it yet. The first attempt went there
-// and failed; if the second does too, the request has no third attempt.
+// and failed. If the second went there too, it would also fail, and the request has no
+// third attempt.
 func TestRetryAvoidsTriedDataCentre(t *testing.T) {
 	targets := testTargets(6)
 	for i := range 3 {
