--- a/coordination/claim/model_test.go
+++ b/coordination/claim/model_test.go
@@ -242,8 +242,8 @@
 	m.instances[i] = newModelInstance(i, m.instances[i].owner.Incarnation+1, m.maxClosed)
 }
 
-// advance advances time: delayed writes take effect by modelMaxDelay, and a claim
-// past its retention is removed.
+// advance advances time: delayed writes that were sent modelMaxDelay ago or earlier take
+// effect, and a claim past its retention is removed.
 func (m *model) advance(d time.Duration) {
 	m.now = m.now.Add(d)
 	remaining := m.delayed[:0]
