--- a/state/catalog/accounts.go
+++ b/state/catalog/accounts.go
@@ -192,7 +192,8 @@
 	return e.byName[i]
 }
 
-// writableKeys is writableNames for the shard of byKey for a key hash.
+// writableKeys returns the shard of byKey for a key hash, copied if it is still
+// shared with the original table.
 func (e *AccountEditor) writableKeys(hash [32]byte) map[[32]byte]*Account {
 	i := keyShard(hash)
 	if !e.copiedKeyShards[i] {
--- a/state/requests/aggregates.go
+++ b/state/requests/aggregates.go
@@ -62,8 +62,8 @@
 const OtherTier = "other"
 
 // maxGroups bounds the counters without an account. Their keys come from records
-// that operators write, so only constant renaming exceeds the bound; the others
-// are then counted as OtherPipeline.
+// that operators write, so the bound is exceeded only if records are renamed
+// constantly. Further keys are then counted as OtherPipeline.
 const maxGroups = 4096
 
 // OtherPipeline stands for the pipelines that are not listed separately.
--- a/state/requests/shard.go
+++ b/state/requests/shard.go
@@ -172,7 +172,8 @@
 	return len(r.attempts) - 1
 }
 
-// reserveBytesKeeping is reserveBytes that never evicts the given slot.
+// reserveBytesKeeping is like reserveBytes, but returns false instead of evicting
+// the given slot.
 func (s *shard) reserveBytesKeeping(slot int32, n int64) bool {
 	for s.bytes+n > s.maxBytes {
 		if s.finished.head == slot || !s.evictOldest() {
--- a/state/requests/summary.go
+++ b/state/requests/summary.go
@@ -14,8 +14,9 @@
 // Summary holds the counters since the previous drain. Its size is bounded by
 // SummaryLimits, however many accounts and pipelines there are.
 type Summary struct {
-	// Rows are sorted by key. The row with an empty Account holds the accounts
-	// without a row, and that of OtherPipeline the groups without one.
+	// Rows are sorted by key. In each group, the row with an empty Account sums the
+	// accounts that have no row of their own. The row of OtherPipeline sums the
+	// groups that have no rows.
 	Rows []Row
 }
 
--- a/state/requests/types.go
+++ b/state/requests/types.go
@@ -66,7 +66,7 @@
 }
 
 // Info describes a request at its start. Its strings and slice are kept and not
-// copied: they come from the accepted configuration.
+// copied: all but ID come from the accepted configuration.
 type Info struct {
 	ID            string
 	Pipeline      string
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -29,8 +29,8 @@
 	// Version is the operator's version number. It increases, but not always by
 	// one.
 	Version int64
-	// Revision is the store's revision of the version. It orders the versions as
-	// they came into force.
+	// Revision is the store's revision of the version. Versions come into force in
+	// the order of their revisions.
 	Revision uint64
 	Services map[string]*Service
 	Limits   Limits
@@ -124,7 +124,7 @@
 	// Slots is the number of requests that one target runs at once; 0 if the
 	// configuration does not specify it.
 	Slots int
-	// CacheTokens is the capacity for prompts of one target, in tokens; 0 if the
+	// CacheTokens is how many tokens of prompts one target can cache; 0 if the
 	// configuration does not specify it.
 	CacheTokens int
 	// Batch is set for services that run the pieces of stages in batches.
