--- a/coordination/routing/load_test.go
+++ b/coordination/routing/load_test.go
@@ -10,8 +10,8 @@
 )
 
 // A report states the load of a target some time ago, including this instance's own
-// requests. Without a correction for those that have started or ended since, they would
-// be counted twice or too long.
+// requests. The instance knows which of its own requests have started or ended since.
+// Without a correction for these they would be counted twice or for too long.
 func TestReportIsCorrectedForItsAge(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -97,7 +97,8 @@
 			}
 		}
 		require.GreaterOrEqual(rt, rare, minPerModel)
-		// Three quarters, less the remote targets that were selected for the two models.
+		// Three quarters of the subset are local, less the remote targets that were
+		// selected first, up to minPerModel for each of the two models.
 		require.GreaterOrEqual(rt, local, 24-2*minPerModel)
 		removed := rapid.IntRange(0, 399).Draw(rt, "removed")
 		changed := 0
