--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -52,11 +52,11 @@
 }
 
 // idleKey identifies the idle connections that may carry the same requests. It
-// distinguishes processes that have the same address in turn. A process that crashes behind a failed link leaves
-// connections that look healthy. The first bytes on one would be reset by the host of
-// the process that has the address now, and a request that may run at most once would
-// count as one that may have run. So a connection carries only requests for the process
-// that it was opened for.
+// distinguishes processes that have the same address one after the other. If a process
+// crashes behind a failed link, the connections to it still look healthy. The host of the
+// process that has the address now would reset such a connection on its first bytes, and
+// a request that may run at most once would count as one that may have run. So a
+// connection carries only requests for the process that it was opened for.
 type idleKey struct{ address, incarnation, connGroup string }
 
 // conn is a connection to a target.
@@ -132,7 +132,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// takeIdle removes and returns an idle connection that nothing was received on, or
+// takeIdle removes and returns an idle connection on which nothing was received, or
 // returns nil.
 func (c *Client) takeIdle(peer idleKey, maxIdle time.Duration) *conn {
 	for {
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -294,7 +294,7 @@
 	require.EqualValues(t, 2, conns.Load())
 }
 
-// The attempt on a silent target ends with its context.
+// An attempt at a target that doesn't respond ends when the attempt's context ends.
 func TestSilentTarget(t *testing.T) {
 	address, _ := serve(t, func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -18,9 +18,9 @@
 const (
 	// phaseIdle: nothing of the next request has been read.
 	phaseIdle phase = iota
-	// phaseReadingHead: a part of its head has been read.
+	// phaseReadingHead: a part of the request's head has been read.
 	phaseReadingHead
-	// phaseServing: its whole head has been read, and its response isn't written yet.
+	// phaseServing: the whole head has been read, and the response isn't written yet.
 	phaseServing
 )
 
@@ -232,7 +232,8 @@
 // that drain has set stays until the head has been read.
 //
 // net/http sets a deadline when it starts to wait for the next request, and another one
-// when it has the first bytes of it, which may have arrived with the previous request.
+// when it has the first bytes of that request, which may have arrived with the previous
+// one.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/inbound/server_test.go
+++ b/transport/inbound/server_test.go
@@ -167,9 +167,9 @@
 	c.requireClosed()
 }
 
-// A caller pipelines a request behind the one that is being served. Its first byte has
-// been read ahead when draining begins, and the response to the first request doesn't
-// announce that the connection closes.
+// A caller pipelines a second request while the first is being served. The first byte of
+// the second has been read ahead when draining begins, and the response to the first
+// request doesn't announce that the connection closes.
 func TestDrainServesRequestReadAhead(t *testing.T) {
 	s := newTestServer(t, listen(t), true)
 	s.serve()
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -23,7 +23,7 @@
 type HandleOption func(*method)
 
 // Idempotent marks a method that may run twice for one call. All instances
-// register the same methods, so the requester finds the mark among its own.
+// register the same methods, so the requester looks up the mark in its own methods.
 func Idempotent() HandleOption {
 	return func(m *method) { m.idempotent = true }
 }
@@ -154,7 +154,7 @@
 }
 
 // responseResult returns the body of a response, or the error that its code
-// stands for.
+// means.
 func responseResult(address string, response *peer.Response) ([]byte, error) {
 	if response.Code == peer.CodeOK {
 		return response.Body, nil
@@ -226,9 +226,9 @@
 	}
 	n.wg.Go(func() {
 		response := n.runHandler(c, m.handler, request)
-		// Free the slot before sending the response: the next call of a requester
-		// that makes its calls one after the other would otherwise be refused as
-		// one too many.
+		// Free the slot before sending the response. Otherwise a requester that makes
+		// its calls one after the other could have its next call refused, because
+		// the slot of the previous call is still taken.
 		<-n.handlerSlots
 		c.sendResponse(response)
 	})
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -28,8 +28,8 @@
 	return p.conn.enqueueDroppable(m)
 }
 
-// conn is one connection. The goroutine of run reads from it, that of writeLoop
-// writes to it.
+// conn is one connection. run reads from it in one goroutine, and writeLoop writes to
+// it in another.
 type conn struct {
 	node *Node
 	// dialedAddress is empty for an accepted connection.
--- a/transport/peer/handshake.go
+++ b/transport/peer/handshake.go
@@ -124,7 +124,7 @@
 	}
 	if c.dialedAddress != "" {
 		// ServerName is only used as the key of the session cache; verify
-		// compares no host names.
+		// does not compare host names.
 		config = config.Clone()
 		config.ServerName = c.dialedAddress
 	}
--- a/transport/peer/monitor.go
+++ b/transport/peer/monitor.go
@@ -65,9 +65,9 @@
 		case c.lastReceived.Load() >= sent:
 			c.heartbeatSent.Store(0)
 		case now-sent > int64(opts.HeartbeatTimeout):
-			// Remove, count and close in this order: a goroutine that sees the count
-			// or the end of its call gets a new connection, and one whose call has
-			// ended finds it counted.
+			// Remove, count and close in this order. A goroutine that sees the count,
+			// or the end of its call, then gets a new connection, and when a call has
+			// ended, the silent connection has been counted.
 			c.node.removeConn(c)
 			c.node.metrics.silent.Inc(1)
 			klog.V(1).InfoS("Peer connection is silent", "peer", c.peer.Name, "address", c.remoteAddress)
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -299,8 +299,8 @@
 }
 
 // An instance must accept a connection from each of several hundred others: all of
-// them call the holder of a fleet-wide role, and each one that is refused there calls
-// another instance instead.
+// them call the holder of a fleet-wide role, and an instance that the holder refuses
+// calls another instance instead.
 func TestInstanceAcceptsConnectionsOfTheFleet(t *testing.T) {
 	const peers = 440
 	server, scope := testNode(t, "holder", nil, echo)
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -43,8 +43,8 @@
 	// of a handler.
 	CallTimeout time.Duration
 	// HeartbeatBusy is the time without received bytes after which a heartbeat
-	// is sent while calls wait for a response, HeartbeatIdle the same while none
-	// does.
+	// is sent while calls wait for a response. HeartbeatIdle is that time while
+	// no call waits.
 	HeartbeatBusy time.Duration
 	HeartbeatIdle time.Duration
 	// HeartbeatTimeout is the time after a heartbeat within which any bytes must
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -23,9 +23,9 @@
 	return true
 }
 
-// pushDroppable adds a frame of a kind that newer ones make obsolete. The oldest
-// such frames are dropped until it fits; if none is left, the new one is dropped.
-// It returns the number of dropped frames.
+// pushDroppable adds a droppable frame, which newer frames make obsolete. The oldest
+// droppable frames are dropped until the new one fits; if none of them is left, the
+// new one is dropped. It returns the number of dropped frames.
 func (q *queue) pushDroppable(data []byte) int {
 	dropped := 0
 	for !q.fits(data) {
--- a/transport/platform/budget.go
+++ b/transport/platform/budget.go
@@ -34,7 +34,7 @@
 	// be higher if the platform's limit and the size of the fleet are known.
 	RestartPerSecond float64
 	// MaxProbeInterval bounds the time between two probes during an outage, and
-	// thus the time until its end is detected.
+	// thus the time until the end of the outage is detected.
 	MaxProbeInterval time.Duration
 	// Rand is the random source of the jitter; the Budget uses it under its lock.
 	Rand *rand.Rand
--- a/transport/platform/capacity_test.go
+++ b/transport/platform/capacity_test.go
@@ -33,9 +33,9 @@
 }
 
 // Hundreds of instances resume their writes after an outage. If each one restarted at
-// the rate of one instance of eight, and increased it as fast, the platform would get
-// several times its limit and refuse a seventh of the writes for a minute, claims of
-// requests among them.
+// the rate of an instance in a fleet of eight, and increased it as fast, the platform
+// would get several times its limit and refuse a seventh of the writes for a minute,
+// claims of requests among them.
 func TestWritesOfLargeFleetDoNotOverloadThePlatform(t *testing.T) {
 	out := writesAfterOutage(440)
 	require.Less(t, out.peak, 1.75)
--- a/transport/platform/codec.go
+++ b/transport/platform/codec.go
@@ -23,7 +23,7 @@
 	// DecodeWatch decodes the response to a watch of kinds.
 	DecodeWatch(kinds []string, body []byte) (platformapi.WatchResponse, error)
 	// DecodeConflict returns the current object from the response to a write
-	// that conflicted; nil if there is none.
+	// that conflicted; nil if the response contains none.
 	DecodeConflict(body []byte) *platformapi.Object
 }
 
--- a/transport/platform/faults_test.go
+++ b/transport/platform/faults_test.go
@@ -278,8 +278,9 @@
 }
 
 // TestChangeBetweenPages changes an object while its kind is listed, after the page with
-// the object was read. A watch from the revision of the last page would miss the change, and the
-// instance would keep the old object. The list must have the revision of the first page.
+// the object was read. A watch from the revision of the last page would miss the change,
+// and the instance would keep the old object. The list must have the revision of the first
+// page.
 func TestChangeBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/transport/platform/share.go
+++ b/transport/platform/share.go
@@ -10,7 +10,7 @@
 // Calls wait in a single first-in-first-out queue. Without a share, a burst of
 // requests of a low tier would fill the whole queue, and claims of the highest tier
 // would be refused as often as those of the low one. Calls with a smaller share are
-// refused earlier, so that the remaining queue stays free for those with a larger one.
+// refused earlier, so that the remaining queue stays free for calls with a larger share.
 func WithWaitShare(ctx context.Context, share float64) context.Context {
 	return context.WithValue(ctx, waitShareKey{}, min(max(share, 0), 1))
 }
--- a/transport/target/control_test.go
+++ b/transport/target/control_test.go
@@ -18,8 +18,9 @@
 )
 
 // The holder of a lease is paused between its orders, its successor sends orders, and
-// then the first one resumes. A target that checks fencing numbers refuses the old
-// order, one that doesn't obeys it, and the client must report which it was.
+// then the first holder resumes and sends an old order. A target that checks fencing
+// numbers refuses the old order, and a target that doesn't check them executes it. The
+// client must report which of the two happened.
 func TestOrdersOfPausedLeaseHolder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		options := engine()
--- a/transport/target/exchange.go
+++ b/transport/target/exchange.go
@@ -139,13 +139,12 @@
 
 // Limits of the margin by which the target's deadline precedes the call's own.
 const (
-	// marginDivisor limits the margin to that fraction of the remaining time.
+	// marginDivisor limits the margin to the remaining time divided by it.
 	marginDivisor     = 10
 	maxDeadlineMargin = 20 * time.Millisecond
 )
 
-// targetTimeout returns the time that the target gets, of the time that remains
-// for the call.
+// targetTimeout returns the part of the call's remaining time that the target gets.
 //
 // A call may wait in the target's queue until its deadline. If target and client
 // had the same deadline, the target's "not run" would arrive after the client gave
