--- a/protocol/loadwire/loadwire.go
+++ b/protocol/loadwire/loadwire.go
@@ -1,6 +1,6 @@
 // Package loadwire is the encoding of the load digest that an instance gossips to
 // its peers. The size of a digest is limited: an instance receives the digests of
-// hundreds of others, so each byte of a digest costs as many times.
+// hundreds of others, so it receives each byte of a digest hundreds of times.
 package loadwire
 
 import (
--- a/protocol/sse/splitter.go
+++ b/protocol/sse/splitter.go
@@ -34,8 +34,8 @@
 // Add appends bytes of the stream and returns the events that are now complete, up to
 // the first invalid one. The slice is valid until the next call. Add returns
 // ErrEventTooLarge for an event above the limit, ErrOutOfOrder for an event whose id
-// does not increase, and ErrNotEvent for anything that is not an event; after any of
-// them the stream cannot be read further.
+// may not follow the previous one, and ErrNotEvent for anything that is not an event;
+// after any of these errors the stream cannot be read further.
 func (s *Splitter) Add(p []byte) ([]byte, error) {
 	s.pending = append(s.pending, p...)
 	end := 0
@@ -122,7 +122,7 @@
 }
 
 // mayFollow reports whether an event with the given id may follow the event with the id
-// last. Numeric ids must increase; other ids only have to differ.
+// last. Two numeric ids must increase; otherwise they only have to differ.
 func mayFollow(last, id string) bool {
 	a, errA := strconv.ParseUint(last, 10, 64)
 	b, errB := strconv.ParseUint(id, 10, 64)
--- a/protocol/sse/sse.go
+++ b/protocol/sse/sse.go
@@ -27,7 +27,8 @@
 	// ErrEventTooLarge means that an event exceeds Limits.Event, or the limit of the
 	// Splitter.
 	ErrEventTooLarge = errors.New("sse: event too large")
-	// ErrOutOfOrder means that the id of an event does not increase.
+	// ErrOutOfOrder means that the id of an event does not increase or, if one of the
+	// two ids is not numeric, equals the previous id.
 	ErrOutOfOrder = errors.New("sse: event out of order")
 	// ErrNotEvent means that the stream contains something other than an event.
 	ErrNotEvent = errors.New("sse: no event where one is due")
