--- a/telemetry/logs.go
+++ b/telemetry/logs.go
@@ -38,8 +38,8 @@
 	// header.
 	HeaderDuration time.Duration
 	// StageWait is how long a request waited for the results of its stages.
-	// FirstEvent is the time from sending it to its target until the first event or
-	// the complete response. LongestPause is the longest time between two events.
+	// FirstEvent is the time from sending the request to its target until the first
+	// event or the complete response. LongestPause is the longest time between two events.
 	StageWait, FirstEvent, LongestPause time.Duration
 	// Predicted is the predicted duration of the work, Remaining the time that was
 	// available for it, and RetryAfter the delay after which the caller was asked to
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -75,8 +75,8 @@
 	require.Equal(t, 1, strings.Count(log.String(), `reason="account"`))
 }
 
-// An allowed label whose values come from outside would have the same effect: above
-// the limit, values must be counted together.
+// An allowed label whose values come from outside would also create a series for each
+// value. Above the limit, values must be counted together.
 func TestLabelSetsBounded(t *testing.T) {
 	tel := start(t, Options{LogOutput: io.Discard})
 	const beyond = 7
