--- a/settings/settings.go
+++ b/settings/settings.go
@@ -30,7 +30,8 @@
 	// Cluster separates installations that share one platform.
 	Cluster string
 	// Capacity is the instance's processor share, in cores. Duties that one
-	// instance performs for all are assigned to the one with the largest capacity.
+	// instance performs for all are assigned to the instance with the largest
+	// capacity.
 	Capacity float64
 }
 
