--- a/client/request_test.go
+++ b/client/request_test.go
@@ -28,8 +28,8 @@
 }
 
 // The exit code must tell a script whether the request may have been run, and the
-// output must be the whole answer: a stored answer arrives without tokens, so that
-// an operator who streams a retry could see an empty line and a success.
+// output must be the whole answer. A stored answer arrives without tokens: an operator
+// who streams a retry could otherwise see an empty line and an exit code of success.
 func TestSubmitOutcomes(t *testing.T) {
 	done := "event: done\ndata: {\"request_id\":\"r1\",\"output\":\"ab\"}\n\n"
 	firstToken := "event: token\nid: 0\ndata: {\"token\":\"a\"}\n\n"
@@ -107,8 +107,8 @@
 	assert.Equal(t, callerapi.Request{Input: "from stdin", MaxTokens: 9}, body)
 }
 
-// An input over the limit must be refused. Truncated to the limit it would be
-// answered, and the answer mistaken for that of the whole input.
+// An input over the limit must be refused. If it were truncated to the limit, the
+// operator would mistake the answer to the truncated input for the answer to the whole.
 func TestSubmitRefusesOversizedInput(t *testing.T) {
 	h := newHarness()
 	h.env[envInstance] = "http://127.0.0.1:1"
--- a/client/store.go
+++ b/client/store.go
@@ -90,8 +90,9 @@
 }
 
 // readBack reads the record after a write that met a conflict or whose response
-// was lost; nil means that it doesn't exist. It returns cause if it is any other
-// error, or if the read fails and the effect of a write stays unknown.
+// was lost; nil means that the record doesn't exist. For any other cause it returns
+// cause without reading. If the read fails after a lost response, it returns cause
+// with the read's error added, because the effect of the write stays unknown.
 func (w *recordWriter) readBack(ctx context.Context, name string, cause error) (*platformapi.Object, error) {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownEffectError
@@ -104,7 +105,7 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return nil, nil
 	case err != nil && unknown != nil:
-		// The write may have taken effect: report that rather than the failed read.
+		// The write may have taken effect: cause says so, and the failed read doesn't.
 		return nil, errors.Wrapf(cause, "%s/%s: reading back failed too (%v)", w.kind, name, err)
 	case err != nil:
 		return nil, err
--- a/client/submit.go
+++ b/client/submit.go
@@ -198,10 +198,10 @@
 	return nil
 }
 
-// finish prints the part of the answer that the tokens didn't contain; as JSON it
-// prints the whole answer, since tokens aren't printed then. The stored answer to a
-// repeated request arrives without tokens: the output would otherwise be an empty
-// line, with success reported.
+// finish prints the part of the answer that the tokens didn't contain. In JSON format,
+// in which tokens aren't printed, it prints the whole answer. The stored answer to a
+// repeated request arrives without tokens: without finish the output would be an empty
+// line and the exit code would report success.
 func (s *answerStream) finish(answer callerapi.Response) error {
 	remaining, ok := strings.CutPrefix(answer.Output, s.received.String())
 	if !ok {
@@ -214,7 +214,7 @@
 }
 
 // truncatedAnswer returns the error for an answer that ended early or is invalid. The
-// request was run, at least in part.
+// request was run, at least in part, and the error gives its outcome as unknown.
 func truncatedAnswer(response *http.Response, cause error) error {
 	return &RequestError{Problem: callerapi.Problem{
 		Title: "the answer was cut off", Detail: cause.Error(),
