--- a/emulator/platform/calls.go
+++ b/emulator/platform/calls.go
@@ -38,8 +38,8 @@
 	Kinds map[string]KindCalls `json:"kinds"`
 }
 
-// otherKind is the key in Calls.Kinds of all kinds that the system doesn't have; it
-// bounds the size of the map.
+// otherKind is the key in Calls.Kinds under which the calls for all unknown kinds of
+// objects are counted together, which bounds the size of the map.
 const otherKind = "other"
 
 var knownKinds = append([]string{
--- a/emulator/platform/store.go
+++ b/emulator/platform/store.go
@@ -169,7 +169,7 @@
 }
 
 // watch waits for changes of the kinds. With MuteWatches it waits until the timeout
-// and returns the revision unchanged, as a watch whose event feed failed does.
+// and returns the revision unchanged, like a watch whose event feed has failed.
 func (s *Store) watch(ctx context.Context, r request, kinds []string, from uint64, wait time.Duration) (platformapi.WatchResponse, *callFailure) {
 	r.kind = CallWatch
 	if failed := s.admit(ctx, r); failed != nil {
--- a/emulator/platform/table_test.go
+++ b/emulator/platform/table_test.go
@@ -26,8 +26,8 @@
 }
 
 // Checks after random writes that each revision in the history reads as it was, that
-// a watch from it leads to the current state, and that a watch from a dropped
-// revision is refused.
+// the events of a watch from each revision lead to the current state, and that a watch
+// from a dropped revision is refused.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 8
--- a/emulator/target/broken_answer.go
+++ b/emulator/target/broken_answer.go
@@ -12,7 +12,7 @@
 	"github.com/ivyhollow/ivyhollow/protocol/targetapi"
 )
 
-// duplicateTimeout bounds the wait of a duplicate response for the next call.
+// duplicateTimeout bounds the time that sendTwice waits for the next call.
 const duplicateTimeout = time.Minute
 
 var errInjected = errors.New("fault: failed after the work")
@@ -73,7 +73,7 @@
 }
 
 // sendTwice sends the response, and sends it again when the next call arrives on
-// the connection: the sender of that call takes it for its own response.
+// the connection: the sender of that call takes the copy for the response to that call.
 func (a *attempt) sendTwice(w http.ResponseWriter, body []byte) error {
 	answer := encodeResponse(w.Header(), body)
 	conn, buffered, err := http.NewResponseController(w).Hijack()
--- a/emulator/target/cache.go
+++ b/emulator/target/cache.go
@@ -39,8 +39,8 @@
 	for hits < len(parts) && c.byID[parts[hits].ID] != nil {
 		hits++
 	}
-	// From the back, so that the front of a prompt is evicted last: without it the
-	// remaining parts can't be used.
+	// Marks the parts from the last to the first, so that the first part of a prompt is
+	// evicted last: without the first part the others can't be used.
 	for i := hits - 1; i >= 0; i-- {
 		c.recent.MoveToFront(c.byID[parts[i].ID])
 	}
--- a/emulator/target/load.go
+++ b/emulator/target/load.go
@@ -49,7 +49,7 @@
 	return h.samples[0]
 }
 
-// prune drops the samples that are superseded by one at least a lag old.
+// prune drops each sample whose successor is at least one lag old.
 func (h *loadHistory) prune(now time.Time) {
 	visible := now.Add(-h.lag)
 	for len(h.samples) > 1 && !h.samples[1].at.After(visible) {
--- a/emulator/target/output.go
+++ b/emulator/target/output.go
@@ -11,7 +11,7 @@
 
 // Output returns the deterministic answer of every emulated target to these
 // arguments, so that a test can compare whole answers. With maxTokens above 0 the
-// text is the concatenation of exactly that many tokens; otherwise there are none.
+// text is the concatenation of exactly that many tokens; otherwise tokens is nil.
 func Output(stage string, inputs []string, model string, maxTokens int) (text string, tokens []string) {
 	digest := outputDigest(stage, inputs, model)
 	if maxTokens <= 0 {
