--- a/testkit/experiment/experiment_test.go
+++ b/testkit/experiment/experiment_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Policies are comparable only if the same seed gives the same report,
-// regardless of the runs in parallel.
+// Policies are comparable only if the same seed gives the same report, although
+// runs are executed in parallel.
 func TestGridIsDeterministic(t *testing.T) {
 	var first, second bytes.Buffer
 	require.NoError(t, WriteCSV(&first, testGrid().Run()))
--- a/testkit/experiment/fault.go
+++ b/testkit/experiment/fault.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// inject schedules the fault of the run. A fault of single targets affects the
-// first engine and mostly the first target of one service too.
+// inject schedules the fault of the run. FaultStraggler, FaultGrey and
+// FaultFailFast affect the first engine and the first target of one service;
+// FaultStoreDown affects the first engine, and the list of targets isn't updated.
 func (r *run) inject(w window) {
 	engine := r.pools["engines"][0]
 	switch r.config.Fault {
@@ -106,8 +107,8 @@
 	}
 }
 
-// replaceEngine lists a new incarnation, which is slow until it has warmed up,
-// instead of an engine. The old one finishes its work.
+// replaceEngine replaces an engine in the list of targets by a new incarnation,
+// which is slow until it has warmed up. The old incarnation finishes its work.
 func (r *run) replaceEngine(n int) {
 	engines := r.pools[enginePool]
 	index := n % len(engines)
--- a/testkit/experiment/managed.go
+++ b/testkit/experiment/managed.go
@@ -24,8 +24,8 @@
 	// hedgeQuantile is the quantile of a stage's observed time after which a
 	// hedge is sent.
 	hedgeQuantile = 0.95
-	// hedgeShare is the share of a pool's slots in use from which on hedging is
-	// disabled.
+	// hedgeShare is a share of a pool's slots: hedging is disabled while at least
+	// so many requests are in flight.
 	hedgeShare  = 0.7
 	maxAttempts = 3
 	gateTTL     = 2 * time.Second
--- a/testkit/experiment/policy.go
+++ b/testkit/experiment/policy.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Factors by which the capacity of the gates exceeds the slots. With the slots
-// alone, targets would be idle while digests and responses are under way.
-// Engines allow more, since they order their queue by priority.
+// The capacity of the gates as multiples of the slots. With a capacity equal to
+// the slots, targets would be idle while digests and responses are under way.
+// The factor of engines is larger, since they order their queue by priority.
 const (
 	engineOvercommit  = 2
 	serviceOvercommit = 1.5
--- a/testkit/experiment/run.go
+++ b/testkit/experiment/run.go
@@ -22,8 +22,8 @@
 	AgeKnown bool
 }
 
-// Policy is a named combination of a router and a control. The functions
-// create them for each instance.
+// Policy is a named combination of a router and a control. NewRouter and
+// NewControl create one of each for every instance.
 type Policy struct {
 	Name       string
 	NewRouter  func(instance, dataCentre string) Router
