--- a/testkit/capacity/budgets.go
+++ b/testkit/capacity/budgets.go
@@ -15,8 +15,8 @@
 // Parameters of the measurement of account budgets.
 const (
 	// accountSampling is the number of accounts for each one that is simulated.
-	// Accounts are independent but for the limit of accounts remembered, which
-	// is divided by the same number.
+	// Accounts are independent of each other except for the limit on remembered
+	// accounts, which is divided by accountSampling as well.
 	accountSampling = 32
 	ledgerWarmUp    = 240 * time.Second
 	ledgerLength    = 60 * time.Second
--- a/testkit/capacity/claims.go
+++ b/testkit/capacity/claims.go
@@ -24,8 +24,8 @@
 // designClaimRate is the number of claims per second of the whole cluster.
 const designClaimRate = 42000 * nonRepeatableShare
 
-// measureClaims counts the store calls that a claim causes from its begin to the
-// end of its retention, and those of a sweep by one instance.
+// measureClaims counts the writes to the store that claims cause from their begin
+// to the end of their retention, and the reads of one sweep by one instance.
 func measureClaims(o Options) ([]Series, error) {
 	writes := Series{Quantity: "writes to the store, of 1% of the requests", Unit: "1/s in all", SizeUnit: "claim", DesignSize: designClaimRate, Budget: storeWrites}
 	pages := Series{Quantity: "reads of one sweep", Unit: "pages", SizeUnit: "claim kept", DesignSize: designClaimRate * 86400}
--- a/testkit/capacity/exchange.go
+++ b/testkit/capacity/exchange.go
@@ -92,7 +92,7 @@
 	return rig
 }
 
-// runExchange runs one exchange, before which one digest has been replaced.
+// runExchange replaces one digest and then runs one exchange.
 func (r *exchangeRig) runExchange() {
 	r.cluster.replaceDigests(1, r.body)
 	r.exchange.Tick(time.Now())
--- a/testkit/capacity/faults.go
+++ b/testkit/capacity/faults.go
@@ -73,7 +73,8 @@
 }
 
 // measure injects the fault into a fleet that has converged, and measures the
-// minute after its start and the one after its end.
+// minute after the fault's start. Unless quick is set or the fault is permanent, it
+// also measures the minute after the fault's end.
 func (fault fault) measure(n int, quick bool) []Series {
 	f := newFleet(n)
 	f.converge(convergenceTimeout)
@@ -89,7 +90,7 @@
 }
 
 // measureMinute measures the traffic of the next minute, or of the time until
-// the views have converged if that is longer.
+// the views have converged if this takes more than a minute.
 func (f *fleet) measureMinute(name string) []Series {
 	f.sent = traffic{}
 	begun := f.now
--- a/testkit/capacity/nodes.go
+++ b/testkit/capacity/nodes.go
@@ -91,8 +91,8 @@
 	f.applyGossip(f.nodes[0], f.nodes[0].gossip.Put(r))
 }
 
-// propagationTime returns the time until a record has reached every instance:
-// the longest of five.
+// propagationTime measures five times how long a record takes to reach every
+// instance, and returns the longest time.
 func (f *fleet) propagationTime() time.Duration {
 	var longest time.Duration
 	for i := range 5 {
