--- a/testkit/soak/config.go
+++ b/testkit/soak/config.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// keysInForce is how many configuration versions accept a key; keysInForcePlanned applies
-// where callers wait until a key is in force everywhere before they use it.
+// keysInForce is the number of successive configuration versions that accept a key.
+// keysInForcePlanned is the number in runs of planned work, in which callers use a key only
+// after it has had time to come into force everywhere.
 const (
 	keysInForce        = 2
 	keysInForcePlanned = 4
--- a/testkit/soak/crashing.go
+++ b/testkit/soak/crashing.go
@@ -18,8 +18,8 @@
 	// crashDowntime is how long a target is down after a crash.
 	crashDowntime = 700 * time.Millisecond
 	// maxCrashes is how many targets such a request may crash before it must be blocked.
-	// maxLateArrivals is how many more targets it may reach once blockPropagationTime has
-	// passed after that.
+	// maxLateArrivals is how often such requests may still arrive at targets once
+	// blockPropagationTime has passed after that and after the fleet's recovery.
 	maxCrashes           = 3
 	maxLateArrivals      = 3
 	blockPropagationTime = 3 * time.Second
@@ -70,8 +70,8 @@
 	return c.results
 }
 
-// checkCrashes checks how many targets the crash request reached after it had to be blocked
-// and the fleet had recovered from the faults.
+// checkCrashes checks how often the crash request arrived at targets after it had to be
+// blocked and the fleet had recovered from the faults.
 func (tb *testbed) checkCrashes(all []callResult, log targetLog, calmFrom time.Time) {
 	var crashes, arrivals []time.Time
 	for _, a := range all {
--- a/testkit/soak/faults.go
+++ b/testkit/soak/faults.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// injectTargetFault has a target inject the fault into one in so many requests.
+// injectTargetFault makes a target inject the fault into one in the given number of requests
+// for a while.
 func (tb *testbed) injectTargetFault(name string, fault standin.Fault, every int, span time.Duration) {
 	n := 0
 	end := tb.injector.injectAt(name, func() standin.Fault {
--- a/testkit/soak/injector.go
+++ b/testkit/soak/injector.go
@@ -42,8 +42,8 @@
 	seed uint64
 
 	mu sync.Mutex
-	// targetFaults holds, by target name, the fault source of each target that injects faults
-	// by itself.
+	// targetFaults holds, by target name, the function that chooses the faults of each target
+	// that injectAt makes inject faults.
 	targetFaults map[string]func() standin.Fault
 	// oneIn is N if one in N requests meets faults at the engines; 0 for none.
 	oneIn int
@@ -77,8 +77,8 @@
 }
 
 // sample chooses the fault that a request meets at its next target, after the given number of
-// other targets. It depends only on the seed and the request, not on the order in which
-// requests arrive.
+// other targets. At a given rate the choice depends only on the seed and the request, not on
+// the order in which requests arrive.
 func (f *faultInjector) sample(a standin.Arrival, others int) standin.Fault {
 	id := fnv.New64a()
 	_, _ = id.Write([]byte(a.ID)) // hash writes never fail
--- a/testkit/soak/instance.go
+++ b/testkit/soak/instance.go
@@ -37,7 +37,7 @@
 	// singleThread sets GOMAXPROCS=1, as on a small machine: after a pause, expired timers run
 	// before pending socket data is read.
 	singleThread bool
-	// restarting is held from an end until the next start.
+	// restarting is locked from the time that the soak ends the process until the next start.
 	restarting sync.Mutex
 
 	mu      sync.Mutex
--- a/testkit/soak/losses.go
+++ b/testkit/soak/losses.go
@@ -10,9 +10,9 @@
 type Losses struct {
 	// Refused counts the requests that were refused and had not run.
 	Refused int
-	// Crossed counts the requests that met the close of an idle connection, Unaccepted those
-	// on a connection that the instance may never have accepted. None of them reached a
-	// target.
+	// Crossed counts the requests that were sent while the instance closed the idle
+	// connection, Unaccepted those on a connection that the instance may never have accepted.
+	// None of these requests reached a target.
 	Crossed, Unaccepted int
 	// Overdue counts the requests that were ended at their deadline, by a response that says
 	// so or in the middle of one.
@@ -31,9 +31,9 @@
 	// crossedAllowance is added for runs that are too short for the share to be meaningful.
 	maxCrossedShare  = 0.003
 	crossedAllowance = 2
-	// A refusal must leave time to try another instance: it may not come within refusalReserve
-	// of the end of the grace, where the instance ends what remains, unless the request
-	// arrived no longer than freshRequestAge before.
+	// A refusal must leave time to try another instance. At the end of the grace the instance
+	// ends the remaining requests, so a refusal may not come later than refusalReserve before
+	// that end, unless the request was sent at most freshRequestAge before the refusal.
 	refusalReserve  = 700 * time.Millisecond
 	freshRequestAge = time.Second
 	// minServedSharePlanned is the least share of requests served while instances are stopped
--- a/testkit/soak/losses_test.go
+++ b/testkit/soak/losses_test.go
@@ -48,9 +48,9 @@
 	return x
 }
 
-// Prevents checks that misclassify a loss, as a request that waited in a socket for one that
-// crossed the close, or a refusal of a request that ran for a true one: the soak would miss
-// the very faults that it looks for.
+// Prevents checks that misclassify a loss, for example that take a request that waited in a
+// socket for one sent during the close of an idle connection, or accept a refusal of a request
+// that ran: the soak would miss the faults that it looks for.
 func TestPlannedWorkChecks(t *testing.T) {
 	const tick = time.Millisecond
 	unaccepted := closedAfter(600*tick, tick, io.EOF)
--- a/testkit/soak/plan.go
+++ b/testkit/soak/plan.go
@@ -42,7 +42,7 @@
 }
 
 // maxSlowLead is the longest time before a series at which stages become slow. Streams that
-// arrive in between were admitted on predictions from faster calls.
+// arrive in between are admitted on predictions from the earlier, faster calls.
 const maxSlowLead = 400 * time.Millisecond
 
 // sampleSeries samples stops of half to all instances, one or two at a time.
@@ -70,8 +70,8 @@
 	// settings.
 	repeatedTerm
 	settingsReload
-	// pausedAtDelay pauses the process at the end of the balancer delay. It is three times in
-	// each deck, since what it shows depends on chance.
+	// pausedAtDelay pauses the process at the end of the balancer delay. Each deck has
+	// it three times, since whether it reveals a fault depends on chance.
 	pausedAtDelay
 	pausedAtDelay2
 	pausedAtDelay3
--- a/testkit/soak/run.go
+++ b/testkit/soak/run.go
@@ -22,8 +22,8 @@
 const (
 	// recoveryTime is how long after the last fault the fleet must serve normally again.
 	recoveryTime = 4 * time.Second
-	// observationTime is how long it is observed then, and minServedShare the share of
-	// requests that it must serve.
+	// observationTime is how long the fleet is observed after recoveryTime, and minServedShare
+	// the share of requests that it must serve in that time.
 	observationTime = 2 * time.Second
 	minServedShare  = 0.9
 	// seriesPauseWithFaults is the time between two series of planned stops in runs with other
--- a/testkit/soak/silence.go
+++ b/testkit/soak/silence.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// minSilence and maxSilence bound a silence of the store: shorter and longer than the
-	// leases of entries.
+	// minSilence and maxSilence bound a silence of the store. One is shorter and the other
+	// longer than the leases of entries.
 	minSilence = 300 * time.Millisecond
 	maxSilence = 6 * time.Second
-	// storeSettleTime is the time after the store's return from which on a removed target must
-	// get nothing new within its time bound.
+	// storeSettleTime is the time between the store's return and the removal of a target.
+	// Instances must then stop sending to the target within drainTime.
 	storeSettleTime = 3 * time.Second
 )
 
 // removeTargetsAfterSilences silences the store a few times, each at another point of the
 // instances' watches, and removes a target after each, with or without a draining state.
-// Nothing new may reach the target after drainTime, though it would still serve: instances
-// that lost a watch in the silence without noticing would go on sending to it.
+// After drainTime nothing new may reach the target, which still serves: an instance that lost
+// a watch in the silence without noticing would continue to send to the target.
 func (tb *testbed) removeTargetsAfterSilences(times int) {
 	random := rand.New(rand.NewPCG(tb.options.Seed, 2<<32))
 	services := []string{"plain", "engine", "stage"}
--- a/testkit/soak/soak_test.go
+++ b/testkit/soak/soak_test.go
@@ -22,9 +22,9 @@
 
 // plannedSeeds are run with planned work only.
 //
-// 6: a stop closed connections while requests were waiting in the sockets of a paused process,
-// and, at the end of its grace, one that was waiting for its stages; a second SIGTERM ended a
-// process in the middle of its stop.
+// 6: a stop closed connections while requests were waiting in the sockets of a paused process
+// and, at the end of its grace, the connection of a request that was waiting for its stages; a
+// second SIGTERM ended a process in the middle of its stop.
 var plannedSeeds = []uint64{6}
 
 // build builds the daemon and returns its path.
@@ -55,8 +55,8 @@
 }
 
 // Prevents requests to a target that left three seconds after a silence of the store:
-// instances whose watches were never received during the silence would go on using it long
-// after its draining state.
+// instances whose watches were never received during the silence would continue to use the
+// target long after it entered the draining state.
 func TestSoakSilences(t *testing.T) {
 	binary := build(t)
 	report, err := Run(Options{
--- a/testkit/soak/targets.go
+++ b/testkit/soak/targets.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// drainTime is the time within which instances must stop sending new work to a leaving
-	// target, with some margin; its entry is deleted then.
+	// drainTime is the time, with some margin, within which instances must stop sending new
+	// work to a leaving target. When it has passed, the target's entry is deleted.
 	drainTime = 2500 * time.Millisecond
-	// resultRetention is how long a target then stays up for readers of its results.
+	// resultRetention is how long a target stays up after that for readers of its results.
 	resultRetention = 4500 * time.Millisecond
 	// eventInterval is the pause before each event of a stream; streams are far shorter than a
 	// planned stop.
 	eventInterval        = 10 * time.Millisecond
 	eventIntervalPlanned = 80 * time.Millisecond
-	// maxStageDelay is the longest delay of a stage call in each direction. A stream with two
-	// stages can still meet its deadline with it, though not within a planned stop.
+	// maxStageDelay is the longest delay of a stage call in each direction. With this
+	// delay a stream with two stages can still meet its deadline, but takes longer than a
+	// planned stop.
 	maxStageDelay = time.Second
 )
 
@@ -90,7 +91,7 @@
 }
 
 // slowStages delays the calls of stages for a while, as load does: streams that were admitted
-// before then still wait for their stages when a stop reaches its end.
+// before the delay began still wait for their stages when a stop reaches its end.
 func (tb *testbed) slowStages(by, span time.Duration) {
 	tb.logf("planned: stages are slow by %v each way for %v", by, span)
 	tb.delayStages(by)
