--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -33,7 +33,7 @@
 type Blocklist struct {
 	cluster Cluster
 	metrics metrics
-	// requests is the number of requests with records.
+	// requestCount is the number of requests with records.
 	requestCount atomic.Int64
 	// wake receives a value when there are records to send.
 	wake chan struct{}
@@ -63,7 +63,7 @@
 // Empty reports whether there are no records, so that no request can be blocked.
 func (b *Blocklist) Empty() bool { return b.requestCount.Load() == 0 }
 
-// Crashed records that a target ended while it ran a request.
+// RecordCrash records that a target ended while it ran a request.
 func (b *Blocklist) RecordCrash(digest quarantine.Digest, target string) {
 	now := time.Now()
 	b.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// EndedWell records that a run of a request ended without a crash of its target.
+// RecordCompletion records that a run of a request ended without a crash of its target.
 func (b *Blocklist) RecordCompletion(digest quarantine.Digest) {
 	now := time.Now()
 	b.mu.Lock()
--- a/daemon/blocklist/records.go
+++ b/daemon/blocklist/records.go
@@ -16,9 +16,9 @@
 	Admit(ctx context.Context, digest quarantine.Digest, remaining time.Duration) quarantine.Verdict
 	// Judge returns the verdict by the records of this instance, without contacting others.
 	Judge(digest quarantine.Digest) quarantine.Verdict
-	// Crashed records that a target ended while it ran a request.
+	// RecordCrash records that a target ended while it ran a request.
 	RecordCrash(digest quarantine.Digest, target string)
-	// EndedWell records that a run of a request ended without a crash of its target.
+	// RecordCompletion records that a run of a request ended without a crash of its target.
 	RecordCompletion(digest quarantine.Digest)
 }
 
@@ -39,8 +39,8 @@
 // Judge implements Records.
 func (None) Judge(quarantine.Digest) quarantine.Verdict { return quarantine.Verdict{} }
 
-// Crashed implements Records.
+// RecordCrash implements Records.
 func (None) RecordCrash(quarantine.Digest, string) {}
 
-// EndedWell implements Records.
+// RecordCompletion implements Records.
 func (None) RecordCompletion(quarantine.Digest) {}
--- a/daemon/serve/rig_test.go
+++ b/daemon/serve/rig_test.go
@@ -63,7 +63,7 @@
 	return f.joined, nil
 }
 
-// AskClaim finds every other claimant unreachable.
+// ClaimStatus finds every other claimant unreachable.
 func (f *fakes) ClaimStatus(context.Context, claim.Owner, claim.StatusRequest) (claim.StatusResponse, error) {
 	return claim.StatusResponse{}, context.DeadlineExceeded
 }
