--- a/daemon/blocklist/blocklist.go
+++ b/daemon/blocklist/blocklist.go
@@ -1,9 +1,10 @@
 // Package blocklist holds an instance's records of requests that crash their targets, and
 // exchanges them with the other instances.
 //
-// Nothing is sent while there are no records. A new record is gossiped to a few neighbours,
-// which pass it on. An instance learns records that it missed from samples of its neighbours'
-// records, which it also requests after its start and after it was paused.
+// A new record is gossiped to a few neighbours, which pass it on. To learn of records that it
+// missed, an instance requests samples of its neighbours' records: once per sampleInterval
+// while it has records itself, and a few times after its start and after a pause even if it
+// has none. Otherwise nothing is sent while there are no records.
 package blocklist
 
 import (
@@ -42,9 +43,11 @@
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// loggedBlocked holds the digests that were last logged as blocked.
+	// loggedBlocked holds the digests that were logged as blocked and not since then as no
+	// longer blocked.
 	loggedBlocked map[quarantine.Digest]bool
-	// deniedUntil holds until when no further trial of a request is requested.
+	// deniedUntil holds, for each request whose trial was denied, the time before which no
+	// further trial of it is requested.
 	deniedUntil map[quarantine.Digest]time.Time
 }
 
@@ -101,7 +104,8 @@
 	return b.table.Blocked(time.Now())
 }
 
-// recordChanged logs and counts the change that a new record causes. The caller holds mu.
+// recordChanged logs a change of a request's records, updates the numbers of requests with
+// records and of blocked ones, and wakes the loop that sends records. The caller holds mu.
 func (b *Blocklist) recordChanged(now time.Time, digest quarantine.Digest, source, target string) {
 	b.requestCount.Store(int64(b.table.Len()))
 	v := b.table.Judge(now, digest)
@@ -126,11 +130,12 @@
 func (b *Blocklist) signal() {
 	select {
 	case b.wake <- struct{}{}:
-	default: // it was woken already
+	default: // a wake-up is pending already
 	}
 }
 
-// expire drops records that are too old and denials that have ended.
+// expire drops records that are too old and denials that have ended. It logs the requests
+// that are no longer blocked as a result.
 func (b *Blocklist) expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/blocklist/blocklist_test.go
+++ b/daemon/blocklist/blocklist_test.go
@@ -28,7 +28,7 @@
 func TestMain(m *testing.M) {
 	flags := flag.NewFlagSet("klog", flag.PanicOnError)
 	klog.InitFlags(flags)
-	_ = flags.Set("stderrthreshold", "FATAL") // a flag of klog's own
+	_ = flags.Set("stderrthreshold", "FATAL") // can't fail: klog defines this flag
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	os.Exit(m.Run())
--- a/daemon/blocklist/exchange.go
+++ b/daemon/blocklist/exchange.go
@@ -22,15 +22,15 @@
 	minExchangeInterval = 100 * time.Millisecond
 	// sampleInterval is the time between two exchanges of samples while there are records.
 	sampleInterval = time.Second
-	// joinTimeout limits the wait for another instance after the start. The first one is
-	// known within a few round trips.
+	// joinTimeout limits how long an instance waits at its start until it knows another
+	// one, which takes a few round trips.
 	joinTimeout = 300 * time.Millisecond
 	// joinFanout is how many neighbours an instance requests records from at its start.
 	joinFanout = 3
-	// fanout is the number of neighbours of one exchange.
+	// fanout is the maximum number of neighbours to which one exchange sends a message.
 	fanout = 2
-	// extraCopies plus the natural logarithm of the number of instances is how often an
-	// instance sends a record.
+	// An instance sends each record as many times as extraCopies plus the natural
+	// logarithm of the number of instances, rounded up.
 	extraCopies     = 4
 	exchangeTimeout = time.Second
 	// initialSamples is how often an instance requests samples after its start or after
@@ -51,9 +51,9 @@
 	lastExchange, lastSample time.Time
 }
 
-// AwaitInitialSync waits until this instance has received the records of another one after
-// its start, or the context ends. It also returns if there is no other instance, since then
-// there are no further records, or if none responds.
+// AwaitInitialSync waits until this instance has received records from another one after its
+// start. It returns earlier if the context ends, if no other instance is known in time, or
+// if the requests to the others have all failed.
 func (b *Blocklist) AwaitInitialSync(ctx context.Context) {
 	select {
 	case <-b.synced:
--- a/daemon/blocklist/messages.go
+++ b/daemon/blocklist/messages.go
@@ -39,7 +39,7 @@
 	return messages
 }
 
-// decode returns the record, false if it is malformed.
+// decode returns the record, or false if the message is malformed.
 func (m crashMessage) decode() (quarantine.Crash, bool) {
 	var digest quarantine.Digest
 	if len(m.Digest) != len(digest) {
--- a/daemon/blocklist/trial.go
+++ b/daemon/blocklist/trial.go
@@ -19,8 +19,8 @@
 const (
 	// trialTimeout limits the request for a trial, since the caller waits for it.
 	trialTimeout = 200 * time.Millisecond
-	// trialMargin is added to the time that a run may take, so that the record of its end
-	// can reach the other instances.
+	// Once a trial is granted, no other one is granted for the time that the run may take
+	// plus trialMargin, so that the record of the run's end can reach the other instances.
 	trialMargin = 2 * time.Second
 	// maxTrialTime limits the time that a run may take.
 	maxTrialTime = time.Minute
@@ -62,8 +62,8 @@
 	}
 }
 
-// requestTrial requests a trial from the instance that decides on the trials of a request, its
-// owner by hashing.
+// requestTrial requests a trial from the owner of the request, which is the instance that
+// decides on the request's trials and is chosen by hashing the digest.
 func (b *Blocklist) requestTrial(ctx context.Context, digest quarantine.Digest, remaining time.Duration) bool {
 	remaining = min(max(remaining, 0), maxTrialTime)
 	owners := membership.Owners(b.cluster.View(), digest.String(), 1)
--- a/daemon/blocklist/wire_test.go
+++ b/daemon/blocklist/wire_test.go
@@ -12,7 +12,7 @@
 )
 
 // Instances of two builds run side by side for minutes during an update. If a field got another
-// name or type, one build couldn't read the other's records of crashes.
+// name or type, one build couldn't read the records of crashes that the other one sends.
 func TestBytesOfCrashRecords(t *testing.T) {
 	cases := []struct {
 		name    string
