--- a/daemon/serve/conn_test.go
+++ b/daemon/serve/conn_test.go
@@ -79,8 +79,9 @@
 }
 
 // A caller keeps its connection open and doesn't read from it. Without a write timeout
-// the response would fill the buffers and occupy its slot, or its target's slot, until
-// a restart. With some hundreds of such callers the instance would serve nobody.
+// the response would fill the buffers, and the request would occupy its slot, and a stream
+// also its target's slot, until a restart. With some hundreds of such callers the instance
+// would serve nobody.
 func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	for _, request := range []testRequest{{pipeline: "again"}, {pipeline: "again", stream: true}, {pipeline: "none"}} {
 		inBubble(t, respondOK, func(t *testing.T, r *connRig) {
@@ -143,7 +144,7 @@
 		return execute.Result{Output: "out", Tokens: 1}, nil
 	}
 	inBubble(t, run, func(t *testing.T, r *connRig) {
-		release = make(chan struct{}) // of the bubble
+		release = make(chan struct{}) // made here, so that it belongs to the synctest bubble
 		r.send(t, testRequest{pipeline: "again", stream: true})
 		got, err := http.ReadResponse(r.reader, nil)
 		require.NoError(t, err)
--- a/daemon/serve/join_table.go
+++ b/daemon/serve/join_table.go
@@ -31,8 +31,8 @@
 	Body        []byte                   `json:"body,omitempty"`
 }
 
-// joinTable keeps the responses of requests that other calls joined while they ran.
-// For a request that no call joins, the cost is one atomic load of count.
+// joinTable keeps the responses of requests that other calls joined while the requests
+// ran. While the table is empty, it costs a request only one atomic load of count.
 type joinTable struct {
 	count atomic.Int64
 	mu    sync.Mutex
@@ -42,8 +42,8 @@
 	bytes     int
 }
 
-// joinEntry is one joined request. The fields below done are set when done is closed;
-// body is nil if it was too large to keep.
+// joinEntry is one joined request. The fields below done are set before done is closed;
+// body stays nil if it was too large to keep or the response is unknown.
 type joinEntry struct {
 	done        chan struct{}
 	status      int
@@ -144,9 +144,10 @@
 	return result, true
 }
 
-// joinRunning returns the entry of a running request, or nil. The request may have
-// ended since state was read. An entry added after that would never be completed, so
-// it is completed here without a body.
+// joinRunning returns the entry of a running request. It returns nil if the request has
+// ended or the table is full. The request may have ended after state was read: an entry
+// added after the end would never be completed, so joinRunning completes it without a
+// body.
 func (s *Server) joinRunning(id string, state *callerapi.RequestStatus) *joinEntry {
 	if state.State != stateRunning {
 		return nil
--- a/daemon/serve/join_test.go
+++ b/daemon/serve/join_test.go
@@ -18,8 +18,8 @@
 )
 
 // A caller loses its connection while its request runs, and asks for the response by the
-// request's id. It must get the response of the first call once that is available, and
-// never one of another account's request.
+// request's id. It must get the response to the first call once the response is available.
+// A caller of another account must never get it.
 func TestJoinARunningRequest(t *testing.T) {
 	problem := &execute.Failure{Reason: execute.ReasonTarget, Verdict: outcome.Unknown}
 	cases := map[string]struct {
@@ -76,8 +76,8 @@
 	return w
 }
 
-// Another instance serves the request. Its response is passed on, but never one of
-// another account's request, whatever that instance responds.
+// Another instance serves the request. The response from that instance is passed on, but
+// not if it belongs to a request of another account, whatever that instance responds.
 func TestJoinThroughAnotherInstance(t *testing.T) {
 	for account, status := range map[string]int{"a": http.StatusOK, "b": http.StatusNotFound} {
 		r := newRig(t, respondOK, nil)
--- a/daemon/serve/parse.go
+++ b/daemon/serve/parse.go
@@ -42,8 +42,9 @@
 
 // authenticate returns the client account that the caller's key belongs to.
 //
-// To prevent timing attacks, keys are looked up by their digest, which a caller can't
-// bring close to a stored one, and digests are compared in constant time.
+// To prevent timing attacks, keys are looked up by their digest, since a caller can't
+// choose a key whose digest resembles a stored one, and digests are compared in constant
+// time.
 func authenticate(r *http.Request, s *catalog.Snapshot) (*catalog.Account, *callerapi.Problem) {
 	refuse := func(detail string) (*catalog.Account, *callerapi.Problem) {
 		return nil, refusal(http.StatusUnauthorized, typeUnauthenticated, detail)
--- a/daemon/serve/problem.go
+++ b/daemon/serve/problem.go
@@ -61,7 +61,7 @@
 	return p
 }
 
-// internalFault is the whole detail that callers get about a fault of the program.
+// internalFault is the only detail that callers get about a fault of the program.
 const internalFault = "internal fault"
 
 // failureProblem converts the failure of a job into a problem.
--- a/daemon/serve/problem_test.go
+++ b/daemon/serve/problem_test.go
@@ -13,7 +13,7 @@
 )
 
 // Rounded down, a delay of half a millisecond would become 0 ms. Callers read that as
-// "don't retry" and give the request up.
+// "don't retry" and give up the request.
 func TestRefusalsHaveARetryDelay(t *testing.T) {
 	cases := map[time.Duration]int64{
 		0:                       defaultRetryAfter.Milliseconds(),
@@ -28,8 +28,8 @@
 	}
 }
 
-// A stage panics, and the text of the panic contains parts of the request. It must appear
-// only in the log, since other people may read the caller's errors.
+// A stage panics, and the text of the panic contains parts of the request. The text must
+// appear only in the log, since other people may read the caller's errors.
 func TestInternalFaultHidesTheRequest(t *testing.T) {
 	f := &execute.Failure{Reason: execute.ReasonFault, Verdict: outcome.Unknown, Step: "generate", Cause: errors.New("secret")}
 	p := failureProblem(f)
--- a/daemon/serve/responder.go
+++ b/daemon/serve/responder.go
@@ -133,11 +133,11 @@
 }
 
 const (
-	// slowCallerDivisor limits the time for which a caller that doesn't read may
-	// delay claimed work: the remaining time divided by it.
+	// The remaining time divided by slowCallerDivisor is the limit of the time for which
+	// a caller that doesn't read may delay claimed work.
 	slowCallerDivisor = 4
-	// minWriteTimeout is the lower bound of that time. It leaves time to write the
-	// response to a call that has waited for another one until its deadline.
+	// minWriteTimeout is the lower bound of that limit. With it, a call that has waited
+	// until its own deadline for another call still has time to write its response.
 	minWriteTimeout = 200 * time.Millisecond
 )
 
--- a/daemon/serve/server.go
+++ b/daemon/serve/server.go
@@ -40,16 +40,16 @@
 }
 
 // Forwarder forwards calls about a request to the instance that the request's id
-// names. It blocks until the response or the end of the context.
+// names. Its methods block until that instance responds or the context ends.
 type Forwarder interface {
 	RequestStatus(ctx context.Context, id requestid.ID, account string, text string) (*callerapi.RequestStatus, error)
-	// AwaitResponse lets that instance wait for the response to the request.
+	// AwaitResponse asks that instance to wait for the response to the request.
 	AwaitResponse(ctx context.Context, id requestid.ID, account, text string, wait time.Duration) (*JoinResult, error)
 }
 
 // Options are the dependencies and limits of a Server. All but Now are required.
 type Options struct {
-	// Config returns the configuration in force, nil before the first.
+	// Config returns the configuration in force, or nil while none is known.
 	Config   func() *catalog.Snapshot
 	Executor Executor
 	Claims   Claimer
--- a/daemon/serve/status.go
+++ b/daemon/serve/status.go
@@ -14,7 +14,8 @@
 // forwardTimeout is the timeout of a call to the instance that serves a request.
 const forwardTimeout = time.Second
 
-// handleStatus serves GET /v1/requests/{id}. Any instance can respond for any other.
+// handleStatus serves GET /v1/requests/{id}. An instance that doesn't serve the request
+// itself forwards the call to the one that the id names.
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	w = &timeoutWriter{ResponseWriter: w, timeout: s.opts.CallerWriteTimeout}
 	account, problem := s.callerAccount(r)
@@ -42,7 +43,7 @@
 }
 
 // LocalStatus returns the status of a request that this instance serves or has served.
-// It is used for callers and for other instances that forward their calls.
+// It is used for the callers of this instance and for calls that other instances forward.
 func (s *Server) LocalStatus(id, account string) (*callerapi.RequestStatus, bool) {
 	status, ok := s.opts.Status.Get(id, s.opts.Now())
 	if !ok || status.Account != account {
--- a/daemon/serve/submit_test.go
+++ b/daemon/serve/submit_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// refuseAfterOtherStages fails as a job whose non-repeatable stage was refused by its
-// target after other stages had run.
+// refuseAfterOtherStages fails in the same way as a job whose non-repeatable stage was
+// refused by the target after other stages had run.
 func refuseAfterOtherStages(_ context.Context, job execute.Job) (execute.Result, error) {
 	_ = dispatch(job)
 	return execute.Result{}, &execute.Failure{Reason: execute.ReasonTarget, Verdict: outcome.Ran, MayRunAgain: true}
@@ -93,7 +93,7 @@
 		before  func(*testing.T, *rig)
 		run     executorFunc
 		request testRequest
-		// status and outcome of a problem; 200 and "" if there is none.
+		// status and outcome are those of the problem; 200 and "" if there is none.
 		status     int
 		outcome    callerapi.Outcome
 		kind       string
@@ -144,7 +144,7 @@
 				require.Equal(t, c.status == http.StatusOK, got.output == "out")
 				require.Equal(t, c.runs, r.runs.Load())
 				require.Zero(t, r.server.streams.count())
-				require.Contains(t, []int{0, 2}, r.server.InFlight(), "a slot leaked") // 2 is set by a case
+				require.Contains(t, []int{0, 2}, r.server.InFlight(), "a slot leaked") // one case sets 2 itself
 			})
 		}
 	}
--- a/daemon/serve/wire_test.go
+++ b/daemon/serve/wire_test.go
@@ -41,7 +41,8 @@
 }
 
 // A renamed field or value changes what callers and other instances read. A caller that
-// asks for the response to its request would find none, and run it a second time.
+// asks for the response to its request would find none and send the request again,
+// which would then run a second time.
 func TestBytesOfServedAnswers(t *testing.T) {
 	marshalled := func(v any) (string, error) {
 		text, err := json.Marshal(v)
