--- a/daemon/claims/journal.go
+++ b/daemon/claims/journal.go
@@ -68,8 +68,8 @@
 
 // NewJournalStorage returns a JournalStorage with the given number of shards, which must
 // be the same on all instances. timeout bounds one call to the store. writeInterval is
-// the least time between two writes of a shard: it bounds the rate of writes for any
-// rate of claims, and a claim waits for half of it on average.
+// the minimum time between two writes of a shard: it bounds the rate of writes however
+// many claims arrive, and a claim waits for half of it on average.
 func NewJournalStorage(store Store, shards int, timeout, writeInterval time.Duration) *JournalStorage {
 	j := &JournalStorage{store: store}
 	for i := range shards {
@@ -124,7 +124,7 @@
 	case e := <-op.done:
 		return e
 	case <-ctx.Done():
-		// The operation may be in a batch that is still written.
+		// The operation may still be written: it is pending or in a batch in progress.
 		return claim.ResponseLost{}
 	}
 }
@@ -137,8 +137,8 @@
 	}
 }
 
-// hasPending reports whether operations are pending. If there are none, the next
-// operation starts another commit.
+// hasPending reports whether operations are pending. If there are none, it clears
+// committing, so that the next operation starts the committing goroutine again.
 func (j *journal) hasPending() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// write writes the next head. If that is too large, the current entries are sealed
-// first.
+// write writes the next head. If the encoded head is too large, the entries of the current
+// head are sealed into a segment first.
 func (j *journal) write(next journalView) error {
 	object, err := next.object(j.name, j.view.revision)
 	if err != nil {
@@ -282,9 +282,9 @@
 	return nil
 }
 
-// seal copies the head's entries as of its revision into a segment and returns next
-// without them. The segment is valid only once the head names it, so a crash in
-// between leaves an object that is never read.
+// seal copies the entries of the current head into a segment. It returns next without
+// those of the entries that are unchanged in next. The segment is valid only once the head
+// names it, so a crash in between leaves an object that is never read.
 //
 // The head drops its entries only after the store has confirmed the segment or
 // responded that it exists: otherwise a lost write would lose claims.
--- a/daemon/claims/journal_read.go
+++ b/daemon/claims/journal_read.go
@@ -106,9 +106,10 @@
 	return entries, err == nil
 }
 
-// Sweep implements Storage. It removes old entries of the head, and each segment whose
-// newest claim is past its retention, after the head has dropped the segment. It counts
-// only the removed entries of the head.
+// Sweep implements Storage. It removes the old entries of the head, and the oldest segments
+// up to the first one that has a claim within the retention. A segment is deleted only
+// after a head that no longer names it was written. Only the removed entries of the head
+// are counted.
 func (j *JournalStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed := 0
 	for _, shard := range j.shards {
--- a/daemon/claims/journal_spec.go
+++ b/daemon/claims/journal_spec.go
@@ -13,7 +13,8 @@
 )
 
 // journalSpec is the spec of a journal's head or of a sealed segment. Segments never
-// change. Only the head is updated, conditionally, and it decides what is stored.
+// change. Only the head is updated, conditionally: what it contains and the segments that
+// it names are what is stored.
 type journalSpec struct {
 	// Sequence is the sequence number of the newest entry.
 	Sequence uint64                   `json:"sequence"`
@@ -91,5 +92,5 @@
 }
 
 // segmentName returns a name that is unique to the head's revision, so that no two
-// contents share a name.
+// segments with different contents share a name.
 func (v journalView) segmentName(head string) string { return fmt.Sprintf("%s-%d", head, v.revision) }
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -66,8 +66,8 @@
 // would not fit into an instance's memory.
 const sweepPageSize = 100
 
-// Sweep implements Storage. The pages may be stale, since a claim's creation time
-// doesn't change, and each removal is conditional on the listed revision.
+// Sweep implements Storage. Stale pages do no harm: a claim's creation time doesn't
+// change, and each removal is conditional on the listed revision.
 func (o *ObjectStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed, after := 0, ""
 	for {
--- a/daemon/claims/record.go
+++ b/daemon/claims/record.go
@@ -17,16 +17,16 @@
 	minBackoff        = 100 * time.Millisecond
 	maxBackoff        = 5 * time.Second
 	// lostWriteDelay is the delay before the store is checked for a write whose
-	// response was lost. The write may take effect after an earlier check. It would
-	// then block its key once this incarnation, which reports the token's status
-	// until then, has ended.
+	// response was lost. The write could take effect after an earlier check. The claim
+	// would then block its key once this incarnation has ended, since only this
+	// incarnation reports the status of the token.
 	lostWriteDelay = 10 * time.Second
 	// maxQueueAge is the age at which an outcome that can't be recorded is dropped.
 	maxQueueAge = time.Hour
 )
 
 // record writes the end of a claim. It returns false if the write must be retried; w
-// then holds the claim's revision, as far as it is known.
+// then holds the claim's revision, or 0 if the revision isn't known.
 func (s *Service) record(ctx context.Context, w *recordWrite) bool {
 	for range maxRecordAttempts {
 		if w.revision == 0 && !s.readRevision(ctx, w) {
@@ -54,8 +54,8 @@
 	return false
 }
 
-// readRevision sets the write's revision to the claim's. The revision stays 0 if there is
-// nothing left to write. It returns false if the store gives no response.
+// readRevision sets the write's revision to that of the stored claim. The revision stays 0
+// if there is nothing left to write. It returns false if the store gives no response.
 func (s *Service) readRevision(ctx context.Context, w *recordWrite) bool {
 	switch e := s.perform(ctx, w.id, claim.Read{}).(type) {
 	case claim.Exists:
--- a/daemon/claims/service.go
+++ b/daemon/claims/service.go
@@ -18,7 +18,7 @@
 	"github.com/ivyhollow/ivyhollow/coordination/claim"
 )
 
-// Key identifies a request that may not be repeated.
+// Key identifies a request by the client account and the idempotency key.
 type Key = claim.Key
 
 // StoredResult is the result that a claim stores for retries.
@@ -169,7 +169,7 @@
 }
 
 // join waits for an attempt of the same key on this instance. It returns false if that
-// attempt was abandoned: then this call claims the key itself.
+// attempt was abandoned: this call must then join a later attempt or claim the key itself.
 func (s *Service) join(ctx context.Context, id claim.ID, local localAttempt) (BeginResult, bool) {
 	if !local.sameBody {
 		return BeginResult{Verdict: Conflict, Reason: "key used with another body"}, true
@@ -186,8 +186,8 @@
 	return BeginResult{Verdict: Replay, Result: status.Result, Reason: "joined a call on this instance"}, true
 }
 
-// HandleStatusRequest returns to a peer the status of an attempt of this incarnation, by its
-// token.
+// HandleStatusRequest returns the status of the attempt that a peer names by its token. It
+// knows only the attempts of this incarnation.
 func (s *Service) HandleStatusRequest(_ context.Context, q claim.StatusRequest) claim.StatusResponse {
 	// A new incarnation at the same address doesn't know the tokens of the previous
 	// one. If it responded "abandoned", a key could run twice.
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -118,8 +118,8 @@
 )
 
 // The store fails in one way while instance a claims a key. The caller must get a correct
-// verdict. Then the store has recovered and the caller retries at instance b, while a is
-// running or has failed.
+// verdict. Then the store recovers and the caller retries at instance b, while a is running
+// or has failed.
 func TestStoreFaultWhileClaiming(t *testing.T) {
 	lost := emulator.Faults{LoseWrites: 1}
 	for _, tc := range []struct {
@@ -222,8 +222,8 @@
 	})
 }
 
-// The deadline passes while the first call of the key is running. "Not run" would be wrong,
-// on the same instance as on another one.
+// The deadline passes while the first call of the key is running. "Not run" would be wrong
+// both on the same instance and on another one.
 func TestJoinPastTheDeadlineIsUnknown(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
@@ -254,7 +254,7 @@
 }
 
 // The process is paused for longer than the dispatch window after it created a claim. The
-// claim may have been removed by then, so it must not dispatch.
+// claim may have been removed by then, so the process must not dispatch work under it.
 func TestLateDispatchIsRefused(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		first := w.begin(a, time.Second)
--- a/daemon/claims/storage.go
+++ b/daemon/claims/storage.go
@@ -19,8 +19,9 @@
 	// Replace writes the claim if the stored one is at the revision. It returns
 	// Written, Exists, Absent, StoreUnavailable or ResponseLost.
 	Replace(ctx context.Context, id claim.ID, revision uint64, r claim.Record) claim.Event
-	// Sweep removes claims created before a time and returns their number. It calls
-	// pace before each page that it reads and before each removal, and ends with pace's
-	// error.
+	// Sweep removes claims created before a time and returns the number removed. It
+	// calls pace to limit the rate of its calls: an ObjectStorage before it reads a page
+	// and before each removal, a JournalStorage once before each shard. If pace returns
+	// an error, Sweep ends and returns this error.
 	Sweep(ctx context.Context, before time.Time, pace func() error) (int, error)
 }
--- a/daemon/claims/sweep_test.go
+++ b/daemon/claims/sweep_test.go
@@ -39,7 +39,7 @@
 		create := func(id string, at time.Time) {
 			r := claim.Record{CreatedAt: at}
 			require.IsType(t, claim.Written{}, objects.Create(t.Context(), Key{IdempotencyKey: id}.ID(), r))
-			time.Sleep(10 * time.Millisecond) // the store's rate
+			time.Sleep(10 * time.Millisecond) // keeps to the store's limit of calls
 		}
 		for i := range old {
 			create(fmt.Sprint(i), time.Now().Add(-25*time.Hour))
@@ -58,7 +58,7 @@
 		require.Equal(t, before, reads(), "no instance is the sweeper")
 		sweeper.Store(0)
 		time.Sleep(DefaultSweepInterval + 5*time.Second)
-		sweeper.Store(1) // possibly during a sweep
+		sweeper.Store(1) // the sweeper changes, possibly during a sweep
 		time.Sleep(2 * time.Hour)
 		left, err := world.Local("y").List(ctx, platformapi.KindClaims)
 		require.NoError(t, err)
