--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -24,7 +24,8 @@
 	methodResponse      = "request.answer"
 )
 
-// errNotMember means that no live instance has the name, or the incarnation.
+// errNotMember means that no live instance has the name, or that the one that has it is
+// another incarnation.
 var errNotMember = errors.New("no such live instance")
 
 // peers calls other instances by name.
@@ -60,7 +61,7 @@
 type claimStatusClient struct{ cluster *cluster.Cluster }
 
 // ClaimStatus implements claims.StatusClient. Only the incarnation that made the claim
-// knows its status: a later incarnation doesn't have its memory.
+// knows its status: a later incarnation doesn't have the memory of the earlier one.
 func (c claimStatusClient) ClaimStatus(ctx context.Context, claimant claim.Owner, q claim.StatusRequest) (claim.StatusResponse, error) {
 	var response claim.StatusResponse
 	member, ok := c.cluster.View().Find(claimant.Instance)
@@ -83,11 +84,11 @@
 type statusQuery struct {
 	ID      string `msgpack:"i"`
 	Account string `msgpack:"a"`
-	// Wait is the maximum wait for the response; methodResponse only.
+	// Wait is the maximum wait for the response. Only methodResponse uses it.
 	Wait time.Duration `msgpack:"w,omitempty"`
 }
 
-// forwarder implements serve.Forwarder: it calls the instance that a request's id names.
+// forwarder implements serve.Forwarder. It calls the instance that the request's id names.
 type forwarder struct{ cluster *cluster.Cluster }
 
 // RequestStatus implements serve.Forwarder.
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -49,7 +49,7 @@
 // watchersKey is the key whose owners watch the store.
 const watchersKey = "configuration-watchers"
 
-// sweeperKey is the key whose owner removes expired claims.
+// sweeperKey is the key whose first owner removes the claims past their retention.
 const sweeperKey = "claims-sweeper"
 
 // callerWriteTimeout limits the wait for a caller that doesn't read its stream.
@@ -264,8 +264,8 @@
 
 func (a *App) liveCount() int { return len(a.cluster.View().Live()) }
 
-// watcherRank returns this instance's rank among the watchers of the store, false if it
-// isn't a watcher.
+// watcherRank returns this instance's rank among the watchers of the store, or false if
+// this instance isn't a watcher.
 func (a *App) watcherRank() (int, bool) {
 	for i, owner := range a.cluster.Owners(watchersKey, confsync.Watchers) {
 		if owner.Name == a.self.Name {
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -35,7 +35,8 @@
 	return startInstanceWith(t, "")
 }
 
-// startInstanceWith is startInstance with spans sent to the collector, unless it is empty.
+// startInstanceWith is startInstance with spans sent to the collector at the given address,
+// unless the address is empty.
 func startInstanceWith(t testing.TB, collector string, options ...dev.Option) *App {
 	t.Helper()
 	return startIn(t, startWorld(t, options...), "one", collector)
--- a/daemon/app/join_test.go
+++ b/daemon/app/join_test.go
@@ -17,7 +17,7 @@
 )
 
 // A caller gets the status and the response of its request from any instance, since the
-// balancer may send it to another one than the instance that runs the request.
+// balancer may send the call to an instance other than the one that runs the request.
 func TestJoinOnAnotherInstance(t *testing.T) {
 	started, release := make(chan string, 1), make(chan struct{})
 	world := startWorld(t, dev.WrapTargets(func(next http.Handler) http.Handler {
@@ -25,7 +25,7 @@
 			if strings.Contains(r.Header.Get(targetapi.HeaderAttempt), "/encode/") {
 				select {
 				case started <- r.Header.Get(targetapi.HeaderRequest):
-				default: // a hedge
+				default: // a hedged attempt: only the first attempt is reported
 				}
 				<-release
 			}
@@ -48,11 +48,11 @@
 	require.Equal(t, want, fetch(t, http.MethodGet, two, path+"?wait_ms=3000", http.StatusOK))
 }
 
-// membersWait limits a test that hangs.
+// membersWait is the time after which a test that hangs is ended.
 const membersWait = 30 * time.Second
 
-// fetch calls an instance and checks the status. It may run in another goroutine than
-// the test's.
+// fetch calls an instance and checks the status. It may run in a goroutine other than that
+// of the test.
 func fetch(t *testing.T, method string, a *App, path string, status int) string {
 	request, _ := http.NewRequest(method, a.CallersURL()+path, strings.NewReader(`{"input":"x"}`))
 	request.Header.Set("Authorization", "Bearer "+dev.SampleKey)
--- a/daemon/app/overhead_test.go
+++ b/daemon/app/overhead_test.go
@@ -81,7 +81,7 @@
 	return response.Header.Get(callerapi.HeaderRequestID)
 }
 
-// decodeInto returns a reader of a JSON body.
+// decodeInto returns a function that decodes a JSON body into value.
 func decodeInto(b *testing.B, value any) func(io.Reader) {
 	return func(body io.Reader) {
 		if err := json.NewDecoder(body).Decode(value); err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// readEvents returns a reader of a stream with the given number of tokens.
+// readEvents returns a function that reads a stream with the given number of tokens.
 func readEvents(b *testing.B, want int) func(io.Reader) {
 	return func(body io.Reader) {
 		decoder := sse.NewDecoder(body, sse.Limits{Line: 1 << 20, Event: 1 << 20})
--- a/daemon/app/run.go
+++ b/daemon/app/run.go
@@ -14,20 +14,21 @@
 
 // Timeouts of the servers and of the steps of a planned stop that don't wait for callers.
 const (
-	// cancelledResponseTimeout limits the responses to requests that the stop cancels.
-	// They have a few hundred bytes, and their outcomes are recorded within half a second.
+	// cancelledResponseTimeout limits the time for sending the responses to requests
+	// that the stop cancels. Such a response has a few hundred bytes, and its outcome is
+	// recorded within half a second.
 	cancelledResponseTimeout = time.Second
 	drainClaimsTimeout       = 3 * time.Second
 	leaveTimeout             = 2 * time.Second
 	adminHeaderTimeout       = 5 * time.Second
-	// adminStopTimeout limits the last responses to probes and scrapes, which take a
-	// millisecond.
+	// adminStopTimeout limits the time for the last responses to probes and scrapes, each
+	// of which takes a millisecond.
 	adminStopTimeout = 100 * time.Millisecond
 )
 
 // Run runs the instance until ctx ends, then does a planned stop: it reports not ready,
-// waits for the balancer, completes the requests in flight, hands over its duties and
-// returns.
+// hands over its leases, waits for the balancer, completes the requests in flight, leaves
+// the cluster and returns.
 //
 // A planned stop never waits for another instance to stop. It only announces its
 // handovers, each within a timeout: two instances that stop at the same time and wait
--- a/daemon/app/trace_test.go
+++ b/daemon/app/trace_test.go
@@ -72,9 +72,9 @@
 	return paths
 }
 
-// tracedTargets wraps targets so that they continue the trace of each call. By mode, it
-// also refuses the first attempt of "rerank", which is then retried, or blocks the first
-// attempt of "retrieve", which is then hedged.
+// tracedTargets wraps targets so that they continue the trace of each call. Depending on
+// the mode, it also refuses the first attempt of "rerank", which is then retried, or blocks
+// the first attempt of "retrieve", which is then hedged.
 type tracedTargets struct {
 	tracer trace.Tracer
 	mode   string
