--- a/daemon/cluster/api.go
+++ b/daemon/cluster/api.go
@@ -35,7 +35,8 @@
 	return peers
 }
 
-// Neighbours returns the addresses of the instances with permanent connections.
+// Neighbours returns the addresses of the instances to which this one keeps permanent
+// connections.
 func (c *Cluster) Neighbours() []string {
 	peers, _ := c.gossipPeers()
 	return slices.Clone(peers)
@@ -148,9 +149,9 @@
 	}
 }
 
-// AwaitJoin waits until this instance knows the owners of the duties that one instance has
-// for the whole cluster, or the context ends. The wait is short: an instance without
-// others owns the duties itself.
+// AwaitJoin waits until this instance knows which instances own the duties that a single
+// instance performs for the whole cluster, or the context ends. The wait is short: an
+// instance that finds no others owns the duties itself.
 func (c *Cluster) AwaitJoin(ctx context.Context) {
 	select {
 	case <-c.joined:
--- a/daemon/cluster/cluster.go
+++ b/daemon/cluster/cluster.go
@@ -34,8 +34,8 @@
 	Gossip     spread.Config
 	// Seeds are peer addresses from the instance's settings.
 	Seeds []string
-	// ListInstances returns the platform's list of instances; nil if there is none. The
-	// list may be out of date, so its members are only candidates.
+	// ListInstances returns the platform's list of instances. It is nil if there is no
+	// such list. The list may be out of date, so its members are only candidates.
 	ListInstances func(ctx context.Context) ([]membership.Member, error)
 	// ListInterval is the time between two listings, ListRetryInterval the time after a
 	// failed one or while no other instance is known. Both are jittered.
@@ -79,8 +79,8 @@
 	view atomic.Pointer[membership.View]
 	// listedCount is the number of instances in the platform's last list.
 	listedCount atomic.Int64
-	// listedOtherCount is the number of those that aren't this instance or an earlier
-	// incarnation of it.
+	// listedOtherCount is the number of listed instances that are neither this instance
+	// nor an earlier incarnation of it.
 	listedOtherCount atomic.Int64
 	// firstListDone is closed after the first listing, successful or not.
 	firstListDone chan struct{}
@@ -138,7 +138,7 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// Execute runs the cluster until Interrupt. Both are an actor of oklog/run.
+// Execute runs the cluster until Interrupt. The two methods form an actor of oklog/run.
 func (c *Cluster) Execute() error {
 	c.node.Start()
 	var wg sync.WaitGroup
@@ -173,8 +173,9 @@
 	c.stepGossip(nil, func(s *spread.Gossip) []spread.Action { return s.Tick(now, peers, size) })
 }
 
-// gossipPeers returns the addresses for records and digests, and the cluster's size. The
-// addresses are those of the neighbours, which have connections anyway.
+// gossipPeers returns the addresses to which records and digests are gossiped, and the
+// cluster's size. The addresses are those of the neighbours, to which connections are open
+// anyway.
 func (c *Cluster) gossipPeers() (peers []string, size int) {
 	view := c.View()
 	size = len(view.Live())
--- a/daemon/cluster/cluster_test.go
+++ b/daemon/cluster/cluster_test.go
@@ -147,8 +147,9 @@
 	await(t, others, "both have left", hasLive(6))
 }
 
-// relay is a TCP proxy between the other instances and one of them. Its first muted
-// connections transfer nothing any more while later ones work. If cut, it accepts none.
+// relay is a TCP proxy in front of one instance. Its first connections, as many as muted
+// says, no longer transfer anything, while later ones work. While cut is true, it closes
+// each new connection.
 type relay struct {
 	listener net.Listener
 	target   atomic.Value
