--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -60,7 +60,7 @@
 )
 
 // Recovery from an outage of the platform's store. A configuration has to be in force
-// two seconds after the store accepted it, also right after an outage. The store is
+// within two seconds after the store accepted it, even right after an outage. The store is
 // therefore probed more than once a second, and calls resume at the few per second that
 // watches need under a burst of changes.
 const (
@@ -99,7 +99,8 @@
 	shutdown atomic.Pointer[settings.Shutdown]
 	// usedIncarnations holds the incarnations of the usable targets, usedNames their names.
 	usedIncarnations, usedNames atomic.Pointer[map[string]bool]
-	// shares holds the share of each service's targets by data centre.
+	// shares holds, by service and data centre, the share of the service's usable targets
+	// that is in the data centre.
 	shares atomic.Pointer[map[string]map[string]float64]
 }
 
@@ -180,12 +181,13 @@
 	// instance holds at its start. It suffices for a small fleet.
 	retryReserveShare = 1.0 / 16
 	// maxRetryReserve limits, in retries, what an instance's budget holds at its start.
-	// It also suffices for 90 instances that start at once with a slack of 220: together
-	// they hold 216.
+	// With this limit, even 90 instances that start at once stay below a slack of 220:
+	// together they hold 216.
 	maxRetryReserve = 2.4
 )
 
-// retryConfig returns the retry budget of this instance, its share of the fleet's budget.
+// retryConfig returns the configuration of this instance's retry budget, which is a share
+// of the fleet's budget.
 func (g *Gateway) retryConfig() retry.Config {
 	return retry.Config{
 		RetryRatio: g.settings.Retries.Share * retryRatioShare,
@@ -282,7 +284,8 @@
 	g.blocklist.AwaitInitialSync(ctx)
 }
 
-// dataCentreShares returns the share of a service's targets by data centre.
+// dataCentreShares returns, by data centre, the share of a service's usable targets that
+// is in the data centre.
 func (g *Gateway) dataCentreShares(service string) map[string]float64 {
 	if shares := g.shares.Load(); shares != nil {
 		return (*shares)[service]
@@ -291,7 +294,7 @@
 }
 
 // Reload applies settings that were loaded again. Only the settings of the planned stop
-// change; identity and listen addresses stay until the next start.
+// change; all others, such as identity and listen addresses, stay until the next start.
 func (g *Gateway) Reload(s settings.Settings) {
 	g.shutdown.Store(&s.Shutdown)
 	telemetry.InfoS("Settings read again", telemetry.Event{Elapsed: s.Shutdown.Grace})
@@ -319,7 +322,8 @@
 	return mux
 }
 
-// contains reports whether a set, which is nil or replaced as a whole, has a member.
+// contains reports whether a set has a member. The pointer is nil before the first set is
+// stored. A stored set is never changed, only replaced by another one.
 func contains(set *atomic.Pointer[map[string]bool], member string) bool {
 	members := set.Load()
 	return members != nil && (*members)[member]
--- a/daemon/gateway/run.go
+++ b/daemon/gateway/run.go
@@ -20,9 +20,9 @@
 	idleTimeout = 5 * time.Minute
 	// maxHeaderBytes limits the size of a request's head.
 	maxHeaderBytes = 256 << 10
-	// exitMargin is the end of the grace period, reserved for the exit itself. Every
-	// request has its response by then; the first closeTimeout of the margin is for
-	// sending those responses.
+	// exitMargin is the part at the end of the grace period that is reserved for the exit
+	// itself. Every request has its response before this part begins; its first
+	// closeTimeout is for sending the responses.
 	exitMargin   = 600 * time.Millisecond
 	closeTimeout = 300 * time.Millisecond
 	// adminStopTimeout limits the last responses to probes and scrapes, which take a
--- a/daemon/gateway/watchers.go
+++ b/daemon/gateway/watchers.go
@@ -24,7 +24,7 @@
 	watchersKey = "store-watchers"
 	// maxWatchers is the number of instances that watch the store for the others. If
 	// the store refuses 35 % of the instances, the probability that no watcher receives
-	// its changes is 0.2 % (0.35 to the sixth).
+	// the store's changes is 0.2 % (0.35 to the sixth).
 	maxWatchers = 6
 	// allWatchLimit is the fleet size up to which all instances watch the store. For a
 	// dozen instances the additional calls cost less than the delay of gossip.
@@ -93,8 +93,8 @@
 }
 
 // requestConfirmation requests from the first watcher the newest revision that the store
-// reports. If known is false, the caller has to read it from the store: this instance is
-// the first watcher, or that one doesn't respond or doesn't know the revision.
+// reports. If known is false, the caller has to read the revision from the store: this
+// instance is the first watcher, or the first watcher doesn't respond or doesn't know it.
 func (g *Gateway) requestConfirmation(ctx context.Context) (revision uint64, known bool) {
 	watchers := g.cluster.Owners(watchersKey, 1)
 	if len(watchers) == 0 || watchers[0].Name == g.self.Name {
