--- a/daemon/follow/age.go
+++ b/daemon/follow/age.go
@@ -6,8 +6,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/watching"
 )
 
-// TargetsAge returns the age of this instance's knowledge of the targets, by the store's responses
-// and the reports of other instances. It is 0 before the first response.
+// TargetsAge returns the age of this instance's knowledge of the targets, as determined from the
+// store's responses and the reports of other instances. It is 0 before the first response.
 func (f *Follower) TargetsAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/daemon/follow/confirm.go
+++ b/daemon/follow/confirm.go
@@ -22,12 +22,13 @@
 	confirmerTimeout = 150 * time.Millisecond
 )
 
-// Confirm checks at the store whether a newer version exists, and puts it in force, unless the
-// store has recently confirmed the present one. Otherwise a key or route that was added a
-// moment ago would be refused. It reports whether the newest version is known; false also if
-// ctx ends first.
+// Confirm checks whether a newer version exists, unless the present one was confirmed or a check
+// failed a short time ago. It asks the instance that confirms for all others and then, if
+// necessary, the store, and puts a newer version in force. Otherwise a key or route that was
+// added a moment ago would be refused. It reports whether the newest version is known, and
+// returns false if ctx ends first.
 //
-// Concurrent requests share one check, and it goes on if the request that started it leaves.
+// Concurrent requests share one check, which continues if the request that started it leaves.
 func (f *Follower) Confirm(ctx context.Context) bool {
 	if known, recent := f.lastConfirmation(time.Now()); recent {
 		return known
@@ -44,8 +45,8 @@
 	}
 }
 
-// lastConfirmation reports whether the newest version is known, and whether that was confirmed
-// or a check failed so recently that there is no new check now.
+// lastConfirmation reports whether the newest version is known, and whether no new check is to
+// start now, because the newest version is known or a check has just failed.
 func (f *Follower) lastConfirmation(now time.Time) (known, recent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,12 +54,12 @@
 	return known, known || now.Sub(f.confirmFailedAt) < confirmRetryDelay
 }
 
-// confirmByPeer asks the instance that confirms for all others whether the configuration in
-// force here is the newest. It reports whether it is. If there is a newer one, or no response,
-// the store is asked.
+// confirmByPeer asks the instance that confirms for all others for the newest revision. It
+// reports whether the configuration in force here is certainly the newest. If it returns false,
+// because there is a newer one or no usable response, the store has to be asked.
 //
-// Without it each instance of a large fleet that receives a request for a route that doesn't
-// exist would call the store.
+// Without this method, each instance of a large fleet that receives a request for a route that
+// doesn't exist would call the store.
 func (f *Follower) confirmByPeer() bool {
 	if f.options.ConfirmerRevision == nil {
 		return false
@@ -75,8 +76,8 @@
 	return true
 }
 
-// NewestRevision returns the newest revision of the configuration, for another instance; false
-// if it isn't known.
+// NewestRevision returns the newest revision of the configuration, for another instance. known
+// is false if it couldn't be determined.
 func (f *Follower) NewestRevision(ctx context.Context) (revision uint64, known bool) {
 	if !f.Confirm(ctx) {
 		return 0, false
--- a/daemon/follow/confirm_test.go
+++ b/daemon/follow/confirm_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// A watch returns a new key. The newest configuration must not count as known until that is applied:
-// a request with the key would be denied.
+// A watch returns a new key. The newest configuration must not count as known until the key is
+// applied, or a request with the key would be denied.
 func TestConfirmedOnceApplied(t *testing.T) {
 	store := newTimedStore()
 	store.put("config", "main", "1")
--- a/daemon/follow/fleet_test.go
+++ b/daemon/follow/fleet_test.go
@@ -308,7 +308,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(t, 8, withFleetView(true))
 		fl.sleep(10 * time.Second)
-		fl.isolate(7) // by its own watch alone
+		fl.isolate(7) // so that it learns of changes by its own watch alone
 		fl.store.put("targets", "a", "leaving")
 		fl.sleep(3 * responseTime)
 		fl.store.put("targets", "b", "leaving")
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -68,8 +68,9 @@
 	// Fleet represents the other instances; nil if there are none.
 	Fleet Fleet
 	// ConfirmerRevision asks the instance that confirms for all others for the newest
-	// revision in the store; false if this is that instance, or if it doesn't know. Nil if
-	// each instance calls the store itself.
+	// revision in the store. known is false if this instance is that one, or if that one
+	// doesn't respond or doesn't know. The function is nil if each instance calls the store
+	// itself.
 	ConfirmerRevision func(ctx context.Context) (revision uint64, known bool)
 	// OnLeaving is called for each incarnation that accepts no new work from now on.
 	OnLeaving func(now time.Time, incarnation string)
@@ -111,7 +112,7 @@
 	}
 }
 
-// Table returns the configuration in force; nil before the first.
+// Table returns the configuration in force, or nil if there is none yet.
 func (f *Follower) Table() *routes.Table { return f.table.Load() }
 
 // Ready reports whether the configuration and the targets are known and published. Before that
@@ -330,7 +331,8 @@
 	}
 }
 
-// activateConfig reports whether the version is now in force.
+// activateConfig puts a version in force if it is newer than the present one and can be decoded.
+// It reports whether it did.
 func (f *Follower) activateConfig(revision uint64, spec []byte, direct bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/daemon/follow/poll.go
+++ b/daemon/follow/poll.go
@@ -25,15 +25,15 @@
 type Fleet interface {
 	// WatcherCount returns the number of watchers.
 	WatcherCount() int
-	// Rank returns this instance's rank among the watchers; watching.NoRank if it isn't a watcher.
+	// Rank returns this instance's rank among the watchers, or watching.NoRank if it isn't one.
 	Rank() int
 	// AllWatch reports whether all instances watch, so that none depends on gossip alone.
 	AllWatch() bool
 	// AwaitJoin waits until an instance that has just started knows most watchers, or the
 	// context ends.
 	AwaitJoin(ctx context.Context)
-	// PollWatcher returns the report of the watcher at an index, 0 for the first; the zero
-	// Report if it doesn't respond.
+	// PollWatcher returns the report of the watcher at an index, which is 0 for the first
+	// watcher. It returns the zero Report if the watcher doesn't respond.
 	PollWatcher(ctx context.Context, index int) watching.Report
 }
 
@@ -81,8 +81,9 @@
 	}
 }
 
-// pollOnce polls one watcher. It sends those watches again that are useless according to the
-// watcher's report or this instance's present rank.
+// pollOnce polls a watcher, if one is to be polled now. It then cancels the watches that are
+// useless according to the watcher's report or this instance's present rank, so that they are
+// sent again.
 func (f *Follower) pollOnce(ctx context.Context) {
 	f.shouldWatch()
 	watchers := f.options.Fleet.WatcherCount()
@@ -112,8 +113,9 @@
 	if f.tracker.RecordReport(polledAt, time.Now(), report) {
 		telemetry.InfoS("Watchers don't hear the store, watching", telemetry.Event{KnowledgeAge: report.Age})
 		if report.Known {
-			// The watcher responds, but the store is unavailable to it. So the next changes that
-			// this instance receives may be of expired entries, though its own calls didn't fail.
+			// The watcher responds, but the store is unavailable to it. The next changes that this
+			// instance receives may therefore be the removals of expired entries, although its own
+			// calls didn't fail.
 			f.roster.RecordStoreFailure(time.Now())
 		}
 	}
--- a/daemon/follow/rejections.go
+++ b/daemon/follow/rejections.go
@@ -8,8 +8,8 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// Limits of the logs of entries that name no target. Their writer may write them again with each
-// heartbeat, and any number of them.
+// Limits of the logs of entries that name no target. A writer may write any number of such
+// entries, and each of them again with every heartbeat.
 const (
 	// maxRejectionLogs is the maximum number of logs in a rejectionLogPeriod.
 	maxRejectionLogs   = 64
@@ -23,8 +23,8 @@
 	logged      map[string]struct{}
 }
 
-// shouldLog reports whether a fault is to be logged, and whether it is the last one in this
-// period.
+// shouldLog reports whether a fault is to be logged, and whether it is the last one that may be
+// logged in this period.
 func (r *rejectionLog) shouldLog(now time.Time, fault string) (log, last bool) {
 	if r.logged == nil || now.Sub(r.periodStart) >= rejectionLogPeriod {
 		r.periodStart, r.logged = now, map[string]struct{}{}
--- a/daemon/follow/silence_test.go
+++ b/daemon/follow/silence_test.go
@@ -212,7 +212,8 @@
 	mu sync.Mutex
 	// usable are the names of the usable targets of each follower.
 	usable [][]string
-	// minUsable is the lowest number of targets that any follower has had since it had all.
+	// minUsable is the lowest number of usable targets that any follower has had since newFleet
+	// returned.
 	minUsable int
 	// isolated are the followers that the others can't reach.
 	isolated map[int]bool
--- a/daemon/follow/targets.go
+++ b/daemon/follow/targets.go
@@ -12,8 +12,8 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// applyTargetList applies a complete list of entries. An entry that names no target doesn't
-// count, so the earlier entry of its name is removed; the others are applied.
+// applyTargetList applies a complete list of entries. An entry that names no target is treated
+// as absent, so an earlier entry of the same name is removed. The other entries are applied.
 func (f *Follower) applyTargetList(l platformapi.List) {
 	targets := make([]routes.Target, 0, len(l.Items))
 	records := make([]spread.Record, 0, len(l.Items))
@@ -52,7 +52,7 @@
 var errStartMissing = errors.New("the start of the target is missing")
 
 // decodeTarget decodes an entry. If an earlier entry of the name had a start, an entry without
-// one was written by another writer than the target.
+// one was not written by the target itself.
 func (f *Follower) decodeTarget(name string, spec []byte) (routes.Target, error) {
 	t, err := f.options.Source.DecodeTarget(name, spec)
 	if err != nil || t.StartedMillis != 0 {
@@ -102,8 +102,8 @@
 
 // rejectEntry handles an entry of the store that names no target. The earlier target of its name
 // accepts no new work from now on, as after a removal that has taken effect; a later entry can
-// undo it. To the other instances it is gossiped as that removal, which they understand
-// whichever entries they can decode.
+// undo it. The entry is gossiped to the other instances as such a removal, which they understand
+// regardless of which entries they can decode.
 func (f *Follower) rejectEntry(r spread.Record, err error) {
 	f.logRejection(err)
 	r.Deleted, r.Body = true, nil
@@ -124,8 +124,9 @@
 	f.publishIfChanged(now)
 }
 
-// removeEntry applies a removal. A settled one takes effect at once, since it already has at
-// another instance or the entry names no target; the other ones were just seen in the store.
+// removeEntry applies a removal. A settled removal takes effect at once: either it has already
+// taken effect at another instance, or the entry names no target. Any other removal was just seen
+// in the store and may take effect only after a grace period.
 func (f *Follower) removeEntry(r spread.Record, settled bool) {
 	defer f.gossipRemovals()
 	now := time.Now()
--- a/daemon/follow/targets_test.go
+++ b/daemon/follow/targets_test.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// The same at an instance that starts later and lists the entries. It has never known the target, but
-// an instance that the store refuses still does, so the removal has to be gossiped.
+// An instance that starts after the target's entry was replaced by an invalid one lists the entries. It
+// has never known the target, but an instance that the store refuses still does, so the removal has to
+// be gossiped.
 func TestInvalidEntryOfUnknownTargetIsGossiped(t *testing.T) {
 	h := newRecordingFollower()
 	h.applyTargetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
