--- a/daemon/relay/answer.go
+++ b/daemon/relay/answer.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// forwardPlainReply forwards a reply that isn't a stream of events. A reply that isn't too long
-// is read completely before its head is sent.
+// forwardPlainReply forwards a reply that isn't a stream of events. A reply shorter than
+// maxBufferedReply is read completely before its head is sent.
 func (q *request) forwardPlainReply(ctx context.Context, reply *forward.Reply, silence *time.Timer) (routing.Outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxBufferedReply))
 	if err != nil {
@@ -107,8 +107,8 @@
 	q.headerSent = true
 }
 
-// closeIfStopping asks the caller of an instance that stops to open a new connection for its
-// next request, which then goes to another instance.
+// closeIfStopping asks the caller, if this instance is stopping, to open a new connection for
+// the next request, which then goes to another instance.
 func (q *request) closeIfStopping(h http.Header) {
 	if _, stopping := q.relay.stopWindow(); stopping {
 		h.Set("Connection", "close")
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -97,8 +97,8 @@
 // reading hundreds of tokens again.
 const minLargeInput = 256 << 10
 
-// inputShares returns the data centres' shares of the targets that produce the request's first
-// large input; nil if the request has no large input.
+// inputShares returns, by data centre, the share of the targets that produce the request's first
+// large input. It returns nil if the request has no large input.
 func (q *request) inputShares() map[string]float64 {
 	for _, i := range q.route.FinalStages() {
 		if st := q.route.Stages[i]; st.ResultBytes >= minLargeInput {
@@ -200,9 +200,9 @@
 }
 
 // resumeObjective is the time in which a stream that was broken off should resume. Its caller has
-// a part of the response and waits. By its own objective the request would already be late, and
-// its stages would run after those of all requests that have not begun, until the caller gives
-// up.
+// a part of the response and waits. By the original objective the request would already be late:
+// its stages would run after those of all requests whose responses have not begun, until the
+// caller gives up.
 const resumeObjective = 2 * time.Second
 
 // engineFirstEventTime is how long an engine takes to its first event, as measured at the
@@ -214,8 +214,8 @@
 	cause error
 	// notRun is true if the target certainly didn't run the request.
 	notRun bool
-	// notConnected is true if there was no connection to the target, so that it had no part
-	// in the attempt; nothingListens if no process listens at its address.
+	// notConnected is true if there was no connection to the target, so that the target had
+	// no part in the attempt. nothingListens is true if no process listens at its address.
 	notConnected, nothingListens bool
 	// connectionBroken is true if the peer ended the connection after the request was sent.
 	connectionBroken bool
--- a/daemon/relay/durations.go
+++ b/daemon/relay/durations.go
@@ -7,8 +7,8 @@
 	"github.com/ivyhollow/ivyhollow/coordination/drain"
 )
 
-// maxRoutes limits the routes whose durations are kept, to several times the routes of a
-// configuration. Beyond it all are dropped.
+// maxRoutes limits the number of routes whose durations are kept. It is several times the number
+// of routes of a configuration. Where one more would be kept, all are dropped first.
 const maxRoutes = 1024
 
 // durations estimates the usual duration of responses by route, from the sending of the
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -46,18 +46,18 @@
 // Options are the dependencies of a Relay.
 type Options struct {
 	Dialect exchange.Dialect
-	// Table returns the configuration in force; nil before the first.
+	// Table returns the configuration in force, or nil if there is none yet.
 	Table func() *routes.Table
-	// AwaitReady waits until the configuration and the targets are known; nil if they
-	// always are.
+	// AwaitReady waits until the configuration and the targets are known. It is nil if
+	// they always are.
 	AwaitReady func(ctx context.Context)
 	// Confirm checks whether a newer configuration exists, and puts it in force.
 	Confirm func(ctx context.Context) bool
-	// KnowledgeAge returns the age of what is known of the targets.
+	// KnowledgeAge returns the age of this instance's knowledge of the targets.
 	KnowledgeAge func() time.Duration
 	Router       *routing.Table
 	Client       *forward.Client
-	// TargetShares returns the data centres' shares of a service's targets.
+	// TargetShares returns, by data centre, the share of a service's targets.
 	TargetShares func(service string) map[string]float64
 	Stages       StageRunner
 	Budgets      *retrybudget.Budgets
@@ -156,7 +156,7 @@
 	// target is the incarnation of the latest attempt's target, targetName its name, which all
 	// its incarnations share, and address where it listens.
 	target, targetName, address string
-	// knowledgeAge is the age of the knowledge by which the target was chosen.
+	// knowledgeAge is how old the knowledge of the targets was when the target was chosen.
 	knowledgeAge time.Duration
 	// resultHandles are the handles of the stages' results; nil before the stages have run.
 	// owner is the address of the instance that holds them.
@@ -206,10 +206,10 @@
 
 // chunked reports whether the body is sent in chunks.
 //
-// Prevents request smuggling by a body that has a length as well: net/http reads the chunks
-// and silently ignores the length. It would then treat the bytes that the length covers as
-// the next request, under an ID chosen by its sender. A connection that closes after the
-// response has no next request.
+// ServeHTTP closes the connection after the response to such a request. This prevents request
+// smuggling by a body that has a length as well: net/http reads the chunks and silently ignores
+// the length. It would then treat the bytes that the length covers as the next request, under an
+// ID chosen by the sender. A connection that closes after the response has no next request.
 func chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
 // accept validates and reads the request. It returns false if it has sent a final response.
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -57,8 +57,8 @@
 }
 
 // A stream is broken off five seconds after its request arrived. Its caller waits for the next event
-// from then on. If that were due by the arrival of the request, the stages that run again would have
-// half a second, and would be refused.
+// from then on. If the due time of that event were counted from the arrival of the request, the stages
+// that run again would have half a second, and would be refused.
 func TestResumedStreamHasTimeForItsStages(t *testing.T) {
 	route := &routes.Route{LatencyObjective: 1400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond}
 	q := &request{route: route, arrived: began, deadline: began.Add(20 * time.Second)}
@@ -69,7 +69,7 @@
 }
 
 // A caller declares a prompt with more tokens than any engine holds, or a negative number of them.
-// Unless the length is clamped it overflows, and an engine would count as idle for it.
+// If the length weren't clamped, it would overflow, and an engine would count as idle in spite of it.
 func TestPromptLengthIsClamped(t *testing.T) {
 	q := request{route: &routes.Route{PrefixCaching: true}, service: "engines", call: exchange.CallerRequest{
 		PromptTokens: math.MaxInt, Prefix: []routing.PrefixPart{{ID: "a", Tokens: math.MinInt}},
--- a/daemon/relay/stop.go
+++ b/daemon/relay/stop.go
@@ -36,9 +36,10 @@
 	return s
 }
 
-// Drain begins the planned stop. At the time noticed the balancer has certainly noticed it.
-// From now on each response closes its connection, and requests that can't be answered before
-// the time ends are refused. Requests still in flight at that time are cancelled.
+// Drain begins the planned stop. noticed is the time by which the balancer has certainly noticed
+// the stop, ends the time at which the last responses are due. From now on each response closes
+// its connection, and requests that can't be answered before ends are refused. Requests still in
+// flight at ends are cancelled.
 func (s *Relay) Drain(noticed, ends time.Time) {
 	s.stop.once.Do(func() {
 		s.stop.window = drain.Window{Start: time.Now(), BalancerNoticed: noticed, End: ends}
@@ -60,7 +61,7 @@
 	}
 }
 
-// stopWindow returns the window of the planned stop; false before it has begun.
+// stopWindow returns the window of the planned stop, or false before the stop has begun.
 func (s *Relay) stopWindow() (drain.Window, bool) {
 	if s.stop.begun.Err() == nil {
 		return drain.Window{}, false
@@ -68,7 +69,7 @@
 	return s.stop.window, true
 }
 
-// drainRequest returns the request as the decisions of a stop need it.
+// drainRequest returns the properties of the request that the decisions of a stop need.
 func (q *request) drainRequest() drain.Request {
 	return drain.Request{
 		Arrived: q.arrived, Deadline: q.deadline, Streaming: q.isStream(),
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -39,7 +39,7 @@
 func (dialect) CallerResponseHeader(h http.Header) http.Header { return h }
 
 // A request has an unknown key, and a store that doesn't answer is asked for a newer configuration.
-// Meanwhile the instance stops. The caller must get a response, and that must be that the request
+// Meanwhile the instance stops. The caller must get a response, which must state that the request
 // hasn't run rather than that the key is wrong.
 func TestStopEndsWaitForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -142,8 +142,8 @@
 	})
 }
 
-// The same if whoever runs the stages doesn't receive the earlier deadline: the request is refused
-// when no time is left to send it.
+// A request waits for its stages when its instance begins to stop, but the runner of the stages
+// doesn't receive the earlier deadline. The request must be refused when no time is left to send it.
 func TestStopRefusesWaitingRequestAtSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &stageRunner{started: make(chan gather.Request, 1), unreachable: true}
@@ -164,7 +164,7 @@
 }
 
 // The body of a request that must not be repeated is complete only when no time is left to send it.
-// If it were sent it would run, and its caller would be told that it may have.
+// If it were sent, it would run, and its caller would be told only that it may have run.
 func TestStopSendsNothingAfterSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := stagedRelay(&stageRunner{})
