--- a/daemon/stages/assign.go
+++ b/daemon/stages/assign.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// remainingMargin is added to the time that an idle engine is predicted to take: its
-	// usual queueing time for the prompts that it already processes, and the network
-	// transfer.
+	// remainingMargin is added to the time that an idle engine is predicted to take. It
+	// covers the usual wait for the prompts that the engine already processes, and the
+	// network transfer.
 	remainingMargin = 60 * time.Millisecond
-	// maxRemaining limits the remaining time that a request counts with for its engine: the
-	// longest prompts take a second.
+	// maxRemaining limits the time that is reserved for a request's engine after the
+	// stages: the longest prompts take a second.
 	maxRemaining = 2 * time.Second
 )
 
--- a/daemon/stages/attempts.go
+++ b/daemon/stages/attempts.go
@@ -9,15 +9,15 @@
 type handoverAttempt struct {
 	// timeout limits the attempt.
 	timeout time.Duration
-	// done is closed when the attempt ends. succeeded is set before that, and is true if
-	// another instance has the queue.
+	// done is closed when the attempt ends. succeeded is set before done is closed, and is
+	// true if another instance has the queue.
 	done      chan struct{}
 	succeeded bool
 }
 
-// awaitHandover waits for the end of a handover attempt that starts from now on. It returns
-// early if the context ends, which doesn't end the attempt. It reports whether another
-// instance has the queue.
+// awaitHandover requests a handover attempt that hasn't started yet, and waits for the end of
+// the attempt. It returns early if the context ends, which doesn't end the attempt. It reports
+// whether another instance has the queue.
 //
 // Attempts run one at a time, since two at once might give one queue to two instances. All
 // callers that arrive during an attempt share the next one, so there are never more than two.
@@ -52,7 +52,7 @@
 	return &handoverAttempt{timeout: timeout, done: make(chan struct{})}
 }
 
-// runAttempts runs an attempt, and then each that was requested meanwhile.
+// runAttempts runs an attempt, and then each one that was requested meanwhile.
 func (s *Stages) runAttempts(a *handoverAttempt) {
 	for a != nil {
 		a.succeeded = s.tryHandover(a.timeout)
--- a/daemon/stages/calls.go
+++ b/daemon/stages/calls.go
@@ -76,8 +76,8 @@
 }
 
 // freeConnGroup is the group of the connections on which results are freed. They are kept
-// separate from those for stage calls, because nothing in a response to a free request tells
-// it from a response to a stage call.
+// separate from the connections for stage calls, because nothing distinguishes a response to a
+// free request from a response to a stage call.
 const freeConnGroup = "free"
 
 // sendCall sends a call and reads its results. A reused connection is kept only if the response
--- a/daemon/stages/cluster_test.go
+++ b/daemon/stages/cluster_test.go
@@ -92,7 +92,7 @@
 	return methods
 }
 
-// stall blocks what the instance does on each tick for a time.
+// stall blocks, for a time, the work that the instance does on each tick.
 func (c *fakeCluster) stall(d time.Duration) {
 	gate := make(chan struct{})
 	c.mu.Lock()
--- a/daemon/stages/handover.go
+++ b/daemon/stages/handover.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	// partTimeout limits one message of a handover. The largest, of some 200 KB, takes 0.16 s
-	// over a link of 10 Mbit/s.
+	// partTimeout limits one message of a handover. The largest message, of some 200 KB,
+	// takes 0.16 s over a link of 10 Mbit/s.
 	partTimeout = 500 * time.Millisecond
-	// handoverTimeout limits a yield, and the first attempt of a planned stop, which waits
-	// for it: a seventh of the usual grace period.
+	// handoverTimeout limits a yield, and the first attempt of a planned stop. The stop
+	// waits for this attempt, so the timeout is only a seventh of the usual grace period.
 	handoverTimeout = time.Second
 	// handoverRetryInterval is the time after which a stopping instance looks again for one
 	// that accepts its queue, such as one that has just started.
@@ -66,14 +66,14 @@
 	Results []gather.PieceResult
 }
 
-// Handover hands the queue over as this instance begins its planned stop, to the instance
-// that all others pick next. Requesters that wait here are redirected to it.
+// Handover is called as this instance begins its planned stop. It hands the queue over to the
+// instance that all others pick next. Requesters that wait here are redirected to that instance.
 //
 // Without a handover the others would pick the next holder at once, while this one continues
 // with its requests. Two holders would send calls to the same targets without knowledge of
 // each other: calls would find targets full and results no capacity, and requests still held
-// when this instance ends would start again elsewhere. With it only one instance sends calls,
-// and it knows of all calls in progress and all results.
+// when this instance ends would start again elsewhere. With a handover only one instance sends
+// calls, and it knows of all calls in progress and all results.
 //
 // Handover returns when the queue is handed over, when the context ends, or when no instance
 // accepts the queue at once. In the latter two cases it keeps trying in the background until
@@ -141,12 +141,12 @@
 func (e *notAcceptedError) Error() string { return "queue not accepted: " + e.cause.Error() }
 func (e *notAcceptedError) Unwrap() error { return e.cause }
 
-// errRefused means that the other instance refused the queue, as one that is itself stopping
-// does.
+// errRefused means that the other instance refused the queue, for example because it is itself
+// stopping.
 var errRefused = errors.New("refused")
 
-// sendState sends a state in parts. A *notAcceptedError means that it certainly isn't
-// accepted.
+// sendState sends a state in parts. A *notAcceptedError means that the other instance certainly
+// didn't accept the state.
 func (s *Stages) sendState(ctx context.Context, address string, state gather.State) error {
 	parts := splitState(state)
 	number := uint64(time.Now().UnixNano())
--- a/daemon/stages/metrics.go
+++ b/daemon/stages/metrics.go
@@ -11,8 +11,8 @@
 // metrics are the metrics of the holder of the queue.
 type metrics struct {
 	scope tally.Scope
-	// elapsed is how long the stages of requests took. longer and shorter are by how much
-	// that was more or less than predicted.
+	// elapsed is the time that the stages of a request took. longer and shorter are the
+	// amounts by which this time was above or below the prediction.
 	elapsed, longer, shorter tally.Timer
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// completed records the time that the stages of a request took, and by how much that was more
-// or less than predicted.
+// completed records the time that the stages of a request took, and the amount by which it was
+// above or below the prediction.
 func (m metrics) completed(c gather.Completed) {
 	m.elapsed.Record(c.Elapsed)
 	if c.Predicted <= 0 {
--- a/daemon/stages/queue.go
+++ b/daemon/stages/queue.go
@@ -25,8 +25,8 @@
 const (
 	// tick is the interval at which the planner checks its timers.
 	tick = 100 * time.Millisecond
-	// freeDelay collects the results of a target to free in one call; a few requests end in
-	// that time.
+	// freeDelay is the time in which the results of a target are collected, to be freed in
+	// one call. A few requests end in that time.
 	freeDelay = 40 * time.Millisecond
 	// freeTimeout limits a call that frees results. Results expire if it fails.
 	freeTimeout = 500 * time.Millisecond
@@ -45,8 +45,8 @@
 	follower  Follower
 	metrics   metrics
 	responses recentResponses
-	// reportCallEnd and forwardDrops notify the instance that has the queue of the end of a
-	// call and of requests that nobody waits for.
+	// reportCallEnd notifies the instance that has the queue of the end of a call,
+	// forwardDrops of requests that have ended.
 	reportCallEnd func(to string, call uint64, callOutcome gather.CallOutcome, results []gather.PieceResult)
 	forwardDrops  func(to string, ends ...placing.RequestEnd)
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// submit submits a request to the planner, after any handover in progress has been decided.
+// submit submits a request to the planner, after any handover in progress has ended.
 // The channel receives the request's outcome.
 func (q *queue) submit(ctx context.Context, r gather.Request, prompt placing.Prompt, shortened bool) (chan outcome, error) {
 	done := make(chan outcome, 1)
@@ -258,7 +258,7 @@
 	q.performActions(actions)
 }
 
-// recordActions updates the queue by actions. mu must be held.
+// recordActions updates the state of the queue according to actions. mu must be held.
 func (q *queue) recordActions(actions []gather.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/daemon/stages/readers.go
+++ b/daemon/stages/readers.go
@@ -43,7 +43,7 @@
 }
 
 // reconnectTimeout is how long a request is kept after the connection of its requester was
-// lost: some round trips. A healthy requester sends the request again.
+// lost: some round trips, in which a healthy requester sends the request again.
 const reconnectTimeout = 300 * time.Millisecond
 
 // abandon drops a request whose requester gave up, unless the request was sent again or has
@@ -66,9 +66,9 @@
 	}
 }
 
-// keepOutcome keeps an outcome that arrived as the connection of its requester was lost, for
-// when the request is sent again. It reports whether nothing remains to be decided here
-// because the request has moved or was dropped. mu must be held.
+// keepOutcome keeps an outcome that arrived as the connection of its requester was lost, so that
+// the requester receives it when it sends the request again. decided is true if abandon has
+// nothing left to do, because the request has moved or was dropped. mu must be held.
 func (q *queue) keepOutcome(id string, done <-chan outcome, connLost bool) (decided bool) {
 	select {
 	case end := <-done:
--- a/daemon/stages/redirecting.go
+++ b/daemon/stages/redirecting.go
@@ -12,7 +12,7 @@
 const takeoverValidity = 5 * time.Second
 
 // redirectTo returns the address of the instance that this one considers the holder, if the
-// requester is to ask there, or "" if the request is to be served here.
+// requester is to ask that instance, or "" if this instance is not to redirect the request.
 //
 // Views differ for seconds while instances are restarted: some that have just started pick
 // another holder than all others. Each instance that is asked would then start a queue of its
--- a/daemon/stages/relayed.go
+++ b/daemon/stages/relayed.go
@@ -12,14 +12,15 @@
 	"github.com/ivyhollow/ivyhollow/coordination/placing"
 )
 
-// responseValidity is how long a response shows that its instance is responsive. It is less
-// than the time for which requesters of a silent instance wait.
+// responseValidity is how long an instance counts as responsive after a response. It is less
+// than the time for which requesters wait for a silent instance.
 const responseValidity = time.Second
 
 // maxLastResponses limits the instances whose responses are recorded.
 const maxLastResponses = 64
 
-// relayedSweepSize is the number of relayed requests from which the expired ones are removed.
+// relayedSweepSize is the number of recorded relayed requests at and above which the expired
+// ones are removed before another one is recorded.
 const relayedSweepSize = 256
 
 // relayedRequest is a request that this instance relays to the holder of the queue for a
@@ -45,8 +46,8 @@
 // shouldRelay reports whether a request is relayed to the holder because its requester can't
 // reach it.
 //
-// Prevents a second queue: while only some instances reach the holder, both queues would
-// otherwise send calls to the same targets.
+// Relaying prevents a second queue: while only some instances reach the holder, the others
+// would otherwise start a queue elsewhere, and both queues would send calls to the same targets.
 func (s *Stages) shouldRelay(now time.Time, request *redirectableRequest) bool {
 	if request.Redirected || len(request.Avoided) == 0 || s.queue.servesHere(now, request.Run.ID) {
 		return false
--- a/daemon/stages/requestends.go
+++ b/daemon/stages/requestends.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// dropDelay collects the ends of requests in one message.
+	// dropDelay is the time in which the ends of requests are collected for one message.
 	dropDelay = 30 * time.Millisecond
 	// dropTimeout limits the report that results have been read.
 	dropTimeout = 2 * time.Second
 )
 
-// Drop reports to the holder that the results of a request have been read, with how its
-// engine performed, or that its caller left. It doesn't wait.
+// Drop reports to the holder that the results of a request have been read, together with the
+// performance of the request's engine, or that the caller left. It doesn't wait.
 func (s *Stages) Drop(holder string, end placing.RequestEnd) {
 	self, _ := s.cluster.View().Find(s.cluster.View().Self)
 	if holder == self.Address {
@@ -56,8 +56,8 @@
 	}
 }
 
-// reportEnds reports ended requests to a holder. One of an earlier version receives only
-// their IDs.
+// reportEnds reports ended requests to a holder. A holder of an earlier version receives only
+// the IDs of the requests.
 func (s *Stages) reportEnds(ctx context.Context, holder string, ends []placing.RequestEnd) error {
 	body, err := encode(ends)
 	if err != nil {
--- a/daemon/stages/shorten.go
+++ b/daemon/stages/shorten.go
@@ -88,8 +88,8 @@
 	q.apply(func(p *gather.Planner) []gather.Action { return p.ShortenDeadlines(time.Now(), deadline, ids...) })
 }
 
-// addWaiting records the instance that is asked for a request. It returns the request with
-// its current deadline, and true if ShortenDeadlines set that.
+// addWaiting records the instance that is asked to run a request's stages. It returns the
+// request with its current deadline, and true if ShortenDeadlines set this deadline.
 func (s *Stages) addWaiting(holder string, r gather.Request) (gather.Request, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/stages/slowholder_test.go
+++ b/daemon/stages/slowholder_test.go
@@ -20,8 +20,8 @@
 		after time.Duration
 		// errs are the errors of the first calls.
 		errs []error
-		// holder is the instance that serves a request, "" if none does, and took the time
-		// until its end.
+		// holder is the instance that serves the request, or "" if none does. took is the
+		// time until the request ends.
 		holder string
 		took   time.Duration
 		// called and next are the calls to the holder and to the instance that is picked
--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -62,8 +62,8 @@
 	TargetsAge() time.Duration
 }
 
-// Stages runs the stages of this instance's requests and, while it holds the queue, of those
-// of others.
+// Stages runs the stages of this instance's requests and, while it holds the queue, the stages
+// of other instances' requests.
 type Stages struct {
 	cluster Cluster
 	queue   *queue
@@ -161,14 +161,15 @@
 	Engine string
 }
 
-// Execute runs all stages of a request, and has the engine chosen that is to process its
-// prompt. A *RefusedError means that the request was refused. The results are kept until
-// Drop.
+// Execute runs all stages of a request, and has the holder of the queue choose the engine that is
+// to process the prompt. A *RefusedError means that the request was refused. The results are
+// kept until Drop.
 func (s *Stages) Execute(ctx context.Context, r gather.Request, prompt placing.Prompt) (Result, error) {
 	return s.execute(ctx, r, prompt, false)
 }
 
-// execute is Execute. wasRedirected means that another instance redirected the request.
+// execute implements Execute. wasRedirected means that another instance has redirected or relayed
+// the request to this one.
 func (s *Stages) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, wasRedirected bool) (Result, error) {
 	defer s.removeWaiting(r.ID)
 	s.cluster.AwaitJoin(ctx)
@@ -197,8 +198,9 @@
 
 func (e *movedError) Error() string { return "the queue has moved to " + e.to }
 
-// followRedirects runs a request at an instance, or at the one that has its queue now. It
-// returns the one that responded. redirected means that some instance redirected the request.
+// followRedirects runs a request at an instance, or at the one that now has that instance's queue.
+// It returns the instance that was asked last. redirected means that some instance redirected the
+// request.
 func (s *Stages) followRedirects(ctx context.Context, m membership.Member, r gather.Request, prompt placing.Prompt, redirected bool) (Result, membership.Member, error) {
 	for range maxRedirects {
 		result, err := s.executeAt(ctx, m, r, prompt, redirected)
@@ -225,7 +227,7 @@
 }
 
 // pickHolder returns the instance that holds the queue, as far as this one knows, and whether
-// that is by a redirect of another instance.
+// this one knows it from a redirect by another instance.
 func (s *Stages) pickHolder(now time.Time) (_ membership.Member, redirected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,8 +297,8 @@
 	return Result{Handles: response.Redirectable.Run.Handles, Engine: response.Engine}, nil
 }
 
-// executeRemote sends a request to another instance. For one of an earlier version it uses
-// the latest method that it knows.
+// executeRemote sends a request to another instance. For an instance of an earlier version it
+// uses the latest method that the instance knows.
 func (s *Stages) executeRemote(ctx context.Context, address string, request *assignRequest) (assignResponse, error) {
 	var response assignResponse
 	err := s.callMethod(ctx, address, methodAssign, request, &response)
--- a/daemon/stages/transfer.go
+++ b/daemon/stages/transfer.go
@@ -55,19 +55,19 @@
 	// instance keeps running and may get the queue back.
 	movedTo string
 	yielded bool
-	// movedCalls are the instances that have calls which were in progress at the handover, by
-	// their IDs here.
+	// movedCalls holds, by the ID of a call here, the address of the instance to which the
+	// call was handed over while it was in progress.
 	movedCalls map[uint64]string
 	// tookOverAt is when a queue was last taken over.
 	tookOverAt time.Time
-	// renumbered are the new IDs of calls that changed when the queue was imported again, by
-	// their old IDs.
+	// renumbered holds, by old ID, the new IDs of the calls whose IDs changed when the queue
+	// was imported again.
 	renumbered map[uint64]uint64
 	// remoteCalls holds this instance's IDs of the calls that other instances carry out.
 	remoteCalls map[remoteCall]uint64
-	// unclaimed are the requests taken over whose requesters haven't asked here, with the
-	// time until which they are kept. earlyOutcomes are the outcomes of those that have
-	// ended.
+	// unclaimed holds the requests whose requesters have yet to ask here, because the
+	// requests were taken over or the connections were lost, with the time until which each
+	// is kept. earlyOutcomes holds the outcomes of such requests that have ended.
 	unclaimed     map[string]time.Time
 	earlyOutcomes map[string]outcome
 }
@@ -82,8 +82,8 @@
 	}
 }
 
-// freeze exports the queue from the planner, unless that has been done already. It is ended
-// by completeHandover or unfreeze.
+// freeze exports the queue from the planner, unless the queue is frozen already. The queue stays
+// frozen until completeHandover or unfreeze.
 func (q *queue) freeze() gather.State {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -167,8 +167,8 @@
 	q.forwardDrops(to, drops...)
 }
 
-// takeOver continues with the queue of an instance that stops. It returns false if this
-// instance hands its own over.
+// takeOver continues with the queue that another instance hands over. It returns false if this
+// instance is handing its own queue over, or has handed it over and isn't to get it back.
 func (q *queue) takeOver(from instanceID, state gather.State) bool {
 	q.mu.Lock()
 	if q.frozen || (q.movedTo != "" && !q.yielded) {
@@ -199,8 +199,8 @@
 // timeOutRemoteCall counts a call as unanswered if its end was not reported. It only forgets
 // a call that was handed over with the queue, because the new holder has a timeout of its own.
 //
-// Prevents records from staying for ever if the instance that carries out the call has failed
-// and never reports its end.
+// It prevents records from staying forever if the instance that carries out the call has failed
+// and never reports the call's end.
 func (q *queue) timeOutRemoteCall(id uint64) {
 	q.mu.Lock()
 	maps.DeleteFunc(q.remoteCalls, func(_ remoteCall, here uint64) bool { return here == id })
@@ -263,7 +263,7 @@
 	q.performActions(actions)
 }
 
-// dropUnclaimed drops requests that were taken over if their requesters never asked here.
+// dropUnclaimed drops the unclaimed requests whose requesters haven't asked here in time.
 func (q *queue) dropUnclaimed(now time.Time) {
 	var expired []placing.RequestEnd
 	q.mu.Lock()
--- a/daemon/stages/transfer_test.go
+++ b/daemon/stages/transfer_test.go
@@ -18,8 +18,8 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Prevents records of calls in progress from staying for ever where the queue has moved on
-// and the instance that carries out the call has failed.
+// Prevents the records of a call in progress from staying forever, wherever the queue is by then,
+// if the instance that carries out the call has failed.
 func TestRemoteCallsWithoutReportAreForgotten(t *testing.T) {
 	const within = time.Second
 	give := func(q *queue) {
--- a/daemon/stages/unreachable.go
+++ b/daemon/stages/unreachable.go
@@ -39,7 +39,7 @@
 		_, err = s.cluster.Call(ctx, holder, methodUnreachable, body)
 	}
 	if err != nil && !errors.Is(err, peer.ErrNoMethod) {
-		// Other requesters detect it as well.
+		// Other requesters detect the unreachable engine as well.
 		telemetry.ErrorS(err, "Holder of the stage queue was not told of an engine that is gone", telemetry.Event{Peer: holder, Target: report.Engine})
 	}
 }
--- a/daemon/stages/yield.go
+++ b/daemon/stages/yield.go
@@ -9,9 +9,8 @@
 	"github.com/ivyhollow/ivyhollow/telemetry"
 )
 
-// lockAndCheckStall locks mu, and freezes the queue if its instance was stalled. Its
-// requesters have turned to another holder meanwhile, and the calls of both would meet at the
-// targets.
+// lockAndCheckStall locks mu, and freezes the queue if this instance was stalled. The requesters
+// have turned to another holder meanwhile, and both holders would send calls to the same targets.
 func (q *queue) lockAndCheckStall() {
 	q.mu.Lock()
 	if !q.stall.Check(time.Now(), q.bootClock) || q.frozen || q.movedTo != "" || !q.hasWork() {
@@ -59,8 +58,8 @@
 // one's queue since a yield. If that instance responds here, it reports whether to relay the
 // request to it. Otherwise the queue is taken back.
 //
-// Prevents requests that nobody serves: until all instances know of a failed holder,
-// requesters would otherwise be redirected to it.
+// Without the check of that instance, nobody would serve some requests: until all instances
+// know of a failed holder, requesters would be redirected to it.
 func (s *Stages) relaysToYielded(ctx context.Context, request *redirectableRequest) (relay bool) {
 	to := s.queue.yieldedTo()
 	if to == "" || !slices.Contains(request.Avoided, to) {
