--- a/daemon/stages/stages.go
+++ b/daemon/stages/stages.go
@@ -168,8 +168,8 @@
 	return s.execute(ctx, r, prompt, false)
 }
 
-// execute implements Execute. wasRedirected means that another instance has redirected or relayed
-// the request to this one.
+// execute implements Execute. wasRedirected is true for a request that this instance relays for
+// another one: the instances that are asked don't redirect it as they would a new request.
 func (s *Stages) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, wasRedirected bool) (Result, error) {
 	defer s.removeWaiting(r.ID)
 	s.cluster.AwaitJoin(ctx)
