--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -35,7 +35,8 @@
 	return startInstanceWith(t, "")
 }
 
-// startInstanceWith is startInstance with spans sent to the collector, unless it is empty.
+// startInstanceWith is startInstance with spans sent to the collector at the given address,
+// unless the address is empty.
 func startInstanceWith(t testing.TB, collector string, options ...dev.Option) *App {
 	t.Helper()
 	return startIn(t, startWorld(t, options...), "one", collector)
@@ -114,8 +115,8 @@
 	return response.StatusCode, problem, response.Header.Get(callerapi.HeaderRequestID)
 }
 
-// Invalid requests, as misconfigured clients and port scanners send them, are refused
-// with a problem that names the field. They don't affect other requests.
+// Invalid requests, such as those of misconfigured clients and port scanners, are refused
+// with a problem that names the field if one is at fault. They don't affect other requests.
 func TestBadRequestsAreRefusedByField(t *testing.T) {
 	a := startInstance(t)
 	path := a.CallersURL() + "/v1/pipelines/dossier/requests"
@@ -161,8 +162,8 @@
 	require.Equal(t, http.StatusOK, status, "others are still served")
 }
 
-// Prevents a disclosure: the status of another account's request looks as if there were
-// no such request, or ids would reveal who is a client.
+// The status of another account's request must look as if the request didn't exist.
+// Otherwise request IDs would reveal who is a client.
 func TestStatusIsForItsAccountAlone(t *testing.T) {
 	a := startInstance(t)
 	_, _, id := send(t, http.MethodPost, a.CallersURL()+"/v1/pipelines/dossier/requests", dev.SampleKey, `{"input":"x"}`)
--- a/daemon/claims/objects.go
+++ b/daemon/claims/objects.go
@@ -66,8 +66,8 @@
 // would not fit into an instance's memory.
 const sweepPageSize = 100
 
-// Sweep implements Storage. The pages may be stale, since a claim's creation time
-// doesn't change, and each removal is conditional on the listed revision.
+// Sweep implements Storage. Stale pages do no harm: a claim's creation time doesn't
+// change, and each removal is conditional on the listed revision.
 func (o *ObjectStorage) Sweep(ctx context.Context, before time.Time, pace func() error) (int, error) {
 	removed, after := 0, ""
 	for {
@@ -119,8 +119,8 @@
 }
 
 // conflictEvent returns the event for a write that conflicted. It is certain that the
-// write was not applied. If the response doesn't include the current claim, that is
-// read.
+// write was not applied. If the response doesn't include the current claim, the
+// claim is read.
 func (o *ObjectStorage) conflictEvent(ctx context.Context, id claim.ID, current *platformapi.Object) claim.Event {
 	if current != nil {
 		return decodeClaim(current)
--- a/daemon/claims/service_test.go
+++ b/daemon/claims/service_test.go
@@ -29,8 +29,9 @@
 	form     func(Store) Storage
 	services map[claim.Owner]*Service
 	stops    []func()
-	// silentCalls is the number of calls without response that one claim waits for: a
-	// journal is read before its first write.
+	// silentCalls is the number of calls without a response that one claim waits for: a
+	// journal is read before its first write. Its type is time.Duration because it is
+	// multiplied with a timeout.
 	silentCalls time.Duration
 }
 
@@ -117,18 +118,19 @@
 )
 
 // The store fails in one way while instance a claims a key. The caller must get a correct
-// verdict. Then the store has recovered and the caller retries at instance b, while a is
-// running or has failed.
+// verdict. Then the store recovers and the caller retries at instance b, while a is running
+// or has failed.
 func TestStoreFaultWhileClaiming(t *testing.T) {
 	lost := emulator.Faults{LoseWrites: 1}
 	for _, tc := range []struct {
 		name   string
 		faults emulator.Faults
 		first  Verdict
-		// retry and orphan are the verdicts of b while a is running and after a has
-		// failed.
-		retry, orphan Verdict
-		maxTime       time.Duration
+		// whileRunning and afterFailure are the verdicts of b while a is running and after
+		// a has failed.
+		whileRunning, afterFailure Verdict
+		// maxTime bounds the wait for the first verdict, per call of silentCalls.
+		maxTime time.Duration
 	}{
 		{"none", emulator.Faults{}, Run, Unknown, Unknown, 0},
 		{"response lost after the effect", lost, Run, Unknown, Unknown, 0},
@@ -154,10 +156,10 @@
 					}
 					w.store.SetFaults(emulator.Faults{})
 					time.Sleep(20 * time.Second)
-					want := tc.retry
+					want := tc.whileRunning
 					if failed {
 						w.kill(a)
-						want = tc.orphan
+						want = tc.afterFailure
 					}
 					second := w.begin(b, 2*time.Second)
 					require.Equal(t, want, second.Verdict, second.Reason)
@@ -220,8 +222,8 @@
 	})
 }
 
-// The deadline passes while the first call of the key is running. "Not run" would be wrong,
-// on the same instance as on another one.
+// The deadline passes while the first call of the key is running. "Not run" would be wrong
+// both on the same instance and on another one.
 func TestJoinPastTheDeadlineIsUnknown(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, b *Service) {
 		w.run(a)
@@ -252,7 +254,7 @@
 }
 
 // The process is paused for longer than the dispatch window after it created a claim. The
-// claim may have been removed by then, so it must not dispatch.
+// claim may have been removed by then, so the process must not dispatch work under it.
 func TestLateDispatchIsRefused(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		first := w.begin(a, time.Second)
@@ -304,6 +306,8 @@
 	})
 }
 
+// The number of open claims is bounded, and so are the number and the bytes of the writes
+// that wait for the store.
 func TestOpenClaimsAreBounded(t *testing.T) {
 	inCluster(t, func(t *testing.T, w *testCluster, a, _ *Service) {
 		limits := claim.TrackerLimits{MaxOpen: 0}
--- a/daemon/follow/targets_test.go
+++ b/daemon/follow/targets_test.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// The same at an instance that starts later and lists the entries. It has never known the target, but
-// an instance that the store refuses still does, so the removal has to be gossiped.
+// An instance that starts after the target's entry was replaced by an invalid one lists the entries. It
+// has never known the target, but an instance that the store refuses still does, so the removal has to
+// be gossiped.
 func TestInvalidEntryOfUnknownTargetIsGossiped(t *testing.T) {
 	h := newRecordingFollower()
 	h.applyTargetList(platformapi.List{Revision: 4, Items: []platformapi.Object{
@@ -162,8 +163,8 @@
 	require.True(t, log, "a lasting fault is logged again")
 }
 
-// A configuration names a service for the first time, whose targets have long been known. If it were in
-// force before they are published, requests in between would be refused for lack of a target.
+// A configuration is the first to name a service with targets that have long been known. If it were
+// in force before they are published, requests in between would be refused for lack of a target.
 func TestTargetsArePublishedBeforeConfiguration(t *testing.T) {
 	h := newRecordingFollower()
 	h.event("a", 1, "ready 100")
--- a/daemon/relay/stop_test.go
+++ b/daemon/relay/stop_test.go
@@ -39,7 +39,7 @@
 func (dialect) CallerResponseHeader(h http.Header) http.Header { return h }
 
 // A request has an unknown key, and a store that doesn't answer is asked for a newer configuration.
-// Meanwhile the instance stops. The caller must get a response, and that must be that the request
+// Meanwhile the instance stops. The caller must get a response, which must state that the request
 // hasn't run rather than that the key is wrong.
 func TestStopEndsWaitForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -75,7 +75,7 @@
 type stageRunner struct {
 	started chan gather.Request
 	refused chan time.Time
-	// unreachable is true if the runner receives no deadlines of a stop.
+	// unreachable is true if the runner doesn't receive the deadlines that a stop shortens.
 	unreachable bool
 	// retryAfter is the retry delay of a refusal.
 	retryAfter time.Duration
@@ -142,8 +142,8 @@
 	})
 }
 
-// The same if whoever runs the stages doesn't receive the earlier deadline: the request is refused
-// when no time is left to send it.
+// A request waits for its stages when its instance begins to stop, but the runner of the stages
+// doesn't receive the earlier deadline. The request must be refused when no time is left to send it.
 func TestStopRefusesWaitingRequestAtSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &stageRunner{started: make(chan gather.Request, 1), unreachable: true}
@@ -164,7 +164,7 @@
 }
 
 // The body of a request that must not be repeated is complete only when no time is left to send it.
-// If it were sent it would run, and its caller would be told that it may have.
+// If it were sent, it would run, and its caller would be told only that it may have run.
 func TestStopSendsNothingAfterSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := stagedRelay(&stageRunner{})
@@ -215,7 +215,9 @@
 		began := time.Now()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/", strings.NewReader("")))
 		require.Equal(t, began.Add(4*time.Second+engineFirstEventTime), (<-m.started).Deadline)
-		// Its own deadline is 20 s, 15.75 s later.
+		// Both the runner's delay (18 s) and the deadline without a stop (20 s) are reduced by
+		// answerMargin. The stop's deadline (4.25 s) is 15.75 s before the unreduced 20 s, so the
+		// delay is 18 s - 15.75 s.
 		require.Equal(t, "2.25", w.Header().Get("Retry-After"))
 	})
 }
--- a/daemon/stages/assign.go
+++ b/daemon/stages/assign.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// remainingMargin is added to the time that an idle engine is predicted to take: its
-	// usual queueing time for the prompts that it already processes, and the network
-	// transfer.
+	// remainingMargin is added to the time that an idle engine is predicted to take. It
+	// covers the usual wait for the prompts that the engine already processes, and the
+	// network transfer.
 	remainingMargin = 60 * time.Millisecond
-	// maxRemaining limits the remaining time that a request counts with for its engine: the
-	// longest prompts take a second.
+	// maxRemaining limits the time that is reserved for a request's engine after the
+	// stages: the longest prompts take a second.
 	maxRemaining = 2 * time.Second
 )
 
@@ -46,8 +46,8 @@
 }
 
 // assignEngine chooses the engine of a request whose stages have completed. mu must be held.
-// It returns "" if the request's prompt is unknown, as for a request that was taken over and
-// whose requester hasn't asked here: the requester then chooses.
+// It returns "" if the request's prompt is unknown, as for a request that was taken over
+// before its requester asked here: the requester then chooses.
 func (q *queue) assignEngine(now time.Time, done gather.Completed) string {
 	prompt, ok := q.prompts[done.Request]
 	if !ok {
--- a/daemon/stages/queue.go
+++ b/daemon/stages/queue.go
@@ -25,8 +25,8 @@
 const (
 	// tick is the interval at which the planner checks its timers.
 	tick = 100 * time.Millisecond
-	// freeDelay collects the results of a target to free in one call; a few requests end in
-	// that time.
+	// freeDelay is the time in which the results of a target are collected, to be freed in
+	// one call. A few requests end in that time.
 	freeDelay = 40 * time.Millisecond
 	// freeTimeout limits a call that frees results. Results expire if it fails.
 	freeTimeout = 500 * time.Millisecond
@@ -45,20 +45,20 @@
 	follower  Follower
 	metrics   metrics
 	responses recentResponses
-	// reportCallEnd and forwardDrops notify the instance that has the queue of the end of a
-	// call and of requests that nobody waits for.
+	// reportCallEnd notifies the instance that has the queue of the end of a call,
+	// forwardDrops of requests that have ended.
 	reportCallEnd func(to string, call uint64, callOutcome gather.CallOutcome, results []gather.PieceResult)
 	forwardDrops  func(to string, ends ...placing.RequestEnd)
 
 	mu      sync.Mutex
 	planner *gather.Planner
 	engines *placing.Table
-	// prompts are those of the requests whose stages run here, by request ID. waiters have
-	// the channels that receive the requests' outcomes.
+	// prompts holds the prompts of the requests whose stages run here, by request ID. waiters
+	// holds the channels that receive the requests' outcomes.
 	prompts     map[string]placing.Prompt
 	waiters     map[string]chan outcome
 	pendingFree map[gather.Target][]string
-	// stall detects by bootClock and the time of day that this instance was stalled.
+	// stall detects, by bootClock and the time of day, that this instance was stalled.
 	stall     holder.StallDetector
 	bootClock boottime.Clock
 	// onStall is called after the queue was frozen because this instance was stalled.
@@ -137,8 +137,8 @@
 // execute runs the stages of a request and waits for their results. A request that was taken
 // over with another instance's queue continues with the results that it has.
 //
-// shortened means that its deadline was shortened since the first request for it. remote
-// means that another instance is the requester, to whose connection the context is bound.
+// shortened means that the request's deadline was shortened since it was first sent. remote
+// means that the requester is another instance; the context is then bound to its connection.
 func (q *queue) execute(ctx context.Context, r gather.Request, prompt placing.Prompt, shortened, remote bool) (outcome, error) {
 	done, err := q.submit(ctx, r, prompt, shortened)
 	if err != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-// submit submits a request to the planner, after any handover in progress has been decided.
+// submit submits a request to the planner, after any handover in progress has ended.
 // The channel receives the request's outcome.
 func (q *queue) submit(ctx context.Context, r gather.Request, prompt placing.Prompt, shortened bool) (chan outcome, error) {
 	done := make(chan outcome, 1)
@@ -258,7 +258,7 @@
 	q.performActions(actions)
 }
 
-// recordActions updates the queue by actions. mu must be held.
+// recordActions updates the state of the queue according to actions. mu must be held.
 func (q *queue) recordActions(actions []gather.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -342,7 +342,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	reply, err := q.client.Do(ctx, t.Address, request, forward.Options{Incarnation: t.Incarnation, ConnGroup: useFree})
+	reply, err := q.client.Do(ctx, t.Address, request, forward.Options{Incarnation: t.Incarnation, ConnGroup: freeConnGroup})
 	if err == nil {
 		_, err = io.Copy(io.Discard, reply)
 		reply.Close()
--- a/daemon/stages/readers.go
+++ b/daemon/stages/readers.go
@@ -10,7 +10,7 @@
 // resultReader is the instance that reads the results of a request.
 type resultReader struct {
 	instanceID
-	// deadline is the deadline of the request, at which the planner has dropped it.
+	// deadline is the deadline of the request. After it, the planner has dropped the request.
 	deadline time.Time
 }
 
@@ -23,7 +23,7 @@
 
 // dropOrphaned frees the results of requests whose requesters have died or restarted: nobody
 // reads them, and nobody will report their end. The results for requesters that leave as
-// planned stay, since these still serve the requests that they have.
+// planned are kept, since such requesters still serve the requests that they have.
 func (q *queue) dropOrphaned(now time.Time, view *membership.View) {
 	var orphaned []placing.RequestEnd
 	q.mu.Lock()
@@ -43,7 +43,7 @@
 }
 
 // reconnectTimeout is how long a request is kept after the connection of its requester was
-// lost: some round trips. A healthy requester sends the request again.
+// lost: some round trips, in which a healthy requester sends the request again.
 const reconnectTimeout = 300 * time.Millisecond
 
 // abandon drops a request whose requester gave up, unless the request was sent again or has
@@ -66,9 +66,9 @@
 	}
 }
 
-// keepOutcome keeps an outcome that arrived as the connection of its requester was lost, for
-// when the request is sent again. It reports whether nothing remains to be decided here
-// because the request has moved or was dropped. mu must be held.
+// keepOutcome keeps an outcome that arrived as the connection of its requester was lost, so that
+// the requester receives it when it sends the request again. decided is true if abandon has
+// nothing left to do, because the request has moved or was dropped. mu must be held.
 func (q *queue) keepOutcome(id string, done <-chan outcome, connLost bool) (decided bool) {
 	select {
 	case end := <-done:
--- a/daemon/stages/shorten.go
+++ b/daemon/stages/shorten.go
@@ -35,7 +35,8 @@
 
 // ShortenDeadlines shortens the deadlines of this instance's requests that wait for their
 // stages, as the instance begins its planned stop. Execute returns a *RefusedError with
-// gather.ReasonStopping at once for those that won't complete by then. It doesn't wait.
+// gather.ReasonStopping at once for requests that won't complete by the new deadline.
+// ShortenDeadlines doesn't wait.
 //
 // Without it a request would wait until the grace period of its instance ends and then be
 // given up, when its caller has no time left to be served elsewhere.
@@ -87,8 +88,8 @@
 	q.apply(func(p *gather.Planner) []gather.Action { return p.ShortenDeadlines(time.Now(), deadline, ids...) })
 }
 
-// addWaiting records the instance that is asked for a request. It returns the request with
-// its current deadline, and true if ShortenDeadlines set that.
+// addWaiting records the instance that is asked to run a request's stages. It returns the
+// request with its current deadline, and true if ShortenDeadlines set this deadline.
 func (s *Stages) addWaiting(holder string, r gather.Request) (gather.Request, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/stages/slowholder_test.go
+++ b/daemon/stages/slowholder_test.go
@@ -12,16 +12,16 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// Prevents a second queue beside that of a live holder that responds slowly, and requests
-// that continue to be sent to one whose connection is silent.
+// Prevents a second queue beside the queue of a live holder that responds slowly, and
+// requests that continue to be sent to a holder with a silent connection.
 func TestSlowHolder(t *testing.T) {
 	const deadline = 3 * time.Second
 	cases := map[string]struct {
 		after time.Duration
 		// errs are the errors of the first calls.
 		errs []error
-		// holder is the instance that serves a request, "" if none does, and took the time
-		// until its end.
+		// holder is the instance that serves the request, or "" if none does. took is the
+		// time until the request ends.
 		holder string
 		took   time.Duration
 		// called and next are the calls to the holder and to the instance that is picked
@@ -115,8 +115,8 @@
 	}
 }
 
-// Prevents a queue from being handed over to a third instance, while requesters turn to the
-// one whose connection was found lost after the holder's stall.
+// Prevents a queue from being handed over to a third instance while requesters turn to the
+// instance to which the holder's connection was found lost after its stall.
 func TestHandoverOverLostConnection(t *testing.T) {
 	for lost, holder := range map[int]string{1: "at-b", 2: "at-c"} {
 		synctest.Test(t, func(t *testing.T) {
--- a/daemon/stages/unreachable.go
+++ b/daemon/stages/unreachable.go
@@ -11,10 +11,10 @@
 	"github.com/ivyhollow/ivyhollow/transport/peer"
 )
 
-// methodUnreachable reports an engine at whose address nothing listens.
+// methodUnreachable reports that nothing listens at the address of an engine.
 const methodUnreachable = "stages.gone"
 
-// unreachableTimeout limits that report.
+// unreachableTimeout limits the time to send the report.
 const unreachableTimeout = time.Second
 
 // unreachableReport is the body of methodUnreachable.
@@ -39,7 +39,7 @@
 		_, err = s.cluster.Call(ctx, holder, methodUnreachable, body)
 	}
 	if err != nil && !errors.Is(err, peer.ErrNoMethod) {
-		// Other requesters detect it as well.
+		// Other requesters detect the unreachable engine as well.
 		telemetry.ErrorS(err, "Holder of the stage queue was not told of an engine that is gone", telemetry.Event{Peer: holder, Target: report.Engine})
 	}
 }
